--- a/src/main/java/dunlinhitch/HangUps.java
+++ b/src/main/java/dunlinhitch/HangUps.java
@@ -1,33 +1,33 @@
 package dunlinhitch;
 
 /**
- * SIGHUP, heeded from the first moment of a process on: a JVM that does not heed it ends on it. What comes while there
- * is nothing yet that could read the configuration again is kept, and then heeded once, for the file may have been
- * replaced after the start had read it.
+ * SIGHUP, heeded from the first moment of a process on: a JVM that does not heed it ends on it.
+ * What comes while there is nothing yet that could read the configuration again is kept, and then
+ * heeded once, for the file may have been replaced after the start had read it.
  */
 final class HangUps {
-    private Runnable readAgain;
-    private boolean kept;
+  private Runnable readAgain;
+  private boolean kept;
 
-    /** Heeds the signal from now on; false where it never will, see {@link Signals#on}. */
-    boolean heed() {
-        return Signals.on("HUP", this::came);
-    }
+  /** Heeds the signal from now on; false where it never will, see {@link Signals#on}. */
+  boolean heed() {
+    return Signals.on("HUP", this::came);
+  }
 
-    synchronized void came() {
-        if (readAgain == null) {
-            kept = true;
-        } else {
-            readAgain.run();
-        }
+  synchronized void came() {
+    if (readAgain == null) {
+      kept = true;
+    } else {
+      readAgain.run();
     }
+  }
 
-    /** What is to be run on each from now on, and at once if one was kept. */
-    synchronized void to(Runnable task) {
-        readAgain = task;
-        if (kept) {
-            kept = false;
-            task.run();
-        }
+  /** What is to be run on each from now on, and at once if one was kept. */
+  synchronized void to(Runnable task) {
+    readAgain = task;
+    if (kept) {
+      kept = false;
+      task.run();
     }
+  }
 }
--- a/src/main/java/dunlinhitch/conf/Directive.java
+++ b/src/main/java/dunlinhitch/conf/Directive.java
@@ -5,21 +5,20 @@
 
 /** One line of a settings file: a name and its words, each with its place. */
 public record Directive(Path file, int line, Word name, List<Word> words) {
-    /** A word and the column that it begins in, from 1. */
-    public record Word(String text, int column) {
-    }
+  /** A word and the column that it begins in, from 1. */
+  public record Word(String text, int column) {}
 
-    public Directive {
-        words = List.copyOf(words);
-    }
+  public Directive {
+    words = List.copyOf(words);
+  }
 
-    /** What is wrong with the line as a whole. */
-    public ConfException wrong(String message) {
-        return wrong(name, message);
-    }
+  /** What is wrong with the line as a whole. */
+  public ConfException wrong(String message) {
+    return wrong(name, message);
+  }
 
-    /** What is wrong with one of its words. */
-    public ConfException wrong(Word at, String message) {
-        return new ConfException(file, line, at.column(), message);
-    }
+  /** What is wrong with one of its words. */
+  public ConfException wrong(Word at, String message) {
+    return new ConfException(file, line, at.column(), message);
+  }
 }
--- a/src/main/java/dunlinhitch/core/Answer.java
+++ b/src/main/java/dunlinhitch/core/Answer.java
@@ -4,31 +4,30 @@
 
 /** The one final answer of a query, before any front words it. */
 public sealed interface Answer {
-    /** A part that is in: its shard and the value as the store gave it. */
-    record PartValue(int shard, String value) {
-    }
-
-    /** Served, marked whole or not; {@code pruned}: shards whose store said first that they have nothing, null where nobody asked. */
-    record Served(boolean whole, List<PartValue> parts, List<Integer> pruned) implements Answer {
-        public Served {
-            parts = List.copyOf(parts);
-            pruned = pruned == null ? null : List.copyOf(pruned);
-        }
+  /** A part that is in: its shard and the value as the store gave it. */
+  record PartValue(int shard, String value) {}
 
-        public Served(boolean whole, List<PartValue> parts) {
-            this(whole, parts, null);
-        }
+  /**
+   * Served, marked whole or not; {@code pruned}: shards whose store said first that they have
+   * nothing, null where nobody asked.
+   */
+  record Served(boolean whole, List<PartValue> parts, List<Integer> pruned) implements Answer {
+    public Served {
+      parts = List.copyOf(parts);
+      pruned = pruned == null ? null : List.copyOf(pruned);
     }
 
-    /** Trying again is harmless, best after {@code comeBackUs} (0: no advice). */
-    record Refused(long comeBackUs) implements Answer {
+    public Served(boolean whole, List<PartValue> parts) {
+      this(whole, parts, null);
     }
+  }
 
-    /** Given up, with no promise about its effect. */
-    record Failed() implements Answer {
-    }
+  /** Trying again is harmless, best after {@code comeBackUs} (0: no advice). */
+  record Refused(long comeBackUs) implements Answer {}
 
-    /** Given up because the client's time is as good as over. */
-    record OutOfTime() implements Answer {
-    }
+  /** Given up, with no promise about its effect. */
+  record Failed() implements Answer {}
+
+  /** Given up because the client's time is as good as over. */
+  record OutOfTime() implements Answer {}
 }
--- a/src/main/java/dunlinhitch/core/Counters.java
+++ b/src/main/java/dunlinhitch/core/Counters.java
@@ -4,26 +4,26 @@
 
 /** How often each thing has happened since the start. */
 public final class Counters {
-    private final long[] counts = new long[Count.values().length];
+  private final long[] counts = new long[Count.values().length];
 
-    void add(Count what, long times) {
-        counts[what.ordinal()] += times;
-    }
+  void add(Count what, long times) {
+    counts[what.ordinal()] += times;
+  }
 
-    void add(Count what) {
-        add(what, 1);
-    }
+  void add(Count what) {
+    add(what, 1);
+  }
 
-    public long get(Count what) {
-        return counts[what.ordinal()];
-    }
+  public long get(Count what) {
+    return counts[what.ordinal()];
+  }
 
-    /** A line for each, {@code name value}. */
-    public String lines() {
-        StringBuilder out = new StringBuilder();
-        for (Count what : Count.values()) {
-            out.append(what.name().toLowerCase(Locale.ROOT)).append(' ').append(get(what)).append('\n');
-        }
-        return out.toString();
+  /** A line for each, {@code name value}. */
+  public String lines() {
+    StringBuilder out = new StringBuilder();
+    for (Count what : Count.values()) {
+      out.append(what.name().toLowerCase(Locale.ROOT)).append(' ').append(get(what)).append('\n');
     }
+    return out.toString();
+  }
 }
--- a/src/main/java/dunlinhitch/core/Figures.java
+++ b/src/main/java/dunlinhitch/core/Figures.java
@@ -3,13 +3,18 @@
 import java.util.List;
 
 /** What a broker reports of itself at one moment; the counts are since the start. */
-public record Figures(List<OfClass> classes, long tries, int inProgress, int knownStores, int skippedStores,
-        long loads, long loadErrors) {
-    /** How requests of one class ended. */
-    public record OfClass(String name, long served, long refused, long failed) {
-    }
+public record Figures(
+    List<OfClass> classes,
+    long tries,
+    int inProgress,
+    int knownStores,
+    int skippedStores,
+    long loads,
+    long loadErrors) {
+  /** How requests of one class ended. */
+  public record OfClass(String name, long served, long refused, long failed) {}
 
-    public Figures {
-        classes = List.copyOf(classes);
-    }
+  public Figures {
+    classes = List.copyOf(classes);
+  }
 }
--- a/src/main/java/dunlinhitch/core/Tallies.java
+++ b/src/main/java/dunlinhitch/core/Tallies.java
@@ -5,35 +5,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** How the requests of each class have ended, by the name of the class: it may leave the settings and come back. */
+/**
+ * How the requests of each class have ended, by the name of the class: it may leave the settings
+ * and come back.
+ */
 final class Tallies {
-    private static final class Tally {
-        private long served;
-        private long refused;
-        private long failed;
-    }
+  private static final class Tally {
+    private long served;
+    private long refused;
+    private long failed;
+  }
 
-    private final Map<String, Tally> byClass = new LinkedHashMap<>();
+  private final Map<String, Tally> byClass = new LinkedHashMap<>();
 
-    /** A class that is known from now on, with nothing ended yet. */
-    void known(String queryClass) {
-        byClass.computeIfAbsent(queryClass, name -> new Tally());
-    }
+  /** A class that is known from now on, with nothing ended yet. */
+  void known(String queryClass) {
+    byClass.computeIfAbsent(queryClass, name -> new Tally());
+  }
 
-    void ended(String queryClass, Answer answer) {
-        Tally tally = byClass.computeIfAbsent(queryClass, name -> new Tally());
-        if (answer instanceof Answer.Served) {
-            tally.served++;
-        } else if (answer instanceof Answer.Refused) {
-            tally.refused++;
-        } else {
-            tally.failed++;
-        }
+  void ended(String queryClass, Answer answer) {
+    Tally tally = byClass.computeIfAbsent(queryClass, name -> new Tally());
+    if (answer instanceof Answer.Served) {
+      tally.served++;
+    } else if (answer instanceof Answer.Refused) {
+      tally.refused++;
+    } else {
+      tally.failed++;
     }
+  }
 
-    List<Figures.OfClass> list() {
-        List<Figures.OfClass> list = new ArrayList<>();
-        byClass.forEach((name, t) -> list.add(new Figures.OfClass(name, t.served, t.refused, t.failed)));
-        return list;
-    }
+  List<Figures.OfClass> list() {
+    List<Figures.OfClass> list = new ArrayList<>();
+    byClass.forEach(
+        (name, t) -> list.add(new Figures.OfClass(name, t.served, t.refused, t.failed)));
+    return list;
+  }
 }
--- a/src/main/java/dunlinhitch/decide/Fleet.java
+++ b/src/main/java/dunlinhitch/decide/Fleet.java
@@ -12,78 +12,83 @@
 import java.util.Map;
 import java.util.Set;
 
-/** The servers by id and by cell, kept up change by change: no change costs more where there are more of them. No decisions. */
+/**
+ * The servers by id and by cell, kept up change by change: no change costs more where there are
+ * more of them. No decisions.
+ */
 final class Fleet {
-    private final Map<Integer, Server> byId = new LinkedHashMap<>();
-    private final Map<Integer, List<Server>> byCell = new HashMap<>();
-    /** Gone, with attempts still out. */
-    private final Set<Server> leaving = new LinkedHashSet<>();
+  private final Map<Integer, Server> byId = new LinkedHashMap<>();
+  private final Map<Integer, List<Server>> byCell = new HashMap<>();
 
-    Server get(int id) {
-        return byId.get(id);
-    }
+  /** Gone, with attempts still out. */
+  private final Set<Server> leaving = new LinkedHashSet<>();
 
-    int size() {
-        return byId.size();
-    }
+  Server get(int id) {
+    return byId.get(id);
+  }
 
-    Collection<Server> values() {
-        return byId.values();
-    }
+  int size() {
+    return byId.size();
+  }
 
-    List<Server> inCell(int cell) {
-        return byCell.getOrDefault(cell, List.of());
-    }
+  Collection<Server> values() {
+    return byId.values();
+  }
 
-    /** Those that hold a shard. */
-    List<Server> holders(int shard, Layout layout) {
-        List<Server> found = new ArrayList<>();
-        for (int j = 0; j < layout.inARow(); j++) {
-            found.addAll(inCell(Math.floorMod(shard + j, layout.cells())));
-        }
-        return found;
-    }
+  List<Server> inCell(int cell) {
+    return byCell.getOrDefault(cell, List.of());
+  }
 
-    /** Those in cells less than {@code reach} away, either way round. */
-    List<Server> near(int cell, int reach, int cells) {
-        Set<Integer> seen = new LinkedHashSet<>();
-        for (int away = 1 - reach; away < reach; away++) {
-            seen.add(Math.floorMod(cell + away, cells));
-        }
-        List<Server> near = new ArrayList<>();
-        seen.forEach(at -> near.addAll(inCell(at)));
-        return near;
+  /** Those that hold a shard. */
+  List<Server> holders(int shard, Layout layout) {
+    List<Server> found = new ArrayList<>();
+    for (int j = 0; j < layout.inARow(); j++) {
+      found.addAll(inCell(Math.floorMod(shard + j, layout.cells())));
     }
+    return found;
+  }
 
-    Server add(int id, int cell) {
-        Server s = new Server(id);
-        s.cell = cell;
-        byId.put(id, s);
-        byCell.computeIfAbsent(cell, c -> new ArrayList<>()).add(s);
-        return s;
+  /** Those in cells less than {@code reach} away, either way round. */
+  List<Server> near(int cell, int reach, int cells) {
+    Set<Integer> seen = new LinkedHashSet<>();
+    for (int away = 1 - reach; away < reach; away++) {
+      seen.add(Math.floorMod(cell + away, cells));
     }
+    List<Server> near = new ArrayList<>();
+    seen.forEach(at -> near.addAll(inCell(at)));
+    return near;
+  }
 
-    void move(Server s, int cell) {
-        if (s.cell != cell) {
-            byCell.get(s.cell).remove(s);
-            s.cell = cell;
-            byCell.computeIfAbsent(cell, c -> new ArrayList<>()).add(s);
-        }
-    }
+  Server add(int id, int cell) {
+    Server s = new Server(id);
+    s.cell = cell;
+    byId.put(id, s);
+    byCell.computeIfAbsent(cell, c -> new ArrayList<>()).add(s);
+    return s;
+  }
 
-    void gone(Server s) {
-        leaving.add(s);
+  void move(Server s, int cell) {
+    if (s.cell != cell) {
+      byCell.get(s.cell).remove(s);
+      s.cell = cell;
+      byCell.computeIfAbsent(cell, c -> new ArrayList<>()).add(s);
     }
+  }
+
+  void gone(Server s) {
+    leaving.add(s);
+  }
 
-    /** Leaves out those that are gone and have nothing out. */
-    void forget() {
-        leaving.removeIf(s -> {
-            boolean over = s.state == ServerState.GONE && s.out.isEmpty();
-            if (over) {
-                byId.remove(s.id);
-                byCell.get(s.cell).remove(s);
-            }
-            return over || s.state != ServerState.GONE;
+  /** Leaves out those that are gone and have nothing out. */
+  void forget() {
+    leaving.removeIf(
+        s -> {
+          boolean over = s.state == ServerState.GONE && s.out.isEmpty();
+          if (over) {
+            byId.remove(s.id);
+            byCell.get(s.cell).remove(s);
+          }
+          return over || s.state != ServerState.GONE;
         });
-    }
+  }
 }
--- a/src/main/java/dunlinhitch/dispatch/CallText.java
+++ b/src/main/java/dunlinhitch/dispatch/CallText.java
@@ -7,50 +7,60 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** What is the same on every store's wire: the text of a call and the words for how a part ended. */
+/**
+ * What is the same on every store's wire: the text of a call and the words for how a part ended.
+ */
 public final class CallText {
-    private CallText() {
-    }
+  private CallText() {}
 
-    /**
-     * For each part a line {@code ID SHARD LIST LENGTH} and so many bytes of the query's text. Here the moment until
-     * which the broker waits becomes the milliseconds left.
-     */
-    public static byte[] of(List<PartSend> parts, long nowUs) {
-        ByteArrayOutputStream out = new ByteArrayOutputStream();
-        for (PartSend part : parts) {
-            byte[] text = part.text().getBytes(StandardCharsets.UTF_8);
-            String list = "d=" + Math.max(1, (part.dueUs() - nowUs) / 1000)
-                    + (part.key().isEmpty() ? "" : ",k=" + part.key()) + (part.after() == null ? "" : of(part.after()));
-            out.writeBytes((part.partId() + " " + part.shard() + " " + list + " " + text.length + "\n")
-                    .getBytes(StandardCharsets.UTF_8));
-            out.writeBytes(text);
-        }
-        return out.toByteArray();
+  /**
+   * For each part a line {@code ID SHARD LIST LENGTH} and so many bytes of the query's text. Here
+   * the moment until which the broker waits becomes the milliseconds left.
+   */
+  public static byte[] of(List<PartSend> parts, long nowUs) {
+    ByteArrayOutputStream out = new ByteArrayOutputStream();
+    for (PartSend part : parts) {
+      byte[] text = part.text().getBytes(StandardCharsets.UTF_8);
+      String list =
+          "d="
+              + Math.max(1, (part.dueUs() - nowUs) / 1000)
+              + (part.key().isEmpty() ? "" : ",k=" + part.key())
+              + (part.after() == null ? "" : of(part.after()));
+      out.writeBytes(
+          (part.partId() + " " + part.shard() + " " + list + " " + text.length + "\n")
+              .getBytes(StandardCharsets.UTF_8));
+      out.writeBytes(text);
     }
+    return out.toByteArray();
+  }
 
-    private static String of(FirstStep after) {
-        return ",from=" + String.join("+", after.in().stream().map(String::valueOf).toList())
-                + ",whole=" + (after.whole() ? 1 : 0);
-    }
+  private static String of(FirstStep after) {
+    return ",from="
+        + String.join("+", after.in().stream().map(String::valueOf).toList())
+        + ",whole="
+        + (after.whole() ? 1 : 0);
+  }
 
-    /** What a store ranks a part by, or NaN where the word is no number: such a part ranks last, and is as good as any. */
-    public static double score(String word) {
-        try {
-            double score = Double.parseDouble(word);
-            return Double.isFinite(score) ? score : Double.NaN;
-        } catch (NumberFormatException e) {
-            return Double.NaN;
-        }
+  /**
+   * What a store ranks a part by, or NaN where the word is no number: such a part ranks last, and
+   * is as good as any.
+   */
+  public static double score(String word) {
+    try {
+      double score = Double.parseDouble(word);
+      return Double.isFinite(score) ? score : Double.NaN;
+    } catch (NumberFormatException e) {
+      return Double.NaN;
     }
+  }
 
-    /** How a part ended, or null where the word is none of a store's. */
-    public static Outcome end(String word) {
-        return switch (word) {
-            case "good" -> Outcome.OK;
-            case "bad" -> Outcome.ERROR;
-            case "later" -> Outcome.FULL;
-            default -> null;
-        };
-    }
+  /** How a part ended, or null where the word is none of a store's. */
+  public static Outcome end(String word) {
+    return switch (word) {
+      case "good" -> Outcome.OK;
+      case "bad" -> Outcome.ERROR;
+      case "later" -> Outcome.FULL;
+      default -> null;
+    };
+  }
 }
--- a/src/main/java/dunlinhitch/dispatch/Stores.java
+++ b/src/main/java/dunlinhitch/dispatch/Stores.java
@@ -2,9 +2,9 @@
 
 import dunlinhitch.core.Effect;
 import dunlinhitch.core.Event;
-import dunlinhitch.membership.StoreEntry;
 import dunlinhitch.decide.Routing.Outcome;
 import dunlinhitch.decide.Routing.ServerState;
+import dunlinhitch.membership.StoreEntry;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -14,82 +14,82 @@
 
 /** The ways to all stores, each by what its roster entry says it speaks. */
 public final class Stores {
-    private record Way(StoreEntry entry, Transport transport) {
-    }
+  private record Way(StoreEntry entry, Transport transport) {}
 
-    private final Map<Integer, Way> ways = new HashMap<>();
-    private final List<Transport> leaving = new ArrayList<>();
-    private final Function<StoreEntry, Transport> opener;
-    private final Consumer<Event> events;
+  private final Map<Integer, Way> ways = new HashMap<>();
+  private final List<Transport> leaving = new ArrayList<>();
+  private final Function<StoreEntry, Transport> opener;
+  private final Consumer<Event> events;
 
-    /** {@code opener} makes the transport for an entry. */
-    public Stores(Function<StoreEntry, Transport> opener, Consumer<Event> events) {
-        this.opener = opener;
-        this.events = events;
-    }
+  /** {@code opener} makes the transport for an entry. */
+  public Stores(Function<StoreEntry, Transport> opener, Consumer<Event> events) {
+    this.opener = opener;
+    this.events = events;
+  }
 
-    public void changed(int store, StoreEntry entry, boolean barred) {
-        leaving.removeIf(Transport::idle);
-        Way old = ways.get(store);
-        boolean moved = old != null && !old.entry().sameAddress(entry);
-        if (old != null && (moved || entry.state() == ServerState.GONE)) {
-            old.transport().state(ServerState.GONE);
-            leaving.add(old.transport()); // what is out there may still come back, or be given up
-            ways.remove(store);
-            old = null;
-        }
-        if (entry.state() == ServerState.GONE) {
-            return;
-        }
-        Transport transport = old == null ? opener.apply(entry) : old.transport();
-        transport.state(entry.state());
-        transport.barred(barred);
-        ways.put(store, new Way(entry, transport));
+  public void changed(int store, StoreEntry entry, boolean barred) {
+    leaving.removeIf(Transport::idle);
+    Way old = ways.get(store);
+    boolean moved = old != null && !old.entry().sameAddress(entry);
+    if (old != null && (moved || entry.state() == ServerState.GONE)) {
+      old.transport().state(ServerState.GONE);
+      leaving.add(old.transport()); // what is out there may still come back, or be given up
+      ways.remove(store);
+      old = null;
     }
-
-    public void call(Effect.SendCall call) {
-        Way way = ways.get(call.store());
-        if (way != null) {
-            way.transport().call(call.parts());
-        } else {
-            call.parts().forEach(p -> events.accept(Event.AttemptOver.of(p.attempt(), Outcome.CONNECT_FAILED)));
-        }
+    if (entry.state() == ServerState.GONE) {
+      return;
     }
+    Transport transport = old == null ? opener.apply(entry) : old.transport();
+    transport.state(entry.state());
+    transport.barred(barred);
+    ways.put(store, new Way(entry, transport));
+  }
 
-    public void giveUp(Effect.GiveUp giveUp) {
-        Way way = ways.get(giveUp.store());
-        if (way == null || !way.transport().giveUp(giveUp.attempt())) {
-            leaving.forEach(transport -> transport.giveUp(giveUp.attempt()));
-        }
+  public void call(Effect.SendCall call) {
+    Way way = ways.get(call.store());
+    if (way != null) {
+      way.transport().call(call.parts());
+    } else {
+      call.parts()
+          .forEach(p -> events.accept(Event.AttemptOver.of(p.attempt(), Outcome.CONNECT_FAILED)));
     }
+  }
 
-    public void withdraw(Effect.Withdraw withdraw) {
-        Way way = ways.get(withdraw.store());
-        if (way != null) { // what is being left has nothing any more that has not left
-            way.transport().withdraw(withdraw.attempt());
-        }
+  public void giveUp(Effect.GiveUp giveUp) {
+    Way way = ways.get(giveUp.store());
+    if (way == null || !way.transport().giveUp(giveUp.attempt())) {
+      leaving.forEach(transport -> transport.giveUp(giveUp.attempt()));
     }
+  }
 
-    public void probe(Effect.Probe probe) {
-        Way way = ways.get(probe.store());
-        if (way != null) {
-            way.transport().probe(probe.probe());
-        } else {
-            events.accept(new Event.ProbeOver(probe.probe(), Outcome.CONNECT_FAILED, new float[0]));
-        }
+  public void withdraw(Effect.Withdraw withdraw) {
+    Way way = ways.get(withdraw.store());
+    if (way != null) { // what is being left has nothing any more that has not left
+      way.transport().withdraw(withdraw.attempt());
     }
+  }
 
-    public void release(int store) {
-        Way way = ways.get(store);
-        if (way != null) {
-            way.transport().release();
-        }
+  public void probe(Effect.Probe probe) {
+    Way way = ways.get(probe.store());
+    if (way != null) {
+      way.transport().probe(probe.probe());
+    } else {
+      events.accept(new Event.ProbeOver(probe.probe(), Outcome.CONNECT_FAILED, new float[0]));
     }
+  }
 
-    public void close() {
-        ways.values().forEach(way -> way.transport().close());
-        ways.clear();
-        leaving.forEach(Transport::close);
-        leaving.clear();
+  public void release(int store) {
+    Way way = ways.get(store);
+    if (way != null) {
+      way.transport().release();
     }
+  }
+
+  public void close() {
+    ways.values().forEach(way -> way.transport().close());
+    ways.clear();
+    leaving.forEach(Transport::close);
+    leaving.clear();
+  }
 }
--- a/src/main/java/dunlinhitch/dispatch/flight/FlightFirst.java
+++ b/src/main/java/dunlinhitch/dispatch/flight/FlightFirst.java
@@ -14,65 +14,83 @@
 import org.apache.arrow.flight.FlightRuntimeException;
 
 /**
- * One first pass over Flight: GetFlightInfo of a command that is the part's text of a call. {@code total_records} says how
- * many records there are, {@code app_metadata} is {@code VERSION REPORT VALUE}, the value being the empty one. Runs on a thread of its own.
+ * One first pass over Flight: GetFlightInfo of a command that is the part's text of a call. {@code
+ * total_records} says how many records there are, {@code app_metadata} is {@code VERSION REPORT
+ * VALUE}, the value being the empty one. Runs on a thread of its own.
  */
 final class FlightFirst implements Runnable {
-    private static final int WORDS = 3;
-    private final FlightStores shared;
-    private final FlightClient client;
-    private final BooleanSupplier barred;
-    private final Consumer<Event.AttemptOver> over;
-    private final Consumer<Event.FirstCame> came;
-    private final PartSend part;
-    private volatile boolean stopped;
+  private static final int WORDS = 3;
+  private final FlightStores shared;
+  private final FlightClient client;
+  private final BooleanSupplier barred;
+  private final Consumer<Event.AttemptOver> over;
+  private final Consumer<Event.FirstCame> came;
+  private final PartSend part;
+  private volatile boolean stopped;
 
-    FlightFirst(FlightStores shared, FlightClient client, PartSend part, BooleanSupplier barred,
-            Consumer<Event.AttemptOver> over, Consumer<Event.FirstCame> came) {
-        this.shared = shared;
-        this.client = client;
-        this.part = part;
-        this.barred = barred;
-        this.over = over;
-        this.came = came;
-    }
+  FlightFirst(
+      FlightStores shared,
+      FlightClient client,
+      PartSend part,
+      BooleanSupplier barred,
+      Consumer<Event.AttemptOver> over,
+      Consumer<Event.FirstCame> came) {
+    this.shared = shared;
+    this.client = client;
+    this.part = part;
+    this.barred = barred;
+    this.over = over;
+    this.came = came;
+  }
 
-    /** It leaves no more if it has not yet. */
-    void stop() {
-        stopped = true;
-    }
+  /** It leaves no more if it has not yet. */
+  void stop() {
+    stopped = true;
+  }
 
-    @Override
-    public void run() {
-        long now = shared.nowUs();
-        if (stopped || barred.getAsBoolean() || !part.mayLeave(now)) {
-            end(Outcome.CONNECT_FAILED); // it never left
-            return;
-        }
-        try {
-            FlightInfo info = client.getInfo(FlightDescriptor.command(CallText.of(List.of(part), now)),
-                    FlightTransport.until(part.dueUs(), now));
-            shared.onLoop(() -> shared.events().accept(new Event.TriesWritten(1)));
-            String text = info.getAppMetadata() == null ? null : ExactText.of(info.getAppMetadata());
-            String[] words = text == null ? new String[0] : text.split(" ", WORDS);
-            if (words.length != WORDS || info.getRecords() < 0) {
-                shared.onLoop(() -> shared.events().accept(new Event.Noted(dunlinhitch.core.Count.BAD_FRAMES)));
-                end(Outcome.RESET);
-                return;
-            }
-            long cameUs = shared.nowUs();
-            shared.onLoop(() -> came.accept(new Event.FirstCame(part.attempt(), cameUs, shared.reports().read(words[1]),
-                    info.getRecords(), words[0], words[2])));
-        } catch (FlightRuntimeException e) {
-            end(switch (e.status().code()) {
-                case UNAVAILABLE, CANCELLED, TIMED_OUT -> Outcome.RESET;
-                case RESOURCE_EXHAUSTED -> Outcome.FULL;
-                default -> Outcome.ERROR;
-            });
-        }
+  @Override
+  public void run() {
+    long now = shared.nowUs();
+    if (stopped || barred.getAsBoolean() || !part.mayLeave(now)) {
+      end(Outcome.CONNECT_FAILED); // it never left
+      return;
     }
-
-    private void end(Outcome outcome) {
-        shared.onLoop(() -> over.accept(Event.AttemptOver.of(part.attempt(), outcome)));
+    try {
+      FlightInfo info =
+          client.getInfo(
+              FlightDescriptor.command(CallText.of(List.of(part), now)),
+              FlightTransport.until(part.dueUs(), now));
+      shared.onLoop(() -> shared.events().accept(new Event.TriesWritten(1)));
+      String text = info.getAppMetadata() == null ? null : ExactText.of(info.getAppMetadata());
+      String[] words = text == null ? new String[0] : text.split(" ", WORDS);
+      if (words.length != WORDS || info.getRecords() < 0) {
+        shared.onLoop(
+            () -> shared.events().accept(new Event.Noted(dunlinhitch.core.Count.BAD_FRAMES)));
+        end(Outcome.RESET);
+        return;
+      }
+      long cameUs = shared.nowUs();
+      shared.onLoop(
+          () ->
+              came.accept(
+                  new Event.FirstCame(
+                      part.attempt(),
+                      cameUs,
+                      shared.reports().read(words[1]),
+                      info.getRecords(),
+                      words[0],
+                      words[2])));
+    } catch (FlightRuntimeException e) {
+      end(
+          switch (e.status().code()) {
+            case UNAVAILABLE, CANCELLED, TIMED_OUT -> Outcome.RESET;
+            case RESOURCE_EXHAUSTED -> Outcome.FULL;
+            default -> Outcome.ERROR;
+          });
     }
+  }
+
+  private void end(Outcome outcome) {
+    shared.onLoop(() -> over.accept(Event.AttemptOver.of(part.attempt(), outcome)));
+  }
 }
--- a/src/main/java/dunlinhitch/dispatch/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/dispatch/frames/FrameTransport.java
@@ -4,12 +4,12 @@
 import dunlinhitch.core.Effect.PartSend;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
-import dunlinhitch.membership.StoreEntry;
 import dunlinhitch.decide.Routing.Limits;
 import dunlinhitch.decide.Routing.Outcome;
 import dunlinhitch.decide.Routing.ServerState;
 import dunlinhitch.dispatch.Reports;
 import dunlinhitch.dispatch.Transport;
+import dunlinhitch.membership.StoreEntry;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.ConnectOptions;
@@ -25,174 +25,209 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** The way to a store that speaks frames: a few connections, opened at need, each with many parts out at once. */
+/**
+ * The way to a store that speaks frames: a few connections, opened at need, each with many parts
+ * out at once.
+ */
 public final class FrameTransport implements Transport {
-    /** Of the time after which a store closes an idle connection: ours goes first, so that no send crosses. */
-    private static final double IDLE_SHARE = 0.8;
-    private static final int MOST_CONNECTIONS = 8;
-
-    /** What all frame transports of a broker share. */
-    public static final class Shared {
-        final Vertx vertx;
-        private final NetClient client;
-        private final Supplier<Limits> limits;
-        private final IntSupplier mostConnections;
-        private int connections;
-        final Quiet quiet = new Quiet();
-        final Reports reports;
-        final LongSupplier clock;
-        final Consumer<Event> events;
-
-        /** {@code mostConnections}: to all stores together. */
-        public Shared(Vertx vertx, Supplier<Limits> limits, IntSupplier mostConnections, Reports reports, LongSupplier clock, Consumer<Event> events) {
-            this.vertx = vertx;
-            this.limits = limits;
-            this.mostConnections = mostConnections;
-            this.reports = reports;
-            this.clock = clock;
-            this.events = events;
-            client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
-        }
-
-        Limits limits() {
-            return limits.get();
-        }
-
-        /** Connects by the time that the settings allow from now. */
-        Future<NetSocket> connect(String host, int port) {
-            ConnectOptions to = new ConnectOptions().setHost(host).setPort(port);
-            long now = clock.getAsLong();
-            return client.connect(limits().connectTimeoutUs() <= 0 ? to
-                    : to.setTimeout((int) MicroClock.timerMs(now, now + limits().connectTimeoutUs())));
-        }
-
-        long idleAfterUs() {
-            return limits().connectionIdleUs() <= 0 ? Long.MAX_VALUE / 4 : (long) (IDLE_SHARE * limits().connectionIdleUs());
-        }
-    }
-
-    private final Shared shared;
-    private final StoreEntry entry;
-    private final List<FrameConnection> connections = new ArrayList<>();
-    private ServerState state = ServerState.READY;
-    private boolean barred;
-
-    public FrameTransport(Shared shared, StoreEntry entry) {
-        this.shared = shared;
-        this.entry = entry;
+  /**
+   * Of the time after which a store closes an idle connection: ours goes first, so that no send
+   * crosses.
+   */
+  private static final double IDLE_SHARE = 0.8;
+
+  private static final int MOST_CONNECTIONS = 8;
+
+  /** What all frame transports of a broker share. */
+  public static final class Shared {
+    final Vertx vertx;
+    private final NetClient client;
+    private final Supplier<Limits> limits;
+    private final IntSupplier mostConnections;
+    private int connections;
+    final Quiet quiet = new Quiet();
+    final Reports reports;
+    final LongSupplier clock;
+    final Consumer<Event> events;
+
+    /** {@code mostConnections}: to all stores together. */
+    public Shared(
+        Vertx vertx,
+        Supplier<Limits> limits,
+        IntSupplier mostConnections,
+        Reports reports,
+        LongSupplier clock,
+        Consumer<Event> events) {
+      this.vertx = vertx;
+      this.limits = limits;
+      this.mostConnections = mostConnections;
+      this.reports = reports;
+      this.clock = clock;
+      this.events = events;
+      client = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
     }
 
-    @Override
-    public void call(List<PartSend> parts) {
-        Set<String> ids = parts.stream().map(PartSend::partId).collect(Collectors.toSet());
-        FrameConnection best = null;
-        if (state != ServerState.GONE && state != ServerState.WITHDRAWN && !barred) {
-            for (FrameConnection c : List.copyOf(connections)) {
-                // one that is still to come up, or to write, would take the call past the word that the store drains
-                boolean fits = c.takes(parts.size(), ids) && (state == ServerState.READY || c.isOpen() && !c.isWriting());
-                if (fits && (best == null || c.isOpen() && !best.isOpen())) {
-                    best = c;
-                }
-            }
-            if (best == null && mayOpen()) {
-                best = open();
-            }
-        }
-        if (best == null) {
-            parts.forEach(p -> shared.events.accept(Event.AttemptOver.of(p.attempt(), Outcome.CONNECT_FAILED)));
-            return;
-        }
-        best.call(parts);
+    Limits limits() {
+      return limits.get();
     }
 
-    @Override
-    public boolean giveUp(long attempt) {
-        boolean found = false;
-        for (FrameConnection c : List.copyOf(connections)) {
-            found |= c.giveUp(attempt);
-        }
-        return found;
+    /** Connects by the time that the settings allow from now. */
+    Future<NetSocket> connect(String host, int port) {
+      ConnectOptions to = new ConnectOptions().setHost(host).setPort(port);
+      long now = clock.getAsLong();
+      return client.connect(
+          limits().connectTimeoutUs() <= 0
+              ? to
+              : to.setTimeout((int) MicroClock.timerMs(now, now + limits().connectTimeoutUs())));
     }
 
-    @Override
-    public void withdraw(long attempt) {
-        List.copyOf(connections).forEach(c -> c.withdraw(attempt));
+    long idleAfterUs() {
+      return limits().connectionIdleUs() <= 0
+          ? Long.MAX_VALUE / 4
+          : (long) (IDLE_SHARE * limits().connectionIdleUs());
     }
-
-    @Override
-    public void probe(long probe) {
-        FrameConnection best = null;
-        for (FrameConnection c : barred ? List.<FrameConnection>of() : List.copyOf(connections)) { // one that stood idle for long closes on being asked
-            if (c.takes(0, Set.of()) && (best == null || c.isOpen())) {
-                best = c;
-            }
+  }
+
+  private final Shared shared;
+  private final StoreEntry entry;
+  private final List<FrameConnection> connections = new ArrayList<>();
+  private ServerState state = ServerState.READY;
+  private boolean barred;
+
+  public FrameTransport(Shared shared, StoreEntry entry) {
+    this.shared = shared;
+    this.entry = entry;
+  }
+
+  @Override
+  public void call(List<PartSend> parts) {
+    Set<String> ids = parts.stream().map(PartSend::partId).collect(Collectors.toSet());
+    FrameConnection best = null;
+    if (state != ServerState.GONE && state != ServerState.WITHDRAWN && !barred) {
+      for (FrameConnection c : List.copyOf(connections)) {
+        // one that is still to come up, or to write, would take the call past the word that the
+        // store drains
+        boolean fits =
+            c.takes(parts.size(), ids)
+                && (state == ServerState.READY || c.isOpen() && !c.isWriting());
+        if (fits && (best == null || c.isOpen() && !best.isOpen())) {
+          best = c;
         }
-        if (best == null && mayOpen()) {
-            best = open();
-        }
-        if (best == null) {
-            shared.events.accept(new Event.ProbeOver(probe, Outcome.CONNECT_FAILED, new float[0]));
-            return;
-        }
-        best.probe(probe);
+      }
+      if (best == null && mayOpen()) {
+        best = open();
+      }
     }
-
-    private boolean mayOpen() {
-        return state == ServerState.READY && !barred && connections.size() < MOST_CONNECTIONS
-                && shared.connections < shared.mostConnections.getAsInt();
+    if (best == null) {
+      parts.forEach(
+          p -> shared.events.accept(Event.AttemptOver.of(p.attempt(), Outcome.CONNECT_FAILED)));
+      return;
     }
-
-    private boolean mayCheck() {
-        return state == ServerState.READY && !barred && shared.limits().mayProbe() && shared.limits().connectTimeoutUs() > 0;
+    best.call(parts);
+  }
+
+  @Override
+  public boolean giveUp(long attempt) {
+    boolean found = false;
+    for (FrameConnection c : List.copyOf(connections)) {
+      found |= c.giveUp(attempt);
     }
-
-    private FrameConnection open() {
-        shared.events.accept(new Event.Noted(Count.CONNECTIONS_OPENED));
-        FrameConnection made = new FrameConnection(shared, this::mayCheck, connections::remove, () -> shared.connections--);
-        shared.connections++;
-        connections.add(made);
-        made.connect(entry.host(), entry.port());
-        return made;
+    return found;
+  }
+
+  @Override
+  public void withdraw(long attempt) {
+    List.copyOf(connections).forEach(c -> c.withdraw(attempt));
+  }
+
+  @Override
+  public void probe(long probe) {
+    FrameConnection best = null;
+    for (FrameConnection c :
+        barred
+            ? List.<FrameConnection>of()
+            : List.copyOf(connections)) { // one that stood idle for long closes on being asked
+      if (c.takes(0, Set.of()) && (best == null || c.isOpen())) {
+        best = c;
+      }
     }
-
-    @Override
-    public void release() {
-        List.copyOf(connections).stream().filter(FrameConnection::isIdle).forEach(FrameConnection::close);
+    if (best == null && mayOpen()) {
+      best = open();
     }
-
-    @Override
-    public void state(ServerState told) {
-        state = told;
-        if (told != ServerState.READY) {
-            List.copyOf(connections).forEach(FrameConnection::dropWaiting);
-            closeWriting();
-        }
-        if (told == ServerState.GONE) {
-            List.copyOf(connections).forEach(FrameConnection::closeWhenIdle);
-        }
+    if (best == null) {
+      shared.events.accept(new Event.ProbeOver(probe, Outcome.CONNECT_FAILED, new float[0]));
+      return;
     }
-
-    @Override
-    public void barred(boolean out) {
-        barred = out;
-        if (out) {
-            List.copyOf(connections).stream().filter(c -> !c.isOpen()).forEach(FrameConnection::close);
-            closeWriting();
-        }
+    best.probe(probe);
+  }
+
+  private boolean mayOpen() {
+    return state == ServerState.READY
+        && !barred
+        && connections.size() < MOST_CONNECTIONS
+        && shared.connections < shared.mostConnections.getAsInt();
+  }
+
+  private boolean mayCheck() {
+    return state == ServerState.READY
+        && !barred
+        && shared.limits().mayProbe()
+        && shared.limits().connectTimeoutUs() > 0;
+  }
+
+  private FrameConnection open() {
+    shared.events.accept(new Event.Noted(Count.CONNECTIONS_OPENED));
+    FrameConnection made =
+        new FrameConnection(
+            shared, this::mayCheck, connections::remove, () -> shared.connections--);
+    shared.connections++;
+    connections.add(made);
+    made.connect(entry.host(), entry.port());
+    return made;
+  }
+
+  @Override
+  public void release() {
+    List.copyOf(connections).stream()
+        .filter(FrameConnection::isIdle)
+        .forEach(FrameConnection::close);
+  }
+
+  @Override
+  public void state(ServerState told) {
+    state = told;
+    if (told != ServerState.READY) {
+      List.copyOf(connections).forEach(FrameConnection::dropWaiting);
+      closeWriting();
     }
-
-    /** What is not whole in the kernel's hands by now would reach the store later. */
-    private void closeWriting() {
-        List.copyOf(connections).stream().filter(FrameConnection::isWriting).forEach(FrameConnection::close);
+    if (told == ServerState.GONE) {
+      List.copyOf(connections).forEach(FrameConnection::closeWhenIdle);
     }
-
-    @Override
-    public boolean idle() {
-        return connections.stream().allMatch(FrameConnection::isIdle);
-    }
-
-    @Override
-    public void close() {
-        List.copyOf(connections).forEach(FrameConnection::close);
+  }
+
+  @Override
+  public void barred(boolean out) {
+    barred = out;
+    if (out) {
+      List.copyOf(connections).stream().filter(c -> !c.isOpen()).forEach(FrameConnection::close);
+      closeWriting();
     }
+  }
+
+  /** What is not whole in the kernel's hands by now would reach the store later. */
+  private void closeWriting() {
+    List.copyOf(connections).stream()
+        .filter(FrameConnection::isWriting)
+        .forEach(FrameConnection::close);
+  }
+
+  @Override
+  public boolean idle() {
+    return connections.stream().allMatch(FrameConnection::isIdle);
+  }
+
+  @Override
+  public void close() {
+    List.copyOf(connections).forEach(FrameConnection::close);
+  }
 }
--- a/src/main/java/dunlinhitch/fleet/Facts.java
+++ b/src/main/java/dunlinhitch/fleet/Facts.java
@@ -9,123 +9,141 @@
 import java.util.TreeSet;
 
 /**
- * What brokers tell each other and hold in common: for each key and author the latest fact. Taking is commutative, associative and
- * idempotent, bounds included, so that words may come late, doubled and in any order: a fact is kept if it is the latest of its key and
- * author and among the latest that the rule has room for, whatever came before it. Signals, evidence and weights ride on this; merging,
- * age and bounds are written here once. No clock, no chance, no threads: the caller says what time it is.
+ * What brokers tell each other and hold in common: for each key and author the latest fact. Taking
+ * is commutative, associative and idempotent, bounds included, so that words may come late, doubled
+ * and in any order: a fact is kept if it is the latest of its key and author and among the latest
+ * that the rule has room for, whatever came before it. Signals, evidence and weights ride on this;
+ * merging, age and bounds are written here once. No clock, no chance, no threads: the caller says
+ * what time it is.
  */
 public final class Facts<K, V> {
-    /** What became of a fact that was told. */
-    public enum Took { NEWS, KNOWN, OLD, FROM_THE_FUTURE, CROWDED_OUT }
-
-    private record Place<K>(K key, String author) {
-    }
-
-    /** A fact and the count of changes at which it came in. */
-    private record Held<K, V>(Fact<K, V> fact, long version) {
-    }
-
-    private final FactsRule rule;
-    private final Map<Place<K>, Held<K, V>> held = new HashMap<>();
-    /** The first is the first to go. */
-    private final TreeSet<Fact<K, V>> byAge;
-    private final Map<String, TreeSet<Fact<K, V>>> byAuthor = new HashMap<>();
-    private final Comparator<Fact<K, V>> age;
-    private long version;
-
-    /** {@code order} is a total order of the keys, the same at every broker. */
-    public Facts(FactsRule rule, Comparator<? super K> order) {
-        this.rule = rule;
-        age = Comparator.<Fact<K, V>>comparingLong(Fact::atUs).thenComparing(Fact::author).thenComparing(Fact::key, order);
-        byAge = new TreeSet<>(age);
-    }
-
-    /** Takes what was told, be it the author's own word or another's: only {@link Took#NEWS} changes anything. */
-    public Took take(long nowUs, Fact<K, V> told) {
-        Objects.requireNonNull(told.key());
-        forget(nowUs);
-        if (told.atUs() > nowUs + rule.skewUs()) {
-            return Took.FROM_THE_FUTURE;
-        }
-        if (told.atUs() <= nowUs - rule.lifeUs()) {
-            return Took.OLD;
-        }
-        Place<K> place = new Place<>(told.key(), told.author());
-        Held<K, V> before = held.get(place);
-        if (before != null && before.fact().atUs() >= told.atUs()) {
-            return before.fact().atUs() == told.atUs() ? Took.KNOWN : Took.OLD;
-        }
-        if (before != null) {
-            remove(before.fact());
-        }
-        TreeSet<Fact<K, V>> own = byAuthor.computeIfAbsent(told.author(), author -> new TreeSet<>(age));
-        held.put(place, new Held<>(told, ++version));
-        own.add(told);
-        byAge.add(told);
-        if (own.size() > rule.mostOfAuthor()) {
-            remove(own.first());
-        }
-        if (byAge.size() > rule.most()) {
-            remove(byAge.first());
-        }
-        return held.containsKey(place) ? Took.NEWS : Took.CROWDED_OUT;
+  /** What became of a fact that was told. */
+  public enum Took {
+    NEWS,
+    KNOWN,
+    OLD,
+    FROM_THE_FUTURE,
+    CROWDED_OUT
+  }
+
+  private record Place<K>(K key, String author) {}
+
+  /** A fact and the count of changes at which it came in. */
+  private record Held<K, V>(Fact<K, V> fact, long version) {}
+
+  private final FactsRule rule;
+  private final Map<Place<K>, Held<K, V>> held = new HashMap<>();
+
+  /** The first is the first to go. */
+  private final TreeSet<Fact<K, V>> byAge;
+
+  private final Map<String, TreeSet<Fact<K, V>>> byAuthor = new HashMap<>();
+  private final Comparator<Fact<K, V>> age;
+  private long version;
+
+  /** {@code order} is a total order of the keys, the same at every broker. */
+  public Facts(FactsRule rule, Comparator<? super K> order) {
+    this.rule = rule;
+    age =
+        Comparator.<Fact<K, V>>comparingLong(Fact::atUs)
+            .thenComparing(Fact::author)
+            .thenComparing(Fact::key, order);
+    byAge = new TreeSet<>(age);
+  }
+
+  /**
+   * Takes what was told, be it the author's own word or another's: only {@link Took#NEWS} changes
+   * anything.
+   */
+  public Took take(long nowUs, Fact<K, V> told) {
+    Objects.requireNonNull(told.key());
+    forget(nowUs);
+    if (told.atUs() > nowUs + rule.skewUs()) {
+      return Took.FROM_THE_FUTURE;
     }
-
-    /** Drops what is too old to say anything; nothing else ever removes a fact but a later one, the rule's bounds, and {@link #leave}. */
-    public void forget(long nowUs) {
-        while (!byAge.isEmpty() && byAge.first().atUs() <= nowUs - rule.lifeUs()) {
-            remove(byAge.first());
-        }
+    if (told.atUs() <= nowUs - rule.lifeUs()) {
+      return Took.OLD;
     }
-
-    /** Drops all that this author said: it has left for good, or is not believed any more. */
-    public void leave(String author) {
-        List.copyOf(byAuthor.getOrDefault(author, new TreeSet<>(age))).forEach(this::remove);
+    Place<K> place = new Place<>(told.key(), told.author());
+    Held<K, V> before = held.get(place);
+    if (before != null && before.fact().atUs() >= told.atUs()) {
+      return before.fact().atUs() == told.atUs() ? Took.KNOWN : Took.OLD;
     }
-
-    private void remove(Fact<K, V> fact) {
-        held.remove(new Place<>(fact.key(), fact.author()));
-        byAge.remove(fact);
-        TreeSet<Fact<K, V>> own = byAuthor.get(fact.author());
-        own.remove(fact);
-        if (own.isEmpty()) {
-            byAuthor.remove(fact.author());
-        }
+    if (before != null) {
+      remove(before.fact());
     }
-
-    /** What that author last said of the key, or null. */
-    public Fact<K, V> of(K key, String author) {
-        Held<K, V> found = held.get(new Place<>(key, author));
-        return found == null ? null : found.fact();
+    TreeSet<Fact<K, V>> own = byAuthor.computeIfAbsent(told.author(), author -> new TreeSet<>(age));
+    held.put(place, new Held<>(told, ++version));
+    own.add(told);
+    byAge.add(told);
+    if (own.size() > rule.mostOfAuthor()) {
+      remove(own.first());
     }
-
-    /** All that is held, the latest first, in the same order at every broker that holds the same. */
-    public List<Fact<K, V>> all() {
-        return List.copyOf(byAge.descendingSet());
+    if (byAge.size() > rule.most()) {
+      remove(byAge.first());
     }
-
-    /** What each author last said of the key, the latest first. */
-    public List<Fact<K, V>> of(K key) {
-        return byAge.descendingSet().stream().filter(fact -> fact.key().equals(key)).toList();
+    return held.containsKey(place) ? Took.NEWS : Took.CROWDED_OUT;
+  }
+
+  /**
+   * Drops what is too old to say anything; nothing else ever removes a fact but a later one, the
+   * rule's bounds, and {@link #leave}.
+   */
+  public void forget(long nowUs) {
+    while (!byAge.isEmpty() && byAge.first().atUs() <= nowUs - rule.lifeUs()) {
+      remove(byAge.first());
     }
-
-    /** Rises with every change. */
-    public long version() {
-        return version;
+  }
+
+  /** Drops all that this author said: it has left for good, or is not believed any more. */
+  public void leave(String author) {
+    List.copyOf(byAuthor.getOrDefault(author, new TreeSet<>(age))).forEach(this::remove);
+  }
+
+  private void remove(Fact<K, V> fact) {
+    held.remove(new Place<>(fact.key(), fact.author()));
+    byAge.remove(fact);
+    TreeSet<Fact<K, V>> own = byAuthor.get(fact.author());
+    own.remove(fact);
+    if (own.isEmpty()) {
+      byAuthor.remove(fact.author());
     }
-
-    /** The latest {@code most} of what came in after that version: what is still to be passed on. */
-    public List<Fact<K, V>> since(long version, int most) {
-        List<Fact<K, V>> news = new ArrayList<>();
-        for (Fact<K, V> fact : byAge.descendingSet()) {
-            if (news.size() < most && held.get(new Place<>(fact.key(), fact.author())).version() > version) {
-                news.add(fact);
-            }
-        }
-        return news;
+  }
+
+  /** What that author last said of the key, or null. */
+  public Fact<K, V> of(K key, String author) {
+    Held<K, V> found = held.get(new Place<>(key, author));
+    return found == null ? null : found.fact();
+  }
+
+  /** All that is held, the latest first, in the same order at every broker that holds the same. */
+  public List<Fact<K, V>> all() {
+    return List.copyOf(byAge.descendingSet());
+  }
+
+  /** What each author last said of the key, the latest first. */
+  public List<Fact<K, V>> of(K key) {
+    return byAge.descendingSet().stream().filter(fact -> fact.key().equals(key)).toList();
+  }
+
+  /** Rises with every change. */
+  public long version() {
+    return version;
+  }
+
+  /** The latest {@code most} of what came in after that version: what is still to be passed on. */
+  public List<Fact<K, V>> since(long version, int most) {
+    List<Fact<K, V>> news = new ArrayList<>();
+    for (Fact<K, V> fact : byAge.descendingSet()) {
+      if (news.size() < most
+          && held.get(new Place<>(fact.key(), fact.author())).version() > version) {
+        news.add(fact);
+      }
     }
+    return news;
+  }
 
-    public int size() {
-        return byAge.size();
-    }
+  public int size() {
+    return byAge.size();
+  }
 }
--- a/src/main/java/dunlinhitch/fleet/FleetSettings.java
+++ b/src/main/java/dunlinhitch/fleet/FleetSettings.java
@@ -10,14 +10,24 @@
  * @param staleUs what was seen of a store says nothing after so long, in microseconds
  * @param mostStores stores that signals are kept of, at the most
  */
-public record FleetSettings(SubsetRule subsets, ViewSettings view, long turnUs, long patienceUs, long staleUs, int mostStores) {
-    public static final FleetSettings STANDARD =
-            new FleetSettings(SubsetRule.STANDARD, ViewSettings.STANDARD, 2_000_000, 800_000, 6_000_000, 10_000);
+public record FleetSettings(
+    SubsetRule subsets,
+    ViewSettings view,
+    long turnUs,
+    long patienceUs,
+    long staleUs,
+    int mostStores) {
+  public static final FleetSettings STANDARD =
+      new FleetSettings(
+          SubsetRule.STANDARD, ViewSettings.STANDARD, 2_000_000, 800_000, 6_000_000, 10_000);
 
-    public FleetSettings {
-        if (staleUs <= 0 || mostStores < 1) {
-            throw new IllegalArgumentException("signals last above 0 us and are kept of a store or more: " + staleUs + ", "
-                    + mostStores);
-        }
+  public FleetSettings {
+    if (staleUs <= 0 || mostStores < 1) {
+      throw new IllegalArgumentException(
+          "signals last above 0 us and are kept of a store or more: "
+              + staleUs
+              + ", "
+              + mostStores);
     }
+  }
 }
--- a/src/main/java/dunlinhitch/fleet/ViewSettings.java
+++ b/src/main/java/dunlinhitch/fleet/ViewSettings.java
@@ -10,53 +10,123 @@
  * @param forgetUs a dead one is remembered so long, so that old word does not bring it back
  * @param mostPeers brokers that are known at once, at the most
  * @param tries looks in a row without an answer before one is suspected
- * @param mostHealth how far an ill broker stretches its own times, at the most; 0: it does not know itself
- * @param stretch a suspicion that nobody confirms lasts so many times as long, and each the longer the larger the fleet; 1: all last the same
+ * @param mostHealth how far an ill broker stretches its own times, at the most; 0: it does not know
+ *     itself
+ * @param stretch a suspicion that nobody confirms lasts so many times as long, and each the longer
+ *     the larger the fleet; 1: all last the same
  * @param wordBytes what one word comes to, at the most
- * @param pageBytes pages that a broker sends in a period to those whose digest differs; 0: digests are not told
- * @param addresses whether digests are of the addresses too; not where each broker may be told others for the same one
+ * @param pageBytes pages that a broker sends in a period to those whose digest differs; 0: digests
+ *     are not told
+ * @param addresses whether digests are of the addresses too; not where each broker may be told
+ *     others for the same one
  */
-public record ViewSettings(long everyUs, long answerUs, int helpers, long suspectUs, long forgetUs, int mostPeers, int tries, int mostHealth,
-        int stretch, int wordBytes, int pageBytes, boolean addresses) {
-    /** One look a 200 ms; the bounds that follow from these stand in docs/view.md. */
-    public static final ViewSettings STANDARD = new ViewSettings(200_000, 80_000, 3, 1_000_000, 30_000_000, 1024);
-    /** The least that a word's own part, one broker and a row of buckets fit in. */
-    private static final int LEAST_WORD = 256;
+public record ViewSettings(
+    long everyUs,
+    long answerUs,
+    int helpers,
+    long suspectUs,
+    long forgetUs,
+    int mostPeers,
+    int tries,
+    int mostHealth,
+    int stretch,
+    int wordBytes,
+    int pageBytes,
+    boolean addresses) {
+  /** One look a 200 ms; the bounds that follow from these stand in docs/view.md. */
+  public static final ViewSettings STANDARD =
+      new ViewSettings(200_000, 80_000, 3, 1_000_000, 30_000_000, 1024);
 
-    public ViewSettings {
-        if (everyUs <= 0 || answerUs <= 0 || 2 * answerUs > everyUs || helpers < 0 || suspectUs < everyUs || forgetUs < suspectUs
-                || mostPeers < 1) {
-            throw new IllegalArgumentException("an answer is waited for above 0 and at most half as long as between looks, a "
-                    + "suspicion lasts one look or more, and the dead are remembered longer: every " + everyUs + ", answer "
-                    + answerUs + ", suspect " + suspectUs + ", forget " + forgetUs + " us, helpers " + helpers + ", peers "
-                    + mostPeers);
-        }
-        if (tries < 1 || mostHealth < 0 || stretch < 1 || wordBytes < LEAST_WORD || pageBytes != 0 && pageBytes < wordBytes) {
-            throw new IllegalArgumentException("looks are made once or more, times stretched from 1 on, a word has " + LEAST_WORD
-                    + " bytes or more, and pages are none or at least one word: tries " + tries + ", health " + mostHealth + ", stretch "
-                    + stretch + ", word " + wordBytes + ", pages " + pageBytes);
-        }
-    }
+  /** The least that a word's own part, one broker and a row of buckets fit in. */
+  private static final int LEAST_WORD = 256;
 
-    /** The times given, and the standard for all else. */
-    public ViewSettings(long everyUs, long answerUs, int helpers, long suspectUs, long forgetUs, int mostPeers) {
-        this(everyUs, answerUs, helpers, suspectUs, forgetUs, mostPeers, 3, 8, 4, 1_200, 4_800, true);
+  public ViewSettings {
+    if (everyUs <= 0
+        || answerUs <= 0
+        || 2 * answerUs > everyUs
+        || helpers < 0
+        || suspectUs < everyUs
+        || forgetUs < suspectUs
+        || mostPeers < 1) {
+      throw new IllegalArgumentException(
+          "an answer is waited for above 0 and at most half as long as between looks, a "
+              + "suspicion lasts one look or more, and the dead are remembered longer: every "
+              + everyUs
+              + ", answer "
+              + answerUs
+              + ", suspect "
+              + suspectUs
+              + ", forget "
+              + forgetUs
+              + " us, helpers "
+              + helpers
+              + ", peers "
+              + mostPeers);
     }
-
-    /** Words of that size at the most. */
-    public ViewSettings withWords(int bytes) {
-        return new ViewSettings(everyUs, answerUs, helpers, suspectUs, forgetUs, mostPeers, tries, mostHealth, stretch, bytes, pageBytes,
-                addresses);
+    if (tries < 1
+        || mostHealth < 0
+        || stretch < 1
+        || wordBytes < LEAST_WORD
+        || pageBytes != 0 && pageBytes < wordBytes) {
+      throw new IllegalArgumentException(
+          "looks are made once or more, times stretched from 1 on, a word has "
+              + LEAST_WORD
+              + " bytes or more, and pages are none or at least one word: tries "
+              + tries
+              + ", health "
+              + mostHealth
+              + ", stretch "
+              + stretch
+              + ", word "
+              + wordBytes
+              + ", pages "
+              + pageBytes);
     }
+  }
 
-    /** With addresses in the digests or without. */
-    public ViewSettings withAddresses(boolean compared) {
-        return new ViewSettings(everyUs, answerUs, helpers, suspectUs, forgetUs, mostPeers, tries, mostHealth, stretch, wordBytes, pageBytes,
-                compared);
-    }
+  /** The times given, and the standard for all else. */
+  public ViewSettings(
+      long everyUs, long answerUs, int helpers, long suspectUs, long forgetUs, int mostPeers) {
+    this(everyUs, answerUs, helpers, suspectUs, forgetUs, mostPeers, 3, 8, 4, 1_200, 4_800, true);
+  }
 
-    /** The view as it was before it knew itself and compared digests, to measure against. */
-    public ViewSettings plain() {
-        return new ViewSettings(everyUs, answerUs, 2, suspectUs, forgetUs, mostPeers, 1, 0, 1, 32_768, 0, addresses);
-    }
+  /** Words of that size at the most. */
+  public ViewSettings withWords(int bytes) {
+    return new ViewSettings(
+        everyUs,
+        answerUs,
+        helpers,
+        suspectUs,
+        forgetUs,
+        mostPeers,
+        tries,
+        mostHealth,
+        stretch,
+        bytes,
+        pageBytes,
+        addresses);
+  }
+
+  /** With addresses in the digests or without. */
+  public ViewSettings withAddresses(boolean compared) {
+    return new ViewSettings(
+        everyUs,
+        answerUs,
+        helpers,
+        suspectUs,
+        forgetUs,
+        mostPeers,
+        tries,
+        mostHealth,
+        stretch,
+        wordBytes,
+        pageBytes,
+        compared);
+  }
+
+  /** The view as it was before it knew itself and compared digests, to measure against. */
+  public ViewSettings plain() {
+    return new ViewSettings(
+        everyUs, answerUs, 2, suspectUs, forgetUs, mostPeers, 1, 0, 1, 32_768, 0, addresses);
+  }
 }
--- a/src/main/java/dunlinhitch/fleet/Word.java
+++ b/src/main/java/dunlinhitch/fleet/Word.java
@@ -8,8 +8,10 @@
  *
  * @param kind what it wants
  * @param from who says it
- * @param number the look it belongs to; an answer repeats it. With buckets {@link #COMPARE} or {@link #COMPARED}
- * @param about whom to ask, for {@link Kind#ASK}; for the answer to it whom the answer is of; else empty
+ * @param number the look it belongs to; an answer repeats it. With buckets {@link #COMPARE} or
+ *     {@link #COMPARED}
+ * @param about whom to ask, for {@link Kind#ASK}; for the answer to it whom the answer is of; else
+ *     empty
  * @param versions what who says it acts on, or null
  * @param peers what is held of brokers
  * @param signals what was seen of stores
@@ -17,34 +19,67 @@
  * @param buckets the sums that the digest is made of, where it is compared; else empty
  * @param doubts who found whom not to answer
  */
-public record Word(Kind kind, Peer from, long number, String about, Versions versions, List<Peer> peers, List<Signal> signals, long digest,
-        List<Long> buckets, List<Doubt> doubts) {
-    /** With buckets: here are mine, tell what differs and yours. */
-    static final long COMPARE = 1;
-    /** With buckets: here are mine, tell what differs. */
-    static final long COMPARED = 2;
+public record Word(
+    Kind kind,
+    Peer from,
+    long number,
+    String about,
+    Versions versions,
+    List<Peer> peers,
+    List<Signal> signals,
+    long digest,
+    List<Long> buckets,
+    List<Doubt> doubts) {
+  /** With buckets: here are mine, tell what differs and yours. */
+  static final long COMPARE = 1;
 
-    /** LOOK: are you there. THERE: I am. ASK: look at that one for me. JOIN: the same as LOOK, and tell me of all. LEAVE: I
-     * end. NEWS: only what rides on it. */
-    public enum Kind { LOOK, THERE, ASK, JOIN, LEAVE, NEWS }
+  /** With buckets: here are mine, tell what differs. */
+  static final long COMPARED = 2;
 
-    public Word {
-        peers = List.copyOf(peers);
-        signals = List.copyOf(signals);
-        buckets = List.copyOf(buckets);
-        doubts = List.copyOf(doubts);
-    }
+  /**
+   * LOOK: are you there. THERE: I am. ASK: look at that one for me. JOIN: the same as LOOK, and
+   * tell me of all. LEAVE: I end. NEWS: only what rides on it.
+   */
+  public enum Kind {
+    LOOK,
+    THERE,
+    ASK,
+    JOIN,
+    LEAVE,
+    NEWS
+  }
 
-    /** A word of a broker that tells no digest. */
-    public Word(Kind kind, Peer from, long number, String about, Versions versions, List<Peer> peers, List<Signal> signals) {
-        this(kind, from, number, about, versions, peers, signals, 0, List.of(), List.of());
-    }
+  public Word {
+    peers = List.copyOf(peers);
+    signals = List.copyOf(signals);
+    buckets = List.copyOf(buckets);
+    doubts = List.copyOf(doubts);
+  }
 
-    /** About what it comes to in a compact form, in bytes: texts by their length, numbers in full. */
-    public int bytes() {
-        return 8 + 2 * Long.BYTES + from.bytes() + about.length() + Long.BYTES * buckets.size()
-                + (versions == null ? 0 : versions.build().length() + versions.settings().length() + 2 * Long.BYTES)
-                + peers.stream().mapToInt(Peer::bytes).sum() + signals.stream().mapToInt(Signal::bytes).sum()
-                + doubts.stream().mapToInt(Doubt::bytes).sum();
-    }
+  /** A word of a broker that tells no digest. */
+  public Word(
+      Kind kind,
+      Peer from,
+      long number,
+      String about,
+      Versions versions,
+      List<Peer> peers,
+      List<Signal> signals) {
+    this(kind, from, number, about, versions, peers, signals, 0, List.of(), List.of());
+  }
+
+  /** About what it comes to in a compact form, in bytes: texts by their length, numbers in full. */
+  public int bytes() {
+    return 8
+        + 2 * Long.BYTES
+        + from.bytes()
+        + about.length()
+        + Long.BYTES * buckets.size()
+        + (versions == null
+            ? 0
+            : versions.build().length() + versions.settings().length() + 2 * Long.BYTES)
+        + peers.stream().mapToInt(Peer::bytes).sum()
+        + signals.stream().mapToInt(Signal::bytes).sum()
+        + doubts.stream().mapToInt(Doubt::bytes).sum();
+  }
 }
--- a/src/main/java/dunlinhitch/intake/Front.java
+++ b/src/main/java/dunlinhitch/intake/Front.java
@@ -4,9 +4,9 @@
 
 /** Where clients connect; the fronts differ in wording only. */
 public interface Front {
-    /** Listens on this address only; the result is the port. */
-    Future<Integer> listen(String host, int port);
+  /** Listens on this address only; the result is the port. */
+  Future<Integer> listen(String host, int port);
 
-    /** Takes nothing new; what is open is finished, or cut at {@code dueUs}. */
-    Future<Void> close(long dueUs);
+  /** Takes nothing new; what is open is finished, or cut at {@code dueUs}. */
+  Future<Void> close(long dueUs);
 }
--- a/src/main/java/dunlinhitch/lab/explore/Digest.java
+++ b/src/main/java/dunlinhitch/lab/explore/Digest.java
@@ -6,21 +6,21 @@
 
 /** A state's 128 bits: of a million states two have the same one with a chance of 1 in 10^27. */
 public record Digest(long high, long low) implements Comparable<Digest> {
-    static Hasher hasher() {
-        return Hashing.murmur3_128().newHasher();
-    }
+  static Hasher hasher() {
+    return Hashing.murmur3_128().newHasher();
+  }
 
-    static Digest of(Hasher hasher) {
-        ByteBuffer bytes = ByteBuffer.wrap(hasher.hash().asBytes());
-        return new Digest(bytes.getLong(), bytes.getLong());
-    }
+  static Digest of(Hasher hasher) {
+    ByteBuffer bytes = ByteBuffer.wrap(hasher.hash().asBytes());
+    return new Digest(bytes.getLong(), bytes.getLong());
+  }
 
-    void into(Hasher hasher) {
-        hasher.putLong(high).putLong(low);
-    }
+  void into(Hasher hasher) {
+    hasher.putLong(high).putLong(low);
+  }
 
-    @Override
-    public int compareTo(Digest other) {
-        return high != other.high ? Long.compare(high, other.high) : Long.compare(low, other.low);
-    }
+  @Override
+  public int compareTo(Digest other) {
+    return high != other.high ? Long.compare(high, other.high) : Long.compare(low, other.low);
+  }
 }
--- a/src/main/java/dunlinhitch/lab/explore/Model.java
+++ b/src/main/java/dunlinhitch/lab/explore/Model.java
@@ -4,28 +4,28 @@
 import java.util.Optional;
 
 /**
- * What an {@link Explorer} goes through: states that never change, and the moves that lead from one to others. All methods are functions of
- * their arguments and may be called from several threads.
+ * What an {@link Explorer} goes through: states that never change, and the moves that lead from one
+ * to others. All methods are functions of their arguments and may be called from several threads.
  */
 public interface Model<S, M> {
-    S start();
+  S start();
 
-    /** All that can happen next, in an order of its own. */
-    List<M> moves(S state);
+  /** All that can happen next, in an order of its own. */
+  List<M> moves(S state);
 
-    S after(S state, M move);
+  S after(S state, M move);
 
-    /** The same for states that are the same but for the names in them, and for no others. */
-    Digest digest(S state);
+  /** The same for states that are the same but for the names in them, and for no others. */
+  Digest digest(S state);
 
-    /** What must hold in each state and does not, or empty. */
-    Optional<String> broken(S state);
+  /** What must hold in each state and does not, or empty. */
+  Optional<String> broken(S state);
 
-    /** What is still wrong after the calm ending, in which troubles end and time passes, or empty. */
-    Optional<String> unsettled(S state);
+  /** What is still wrong after the calm ending, in which troubles end and time passes, or empty. */
+  Optional<String> unsettled(S state);
 
-    /** A move in words. */
-    default String told(M move) {
-        return move.toString();
-    }
+  /** A move in words. */
+  default String told(M move) {
+    return move.toString();
+  }
 }
--- a/src/main/java/dunlinhitch/lab/explore/Node.java
+++ b/src/main/java/dunlinhitch/lab/explore/Node.java
@@ -1,25 +1,29 @@
 package dunlinhitch.lab.explore;
 
 /**
- * The module of one broker as a model feeds it: {@code W} is a word to another, {@code V} what can be seen of it. It may change with
- * each call; the model makes copies by feeding a new one the same. Times are steps of the model.
+ * The module of one broker as a model feeds it: {@code W} is a word to another, {@code V} what can
+ * be seen of it. It may change with each call; the model makes copies by feeding a new one the
+ * same. Times are steps of the model.
  */
 public interface Node<W, V> {
-    /** Where its words go: to the broker of that number. */
-    interface Mouth<W> {
-        void say(int to, W word);
-    }
+  /** Where its words go: to the broker of that number. */
+  interface Mouth<W> {
+    void say(int to, W word);
+  }
 
-    void passed(int now);
+  void passed(int now);
 
-    void heard(int now, W word);
+  void heard(int now, W word);
 
-    /** It does something of its own accord; {@code order} is the count of such acts of all brokers that said something new. */
-    void act(int now, int order, String what);
+  /**
+   * It does something of its own accord; {@code order} is the count of such acts of all brokers
+   * that said something new.
+   */
+  void act(int now, int order, String what);
 
-    /** Does not change any more. */
-    V seen();
+  /** Does not change any more. */
+  V seen();
 
-    /** All that what it does next depends on, see {@link Shape}. */
-    Object state();
+  /** All that what it does next depends on, see {@link Shape}. */
+  Object state();
 }
--- a/src/main/java/dunlinhitch/lab/explore/Subject.java
+++ b/src/main/java/dunlinhitch/lab/explore/Subject.java
@@ -4,41 +4,41 @@
 import java.util.Optional;
 
 /**
- * What {@link Brokers} needs to know of a module to run it in each of a few brokers. Broker i has the name {@code ni}, and its host is
- * named the same.
+ * What {@link Brokers} needs to know of a module to run it in each of a few brokers. Broker i has
+ * the name {@code ni}, and its host is named the same.
  */
 public interface Subject<W, V> {
-    /** A broker of that number starts, with nothing known. */
-    Node<W, V> start(int number, int now, Node.Mouth<W> mouth);
+  /** A broker of that number starts, with nothing known. */
+  Node<W, V> start(int number, int now, Node.Mouth<W> mouth);
 
-    /**
-     * Changes of the brokers' numbers after which all goes on as it would have but for the numbers: {@code p[i]} is what broker i
-     * becomes. The first changes nothing.
-     */
-    List<int[]> symmetries();
+  /**
+   * Changes of the brokers' numbers after which all goes on as it would have but for the numbers:
+   * {@code p[i]} is what broker i becomes. The first changes nothing.
+   */
+  List<int[]> symmetries();
 
-    /** What a broker may do of its own accord. */
-    List<String> acts(int number);
+  /** What a broker may do of its own accord. */
+  List<String> acts(int number);
 
-    /** Whether that says something new: of those there is a most. */
-    boolean isNews(String act);
+  /** Whether that says something new: of those there is a most. */
+  boolean isNews(String act);
 
-    /** What each does in each step of the calm ending. */
-    List<String> calmActs(int number);
+  /** What each does in each step of the calm ending. */
+  List<String> calmActs(int number);
 
-    /**
-     * What must hold and does not: {@code seen} of all brokers, of one that is down as it was last; {@code sides}: those that are up, by
-     * whom they reach.
-     */
-    Optional<String> broken(List<V> seen, List<List<Integer>> sides);
+  /**
+   * What must hold and does not: {@code seen} of all brokers, of one that is down as it was last;
+   * {@code sides}: those that are up, by whom they reach.
+   */
+  Optional<String> broken(List<V> seen, List<List<Integer>> sides);
 
-    /** What is not yet well of those that are up. */
-    Optional<String> unsettled(List<V> live, List<Integer> numbers);
+  /** What is not yet well of those that are up. */
+  Optional<String> unsettled(List<V> live, List<Integer> numbers);
 
-    /** Within so many steps all must have settled for {@code lasting} of them. */
-    int settledWithin();
+  /** Within so many steps all must have settled for {@code lasting} of them. */
+  int settledWithin();
 
-    int lasting();
+  int lasting();
 
-    String told(W word);
+  String told(W word);
 }
--- a/src/main/java/dunlinhitch/membership/Claim.java
+++ b/src/main/java/dunlinhitch/membership/Claim.java
@@ -3,21 +3,21 @@
 import java.util.Objects;
 
 /**
- * What a source says of one store under one of its own names ({@code key}): an id on discovery's list, an instance of
- * DNS-SD, one of two records that contradict each other.
+ * What a source says of one store under one of its own names ({@code key}): an id on discovery's
+ * list, an instance of DNS-SD, one of two records that contradict each other.
  *
  * @param entry what is said, or null: it is taken back
- * @param heardUs when the source said so (microseconds on the broker's clock, which for a restored claim may be before
- *     its start)
+ * @param heardUs when the source said so (microseconds on the broker's clock, which for a restored
+ *     claim may be before its start)
  * @param untilUs how long the word holds without being said again, or {@link TimingWheel#NEVER}
  */
 public record Claim(String key, StoreEntry entry, long heardUs, long untilUs) {
-    public Claim {
-        Objects.requireNonNull(key, "key");
-    }
+  public Claim {
+    Objects.requireNonNull(key, "key");
+  }
 
-    /** The word under that name is taken back. */
-    public static Claim back(String key, long heardUs) {
-        return new Claim(key, null, heardUs, TimingWheel.NEVER);
-    }
+  /** The word under that name is taken back. */
+  public static Claim back(String key, long heardUs) {
+    return new Claim(key, null, heardUs, TimingWheel.NEVER);
+  }
 }
