--- a/src/main/java/dunlinhitch/peers/WordWriter.java
+++ b/src/main/java/dunlinhitch/peers/WordWriter.java
@@ -10,145 +10,160 @@
 import java.util.Arrays;
 import java.util.List;
 
-/** Fills one datagram in the form of {@link WordForm}: what does not fit is as if it had not been tried. */
+/**
+ * Fills one datagram in the form of {@link WordForm}: what does not fit is as if it had not been
+ * tried.
+ */
 final class WordWriter {
-    /** Something of one datagram. */
-    private interface Piece {
-        void write(CodedOutputStream out) throws IOException;
-    }
+  /** Something of one datagram. */
+  private interface Piece {
+    void write(CodedOutputStream out) throws IOException;
+  }
 
-    /** Without the checksum's bytes. */
-    private final byte[] room;
-    private final Texts texts = new Texts();
-    private int used;
-    private int headBytes;
-    private long sinceMs;
-    private long seenUs;
+  /** Without the checksum's bytes. */
+  private final byte[] room;
 
-    WordWriter(int mostBytes) {
-        room = new byte[Math.max(0, mostBytes - WordForm.SUM_BYTES)];
-    }
+  private final Texts texts = new Texts();
+  private int used;
+  private int headBytes;
+  private long sinceMs;
+  private long seenUs;
 
-    /** False where it finds no room; nothing else may be added then. */
-    boolean head(Word word) {
-        Peer from = word.from();
-        String about = word.about();
-        Versions versions = word.versions();
-        sinceMs = from.incarnation();
-        seenUs = sinceMs * WordForm.US_OF_MS;
-        boolean in = put(out -> {
-            out.writeRawByte(WordForm.VERSION);
-            out.writeRawByte(word.kind().ordinal() | (about.isEmpty() ? 0 : WordForm.HAS_ABOUT)
-                    | (versions == null ? 0 : WordForm.HAS_VERSIONS) | (word.digest() == 0 ? 0 : WordForm.HAS_DIGEST)
-                    | (word.buckets().isEmpty() ? 0 : WordForm.HAS_BUCKETS));
-            out.writeRawByte(from.status().ordinal());
-            peer(out, from, 0);
-            out.writeUInt64NoTag(word.number());
-            if (!about.isEmpty()) {
+  WordWriter(int mostBytes) {
+    room = new byte[Math.max(0, mostBytes - WordForm.SUM_BYTES)];
+  }
+
+  /** False where it finds no room; nothing else may be added then. */
+  boolean head(Word word) {
+    Peer from = word.from();
+    String about = word.about();
+    Versions versions = word.versions();
+    sinceMs = from.incarnation();
+    seenUs = sinceMs * WordForm.US_OF_MS;
+    boolean in =
+        put(
+            out -> {
+              out.writeRawByte(WordForm.VERSION);
+              out.writeRawByte(
+                  word.kind().ordinal()
+                      | (about.isEmpty() ? 0 : WordForm.HAS_ABOUT)
+                      | (versions == null ? 0 : WordForm.HAS_VERSIONS)
+                      | (word.digest() == 0 ? 0 : WordForm.HAS_DIGEST)
+                      | (word.buckets().isEmpty() ? 0 : WordForm.HAS_BUCKETS));
+              out.writeRawByte(from.status().ordinal());
+              peer(out, from, 0);
+              out.writeUInt64NoTag(word.number());
+              if (!about.isEmpty()) {
                 texts.write(out, about);
-            }
-            if (versions != null) {
+              }
+              if (versions != null) {
                 texts.write(out, versions.build());
                 texts.write(out, versions.settings());
                 out.writeSInt64NoTag(versions.settingsMs() - sinceMs);
                 out.writeUInt64NoTag(versions.roster());
-            }
-            if (word.digest() != 0) {
+              }
+              if (word.digest() != 0) {
                 out.writeFixed64NoTag(word.digest());
-            }
-            buckets(out, word.buckets());
-        });
-        headBytes = used;
-        return in;
-    }
-
-    /** A peer, a signal or a doubt; false where it finds no room, or could not be read. */
-    boolean add(Object item) {
-        if (item instanceof Peer peer) {
-            return put(out -> {
-                out.writeRawByte(WordForm.PEER | peer.status().ordinal() << WordForm.ITEM_BITS);
-                peer(out, peer, sinceMs);
-            });
-        }
-        if (item instanceof Doubt doubt) {
-            return put(out -> {
-                out.writeRawByte(WordForm.DOUBT);
-                texts.write(out, doubt.name());
-                texts.write(out, doubt.by());
-                out.writeSInt64NoTag(doubt.incarnation() - sinceMs);
+              }
+              buckets(out, word.buckets());
             });
-        }
-        Signal signal = (Signal) item;
-        boolean in = put(out -> signal(out, signal));
-        seenUs = in ? signal.seenUs() : seenUs;
-        return in;
-    }
+    headBytes = used;
+    return in;
+  }
 
-    private static void buckets(CodedOutputStream out, List<Long> buckets) throws IOException {
-        if (buckets.size() > WordForm.MOST_BUCKETS) {
-            throw new IOException(buckets.size() + " buckets");
-        }
-        if (!buckets.isEmpty()) {
-            out.writeRawByte(buckets.size());
-        }
-        for (long bucket : buckets) {
-            out.writeFixed64NoTag(bucket);
-        }
+  /** A peer, a signal or a doubt; false where it finds no room, or could not be read. */
+  boolean add(Object item) {
+    if (item instanceof Peer peer) {
+      return put(
+          out -> {
+            out.writeRawByte(WordForm.PEER | peer.status().ordinal() << WordForm.ITEM_BITS);
+            peer(out, peer, sinceMs);
+          });
     }
-
-    private void peer(CodedOutputStream out, Peer peer, long since) throws IOException {
-        texts.write(out, peer.name());
-        texts.write(out, peer.zone());
-        texts.write(out, peer.host());
-        out.writeRawByte(peer.port() >> 8);
-        out.writeRawByte(peer.port());
-        out.writeSInt64NoTag(peer.incarnation() - since);
+    if (item instanceof Doubt doubt) {
+      return put(
+          out -> {
+            out.writeRawByte(WordForm.DOUBT);
+            texts.write(out, doubt.name());
+            texts.write(out, doubt.by());
+            out.writeSInt64NoTag(doubt.incarnation() - sinceMs);
+          });
     }
+    Signal signal = (Signal) item;
+    boolean in = put(out -> signal(out, signal));
+    seenUs = in ? signal.seenUs() : seenUs;
+    return in;
+  }
 
-    private void signal(CodedOutputStream out, Signal signal) throws IOException {
-        int figures = signal.report().size();
-        if (figures > WordForm.MOST_FIGURES || !signal.report().stream().allMatch(Float::isFinite)) {
-            throw new IOException("a load report of no use: " + signal.report());
-        }
-        out.writeRawByte(WordForm.SIGNAL | figures << WordForm.ITEM_BITS);
-        texts.write(out, signal.store());
-        texts.write(out, signal.author());
-        out.writeUInt64NoTag(signal.startedMs() == 0 ? 0 : CodedOutputStream.encodeZigZag64(signal.startedMs() - sinceMs) + 1);
-        out.writeUInt64NoTag(signal.number());
-        out.writeSInt64NoTag(signal.seenUs() - seenUs);
-        for (float figure : signal.report()) {
-            out.writeFloatNoTag(figure);
-        }
-        out.writeUInt32NoTag(signal.failed());
+  private static void buckets(CodedOutputStream out, List<Long> buckets) throws IOException {
+    if (buckets.size() > WordForm.MOST_BUCKETS) {
+      throw new IOException(buckets.size() + " buckets");
+    }
+    if (!buckets.isEmpty()) {
+      out.writeRawByte(buckets.size());
+    }
+    for (long bucket : buckets) {
+      out.writeFixed64NoTag(bucket);
     }
+  }
 
-    private boolean put(Piece piece) {
-        int known = texts.size();
-        try {
-            CodedOutputStream out = CodedOutputStream.newInstance(room, used, room.length - used);
-            piece.write(out);
-            if (out.getTotalBytesWritten() <= room.length - used) {
-                used += out.getTotalBytesWritten();
-                return true;
-            }
-        } catch (IOException e) {
-            // it finds no room, or is longer than any reader takes: it is left out, and counted where it is sent
-        }
-        texts.cutTo(known);
-        return false;
+  private void peer(CodedOutputStream out, Peer peer, long since) throws IOException {
+    texts.write(out, peer.name());
+    texts.write(out, peer.zone());
+    texts.write(out, peer.host());
+    out.writeRawByte(peer.port() >> 8);
+    out.writeRawByte(peer.port());
+    out.writeSInt64NoTag(peer.incarnation() - since);
+  }
+
+  private void signal(CodedOutputStream out, Signal signal) throws IOException {
+    int figures = signal.report().size();
+    if (figures > WordForm.MOST_FIGURES || !signal.report().stream().allMatch(Float::isFinite)) {
+      throw new IOException("a load report of no use: " + signal.report());
+    }
+    out.writeRawByte(WordForm.SIGNAL | figures << WordForm.ITEM_BITS);
+    texts.write(out, signal.store());
+    texts.write(out, signal.author());
+    out.writeUInt64NoTag(
+        signal.startedMs() == 0
+            ? 0
+            : CodedOutputStream.encodeZigZag64(signal.startedMs() - sinceMs) + 1);
+    out.writeUInt64NoTag(signal.number());
+    out.writeSInt64NoTag(signal.seenUs() - seenUs);
+    for (float figure : signal.report()) {
+      out.writeFloatNoTag(figure);
     }
+    out.writeUInt32NoTag(signal.failed());
+  }
 
-    /** True while there is no item in it. */
-    boolean isBare() {
-        return used == headBytes;
+  private boolean put(Piece piece) {
+    int known = texts.size();
+    try {
+      CodedOutputStream out = CodedOutputStream.newInstance(room, used, room.length - used);
+      piece.write(out);
+      if (out.getTotalBytesWritten() <= room.length - used) {
+        used += out.getTotalBytesWritten();
+        return true;
+      }
+    } catch (IOException e) {
+      // it finds no room, or is longer than any reader takes: it is left out, and counted where it
+      // is sent
     }
+    texts.cutTo(known);
+    return false;
+  }
+
+  /** True while there is no item in it. */
+  boolean isBare() {
+    return used == headBytes;
+  }
 
-    byte[] end() {
-        byte[] all = Arrays.copyOf(room, used + WordForm.SUM_BYTES);
-        int sum = WordForm.sum(all, used);
-        for (int i = 0; i < WordForm.SUM_BYTES; i++) {
-            all[used + i] = (byte) (sum >>> 8 * (WordForm.SUM_BYTES - 1 - i));
-        }
-        return all;
+  byte[] end() {
+    byte[] all = Arrays.copyOf(room, used + WordForm.SUM_BYTES);
+    int sum = WordForm.sum(all, used);
+    for (int i = 0; i < WordForm.SUM_BYTES; i++) {
+      all[used + i] = (byte) (sum >>> 8 * (WordForm.SUM_BYTES - 1 - i));
     }
+    return all;
+  }
 }
--- a/src/main/java/dunlinhitch/phases/Plan.java
+++ b/src/main/java/dunlinhitch/phases/Plan.java
@@ -10,18 +10,28 @@
  * @param why why it goes in one phase, or that it does not
  */
 public record Plan(Set<Integer> first, long firstEndUs, Why why) {
-    /** Why a query goes as it does. */
-    public enum Why { TWO_PHASES, TRIAL, NOT_SET, FEW_BLOCKS, DOES_NOT_PAY, TOO_LITTLE_TIME, CLOSED, ONE_PHASE_STORES, KNOWN_FULL }
+  /** Why a query goes as it does. */
+  public enum Why {
+    TWO_PHASES,
+    TRIAL,
+    NOT_SET,
+    FEW_BLOCKS,
+    DOES_NOT_PAY,
+    TOO_LITTLE_TIME,
+    CLOSED,
+    ONE_PHASE_STORES,
+    KNOWN_FULL
+  }
 
-    public Plan {
-        first = Set.copyOf(first);
-    }
+  public Plan {
+    first = Set.copyOf(first);
+  }
 
-    public boolean twoPhases() {
-        return !first.isEmpty();
-    }
+  public boolean twoPhases() {
+    return !first.isEmpty();
+  }
 
-    static Plan one(Why why) {
-        return new Plan(Set.of(), 0, why);
-    }
+  static Plan one(Why why) {
+    return new Plan(Set.of(), 0, why);
+  }
 }
--- a/src/main/java/dunlinhitch/roster/RosterReader.java
+++ b/src/main/java/dunlinhitch/roster/RosterReader.java
@@ -4,73 +4,111 @@
 import com.eclipsesource.json.JsonValue;
 import dunlinhitch.core.Count;
 import dunlinhitch.core.Event;
-import dunlinhitch.membership.StoreEntry;
-import dunlinhitch.membership.StoreEntry.StoreWire;
 import dunlinhitch.decide.Routing.ListKind;
 import dunlinhitch.decide.Routing.ServerState;
+import dunlinhitch.membership.StoreEntry;
+import dunlinhitch.membership.StoreEntry.StoreWire;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
 import java.util.function.Consumer;
 
-/** Reads lists of stores in discovery's form; an entry that can not be used is skipped and counted. */
+/**
+ * Reads lists of stores in discovery's form; an entry that can not be used is skipped and counted.
+ */
 public final class RosterReader {
-    /** In microseconds it is a number still. */
-    private static final long LATEST_MS = Long.MAX_VALUE / 1000;
-    private final List<String> zones;
-    private final Consumer<Event> events;
+  /** In microseconds it is a number still. */
+  private static final long LATEST_MS = Long.MAX_VALUE / 1000;
 
-    /** {@code zones} are the names of the settings, in order; null: any will do. */
-    public RosterReader(List<String> zones, Consumer<Event> events) {
-        this.zones = zones == null ? null : List.copyOf(zones);
-        this.events = events;
-    }
+  private final List<String> zones;
+  private final Consumer<Event> events;
 
-    /** A list that replaces all ({@code reset}) or changes some. */
-    public Event.RosterNews read(JsonObject list, boolean cached) {
-        List<StoreEntry> entries = new ArrayList<>();
-        for (JsonValue value : list.get("instances").asArray()) {
-            try {
-                entries.add(entry(value.asObject()));
-            } catch (RuntimeException e) {
-                events.accept(new Event.Noted(Count.BAD_ROSTER_ENTRIES));
-            }
-        }
-        boolean reset = list.getBoolean("reset", false);
-        return new Event.RosterNews(cached ? ListKind.CACHED : reset ? ListKind.FULL : ListKind.DELTA, entries);
-    }
+  /** {@code zones} are the names of the settings, in order; null: any will do. */
+  public RosterReader(List<String> zones, Consumer<Event> events) {
+    this.zones = zones == null ? null : List.copyOf(zones);
+    this.events = events;
+  }
 
-    private StoreEntry entry(JsonObject o) {
-        return entry(o.get("instanceId").asString(), o.get("hostPort").asString(), o.getString("zone", ""),
-                o.get("cell").asInt(), o.get("lifecycle").asString(), o.getDouble("weight", 1),
-                o.getLong("startedAtMs", 0), o.getString("protocol", "")).phases(o.getInt("phases", 1));
+  /** A list that replaces all ({@code reset}) or changes some. */
+  public Event.RosterNews read(JsonObject list, boolean cached) {
+    List<StoreEntry> entries = new ArrayList<>();
+    for (JsonValue value : list.get("instances").asArray()) {
+      try {
+        entries.add(entry(value.asObject()));
+      } catch (RuntimeException e) {
+        events.accept(new Event.Noted(Count.BAD_ROSTER_ENTRIES));
+      }
     }
+    boolean reset = list.getBoolean("reset", false);
+    return new Event.RosterNews(
+        cached ? ListKind.CACHED : reset ? ListKind.FULL : ListKind.DELTA, entries);
+  }
 
-    /** An entry from its words, wherever they stand; throws where one is of no use. */
-    public StoreEntry entry(String name, String hostPort, String zone, int cell, String lifecycle, double weight,
-            long startedAtMs, String protocol) {
-        int colon = hostPort.lastIndexOf(':');
-        int port = Integer.parseInt(hostPort.substring(colon + 1));
-        ServerState state = switch (lifecycle) {
-            case "ready" -> ServerState.READY;
-            case "draining" -> ServerState.DRAINING;
-            case "gone" -> ServerState.GONE;
-            default -> throw new IllegalArgumentException("no such state: " + lifecycle);
-        };
-        int zoneIndex = zones == null ? 0 : zones.indexOf(zone);
-        String wrong = name.isEmpty() ? "no id" : colon < 1 || port < 1 || port > 65_535 ? "no address: " + hostPort
-                : cell < 0 ? "no cell: " + cell : startedAtMs < 0 || startedAtMs > LATEST_MS ? "no start: " + startedAtMs
-                : !Double.isFinite(weight) ? "no weight: " + weight
-                : zoneIndex < 0 && state != ServerState.GONE ? "no zone of the settings: " + zone : "";
-        if (!wrong.isEmpty()) {
-            throw new IllegalArgumentException(wrong);
-        }
-        StoreWire wire = switch (protocol.toLowerCase(Locale.ROOT)) {
-            case "", "frames" -> StoreWire.FRAMES;
-            case "flight" -> StoreWire.FLIGHT;
-            default -> throw new IllegalArgumentException("no such protocol: " + protocol);
+  private StoreEntry entry(JsonObject o) {
+    return entry(
+            o.get("instanceId").asString(),
+            o.get("hostPort").asString(),
+            o.getString("zone", ""),
+            o.get("cell").asInt(),
+            o.get("lifecycle").asString(),
+            o.getDouble("weight", 1),
+            o.getLong("startedAtMs", 0),
+            o.getString("protocol", ""))
+        .phases(o.getInt("phases", 1));
+  }
+
+  /** An entry from its words, wherever they stand; throws where one is of no use. */
+  public StoreEntry entry(
+      String name,
+      String hostPort,
+      String zone,
+      int cell,
+      String lifecycle,
+      double weight,
+      long startedAtMs,
+      String protocol) {
+    int colon = hostPort.lastIndexOf(':');
+    int port = Integer.parseInt(hostPort.substring(colon + 1));
+    ServerState state =
+        switch (lifecycle) {
+          case "ready" -> ServerState.READY;
+          case "draining" -> ServerState.DRAINING;
+          case "gone" -> ServerState.GONE;
+          default -> throw new IllegalArgumentException("no such state: " + lifecycle);
         };
-        return new StoreEntry(name, hostPort.substring(0, colon), port, Math.max(0, zoneIndex), cell, state, weight,
-                startedAtMs * 1000, wire);
+    int zoneIndex = zones == null ? 0 : zones.indexOf(zone);
+    String wrong =
+        name.isEmpty()
+            ? "no id"
+            : colon < 1 || port < 1 || port > 65_535
+                ? "no address: " + hostPort
+                : cell < 0
+                    ? "no cell: " + cell
+                    : startedAtMs < 0 || startedAtMs > LATEST_MS
+                        ? "no start: " + startedAtMs
+                        : !Double.isFinite(weight)
+                            ? "no weight: " + weight
+                            : zoneIndex < 0 && state != ServerState.GONE
+                                ? "no zone of the settings: " + zone
+                                : "";
+    if (!wrong.isEmpty()) {
+      throw new IllegalArgumentException(wrong);
     }
+    StoreWire wire =
+        switch (protocol.toLowerCase(Locale.ROOT)) {
+          case "", "frames" -> StoreWire.FRAMES;
+          case "flight" -> StoreWire.FLIGHT;
+          default -> throw new IllegalArgumentException("no such protocol: " + protocol);
+        };
+    return new StoreEntry(
+        name,
+        hostPort.substring(0, colon),
+        port,
+        Math.max(0, zoneIndex),
+        cell,
+        state,
+        weight,
+        startedAtMs * 1000,
+        wire);
+  }
 }
--- a/src/main/java/dunlinhitch/roster/Source.java
+++ b/src/main/java/dunlinhitch/roster/Source.java
@@ -2,16 +2,16 @@
 
 /** Where the list of stores comes from. */
 public interface Source {
-    void start();
+  void start();
 
-    /** Discovery is at that address; what is held stands until something is heard from there. */
-    void follow(String host, int port);
+  /** Discovery is at that address; what is held stands until something is heard from there. */
+  void follow(String host, int port);
 
-    void stop();
+  void stop();
 
-    /** Asks again now. */
-    void resync();
+  /** Asks again now. */
+  void resync();
 
-    /** True once the source itself has been heard since the start. */
-    boolean answered();
+  /** True once the source itself has been heard since the start. */
+  boolean answered();
 }
--- a/src/main/java/dunlinhitch/roster/Watch.java
+++ b/src/main/java/dunlinhitch/roster/Watch.java
@@ -23,187 +23,218 @@
 import java.util.function.Supplier;
 
 /**
- * Follows discovery. While it is lost or silent the last list stands; the watch is opened again and says which list it had,
- * so that what was missed comes first. Where discovery moves, the old address is heard until the new one has spoken. When
- * that is to be is the {@link WatchPlan}'s; this reads and writes.
+ * Follows discovery. While it is lost or silent the last list stands; the watch is opened again and
+ * says which list it had, so that what was missed comes first. Where discovery moves, the old
+ * address is heard until the new one has spoken. When that is to be is the {@link WatchPlan}'s;
+ * this reads and writes.
  */
 public final class Watch implements Source {
-    private static final int MOST_BYTES = 4 << 20;
-    private static final int CONNECT_MS = 1000;
-    private static final String LIST = "/registry/instances";
-    private final Vertx vertx;
-    private final HttpClientAgent client;
-    private final RosterReader reader;
-    private final Consumer<Event> events;
-    private final LongSupplier clock;
-    private final WatchPlan plan;
-    /** Calls that are out, by their numbers. */
-    private final Map<Long, Call> calls = new HashMap<>();
-    private long timer = -1;
-    private long timerUs = WatchPlan.NEVER;
-    private boolean answered;
-
-    /** {@code settings}: as they are now, for a new configuration may bring others. */
-    public Watch(Vertx vertx, Supplier<Settings> settings, long seed, long knownGeneration, RosterReader reader, Consumer<Event> events,
-            LongSupplier clock) {
-        this.vertx = vertx;
-        this.reader = reader;
-        this.events = events;
-        this.clock = clock;
-        plan = new WatchPlan(() -> WatchTimes.of(settings.get()), knownGeneration, seed);
-        client = vertx.createHttpClient(new HttpClientOptions().setConnectTimeout(CONNECT_MS).setKeepAlive(false));
+  private static final int MOST_BYTES = 4 << 20;
+  private static final int CONNECT_MS = 1000;
+  private static final String LIST = "/registry/instances";
+  private final Vertx vertx;
+  private final HttpClientAgent client;
+  private final RosterReader reader;
+  private final Consumer<Event> events;
+  private final LongSupplier clock;
+  private final WatchPlan plan;
+
+  /** Calls that are out, by their numbers. */
+  private final Map<Long, Call> calls = new HashMap<>();
+
+  private long timer = -1;
+  private long timerUs = WatchPlan.NEVER;
+  private boolean answered;
+
+  /** {@code settings}: as they are now, for a new configuration may bring others. */
+  public Watch(
+      Vertx vertx,
+      Supplier<Settings> settings,
+      long seed,
+      long knownGeneration,
+      RosterReader reader,
+      Consumer<Event> events,
+      LongSupplier clock) {
+    this.vertx = vertx;
+    this.reader = reader;
+    this.events = events;
+    this.clock = clock;
+    plan = new WatchPlan(() -> WatchTimes.of(settings.get()), knownGeneration, seed);
+    client =
+        vertx.createHttpClient(
+            new HttpClientOptions().setConnectTimeout(CONNECT_MS).setKeepAlive(false));
+  }
+
+  @Override
+  public boolean answered() {
+    return answered;
+  }
+
+  @Override
+  public void start() {
+    // begins with the address that it is told to follow
+  }
+
+  @Override
+  public void follow(String host, int port) {
+    carryOut(plan.follow(clock.getAsLong(), host, port));
+  }
+
+  @Override
+  public void stop() {
+    carryOut(plan.stop());
+  }
+
+  /** Asks again from the list that is held; the watch that was open ends. */
+  @Override
+  public void resync() {
+    carryOut(plan.resync(clock.getAsLong()));
+  }
+
+  private void carryOut(List<WatchPlan.Step> steps) {
+    for (WatchPlan.Step step : steps) {
+      if (step instanceof WatchPlan.Step.Ask ask) {
+        Call call = new Call(ask);
+        calls.put(ask.call(), call);
+        call.open();
+      } else if (step instanceof WatchPlan.Step.Drop drop) {
+        calls.remove(drop.call()).close();
+      } else if (step instanceof WatchPlan.Step.Lost) {
+        events.accept(new Event.Noted(Count.ROSTER_LOST));
+      } else if (step instanceof WatchPlan.Step.Silent silent) {
+        events.accept(new Event.RosterSilent(silent.sinceUs()));
+      } else if (step instanceof WatchPlan.Step.Heard) {
+        events.accept(new Event.RosterHeard());
+      }
     }
-
-    @Override
-    public boolean answered() {
-        return answered;
+    long next = plan.nextUs();
+    if (next != timerUs) {
+      vertx.cancelTimer(timer);
+      timerUs = next;
+      timer =
+          next == WatchPlan.NEVER
+              ? -1
+              : vertx.setTimer(
+                  MicroClock.timerMs(clock.getAsLong(), next),
+                  t -> {
+                    timerUs = WatchPlan.NEVER;
+                    carryOut(plan.passed(clock.getAsLong()));
+                  });
     }
-
-    @Override
-    public void start() {
-        // begins with the address that it is told to follow
+  }
+
+  /** One call, and what is read by it. */
+  private final class Call {
+    private final WatchPlan.Step.Ask ask;
+    private final ListText text = new ListText(MOST_BYTES);
+    private HttpClientConnection connection;
+    private long generation;
+
+    Call(WatchPlan.Step.Ask ask) {
+      this.ask = ask;
+      generation = Math.max(0, ask.since());
     }
 
-    @Override
-    public void follow(String host, int port) {
-        carryOut(plan.follow(clock.getAsLong(), host, port));
+    private boolean isHeard() {
+      return plan.hears(ask.call());
     }
 
-    @Override
-    public void stop() {
-        carryOut(plan.stop());
+    private void lost() {
+      carryOut(plan.lost(clock.getAsLong(), ask.call()));
     }
 
-    /** Asks again from the list that is held; the watch that was open ends. */
-    @Override
-    public void resync() {
-        carryOut(plan.resync(clock.getAsLong()));
+    void close() {
+      if (connection != null) { // else it is closed when it comes up
+        connection.close();
+      }
     }
 
-    private void carryOut(List<WatchPlan.Step> steps) {
-        for (WatchPlan.Step step : steps) {
-            if (step instanceof WatchPlan.Step.Ask ask) {
-                Call call = new Call(ask);
-                calls.put(ask.call(), call);
-                call.open();
-            } else if (step instanceof WatchPlan.Step.Drop drop) {
-                calls.remove(drop.call()).close();
-            } else if (step instanceof WatchPlan.Step.Lost) {
-                events.accept(new Event.Noted(Count.ROSTER_LOST));
-            } else if (step instanceof WatchPlan.Step.Silent silent) {
-                events.accept(new Event.RosterSilent(silent.sinceUs()));
-            } else if (step instanceof WatchPlan.Step.Heard) {
-                events.accept(new Event.RosterHeard());
-            }
-        }
-        long next = plan.nextUs();
-        if (next != timerUs) {
-            vertx.cancelTimer(timer);
-            timerUs = next;
-            timer = next == WatchPlan.NEVER ? -1 : vertx.setTimer(MicroClock.timerMs(clock.getAsLong(), next), t -> {
-                timerUs = WatchPlan.NEVER;
-                carryOut(plan.passed(clock.getAsLong()));
-            });
-        }
-    }
-
-    /** One call, and what is read by it. */
-    private final class Call {
-        private final WatchPlan.Step.Ask ask;
-        private final ListText text = new ListText(MOST_BYTES);
-        private HttpClientConnection connection;
-        private long generation;
-
-        Call(WatchPlan.Step.Ask ask) {
-            this.ask = ask;
-            generation = Math.max(0, ask.since());
-        }
-
-        private boolean isHeard() {
-            return plan.hears(ask.call());
-        }
-
-        private void lost() {
-            carryOut(plan.lost(clock.getAsLong(), ask.call()));
-        }
-
-        void close() {
-            if (connection != null) { // else it is closed when it comes up
-                connection.close();
-            }
-        }
-
-        /**
-         * A connection of its own, not one of a pool: a pool has five for an address, and while five calls hang it would make
-         * none of those that are to be made beside them.
-         */
-        void open() {
-            client.connect(new HttpConnectOptions().setHost(ask.host()).setPort(ask.port()).setConnectTimeout(CONNECT_MS)).onComplete(made -> {
+    /**
+     * A connection of its own, not one of a pool: a pool has five for an address, and while five
+     * calls hang it would make none of those that are to be made beside them.
+     */
+    void open() {
+      client
+          .connect(
+              new HttpConnectOptions()
+                  .setHost(ask.host())
+                  .setPort(ask.port())
+                  .setConnectTimeout(CONNECT_MS))
+          .onComplete(
+              made -> {
                 if (made.failed()) {
-                    lost();
-                    return;
+                  lost();
+                  return;
                 }
                 connection = made.result();
                 // without a handler Vert.x writes each reset to the log as an error
                 connection.exceptionHandler(e -> lost());
                 if (!isHeard()) {
-                    close();
-                    return;
+                  close();
+                  return;
                 }
-                String uri = ask.since() == WatchPlan.NONE_YET ? LIST : LIST + "?follow=1&since=" + ask.since();
-                connection.request(new RequestOptions().setHost(ask.host()).setPort(ask.port()).setURI(uri))
-                        .onSuccess(this::send).onFailure(e -> lost());
-            });
-        }
+                String uri =
+                    ask.since() == WatchPlan.NONE_YET
+                        ? LIST
+                        : LIST + "?follow=1&since=" + ask.since();
+                connection
+                    .request(
+                        new RequestOptions().setHost(ask.host()).setPort(ask.port()).setURI(uri))
+                    .onSuccess(this::send)
+                    .onFailure(e -> lost());
+              });
+    }
 
-        private void send(HttpClientRequest request) {
-            request.exceptionHandler(e -> lost());
-            request.send().onSuccess(this::listen).onFailure(e -> lost());
-        }
+    private void send(HttpClientRequest request) {
+      request.exceptionHandler(e -> lost());
+      request.send().onSuccess(this::listen).onFailure(e -> lost());
+    }
 
-        private void listen(HttpClientResponse response) {
-            if (response.statusCode() != 200) {
-                lost();
-                return;
-            }
-            carryOut(plan.answered(clock.getAsLong(), ask.call()));
-            response.handler(bytes -> read(bytes.getBytes()));
-            response.exceptionHandler(e -> lost());
-            response.endHandler(v -> lost());
-        }
+    private void listen(HttpClientResponse response) {
+      if (response.statusCode() != 200) {
+        lost();
+        return;
+      }
+      carryOut(plan.answered(clock.getAsLong(), ask.call()));
+      response.handler(bytes -> read(bytes.getBytes()));
+      response.exceptionHandler(e -> lost());
+      response.endHandler(v -> lost());
+    }
 
-        private void read(byte[] bytes) {
-            try {
-                List<String> lists = isHeard() ? text.read(bytes) : List.of();
-                carryOut(plan.heard(clock.getAsLong(), ask.call(), text.isWithin()));
-                for (int strays = text.strays(); strays > 0; strays--) {
-                    events.accept(new Event.Noted(Count.BAD_ROSTER_ENTRIES)); // a line that is no list changes nothing
-                }
-                for (String list : lists) {
-                    if (isHeard()) {
-                        take(Json.parse(list).asObject());
-                    }
-                }
-                text.check();
-            } catch (ListText.SpoiltException | RuntimeException e) { // what it held is missing: it is asked for again
-                events.accept(new Event.Noted(Count.BAD_ROSTER_ENTRIES));
-                lost();
-            }
+    private void read(byte[] bytes) {
+      try {
+        List<String> lists = isHeard() ? text.read(bytes) : List.of();
+        carryOut(plan.heard(clock.getAsLong(), ask.call(), text.isWithin()));
+        for (int strays = text.strays(); strays > 0; strays--) {
+          events.accept(
+              new Event.Noted(Count.BAD_ROSTER_ENTRIES)); // a line that is no list changes nothing
         }
-
-        private void take(JsonObject list) {
-            Event.RosterNews news = reader.read(list, false);
-            long numbered = list.getLong("generation", generation);
-            if (!plan.fits(ask.call(), numbered, news.kind() == ListKind.FULL)) {
-                events.accept(new Event.Noted(Count.BAD_ROSTER_ENTRIES));
-                carryOut(plan.misfit(clock.getAsLong(), ask.call()));
-                return;
-            }
-            generation = numbered;
-            answered = true;
-            events.accept(news);
-            events.accept(new Event.RosterNumbered(generation));
-            carryOut(plan.listed(clock.getAsLong(), ask.call(), generation));
+        for (String list : lists) {
+          if (isHeard()) {
+            take(Json.parse(list).asObject());
+          }
         }
+        text.check();
+      } catch (ListText.SpoiltException
+          | RuntimeException e) { // what it held is missing: it is asked for again
+        events.accept(new Event.Noted(Count.BAD_ROSTER_ENTRIES));
+        lost();
+      }
+    }
+
+    private void take(JsonObject list) {
+      Event.RosterNews news = reader.read(list, false);
+      long numbered = list.getLong("generation", generation);
+      if (!plan.fits(ask.call(), numbered, news.kind() == ListKind.FULL)) {
+        events.accept(new Event.Noted(Count.BAD_ROSTER_ENTRIES));
+        carryOut(plan.misfit(clock.getAsLong(), ask.call()));
+        return;
+      }
+      generation = numbered;
+      answered = true;
+      events.accept(news);
+      events.accept(new Event.RosterNumbered(generation));
+      carryOut(plan.listed(clock.getAsLong(), ask.call(), generation));
     }
+  }
 }
--- a/src/main/java/dunlinhitch/scoring/ScorerSettings.java
+++ b/src/main/java/dunlinhitch/scoring/ScorerSettings.java
@@ -12,15 +12,15 @@
  * @param parameters what the scorer is told, by name
  */
 public record ScorerSettings(String name, Path directory, Map<String, String> parameters) {
-    public ScorerSettings {
-        if (name.isEmpty()) {
-            throw new IllegalArgumentException("a scorer has a name");
-        }
-        parameters = Map.copyOf(parameters);
+  public ScorerSettings {
+    if (name.isEmpty()) {
+      throw new IllegalArgumentException("a scorer has a name");
     }
+    parameters = Map.copyOf(parameters);
+  }
 
-    /** Who it is, once it has said of which version it is. */
-    public ScorerIdentity identity(String version) {
-        return new ScorerIdentity(name, version, new TreeMap<>(parameters).toString());
-    }
+  /** Who it is, once it has said of which version it is. */
+  public ScorerIdentity identity(String version) {
+    return new ScorerIdentity(name, version, new TreeMap<>(parameters).toString());
+  }
 }
--- a/src/main/java/dunlinhitch/scoring/Sight.java
+++ b/src/main/java/dunlinhitch/scoring/Sight.java
@@ -9,9 +9,18 @@
  * @param workUs predicted work outstanding, of this broker and by report of others
  * @param startedMs when its present life began, by the day's clock; 0: long ago
  */
-public record Sight(int server, String store, int cell, String zone, boolean near, double warmth, long startedMs, double workUs,
-        List<Double> report, long reportAgeUs) {
-    public Sight {
-        report = List.copyOf(report);
-    }
+public record Sight(
+    int server,
+    String store,
+    int cell,
+    String zone,
+    boolean near,
+    double warmth,
+    long startedMs,
+    double workUs,
+    List<Double> report,
+    long reportAgeUs) {
+  public Sight {
+    report = List.copyOf(report);
+  }
 }
--- a/src/main/java/dunlinhitch/scoring/Verdicts.java
+++ b/src/main/java/dunlinhitch/scoring/Verdicts.java
@@ -5,38 +5,41 @@
 import dunlinhitch.fleet.FactsRule;
 import java.util.List;
 
-/** Which scorers the brokers left out of late, and why; it rides on words beside the weights. Times are of the day's clock. */
+/**
+ * Which scorers the brokers left out of late, and why; it rides on words beside the weights. Times
+ * are of the day's clock.
+ */
 public final class Verdicts {
-    private static final FactsRule RULE = new FactsRule(600_000_000, 2_000_000, 1_000, 16);
-
-    private final String self;
-    private final Facts<ScorerIdentity, Failure> facts = new Facts<>(RULE, ScorerIdentity.ORDER);
-
-    public Verdicts(String self) {
-        this.self = self;
-    }
-
-    /** Another broker's word; true if it was news. */
-    public boolean told(long dayUs, Fact<ScorerIdentity, Failure> fact) {
-        return !fact.author().equals(self) && facts.take(dayUs, fact) == Facts.Took.NEWS;
-    }
-
-    /** This broker left it out. */
-    public void failed(long dayUs, ScorerIdentity scorer, Failure failure) {
-        facts.take(dayUs, new Fact<>(scorer, self, dayUs, failure));
-    }
-
-    /** Other brokers that left the same one out of late. */
-    public int doubters(long dayUs, ScorerIdentity scorer) {
-        facts.forget(dayUs);
-        return (int) facts.of(scorer).stream().filter(fact -> !fact.author().equals(self)).count();
-    }
-
-    public List<Fact<ScorerIdentity, Failure>> since(long version, int most) {
-        return facts.since(version, most);
-    }
-
-    public long version() {
-        return facts.version();
-    }
+  private static final FactsRule RULE = new FactsRule(600_000_000, 2_000_000, 1_000, 16);
+
+  private final String self;
+  private final Facts<ScorerIdentity, Failure> facts = new Facts<>(RULE, ScorerIdentity.ORDER);
+
+  public Verdicts(String self) {
+    this.self = self;
+  }
+
+  /** Another broker's word; true if it was news. */
+  public boolean told(long dayUs, Fact<ScorerIdentity, Failure> fact) {
+    return !fact.author().equals(self) && facts.take(dayUs, fact) == Facts.Took.NEWS;
+  }
+
+  /** This broker left it out. */
+  public void failed(long dayUs, ScorerIdentity scorer, Failure failure) {
+    facts.take(dayUs, new Fact<>(scorer, self, dayUs, failure));
+  }
+
+  /** Other brokers that left the same one out of late. */
+  public int doubters(long dayUs, ScorerIdentity scorer) {
+    facts.forget(dayUs);
+    return (int) facts.of(scorer).stream().filter(fact -> !fact.author().equals(self)).count();
+  }
+
+  public List<Fact<ScorerIdentity, Failure>> since(long version, int most) {
+    return facts.since(version, most);
+  }
+
+  public long version() {
+    return facts.version();
+  }
 }
--- a/src/main/java/dunlinhitch/scoring/Weight.java
+++ b/src/main/java/dunlinhitch/scoring/Weight.java
@@ -10,9 +10,14 @@
  * @param startedMs which life of the store it was seen of
  */
 public record Weight(double value, double evidence, long startedMs) {
-    /** False for what no sound broker says; written so that what is no number is not believed either. */
-    boolean believable(WeightRule rule) {
-        return value >= ScoringApi.LEAST_FACTOR && value <= ScoringApi.MOST_FACTOR && evidence > 0 && evidence <= rule.evidenceMost()
-                && startedMs >= 0;
-    }
+  /**
+   * False for what no sound broker says; written so that what is no number is not believed either.
+   */
+  boolean believable(WeightRule rule) {
+    return value >= ScoringApi.LEAST_FACTOR
+        && value <= ScoringApi.MOST_FACTOR
+        && evidence > 0
+        && evidence <= rule.evidenceMost()
+        && startedMs >= 0;
+  }
 }
--- a/src/main/java/dunlinhitch/scoring/api/Ending.java
+++ b/src/main/java/dunlinhitch/scoring/api/Ending.java
@@ -8,6 +8,13 @@
  * @param foreseenUs what the broker had foreseen, by the work ahead of it and its own
  */
 public record Ending(Outcome outcome, long atUs, long tookUs, long foreseenUs) {
-    /** SILENT: given up without a word from the store; FAILED: the connection broke or the store said so. */
-    public enum Outcome { ANSWERED, SILENT, FAILED }
+  /**
+   * SILENT: given up without a word from the store; FAILED: the connection broke or the store said
+   * so.
+   */
+  public enum Outcome {
+    ANSWERED,
+    SILENT,
+    FAILED
+  }
 }
--- a/src/main/java/dunlinhitch/scoring/api/FleetWeight.java
+++ b/src/main/java/dunlinhitch/scoring/api/FleetWeight.java
@@ -8,5 +8,5 @@
  * @param authors how many brokers
  */
 public record FleetWeight(double weight, double evidence, int authors) {
-    public static final FleetWeight NONE = new FleetWeight(1, 0, 0);
+  public static final FleetWeight NONE = new FleetWeight(1, 0, 0);
 }
--- a/src/main/java/dunlinhitch/scoring/api/Round.java
+++ b/src/main/java/dunlinhitch/scoring/api/Round.java
@@ -11,7 +11,7 @@
  * @param candidates all stores that there are, of all cells, in an order that says nothing
  */
 public record Round(long nowUs, String queryClass, long aimUs, List<Candidate> candidates) {
-    public Round {
-        candidates = List.copyOf(candidates);
-    }
+  public Round {
+    candidates = List.copyOf(candidates);
+  }
 }
--- a/src/main/java/dunlinhitch/scoring/host/Figures.java
+++ b/src/main/java/dunlinhitch/scoring/host/Figures.java
@@ -17,7 +17,14 @@
  * @param stuck threads of scorers that were let go and have not ended
  * @param trouble why it is left out and what can be done, or empty
  */
-public record Figures(ScorerIdentity scorer, long rounds, long costUs, Map<Failure, Long> failures, Map<Weights.Took, Long> words,
-        long dropped, int stuck, String trouble) {
-    static final Figures NONE = new Figures(null, 0, 0, Map.of(), Map.of(), 0, 0, "");
+public record Figures(
+    ScorerIdentity scorer,
+    long rounds,
+    long costUs,
+    Map<Failure, Long> failures,
+    Map<Weights.Took, Long> words,
+    long dropped,
+    int stuck,
+    String trouble) {
+  static final Figures NONE = new Figures(null, 0, 0, Map.of(), Map.of(), 0, 0, "");
 }
--- a/src/main/java/dunlinhitch/scoring/host/News.java
+++ b/src/main/java/dunlinhitch/scoring/host/News.java
@@ -8,9 +8,12 @@
 import java.util.List;
 
 /**
- * What is to be passed on to other brokers, the latest first; {@code number} rises with every change. Whoever words it chooses how much of it
- * rides on a word and how often.
+ * What is to be passed on to other brokers, the latest first; {@code number} rises with every
+ * change. Whoever words it chooses how much of it rides on a word and how often.
  */
-public record News(long number, List<Fact<WeightKey, Weight>> weights, List<Fact<ScorerIdentity, Failure>> verdicts) {
-    static final News NONE = new News(0, List.of(), List.of());
+public record News(
+    long number,
+    List<Fact<WeightKey, Weight>> weights,
+    List<Fact<ScorerIdentity, Failure>> verdicts) {
+  static final News NONE = new News(0, List.of(), List.of());
 }
--- a/src/main/java/dunlinhitch/wire/BatchReader.java
+++ b/src/main/java/dunlinhitch/wire/BatchReader.java
@@ -1,5 +1,6 @@
 package dunlinhitch.wire;
 
+import dunlinhitch.decide.Routing;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
@@ -8,165 +9,198 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import dunlinhitch.decide.Routing;
 
-/** Decodes the records of a batch, one after the other, and keeps the shared numbered server lists. */
+/**
+ * Decodes the records of a batch, one after the other, and keeps the shared numbered server lists.
+ */
 final class BatchReader {
-    /** Takes what was read, in order. */
-    interface Sink {
-        void up(int instance, long seed, String settings);
+  /** Takes what was read, in order. */
+  interface Sink {
+    void up(int instance, long seed, String settings);
 
-        void stop(int instance);
+    void stop(int instance);
 
-        void event(int instance, Routing.Event event);
-    }
+    void event(int instance, Routing.Event event);
+  }
 
-    private static final int HINT_VALID = 1;
-    private static final int REPEAT = 2;
-    private static final int ENTRY_BYTES = 22;
-    private final Map<Integer, List<Routing.ServerEntry>> pages = new HashMap<>();
-    private long nowUs;
+  private static final int HINT_VALID = 1;
+  private static final int REPEAT = 2;
+  private static final int ENTRY_BYTES = 22;
+  private final Map<Integer, List<Routing.ServerEntry>> pages = new HashMap<>();
+  private long nowUs;
 
-    /** Reads {@code records} records from the body of a frame. */
-    void read(byte[] body, int records, long clockUs, Sink sink) throws FormatException {
-        nowUs = clockUs;
-        ByteBuffer in = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
-        try {
-            for (int i = 0; i < records; i++) {
-                int code = in.get() & 0xFF;
-                int length = in.getInt();
-                if (length < 0 || length > in.remaining()) {
-                    throw new FormatException("record " + i + " is longer than its frame");
-                }
-                ByteBuffer fields = in.slice(in.position(), length).order(ByteOrder.LITTLE_ENDIAN);
-                in.position(in.position() + length);
-                record(code, fields, sink);
-            }
-        } catch (BufferUnderflowException e) {
-            throw new FormatException("a record is cut short");
-        }
-        if (in.hasRemaining()) {
-            throw new FormatException("the frame is longer than its records");
+  /** Reads {@code records} records from the body of a frame. */
+  void read(byte[] body, int records, long clockUs, Sink sink) throws FormatException {
+    nowUs = clockUs;
+    ByteBuffer in = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
+    try {
+      for (int i = 0; i < records; i++) {
+        int code = in.get() & 0xFF;
+        int length = in.getInt();
+        if (length < 0 || length > in.remaining()) {
+          throw new FormatException("record " + i + " is longer than its frame");
         }
+        ByteBuffer fields = in.slice(in.position(), length).order(ByteOrder.LITTLE_ENDIAN);
+        in.position(in.position() + length);
+        record(code, fields, sink);
+      }
+    } catch (BufferUnderflowException e) {
+      throw new FormatException("a record is cut short");
     }
-
-    private void record(int code, ByteBuffer in, Sink sink) throws FormatException {
-        if (code == 17) {
-            page(in);
-            return;
-        }
-        int instance = in.getInt();
-        switch (code) {
-            case 21 -> sink.event(instance, new Routing.AlarmRang(in.getLong()));
-            case 16 -> sink.event(instance, new Routing.AttemptStarted(in.getInt(), in.getShort() & 0xFFFF,
-                    in.getInt(), u32(in)));
-            case 18 -> sink.event(instance, new Routing.ClientLeft(in.getInt()));
-            case 19 -> sink.event(instance, new Routing.AttemptEnded(in.getInt(), in.getShort() & 0xFFFF,
-                    outcome(in.getShort() & 0xFFFF), in.getInt(), u32(in), in.get() != 0, report(in)));
-            case 20 -> sink.up(instance, in.getLong(), text(in));
-            case 22 -> sink.event(instance, list(in));
-            case 23 -> sink.event(instance, new Routing.ProbeEnded(in.getInt(),
-                    outcome(in.getShort() & 0xFFFF), u32(in), report(in)));
-            case 24 -> sink.event(instance, peer(in));
-            case 25 -> sink.event(instance, submit(in));
-            case 26 -> sink.stop(instance);
-            default -> throw new FormatException("unknown record code " + code);
-        }
+    if (in.hasRemaining()) {
+      throw new FormatException("the frame is longer than its records");
     }
+  }
 
-    private void page(ByteBuffer in) throws FormatException {
-        int number = in.getShort() & 0xFFFF;
-        int count = in.getInt();
-        if (count < 0 || (long) count * ENTRY_BYTES > in.remaining()) {
-            throw new FormatException("a server list is cut short");
-        }
-        List<Routing.ServerEntry> entries = new ArrayList<>(count);
-        for (int i = 0; i < count; i++) {
-            int id = in.getInt();
-            int zone = in.getShort() & 0xFFFF;
-            in.get();
-            int cell = in.getShort() & 0xFFFF;
-            int state = in.get();
-            entries.add(new Routing.ServerEntry(id, zone, cell, state == 1 ? Routing.ServerState.READY
-                    : state == 2 ? Routing.ServerState.DRAINING : Routing.ServerState.GONE,
-                    in.getFloat(), in.getLong()));
-        }
-        pages.put(number, List.copyOf(entries));
+  private void record(int code, ByteBuffer in, Sink sink) throws FormatException {
+    if (code == 17) {
+      page(in);
+      return;
     }
-
-    private Routing.Event list(ByteBuffer in) throws FormatException {
-        in.getLong();
-        int page = in.getShort() & 0xFFFF;
-        int kind = in.get();
-        if (kind == 3) {
-            return new Routing.ServerList(Routing.ListKind.FAILED, List.of());
-        }
-        List<Routing.ServerEntry> entries = pages.get(page);
-        if (entries == null || kind < 0 || kind > 3) {
-            throw new FormatException("a server list of kind " + kind + " names list " + page);
-        }
-        return new Routing.ServerList(kind == 0 ? Routing.ListKind.DELTA
-                : kind == 1 ? Routing.ListKind.FULL : Routing.ListKind.CACHED, entries);
+    int instance = in.getInt();
+    switch (code) {
+      case 21 -> sink.event(instance, new Routing.AlarmRang(in.getLong()));
+      case 16 ->
+          sink.event(
+              instance,
+              new Routing.AttemptStarted(
+                  in.getInt(), in.getShort() & 0xFFFF, in.getInt(), u32(in)));
+      case 18 -> sink.event(instance, new Routing.ClientLeft(in.getInt()));
+      case 19 ->
+          sink.event(
+              instance,
+              new Routing.AttemptEnded(
+                  in.getInt(),
+                  in.getShort() & 0xFFFF,
+                  outcome(in.getShort() & 0xFFFF),
+                  in.getInt(),
+                  u32(in),
+                  in.get() != 0,
+                  report(in)));
+      case 20 -> sink.up(instance, in.getLong(), text(in));
+      case 22 -> sink.event(instance, list(in));
+      case 23 ->
+          sink.event(
+              instance,
+              new Routing.ProbeEnded(
+                  in.getInt(), outcome(in.getShort() & 0xFFFF), u32(in), report(in)));
+      case 24 -> sink.event(instance, peer(in));
+      case 25 -> sink.event(instance, submit(in));
+      case 26 -> sink.stop(instance);
+      default -> throw new FormatException("unknown record code " + code);
     }
+  }
 
-    private Routing.Event submit(ByteBuffer in) {
-        int id = in.getInt();
-        int tenant = in.getInt();
-        in.getLong();
-        float measure = in.getFloat();
-        long number = (long) in.getFloat();
-        long expires = u32(in);
-        int attributes = in.getShort() & 0xFFFF;
-        int queryClass = in.getShort() & 0xFFFF;
-        float shard = in.getFloat();
-        long hint = in.remaining() >= 4 ? u32(in) : 0;
-        long given = (attributes & HINT_VALID) != 0 ? hint : 0;
-        if (shard < 0) {
-            return new Routing.QueryArrived(id, number, queryClass, tenant, Math.round(measure), nowUs + expires, given,
-                    (attributes & REPEAT) != 0);
-        }
-        return new Routing.PartArrived(id, number, (int) shard, measure, given);
+  private void page(ByteBuffer in) throws FormatException {
+    int number = in.getShort() & 0xFFFF;
+    int count = in.getInt();
+    if (count < 0 || (long) count * ENTRY_BYTES > in.remaining()) {
+      throw new FormatException("a server list is cut short");
     }
-
-    private static Routing.Event peer(ByteBuffer in) {
-        int author = in.getShort() & 0xFFFF;
-        byte[] content = new byte[in.getShort() & 0xFFFF];
-        in.get(content);
-        return new Routing.PeerMessage(author, content);
+    List<Routing.ServerEntry> entries = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      int id = in.getInt();
+      int zone = in.getShort() & 0xFFFF;
+      in.get();
+      int cell = in.getShort() & 0xFFFF;
+      int state = in.get();
+      entries.add(
+          new Routing.ServerEntry(
+              id,
+              zone,
+              cell,
+              state == 1
+                  ? Routing.ServerState.READY
+                  : state == 2 ? Routing.ServerState.DRAINING : Routing.ServerState.GONE,
+              in.getFloat(),
+              in.getLong()));
     }
+    pages.put(number, List.copyOf(entries));
+  }
 
-    private static long u32(ByteBuffer in) {
-        return in.getInt() & 0xFFFF_FFFFL;
+  private Routing.Event list(ByteBuffer in) throws FormatException {
+    in.getLong();
+    int page = in.getShort() & 0xFFFF;
+    int kind = in.get();
+    if (kind == 3) {
+      return new Routing.ServerList(Routing.ListKind.FAILED, List.of());
+    }
+    List<Routing.ServerEntry> entries = pages.get(page);
+    if (entries == null || kind < 0 || kind > 3) {
+      throw new FormatException("a server list of kind " + kind + " names list " + page);
     }
+    return new Routing.ServerList(
+        kind == 0
+            ? Routing.ListKind.DELTA
+            : kind == 1 ? Routing.ListKind.FULL : Routing.ListKind.CACHED,
+        entries);
+  }
 
-    private static String text(ByteBuffer in) throws FormatException {
-        int length = in.getInt();
-        if (length < 0 || length > in.remaining()) {
-            throw new FormatException("the settings are cut short");
-        }
-        byte[] bytes = new byte[length];
-        in.get(bytes);
-        return new String(bytes, StandardCharsets.UTF_8);
+  private Routing.Event submit(ByteBuffer in) {
+    int id = in.getInt();
+    int tenant = in.getInt();
+    in.getLong();
+    float measure = in.getFloat();
+    long number = (long) in.getFloat();
+    long expires = u32(in);
+    int attributes = in.getShort() & 0xFFFF;
+    int queryClass = in.getShort() & 0xFFFF;
+    float shard = in.getFloat();
+    long hint = in.remaining() >= 4 ? u32(in) : 0;
+    long given = (attributes & HINT_VALID) != 0 ? hint : 0;
+    if (shard < 0) {
+      return new Routing.QueryArrived(
+          id,
+          number,
+          queryClass,
+          tenant,
+          Math.round(measure),
+          nowUs + expires,
+          given,
+          (attributes & REPEAT) != 0);
     }
+    return new Routing.PartArrived(id, number, (int) shard, measure, given);
+  }
 
-    private static float[] report(ByteBuffer in) {
-        float[] values = new float[in.hasRemaining() ? in.get() & 0xFF : 0];
-        for (int i = 0; i < values.length; i++) {
-            values[i] = in.getFloat();
-        }
-        return values;
+  private static Routing.Event peer(ByteBuffer in) {
+    int author = in.getShort() & 0xFFFF;
+    byte[] content = new byte[in.getShort() & 0xFFFF];
+    in.get(content);
+    return new Routing.PeerMessage(author, content);
+  }
+
+  private static long u32(ByteBuffer in) {
+    return in.getInt() & 0xFFFF_FFFFL;
+  }
+
+  private static String text(ByteBuffer in) throws FormatException {
+    int length = in.getInt();
+    if (length < 0 || length > in.remaining()) {
+      throw new FormatException("the settings are cut short");
     }
+    byte[] bytes = new byte[length];
+    in.get(bytes);
+    return new String(bytes, StandardCharsets.UTF_8);
+  }
 
-    private static Routing.Outcome outcome(int code) {
-        return switch (code) {
-            case 100 -> Routing.Outcome.OK;
-            case 302 -> Routing.Outcome.FULL;
-            case 303 -> Routing.Outcome.TIMEOUT;
-            case 304 -> Routing.Outcome.CONNECT_FAILED;
-            case 305 -> Routing.Outcome.RESET;
-            case 306 -> Routing.Outcome.CANCELLED;
-            case 307 -> Routing.Outcome.MOOT;
-            default -> Routing.Outcome.ERROR;
-        };
+  private static float[] report(ByteBuffer in) {
+    float[] values = new float[in.hasRemaining() ? in.get() & 0xFF : 0];
+    for (int i = 0; i < values.length; i++) {
+      values[i] = in.getFloat();
     }
+    return values;
+  }
+
+  private static Routing.Outcome outcome(int code) {
+    return switch (code) {
+      case 100 -> Routing.Outcome.OK;
+      case 302 -> Routing.Outcome.FULL;
+      case 303 -> Routing.Outcome.TIMEOUT;
+      case 304 -> Routing.Outcome.CONNECT_FAILED;
+      case 305 -> Routing.Outcome.RESET;
+      case 306 -> Routing.Outcome.CANCELLED;
+      case 307 -> Routing.Outcome.MOOT;
+      default -> Routing.Outcome.ERROR;
+    };
+  }
 }
--- a/src/test/java/dunlinhitch/OwnTransport.java
+++ b/src/test/java/dunlinhitch/OwnTransport.java
@@ -5,23 +5,23 @@
 
 /** A transport whose channels a test makes. */
 public abstract class OwnTransport extends NioTransport implements Transport {
-    @Override
-    public String name() {
-        return "own";
-    }
+  @Override
+  public String name() {
+    return "own";
+  }
 
-    @Override
-    public boolean available() {
-        return true;
-    }
+  @Override
+  public boolean available() {
+    return true;
+  }
 
-    @Override
-    public Throwable unavailabilityCause() {
-        return null;
-    }
+  @Override
+  public Throwable unavailabilityCause() {
+    return null;
+  }
 
-    @Override
-    public io.vertx.core.spi.transport.Transport implementation() {
-        return this;
-    }
+  @Override
+  public io.vertx.core.spi.transport.Transport implementation() {
+    return this;
+  }
 }
--- a/src/test/java/dunlinhitch/decide/ModuleSizeTest.java
+++ b/src/test/java/dunlinhitch/decide/ModuleSizeTest.java
@@ -10,15 +10,15 @@
 
 /** The auditors read one module, of at most 1,010 lines that are not blank, 110 characters wide. */
 class ModuleSizeTest {
-    private static final Path MODULE = Path.of("src/main/java/dunlinhitch/decide/Policy.java");
+  private static final Path MODULE = Path.of("src/main/java/dunlinhitch/decide/Policy.java");
 
-    @Test
-    void moduleStaysWithinItsLines() throws IOException {
-        List<String> lines = Files.readAllLines(MODULE);
-        long count = lines.stream().filter(line -> !line.isBlank()).count();
-        assertTrue(count > 0 && count <= 1010, "lines: " + count);
-        for (String line : lines) {
-            assertTrue(line.length() <= 110, "too wide: " + line);
-        }
+  @Test
+  void moduleStaysWithinItsLines() throws IOException {
+    List<String> lines = Files.readAllLines(MODULE);
+    long count = lines.stream().filter(line -> !line.isBlank()).count();
+    assertTrue(count > 0 && count <= 1010, "lines: " + count);
+    for (String line : lines) {
+      assertTrue(line.length() <= 110, "too wide: " + line);
     }
+  }
 }
