--- a/src/main/java/dunlinhitch/admin/AdminFront.java
+++ b/src/main/java/dunlinhitch/admin/AdminServer.java
@@ -1,8 +1,8 @@
 package dunlinhitch.admin;
 
-import dunlinhitch.core.Count;
+import dunlinhitch.core.BrokerStatus;
+import dunlinhitch.core.Counter;
 import dunlinhitch.core.Event;
-import dunlinhitch.core.Figures;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpConnection;
@@ -24,7 +24,7 @@
  * Where operators call: HTTP/1.1 at an address of its own, one call a connection, 2xx yes, 4xx and
  * 5xx no.
  */
-public final class AdminFront {
+public final class AdminServer {
   /** Callers that say nothing, or half a call, must not keep others out nor use up descriptors. */
   private static final int MOST_CALLERS = 32;
 
@@ -33,7 +33,7 @@
 
   private final Vertx vertx;
   private final BooleanSupplier ready;
-  private final Supplier<Figures> figures;
+  private final Supplier<BrokerStatus> figures;
   private final Consumer<Event> events;
   private final LongSupplier clock;
   private final HttpServer server;
@@ -46,10 +46,10 @@
   /** Who is connected since when, the oldest first. */
   private final Map<HttpConnection, Long> callers = new LinkedHashMap<>();
 
-  public AdminFront(
+  public AdminServer(
       Vertx vertx,
       BooleanSupplier ready,
-      Supplier<Figures> figures,
+      Supplier<BrokerStatus> figures,
       Consumer<Event> events,
       LongSupplier clock) {
     this.vertx = vertx;
@@ -105,7 +105,7 @@
       }
       case "/metrics" -> {
         if (allowed(request, HttpMethod.GET)) {
-          end(request, 200, FiguresText.TYPE, FiguresText.of(figures.get()));
+          end(request, 200, MetricsText.TYPE, MetricsText.of(figures.get()));
         }
       }
       case "/calendar-stores/disable" -> bar(request, true);
@@ -124,7 +124,7 @@
       return;
     }
     open.put(++lastCall, request);
-    events.accept(new Event.BarAsked(lastCall, id, out));
+    events.accept(new Event.EndpointDisableRequested(lastCall, id, out));
   }
 
   /** Says to the call of that number how it ended. */
@@ -147,7 +147,7 @@
   }
 
   private void bad(HttpServerRequest request, int status, String why) {
-    events.accept(new Event.Noted(Count.BAD_ADMIN_CALLS));
+    events.accept(new Event.ConditionCounted(Counter.BAD_ADMIN_CALLS));
     end(request, status, "text/plain", why + "\n");
   }
 
--- a/src/main/java/dunlinhitch/admin/BanFolder.java
+++ b/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
@@ -17,7 +17,7 @@
  * share the folder, and neither can undo what the other wrote. What this process wrote itself is no
  * news to it. Files are touched on one worker thread, in the order asked.
  */
-public final class BanFolder {
+public final class DisabledEndpointFolder {
   private record Change(Set<String> out, Set<String> back) {}
 
   private static final long LOOK_AFTER_MS = 50;
@@ -33,7 +33,8 @@
   private boolean looking;
 
   /** {@code folder} null: nothing is kept beyond this process. */
-  public BanFolder(Vertx vertx, Path folder, BiConsumer<Set<String>, Set<String>> news) {
+  public DisabledEndpointFolder(
+      Vertx vertx, Path folder, BiConsumer<Set<String>, Set<String>> news) {
     this.vertx = vertx;
     this.folder = folder;
     this.news = news;
--- a/src/main/java/dunlinhitch/admin/FiguresText.java
+++ b/src/main/java/dunlinhitch/admin/MetricsText.java
@@ -1,18 +1,18 @@
 package dunlinhitch.admin;
 
-import dunlinhitch.core.Figures;
-import dunlinhitch.core.Figures.OfClass;
+import dunlinhitch.core.BrokerStatus;
+import dunlinhitch.core.BrokerStatus.OfClass;
 import java.util.function.ToLongFunction;
 
 /** Figures in Prometheus' text format. */
-final class FiguresText {
+final class MetricsText {
   static final String TYPE = "text/plain; version=0.0.4; charset=utf-8";
   private final StringBuilder out = new StringBuilder();
 
-  private FiguresText() {}
+  private MetricsText() {}
 
-  static String of(Figures figures) {
-    FiguresText text = new FiguresText();
+  static String of(BrokerStatus figures) {
+    MetricsText text = new MetricsText();
     text.classes("passed", "Requests served.", figures, OfClass::served);
     text.classes("dropped", "Requests refused.", figures, OfClass::refused);
     text.classes("bad_gateway", "Requests failed.", figures, OfClass::failed);
@@ -49,7 +49,8 @@
     out.append("router_").append(name).append(' ').append(value).append('\n');
   }
 
-  private void classes(String name, String help, Figures figures, ToLongFunction<OfClass> value) {
+  private void classes(
+      String name, String help, BrokerStatus figures, ToLongFunction<OfClass> value) {
     head(name, "counter", help);
     figures
         .classes()
--- a/src/main/java/dunlinhitch/keys/Act.java
+++ b/src/main/java/dunlinhitch/answerkeys/Act.java
@@ -1,6 +1,6 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
-/** What {@link Keys} wants done, in the order in which it says it. */
+/** What {@link AnswerKeyModule} wants done, in the order in which it says it. */
 public sealed interface Act {
   /** Why a query that waited has no answer. */
   enum Why {
--- a/src/main/java/dunlinhitch/keys/Keys.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
@@ -1,9 +1,9 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
-import dunlinhitch.fleet.Fact;
-import dunlinhitch.fleet.Ranks;
-import dunlinhitch.keys.Act.Said;
-import dunlinhitch.keys.Rule.Life;
+import dunlinhitch.answerkeys.Act.Said;
+import dunlinhitch.answerkeys.Rule.Life;
+import dunlinhitch.cluster.RendezvousHash;
+import dunlinhitch.cluster.ReplicatedEntry;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.EnumMap;
@@ -25,7 +25,7 @@
  * others wait for that one, each until its own moment. So a query's attempts stay with the broker
  * that took it.
  */
-public final class Keys {
+public final class AnswerKeyModule {
   /** What a key takes beside its text, roughly. */
   private static final long KEY_BYTES = 300;
 
@@ -138,7 +138,7 @@
 
   private List<Act> acts = new ArrayList<>();
 
-  public Keys(
+  public AnswerKeyModule(
       RuleSet rules,
       KeySettings settings,
       String self,
@@ -185,7 +185,7 @@
   }
 
   /** Another broker's word of a rule. */
-  public List<Act> heard(long nowUs, Fact<Life, Evidence> fact) {
+  public List<Act> heard(long nowUs, ReplicatedEntry<Life, Evidence> fact) {
     lives.heard(nowUs, fact);
     return done(nowUs);
   }
@@ -243,7 +243,7 @@
 
   private void begin(long nowUs, Flight f, Waiter first) {
     long wait = rules.classKeys(f.key.queryClass()).homeWaitUs();
-    String home = Ranks.first(members, f.key.words());
+    String home = RendezvousHash.first(members, f.key.words());
     if (home == null || home.equals(self) || !members.contains(self) || wait == 0) {
       passOn(nowUs, f, false);
       return;
--- a/src/main/java/dunlinhitch/keys/Held.java
+++ b/src/main/java/dunlinhitch/answerkeys/Held.java
@@ -1,4 +1,4 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
 /**
  * An answer that may be reused: for whom it was fetched, and when its store was asked (its age
--- a/src/main/java/dunlinhitch/keys/KeySettings.java
+++ b/src/main/java/dunlinhitch/answerkeys/KeySettings.java
@@ -1,4 +1,4 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
 /**
  * Figures of answer keys.
--- a/src/main/java/dunlinhitch/keys/KeysException.java
+++ b/src/main/java/dunlinhitch/answerkeys/KeysException.java
@@ -1,4 +1,4 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
 /**
  * Rules of answer keys that can not be used. The message is one line: what is wrong, where, and
--- a/src/main/java/dunlinhitch/keys/RuleLives.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleLives.java
@@ -1,9 +1,9 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
-import dunlinhitch.fleet.Fact;
-import dunlinhitch.fleet.Facts;
-import dunlinhitch.fleet.FactsRule;
-import dunlinhitch.keys.Rule.Life;
+import dunlinhitch.answerkeys.Rule.Life;
+import dunlinhitch.cluster.ReplicatedEntry;
+import dunlinhitch.cluster.ReplicatedMap;
+import dunlinhitch.cluster.ReplicatedMapSettings;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -42,7 +42,7 @@
   private final RuleSet rules;
   private final KeySettings settings;
   private final String self;
-  private final Facts<Life, Evidence> facts;
+  private final ReplicatedMap<Life, Evidence> facts;
   private final Map<Life, Evidence> own = new TreeMap<>();
   private final Map<Life, Long> saidUs = new HashMap<>();
   private final Set<Life> unsaid = new HashSet<>();
@@ -59,8 +59,8 @@
     this.settings = settings;
     this.self = self;
     facts =
-        new Facts<>(
-            new FactsRule(settings.lifeUs(), SKEW_US, MOST_FACTS, MOST_OF_AUTHOR),
+        new ReplicatedMap<>(
+            new ReplicatedMapSettings(settings.lifeUs(), SKEW_US, MOST_FACTS, MOST_OF_AUTHOR),
             Comparator.naturalOrder());
     if (rules.rules().size() > MOST_OF_AUTHOR) {
       throw new KeysException(
@@ -86,7 +86,7 @@
   }
 
   /** What brokers say of rules; what is new since a version is to be passed on. */
-  public Facts<Life, Evidence> facts() {
+  public ReplicatedMap<Life, Evidence> facts() {
     return facts;
   }
 
@@ -141,9 +141,11 @@
   }
 
   /** Another broker's word, or what this one had said before it was started anew. */
-  public Facts.Took heard(long nowUs, Fact<Life, Evidence> told) {
-    Facts.Took took = facts.take(nowUs, told);
-    if (took == Facts.Took.NEWS && told.author().equals(self) && own.containsKey(told.key())) {
+  public ReplicatedMap.MergeResult heard(long nowUs, ReplicatedEntry<Life, Evidence> told) {
+    ReplicatedMap.MergeResult took = facts.take(nowUs, told);
+    if (took == ReplicatedMap.MergeResult.NEWS
+        && told.author().equals(self)
+        && own.containsKey(told.key())) {
       own.put(
           told.key(),
           own.get(told.key())
@@ -206,9 +208,9 @@
   }
 
   private void say(long nowUs, Life life) {
-    Fact<Life, Evidence> before = facts.of(life, self);
+    ReplicatedEntry<Life, Evidence> before = facts.of(life, self);
     long at = before == null ? nowUs : Math.max(nowUs, before.atUs() + 1);
-    facts.take(nowUs, new Fact<>(life, self, at, own.get(life)));
+    facts.take(nowUs, new ReplicatedEntry<>(life, self, at, own.get(life)));
     saidUs.put(life, nowUs);
     unsaid.remove(life);
     if (!own.get(life).withdrawn().isEmpty()) {
@@ -233,7 +235,7 @@
     }
     settledAt = facts.version();
     settledOf = facts.size();
-    Map<Life, List<Fact<Life, Evidence>>> told = new HashMap<>();
+    Map<Life, List<ReplicatedEntry<Life, Evidence>>> told = new HashMap<>();
     facts
         .all()
         .forEach(fact -> told.computeIfAbsent(fact.key(), life -> new ArrayList<>()).add(fact));
@@ -246,7 +248,7 @@
     }
   }
 
-  private RuleState stateOf(Life life, List<Fact<Life, Evidence>> told) {
+  private RuleState stateOf(Life life, List<ReplicatedEntry<Life, Evidence>> told) {
     Shown sum = sum(life, told);
     boolean suspect =
         suspectUntilUs.containsKey(life) || told.stream().anyMatch(fact -> fact.value().suspect());
@@ -269,14 +271,14 @@
    * What one broker saw counts for half of what is wanted at the most, where more than one is
    * wanted.
    */
-  private Shown sum(Life life, List<Fact<Life, Evidence>> told) {
+  private Shown sum(Life life, List<ReplicatedEntry<Life, Evidence>> told) {
     long most = settings.brokers() == 1 ? settings.pairs() : (settings.pairs() + 1L) / 2;
     long seen = 0;
     long equal = 0;
     int brokers = 0;
     Set<Integer> shards = new HashSet<>();
     Set<String> kinds = new HashSet<>();
-    for (Fact<Life, Evidence> fact : told) {
+    for (ReplicatedEntry<Life, Evidence> fact : told) {
       seen += fact.value().seen();
       equal += Math.min(most, fact.value().equal());
       brokers += fact.value().equal() > 0 ? 1 : 0;
--- a/src/main/java/dunlinhitch/keys/RuleSet.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleSet.java
@@ -1,13 +1,13 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
-import dunlinhitch.keys.KeysException.Code;
-import dunlinhitch.keys.Rewrite.AcrossTenants;
-import dunlinhitch.keys.Rewrite.DropTerms;
-import dunlinhitch.keys.Rewrite.DropVariant;
-import dunlinhitch.keys.Rewrite.FoldCase;
-import dunlinhitch.keys.Rewrite.FoldSpaces;
-import dunlinhitch.keys.Rewrite.FoldVariant;
-import dunlinhitch.keys.Rewrite.SortTerms;
+import dunlinhitch.answerkeys.KeysException.Code;
+import dunlinhitch.answerkeys.Rewrite.AcrossTenants;
+import dunlinhitch.answerkeys.Rewrite.DropTerms;
+import dunlinhitch.answerkeys.Rewrite.DropVariant;
+import dunlinhitch.answerkeys.Rewrite.FoldCase;
+import dunlinhitch.answerkeys.Rewrite.FoldSpaces;
+import dunlinhitch.answerkeys.Rewrite.FoldVariant;
+import dunlinhitch.answerkeys.Rewrite.SortTerms;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Collection;
--- a/src/main/java/dunlinhitch/keys/RuleState.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleState.java
@@ -1,4 +1,4 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
 /** Where a rule stands in its epoch. Only a trusted one deduplicates. */
 public enum RuleState {
--- a/src/main/java/dunlinhitch/keys/Shelf.java
+++ b/src/main/java/dunlinhitch/answerkeys/Shelf.java
@@ -1,4 +1,4 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
 /**
  * Where answers are kept for a while. An edge may put a cache of a library in the place of {@link
--- a/src/main/java/dunlinhitch/keys/SimpleShelf.java
+++ b/src/main/java/dunlinhitch/answerkeys/SimpleShelf.java
@@ -1,4 +1,4 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
 import java.util.Iterator;
 import java.util.LinkedHashMap;
--- a/src/main/java/dunlinhitch/dispatch/Transport.java
+++ b/src/main/java/dunlinhitch/backend/BackendTransport.java
@@ -1,7 +1,7 @@
-package dunlinhitch.dispatch;
+package dunlinhitch.backend;
 
-import dunlinhitch.core.Effect.PartSend;
-import dunlinhitch.decide.Routing.ServerState;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.core.Effect.AttemptRequest;
 import java.util.List;
 
 /**
@@ -9,11 +9,11 @@
  * attempt it was given ends once, and none is reported after it was given up. All calls come from
  * the event loop.
  */
-public interface Transport {
+public interface BackendTransport {
   /**
    * Sends parts as one call; they leave at once or, where a connection is still to come up, then.
    */
-  void call(List<PartSend> parts);
+  void call(List<AttemptRequest> parts);
 
   /** Nobody waits for the attempt any more; false where it is not out here. */
   boolean giveUp(long attempt);
--- a/src/main/java/dunlinhitch/dispatch/Stores.java
+++ b/src/main/java/dunlinhitch/backend/Backends.java
@@ -1,10 +1,10 @@
-package dunlinhitch.dispatch;
+package dunlinhitch.backend;
 
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.ServerState;
 import dunlinhitch.core.Effect;
 import dunlinhitch.core.Event;
-import dunlinhitch.decide.Routing.Outcome;
-import dunlinhitch.decide.Routing.ServerState;
-import dunlinhitch.membership.StoreEntry;
+import dunlinhitch.endpoints.Endpoint;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -13,22 +13,22 @@
 import java.util.function.Function;
 
 /** The ways to all stores, each by what its roster entry says it speaks. */
-public final class Stores {
-  private record Way(StoreEntry entry, Transport transport) {}
+public final class Backends {
+  private record Way(Endpoint entry, BackendTransport transport) {}
 
   private final Map<Integer, Way> ways = new HashMap<>();
-  private final List<Transport> leaving = new ArrayList<>();
-  private final Function<StoreEntry, Transport> opener;
+  private final List<BackendTransport> leaving = new ArrayList<>();
+  private final Function<Endpoint, BackendTransport> opener;
   private final Consumer<Event> events;
 
   /** {@code opener} makes the transport for an entry. */
-  public Stores(Function<StoreEntry, Transport> opener, Consumer<Event> events) {
+  public Backends(Function<Endpoint, BackendTransport> opener, Consumer<Event> events) {
     this.opener = opener;
     this.events = events;
   }
 
-  public void changed(int store, StoreEntry entry, boolean barred) {
-    leaving.removeIf(Transport::idle);
+  public void changed(int store, Endpoint entry, boolean barred) {
+    leaving.removeIf(BackendTransport::idle);
     Way old = ways.get(store);
     boolean moved = old != null && !old.entry().sameAddress(entry);
     if (old != null && (moved || entry.state() == ServerState.GONE)) {
@@ -40,42 +40,47 @@
     if (entry.state() == ServerState.GONE) {
       return;
     }
-    Transport transport = old == null ? opener.apply(entry) : old.transport();
+    BackendTransport transport = old == null ? opener.apply(entry) : old.transport();
     transport.state(entry.state());
     transport.barred(barred);
     ways.put(store, new Way(entry, transport));
   }
 
-  public void call(Effect.SendCall call) {
+  public void call(Effect.SendRequest call) {
     Way way = ways.get(call.store());
     if (way != null) {
       way.transport().call(call.parts());
     } else {
       call.parts()
-          .forEach(p -> events.accept(Event.AttemptOver.of(p.attempt(), Outcome.CONNECT_FAILED)));
+          .forEach(
+              p ->
+                  events.accept(
+                      Event.AttemptCompleted.of(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
     }
   }
 
-  public void giveUp(Effect.GiveUp giveUp) {
+  public void giveUp(Effect.CancelAttempt giveUp) {
     Way way = ways.get(giveUp.store());
     if (way == null || !way.transport().giveUp(giveUp.attempt())) {
       leaving.forEach(transport -> transport.giveUp(giveUp.attempt()));
     }
   }
 
-  public void withdraw(Effect.Withdraw withdraw) {
+  public void withdraw(Effect.WithdrawAttempt withdraw) {
     Way way = ways.get(withdraw.store());
     if (way != null) { // what is being left has nothing any more that has not left
       way.transport().withdraw(withdraw.attempt());
     }
   }
 
-  public void probe(Effect.Probe probe) {
+  public void probe(Effect.SendHealthCheck probe) {
     Way way = ways.get(probe.store());
     if (way != null) {
       way.transport().probe(probe.probe());
     } else {
-      events.accept(new Event.ProbeOver(probe.probe(), Outcome.CONNECT_FAILED, new float[0]));
+      events.accept(
+          new Event.HealthCheckCompleted(
+              probe.probe(), AttemptOutcome.CONNECT_FAILED, new float[0]));
     }
   }
 
@@ -89,7 +94,7 @@
   public void close() {
     ways.values().forEach(way -> way.transport().close());
     ways.clear();
-    leaving.forEach(Transport::close);
+    leaving.forEach(BackendTransport::close);
     leaving.clear();
   }
 }
--- a/src/main/java/dunlinhitch/dispatch/ExactText.java
+++ b/src/main/java/dunlinhitch/backend/ExactText.java
@@ -1,4 +1,4 @@
-package dunlinhitch.dispatch;
+package dunlinhitch.backend;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
--- a/src/main/java/dunlinhitch/dispatch/Reports.java
+++ b/src/main/java/dunlinhitch/backend/LoadReportParser.java
@@ -1,6 +1,6 @@
-package dunlinhitch.dispatch;
+package dunlinhitch.backend;
 
-import dunlinhitch.decide.Routing.ReportField;
+import dunlinhitch.balancer.settings.LoadReportField;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Supplier;
@@ -9,21 +9,21 @@
  * Load reports as stores word them, {@code name=value,name=value} or {@code -}, in the order of the
  * settings.
  */
-public final class Reports {
+public final class LoadReportParser {
   private static final float[] NONE = {};
-  private final Supplier<List<ReportField>> order;
+  private final Supplier<List<LoadReportField>> order;
 
-  public Reports(Supplier<List<ReportField>> order) {
+  public LoadReportParser(Supplier<List<LoadReportField>> order) {
     this.order = order;
   }
 
   /** Empty where there is no report, or one that lacks a value or holds what is none. */
   public float[] read(String text) {
-    List<ReportField> wanted = order.get();
+    List<LoadReportField> wanted = order.get();
     if (wanted.isEmpty() || text.isEmpty() || text.equals("-")) {
       return NONE;
     }
-    List<ReportField> fields = new ArrayList<>();
+    List<LoadReportField> fields = new ArrayList<>();
     List<Float> values = new ArrayList<>();
     for (String pair : text.split(",")) {
       int equals = pair.indexOf('=');
@@ -46,15 +46,15 @@
   }
 
   /** Stores use the operators' words, settings the wire's; both are known. */
-  private static ReportField field(String name) {
+  private static LoadReportField field(String name) {
     return switch (name) {
-      case "inflight", "outstanding" -> ReportField.OUTSTANDING;
-      case "queue", "backlog" -> ReportField.BACKLOG;
-      case "util", "utilization" -> ReportField.UTILIZATION;
-      case "latency_ms", "recent_ms" -> ReportField.RECENT_MS;
-      case "qps", "throughput" -> ReportField.THROUGHPUT;
-      case "eps", "errors_per_s" -> ReportField.ERRORS;
-      default -> ReportField.OTHER;
+      case "inflight", "outstanding" -> LoadReportField.OUTSTANDING;
+      case "queue", "backlog" -> LoadReportField.BACKLOG;
+      case "util", "utilization" -> LoadReportField.UTILIZATION;
+      case "latency_ms", "recent_ms" -> LoadReportField.RECENT_MS;
+      case "qps", "throughput" -> LoadReportField.THROUGHPUT;
+      case "eps", "errors_per_s" -> LoadReportField.ERRORS;
+      default -> LoadReportField.OTHER;
     };
   }
 }
--- a/src/main/java/dunlinhitch/dispatch/CallText.java
+++ b/src/main/java/dunlinhitch/backend/RequestText.java
@@ -1,8 +1,8 @@
-package dunlinhitch.dispatch;
+package dunlinhitch.backend;
 
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Effect.FirstStep;
-import dunlinhitch.core.Effect.PartSend;
-import dunlinhitch.decide.Routing.Outcome;
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
@@ -10,16 +10,16 @@
 /**
  * What is the same on every store's wire: the text of a call and the words for how a part ended.
  */
-public final class CallText {
-  private CallText() {}
+public final class RequestText {
+  private RequestText() {}
 
   /**
    * For each part a line {@code ID SHARD LIST LENGTH} and so many bytes of the query's text. Here
    * the moment until which the broker waits becomes the milliseconds left.
    */
-  public static byte[] of(List<PartSend> parts, long nowUs) {
+  public static byte[] of(List<AttemptRequest> parts, long nowUs) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    for (PartSend part : parts) {
+    for (AttemptRequest part : parts) {
       byte[] text = part.text().getBytes(StandardCharsets.UTF_8);
       String list =
           "d="
@@ -55,11 +55,11 @@
   }
 
   /** How a part ended, or null where the word is none of a store's. */
-  public static Outcome end(String word) {
+  public static AttemptOutcome end(String word) {
     return switch (word) {
-      case "good" -> Outcome.OK;
-      case "bad" -> Outcome.ERROR;
-      case "later" -> Outcome.FULL;
+      case "good" -> AttemptOutcome.OK;
+      case "bad" -> AttemptOutcome.ERROR;
+      case "later" -> AttemptOutcome.FULL;
       default -> null;
     };
   }
--- a/src/main/java/dunlinhitch/dispatch/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -1,11 +1,11 @@
-package dunlinhitch.dispatch.flight;
+package dunlinhitch.backend.flight;
 
-import dunlinhitch.core.Count;
-import dunlinhitch.core.Effect.PartSend;
+import dunlinhitch.backend.ExactText;
+import dunlinhitch.backend.RequestText;
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.core.Counter;
+import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Event;
-import dunlinhitch.decide.Routing.Outcome;
-import dunlinhitch.dispatch.CallText;
-import dunlinhitch.dispatch.ExactText;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -35,8 +35,8 @@
   private final FlightStores shared;
   private final FlightClient client;
   private final BooleanSupplier barred;
-  private final Consumer<Event.AttemptOver> over;
-  private final List<PartSend> parts;
+  private final Consumer<Event.AttemptCompleted> over;
+  private final List<AttemptRequest> parts;
   private final long sentUs;
   private final long dueUs;
 
@@ -55,16 +55,16 @@
   FlightCall(
       FlightStores shared,
       FlightClient client,
-      List<PartSend> parts,
+      List<AttemptRequest> parts,
       BooleanSupplier barred,
-      Consumer<Event.AttemptOver> over) {
+      Consumer<Event.AttemptCompleted> over) {
     this.shared = shared;
     this.client = client;
     this.barred = barred;
     this.over = over;
     this.parts = List.copyOf(parts);
     sentUs = shared.nowUs();
-    dueUs = parts.stream().mapToLong(PartSend::dueUs).max().orElseThrow();
+    dueUs = parts.stream().mapToLong(AttemptRequest::dueUs).max().orElseThrow();
     parts.forEach(p -> open.put(p.partId(), p.attempt()));
   }
 
@@ -97,7 +97,7 @@
   /** Nothing comes from there any more: what has no row by now may have run. */
   void lost() {
     cancel();
-    ended(Outcome.RESET);
+    ended(AttemptOutcome.RESET);
   }
 
   private void cancel() {
@@ -112,12 +112,12 @@
   public void run() {
     long now = shared.nowUs();
     boolean mayLeave = !cancelled && !barred.getAsBoolean();
-    List<PartSend> leaving =
+    List<AttemptRequest> leaving =
         parts.stream()
             .filter(p -> mayLeave && p.mayLeave(now) && !stopped.contains(p.attempt()))
             .toList();
     if (leaving.size() < parts.size()) {
-      List<PartSend> others = parts.stream().filter(p -> !leaving.contains(p)).toList();
+      List<AttemptRequest> others = parts.stream().filter(p -> !leaving.contains(p)).toList();
       shared.onLoop(() -> neverLeft(others));
     }
     if (leaving.isEmpty()) {
@@ -126,13 +126,13 @@
     try {
       FlightStream made =
           client.getStream(
-              new Ticket(CallText.of(leaving, now)), FlightTransport.until(dueUs, now));
-      shared.onLoop(() -> shared.events().accept(new Event.TriesWritten(leaving.size())));
+              new Ticket(RequestText.of(leaving, now)), FlightTransport.until(dueUs, now));
+      shared.onLoop(() -> shared.events().accept(new Event.AttemptsWritten(leaving.size())));
       read(made);
     } catch (RuntimeException e) {
       // the stream was cut, cancelled or never began: what has no row by now may have run
     }
-    shared.onLoop(() -> ended(Outcome.RESET));
+    shared.onLoop(() -> ended(AttemptOutcome.RESET));
   }
 
   private void read(FlightStream read) {
@@ -173,7 +173,7 @@
           new Row(
               values.get(0),
               values.get(1),
-              values.get(2) == null ? Double.NaN : CallText.score(values.get(2)),
+              values.get(2) == null ? Double.NaN : RequestText.score(values.get(2)),
               values.get(3),
               values.get(4)));
     }
@@ -181,21 +181,22 @@
   }
 
   private void take(Row row) {
-    Outcome outcome = row.id() == null || row.end() == null ? null : CallText.end(row.end());
+    AttemptOutcome outcome =
+        row.id() == null || row.end() == null ? null : RequestText.end(row.end());
     boolean asked = open.containsKey(row.id()) || behind.contains(row.id());
     if (outcome == null
         || row.value() == null
         || !asked) { // nothing that such a stream says can be trusted
-      shared.events().accept(new Event.Noted(Count.BAD_FRAMES));
+      shared.events().accept(new Event.ConditionCounted(Counter.BAD_FRAMES));
       cancel();
-      ended(Outcome.RESET);
+      ended(AttemptOutcome.RESET);
       return;
     }
     Long attempt = open.remove(row.id());
     if (attempt != null) {
       behind.add(row.id());
       over.accept(
-          new Event.AttemptOver(
+          new Event.AttemptCompleted(
               attempt,
               outcome,
               shared.reports().read(row.report() == null ? "" : row.report()),
@@ -204,15 +205,17 @@
     }
   }
 
-  private void neverLeft(List<PartSend> others) {
+  private void neverLeft(List<AttemptRequest> others) {
     others.stream()
         .filter(p -> open.remove(p.partId()) != null)
-        .forEach(p -> over.accept(Event.AttemptOver.of(p.attempt(), Outcome.CONNECT_FAILED)));
+        .forEach(
+            p ->
+                over.accept(Event.AttemptCompleted.of(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
   }
 
-  private void ended(Outcome outcome) {
+  private void ended(AttemptOutcome outcome) {
     List<Long> lost = List.copyOf(open.values());
     open.clear();
-    lost.forEach(attempt -> over.accept(Event.AttemptOver.of(attempt, outcome)));
+    lost.forEach(attempt -> over.accept(Event.AttemptCompleted.of(attempt, outcome)));
   }
 }
--- a/src/main/java/dunlinhitch/dispatch/flight/FlightFirst.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirst.java
@@ -1,10 +1,10 @@
-package dunlinhitch.dispatch.flight;
+package dunlinhitch.backend.flight;
 
-import dunlinhitch.core.Effect.PartSend;
+import dunlinhitch.backend.ExactText;
+import dunlinhitch.backend.RequestText;
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Event;
-import dunlinhitch.decide.Routing.Outcome;
-import dunlinhitch.dispatch.CallText;
-import dunlinhitch.dispatch.ExactText;
 import java.util.List;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
@@ -23,18 +23,18 @@
   private final FlightStores shared;
   private final FlightClient client;
   private final BooleanSupplier barred;
-  private final Consumer<Event.AttemptOver> over;
-  private final Consumer<Event.FirstCame> came;
-  private final PartSend part;
+  private final Consumer<Event.AttemptCompleted> over;
+  private final Consumer<Event.FirstPassCompleted> came;
+  private final AttemptRequest part;
   private volatile boolean stopped;
 
   FlightFirst(
       FlightStores shared,
       FlightClient client,
-      PartSend part,
+      AttemptRequest part,
       BooleanSupplier barred,
-      Consumer<Event.AttemptOver> over,
-      Consumer<Event.FirstCame> came) {
+      Consumer<Event.AttemptCompleted> over,
+      Consumer<Event.FirstPassCompleted> came) {
     this.shared = shared;
     this.client = client;
     this.part = part;
@@ -52,28 +52,31 @@
   public void run() {
     long now = shared.nowUs();
     if (stopped || barred.getAsBoolean() || !part.mayLeave(now)) {
-      end(Outcome.CONNECT_FAILED); // it never left
+      end(AttemptOutcome.CONNECT_FAILED); // it never left
       return;
     }
     try {
       FlightInfo info =
           client.getInfo(
-              FlightDescriptor.command(CallText.of(List.of(part), now)),
+              FlightDescriptor.command(RequestText.of(List.of(part), now)),
               FlightTransport.until(part.dueUs(), now));
-      shared.onLoop(() -> shared.events().accept(new Event.TriesWritten(1)));
+      shared.onLoop(() -> shared.events().accept(new Event.AttemptsWritten(1)));
       String text = info.getAppMetadata() == null ? null : ExactText.of(info.getAppMetadata());
       String[] words = text == null ? new String[0] : text.split(" ", WORDS);
       if (words.length != WORDS || info.getRecords() < 0) {
         shared.onLoop(
-            () -> shared.events().accept(new Event.Noted(dunlinhitch.core.Count.BAD_FRAMES)));
-        end(Outcome.RESET);
+            () ->
+                shared
+                    .events()
+                    .accept(new Event.ConditionCounted(dunlinhitch.core.Counter.BAD_FRAMES)));
+        end(AttemptOutcome.RESET);
         return;
       }
       long cameUs = shared.nowUs();
       shared.onLoop(
           () ->
               came.accept(
-                  new Event.FirstCame(
+                  new Event.FirstPassCompleted(
                       part.attempt(),
                       cameUs,
                       shared.reports().read(words[1]),
@@ -83,14 +86,14 @@
     } catch (FlightRuntimeException e) {
       end(
           switch (e.status().code()) {
-            case UNAVAILABLE, CANCELLED, TIMED_OUT -> Outcome.RESET;
-            case RESOURCE_EXHAUSTED -> Outcome.FULL;
-            default -> Outcome.ERROR;
+            case UNAVAILABLE, CANCELLED, TIMED_OUT -> AttemptOutcome.RESET;
+            case RESOURCE_EXHAUSTED -> AttemptOutcome.FULL;
+            default -> AttemptOutcome.ERROR;
           });
     }
   }
 
-  private void end(Outcome outcome) {
-    shared.onLoop(() -> over.accept(Event.AttemptOver.of(part.attempt(), outcome)));
+  private void end(AttemptOutcome outcome) {
+    shared.onLoop(() -> over.accept(Event.AttemptCompleted.of(part.attempt(), outcome)));
   }
 }
--- a/src/main/java/dunlinhitch/dispatch/flight/FlightStores.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightStores.java
@@ -1,10 +1,10 @@
-package dunlinhitch.dispatch.flight;
+package dunlinhitch.backend.flight;
 
+import dunlinhitch.backend.BackendTransport;
+import dunlinhitch.backend.LoadReportParser;
+import dunlinhitch.balancer.settings.Limits;
 import dunlinhitch.core.Event;
-import dunlinhitch.decide.Routing.Limits;
-import dunlinhitch.dispatch.Reports;
-import dunlinhitch.dispatch.Transport;
-import dunlinhitch.membership.StoreEntry;
+import dunlinhitch.endpoints.Endpoint;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.util.concurrent.ExecutorService;
@@ -52,7 +52,7 @@
   private final Vertx vertx;
   private final Context context;
   private final Supplier<Limits> limits;
-  private final Reports reports;
+  private final LoadReportParser reports;
   private final LongSupplier clock;
   private final Consumer<Event> events;
   private final BufferAllocator allocator = new RootAllocator(BUFFER_BYTES);
@@ -75,7 +75,7 @@
       Vertx vertx,
       Context context,
       Supplier<Limits> limits,
-      Reports reports,
+      LoadReportParser reports,
       LongSupplier clock,
       Consumer<Event> events) {
     this.vertx = vertx;
@@ -96,7 +96,7 @@
     };
   }
 
-  public Transport open(StoreEntry entry) {
+  public BackendTransport open(Endpoint entry) {
     return new FlightTransport(this, entry);
   }
 
@@ -153,7 +153,7 @@
     return limits.get();
   }
 
-  Reports reports() {
+  LoadReportParser reports() {
     return reports;
   }
 
--- a/src/main/java/dunlinhitch/dispatch/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -1,13 +1,13 @@
-package dunlinhitch.dispatch.flight;
+package dunlinhitch.backend.flight;
 
-import dunlinhitch.core.Count;
-import dunlinhitch.core.Effect.PartSend;
+import dunlinhitch.backend.BackendTransport;
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.core.Counter;
+import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
-import dunlinhitch.decide.Routing.Outcome;
-import dunlinhitch.decide.Routing.ServerState;
-import dunlinhitch.dispatch.Transport;
-import dunlinhitch.membership.StoreEntry;
+import dunlinhitch.endpoints.Endpoint;
 import io.grpc.ConnectivityState;
 import io.grpc.ManagedChannel;
 import io.grpc.netty.NettyChannelBuilder;
@@ -36,7 +36,7 @@
  * made before the channel is up, so that what waited for it is proved not to have run; what is out
  * when it breaks may have.
  */
-public final class FlightTransport implements Transport {
+public final class FlightTransport implements BackendTransport {
   public static final String PROBE = "probe";
   public static final String GIVE_UP = "give-up";
   private final FlightStores shared;
@@ -47,7 +47,7 @@
   /** First passes that are waited for. */
   private final Map<Long, FlightFirst> firsts = new HashMap<>();
 
-  private final List<List<PartSend>> waiting = new ArrayList<>();
+  private final List<List<AttemptRequest>> waiting = new ArrayList<>();
   private volatile ServerState state = ServerState.READY;
   private long connectRound;
 
@@ -60,7 +60,7 @@
   /** Read by the threads that make the calls, just before. */
   private volatile boolean barred;
 
-  FlightTransport(FlightStores shared, StoreEntry entry) {
+  FlightTransport(FlightStores shared, Endpoint entry) {
     this.shared = shared;
     NettyChannelBuilder builder =
         NettyChannelBuilder.forAddress(new InetSocketAddress(entry.host(), entry.port()))
@@ -78,7 +78,7 @@
   }
 
   @Override
-  public void call(List<PartSend> parts) {
+  public void call(List<AttemptRequest> parts) {
     boolean up = channel.getState(false) == ConnectivityState.READY;
     boolean mayNot =
         closed
@@ -88,7 +88,7 @@
             || state == ServerState.DRAINING && !up
             || out.size() + firsts.size() + parts.size() > FlightStores.MOST_OUT;
     if (mayNot) {
-      parts.forEach(p -> over(p.attempt(), Outcome.CONNECT_FAILED));
+      parts.forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED));
     } else if (up) {
       begin(parts);
     } else {
@@ -102,7 +102,7 @@
   /** Brings the channel up for what waits; if it is not up in time, nothing that waited has run. */
   private void connect() {
     long round = ++connectRound;
-    shared.events().accept(new Event.Noted(Count.CONNECTIONS_OPENED));
+    shared.events().accept(new Event.ConditionCounted(Counter.CONNECTIONS_OPENED));
     channel.resetConnectBackoff();
     long now = shared.nowUs();
     shared
@@ -122,7 +122,7 @@
       return;
     }
     if (seen == ConnectivityState.READY) {
-      List<List<PartSend>> calls = List.copyOf(waiting);
+      List<List<AttemptRequest>> calls = List.copyOf(waiting);
       waiting.clear();
       calls.forEach(this::begin);
     } else if (seen == ConnectivityState.SHUTDOWN
@@ -134,7 +134,7 @@
     }
   }
 
-  private void begin(List<PartSend> parts) {
+  private void begin(List<AttemptRequest> parts) {
     if (parts.get(0).first()) {
       parts.forEach(this::beginFirst);
       return;
@@ -146,7 +146,7 @@
       shared.readers().execute(call);
     } catch (
         RejectedExecutionException e) { // as many streams as may be read at once: it never left
-      parts.forEach(p -> over(p.attempt(), Outcome.CONNECT_FAILED));
+      parts.forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED));
     }
   }
 
@@ -162,7 +162,7 @@
   }
 
   /** The word whether there is anything. */
-  private void beginFirst(PartSend part) {
+  private void beginFirst(AttemptRequest part) {
     FlightFirst first =
         new FlightFirst(
             shared,
@@ -185,20 +185,20 @@
     try {
       shared.readers().execute(first);
     } catch (RejectedExecutionException e) {
-      over(part.attempt(), Outcome.CONNECT_FAILED);
+      over(part.attempt(), AttemptOutcome.CONNECT_FAILED);
     }
   }
 
-  private void over(long attempt, Outcome outcome) {
-    over(Event.AttemptOver.of(attempt, outcome));
+  private void over(long attempt, AttemptOutcome outcome) {
+    over(Event.AttemptCompleted.of(attempt, outcome));
   }
 
-  private void over(Event.AttemptOver end) {
+  private void over(Event.AttemptCompleted end) {
     out.remove(end.attempt());
     firsts.remove(end.attempt());
-    if (end.outcome() == Outcome.OK
-        || end.outcome() == Outcome.ERROR
-        || end.outcome() == Outcome.FULL) {
+    if (end.outcome() == AttemptOutcome.OK
+        || end.outcome() == AttemptOutcome.ERROR
+        || end.outcome() == AttemptOutcome.FULL) {
       heardUs = shared.nowUs();
     }
     shared.events().accept(end);
@@ -207,7 +207,7 @@
 
   @Override
   public boolean giveUp(long attempt) {
-    for (List<PartSend> parts : waiting) {
+    for (List<AttemptRequest> parts : waiting) {
       if (parts.removeIf(p -> p.attempt() == attempt)) {
         waiting.removeIf(List::isEmpty);
         return true;
@@ -235,10 +235,10 @@
 
   @Override
   public void withdraw(long attempt) {
-    for (List<PartSend> parts : waiting) {
+    for (List<AttemptRequest> parts : waiting) {
       if (parts.removeIf(p -> p.attempt() == attempt)) {
         waiting.removeIf(List::isEmpty);
-        over(attempt, Outcome.MOOT);
+        over(attempt, AttemptOutcome.MOOT);
         return;
       }
     }
@@ -261,9 +261,11 @@
           shared
               .events()
               .accept(
-                  new Event.ProbeOver(
+                  new Event.HealthCheckCompleted(
                       probe,
-                      failed ? Outcome.CONNECT_FAILED : bad ? Outcome.ERROR : Outcome.OK,
+                      failed
+                          ? AttemptOutcome.CONNECT_FAILED
+                          : bad ? AttemptOutcome.ERROR : AttemptOutcome.OK,
                       failed || bad ? new float[0] : shared.reports().read(text)));
         });
   }
@@ -301,7 +303,7 @@
               });
       return;
     }
-    shared.events().accept(new Event.Noted(Count.CONNECTIONS_CHECKED));
+    shared.events().accept(new Event.ConditionCounted(Counter.CONNECTIONS_CHECKED));
     act(
         PROBE,
         "",
@@ -311,7 +313,7 @@
           if (text != null) {
             heardUs = shared.nowUs();
           } else if (heardUs < askedUs && !closed && !barred) {
-            shared.events().accept(new Event.Noted(Count.CONNECTIONS_SILENT));
+            shared.events().accept(new Event.ConditionCounted(Counter.CONNECTIONS_SILENT));
             channel.enterIdle(); // what is new goes over a fresh connection
             Set.copyOf(out.values()).forEach(FlightCall::lost);
           }
@@ -384,9 +386,9 @@
   }
 
   private void dropWaiting() {
-    List<List<PartSend>> calls = List.copyOf(waiting);
+    List<List<AttemptRequest>> calls = List.copyOf(waiting);
     waiting.clear();
-    calls.forEach(parts -> parts.forEach(p -> over(p.attempt(), Outcome.CONNECT_FAILED)));
+    calls.forEach(parts -> parts.forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
   }
 
   private void leaveWhenIdle() {
--- a/src/main/java/dunlinhitch/dispatch/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -1,11 +1,11 @@
-package dunlinhitch.dispatch.frames;
+package dunlinhitch.backend.frames;
 
-import dunlinhitch.core.Count;
-import dunlinhitch.core.Effect.PartSend;
+import dunlinhitch.backend.RequestText;
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.core.Counter;
+import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
-import dunlinhitch.decide.Routing.Outcome;
-import dunlinhitch.dispatch.CallText;
 import io.netty.channel.ChannelHandlerContext;
 import io.vertx.core.Future;
 import io.vertx.core.buffer.Buffer;
@@ -72,7 +72,7 @@
   private final Map<String, Out> out = new LinkedHashMap<>();
   private final Set<String> abandoned = new LinkedHashSet<>();
   private final Set<String> answered = new LinkedHashSet<>();
-  private final List<List<PartSend>> waiting = new ArrayList<>();
+  private final List<List<AttemptRequest>> waiting = new ArrayList<>();
   private final List<Long> waitingProbes = new ArrayList<>();
   private final Deque<Long> probes = new ArrayDeque<>();
   private final Frames frames = new Frames();
@@ -188,7 +188,7 @@
    * Where no descriptor is left a connection may have failed before it is called first: nothing
    * would look at what waits for it.
    */
-  void call(List<PartSend> parts) {
+  void call(List<AttemptRequest> parts) {
     usedUs = now();
     waiting.add(new ArrayList<>(parts));
     if (closed) {
@@ -204,11 +204,11 @@
   private void writeNext() {
     while (!closed && !waiting.isEmpty() && !isWriting()) {
       long now = now();
-      List<PartSend> call = waiting.remove(0);
-      List<PartSend> parts = call.stream().filter(p -> p.mayLeave(now)).toList();
+      List<AttemptRequest> call = waiting.remove(0);
+      List<AttemptRequest> parts = call.stream().filter(p -> p.mayLeave(now)).toList();
       call.stream()
           .filter(p -> !p.mayLeave(now))
-          .forEach(p -> over(p.attempt(), Outcome.CONNECT_FAILED));
+          .forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED));
       if (!parts.isEmpty()) {
         write(parts, now);
       }
@@ -216,17 +216,17 @@
     leaveWhenIdle();
   }
 
-  private void write(List<PartSend> parts, long now) {
+  private void write(List<AttemptRequest> parts, long now) {
     usedUs = now;
     Future<Void> write =
-        socket.write(Frames.frame(parts.get(0).first() ? 's' : 'm', CallText.of(parts, now)));
+        socket.write(Frames.frame(parts.get(0).first() ? 's' : 'm', RequestText.of(parts, now)));
     lastCall = write;
     parts.forEach(
         p -> out.put(p.partId(), new Out(p.attempt(), p.partId(), now, write, p.first())));
     boolean atOnce = write.isComplete();
     write.onSuccess(
         v -> {
-          shared.events.accept(new Event.TriesWritten(parts.size()));
+          shared.events.accept(new Event.AttemptsWritten(parts.size()));
           if (!atOnce) {
             writeNext();
           }
@@ -261,7 +261,7 @@
   private void check() {
     watched = true;
     long askedUs = now();
-    shared.events.accept(new Event.Noted(Count.CONNECTIONS_CHECKED));
+    shared.events.accept(new Event.ConditionCounted(Counter.CONNECTIONS_CHECKED));
     probes.add(CHECK);
     socket.write(Frames.frame('o', ""));
     at(
@@ -278,7 +278,7 @@
                   if (closed) {
                     return;
                   }
-                  shared.events.accept(new Event.Noted(Count.CONNECTIONS_SILENT));
+                  shared.events.accept(new Event.ConditionCounted(Counter.CONNECTIONS_SILENT));
                   close();
                 }));
   }
@@ -290,7 +290,8 @@
   void probe(long id) {
     usedUs = now();
     if (closed) {
-      shared.events.accept(new Event.ProbeOver(id, Outcome.CONNECT_FAILED, new float[0]));
+      shared.events.accept(
+          new Event.HealthCheckCompleted(id, AttemptOutcome.CONNECT_FAILED, new float[0]));
       return;
     }
     if (socket == null) {
@@ -316,7 +317,7 @@
   /** The attempt ends if its call has not left whole; what the store has of it stands. */
   void withdraw(long attempt) {
     if (takeBack(attempt)) {
-      over(attempt, Outcome.MOOT);
+      over(attempt, AttemptOutcome.MOOT);
       return;
     }
     Out taken = outFor(attempt);
@@ -364,9 +365,9 @@
 
   /** Ends what has not left: the store is to get nothing new. */
   void dropWaiting() {
-    List<List<PartSend>> calls = List.copyOf(waiting);
+    List<List<AttemptRequest>> calls = List.copyOf(waiting);
     waiting.clear();
-    calls.forEach(parts -> parts.forEach(p -> over(p.attempt(), Outcome.CONNECT_FAILED)));
+    calls.forEach(parts -> parts.forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
   }
 
   private void leaveWhenIdle() {
@@ -404,17 +405,21 @@
     dropWaiting();
     List<Out> lost = List.copyOf(out.values());
     out.clear();
-    lost.forEach(o -> over(o.attempt(), o.neverLeft() ? Outcome.CONNECT_FAILED : Outcome.RESET));
-    Outcome outcome = socket == null ? Outcome.CONNECT_FAILED : Outcome.RESET;
+    lost.forEach(
+        o ->
+            over(
+                o.attempt(), o.neverLeft() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET));
+    AttemptOutcome outcome = socket == null ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET;
     probes.addAll(waitingProbes);
     waitingProbes.clear();
     probes.removeIf(id -> id == CHECK);
-    probes.forEach(id -> shared.events.accept(new Event.ProbeOver(id, outcome, new float[0])));
+    probes.forEach(
+        id -> shared.events.accept(new Event.HealthCheckCompleted(id, outcome, new float[0])));
     probes.clear();
   }
 
-  private void over(long attempt, Outcome outcome) {
-    shared.events.accept(Event.AttemptOver.of(attempt, outcome));
+  private void over(long attempt, AttemptOutcome outcome) {
+    shared.events.accept(Event.AttemptCompleted.of(attempt, outcome));
   }
 
   /**
@@ -443,7 +448,7 @@
   }
 
   private void spoilt() {
-    shared.events.accept(new Event.Noted(Count.BAD_FRAMES));
+    shared.events.accept(new Event.ConditionCounted(Counter.BAD_FRAMES));
     close();
   }
 
@@ -468,8 +473,8 @@
         });
   }
 
-  private static Outcome outcome(String end) throws Frames.MalformedException {
-    Outcome outcome = CallText.end(end);
+  private static AttemptOutcome outcome(String end) throws Frames.MalformedException {
+    AttemptOutcome outcome = RequestText.end(end);
     if (outcome == null) {
       throw new Frames.MalformedException("an end of the name " + end);
     }
@@ -500,11 +505,11 @@
     switch (frame.letter()) {
       case 'q' -> {
         Frames.PartReply reply = Frames.partReply(frame.rest());
-        Outcome outcome = outcome(reply.end());
+        AttemptOutcome outcome = outcome(reply.end());
         Out ended = answered(reply.id(), false);
         if (ended != null) {
           shared.events.accept(
-              new Event.AttemptOver(
+              new Event.AttemptCompleted(
                   ended.attempt(),
                   outcome,
                   shared.reports.read(reply.report()),
@@ -514,14 +519,14 @@
       }
       case 't' -> {
         Frames.FirstReply reply = Frames.firstReply(frame.rest());
-        Outcome outcome = outcome(reply.end());
+        AttemptOutcome outcome = outcome(reply.end());
         Out ended = answered(reply.id(), true);
         if (ended != null) {
           float[] report = shared.reports.read(reply.report());
           shared.events.accept(
-              outcome != Outcome.OK
-                  ? new Event.AttemptOver(ended.attempt(), outcome, report, "")
-                  : new Event.FirstCame(
+              outcome != AttemptOutcome.OK
+                  ? new Event.AttemptCompleted(ended.attempt(), outcome, report, "")
+                  : new Event.FirstPassCompleted(
                       ended.attempt(),
                       heardUs,
                       report,
@@ -536,9 +541,9 @@
           String text = frame.rest().toString();
           boolean bad = text.equals("bad");
           shared.events.accept(
-              new Event.ProbeOver(
+              new Event.HealthCheckCompleted(
                   id,
-                  bad ? Outcome.ERROR : Outcome.OK,
+                  bad ? AttemptOutcome.ERROR : AttemptOutcome.OK,
                   bad ? new float[0] : shared.reports.read(text)));
         }
       }
--- a/src/main/java/dunlinhitch/dispatch/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -1,15 +1,15 @@
-package dunlinhitch.dispatch.frames;
-
-import dunlinhitch.core.Count;
-import dunlinhitch.core.Effect.PartSend;
+package dunlinhitch.backend.frames;
+
+import dunlinhitch.backend.BackendTransport;
+import dunlinhitch.backend.LoadReportParser;
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.balancer.settings.Limits;
+import dunlinhitch.core.Counter;
+import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
-import dunlinhitch.decide.Routing.Limits;
-import dunlinhitch.decide.Routing.Outcome;
-import dunlinhitch.decide.Routing.ServerState;
-import dunlinhitch.dispatch.Reports;
-import dunlinhitch.dispatch.Transport;
-import dunlinhitch.membership.StoreEntry;
+import dunlinhitch.endpoints.Endpoint;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.net.ConnectOptions;
@@ -29,7 +29,7 @@
  * The way to a store that speaks frames: a few connections, opened at need, each with many parts
  * out at once.
  */
-public final class FrameTransport implements Transport {
+public final class FrameTransport implements BackendTransport {
   /**
    * Of the time after which a store closes an idle connection: ours goes first, so that no send
    * crosses.
@@ -46,7 +46,7 @@
     private final IntSupplier mostConnections;
     private int connections;
     final Quiet quiet = new Quiet();
-    final Reports reports;
+    final LoadReportParser reports;
     final LongSupplier clock;
     final Consumer<Event> events;
 
@@ -55,7 +55,7 @@
         Vertx vertx,
         Supplier<Limits> limits,
         IntSupplier mostConnections,
-        Reports reports,
+        LoadReportParser reports,
         LongSupplier clock,
         Consumer<Event> events) {
       this.vertx = vertx;
@@ -89,19 +89,19 @@
   }
 
   private final Shared shared;
-  private final StoreEntry entry;
+  private final Endpoint entry;
   private final List<FrameConnection> connections = new ArrayList<>();
   private ServerState state = ServerState.READY;
   private boolean barred;
 
-  public FrameTransport(Shared shared, StoreEntry entry) {
+  public FrameTransport(Shared shared, Endpoint entry) {
     this.shared = shared;
     this.entry = entry;
   }
 
   @Override
-  public void call(List<PartSend> parts) {
-    Set<String> ids = parts.stream().map(PartSend::partId).collect(Collectors.toSet());
+  public void call(List<AttemptRequest> parts) {
+    Set<String> ids = parts.stream().map(AttemptRequest::partId).collect(Collectors.toSet());
     FrameConnection best = null;
     if (state != ServerState.GONE && state != ServerState.WITHDRAWN && !barred) {
       for (FrameConnection c : List.copyOf(connections)) {
@@ -120,7 +120,9 @@
     }
     if (best == null) {
       parts.forEach(
-          p -> shared.events.accept(Event.AttemptOver.of(p.attempt(), Outcome.CONNECT_FAILED)));
+          p ->
+              shared.events.accept(
+                  Event.AttemptCompleted.of(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
       return;
     }
     best.call(parts);
@@ -155,7 +157,8 @@
       best = open();
     }
     if (best == null) {
-      shared.events.accept(new Event.ProbeOver(probe, Outcome.CONNECT_FAILED, new float[0]));
+      shared.events.accept(
+          new Event.HealthCheckCompleted(probe, AttemptOutcome.CONNECT_FAILED, new float[0]));
       return;
     }
     best.probe(probe);
@@ -176,7 +179,7 @@
   }
 
   private FrameConnection open() {
-    shared.events.accept(new Event.Noted(Count.CONNECTIONS_OPENED));
+    shared.events.accept(new Event.ConditionCounted(Counter.CONNECTIONS_OPENED));
     FrameConnection made =
         new FrameConnection(
             shared, this::mayCheck, connections::remove, () -> shared.connections--);
--- a/src/main/java/dunlinhitch/dispatch/frames/Frames.java
+++ b/src/main/java/dunlinhitch/backend/frames/Frames.java
@@ -1,7 +1,7 @@
-package dunlinhitch.dispatch.frames;
+package dunlinhitch.backend.frames;
 
-import dunlinhitch.dispatch.CallText;
-import dunlinhitch.dispatch.ExactText;
+import dunlinhitch.backend.ExactText;
+import dunlinhitch.backend.RequestText;
 import io.vertx.core.buffer.Buffer;
 import java.nio.charset.StandardCharsets;
 
@@ -84,7 +84,7 @@
     if (value == null) {
       throw new MalformedException("a value that is no UTF-8");
     }
-    return new PartReply(words[0], words[1], CallText.score(words[2]), words[3], value);
+    return new PartReply(words[0], words[1], RequestText.score(words[2]), words[3], value);
   }
 
   /** The first answer for one part. */
--- a/src/main/java/dunlinhitch/dispatch/frames/Quiet.java
+++ b/src/main/java/dunlinhitch/backend/frames/Quiet.java
@@ -1,4 +1,4 @@
-package dunlinhitch.dispatch.frames;
+package dunlinhitch.backend.frames;
 
 /**
  * How long a connection with parts out may be quiet before it is asked whether it still lives.
--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/BalancerActions.java
@@ -0,0 +1,42 @@
+package dunlinhitch.balancer;
+
+import dunlinhitch.balancer.BalancerEvent.TimerFired;
+
+/** What the module may ask of the front node. */
+public interface BalancerActions {
+  /** Starts the part's next attempt, which ends by itself when {@code dueUs} is reached. */
+  void send(int part, int server, long dueUs);
+
+  /**
+   * Answers the query from the parts that are in; the first of two answers where a second step
+   * follows.
+   */
+  void answer(int query, boolean whole);
+
+  /** Final: refused, safe to ask again after {@code comeBackUs} (0: no advice). */
+  void refuse(int query, long comeBackUs);
+
+  /** Final: given up, with no promise. */
+  void fail(int query);
+
+  /** Stops waiting for one attempt. */
+  void cancel(int part, int attempt);
+
+  /** Shuts the idle connections to a server, so that the next send opens a new one. */
+  void release(int server);
+
+  /** Checks a server. */
+  void probe(int server);
+
+  /**
+   * Asks for an {@link TimerFired} with this token at that time or soon after; never within this
+   * event.
+   */
+  void alarm(long token, long dueUs);
+
+  /** Asks for changes of the server list from now on. */
+  void subscribe();
+
+  /** Leaves a line for the operators. */
+  void log(String text);
+}
--- a/src/main/java/dunlinhitch/decide/Policy.java
+++ b/src/main/java/dunlinhitch/balancer/LoadBalancer.java
@@ -1,9 +1,22 @@
-package dunlinhitch.decide;
-
-// The interface of this module (settings, events, actions) is in Routing.java.
-
-import dunlinhitch.decide.Routing.*;
-import dunlinhitch.decide.State.*;
+package dunlinhitch.balancer;
+
+import dunlinhitch.balancer.BalancerEvent.AttemptCompleted;
+import dunlinhitch.balancer.BalancerEvent.ClientDisconnected;
+import dunlinhitch.balancer.BalancerEvent.HealthCheckCompleted;
+import dunlinhitch.balancer.BalancerEvent.PartArrived;
+import dunlinhitch.balancer.BalancerEvent.QueryArrived;
+import dunlinhitch.balancer.BalancerEvent.ServerDisabled;
+import dunlinhitch.balancer.BalancerEvent.ServerListUpdated;
+import dunlinhitch.balancer.BalancerEvent.SettingsChanged;
+import dunlinhitch.balancer.BalancerEvent.Started;
+import dunlinhitch.balancer.BalancerEvent.TimerFired;
+import dunlinhitch.balancer.State.*;
+import dunlinhitch.balancer.settings.Idempotency;
+import dunlinhitch.balancer.settings.LoadReportField;
+import dunlinhitch.balancer.settings.QueryClass;
+import dunlinhitch.balancer.settings.Rules;
+import dunlinhitch.balancer.settings.Settings;
+import dunlinhitch.balancer.settings.Tenant;
 import java.util.*;
 
 /**
@@ -12,7 +25,7 @@
  * released at the end of the attempt. All else here estimates that work better or says what to do
  * when an attempt does not come back.
  */
-public final class Policy {
+public final class LoadBalancer {
   // ---- settings: tuned values; times follow the classes' aims, work is in microseconds
 
   private static final double FIRST_WORK = 0.1; // a part's work before any was seen, of its aim
@@ -80,7 +93,7 @@
   private static final double TRIAL_WITHIN_US = 2e6; // what is back gets its first part so soon
 
   private Settings settings;
-  private final Actions actions;
+  private final BalancerActions actions;
   private final SplittableRandom random;
   private List<Learned> classes = List.of(); // in the order of the settings
   private long sweepUs;
@@ -88,7 +101,7 @@
   private long reportAgeUs;
   private long now;
 
-  public Policy(Settings settings, long seed, Actions actions) {
+  public LoadBalancer(Settings settings, long seed, BalancerActions actions) {
     this.actions = actions;
     random = new SplittableRandom(seed);
     tune(settings);
@@ -115,27 +128,27 @@
    * Takes one event; actions are called before this returns. A peer's message changes nothing, for
    * aggregators share nothing; an answer that began is still awaited.
    */
-  public void on(long nowUs, Event event) {
+  public void on(long nowUs, BalancerEvent event) {
     now = Math.max(now, nowUs);
     if (event instanceof QueryArrived e) {
       queryArrived(e);
     } else if (event instanceof PartArrived e) {
       partArrived(e);
-    } else if (event instanceof AttemptEnded e) {
+    } else if (event instanceof AttemptCompleted e) {
       attemptEnded(e);
-    } else if (event instanceof ProbeEnded e) {
+    } else if (event instanceof HealthCheckCompleted e) {
       probeEnded(e);
-    } else if (event instanceof ServerList e) {
+    } else if (event instanceof ServerListUpdated e) {
       serverList(e);
-    } else if (event instanceof AlarmRang e) {
+    } else if (event instanceof TimerFired e) {
       alarmRang(e);
-    } else if (event instanceof ClientLeft e) {
+    } else if (event instanceof ClientDisconnected e) {
       clientLeft(e);
-    } else if (event instanceof ServerBarred e) {
+    } else if (event instanceof ServerDisabled e) {
       serverBarred(e);
-    } else if (event instanceof Retuned e) {
+    } else if (event instanceof SettingsChanged e) {
       tune(e.settings());
-    } else if (event instanceof Start) {
+    } else if (event instanceof Started) {
       start();
     }
   }
@@ -160,7 +173,7 @@
     }
   }
 
-  private final Fleet servers = new Fleet();
+  private final ServerTable servers = new ServerTable();
   private final Open pending = new Open();
 
   private double workOf(Part part) {
@@ -402,7 +415,7 @@
    */
   private long attemptDueUs(Query q) {
     long end = Math.max(now + 1, giveUpUs(q));
-    if (settings.limits().mayCancel() || q.kind.repeat() == Repeat.SINGLE_SHOT) {
+    if (settings.limits().mayCancel() || q.kind.repeat() == Idempotency.SINGLE_SHOT) {
       return Math.max(now + 1, q.kind.floor() < q.kind.need() ? planUs(q) : q.expiresUs);
     }
     double late = 2 * q.learned.took.quantile(0.95);
@@ -461,7 +474,7 @@
     }
   }
 
-  private void attemptEnded(AttemptEnded e) {
+  private void attemptEnded(AttemptCompleted e) {
     Part part = pending.part(e.part());
     Attempt a = part == null ? null : part.attempt(e.attempt());
     if (a == null) {
@@ -471,11 +484,11 @@
     learn(a, e);
     learnLoss(
         a,
-        e.outcome() == Outcome.TIMEOUT
-            || e.outcome() == Outcome.RESET
-            || e.outcome() == Outcome.CANCELLED && silent(a),
-        e.outcome() == Outcome.OK);
-    if (e.outcome() == Outcome.MOOT && a.number > 0) {
+        e.outcome() == AttemptOutcome.TIMEOUT
+            || e.outcome() == AttemptOutcome.RESET
+            || e.outcome() == AttemptOutcome.CANCELLED && silent(a),
+        e.outcome() == AttemptOutcome.OK);
+    if (e.outcome() == AttemptOutcome.MOOT && a.number > 0) {
       repeatedAt.removeLastOccurrence(a.sentUs);
     }
     if (e.outcome().neverRan() && part.out.isEmpty() && part.mayHaveRunUs == a.sentUs) {
@@ -485,14 +498,14 @@
       takeReport(a.server, e.report());
     }
     Query q = part.query;
-    if (e.outcome() == Outcome.RESET) {
+    if (e.outcome() == AttemptOutcome.RESET) {
       q.brokeAt.put(a.server, now);
       brokenAtUs = now;
     }
     if (!q.over && suspect(q)) {
       giveUp(q);
     }
-    if (e.outcome() == Outcome.OK && !q.over && !part.settled) {
+    if (e.outcome() == AttemptOutcome.OK && !q.over && !part.settled) {
       part.answered = true;
       part.settled = true;
       q.answered += part.step == q.step ? part.weight : 0;
@@ -507,14 +520,14 @@
     } else if (!q.over && !part.answered) {
       want(part);
     }
-    if (!q.over && e.outcome() != Outcome.OK && hopeless(q)) {
+    if (!q.over && e.outcome() != AttemptOutcome.OK && hopeless(q)) {
       giveUp(q);
     }
     pending.forget(part);
   }
 
   /** Teaches class work and debt from how an attempt ended. */
-  private void learn(Attempt a, AttemptEnded e) {
+  private void learn(Attempt a, AttemptCompleted e) {
     Server s = a.server;
     switch (e.outcome()) {
       case OK -> {
@@ -752,7 +765,7 @@
     for (Part part : q.parts) {
       boolean sendable =
           part.attempts < mostAttempts(part)
-              && (q.kind.repeat() != Repeat.SINGLE_SHOT || part.mayHaveRunUs < 0)
+              && (q.kind.repeat() != Idempotency.SINGLE_SHOT || part.mayHaveRunUs < 0)
               && left > HOPELESS_SHARE * workOf(part);
       boolean open = !part.settled && (sendable || !part.out.isEmpty());
       possible += part.step == q.step && (part.answered || open) ? part.weight : 0;
@@ -805,7 +818,7 @@
       return;
     }
     missed += FLEET_STEP * (1 - missed);
-    if (q.kind.repeat() == Repeat.FREE || q.parts.stream().allMatch(p -> p.mayHaveRunUs < 0)) {
+    if (q.kind.repeat() == Idempotency.FREE || q.parts.stream().allMatch(p -> p.mayHaveRunUs < 0)) {
       actions.refuse(q.id, settings.limits().retryAfter() ? comeBackUs(q) : 0);
     } else {
       actions.fail(q.id);
@@ -828,7 +841,7 @@
     pending.remove(q);
   }
 
-  private void clientLeft(ClientLeft e) {
+  private void clientLeft(ClientDisconnected e) {
     Query q = pending.get(e.query());
     if (q != null) {
       end(q);
@@ -984,7 +997,7 @@
     }
   }
 
-  private void alarmRang(AlarmRang e) {
+  private void alarmRang(TimerFired e) {
     if (e.token() == ASK) {
       actions.subscribe();
       return;
@@ -1057,15 +1070,15 @@
   private void takeReport(Server s, float[] report) {
     double load = 0;
     boolean seen = false;
-    boolean held = settings.reportFields().contains(ReportField.OUTSTANDING);
+    boolean held = settings.reportFields().contains(LoadReportField.OUTSTANDING);
     for (int i = 0; i < Math.min(report.length, settings.reportFields().size()); i++) {
-      ReportField field = settings.reportFields().get(i);
+      LoadReportField field = settings.reportFields().get(i);
       double value = Double.isFinite(report[i]) ? Math.max(0, Math.min(REPORT_CAP, report[i])) : 0;
-      double mine = field == ReportField.OUTSTANDING ? s.out.size() : s.out.size() / 2.0;
-      if (field == ReportField.OUTSTANDING || field == ReportField.BACKLOG && !held) {
+      double mine = field == LoadReportField.OUTSTANDING ? s.out.size() : s.out.size() / 2.0;
+      if (field == LoadReportField.OUTSTANDING || field == LoadReportField.BACKLOG && !held) {
         load += Math.max(0, value - mine);
         seen = true;
-      } else if (field == ReportField.UTILIZATION && !held) {
+      } else if (field == LoadReportField.UTILIZATION && !held) {
         load += Math.min(1, value);
         seen = true;
       }
@@ -1115,13 +1128,13 @@
     return true;
   }
 
-  private void probeEnded(ProbeEnded e) {
+  private void probeEnded(HealthCheckCompleted e) {
     Server s = servers.get(e.server());
     if (s == null) {
       return;
     }
     s.probing = false;
-    if (e.outcome() == Outcome.CONNECT_FAILED || e.outcome() == Outcome.RESET) {
+    if (e.outcome() == AttemptOutcome.CONNECT_FAILED || e.outcome() == AttemptOutcome.RESET) {
       owe(s);
     } else {
       takeReport(s, e.report());
@@ -1137,8 +1150,8 @@
 
   private long askFailures;
 
-  private void serverList(ServerList e) {
-    if (e.kind() == ListKind.FAILED) {
+  private void serverList(ServerListUpdated e) {
+    if (e.kind() == ServerListKind.FAILED) {
       askAgain();
       return;
     }
@@ -1148,7 +1161,7 @@
       listed.add(entry.id());
       take(entry);
     }
-    (e.kind() == ListKind.DELTA ? List.<Server>of() : servers.values())
+    (e.kind() == ServerListKind.DELTA ? List.<Server>of() : servers.values())
         .stream().filter(s -> !listed.contains(s.id)).forEach(s -> tell(s, ServerState.GONE));
     servers.forget();
     pending.all().forEach(q -> q.parts.stream().filter(part -> part.wanted).forEach(this::want));
@@ -1187,7 +1200,7 @@
    * Called back, a server is taken for one that has just started, and is tried soon: nothing that
    * was learnt of it still holds, and who called it back waits to see it serve.
    */
-  private void serverBarred(ServerBarred e) {
+  private void serverBarred(ServerDisabled e) {
     boolean changed = e.out() ? barred.add(e.server()) : barred.remove(e.server());
     Server s = servers.get(e.server());
     if (!changed || e.out() || s == null) {
--- a/src/main/java/dunlinhitch/decide/Fleet.java
+++ b/src/main/java/dunlinhitch/balancer/ServerTable.java
@@ -1,8 +1,7 @@
-package dunlinhitch.decide;
+package dunlinhitch.balancer;
 
-import dunlinhitch.decide.Routing.Layout;
-import dunlinhitch.decide.Routing.ServerState;
-import dunlinhitch.decide.State.Server;
+import dunlinhitch.balancer.State.Server;
+import dunlinhitch.balancer.settings.ShardLayout;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -16,7 +15,7 @@
  * The servers by id and by cell, kept up change by change: no change costs more where there are
  * more of them. No decisions.
  */
-final class Fleet {
+final class ServerTable {
   private final Map<Integer, Server> byId = new LinkedHashMap<>();
   private final Map<Integer, List<Server>> byCell = new HashMap<>();
 
@@ -40,7 +39,7 @@
   }
 
   /** Those that hold a shard. */
-  List<Server> holders(int shard, Layout layout) {
+  List<Server> holders(int shard, ShardLayout layout) {
     List<Server> found = new ArrayList<>();
     for (int j = 0; j < layout.inARow(); j++) {
       found.addAll(inCell(Math.floorMod(shard + j, layout.cells())));
--- a/src/main/java/dunlinhitch/decide/State.java
+++ b/src/main/java/dunlinhitch/balancer/State.java
@@ -1,9 +1,8 @@
-package dunlinhitch.decide;
+package dunlinhitch.balancer;
 
-import dunlinhitch.decide.Routing.PartArrived;
-import dunlinhitch.decide.Routing.QueryArrived;
-import dunlinhitch.decide.Routing.QueryClass;
-import dunlinhitch.decide.Routing.ServerState;
+import dunlinhitch.balancer.BalancerEvent.PartArrived;
+import dunlinhitch.balancer.BalancerEvent.QueryArrived;
+import dunlinhitch.balancer.settings.QueryClass;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.Deque;
--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/settings/Limits.java
@@ -0,0 +1,26 @@
+package dunlinhitch.balancer.settings;
+
+import static dunlinhitch.balancer.settings.SettingsValidation.atLeastZero;
+import static dunlinhitch.balancer.settings.SettingsValidation.positive;
+
+/** What the site allows. */
+public record Limits(
+    int maxAttempts,
+    int mostHeld,
+    boolean mayCancel,
+    boolean mayProbe,
+    boolean parallelTries,
+    boolean retryAfter,
+    long maxRetryAfterUs,
+    long connectTimeoutUs,
+    int streamsPerConnection,
+    long connectionIdleUs) {
+  public Limits {
+    positive("limits.maxAttempts", maxAttempts);
+    positive("limits.mostHeld", mostHeld);
+    atLeastZero("limits.maxRetryAfterUs", maxRetryAfterUs);
+    atLeastZero("limits.connectTimeoutUs", connectTimeoutUs);
+    positive("limits.streamsPerConnection", streamsPerConnection);
+    atLeastZero("limits.connectionIdleUs", connectionIdleUs);
+  }
+}
--- a/src/main/java/dunlinhitch/Main.java
+++ b/src/main/java/dunlinhitch/cli/Main.java
@@ -1,10 +1,14 @@
-package dunlinhitch;
+package dunlinhitch.cli;
 
 import dunlinhitch.config.Config;
 import dunlinhitch.config.ConfigFile;
 import dunlinhitch.config.SettingsReader;
-import dunlinhitch.intake.http.ClientListener;
-import dunlinhitch.wire.WireHost;
+import dunlinhitch.frontend.http.ClientListener;
+import dunlinhitch.server.Broker;
+import dunlinhitch.server.BuildVersion;
+import dunlinhitch.server.HangupSignals;
+import dunlinhitch.server.WarmUp;
+import dunlinhitch.simulator.SimulatorAdapter;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -27,7 +31,7 @@
     name = "dunlinhitch",
     description = "A broker for sharded, replicated calendar stores.",
     mixinStandardHelpOptions = true,
-    version = Main.VERSION,
+    version = BuildVersion.TEXT,
     subcommands = {
       Main.Serve.class,
       Main.Drill.class,
@@ -37,10 +41,9 @@
       Main.ShowVersion.class
     })
 public final class Main {
-  static final String VERSION = "dunlinhitch 0.1.0";
 
   private static final String OWN = "deploy/dunlinhitch.conf";
-  private static final String LAB = "dunlinhitch.lab.LabCommand";
+  private static final String LAB = "dunlinhitch.experiments.ExperimentsCommand";
   private static final int REHEARSAL_S = 20;
 
   /** A new process beside an old one is waited for 6 s at the longest. */
@@ -75,7 +78,7 @@
   }
 
   /** Of this process; heeded before all else where it serves. */
-  private static final HangUps HANG_UPS = new HangUps();
+  private static final HangupSignals HANG_UPS = new HangupSignals();
 
   public static void main(String[] arguments) {
     if (arguments.length > 0 && arguments[0].equals("serve") && !HANG_UPS.heed()) {
@@ -200,7 +203,7 @@
                 .openDesk()
                 .compose(
                     desk ->
-                        new Rehearsal(
+                        new WarmUp(
                                 vertx,
                                 context,
                                 config.settings(),
@@ -298,7 +301,7 @@
   static final class Drill implements Callable<Integer> {
     @Override
     public Integer call() {
-      return WireHost.serve();
+      return SimulatorAdapter.serve();
     }
   }
 
@@ -342,7 +345,7 @@
       boolean[] served = {false};
       context.runOnContext(
           v ->
-              new Rehearsal(
+              new WarmUp(
                       vertx,
                       context,
                       SettingsReader.read(REHEARSAL),
@@ -365,7 +368,7 @@
   static final class ShowVersion implements Callable<Integer> {
     @Override
     public Integer call() {
-      System.out.println(VERSION);
+      System.out.println(BuildVersion.TEXT);
       return 0;
     }
   }
--- a/src/main/java/dunlinhitch/RecordsCommand.java
+++ b/src/main/java/dunlinhitch/cli/RecordsCommand.java
@@ -1,19 +1,20 @@
-package dunlinhitch;
+package dunlinhitch.cli;
 
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Product;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
-import dunlinhitch.membership.Change;
-import dunlinhitch.membership.Membership;
-import dunlinhitch.membership.MembershipSettings;
-import dunlinhitch.membership.Status;
-import dunlinhitch.membership.StoreEntry;
-import dunlinhitch.membership.TimingWheel;
-import dunlinhitch.roster.RosterReader;
-import dunlinhitch.roster.dnssd.DnsSource;
-import dunlinhitch.roster.dnssd.Records;
+import dunlinhitch.discovery.EndpointListReader;
+import dunlinhitch.discovery.dnssd.DnsDiscoverySource;
+import dunlinhitch.discovery.dnssd.Records;
+import dunlinhitch.endpoints.Endpoint;
+import dunlinhitch.endpoints.EndpointChange;
+import dunlinhitch.endpoints.EndpointRegistry;
+import dunlinhitch.endpoints.EndpointRegistrySettings;
+import dunlinhitch.endpoints.EndpointStatus;
+import dunlinhitch.endpoints.TimingWheel;
+import dunlinhitch.server.DnsSources;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import java.nio.file.Path;
@@ -86,9 +87,9 @@
   private boolean watch;
 
   private final MicroClock clock = new MicroClock();
-  private final List<DnsSource> sources = new ArrayList<>();
+  private final List<DnsDiscoverySource> sources = new ArrayList<>();
   private final CountDownLatch settled = new CountDownLatch(1);
-  private Membership membership;
+  private EndpointRegistry membership;
   private int whole;
   private int silent;
   private Vertx vertx;
@@ -111,18 +112,18 @@
     if (cells < 1 || withinS < 1) {
       throw new Config.ConfigException("--cells and --within are 1 or more");
     }
-    membership = new Membership(MembershipSettings.of(cells, 1), clock.getAsLong());
+    membership = new EndpointRegistry(EndpointRegistrySettings.of(cells, 1), clock.getAsLong());
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     vertx
         .getOrCreateContext()
         .runOnContext(
             v -> {
               for (Address server : asked.servers()) {
-                DnsSource source =
-                    new DnsSource(
+                DnsDiscoverySource source =
+                    new DnsDiscoverySource(
                         vertx,
-                        RecordSources.settings(asked, server),
-                        new RosterReader(zones, event -> {}),
+                        DnsSources.settings(asked, server),
+                        new EndpointListReader(zones, event -> {}),
                         this::take,
                         line -> {
                           if (watch) {
@@ -133,14 +134,14 @@
                         0);
                 sources.add(source);
               }
-              sources.forEach(DnsSource::start);
+              sources.forEach(DnsDiscoverySource::start);
             });
     boolean all = settled.await(withinS, TimeUnit.SECONDS);
     CountDownLatch printed = new CountDownLatch(1);
     boolean[] any = {false};
     vertx.runOnContext(
         v -> {
-          any[0] = sources.stream().anyMatch(DnsSource::answered);
+          any[0] = sources.stream().anyMatch(DnsDiscoverySource::answered);
           System.out.print(table());
           printed.countDown();
         });
@@ -160,19 +161,20 @@
     vertx.close();
     return all
             && membership.rows().stream()
-                .allMatch(r -> r.status() == Status.LIVE || r.status() == Status.DRAINING)
+                .allMatch(
+                    r -> r.status() == EndpointStatus.LIVE || r.status() == EndpointStatus.DRAINING)
         ? 0
         : 1;
   }
 
   private void take(Event event) {
     long now = clock.getAsLong();
-    if (event instanceof Event.SourceNamed e) {
+    if (event instanceof Event.SourceRegistered e) {
       membership.named(e.source(), e.rank(), false);
-    } else if (event instanceof Event.SourceSaid e) {
+    } else if (event instanceof Event.SourceUpdated e) {
       print(membership.said(now, e.source(), e.whole(), e.claims()));
       whole += e.whole() ? 1 : 0;
-    } else if (event instanceof Event.SourceSilent e) {
+    } else if (event instanceof Event.SourceUnavailable e) {
       print(membership.silent(now, e.source()));
       silent++;
     }
@@ -186,9 +188,9 @@
     }
   }
 
-  private void print(List<Change> changes) {
+  private void print(List<EndpointChange> changes) {
     if (watch) {
-      for (Change c : changes) {
+      for (EndpointChange c : changes) {
         System.out.println(
             java.time.Instant.ofEpochMilli(clock.getAsLong() / 1000)
                 + " "
@@ -201,7 +203,7 @@
     }
   }
 
-  private static String word(Status status) {
+  private static String word(EndpointStatus status) {
     return status.name().toLowerCase(Locale.ROOT).replace('_', ' ');
   }
 
@@ -213,10 +215,10 @@
                 "store", "address", "cell", "says", "left", "status", "why"));
     long now = clock.getAsLong();
     membership.rows().stream()
-        .sorted(Comparator.comparing(Membership.Row::store))
+        .sorted(Comparator.comparing(EndpointRegistry.Row::store))
         .forEach(
             row -> {
-              StoreEntry e = row.entry();
+              Endpoint e = row.entry();
               String left =
                   row.untilUs() == TimingWheel.NEVER
                       ? "followed"
@@ -233,7 +235,7 @@
                       row.reason().words(),
                       servers.size() > 1 ? " [" + row.source() + "]" : ""));
             });
-    for (DnsSource source : sources) {
+    for (DnsDiscoverySource source : sources) {
       for (Records.Shown shown : source.shown()) {
         if (!shown.trouble().isEmpty()) {
           out.append("instance \"")
--- a/src/main/java/dunlinhitch/fleet/Census.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropyDigest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -8,22 +8,22 @@
  * in which they came does not count and two digests that differ can be narrowed down to a few
  * names.
  */
-final class Census {
+final class AntiEntropyDigest {
   static final int BUCKETS = 16;
   private final long[] sums = new long[BUCKETS];
   private final boolean addresses;
   private int size;
 
-  Census(boolean addresses) {
+  AntiEntropyDigest(boolean addresses) {
     this.addresses = addresses;
   }
 
-  void add(Peer peer) {
+  void add(Member peer) {
     sums[bucket(peer.name())] += hash(peer);
     size++;
   }
 
-  void remove(Peer peer) {
+  void remove(Member peer) {
     sums[bucket(peer.name())] -= hash(peer);
     size--;
   }
@@ -59,12 +59,12 @@
   }
 
   static int bucket(String name) {
-    return Math.floorMod(Ranks.of("bucket", name), BUCKETS);
+    return Math.floorMod(RendezvousHash.of("bucket", name), BUCKETS);
   }
 
-  private long hash(Peer peer) {
+  private long hash(Member peer) {
     return !addresses
-        ? Ranks.of(peer.name(), peer.zone())
-        : Ranks.of(peer.name(), peer.zone(), peer.host(), Integer.toString(peer.port()));
+        ? RendezvousHash.of(peer.name(), peer.zone())
+        : RendezvousHash.of(peer.name(), peer.zone(), peer.host(), Integer.toString(peer.port()));
   }
 }
--- a/src/main/java/dunlinhitch/fleet/Fleet.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -25,7 +25,7 @@
  * <p>Where it hears nobody it goes by the brokers that it knew last: were each that is cut off to
  * count itself the only one, all of them together would take every store and every turn.
  */
-public final class Fleet {
+public final class ClusterCoordinator {
   /** So many attempts in a row without an answer, and a store of the subset is stood in for. */
   static final int FAILING = 3;
 
@@ -36,7 +36,7 @@
   private static final int MOST_WAITING = 64;
 
   /** What it asks for; carried out in the order in which it was called. */
-  public interface Out extends View.Out {
+  public interface Out extends MembershipProtocol.Out {
     /**
      * Of all stores of the roster those with these names are kept to from now on; called too where
      * only who takes part has changed.
@@ -47,7 +47,7 @@
     void probe(String store);
 
     /** A probe that was left to others came to this; {@code seen} null: to nothing. */
-    void probed(String store, Signal seen);
+    void probed(String store, EndpointObservation seen);
   }
 
   /** One store of the roster; {@code usable}: new work may go to it. */
@@ -57,20 +57,20 @@
   private record Waiting(long sinceDayUs, long dueDayUs, long endDayUs) {}
 
   private static final class Ride {
-    private final Signal signal;
+    private final EndpointObservation signal;
     private int left = RIDES;
 
-    Ride(Signal signal) {
+    Ride(EndpointObservation signal) {
       this.signal = signal;
     }
   }
 
-  private final FleetSettings settings;
+  private final ClusterSettings settings;
   private final Out out;
-  private final View view;
-  private final Subsets subsets;
-  private final Turns turns;
-  private final Signals signals;
+  private final MembershipProtocol view;
+  private final Subsetting subsets;
+  private final DutyRotation turns;
+  private final ObservationTable signals;
   private final Map<String, Listed> stores = new LinkedHashMap<>();
   private final Map<String, Integer> failed = new HashMap<>();
   private final Map<String, Long> numbers = new HashMap<>();
@@ -82,7 +82,7 @@
   private Set<String> kept = Set.of();
 
   /** What all that is decided goes by; taken anew only between decisions. */
-  private FleetView seen;
+  private ClusterSnapshot seen;
 
   /** The members, or those that it knew last where it hears nobody. */
   private Set<String> takingPart;
@@ -94,14 +94,19 @@
   private long takenOver;
 
   /** {@code self} as the others are to know it; {@code seeds} may hold its own address. */
-  public Fleet(
-      Peer self, List<View.Seed> seeds, FleetSettings settings, long seed, long nowUs, Out out) {
+  public ClusterCoordinator(
+      Member self,
+      List<MembershipProtocol.Seed> seeds,
+      ClusterSettings settings,
+      long seed,
+      long nowUs,
+      Out out) {
     this.settings = settings;
     this.out = out;
-    view = new View(self, seeds, settings.view(), seed, nowUs, out, this::riding);
-    subsets = new Subsets(settings.subsets());
-    turns = new Turns(settings.turnUs(), settings.patienceUs());
-    signals = new Signals(settings.mostStores(), settings.staleUs());
+    view = new MembershipProtocol(self, seeds, settings.view(), seed, nowUs, out, this::riding);
+    subsets = new Subsetting(settings.subsets());
+    turns = new DutyRotation(settings.turnUs(), settings.patienceUs());
+    signals = new ObservationTable(settings.mostStores(), settings.staleUs());
     seen = view.now();
     takingPart = seen.names();
     members = takingPart;
@@ -119,16 +124,16 @@
     return members;
   }
 
-  public View view() {
+  public MembershipProtocol view() {
     return view;
   }
 
   /** The view that the last decision went by. */
-  public FleetView seen() {
+  public ClusterSnapshot seen() {
     return seen;
   }
 
-  public Signals signals() {
+  public ObservationTable signals() {
     return signals;
   }
 
@@ -175,9 +180,9 @@
   }
 
   /** A word of another broker. */
-  public void heard(long nowUs, long dayUs, Word word) {
+  public void heard(long nowUs, long dayUs, GossipMessage word) {
     view.heard(nowUs, word);
-    for (Signal signal : word.signals()) {
+    for (EndpointObservation signal : word.signals()) {
       if (!signal.author().equals(view.self().name()) && signals.take(signal, dayUs)) {
         rides.addFirst(new Ride(signal));
         dirtyCellOf(signal.store());
@@ -212,8 +217,8 @@
             && !report.isEmpty()
             && (shared == null || dayUs - shared >= settings.turnUs())) {
       sharedUs.put(store, dayUs);
-      Signal signal =
-          new Signal(
+      EndpointObservation signal =
+          new EndpointObservation(
               store,
               listed.startedMs(),
               view.self().name(),
@@ -282,8 +287,8 @@
    */
   private void mark(long dayUs, String store, long epoch) {
     Listed listed = stores.get(store);
-    Signal signal =
-        new Signal(
+    EndpointObservation signal =
+        new EndpointObservation(
             store,
             listed.startedMs(),
             view.self().name(),
@@ -347,7 +352,7 @@
 
   private void answerWaiting(long dayUs) {
     for (Map.Entry<String, Waiting> entry : List.copyOf(waiting.entrySet())) {
-      Optional<Signal> seen =
+      Optional<EndpointObservation> seen =
           signals.report(
               entry.getKey(),
               entry.getValue().sinceDayUs() - settings.turnUs(),
@@ -365,8 +370,8 @@
   }
 
   /** The newest first, each a few times, within so many bytes. */
-  private List<Signal> riding(int bytes) {
-    List<Signal> riding = new ArrayList<>();
+  private List<EndpointObservation> riding(int bytes) {
+    List<EndpointObservation> riding = new ArrayList<>();
     int room = bytes;
     for (Ride ride : rides) {
       room -= ride.signal.bytes();
@@ -392,7 +397,7 @@
    * fail.
    */
   private void settle() {
-    FleetView next = view.now();
+    ClusterSnapshot next = view.now();
     if (next != seen) {
       seen = next;
       takingPart = seen.alone() ? takingPart : seen.names();
@@ -412,20 +417,20 @@
     if (dirty.isEmpty() && !others) {
       return;
     }
-    Map<String, List<Subsets.Store>> byCell = new HashMap<>();
+    Map<String, List<Subsetting.Store>> byCell = new HashMap<>();
     stores.values().stream()
         .filter(store -> store.usable() && dirty.contains(store.cell()))
         .forEach(
             store ->
                 byCell
                     .computeIfAbsent(store.cell(), c -> new ArrayList<>())
-                    .add(new Subsets.Store(store.name(), store.zone())));
-    List<Subsets.Member> who =
+                    .add(new Subsetting.Store(store.name(), store.zone())));
+    List<Subsetting.MemberView> who =
         members.stream()
-            .map(name -> new Subsets.Member(name, zones.getOrDefault(name, "")))
+            .map(name -> new Subsetting.MemberView(name, zones.getOrDefault(name, "")))
             .toList();
     for (String cell : dirty) {
-      List<Subsets.Store> there = byCell.get(cell);
+      List<Subsetting.Store> there = byCell.get(cell);
       if (there == null) {
         orders.remove(cell);
       } else {
--- a/src/main/java/dunlinhitch/fleet/FleetSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSettings.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 /**
  * What holds for the brokers together.
@@ -10,18 +10,23 @@
  * @param staleUs what was seen of a store says nothing after so long, in microseconds
  * @param mostStores stores that signals are kept of, at the most
  */
-public record FleetSettings(
-    SubsetRule subsets,
-    ViewSettings view,
+public record ClusterSettings(
+    SubsetSettings subsets,
+    MembershipProtocolSettings view,
     long turnUs,
     long patienceUs,
     long staleUs,
     int mostStores) {
-  public static final FleetSettings STANDARD =
-      new FleetSettings(
-          SubsetRule.STANDARD, ViewSettings.STANDARD, 2_000_000, 800_000, 6_000_000, 10_000);
+  public static final ClusterSettings STANDARD =
+      new ClusterSettings(
+          SubsetSettings.STANDARD,
+          MembershipProtocolSettings.STANDARD,
+          2_000_000,
+          800_000,
+          6_000_000,
+          10_000);
 
-  public FleetSettings {
+  public ClusterSettings {
     if (staleUs <= 0 || mostStores < 1) {
       throw new IllegalArgumentException(
           "signals last above 0 us and are kept of a store or more: "
--- a/src/main/java/dunlinhitch/fleet/FleetView.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
@@ -1,6 +1,6 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
-import dunlinhitch.audit.Versions;
+import dunlinhitch.cluster.versions.VersionVector;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
@@ -24,14 +24,14 @@
  *     held last
  * @param displacedBy another broker that bears this one's name by right, or null
  */
-public record FleetView(
+public record ClusterSnapshot(
     long number,
-    List<Member> members,
+    List<MemberView> members,
     long digest,
     long settledUs,
     Set<String> disagree,
     boolean alone,
-    Peer displacedBy) {
+    Member displacedBy) {
   /**
    * One broker that takes part.
    *
@@ -40,17 +40,17 @@
    * @param versions what it acts on, its build among it; null where it did not say so to this
    *     broker yet
    */
-  public record Member(Peer peer, int accusers, Versions versions) {
+  public record MemberView(Member peer, int accusers, VersionVector versions) {
     public String name() {
       return peer.name();
     }
 
     public boolean isDoubted() {
-      return peer.status() == Peer.Status.SUSPECT;
+      return peer.status() == Member.Status.SUSPECT;
     }
   }
 
-  public FleetView {
+  public ClusterSnapshot {
     members = List.copyOf(members);
     disagree = Set.copyOf(disagree);
   }
@@ -66,7 +66,7 @@
     return names;
   }
 
-  public Optional<Member> member(String name) {
+  public Optional<MemberView> member(String name) {
     return members.stream().filter(member -> member.name().equals(name)).findAny();
   }
 
--- a/src/main/java/dunlinhitch/fleet/Agreement.java
+++ b/src/main/java/dunlinhitch/cluster/Convergence.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.HashSet;
 import java.util.LinkedHashMap;
@@ -7,7 +7,7 @@
 import java.util.Set;
 
 /** Who was heard to hold the same digest and who another, since the own one last changed. */
-final class Agreement {
+final class Convergence {
   private static final int MOST_UNLIKE = 32;
   private final Set<String> alike = new HashSet<>();
 
--- a/src/main/java/dunlinhitch/fleet/Turns.java
+++ b/src/main/java/dunlinhitch/cluster/DutyRotation.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.Collection;
 import java.util.List;
@@ -18,7 +18,7 @@
  * <p>Epochs are counted on the clock of the day, which brokers share but for their offsets; an
  * offset moves a turn by itself and no more.
  */
-public final class Turns {
+public final class DutyRotation {
   private final long epochUs;
   private final long patienceUs;
 
@@ -26,7 +26,7 @@
    * {@code epochUs}: once in so long; {@code patienceUs}: what one place in the row waits for the
    * place before it.
    */
-  public Turns(long epochUs, long patienceUs) {
+  public DutyRotation(long epochUs, long patienceUs) {
     if (epochUs <= 0 || patienceUs <= 0 || patienceUs > epochUs) {
       throw new IllegalArgumentException(
           "a turn's patience is above 0 and at most its epoch: "
@@ -49,7 +49,7 @@
    * their hash.
    */
   public long beginsUs(String task, long epoch) {
-    return epoch * epochUs + Math.floorMod(Ranks.of("phase", task), epochUs);
+    return epoch * epochUs + Math.floorMod(RendezvousHash.of("phase", task), epochUs);
   }
 
   /** The epoch of the task, which begins at a moment of its own, that this moment falls in. */
@@ -65,7 +65,7 @@
 
   /** The row of that epoch, the one whose turn it is first. */
   public List<String> row(String task, long epoch, Collection<String> brokers) {
-    return Ranks.order(brokers, "turn", task, Long.toString(epoch));
+    return RendezvousHash.order(brokers, "turn", task, Long.toString(epoch));
   }
 
   /**
--- a/src/main/java/dunlinhitch/fleet/Signal.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointObservation.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.List;
 
@@ -16,7 +16,7 @@
  *     told none
  * @param failed attempts and probes that failed without an answer since the last that did not
  */
-public record Signal(
+public record EndpointObservation(
     String store,
     long startedMs,
     String author,
@@ -24,7 +24,7 @@
     long seenUs,
     List<Float> report,
     int failed) {
-  public Signal {
+  public EndpointObservation {
     if (store.isEmpty()
         || author.isEmpty()
         || number < 0
@@ -52,7 +52,7 @@
    * True where this one stands in place of the other: of a later life, or of the same and said
    * later.
    */
-  boolean replaces(Signal other) {
+  boolean replaces(EndpointObservation other) {
     if (startedMs != other.startedMs) {
       return startedMs > other.startedMs;
     }
--- a/src/main/java/dunlinhitch/fleet/Word.java
+++ b/src/main/java/dunlinhitch/cluster/GossipMessage.java
@@ -1,6 +1,6 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
-import dunlinhitch.audit.Versions;
+import dunlinhitch.cluster.versions.VersionVector;
 import java.util.List;
 
 /**
@@ -10,8 +10,8 @@
  * @param from who says it
  * @param number the look it belongs to; an answer repeats it. With buckets {@link #COMPARE} or
  *     {@link #COMPARED}
- * @param about whom to ask, for {@link Kind#ASK}; for the answer to it whom the answer is of; else
- *     empty
+ * @param about whom to ask, for {@link Kind#PING_REQUEST}; for the answer to it whom the answer is
+ *     of; else empty
  * @param versions what who says it acts on, or null
  * @param peers what is held of brokers
  * @param signals what was seen of stores
@@ -19,17 +19,17 @@
  * @param buckets the sums that the digest is made of, where it is compared; else empty
  * @param doubts who found whom not to answer
  */
-public record Word(
+public record GossipMessage(
     Kind kind,
-    Peer from,
+    Member from,
     long number,
     String about,
-    Versions versions,
-    List<Peer> peers,
-    List<Signal> signals,
+    VersionVector versions,
+    List<Member> peers,
+    List<EndpointObservation> signals,
     long digest,
     List<Long> buckets,
-    List<Doubt> doubts) {
+    List<SuspicionReport> doubts) {
   /** With buckets: here are mine, tell what differs and yours. */
   static final long COMPARE = 1;
 
@@ -41,15 +41,15 @@
    * tell me of all. LEAVE: I end. NEWS: only what rides on it.
    */
   public enum Kind {
-    LOOK,
-    THERE,
-    ASK,
+    PING,
+    ACK,
+    PING_REQUEST,
     JOIN,
     LEAVE,
-    NEWS
+    GOSSIP
   }
 
-  public Word {
+  public GossipMessage {
     peers = List.copyOf(peers);
     signals = List.copyOf(signals);
     buckets = List.copyOf(buckets);
@@ -57,14 +57,14 @@
   }
 
   /** A word of a broker that tells no digest. */
-  public Word(
+  public GossipMessage(
       Kind kind,
-      Peer from,
+      Member from,
       long number,
       String about,
-      Versions versions,
-      List<Peer> peers,
-      List<Signal> signals) {
+      VersionVector versions,
+      List<Member> peers,
+      List<EndpointObservation> signals) {
     this(kind, from, number, about, versions, peers, signals, 0, List.of(), List.of());
   }
 
@@ -78,8 +78,8 @@
         + (versions == null
             ? 0
             : versions.build().length() + versions.settings().length() + 2 * Long.BYTES)
-        + peers.stream().mapToInt(Peer::bytes).sum()
-        + signals.stream().mapToInt(Signal::bytes).sum()
-        + doubts.stream().mapToInt(Doubt::bytes).sum();
+        + peers.stream().mapToInt(Member::bytes).sum()
+        + signals.stream().mapToInt(EndpointObservation::bytes).sum()
+        + doubts.stream().mapToInt(SuspicionReport::bytes).sum();
   }
 }
--- a/src/main/java/dunlinhitch/fleet/Health.java
+++ b/src/main/java/dunlinhitch/cluster/LocalHealth.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 /**
  * How well this broker itself does, after Lifeguard (Dadgar, Phillips and Currey, 2017): one that
@@ -6,11 +6,11 @@
  * helper's silence alone counts for nothing: where most of a fleet died, it is the helpers that are
  * silent.
  */
-final class Health {
+final class LocalHealth {
   private final int most;
   private int score;
 
-  Health(int most) {
+  LocalHealth(int most) {
     this.most = most;
   }
 
--- a/src/main/java/dunlinhitch/fleet/Peer.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 /**
  * One broker as the others know it.
@@ -11,7 +11,7 @@
  *     starts later than it ended
  * @param status what is held of it
  */
-public record Peer(
+public record Member(
     String name, String zone, String host, int port, long incarnation, Status status) {
   /**
    * Incarnations are times of a start in milliseconds and a few: beyond this nobody could gainsay
@@ -30,7 +30,7 @@
     LEFT
   }
 
-  public Peer {
+  public Member {
     if (name.isEmpty()
         || host.isEmpty()
         || port < 1
@@ -54,12 +54,12 @@
     return status == Status.ALIVE || status == Status.SUSPECT;
   }
 
-  Peer as(Status other) {
-    return new Peer(name, zone, host, port, incarnation, other);
+  Member as(Status other) {
+    return new Member(name, zone, host, port, incarnation, other);
   }
 
-  Peer in(long other) {
-    return new Peer(name, zone, host, port, other, Status.ALIVE);
+  Member in(long other) {
+    return new Member(name, zone, host, port, other, Status.ALIVE);
   }
 
   boolean isAt(String otherHost, int otherPort) {
@@ -80,7 +80,7 @@
    * the same, at the higher address (two that took one name at once); of the same there, and worse.
    * The order is total, so brokers that heard the same in any order hold the same.
    */
-  boolean replaces(Peer other) {
+  boolean replaces(Member other) {
     if (incarnation != other.incarnation) {
       return incarnation > other.incarnation;
     }
--- a/src/main/java/dunlinhitch/fleet/View.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -1,6 +1,6 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
-import dunlinhitch.audit.Versions;
+import dunlinhitch.cluster.versions.VersionVector;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -27,7 +27,7 @@
  * <p>Pure: events in, what is to be sent out. No clock, socket or thread; chance is drawn from the
  * seed. The bounds stand in docs/view.md.
  */
-public final class View {
+public final class MembershipProtocol {
   /** Items of one sort that ride on one word. */
   private static final int MOST_RIDING = 12;
 
@@ -51,7 +51,7 @@
 
   /** Where the words of this broker go; carried out in the order in which they were called. */
   public interface Out {
-    void send(String host, int port, Word word);
+    void send(String host, int port, GossipMessage word);
   }
 
   /** An address to begin with. */
@@ -67,24 +67,24 @@
   private record Repeat(String name, int time) {}
 
   /** A look for another broker. */
-  private record Errand(Peer client, long number, long untilUs) {}
+  private record Errand(Member client, long number, long untilUs) {}
 
-  private final ViewSettings settings;
+  private final MembershipProtocolSettings settings;
   private final List<Seed> seeds;
   private final SplittableRandom random;
   private final Out out;
-  private final IntFunction<List<Signal>> riding;
-  private final Health health;
-  private final Suspicions suspicions;
-  private final Census census;
-  private final Agreement agreement = new Agreement();
-  private final Map<String, Peer> peers = new LinkedHashMap<>();
-  private final Map<String, Versions> acting = new HashMap<>();
+  private final IntFunction<List<EndpointObservation>> riding;
+  private final LocalHealth health;
+  private final SuspicionTable suspicions;
+  private final AntiEntropyDigest census;
+  private final Convergence agreement = new Convergence();
+  private final Map<String, Member> peers = new LinkedHashMap<>();
+  private final Map<String, VersionVector> acting = new HashMap<>();
 
   /** Since when the dead are dead, and who left is gone. */
   private final Map<String, Long> sinceUs = new HashMap<>();
 
-  private final News<String> news = new News<>();
+  private final UpdateQueue<String> news = new UpdateQueue<>();
   private final Map<Long, Look> looks = new LinkedHashMap<>();
   private final Map<Long, Errand> errands = new LinkedHashMap<>();
   private final Deque<Repeat> repeats = new ArrayDeque<>();
@@ -93,8 +93,8 @@
   /** Where brokers were that were dead for long. */
   private final Set<Seed> addresses = new LinkedHashSet<>();
 
-  private Peer self;
-  private Peer displacedBy;
+  private Member self;
+  private Member displacedBy;
   private long digest;
   private long nextLookUs;
   private long heardUs = Long.MIN_VALUE;
@@ -105,56 +105,57 @@
   private long version;
   private long refused;
   private long declared;
-  private Versions versions;
-  private FleetView view;
+  private VersionVector versions;
+  private ClusterSnapshot view;
   private long views;
 
   /**
    * {@code self} is alive under an incarnation later than any before: the time of its start will
    * do. {@code riding}: what else goes with the next word, within so many bytes.
    */
-  public View(
-      Peer self,
+  public MembershipProtocol(
+      Member self,
       List<Seed> seeds,
-      ViewSettings settings,
+      MembershipProtocolSettings settings,
       long seed,
       long nowUs,
       Out out,
-      IntFunction<List<Signal>> riding) {
+      IntFunction<List<EndpointObservation>> riding) {
     this.self = self;
     this.seeds = seeds.stream().filter(s -> !self.isAt(s.host(), s.port())).toList();
     this.settings = settings;
     this.out = out;
     this.riding = riding;
     random = new SplittableRandom(seed);
-    health = new Health(settings.mostHealth());
-    census = new Census(settings.addresses());
-    suspicions = new Suspicions(settings);
+    health = new LocalHealth(settings.mostHealth());
+    census = new AntiEntropyDigest(settings.addresses());
+    suspicions = new SuspicionTable(settings);
     nextLookUs = nowUs;
     pageBytesLeft = settings.pageBytes();
     census.add(self);
     digest = census.digest();
   }
 
-  public Peer self() {
+  public Member self() {
     return self;
   }
 
   /** What is held now; the same one until something of it changes. */
-  public FleetView now() {
+  public ClusterSnapshot now() {
     if (view == null) {
-      List<FleetView.Member> members = new ArrayList<>();
-      members.add(new FleetView.Member(displacedBy == null ? self : displacedBy, 0, versions));
+      List<ClusterSnapshot.MemberView> members = new ArrayList<>();
+      members.add(
+          new ClusterSnapshot.MemberView(displacedBy == null ? self : displacedBy, 0, versions));
       peers.values().stream()
-          .filter(Peer::takesPart)
+          .filter(Member::takesPart)
           .forEach(
               peer ->
                   members.add(
-                      new FleetView.Member(
+                      new ClusterSnapshot.MemberView(
                           peer, suspicions.accusers(peer.name()), acting.get(peer.name()))));
       members.sort((a, b) -> a.name().compareTo(b.name()));
       view =
-          new FleetView(
+          new ClusterSnapshot(
               ++views,
               members,
               digest,
@@ -167,7 +168,7 @@
   }
 
   /** All that is held of others. */
-  public Collection<Peer> peers() {
+  public Collection<Member> peers() {
     return List.copyOf(peers.values());
   }
 
@@ -207,7 +208,7 @@
   }
 
   /** What this broker acts on; each word says it. */
-  public void acts(Versions on) {
+  public void acts(VersionVector on) {
     versions = on;
     view = null;
   }
@@ -254,7 +255,12 @@
             errand -> {
               boolean over = nowUs >= errand.untilUs();
               if (over && knowsItself()) { // the client shall know that its helper lives
-                say(errand.client().host(), errand.client().port(), Word.Kind.NEWS, 0, "");
+                say(
+                    errand.client().host(),
+                    errand.client().port(),
+                    GossipMessage.Kind.GOSSIP,
+                    0,
+                    "");
               }
               return over;
             });
@@ -271,7 +277,7 @@
     for (String name : List.copyOf(suspicions.names())) {
       if (nowUs >= suspectedUntilUs(name)) {
         declared++;
-        hold(peers.get(name).as(Peer.Status.DEAD), nowUs);
+        hold(peers.get(name).as(Member.Status.DEAD), nowUs);
       }
     }
     for (String name : List.copyOf(sinceUs.keySet())) {
@@ -297,8 +303,8 @@
                   say(
                       peer.host(),
                       peer.port(),
-                      Word.Kind.NEWS,
-                      Word.COMPARE,
+                      GossipMessage.Kind.GOSSIP,
+                      GossipMessage.COMPARE,
                       "",
                       census.buckets()));
     }
@@ -329,7 +335,7 @@
     if (heardUs < look.sinceUs()) {
       health.worse(1);
     }
-    Peer peer = peers.get(look.name());
+    Member peer = peers.get(look.name());
     if (peer == null || !peer.takesPart() || knowsItself() && alone()) {
       return;
     }
@@ -339,24 +345,26 @@
       }
       return;
     }
-    if (peer.status() == Peer.Status.ALIVE) {
-      peer = peer.as(Peer.Status.SUSPECT);
+    if (peer.status() == Member.Status.ALIVE) {
+      peer = peer.as(Member.Status.SUSPECT);
       hold(peer, nowUs);
-      suspicions.accused(new Doubt(peer.name(), peer.incarnation(), self.name()));
+      suspicions.accused(new SuspicionReport(peer.name(), peer.incarnation(), self.name()));
       if (knowsItself()) { // before anybody else
-        say(peer.host(), peer.port(), Word.Kind.NEWS, 0, "");
+        say(peer.host(), peer.port(), GossipMessage.Kind.GOSSIP, 0, "");
       }
     } else {
       view =
-          suspicions.accused(new Doubt(peer.name(), peer.incarnation(), self.name())) ? null : view;
+          suspicions.accused(new SuspicionReport(peer.name(), peer.incarnation(), self.name()))
+              ? null
+              : view;
     }
   }
 
   private void forget(String name) {
-    Peer gone = peers.remove(name);
+    Member gone = peers.remove(name);
     sinceUs.remove(name);
     news.forget(name);
-    if (gone.status() == Peer.Status.DEAD && compares()) {
+    if (gone.status() == Member.Status.DEAD && compares()) {
       addresses.add(new Seed(gone.host(), gone.port()));
       if (addresses.size() > MOST_ADDRESSES) {
         addresses.remove(addresses.iterator().next());
@@ -366,7 +374,7 @@
 
   private void look(long nowUs) {
     boolean rowEnds = row.isEmpty();
-    Peer next = nextInRow();
+    Member next = nextInRow();
     if (next == null
         || alone()) { // nobody is known, or nobody answers: those that were named at the start may
       // be there
@@ -380,14 +388,14 @@
     }
     for (int i = 0; i < REPEATED && !repeats.isEmpty(); i++) {
       Repeat repeat = repeats.remove();
-      Peer peer = peers.get(repeat.name());
+      Member peer = peers.get(repeat.name());
       if (peer != null && peer.takesPart()) {
         look(peer, repeat.time(), nowUs);
       }
     }
   }
 
-  private void look(Peer at, int time, long nowUs) {
+  private void look(Member at, int time, long nowUs) {
     looks.put(
         ++nextNumber,
         new Look(
@@ -397,7 +405,7 @@
             nowUs + health.stretched(settings.answerUs()),
             nowUs + health.stretched(2 * settings.answerUs()),
             new boolean[1]));
-    say(at.host(), at.port(), Word.Kind.LOOK, nextNumber, "");
+    say(at.host(), at.port(), GossipMessage.Kind.PING, nextNumber, "");
   }
 
   /** Asks so many of the addresses where no member is. */
@@ -406,12 +414,12 @@
     addresses.stream().filter(address -> !seeds.contains(address)).forEach(free::add);
     if (compares()) {
       peers.values().stream()
-          .filter(Peer::takesPart)
+          .filter(Member::takesPart)
           .forEach(peer -> free.remove(new Seed(peer.host(), peer.port())));
     }
     for (int i = 0; i < most && !free.isEmpty(); i++) {
       Seed address = free.remove(compares() ? random.nextInt(free.size()) : 0);
-      say(address.host(), address.port(), Word.Kind.JOIN, ++nextNumber, "");
+      say(address.host(), address.port(), GossipMessage.Kind.JOIN, ++nextNumber, "");
     }
   }
 
@@ -419,14 +427,14 @@
    * Each that takes part once, in a shuffled row; then anew. The dead are looked at too, one a
    * round: a cut may have healed.
    */
-  private Peer nextInRow() {
+  private Member nextInRow() {
     while (true) {
       if (row.isEmpty()) {
         List<String> dead = new ArrayList<>();
-        for (Peer peer : peers.values()) {
+        for (Member peer : peers.values()) {
           if (peer.takesPart()) {
             row.add(random.nextInt(row.size() + 1), peer.name());
-          } else if (peer.status() == Peer.Status.DEAD) {
+          } else if (peer.status() == Member.Status.DEAD) {
             dead.add(peer.name());
           }
         }
@@ -437,8 +445,8 @@
           return null;
         }
       }
-      Peer peer = peers.get(row.remove(row.size() - 1));
-      if (peer != null && peer.status() != Peer.Status.LEFT) {
+      Member peer = peers.get(row.remove(row.size() - 1));
+      if (peer != null && peer.status() != Member.Status.LEFT) {
         return peer;
       }
     }
@@ -449,11 +457,11 @@
    * itself is: any word may have been lost.
    */
   private void askOthers(long number, Look look) {
-    List<Peer> others = new ArrayList<>();
+    List<Member> others = new ArrayList<>();
     peers.values().stream()
-        .filter(peer -> peer.status() == Peer.Status.ALIVE && !peer.name().equals(look.name()))
+        .filter(peer -> peer.status() == Member.Status.ALIVE && !peer.name().equals(look.name()))
         .forEach(others::add);
-    List<Peer> left = new ArrayList<>(others);
+    List<Member> left = new ArrayList<>(others);
     for (int i = 0; i < settings.helpers() && !others.isEmpty(); i++) {
       if (left.isEmpty()) {
         if (!knowsItself()) {
@@ -461,12 +469,12 @@
         }
         left.addAll(others);
       }
-      Peer helper = left.remove(random.nextInt(left.size()));
-      say(helper.host(), helper.port(), Word.Kind.ASK, number, look.name());
+      Member helper = left.remove(random.nextInt(left.size()));
+      say(helper.host(), helper.port(), GossipMessage.Kind.PING_REQUEST, number, look.name());
     }
-    Peer peer = peers.get(look.name());
+    Member peer = peers.get(look.name());
     if (knowsItself() && peer != null) {
-      say(peer.host(), peer.port(), Word.Kind.LOOK, number, "");
+      say(peer.host(), peer.port(), GossipMessage.Kind.PING, number, "");
     }
   }
 
@@ -474,8 +482,8 @@
    * One word came in. What it says of its sender and of others is merged; what can not be is passed
    * over.
    */
-  public void heard(long nowUs, Word word) {
-    Peer from = word.from();
+  public void heard(long nowUs, GossipMessage word) {
+    Member from = word.from();
     if (from.name().equals(self.name()) && self.isAt(from.host(), from.port())) {
       return; // its own word, or one of its earlier life
     }
@@ -489,33 +497,33 @@
     word.doubts().forEach(doubt -> merge(doubt, nowUs));
     compare(word, nowUs);
     switch (word.kind()) {
-      case LOOK -> say(from.host(), from.port(), Word.Kind.THERE, word.number(), "");
+      case PING -> say(from.host(), from.port(), GossipMessage.Kind.ACK, word.number(), "");
       case JOIN -> {
         if (!compares()) {
           news.allFresh(
               peers.keySet()); // a newcomer, or one that was cut off, is told all that there is
         }
-        say(from.host(), from.port(), Word.Kind.THERE, word.number(), "");
+        say(from.host(), from.port(), GossipMessage.Kind.ACK, word.number(), "");
         if (compares() && word.digest() != digest) {
           tellPages(from, census.differing(List.of()));
         }
       }
-      case ASK -> {
-        Peer asked = peers.get(word.about());
+      case PING_REQUEST -> {
+        Member asked = peers.get(word.about());
         if (asked != null && errands.size() < settings.mostPeers()) {
           // less than the client waits, so that it hears of its helper at any rate
           errands.put(
               ++nextNumber, new Errand(from, word.number(), nowUs + settings.answerUs() * 3 / 4));
-          say(asked.host(), asked.port(), Word.Kind.LOOK, nextNumber, "");
+          say(asked.host(), asked.port(), GossipMessage.Kind.PING, nextNumber, "");
         }
       }
-      case THERE -> {
+      case ACK -> {
         Errand errand = errands.remove(word.number());
         if (errand != null) {
           say(
               errand.client().host(),
               errand.client().port(),
-              Word.Kind.THERE,
+              GossipMessage.Kind.ACK,
               errand.number(),
               from.name());
         }
@@ -525,7 +533,7 @@
           answered(look, nowUs);
         }
       }
-      case LEAVE, NEWS -> {
+      case LEAVE, GOSSIP -> {
         // what they say was merged
       }
     }
@@ -545,9 +553,9 @@
    * What the word says of the set as a whole: its digest, and where that is taken apart, what
    * differs.
    */
-  private void compare(Word word, long nowUs) {
-    Peer from = word.from();
-    Peer held = peers.get(from.name());
+  private void compare(GossipMessage word, long nowUs) {
+    Member from = word.from();
+    Member held = peers.get(from.name());
     boolean same = word.digest() == digest;
     if (held != null && held.takesPart() && held.isAt(from.host(), from.port())) {
       if (word.versions() != null
@@ -561,8 +569,14 @@
     if (word.buckets().isEmpty() || !compares()) {
       return;
     }
-    if (word.number() == Word.COMPARE) {
-      say(from.host(), from.port(), Word.Kind.NEWS, Word.COMPARED, "", census.buckets());
+    if (word.number() == GossipMessage.COMPARE) {
+      say(
+          from.host(),
+          from.port(),
+          GossipMessage.Kind.GOSSIP,
+          GossipMessage.COMPARED,
+          "",
+          census.buckets());
     }
     if (!same) {
       tellPages(from, census.differing(word.buckets()));
@@ -583,14 +597,16 @@
    * All that is held in these buckets, as far as this period's purse goes, from anywhere on: the
    * rest comes with another exchange.
    */
-  private void tellPages(Peer to, boolean[] buckets) {
-    List<Peer> all = new ArrayList<>();
-    peers.values().stream().filter(peer -> buckets[Census.bucket(peer.name())]).forEach(all::add);
+  private void tellPages(Member to, boolean[] buckets) {
+    List<Member> all = new ArrayList<>();
+    peers.values().stream()
+        .filter(peer -> buckets[AntiEntropyDigest.bucket(peer.name())])
+        .forEach(all::add);
     int from = all.isEmpty() ? 0 : random.nextInt(all.size());
-    List<Peer> page = new ArrayList<>();
+    List<Member> page = new ArrayList<>();
     int left = room(List.of(), "");
     for (int i = 0; i < all.size(); i++) {
-      Peer peer = all.get((from + i) % all.size());
+      Member peer = all.get((from + i) % all.size());
       if (peer.bytes() > left) {
         if (!tellPage(to, page)) {
           return;
@@ -606,10 +622,10 @@
     }
   }
 
-  private boolean tellPage(Peer to, List<Peer> page) {
-    Word word =
-        new Word(
-            Word.Kind.NEWS,
+  private boolean tellPage(Member to, List<Member> page) {
+    GossipMessage word =
+        new GossipMessage(
+            GossipMessage.Kind.GOSSIP,
             self,
             0,
             "",
@@ -629,39 +645,39 @@
 
   /** Has that broker told at once what rides on words, if it takes part. */
   public void tell(String name) {
-    Peer peer = peers.get(name);
+    Member peer = peers.get(name);
     if (peer != null && peer.takesPart()) {
-      say(peer.host(), peer.port(), Word.Kind.NEWS, 0, "");
+      say(peer.host(), peer.port(), GossipMessage.Kind.GOSSIP, 0, "");
     }
   }
 
   /** This broker ends: all that are known are told, so that none has to find it out. */
   public void leave() {
-    self = self.as(Peer.Status.LEFT);
+    self = self.as(Member.Status.LEFT);
     for (int i = 0;
         i < (knowsItself() ? 2 : 1);
         i++) { // who does not hear it must find it out: it is said twice
       peers.values().stream()
-          .filter(Peer::takesPart)
-          .forEach(peer -> say(peer.host(), peer.port(), Word.Kind.LEAVE, 0, ""));
+          .filter(Member::takesPart)
+          .forEach(peer -> say(peer.host(), peer.port(), GossipMessage.Kind.LEAVE, 0, ""));
     }
   }
 
-  private void merge(Doubt doubt, long nowUs) {
-    Peer held = peers.get(doubt.name());
+  private void merge(SuspicionReport doubt, long nowUs) {
+    Member held = peers.get(doubt.name());
     if (doubt.name().equals(self.name())) {
       if (doubt.incarnation() == self.incarnation()) {
-        ofSelf(self.as(Peer.Status.SUSPECT));
+        ofSelf(self.as(Member.Status.SUSPECT));
       }
     } else if (held != null && held.incarnation() == doubt.incarnation() && held.takesPart()) {
-      if (held.status() == Peer.Status.ALIVE) {
-        hold(held.as(Peer.Status.SUSPECT), nowUs);
+      if (held.status() == Member.Status.ALIVE) {
+        hold(held.as(Member.Status.SUSPECT), nowUs);
       }
       view = suspicions.accused(doubt) ? null : view;
     }
   }
 
-  private void merge(Peer said, long nowUs) {
+  private void merge(Member said, long nowUs) {
     if (!said.isBelievable()) {
       refused++;
       return;
@@ -670,7 +686,7 @@
       ofSelf(said);
       return;
     }
-    Peer held = peers.get(said.name());
+    Member held = peers.get(said.name());
     if (held == null && !said.takesPart() && compares()) {
       return; // it was forgotten here: those who remember it a little longer would bring it back
       // for all, for ever
@@ -683,16 +699,16 @@
   }
 
   /** What others say of the name that this broker bears. */
-  private void ofSelf(Peer said) {
-    if (self.status() != Peer.Status.ALIVE) {
+  private void ofSelf(Member said) {
+    if (self.status() != Member.Status.ALIVE) {
       return;
     }
     boolean here = self.isAt(said.host(), said.port());
     if (here
         && (said.incarnation() > self.incarnation()
-            || said.incarnation() == self.incarnation() && said.status() != Peer.Status.ALIVE)) {
+            || said.incarnation() == self.incarnation() && said.status() != Member.Status.ALIVE)) {
       if (displacedBy == null) { // it is not, or an earlier life was: it says this itself
-        health.worse(said.status() == Peer.Status.SUSPECT ? 1 : 0);
+        health.worse(said.status() == Member.Status.SUSPECT ? 1 : 0);
         become(self.in(said.incarnation() + 1), null);
       }
     } else if (!here
@@ -706,7 +722,7 @@
     }
   }
 
-  private void become(Peer own, Peer other) {
+  private void become(Member own, Member other) {
     census.remove(displacedBy == null ? self : displacedBy);
     self = own;
     displacedBy = other;
@@ -715,9 +731,9 @@
     view = null;
   }
 
-  private void hold(Peer peer, long nowUs) {
-    Peer before = peers.put(peer.name(), peer);
-    if (peer.status() == Peer.Status.SUSPECT) {
+  private void hold(Member peer, long nowUs) {
+    Member before = peers.put(peer.name(), peer);
+    if (peer.status() == Member.Status.SUSPECT) {
       suspicions.begin(peer.name(), peer.incarnation(), nowUs);
     } else {
       suspicions.end(peer.name());
@@ -756,14 +772,14 @@
     }
   }
 
-  private void say(String host, int port, Word.Kind kind, long number, String about) {
+  private void say(String host, int port, GossipMessage.Kind kind, long number, String about) {
     say(host, port, kind, number, about, List.of());
   }
 
   private int room(List<Long> buckets, String about) {
     return settings.wordBytes()
-        - new Word(
-                Word.Kind.NEWS,
+        - new GossipMessage(
+                GossipMessage.Kind.GOSSIP,
                 self,
                 0,
                 about,
@@ -777,7 +793,12 @@
   }
 
   private void say(
-      String host, int port, Word.Kind kind, long number, String about, List<Long> buckets) {
+      String host,
+      int port,
+      GossipMessage.Kind kind,
+      long number,
+      String about,
+      List<Long> buckets) {
     int left = room(buckets, about);
     Set<String> chosen = new LinkedHashSet<>();
     notAlive()
@@ -786,21 +807,21 @@
         .forEach(chosen::add);
     chosen.addAll(news.next(MOST_RIDING));
     int times = TOLD_TIMES * (1 + logarithm(peers.size()));
-    List<Peer> riders = new ArrayList<>();
+    List<Member> riders = new ArrayList<>();
     for (String name : chosen) {
-      Peer peer = peers.get(name);
+      Member peer = peers.get(name);
       if (peer.bytes() <= left) {
         left -= peer.bytes();
         riders.add(peer);
         news.rides(name, times);
       }
     }
-    List<Doubt> doubts = suspicions.riding(MOST_RIDING, left, times);
-    left -= doubts.stream().mapToInt(Doubt::bytes).sum();
+    List<SuspicionReport> doubts = suspicions.riding(MOST_RIDING, left, times);
+    left -= doubts.stream().mapToInt(SuspicionReport::bytes).sum();
     out.send(
         host,
         port,
-        new Word(
+        new GossipMessage(
             kind,
             self,
             number,
--- a/src/main/java/dunlinhitch/fleet/ViewSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 /**
  * The times and bounds of the brokers' view of each other, times in microseconds.
@@ -20,7 +20,7 @@
  * @param addresses whether digests are of the addresses too; not where each broker may be told
  *     others for the same one
  */
-public record ViewSettings(
+public record MembershipProtocolSettings(
     long everyUs,
     long answerUs,
     int helpers,
@@ -34,13 +34,13 @@
     int pageBytes,
     boolean addresses) {
   /** One look a 200 ms; the bounds that follow from these stand in docs/view.md. */
-  public static final ViewSettings STANDARD =
-      new ViewSettings(200_000, 80_000, 3, 1_000_000, 30_000_000, 1024);
+  public static final MembershipProtocolSettings STANDARD =
+      new MembershipProtocolSettings(200_000, 80_000, 3, 1_000_000, 30_000_000, 1024);
 
   /** The least that a word's own part, one broker and a row of buckets fit in. */
   private static final int LEAST_WORD = 256;
 
-  public ViewSettings {
+  public MembershipProtocolSettings {
     if (everyUs <= 0
         || answerUs <= 0
         || 2 * answerUs > everyUs
@@ -85,14 +85,14 @@
   }
 
   /** The times given, and the standard for all else. */
-  public ViewSettings(
+  public MembershipProtocolSettings(
       long everyUs, long answerUs, int helpers, long suspectUs, long forgetUs, int mostPeers) {
     this(everyUs, answerUs, helpers, suspectUs, forgetUs, mostPeers, 3, 8, 4, 1_200, 4_800, true);
   }
 
   /** Words of that size at the most. */
-  public ViewSettings withWords(int bytes) {
-    return new ViewSettings(
+  public MembershipProtocolSettings withWords(int bytes) {
+    return new MembershipProtocolSettings(
         everyUs,
         answerUs,
         helpers,
@@ -108,8 +108,8 @@
   }
 
   /** With addresses in the digests or without. */
-  public ViewSettings withAddresses(boolean compared) {
-    return new ViewSettings(
+  public MembershipProtocolSettings withAddresses(boolean compared) {
+    return new MembershipProtocolSettings(
         everyUs,
         answerUs,
         helpers,
@@ -125,8 +125,8 @@
   }
 
   /** The view as it was before it knew itself and compared digests, to measure against. */
-  public ViewSettings plain() {
-    return new ViewSettings(
+  public MembershipProtocolSettings plain() {
+    return new MembershipProtocolSettings(
         everyUs, answerUs, 2, suspectUs, forgetUs, mostPeers, 1, 0, 1, 32_768, 0, addresses);
   }
 }
--- a/src/main/java/dunlinhitch/fleet/Signals.java
+++ b/src/main/java/dunlinhitch/cluster/ObservationTable.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,7 +13,7 @@
  * heard the same signals in any order, any number of times, hold the same. Bounded by {@code
  * mostStores} and {@code MOST_AUTHORS}; what is older than {@code staleUs} says nothing.
  */
-public final class Signals {
+public final class ObservationTable {
   /**
    * One store's load is one figure; a few that saw it tell a store that fails from a link that
    * does.
@@ -24,19 +24,19 @@
    * Order of one store's signals: what is kept first. It is total, so what is kept depends on the
    * set alone.
    */
-  private static final Comparator<Signal> LATEST =
-      Comparator.comparingLong(Signal::startedMs)
-          .thenComparingLong(Signal::seenUs)
-          .thenComparingLong(Signal::number)
-          .thenComparing(Signal::author)
+  private static final Comparator<EndpointObservation> LATEST =
+      Comparator.comparingLong(EndpointObservation::startedMs)
+          .thenComparingLong(EndpointObservation::seenUs)
+          .thenComparingLong(EndpointObservation::number)
+          .thenComparing(EndpointObservation::author)
           .reversed();
 
   private final int mostStores;
   private final long staleUs;
-  private final Map<String, List<Signal>> byStore = new LinkedHashMap<>();
+  private final Map<String, List<EndpointObservation>> byStore = new LinkedHashMap<>();
   private long refused;
 
-  public Signals(int mostStores, long staleUs) {
+  public ObservationTable(int mostStores, long staleUs) {
     this.mostStores = mostStores;
     this.staleUs = staleUs;
   }
@@ -46,11 +46,11 @@
    * of a life that is over or beyond the bound is passed over; one from the future (a clock that is
    * ahead) counts as seen now, so that it can not outlive the truth.
    */
-  public boolean take(Signal told, long nowUs) {
-    Signal signal =
+  public boolean take(EndpointObservation told, long nowUs) {
+    EndpointObservation signal =
         told.seenUs() <= nowUs
             ? told
-            : new Signal(
+            : new EndpointObservation(
                 told.store(),
                 told.startedMs(),
                 told.author(),
@@ -61,7 +61,7 @@
     if (nowUs - signal.seenUs() > staleUs) {
       return false;
     }
-    List<Signal> held = byStore.get(signal.store());
+    List<EndpointObservation> held = byStore.get(signal.store());
     if (held == null) {
       if (byStore.size() >= mostStores) {
         refused++;
@@ -73,7 +73,7 @@
     if (!held.isEmpty() && held.get(0).startedMs() > signal.startedMs()) {
       return false;
     }
-    for (Signal other : held) {
+    for (EndpointObservation other : held) {
       if (other.author().equals(signal.author()) && !signal.replaces(other)) {
         return false;
       }
@@ -92,7 +92,7 @@
    * The latest report of the store that was seen after {@code sinceUs} by another than {@code
    * self}, if there is one.
    */
-  public Optional<Signal> report(String store, long sinceUs, String self) {
+  public Optional<EndpointObservation> report(String store, long sinceUs, String self) {
     return byStore.getOrDefault(store, List.of()).stream()
         .filter(s -> !s.author().equals(self) && s.seenUs() > sinceUs && !s.report().isEmpty())
         .findFirst();
@@ -120,7 +120,7 @@
   }
 
   /** All that is held, for a newcomer. */
-  public List<Signal> all() {
+  public List<EndpointObservation> all() {
     return byStore.values().stream().flatMap(List::stream).toList();
   }
 
--- a/src/main/java/dunlinhitch/fleet/Ranks.java
+++ b/src/main/java/dunlinhitch/cluster/RendezvousHash.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import com.google.common.hash.HashFunction;
 import com.google.common.hash.Hasher;
@@ -15,11 +15,11 @@
  * the key is highest. All who know the same names find the same order, and one name that comes or
  * goes moves no two others against each other.
  */
-public final class Ranks {
+public final class RendezvousHash {
   /** The same at every broker and in every version: an order that differed would be two orders. */
   private static final HashFunction HASH = Hashing.murmur3_128(0x64756e6c);
 
-  private Ranks() {}
+  private RendezvousHash() {}
 
   /** Of a key in several words; where one ends and the next begins counts. */
   static long of(String... words) {
--- a/src/main/java/dunlinhitch/fleet/Facts.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -16,9 +16,9 @@
  * merging, age and bounds are written here once. No clock, no chance, no threads: the caller says
  * what time it is.
  */
-public final class Facts<K, V> {
+public final class ReplicatedMap<K, V> {
   /** What became of a fact that was told. */
-  public enum Took {
+  public enum MergeResult {
     NEWS,
     KNOWN,
     OLD,
@@ -29,50 +29,51 @@
   private record Place<K>(K key, String author) {}
 
   /** A fact and the count of changes at which it came in. */
-  private record Held<K, V>(Fact<K, V> fact, long version) {}
+  private record Held<K, V>(ReplicatedEntry<K, V> fact, long version) {}
 
-  private final FactsRule rule;
+  private final ReplicatedMapSettings rule;
   private final Map<Place<K>, Held<K, V>> held = new HashMap<>();
 
   /** The first is the first to go. */
-  private final TreeSet<Fact<K, V>> byAge;
+  private final TreeSet<ReplicatedEntry<K, V>> byAge;
 
-  private final Map<String, TreeSet<Fact<K, V>>> byAuthor = new HashMap<>();
-  private final Comparator<Fact<K, V>> age;
+  private final Map<String, TreeSet<ReplicatedEntry<K, V>>> byAuthor = new HashMap<>();
+  private final Comparator<ReplicatedEntry<K, V>> age;
   private long version;
 
   /** {@code order} is a total order of the keys, the same at every broker. */
-  public Facts(FactsRule rule, Comparator<? super K> order) {
+  public ReplicatedMap(ReplicatedMapSettings rule, Comparator<? super K> order) {
     this.rule = rule;
     age =
-        Comparator.<Fact<K, V>>comparingLong(Fact::atUs)
-            .thenComparing(Fact::author)
-            .thenComparing(Fact::key, order);
+        Comparator.<ReplicatedEntry<K, V>>comparingLong(ReplicatedEntry::atUs)
+            .thenComparing(ReplicatedEntry::author)
+            .thenComparing(ReplicatedEntry::key, order);
     byAge = new TreeSet<>(age);
   }
 
   /**
-   * Takes what was told, be it the author's own word or another's: only {@link Took#NEWS} changes
-   * anything.
+   * Takes what was told, be it the author's own word or another's: only {@link MergeResult#NEWS}
+   * changes anything.
    */
-  public Took take(long nowUs, Fact<K, V> told) {
+  public MergeResult take(long nowUs, ReplicatedEntry<K, V> told) {
     Objects.requireNonNull(told.key());
     forget(nowUs);
     if (told.atUs() > nowUs + rule.skewUs()) {
-      return Took.FROM_THE_FUTURE;
+      return MergeResult.FROM_THE_FUTURE;
     }
     if (told.atUs() <= nowUs - rule.lifeUs()) {
-      return Took.OLD;
+      return MergeResult.OLD;
     }
     Place<K> place = new Place<>(told.key(), told.author());
     Held<K, V> before = held.get(place);
     if (before != null && before.fact().atUs() >= told.atUs()) {
-      return before.fact().atUs() == told.atUs() ? Took.KNOWN : Took.OLD;
+      return before.fact().atUs() == told.atUs() ? MergeResult.KNOWN : MergeResult.OLD;
     }
     if (before != null) {
       remove(before.fact());
     }
-    TreeSet<Fact<K, V>> own = byAuthor.computeIfAbsent(told.author(), author -> new TreeSet<>(age));
+    TreeSet<ReplicatedEntry<K, V>> own =
+        byAuthor.computeIfAbsent(told.author(), author -> new TreeSet<>(age));
     held.put(place, new Held<>(told, ++version));
     own.add(told);
     byAge.add(told);
@@ -82,7 +83,7 @@
     if (byAge.size() > rule.most()) {
       remove(byAge.first());
     }
-    return held.containsKey(place) ? Took.NEWS : Took.CROWDED_OUT;
+    return held.containsKey(place) ? MergeResult.NEWS : MergeResult.CROWDED_OUT;
   }
 
   /**
@@ -100,10 +101,10 @@
     List.copyOf(byAuthor.getOrDefault(author, new TreeSet<>(age))).forEach(this::remove);
   }
 
-  private void remove(Fact<K, V> fact) {
+  private void remove(ReplicatedEntry<K, V> fact) {
     held.remove(new Place<>(fact.key(), fact.author()));
     byAge.remove(fact);
-    TreeSet<Fact<K, V>> own = byAuthor.get(fact.author());
+    TreeSet<ReplicatedEntry<K, V>> own = byAuthor.get(fact.author());
     own.remove(fact);
     if (own.isEmpty()) {
       byAuthor.remove(fact.author());
@@ -111,18 +112,18 @@
   }
 
   /** What that author last said of the key, or null. */
-  public Fact<K, V> of(K key, String author) {
+  public ReplicatedEntry<K, V> of(K key, String author) {
     Held<K, V> found = held.get(new Place<>(key, author));
     return found == null ? null : found.fact();
   }
 
   /** All that is held, the latest first, in the same order at every broker that holds the same. */
-  public List<Fact<K, V>> all() {
+  public List<ReplicatedEntry<K, V>> all() {
     return List.copyOf(byAge.descendingSet());
   }
 
   /** What each author last said of the key, the latest first. */
-  public List<Fact<K, V>> of(K key) {
+  public List<ReplicatedEntry<K, V>> of(K key) {
     return byAge.descendingSet().stream().filter(fact -> fact.key().equals(key)).toList();
   }
 
@@ -132,9 +133,9 @@
   }
 
   /** The latest {@code most} of what came in after that version: what is still to be passed on. */
-  public List<Fact<K, V>> since(long version, int most) {
-    List<Fact<K, V>> news = new ArrayList<>();
-    for (Fact<K, V> fact : byAge.descendingSet()) {
+  public List<ReplicatedEntry<K, V>> since(long version, int most) {
+    List<ReplicatedEntry<K, V>> news = new ArrayList<>();
+    for (ReplicatedEntry<K, V> fact : byAge.descendingSet()) {
       if (news.size() < most
           && held.get(new Place<>(fact.key(), fact.author())).version() > version) {
         news.add(fact);
--- a/src/main/java/dunlinhitch/fleet/SubsetRule.java
+++ b/src/main/java/dunlinhitch/cluster/SubsetSettings.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 /**
  * How many of a cell's stores one broker keeps to, and how uneven the sum over the brokers may be.
@@ -9,16 +9,16 @@
  *     lost with it
  * @param slack how far the brokers at one store may lie over the mean, as a share of it
  */
-public record SubsetRule(int least, double spread, double slack) {
+public record SubsetSettings(int least, double spread, double slack) {
   /** Two stores of a cell, three brokers to two stores, a fifth over the mean. */
-  public static final SubsetRule STANDARD = new SubsetRule(2, 1.5, 0.2);
+  public static final SubsetSettings STANDARD = new SubsetSettings(2, 1.5, 0.2);
 
   /**
    * Places that a cell leaves free: without any, one broker that comes or goes moves many others.
    */
   private static final int ROOM = 2;
 
-  public SubsetRule {
+  public SubsetSettings {
     if (least < 1 || !(spread >= 1) || !(slack >= 0) || spread > 1e6 || slack > 1e6) {
       throw new IllegalArgumentException(
           "a subset has 1 store or more, a spread from 1 on and a slack from 0 on, not "
--- a/src/main/java/dunlinhitch/fleet/Subsets.java
+++ b/src/main/java/dunlinhitch/cluster/Subsetting.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.ArrayList;
 import java.util.Collection;
@@ -17,10 +17,10 @@
  * <p>Costs for B brokers and S stores of a cell: B S hashes and B S log S steps; only cells with a
  * change need it anew.
  */
-public final class Subsets {
-  private final SubsetRule rule;
+public final class Subsetting {
+  private final SubsetSettings rule;
 
-  public Subsets(SubsetRule rule) {
+  public Subsetting(SubsetSettings rule) {
     this.rule = rule;
   }
 
@@ -28,24 +28,24 @@
   public record Store(String name, String zone) {}
 
   /** One broker of the fleet; {@code zone} may be empty. */
-  public record Member(String name, String zone) {}
+  public record MemberView(String name, String zone) {}
 
   /**
    * For each broker the stores of the cell in the order in which it would come to them: as many as
-   * {@link SubsetRule#size} are its subset, the rest its spares. A store of its own zone is first
-   * where that has room: what crosses zones costs.
+   * {@link SubsetSettings#size} are its subset, the rest its spares. A store of its own zone is
+   * first where that has room: what crosses zones costs.
    */
   public Map<String, List<String>> of(
-      String cell, Collection<Member> members, Collection<Store> stores) {
+      String cell, Collection<MemberView> members, Collection<Store> stores) {
     int size = rule.size(members.size(), stores.size());
     int most = rule.most(members.size(), stores.size());
-    Map<String, Member> byName = new HashMap<>();
+    Map<String, MemberView> byName = new HashMap<>();
     members.forEach(member -> byName.put(member.name(), member));
     Map<String, String> zones = new LinkedHashMap<>();
     stores.forEach(store -> zones.put(store.name(), store.zone()));
     Map<String, Integer> load = new HashMap<>();
     Map<String, List<String>> chosen = new LinkedHashMap<>();
-    for (String member : Ranks.order(byName.keySet(), "turn", cell)) {
+    for (String member : RendezvousHash.order(byName.keySet(), "turn", cell)) {
       List<String> wished = wished(cell, byName.get(member), zones);
       List<String> taken = new ArrayList<>(wished.size());
       for (String store : wished) {
@@ -65,9 +65,9 @@
   }
 
   /** By rank, but the best of its own zone first. */
-  private static List<String> wished(String cell, Member member, Map<String, String> zones) {
+  private static List<String> wished(String cell, MemberView member, Map<String, String> zones) {
     List<String> wished =
-        new ArrayList<>(Ranks.order(zones.keySet(), "store", cell, member.name()));
+        new ArrayList<>(RendezvousHash.order(zones.keySet(), "store", cell, member.name()));
     for (int i = 1;
         i < wished.size()
             && !member.zone().isEmpty()
--- a/src/main/java/dunlinhitch/fleet/Doubt.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionReport.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 /**
  * One broker found that another does not answer, as it travels among them: who says so counts, for
@@ -8,9 +8,12 @@
  * @param incarnation under which incarnation
  * @param by who found it
  */
-public record Doubt(String name, long incarnation, String by) {
-  public Doubt {
-    if (name.isEmpty() || by.isEmpty() || incarnation < 0 || incarnation > Peer.MOST_INCARNATION) {
+public record SuspicionReport(String name, long incarnation, String by) {
+  public SuspicionReport {
+    if (name.isEmpty()
+        || by.isEmpty()
+        || incarnation < 0
+        || incarnation > Member.MOST_INCARNATION) {
       throw new IllegalArgumentException(
           "a doubt names whom, of which incarnation, and who has it: "
               + name
--- a/src/main/java/dunlinhitch/fleet/Suspicions.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionTable.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * still to be told. A suspicion is as long as the fleet is large, and the shorter the more found it
  * on their own (Lifeguard's logarithm).
  */
-final class Suspicions {
+final class SuspicionTable {
   /** Beside the first so many more make it as short as it gets. */
   private static final int MOST_CONFIRM = 3;
 
@@ -27,11 +27,11 @@
     }
   }
 
-  private final ViewSettings settings;
+  private final MembershipProtocolSettings settings;
   private final Map<String, Case> cases = new HashMap<>();
-  private final News<Doubt> news = new News<>();
+  private final UpdateQueue<SuspicionReport> news = new UpdateQueue<>();
 
-  Suspicions(ViewSettings settings) {
+  SuspicionTable(MembershipProtocolSettings settings) {
     this.settings = settings;
   }
 
@@ -47,12 +47,12 @@
   void end(String name) {
     Case held = cases.remove(name);
     if (held != null) {
-      held.accusers.forEach(by -> news.forget(new Doubt(name, held.incarnation, by)));
+      held.accusers.forEach(by -> news.forget(new SuspicionReport(name, held.incarnation, by)));
     }
   }
 
   /** True where it is news. */
-  boolean accused(Doubt doubt) {
+  boolean accused(SuspicionReport doubt) {
     Case held = cases.get(doubt.name());
     if (held == null
         || held.incarnation != doubt.incarnation()
@@ -72,7 +72,7 @@
   }
 
   /** When it counts as dead in a fleet of so many. */
-  long dueUs(String name, int members, Health health) {
+  long dueUs(String name, int members, LocalHealth health) {
     Case held = cases.get(name);
     return held.sinceUs + health.stretched(lastsUs(held.accusers.size(), members));
   }
@@ -102,10 +102,10 @@
   }
 
   /** What rides on the next word, within so many bytes; each on so many words. */
-  List<Doubt> riding(int most, int bytes, int times) {
-    List<Doubt> riding = new ArrayList<>();
+  List<SuspicionReport> riding(int most, int bytes, int times) {
+    List<SuspicionReport> riding = new ArrayList<>();
     int left = bytes;
-    for (Doubt doubt : news.next(most)) {
+    for (SuspicionReport doubt : news.next(most)) {
       left -= doubt.bytes();
       if (left < 0) {
         break;
--- a/src/main/java/dunlinhitch/fleet/News.java
+++ b/src/main/java/dunlinhitch/cluster/UpdateQueue.java
@@ -1,4 +1,4 @@
-package dunlinhitch.fleet;
+package dunlinhitch.cluster;
 
 import java.util.Collection;
 import java.util.LinkedHashMap;
@@ -9,7 +9,7 @@
  * What is still to be told, and how often it was: what was told least often goes first, and what
  * was told often enough is news no more.
  */
-final class News<T> {
+final class UpdateQueue<T> {
   private final Map<T, Integer> told = new LinkedHashMap<>();
 
   void fresh(T item) {
--- a/src/main/java/dunlinhitch/peers/Reach.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
@@ -1,7 +1,7 @@
-package dunlinhitch.peers;
+package dunlinhitch.cluster.gossip;
 
-import dunlinhitch.fleet.Peer;
-import dunlinhitch.fleet.Word;
+import dunlinhitch.cluster.GossipMessage;
+import dunlinhitch.cluster.Member;
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
 import java.util.HashMap;
@@ -16,7 +16,7 @@
  * to where it is told to be: an address may be another one for each broker, so what a word says of
  * it counts for less.
  */
-public final class Reach {
+public final class AddressBook {
   /** An address that was told; the name of who is there may be empty. */
   public record Known(String name, String host, int port) {}
 
@@ -25,7 +25,7 @@
   private final Map<String, Known> byName = new HashMap<>();
 
   /** {@code known} empty: whoever speaks is heard, and may be spoken to. */
-  public Reach(int mostBytes, List<Known> known) {
+  public AddressBook(int mostBytes, List<Known> known) {
     this.mostBytes = mostBytes;
     for (Known one : known) {
       places.add(place(one.host(), one.port()));
@@ -57,10 +57,10 @@
   }
 
   /** The word with the addresses that hold here; it came from that one. */
-  Word asSeenHere(Word word, String host, int port) {
+  GossipMessage asSeenHere(GossipMessage word, String host, int port) {
     return places.isEmpty()
         ? word
-        : new Word(
+        : new GossipMessage(
             word.kind(),
             at(word.from(), host, port),
             word.number(),
@@ -73,12 +73,12 @@
             word.doubts());
   }
 
-  private Peer asToldHere(Peer peer) {
+  private Member asToldHere(Member peer) {
     Known told = byName.get(peer.name());
     return told == null ? peer : at(peer, told.host(), told.port());
   }
 
-  private static Peer at(Peer peer, String host, int port) {
-    return new Peer(peer.name(), peer.zone(), host, port, peer.incarnation(), peer.status());
+  private static Member at(Member peer, String host, int port) {
+    return new Member(peer.name(), peer.zone(), host, port, peer.incarnation(), peer.status());
   }
 }
--- a/src/main/java/dunlinhitch/peers/WordForm.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
@@ -1,12 +1,12 @@
-package dunlinhitch.peers;
+package dunlinhitch.cluster.gossip;
 
 import com.google.protobuf.CodedInputStream;
-import dunlinhitch.audit.Versions;
-import dunlinhitch.fleet.Doubt;
-import dunlinhitch.fleet.Peer;
-import dunlinhitch.fleet.Signal;
-import dunlinhitch.fleet.Word;
-import dunlinhitch.peers.UnreadableWord.Why;
+import dunlinhitch.cluster.EndpointObservation;
+import dunlinhitch.cluster.GossipMessage;
+import dunlinhitch.cluster.Member;
+import dunlinhitch.cluster.SuspicionReport;
+import dunlinhitch.cluster.gossip.MalformedMessageException.Why;
+import dunlinhitch.cluster.versions.VersionVector;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.Iterator;
@@ -23,7 +23,7 @@
  * Bounds: no datagram is larger than it was asked to be, and reading costs no more than the bytes
  * that came.
  */
-final class WordForm {
+final class GossipDecoder {
   static final int VERSION = 3;
 
   /** The first byte of a word of version 1, which was JSON. */
@@ -57,8 +57,8 @@
   static final int MOST_FIGURES = 63;
   static final long US_OF_MS = 1000;
   private static final int LEAST_BYTES = 2 + SUM_BYTES;
-  private static final Word.Kind[] KINDS = Word.Kind.values();
-  private static final Peer.Status[] STATUSES = Peer.Status.values();
+  private static final GossipMessage.Kind[] KINDS = GossipMessage.Kind.values();
+  private static final Member.Status[] STATUSES = Member.Status.values();
 
   /**
    * A word as datagrams, none where not even who speaks finds room; {@code leftOut}: items that
@@ -66,7 +66,7 @@
    */
   record Datagrams(List<byte[]> all, int leftOut) {}
 
-  private WordForm() {}
+  private GossipDecoder() {}
 
   /**
    * The word in datagrams of so many bytes at the most, and no more than so many of them. The first
@@ -76,15 +76,15 @@
    * they must be able to gainsay it; then who doubts them; then signals and peers by turns, each in
    * the order in which they stand, so that a flood of the ones does not keep out the others.
    */
-  static Datagrams write(Word word, int mostBytes, int mostDatagrams) {
+  static Datagrams write(GossipMessage word, int mostBytes, int mostDatagrams) {
     List<byte[]> all = new ArrayList<>();
-    WordWriter writer = new WordWriter(mostBytes);
+    GossipEncoder writer = new GossipEncoder(mostBytes);
     if (!writer.head(word) && (word.buckets().isEmpty() || !writer.head(withoutVersions(word)))) {
       return new Datagrams(all, word.peers().size() + word.signals().size() + word.doubts().size());
     }
-    Word more =
-        new Word(
-            Word.Kind.NEWS,
+    GossipMessage more =
+        new GossipMessage(
+            GossipMessage.Kind.GOSSIP,
             word.from(),
             0,
             "",
@@ -101,7 +101,7 @@
       if (!in && (answers || !writer.isBare()) && all.size() + 1 < mostDatagrams) {
         all.add(writer.end());
         answers = false;
-        writer = new WordWriter(mostBytes);
+        writer = new GossipEncoder(mostBytes);
         in = writer.head(more) && writer.add(item);
       }
       leftOut += in ? 0 : 1;
@@ -112,8 +112,8 @@
     return new Datagrams(all, leftOut);
   }
 
-  private static Word withoutVersions(Word word) {
-    return new Word(
+  private static GossipMessage withoutVersions(GossipMessage word) {
+    return new GossipMessage(
         word.kind(),
         word.from(),
         word.number(),
@@ -126,13 +126,13 @@
         word.doubts());
   }
 
-  private static List<Object> items(Word word) {
+  private static List<Object> items(GossipMessage word) {
     List<Object> items = new ArrayList<>();
-    word.peers().stream().filter(peer -> peer.status() != Peer.Status.ALIVE).forEach(items::add);
+    word.peers().stream().filter(peer -> peer.status() != Member.Status.ALIVE).forEach(items::add);
     items.addAll(word.doubts());
-    Iterator<Peer> peers =
-        word.peers().stream().filter(peer -> peer.status() == Peer.Status.ALIVE).iterator();
-    Iterator<Signal> signals = word.signals().iterator();
+    Iterator<Member> peers =
+        word.peers().stream().filter(peer -> peer.status() == Member.Status.ALIVE).iterator();
+    Iterator<EndpointObservation> signals = word.signals().iterator();
     while (peers.hasNext() || signals.hasNext()) {
       if (signals.hasNext()) {
         items.add(signals.next());
@@ -160,55 +160,59 @@
         | bytes[at + 3] & 0xff;
   }
 
-  static Word read(byte[] bytes) throws UnreadableWord {
+  static GossipMessage read(byte[] bytes) throws MalformedMessageException {
     int version = bytes.length == 0 ? VERSION : bytes[0] & 0xff;
     if (version == JSON || version >= LEAST_BINARY && version < VERSION) {
-      throw new UnreadableWord(Why.OLDER, "a word of version " + (version == JSON ? 1 : version));
+      throw new MalformedMessageException(
+          Why.OLDER, "a word of version " + (version == JSON ? 1 : version));
     }
     if (version > VERSION && version <= MOST_VERSION) {
-      throw new UnreadableWord(
+      throw new MalformedMessageException(
           Why.LATER, "a word of version " + version + ", and " + VERSION + " is spoken here");
     }
     if (version != VERSION) {
-      throw new UnreadableWord(Why.NONSENSE, "it begins with " + version);
+      throw new MalformedMessageException(Why.NONSENSE, "it begins with " + version);
     }
     int length = bytes.length - SUM_BYTES;
     if (bytes.length < LEAST_BYTES || mark(bytes) != sum(bytes, length)) {
-      throw new UnreadableWord(Why.CUT, bytes.length + " bytes that do not add up to their sum");
+      throw new MalformedMessageException(
+          Why.CUT, bytes.length + " bytes that do not add up to their sum");
     }
     try {
       CodedInputStream in = CodedInputStream.newInstance(bytes, 1, length - 1);
-      return read(in, new Texts());
+      return read(in, new StringTable());
     } catch (IOException | IllegalArgumentException e) {
-      throw new UnreadableWord(Why.NONSENSE, "it says what can not be: " + e.getMessage());
+      throw new MalformedMessageException(
+          Why.NONSENSE, "it says what can not be: " + e.getMessage());
     }
   }
 
-  private static Word read(CodedInputStream in, Texts texts) throws IOException {
+  private static GossipMessage read(CodedInputStream in, StringTable texts) throws IOException {
     int head = in.readRawByte() & 0xff;
-    Peer from = peer(in, texts, in.readRawByte(), 0);
+    Member from = peer(in, texts, in.readRawByte(), 0);
     long number = in.readUInt64();
     String about = (head & HAS_ABOUT) == 0 ? "" : texts.read(in);
-    Versions versions =
+    VersionVector versions =
         (head & HAS_VERSIONS) == 0
             ? null
-            : new Versions(
+            : new VersionVector(
                 texts.read(in),
                 texts.read(in),
                 from.incarnation() + in.readSInt64(),
                 in.readUInt64());
     long digest = (head & HAS_DIGEST) == 0 ? 0 : in.readFixed64();
     List<Long> buckets = (head & HAS_BUCKETS) == 0 ? List.of() : buckets(in);
-    List<Peer> peers = new ArrayList<>();
-    List<Signal> signals = new ArrayList<>();
-    List<Doubt> doubts = new ArrayList<>();
+    List<Member> peers = new ArrayList<>();
+    List<EndpointObservation> signals = new ArrayList<>();
+    List<SuspicionReport> doubts = new ArrayList<>();
     long seenUs = from.incarnation() * US_OF_MS;
     while (!in.isAtEnd()) {
       int item = in.readRawByte() & 0xff;
       switch (item & (1 << ITEM_BITS) - 1) {
         case PEER -> peers.add(peer(in, texts, item >> ITEM_BITS, from.incarnation()));
         case SIGNAL -> {
-          Signal signal = signal(in, texts, item >> ITEM_BITS, from.incarnation(), seenUs);
+          EndpointObservation signal =
+              signal(in, texts, item >> ITEM_BITS, from.incarnation(), seenUs);
           seenUs = signal.seenUs();
           signals.add(signal);
         }
@@ -216,7 +220,7 @@
         default -> throw new IOException("an item of kind " + item);
       }
     }
-    return new Word(
+    return new GossipMessage(
         one(KINDS, head & KIND_BITS),
         from,
         number,
@@ -236,13 +240,13 @@
     return all[number];
   }
 
-  private static Peer peer(CodedInputStream in, Texts texts, int status, long sinceMs)
+  private static Member peer(CodedInputStream in, StringTable texts, int status, long sinceMs)
       throws IOException {
     String name = texts.read(in);
     String zone = texts.read(in);
     String host = texts.read(in);
     int port = (in.readRawByte() & 0xff) << 8 | in.readRawByte() & 0xff;
-    return new Peer(name, zone, host, port, sinceMs + in.readSInt64(), one(STATUSES, status));
+    return new Member(name, zone, host, port, sinceMs + in.readSInt64(), one(STATUSES, status));
   }
 
   private static List<Long> buckets(CodedInputStream in) throws IOException {
@@ -257,18 +261,19 @@
     return buckets;
   }
 
-  private static Doubt doubt(CodedInputStream in, Texts texts, int spare, long sinceMs)
-      throws IOException {
+  private static SuspicionReport doubt(
+      CodedInputStream in, StringTable texts, int spare, long sinceMs) throws IOException {
     if (spare != 0) {
       throw new IOException("a doubt with bits that mean nothing");
     }
     String name = texts.read(in);
     String by = texts.read(in);
-    return new Doubt(name, sinceMs + in.readSInt64(), by);
+    return new SuspicionReport(name, sinceMs + in.readSInt64(), by);
   }
 
-  private static Signal signal(
-      CodedInputStream in, Texts texts, int figures, long sinceMs, long seenUs) throws IOException {
+  private static EndpointObservation signal(
+      CodedInputStream in, StringTable texts, int figures, long sinceMs, long seenUs)
+      throws IOException {
     String store = texts.read(in);
     String author = texts.read(in);
     long started = in.readUInt64();
@@ -282,7 +287,7 @@
       }
       report.add(figure);
     }
-    return new Signal(
+    return new EndpointObservation(
         store,
         started == 0 ? 0 : sinceMs + CodedInputStream.decodeZigZag64(started - 1),
         author,
--- a/src/main/java/dunlinhitch/peers/WordWriter.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
@@ -1,20 +1,20 @@
-package dunlinhitch.peers;
+package dunlinhitch.cluster.gossip;
 
 import com.google.protobuf.CodedOutputStream;
-import dunlinhitch.audit.Versions;
-import dunlinhitch.fleet.Doubt;
-import dunlinhitch.fleet.Peer;
-import dunlinhitch.fleet.Signal;
-import dunlinhitch.fleet.Word;
+import dunlinhitch.cluster.EndpointObservation;
+import dunlinhitch.cluster.GossipMessage;
+import dunlinhitch.cluster.Member;
+import dunlinhitch.cluster.SuspicionReport;
+import dunlinhitch.cluster.versions.VersionVector;
 import java.io.IOException;
 import java.util.Arrays;
 import java.util.List;
 
 /**
- * Fills one datagram in the form of {@link WordForm}: what does not fit is as if it had not been
- * tried.
+ * Fills one datagram in the form of {@link GossipDecoder}: what does not fit is as if it had not
+ * been tried.
  */
-final class WordWriter {
+final class GossipEncoder {
   /** Something of one datagram. */
   private interface Piece {
     void write(CodedOutputStream out) throws IOException;
@@ -23,33 +23,33 @@
   /** Without the checksum's bytes. */
   private final byte[] room;
 
-  private final Texts texts = new Texts();
+  private final StringTable texts = new StringTable();
   private int used;
   private int headBytes;
   private long sinceMs;
   private long seenUs;
 
-  WordWriter(int mostBytes) {
-    room = new byte[Math.max(0, mostBytes - WordForm.SUM_BYTES)];
+  GossipEncoder(int mostBytes) {
+    room = new byte[Math.max(0, mostBytes - GossipDecoder.SUM_BYTES)];
   }
 
   /** False where it finds no room; nothing else may be added then. */
-  boolean head(Word word) {
-    Peer from = word.from();
+  boolean head(GossipMessage word) {
+    Member from = word.from();
     String about = word.about();
-    Versions versions = word.versions();
+    VersionVector versions = word.versions();
     sinceMs = from.incarnation();
-    seenUs = sinceMs * WordForm.US_OF_MS;
+    seenUs = sinceMs * GossipDecoder.US_OF_MS;
     boolean in =
         put(
             out -> {
-              out.writeRawByte(WordForm.VERSION);
+              out.writeRawByte(GossipDecoder.VERSION);
               out.writeRawByte(
                   word.kind().ordinal()
-                      | (about.isEmpty() ? 0 : WordForm.HAS_ABOUT)
-                      | (versions == null ? 0 : WordForm.HAS_VERSIONS)
-                      | (word.digest() == 0 ? 0 : WordForm.HAS_DIGEST)
-                      | (word.buckets().isEmpty() ? 0 : WordForm.HAS_BUCKETS));
+                      | (about.isEmpty() ? 0 : GossipDecoder.HAS_ABOUT)
+                      | (versions == null ? 0 : GossipDecoder.HAS_VERSIONS)
+                      | (word.digest() == 0 ? 0 : GossipDecoder.HAS_DIGEST)
+                      | (word.buckets().isEmpty() ? 0 : GossipDecoder.HAS_BUCKETS));
               out.writeRawByte(from.status().ordinal());
               peer(out, from, 0);
               out.writeUInt64NoTag(word.number());
@@ -73,30 +73,31 @@
 
   /** A peer, a signal or a doubt; false where it finds no room, or could not be read. */
   boolean add(Object item) {
-    if (item instanceof Peer peer) {
+    if (item instanceof Member peer) {
       return put(
           out -> {
-            out.writeRawByte(WordForm.PEER | peer.status().ordinal() << WordForm.ITEM_BITS);
+            out.writeRawByte(
+                GossipDecoder.PEER | peer.status().ordinal() << GossipDecoder.ITEM_BITS);
             peer(out, peer, sinceMs);
           });
     }
-    if (item instanceof Doubt doubt) {
+    if (item instanceof SuspicionReport doubt) {
       return put(
           out -> {
-            out.writeRawByte(WordForm.DOUBT);
+            out.writeRawByte(GossipDecoder.DOUBT);
             texts.write(out, doubt.name());
             texts.write(out, doubt.by());
             out.writeSInt64NoTag(doubt.incarnation() - sinceMs);
           });
     }
-    Signal signal = (Signal) item;
+    EndpointObservation signal = (EndpointObservation) item;
     boolean in = put(out -> signal(out, signal));
     seenUs = in ? signal.seenUs() : seenUs;
     return in;
   }
 
   private static void buckets(CodedOutputStream out, List<Long> buckets) throws IOException {
-    if (buckets.size() > WordForm.MOST_BUCKETS) {
+    if (buckets.size() > GossipDecoder.MOST_BUCKETS) {
       throw new IOException(buckets.size() + " buckets");
     }
     if (!buckets.isEmpty()) {
@@ -107,7 +108,7 @@
     }
   }
 
-  private void peer(CodedOutputStream out, Peer peer, long since) throws IOException {
+  private void peer(CodedOutputStream out, Member peer, long since) throws IOException {
     texts.write(out, peer.name());
     texts.write(out, peer.zone());
     texts.write(out, peer.host());
@@ -116,12 +117,13 @@
     out.writeSInt64NoTag(peer.incarnation() - since);
   }
 
-  private void signal(CodedOutputStream out, Signal signal) throws IOException {
+  private void signal(CodedOutputStream out, EndpointObservation signal) throws IOException {
     int figures = signal.report().size();
-    if (figures > WordForm.MOST_FIGURES || !signal.report().stream().allMatch(Float::isFinite)) {
+    if (figures > GossipDecoder.MOST_FIGURES
+        || !signal.report().stream().allMatch(Float::isFinite)) {
       throw new IOException("a load report of no use: " + signal.report());
     }
-    out.writeRawByte(WordForm.SIGNAL | figures << WordForm.ITEM_BITS);
+    out.writeRawByte(GossipDecoder.SIGNAL | figures << GossipDecoder.ITEM_BITS);
     texts.write(out, signal.store());
     texts.write(out, signal.author());
     out.writeUInt64NoTag(
@@ -159,10 +161,10 @@
   }
 
   byte[] end() {
-    byte[] all = Arrays.copyOf(room, used + WordForm.SUM_BYTES);
-    int sum = WordForm.sum(all, used);
-    for (int i = 0; i < WordForm.SUM_BYTES; i++) {
-      all[used + i] = (byte) (sum >>> 8 * (WordForm.SUM_BYTES - 1 - i));
+    byte[] all = Arrays.copyOf(room, used + GossipDecoder.SUM_BYTES);
+    int sum = GossipDecoder.sum(all, used);
+    for (int i = 0; i < GossipDecoder.SUM_BYTES; i++) {
+      all[used + i] = (byte) (sum >>> 8 * (GossipDecoder.SUM_BYTES - 1 - i));
     }
     return all;
   }
--- a/src/main/java/dunlinhitch/peers/PeerSocket.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
@@ -1,9 +1,9 @@
-package dunlinhitch.peers;
+package dunlinhitch.cluster.gossip;
 
-import dunlinhitch.core.Count;
+import dunlinhitch.cluster.GossipMessage;
+import dunlinhitch.core.Counter;
 import dunlinhitch.core.Effect;
 import dunlinhitch.core.Event;
-import dunlinhitch.fleet.Word;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -19,7 +19,7 @@
  * read is counted by its kind and dropped; one that comes twice is taken once, for to answer it
  * twice would cost twice.
  */
-public final class PeerSocket {
+public final class GossipSocket {
   /**
    * What a datagram holds at the most where the network has no figure of its own: no common link
    * cuts it up.
@@ -40,7 +40,7 @@
 
   private static final long NONE = -1;
   private final DatagramSocket socket;
-  private final Reach reach;
+  private final AddressBook reach;
   private final Consumer<Event> events;
 
   /** The sums of the datagrams that came last, as unsigned numbers. */
@@ -48,14 +48,14 @@
 
   private int next;
 
-  public PeerSocket(Vertx vertx, Reach reach, Consumer<Event> events) {
+  public GossipSocket(Vertx vertx, AddressBook reach, Consumer<Event> events) {
     this.reach = reach;
     this.events = events;
     Arrays.fill(heard, NONE);
     socket =
         vertx.createDatagramSocket(new DatagramSocketOptions().setReceiveBufferSize(BUFFER_BYTES));
     socket.handler(this::read);
-    socket.exceptionHandler(e -> count(Count.PEER_WORDS_UNREAD));
+    socket.exceptionHandler(e -> count(Counter.PEER_WORDS_UNREAD));
   }
 
   /** The result is its port. */
@@ -67,26 +67,27 @@
     SocketAddress sender = packet.sender();
     byte[] bytes = packet.data().getBytes();
     if (!reach.covers(sender.hostAddress(), sender.port())) {
-      count(Count.PEER_WORDS_FOREIGN);
+      count(Counter.PEER_WORDS_FOREIGN);
     } else if (bytes.length > STANDARD_BYTES) {
-      count(Count.PEER_WORDS_HUGE);
+      count(Counter.PEER_WORDS_HUGE);
     } else {
       try {
-        Word word = WordForm.read(bytes);
+        GossipMessage word = GossipDecoder.read(bytes);
         if (isNew(bytes)) {
           events.accept(
-              new Event.PeerSaid(reach.asSeenHere(word, sender.hostAddress(), sender.port())));
+              new Event.GossipReceived(
+                  reach.asSeenHere(word, sender.hostAddress(), sender.port())));
         } else {
-          count(Count.PEER_WORDS_DOUBLE);
+          count(Counter.PEER_WORDS_DOUBLE);
         }
-      } catch (UnreadableWord e) {
+      } catch (MalformedMessageException e) {
         count(e.why().count());
       }
     }
   }
 
   private boolean isNew(byte[] bytes) {
-    long mark = Integer.toUnsignedLong(WordForm.mark(bytes));
+    long mark = Integer.toUnsignedLong(GossipDecoder.mark(bytes));
     if (Arrays.stream(heard).anyMatch(one -> one == mark)) {
       return false;
     }
@@ -95,18 +96,19 @@
     return true;
   }
 
-  private void count(Count what) {
-    events.accept(new Event.Noted(what));
+  private void count(Counter what) {
+    events.accept(new Event.ConditionCounted(what));
   }
 
   /** A word that is lost is not sent again: the next look tells what it told. */
-  public void tell(Effect.TellPeer told) {
-    WordForm.Datagrams datagrams = WordForm.write(told.word(), reach.mostBytes(), MOST_DATAGRAMS);
+  public void tell(Effect.SendGossip told) {
+    GossipDecoder.Datagrams datagrams =
+        GossipDecoder.write(told.word(), reach.mostBytes(), MOST_DATAGRAMS);
     if (datagrams.all().isEmpty()) {
-      count(Count.PEER_WORDS_UNSENT);
+      count(Counter.PEER_WORDS_UNSENT);
     }
     for (int i = 0; i < datagrams.leftOut(); i++) {
-      count(Count.PEER_NEWS_LEFT_OUT);
+      count(Counter.PEER_NEWS_LEFT_OUT);
     }
     datagrams.all().forEach(bytes -> send(bytes, told.host(), told.port()));
   }
@@ -117,10 +119,10 @@
    */
   void send(byte[] bytes, String host, int port) {
     if (bytes.length > reach.mostBytes() || !reach.covers(host, port)) {
-      count(Count.PEER_WORDS_UNSENT);
+      count(Counter.PEER_WORDS_UNSENT);
       return;
     }
-    socket.send(Buffer.buffer(bytes), port, host).onFailure(e -> count(Count.PEER_WORDS_UNSENT));
+    socket.send(Buffer.buffer(bytes), port, host).onFailure(e -> count(Counter.PEER_WORDS_UNSENT));
   }
 
   public Future<Void> close() {
--- a/src/main/java/dunlinhitch/peers/UnreadableWord.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/MalformedMessageException.java
@@ -1,39 +1,39 @@
-package dunlinhitch.peers;
+package dunlinhitch.cluster.gossip;
 
-import dunlinhitch.core.Count;
+import dunlinhitch.core.Counter;
 
 /**
  * A datagram that is no word of this version. Nothing of it is taken: the next look tells again
  * what it told.
  */
-final class UnreadableWord extends Exception {
+final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
   /** Why, as operators tell the kinds apart. */
   enum Why {
     /** Shorter than it was, or changed on its way. */
-    CUT(Count.PEER_WORDS_CUT),
+    CUT(Counter.PEER_WORDS_CUT),
     /** Of a later version: that broker was upgraded before this one. */
-    LATER(Count.PEER_WORDS_LATER),
+    LATER(Counter.PEER_WORDS_LATER),
     /** Of a version before: that broker is upgraded after this one. */
-    OLDER(Count.PEER_WORDS_UNREAD),
+    OLDER(Counter.PEER_WORDS_UNREAD),
     /** No word at all, or one that says what can not be. */
-    NONSENSE(Count.PEER_WORDS_UNREAD);
+    NONSENSE(Counter.PEER_WORDS_UNREAD);
 
-    private final Count count;
+    private final Counter count;
 
-    Why(Count count) {
+    Why(Counter count) {
       this.count = count;
     }
 
-    Count count() {
+    Counter count() {
       return count;
     }
   }
 
   private final Why why;
 
-  UnreadableWord(Why why, String message) {
+  MalformedMessageException(Why why, String message) {
     super(message);
     this.why = why;
   }
--- a/src/main/java/dunlinhitch/peers/Texts.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
@@ -1,4 +1,4 @@
-package dunlinhitch.peers;
+package dunlinhitch.cluster.gossip;
 
 import com.google.protobuf.CodedInputStream;
 import com.google.protobuf.CodedOutputStream;
@@ -15,7 +15,7 @@
  * in hex go as the bytes that they mean. A datagram is read on its own, so nothing but itself is
  * referred to.
  */
-final class Texts {
+final class StringTable {
   private static final int PLAIN = 0;
   private static final int IPV4 = 1;
   private static final int HEX = 2;
--- a/src/main/java/dunlinhitch/audit/Digest.java
+++ b/src/main/java/dunlinhitch/cluster/versions/SettingsDigest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.audit;
+package dunlinhitch.cluster.versions;
 
 import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
@@ -9,10 +9,10 @@
  * A short name for what something means: equal records have equal ones, however the file that they
  * were read from was worded.
  */
-public final class Digest {
+public final class SettingsDigest {
   private static final int BYTES = 6;
 
-  private Digest() {}
+  private SettingsDigest() {}
 
   /** The first 48 bits of SHA-256 of its text, in hex; a record's text names all that it holds. */
   public static String of(Record what) {
--- a/src/main/java/dunlinhitch/audit/Verdict.java
+++ b/src/main/java/dunlinhitch/cluster/versions/SkewVerdict.java
@@ -1,4 +1,4 @@
-package dunlinhitch.audit;
+package dunlinhitch.cluster.versions;
 
 /**
  * What is decided of a broker.
@@ -10,7 +10,7 @@
  * @param newest the one that is newest, as far as is known here
  * @param behindUs how long it has been behind, from when the newer was heard of here
  */
-public record Verdict(
+public record SkewVerdict(
     String broker, Kind kind, Step step, String has, String newest, long behindUs) {
   /** What can be behind. A build can not: a fleet runs two of them while it is upgraded. */
   public enum Kind {
--- a/src/main/java/dunlinhitch/audit/Stragglers.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
@@ -1,4 +1,4 @@
-package dunlinhitch.audit;
+package dunlinhitch.cluster.versions;
 
 import java.util.ArrayList;
 import java.util.EnumMap;
@@ -19,7 +19,7 @@
  * nobody. A broker that is itself behind knows it as soon as it hears of the newer version from
  * anyone, and goes by the same times.
  */
-public final class Stragglers {
+public final class VersionSkewDetector {
   /** One broker's standing in one kind. */
   private static final class Behind {
     private final long sinceUs;
@@ -36,13 +36,13 @@
     }
   }
 
-  private final AuditRule rule;
+  private final VersionSkewSettings rule;
   private final String self;
-  private final Map<String, Versions> held = new LinkedHashMap<>();
-  private final Map<String, Map<Verdict.Kind, Behind>> behind = new LinkedHashMap<>();
-  private final List<Verdict> verdicts = new ArrayList<>();
+  private final Map<String, VersionVector> held = new LinkedHashMap<>();
+  private final Map<String, Map<SkewVerdict.Kind, Behind>> behind = new LinkedHashMap<>();
+  private final List<SkewVerdict> verdicts = new ArrayList<>();
 
-  public Stragglers(AuditRule rule, String self, Versions own) {
+  public VersionSkewDetector(VersionSkewSettings rule, String self, VersionVector own) {
     this.rule = rule;
     this.self = self;
     held.put(self, own);
@@ -52,8 +52,8 @@
    * A broker acts on these from now on, this one or another; a word that came late may not take it
    * back.
    */
-  public void told(long nowUs, String broker, Versions versions) {
-    Versions before = held.get(broker);
+  public void told(long nowUs, String broker, VersionVector versions) {
+    VersionVector before = held.get(broker);
     boolean late =
         before != null
             && before.settings().equals(versions.settings())
@@ -75,9 +75,9 @@
   }
 
   /** Time has passed; what was decided since the last call. */
-  public List<Verdict> passed(long nowUs) {
+  public List<SkewVerdict> passed(long nowUs) {
     judge(nowUs);
-    List<Verdict> decided = List.copyOf(verdicts);
+    List<SkewVerdict> decided = List.copyOf(verdicts);
     verdicts.clear();
     return decided;
   }
@@ -85,7 +85,7 @@
   /** When {@link #passed} is to be called next, at the latest. */
   public long nextUs() {
     long next = verdicts.isEmpty() ? Long.MAX_VALUE : 0;
-    for (Map.Entry<String, Map<Verdict.Kind, Behind>> broker : behind.entrySet()) {
+    for (Map.Entry<String, Map<SkewVerdict.Kind, Behind>> broker : behind.entrySet()) {
       for (Behind b : broker.getValue().values()) {
         next =
             Math.min(
@@ -115,7 +115,7 @@
   }
 
   /** What each broker acts on, as far as is known here. */
-  public Map<String, Versions> held() {
+  public Map<String, VersionVector> held() {
     return Map.copyOf(held);
   }
 
@@ -123,9 +123,9 @@
    * The newest settings that anybody acts on; of two that are meant since the same time the higher
    * digest, at all brokers alike.
    */
-  Versions newestSettings() {
-    Versions newest = held.get(self);
-    for (Versions v : held.values()) {
+  VersionVector newestSettings() {
+    VersionVector newest = held.get(self);
+    for (VersionVector v : held.values()) {
       if (v.settingsMs() > newest.settingsMs()
           || v.settingsMs() == newest.settingsMs()
               && v.settings().compareTo(newest.settings()) > 0) {
@@ -136,18 +136,18 @@
   }
 
   private void judge(long nowUs) {
-    Versions newest = newestSettings();
+    VersionVector newest = newestSettings();
     long holders =
         held.values().stream().filter(v -> v.settings().equals(newest.settings())).count();
     Map<String, Long> rosters = new LinkedHashMap<>();
     held.values().forEach(v -> rosters.merge(v.settings(), v.roster(), Math::max));
-    for (Map.Entry<String, Versions> entry : held.entrySet()) {
-      Versions v = entry.getValue();
+    for (Map.Entry<String, VersionVector> entry : held.entrySet()) {
+      VersionVector v = entry.getValue();
       boolean old = !v.settings().equals(newest.settings());
       judge(
           nowUs,
           entry.getKey(),
-          Verdict.Kind.SETTINGS,
+          SkewVerdict.Kind.SETTINGS,
           old,
           2 * holders > held.size(),
           v.settings(),
@@ -160,7 +160,7 @@
       judge(
           nowUs,
           entry.getKey(),
-          Verdict.Kind.ROSTER,
+          SkewVerdict.Kind.ROSTER,
           v.roster() < roster,
           2 * with > held.size(),
           Long.toString(v.roster()),
@@ -171,22 +171,22 @@
   private void judge(
       long nowUs,
       String broker,
-      Verdict.Kind kind,
+      SkewVerdict.Kind kind,
       boolean old,
       boolean most,
       String has,
       String newest) {
-    Map<Verdict.Kind, Behind> kinds =
-        behind.computeIfAbsent(broker, b -> new EnumMap<>(Verdict.Kind.class));
+    Map<SkewVerdict.Kind, Behind> kinds =
+        behind.computeIfAbsent(broker, b -> new EnumMap<>(SkewVerdict.Kind.class));
     Behind b = kinds.get(kind);
     if (!old) {
       kinds.remove(kind);
       if (b != null && b.seen) {
         verdicts.add(
-            new Verdict(
+            new SkewVerdict(
                 broker,
                 kind,
-                b.shut ? Verdict.Step.LET_IN : Verdict.Step.CAUGHT_UP,
+                b.shut ? SkewVerdict.Step.LET_IN : SkewVerdict.Step.CAUGHT_UP,
                 has,
                 newest,
                 nowUs - b.sinceUs));
@@ -202,15 +202,15 @@
     if (!b.seen && forUs >= rule.boundUs()) {
       b.seen = true;
       b.askedUs = nowUs - rule.againUs();
-      verdicts.add(new Verdict(broker, kind, Verdict.Step.SEEN, has, newest, forUs));
+      verdicts.add(new SkewVerdict(broker, kind, SkewVerdict.Step.SEEN, has, newest, forUs));
     }
     if (b.seen && broker.equals(self) && nowUs - b.askedUs >= rule.againUs()) {
       b.askedUs = nowUs;
-      verdicts.add(new Verdict(broker, kind, Verdict.Step.BRING_UP, has, newest, forUs));
+      verdicts.add(new SkewVerdict(broker, kind, SkewVerdict.Step.BRING_UP, has, newest, forUs));
     }
     if (!b.shut && b.mostUs >= 0 && nowUs - b.mostUs >= rule.shutUs()) {
       b.shut = true;
-      verdicts.add(new Verdict(broker, kind, Verdict.Step.SHUT_OUT, has, newest, forUs));
+      verdicts.add(new SkewVerdict(broker, kind, SkewVerdict.Step.SHUT_OUT, has, newest, forUs));
     }
   }
 }
--- a/src/main/java/dunlinhitch/audit/AuditRule.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewSettings.java
@@ -1,4 +1,4 @@
-package dunlinhitch.audit;
+package dunlinhitch.cluster.versions;
 
 /**
  * When a broker is a straggler, and what follows; in microseconds.
@@ -9,10 +9,11 @@
  * @param shutUs after most brokers have held the newer version for so long it is shut out, and lets
  *     nothing new in itself
  */
-public record AuditRule(long boundUs, long againUs, long shutUs) {
-  public static final AuditRule STANDARD = new AuditRule(1_500_000, 1_000_000, 10_000_000);
+public record VersionSkewSettings(long boundUs, long againUs, long shutUs) {
+  public static final VersionSkewSettings STANDARD =
+      new VersionSkewSettings(1_500_000, 1_000_000, 10_000_000);
 
-  public AuditRule {
+  public VersionSkewSettings {
     if (boundUs <= 0 || againUs <= 0 || shutUs <= boundUs) {
       throw new IllegalArgumentException(
           "a straggler is seen after a time above 0, asks again after one, and is shut out later "
--- a/src/main/java/dunlinhitch/audit/Versions.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
@@ -1,4 +1,4 @@
-package dunlinhitch.audit;
+package dunlinhitch.cluster.versions;
 
 /**
  * What a broker acts on.
@@ -10,8 +10,8 @@
  * @param roster the generation of discovery's list that it holds; 0: none yet. Comparable among
  *     brokers with the same settings, for those name the discovery that counts
  */
-public record Versions(String build, String settings, long settingsMs, long roster) {
-  public Versions {
+public record VersionVector(String build, String settings, long settingsMs, long roster) {
+  public VersionVector {
     if (build.isEmpty() || settings.isEmpty() || settingsMs < 0 || roster < 0) {
       throw new IllegalArgumentException(
           "versions name a build and settings and count from 0: "
@@ -25,12 +25,12 @@
     }
   }
 
-  public Versions withRoster(long generation) {
-    return new Versions(build, settings, settingsMs, generation);
+  public VersionVector withRoster(long generation) {
+    return new VersionVector(build, settings, settingsMs, generation);
   }
 
-  public Versions withSettings(String digest, long ms) {
-    return new Versions(
+  public VersionVector withSettings(String digest, long ms) {
+    return new VersionVector(
         build, digest, ms, 0); // their discovery may be another one, with numbers of its own
   }
 }
--- a/src/main/java/dunlinhitch/handover/Stoppable.java
+++ b/src/main/java/dunlinhitch/concurrent/Stoppable.java
@@ -1,4 +1,4 @@
-package dunlinhitch.handover;
+package dunlinhitch.concurrent;
 
 import java.util.function.Consumer;
 
--- a/src/main/java/dunlinhitch/config/Config.java
+++ b/src/main/java/dunlinhitch/config/Config.java
@@ -3,7 +3,7 @@
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import dunlinhitch.decide.Routing;
+import dunlinhitch.balancer.settings.Settings;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
@@ -26,11 +26,11 @@
     long seed,
     JsonObject known,
     int sockets,
-    Routing.Settings settings,
+    Settings settings,
     Product product,
     Path scratch,
     long writtenMs,
-    Talk talk) {
+    GossipAddresses talk) {
   /** Where the file does not say how many descriptors the process may hold. */
   public static final int SOCKETS = 1024;
 
@@ -49,7 +49,7 @@
       long seed,
       JsonObject known,
       int sockets,
-      Routing.Settings settings,
+      Settings settings,
       Product product,
       Path scratch,
       long writtenMs) {
@@ -92,7 +92,7 @@
       }
       JsonValue known = root.get("known");
       String name = env.getOrDefault("ROUTER_NAME", root.getString("name", "broker"));
-      Talk talk = Talk.read(root);
+      GossipAddresses talk = GossipAddresses.read(root);
       return new Config(
           name,
           Address.parse("listen", env.getOrDefault("ROUTER_LISTEN", root.getString("listen", ""))),
@@ -102,7 +102,7 @@
           known == null || known.isNull() ? Json.object() : known.asObject(),
           sockets(root.get("limits")),
           SettingsReader.read(settings.asObject()),
-          Talk.placed(product, talk, name),
+          GossipAddresses.placed(product, talk, name),
           env.getOrDefault(SCRATCH, "").isEmpty() ? null : Path.of(env.get(SCRATCH)),
           written(file),
           talk);
--- a/src/main/java/dunlinhitch/config/ConfigFile.java
+++ b/src/main/java/dunlinhitch/config/ConfigFile.java
@@ -19,7 +19,7 @@
    * The list of stores as it was, and the other brokers: they need not be there, and their entries
    * may be worded anew.
    */
-  private static final Set<String> MAY_GO = Set.of("known", Talk.PEERS);
+  private static final Set<String> MAY_GO = Set.of("known", GossipAddresses.PEERS);
 
   private final Path file;
   private final Path ownFile;
--- a/src/main/java/dunlinhitch/config/Talk.java
+++ b/src/main/java/dunlinhitch/config/GossipAddresses.java
@@ -19,7 +19,7 @@
  * @param all an address that stands for all of them, or null
  * @param trouble why it can not be used, in one line, or null
  */
-public record Talk(Address listen, List<Known> peers, Address all, String trouble) {
+public record GossipAddresses(Address listen, List<Known> peers, Address all, String trouble) {
   static final String PEERS = "peers";
   private static final String LISTEN = "peer_listen";
   private static final String ALL = "peers_all";
@@ -29,12 +29,12 @@
   /** Another broker; its name is empty where it was not told. */
   public record Known(String name, Address at) {}
 
-  public Talk {
+  public GossipAddresses {
     peers = List.copyOf(peers);
   }
 
   /** Null where the platform says nothing of it. */
-  static Talk read(JsonObject root) {
+  static GossipAddresses read(JsonObject root) {
     if (isEmpty(root.get(LISTEN)) && isEmpty(root.get(PEERS)) && isEmpty(root.get(ALL))) {
       return null;
     }
@@ -46,13 +46,13 @@
         throw new ConfigException(LISTEN + " is missing");
       }
       Address all = isEmpty(root.get(ALL)) ? null : address(ALL, root.get(ALL));
-      return new Talk(
+      return new GossipAddresses(
           address(LISTEN, root.get(LISTEN)),
           isEmpty(root.get(PEERS)) ? List.of() : peers(root.get(PEERS)),
           all,
           null);
     } catch (RuntimeException e) {
-      return new Talk(
+      return new GossipAddresses(
           null,
           List.of(),
           null,
@@ -133,7 +133,7 @@
    * The product's own settings with the platform's addresses, where its {@code [fleet]} names none;
    * without usable ones it goes alone. Its own name among the peers is how the others reach it.
    */
-  static Product placed(Product product, Talk talk, String name) {
+  static Product placed(Product product, GossipAddresses talk, String name) {
     if (product.fleet() == null || product.fleet().listen() != null) {
       return product;
     }
--- a/src/main/java/dunlinhitch/config/ProductReader.java
+++ b/src/main/java/dunlinhitch/config/ProductReader.java
@@ -1,10 +1,10 @@
 package dunlinhitch.config;
 
-import dunlinhitch.conf.Block;
-import dunlinhitch.conf.ConfException;
-import dunlinhitch.conf.Schema;
-import dunlinhitch.conf.Schema.Kind;
 import dunlinhitch.config.Config.Address;
+import dunlinhitch.config.syntax.Block;
+import dunlinhitch.config.syntax.Schema;
+import dunlinhitch.config.syntax.Schema.Kind;
+import dunlinhitch.config.syntax.SyntaxException;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -155,11 +155,11 @@
         }
       }
       if (!discovery && services.isEmpty()) {
-        throw new ConfException(
+        throw new SyntaxException(
             file, "discovery is off and there is no [dns_sd NAME]: no store would ever be known");
       }
       return new Product(flight, discovery, services, announcement, state, times, phases, fleet);
-    } catch (ConfException e) {
+    } catch (SyntaxException e) {
       throw new Config.ConfigException(e.getMessage());
     }
   }
--- a/src/main/java/dunlinhitch/config/SettingsReader.java
+++ b/src/main/java/dunlinhitch/config/SettingsReader.java
@@ -4,7 +4,15 @@
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import dunlinhitch.decide.Routing;
+import dunlinhitch.balancer.settings.Idempotency;
+import dunlinhitch.balancer.settings.Limits;
+import dunlinhitch.balancer.settings.LoadReportField;
+import dunlinhitch.balancer.settings.Prices;
+import dunlinhitch.balancer.settings.QueryClass;
+import dunlinhitch.balancer.settings.Rules;
+import dunlinhitch.balancer.settings.Settings;
+import dunlinhitch.balancer.settings.ShardLayout;
+import dunlinhitch.balancer.settings.Tenant;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -16,16 +24,16 @@
   private SettingsReader() {}
 
   /** Throws a RuntimeException with a plain message on what is no settings object. */
-  public static Routing.Settings read(String text) {
+  public static Settings read(String text) {
     return read(Json.parse(text).asObject());
   }
 
   /** The same from an object that stands within another. */
-  public static Routing.Settings read(JsonObject root) {
+  public static Settings read(JsonObject root) {
     JsonObject domain = object(root, "Domain");
     JsonObject report = object(root, "Report");
     String via = string(report, "Via", "none");
-    return new Routing.Settings(
+    return new Settings(
         integer(root, "ReplicasOfMe", 1),
         zones(root),
         integer(root, "MyZone", 0),
@@ -44,14 +52,14 @@
         flag(object(root, "Clients"), "MarksRetry", false));
   }
 
-  private static List<Routing.QueryClass> classes(JsonArray from, JsonObject domain) {
-    List<Routing.QueryClass> classes = new ArrayList<>();
+  private static List<QueryClass> classes(JsonArray from, JsonObject domain) {
+    List<QueryClass> classes = new ArrayList<>();
     for (int i = 0; i < from.size(); i++) {
       JsonObject o = from.get(i).asObject();
       double need = at(domain, "ClassNeed", i, 1);
       long deadline = whole(o, "DeadlineUs", 0);
       classes.add(
-          new Routing.QueryClass(
+          new QueryClass(
               string(o, "Name", ""),
               whole(o, "OnTimeUs", deadline),
               number(o, "AimStretch", 0),
@@ -75,27 +83,26 @@
     return zones;
   }
 
-  private static Routing.Repeat repeat(String word) {
+  private static Idempotency repeat(String word) {
     return switch (word) {
-      case "free" -> Routing.Repeat.FREE;
-      case "guarded" -> Routing.Repeat.GUARDED;
-      default -> Routing.Repeat.SINGLE_SHOT;
+      case "free" -> Idempotency.FREE;
+      case "guarded" -> Idempotency.GUARDED;
+      default -> Idempotency.SINGLE_SHOT;
     };
   }
 
-  private static List<Routing.Tenant> tenants(JsonObject root) {
-    List<Routing.Tenant> tenants = new ArrayList<>();
+  private static List<Tenant> tenants(JsonObject root) {
+    List<Tenant> tenants = new ArrayList<>();
     for (JsonValue e : array(root, "Orgs")) {
       JsonObject o = e.asObject();
       tenants.add(
-          new Routing.Tenant(
-              string(o, "Name", ""), number(o, "QuotaPerS", 0), number(o, "Share", 0)));
+          new Tenant(string(o, "Name", ""), number(o, "QuotaPerS", 0), number(o, "Share", 0)));
     }
     return tenants;
   }
 
-  private static Routing.Layout layout(JsonObject o) {
-    return new Routing.Layout(
+  private static ShardLayout layout(JsonObject o) {
+    return new ShardLayout(
         integer(o, "Positions", 1),
         integer(o, "InARow", 1),
         integer(o, "Shards", 0),
@@ -103,8 +110,8 @@
         whole(o, "OverheadUs", 0));
   }
 
-  private static Routing.Limits limits(JsonObject o) {
-    return new Routing.Limits(
+  private static Limits limits(JsonObject o) {
+    return new Limits(
         integer(o, "MaxAttempts", 1),
         integer(o, "MostHeld", Integer.MAX_VALUE),
         flag(o, "MayCancel", false),
@@ -117,8 +124,8 @@
         whole(o, "ConnIdleUs", 0));
   }
 
-  private static Routing.Rules rules(JsonObject o) {
-    return new Routing.Rules(
+  private static Rules rules(JsonObject o) {
+    return new Rules(
         whole(o, "AnswerSlackUs", 0),
         whole(o, "AskWithinUs", 0),
         number(o, "RepeatRatio", -1),
@@ -131,26 +138,26 @@
         whole(o, "DrainGraceUs", 0));
   }
 
-  private static Routing.Prices prices(JsonObject o) {
-    return new Routing.Prices(
+  private static Prices prices(JsonObject o) {
+    return new Prices(
         number(o, "CrossZone", 0),
         number(o, "Probe", 0),
         number(o, "Waste", 0),
         number(o, "LateFail", 0));
   }
 
-  private static List<Routing.ReportField> fields(JsonArray from) {
-    List<Routing.ReportField> fields = new ArrayList<>();
+  private static List<LoadReportField> fields(JsonArray from) {
+    List<LoadReportField> fields = new ArrayList<>();
     for (JsonValue e : from) {
       fields.add(
           switch (e.asString()) {
-            case "outstanding" -> Routing.ReportField.OUTSTANDING;
-            case "backlog" -> Routing.ReportField.BACKLOG;
-            case "utilization" -> Routing.ReportField.UTILIZATION;
-            case "recent_ms" -> Routing.ReportField.RECENT_MS;
-            case "throughput" -> Routing.ReportField.THROUGHPUT;
-            case "errors_per_s" -> Routing.ReportField.ERRORS;
-            default -> Routing.ReportField.OTHER;
+            case "outstanding" -> LoadReportField.OUTSTANDING;
+            case "backlog" -> LoadReportField.BACKLOG;
+            case "utilization" -> LoadReportField.UTILIZATION;
+            case "recent_ms" -> LoadReportField.RECENT_MS;
+            case "throughput" -> LoadReportField.THROUGHPUT;
+            case "errors_per_s" -> LoadReportField.ERRORS;
+            default -> LoadReportField.OTHER;
           });
     }
     return fields;
--- a/src/main/java/dunlinhitch/conf/Block.java
+++ b/src/main/java/dunlinhitch/config/syntax/Block.java
@@ -1,4 +1,4 @@
-package dunlinhitch.conf;
+package dunlinhitch.config.syntax;
 
 import java.nio.file.Path;
 import java.util.List;
@@ -81,7 +81,7 @@
   }
 
   /** What is wrong with a value, at its place. */
-  public ConfException wrong(String name, String message) {
+  public SyntaxException wrong(String name, String message) {
     Directive directive = found.get(name).get(0);
     return directive.wrong(directive.words().get(0), name + " " + message);
   }
--- a/src/main/java/dunlinhitch/conf/Directive.java
+++ b/src/main/java/dunlinhitch/config/syntax/Directive.java
@@ -1,4 +1,4 @@
-package dunlinhitch.conf;
+package dunlinhitch.config.syntax;
 
 import java.nio.file.Path;
 import java.util.List;
@@ -13,12 +13,12 @@
   }
 
   /** What is wrong with the line as a whole. */
-  public ConfException wrong(String message) {
+  public SyntaxException wrong(String message) {
     return wrong(name, message);
   }
 
   /** What is wrong with one of its words. */
-  public ConfException wrong(Word at, String message) {
-    return new ConfException(file, line, at.column(), message);
+  public SyntaxException wrong(Word at, String message) {
+    return new SyntaxException(file, line, at.column(), message);
   }
 }
--- a/src/main/java/dunlinhitch/conf/Schema.java
+++ b/src/main/java/dunlinhitch/config/syntax/Schema.java
@@ -1,4 +1,4 @@
-package dunlinhitch.conf;
+package dunlinhitch.config.syntax;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -81,10 +81,12 @@
     return parts.computeIfAbsent(kind, k -> new Part(k, labelled));
   }
 
-  /** Reads and checks a file whole; a {@link ConfException} names the first thing that is wrong. */
+  /**
+   * Reads and checks a file whole; a {@link SyntaxException} names the first thing that is wrong.
+   */
   public List<Block> read(Path file) {
     List<Block> blocks = new ArrayList<>();
-    for (Section section : ConfReader.read(file)) {
+    for (Section section : SyntaxReader.read(file)) {
       Part part = parts.get(section.kind());
       if (part == null) {
         throw section
@@ -151,7 +153,7 @@
     for (Known known : part.known.values()) {
       if (known.required() && !found.containsKey(known.name())) {
         String what = "[" + part.kind + "] wants " + known.name() + ": " + known.kind().words;
-        throw section.head() == null ? new ConfException(file, what) : section.head().wrong(what);
+        throw section.head() == null ? new SyntaxException(file, what) : section.head().wrong(what);
       }
     }
     return new Block(section, part, found);
--- a/src/main/java/dunlinhitch/conf/ConfReader.java
+++ b/src/main/java/dunlinhitch/config/syntax/SyntaxReader.java
@@ -1,4 +1,4 @@
-package dunlinhitch.conf;
+package dunlinhitch.config.syntax;
 
 import java.io.IOException;
 import java.nio.charset.CharacterCodingException;
@@ -17,7 +17,7 @@
  * another file in its place, its path relative to the file that names it. What the names mean is
  * {@link Schema}'s.
  */
-public final class ConfReader {
+public final class SyntaxReader {
   static final int MOST_BYTES = 1 << 20;
   static final int MOST_LINES = 20_000;
   static final int MOST_DEPTH = 8;
@@ -25,13 +25,15 @@
   private final Deque<Path> open = new ArrayDeque<>();
   private int lines;
 
-  private ConfReader() {
+  private SyntaxReader() {
     sections.add(new Section("", "", null, new ArrayList<>()));
   }
 
-  /** The sections in order; the first is the one without a head. Throws a {@link ConfException}. */
+  /**
+   * The sections in order; the first is the one without a head. Throws a {@link SyntaxException}.
+   */
   public static List<Section> read(Path file) {
-    ConfReader reader = new ConfReader();
+    SyntaxReader reader = new SyntaxReader();
     reader.file(file, null);
     return reader.sections;
   }
@@ -52,7 +54,7 @@
     for (String line : text(file, from).split("\n", -1)) {
       number++;
       if (++lines > MOST_LINES) {
-        throw new ConfException(file, number, 1, "more than " + MOST_LINES + " lines in all");
+        throw new SyntaxException(file, number, 1, "more than " + MOST_LINES + " lines in all");
       }
       line(file, number, line.endsWith("\r") ? line.substring(0, line.length() - 1) : line);
     }
@@ -74,7 +76,7 @@
     } catch (IOException e) {
       why = "it can not be read: " + e.getMessage();
     }
-    throw from == null ? new ConfException(file, why) : from.wrong(file + ": " + why);
+    throw from == null ? new SyntaxException(file, why) : from.wrong(file + ": " + why);
   }
 
   private void line(Path file, int number, String line) {
@@ -128,12 +130,13 @@
           text.append(line.charAt(at++));
         }
         if (at >= line.length()) {
-          throw new ConfException(file, number, begin + 1, "this quote is not closed on its line");
+          throw new SyntaxException(
+              file, number, begin + 1, "this quote is not closed on its line");
         }
         at++;
         words.add(new Directive.Word(text.toString(), begin + 1));
       } else if (c < ' ') {
-        throw new ConfException(
+        throw new SyntaxException(
             file, number, at + 1, "a control character; only blanks and tabs part words");
       } else {
         int begin = at;
--- a/src/main/java/dunlinhitch/conf/Values.java
+++ b/src/main/java/dunlinhitch/config/syntax/Values.java
@@ -1,4 +1,4 @@
-package dunlinhitch.conf;
+package dunlinhitch.config.syntax;
 
 import java.util.Map;
 import java.util.TreeMap;
