--- a/src/main/java/dunlinhitch/lab/explore/Models.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.explore;
+package dunlinhitch.experiments.modelchecker;
 
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -13,11 +13,11 @@
   private static final Map<String, Supplier<Model<?, ?>>> ALL = new LinkedHashMap<>();
 
   static {
-    ALL.put("view", () -> new Brokers<>(new ViewSubject(1), view(4)));
-    ALL.put("view-start", () -> new Brokers<>(new ViewSubject(1), view(0)));
-    ALL.put("facts", () -> new Brokers<>(new FactsSubject(0, false), facts()));
-    ALL.put("facts-ties", () -> new Brokers<>(new FactsSubject(0, true), facts()));
-    ALL.put("facts-ahead", () -> new Brokers<>(new FactsSubject(AHEAD_US, false), facts()));
+    ALL.put("view", () -> new Brokers<>(new MembershipSubject(1), view(4)));
+    ALL.put("view-start", () -> new Brokers<>(new MembershipSubject(1), view(0)));
+    ALL.put("facts", () -> new Brokers<>(new ReplicatedMapSubject(0, false), facts()));
+    ALL.put("facts-ties", () -> new Brokers<>(new ReplicatedMapSubject(0, true), facts()));
+    ALL.put("facts-ahead", () -> new Brokers<>(new ReplicatedMapSubject(AHEAD_US, false), facts()));
   }
 
   private Models() {}
--- a/src/main/java/dunlinhitch/lab/explore/Node.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.explore;
+package dunlinhitch.experiments.modelchecker;
 
 /**
  * The module of one broker as a model feeds it: {@code W} is a word to another, {@code V} what can
--- a/src/main/java/dunlinhitch/lab/explore/FactsSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -1,8 +1,8 @@
-package dunlinhitch.lab.explore;
+package dunlinhitch.experiments.modelchecker;
 
-import dunlinhitch.fleet.Fact;
-import dunlinhitch.fleet.Facts;
-import dunlinhitch.fleet.FactsRule;
+import dunlinhitch.cluster.ReplicatedEntry;
+import dunlinhitch.cluster.ReplicatedMap;
+import dunlinhitch.cluster.ReplicatedMapSettings;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -15,31 +15,32 @@
 import java.util.stream.Collectors;
 
 /** What brokers hold in common, the module that serves; a word tells all that its broker holds. */
-public final class FactsSubject implements Subject<List<Fact<String, Integer>>, FactsSubject.Seen> {
+public final class ReplicatedMapSubject
+    implements Subject<List<ReplicatedEntry<String, Integer>>, ReplicatedMapSubject.Seen> {
   /** A step of the model, in µs. */
   private static final long STEP_US = 1_000;
 
-  static final FactsRule RULE = new FactsRule(3 * STEP_US, STEP_US, 2, 1);
+  static final ReplicatedMapSettings RULE = new ReplicatedMapSettings(3 * STEP_US, STEP_US, 2, 1);
   private static final List<String> KEYS = List.of("a", "b");
   private static final String SAY = "says something of ";
   private static final String TELL = "tells ";
 
   /** What holds facts: the module, or one put wrong on purpose. */
   interface Holder {
-    void take(long nowUs, Fact<String, Integer> told);
+    void take(long nowUs, ReplicatedEntry<String, Integer> told);
 
     void forget(long nowUs);
 
-    List<Fact<String, Integer>> all();
+    List<ReplicatedEntry<String, Integer>> all();
   }
 
   /** The module that serves. */
   private static final class Real implements Holder {
-    private final Facts<String, Integer> facts =
-        new Facts<>(RULE, Comparator.<String>naturalOrder());
+    private final ReplicatedMap<String, Integer> facts =
+        new ReplicatedMap<>(RULE, Comparator.<String>naturalOrder());
 
     @Override
-    public void take(long nowUs, Fact<String, Integer> told) {
+    public void take(long nowUs, ReplicatedEntry<String, Integer> told) {
       facts.take(nowUs, told);
     }
 
@@ -49,13 +50,13 @@
     }
 
     @Override
-    public List<Fact<String, Integer>> all() {
+    public List<ReplicatedEntry<String, Integer>> all() {
       return facts.all();
     }
   }
 
   /** {@code clockUs}: what the broker's clock shows. */
-  public record Seen(long clockUs, List<Fact<String, Integer>> all, String wrong) {}
+  public record Seen(long clockUs, List<ReplicatedEntry<String, Integer>> all, String wrong) {}
 
   private final Supplier<Holder> holders;
   private final long aheadUs;
@@ -65,29 +66,29 @@
    * @param aheadUs of n0's clock
    * @param ties brokers may say things at the same moment; else no two ever do
    */
-  public FactsSubject(long aheadUs, boolean ties) {
+  public ReplicatedMapSubject(long aheadUs, boolean ties) {
     this(Real::new, aheadUs, ties);
   }
 
-  FactsSubject(Supplier<Holder> holders, long aheadUs, boolean ties) {
+  ReplicatedMapSubject(Supplier<Holder> holders, long aheadUs, boolean ties) {
     this.holders = holders;
     this.aheadUs = aheadUs;
     this.ties = ties;
   }
 
   /** One broker's, and what it held once and does no more. */
-  private final class Holding implements Node<List<Fact<String, Integer>>, Seen> {
+  private final class Holding implements Node<List<ReplicatedEntry<String, Integer>>, Seen> {
     private final String name;
-    private final Mouth<List<Fact<String, Integer>>> mouth;
+    private final Mouth<List<ReplicatedEntry<String, Integer>>> mouth;
     private final Holder held = holders.get();
     private final long ahead;
-    private final Set<Fact<String, Integer>> gone = new HashSet<>();
+    private final Set<ReplicatedEntry<String, Integer>> gone = new HashSet<>();
     private final Map<String, Long> said = new HashMap<>();
-    private List<Fact<String, Integer>> before = List.of();
+    private List<ReplicatedEntry<String, Integer>> before = List.of();
     private long clock;
     private String wrong;
 
-    Holding(int number, int now, Mouth<List<Fact<String, Integer>>> mouth) {
+    Holding(int number, int now, Mouth<List<ReplicatedEntry<String, Integer>>> mouth) {
       name = Brokers.name(number);
       ahead = number == 0 ? aheadUs : 0;
       clock = clock(now);
@@ -110,7 +111,7 @@
     }
 
     @Override
-    public void heard(int now, List<Fact<String, Integer>> word) {
+    public void heard(int now, List<ReplicatedEntry<String, Integer>> word) {
       word.forEach(fact -> held.take(clock, fact));
       look();
     }
@@ -122,7 +123,7 @@
         long at = ties ? clock : clock + order;
         Long last = said.put(key, at);
         if (last == null || last < at) { // of one key an author says one thing at a moment
-          held.take(clock, new Fact<>(key, name, at, order));
+          held.take(clock, new ReplicatedEntry<>(key, name, at, order));
         }
       } else {
         mouth.say(Brokers.number(what.substring(TELL.length())), held.all());
@@ -131,8 +132,8 @@
     }
 
     private void look() {
-      List<Fact<String, Integer>> now = held.all();
-      Set<Fact<String, Integer>> all = Set.copyOf(now);
+      List<ReplicatedEntry<String, Integer>> now = held.all();
+      Set<ReplicatedEntry<String, Integer>> all = Set.copyOf(now);
       before.stream().filter(fact -> !all.contains(fact)).forEach(gone::add);
       before = now;
       now.stream()
@@ -141,7 +142,7 @@
           .ifPresent(fact -> wrong = name + " holds again what it had let go: " + fact);
       long most =
           now.stream()
-              .collect(Collectors.groupingBy(Fact::author, Collectors.counting()))
+              .collect(Collectors.groupingBy(ReplicatedEntry::author, Collectors.counting()))
               .values()
               .stream()
               .mapToLong(count -> count)
@@ -164,8 +165,8 @@
   }
 
   @Override
-  public Node<List<Fact<String, Integer>>, Seen> start(
-      int number, int now, Node.Mouth<List<Fact<String, Integer>>> mouth) {
+  public Node<List<ReplicatedEntry<String, Integer>>, Seen> start(
+      int number, int now, Node.Mouth<List<ReplicatedEntry<String, Integer>>> mouth) {
     return new Holding(number, now, mouth);
   }
 
@@ -225,7 +226,7 @@
   @Override
   public Optional<String> unsettled(List<Seen> live, List<Integer> numbers) {
     long latest = live.stream().mapToLong(Seen::clockUs).max().orElse(0);
-    List<List<Fact<String, Integer>>> held =
+    List<List<ReplicatedEntry<String, Integer>>> held =
         live.stream()
             .map(
                 one ->
@@ -260,7 +261,7 @@
   }
 
   @Override
-  public String told(List<Fact<String, Integer>> word) {
+  public String told(List<ReplicatedEntry<String, Integer>> word) {
     return word.stream()
         .map(fact -> fact.author() + " of " + fact.key() + " at " + fact.atUs())
         .collect(Collectors.joining(", ", "[", "]"));
--- a/src/main/java/dunlinhitch/lab/explore/Subject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Subject.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.explore;
+package dunlinhitch.experiments.modelchecker;
 
 import java.util.List;
 import java.util.Optional;
--- a/src/main/java/dunlinhitch/lab/sim/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.sim;
+package dunlinhitch.experiments.simulation;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/dunlinhitch/lab/sim/Defect.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Defect.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.sim;
+package dunlinhitch.experiments.simulation;
 
 /** A defect put in on purpose, at the broker's edges, to show that the checkers can fail. */
 public enum Defect {
--- a/src/main/java/dunlinhitch/lab/sim/Fault.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Fault.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.sim;
+package dunlinhitch.experiments.simulation;
 
 import java.nio.file.Path;
 import java.util.ArrayList;
--- a/src/main/java/dunlinhitch/lab/sim/ScorerWorld.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
@@ -1,6 +1,6 @@
-package dunlinhitch.lab.sim;
+package dunlinhitch.experiments.simulation;
 
-import dunlinhitch.fleet.Fact;
+import dunlinhitch.cluster.ReplicatedEntry;
 import dunlinhitch.scoring.FactorTable;
 import dunlinhitch.scoring.ScorerIdentity;
 import dunlinhitch.scoring.Scoring;
@@ -177,7 +177,7 @@
     /** Own words go to every other broker, each after a time of its own. */
     private void tell() {
       String self = "n" + brokers.indexOf(this);
-      List<Fact<WeightKey, Weight>> news =
+      List<ReplicatedEntry<WeightKey, Weight>> news =
           scoring.weights().since(told, Integer.MAX_VALUE).stream()
               .filter(fact -> fact.author().equals(self))
               .toList();
--- a/src/main/java/dunlinhitch/lab/sim/SimBroker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimBroker.java
@@ -1,9 +1,9 @@
-package dunlinhitch.lab.sim;
+package dunlinhitch.experiments.simulation;
 
+import dunlinhitch.balancer.settings.Settings;
 import dunlinhitch.core.Effect;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.Reducer;
-import dunlinhitch.decide.Routing.Settings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.BiConsumer;
@@ -67,7 +67,7 @@
     List<Event> events = gathered;
     gathered = new ArrayList<>();
     for (Effect effect : reducer.turn(lastTurnUs, events)) {
-      if (effect instanceof Effect.WakeAt e) {
+      if (effect instanceof Effect.ScheduleWakeUp e) {
         wake(Math.max(e.dueUs(), lastTurnUs + reducer.settings().tickUs()));
       } else {
         edges.accept(this, effect);
--- a/src/main/java/dunlinhitch/lab/sim/Streams.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Streams.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.sim;
+package dunlinhitch.experiments.simulation;
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
--- a/src/main/java/dunlinhitch/lab/fleet/Links.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/Links.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.fleet;
+package dunlinhitch.experiments.testbed;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/dunlinhitch/lab/fleet/Rig.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/Rig.java
@@ -1,7 +1,7 @@
-package dunlinhitch.lab.fleet;
+package dunlinhitch.experiments.testbed;
 
-import dunlinhitch.lab.standin.Discovery;
-import dunlinhitch.lab.standin.FrameStore;
+import dunlinhitch.experiments.fakes.Discovery;
+import dunlinhitch.experiments.fakes.FrameStore;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import java.io.BufferedReader;
@@ -167,7 +167,7 @@
                   "-Xmx64m",
                   "-cp",
                   System.getProperty("java.class.path"),
-                  "dunlinhitch.Main",
+                  "dunlinhitch.cli.Main",
                   "serve",
                   "--config",
                   config.toString(),
--- a/src/main/java/dunlinhitch/lab/fleet/RigClients.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/RigClients.java
@@ -1,6 +1,6 @@
-package dunlinhitch.lab.fleet;
+package dunlinhitch.experiments.testbed;
 
-import dunlinhitch.lab.standin.Client;
+import dunlinhitch.experiments.fakes.Client;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetSocket;
--- a/src/main/java/dunlinhitch/lab/fleet/RigCommand.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/RigCommand.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.fleet;
+package dunlinhitch.experiments.testbed;
 
 import java.io.IOException;
 import java.nio.file.Files;
--- a/src/main/java/dunlinhitch/lab/fleet/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.fleet;
+package dunlinhitch.experiments.testbed;
 
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelOption;
--- a/src/main/java/dunlinhitch/lab/fleet/ViewBounds.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ViewBounds.java
@@ -1,6 +1,6 @@
-package dunlinhitch.lab.fleet;
+package dunlinhitch.experiments.testbed;
 
-import dunlinhitch.fleet.ViewSettings;
+import dunlinhitch.cluster.MembershipProtocolSettings;
 
 /**
  * The bounds of docs/view.md as formulas of the settings, the fleet's size and nothing else; in
@@ -13,26 +13,26 @@
   private ViewBounds() {}
 
   /** News to all: twice the logarithm of the fleet, in periods. */
-  private static double news(ViewSettings s, int brokers) {
+  private static double news(MembershipProtocolSettings s, int brokers) {
     return 2 * s.everyUs() * Math.log(brokers + 1) / Math.log(2);
   }
 
-  private static double pages(ViewSettings s, int brokers) {
+  private static double pages(MembershipProtocolSettings s, int brokers) {
     return 4.0 * s.everyUs() * Math.ceil((double) brokers * BROKER_BYTES / s.pageBytes());
   }
 
   /** Some leave as asked, and one or more of the others heard it. */
-  public static long leaveUs(ViewSettings s, int brokers) {
+  public static long leaveUs(MembershipProtocolSettings s, int brokers) {
     return (long) (4 * s.everyUs() + 2 * news(s, brokers));
   }
 
   /** Some join, or a cut is over, or both. */
-  public static long joinUs(ViewSettings s, int brokers) {
+  public static long joinUs(MembershipProtocolSettings s, int brokers) {
     return (long) (8 * s.everyUs() + 2 * news(s, brokers) + pages(s, brokers));
   }
 
   /** Some die, or are cut off. */
-  public static long dieUs(ViewSettings s, int brokers) {
+  public static long dieUs(MembershipProtocolSettings s, int brokers) {
     double longest = s.stretch() * s.suspectUs() * Math.max(1, Math.log10(brokers));
     return (long)
         ((s.tries() + 4) * s.everyUs() + longest + 2 * news(s, brokers) + pages(s, brokers));
@@ -42,7 +42,7 @@
    * Bytes that one broker sends in a second, on the mean over the brokers, whatever fails: with
    * every word as large as it may be.
    */
-  public static double bytesPerS(ViewSettings s) {
+  public static double bytesPerS(MembershipProtocolSettings s) {
     int looks = 3;
     int words = looks * (4 + 4 * s.helpers()) + 2;
     return (words * (s.wordBytes() + 28.0) + s.pageBytes()) * 1e6 / s.everyUs();
--- a/src/main/java/dunlinhitch/lab/fleet/WordProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/WordProxy.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.fleet;
+package dunlinhitch.experiments.testbed;
 
 import io.vertx.core.Vertx;
 import io.vertx.core.datagram.DatagramPacket;
--- a/src/main/java/dunlinhitch/intake/Exchanges.java
+++ b/src/main/java/dunlinhitch/frontend/Exchanges.java
@@ -1,8 +1,8 @@
-package dunlinhitch.intake;
+package dunlinhitch.frontend;
 
-import dunlinhitch.core.Answer;
 import dunlinhitch.core.Event;
-import dunlinhitch.core.QueryAsk;
+import dunlinhitch.core.QueryRequest;
+import dunlinhitch.core.QueryResponse;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.function.Consumer;
@@ -12,7 +12,7 @@
  * and the answer comes back under it. All calls come from the event loop.
  */
 public final class Exchanges {
-  private final Map<Long, Consumer<Answer>> waiting = new HashMap<>();
+  private final Map<Long, Consumer<QueryResponse>> waiting = new HashMap<>();
   private final Consumer<Event> events;
   private long last;
 
@@ -21,23 +21,23 @@
   }
 
   /** Hands a query in; {@code writer} gets its one answer unless the client leaves first. */
-  public long open(QueryAsk ask, Consumer<Answer> writer) {
+  public long open(QueryRequest ask, Consumer<QueryResponse> writer) {
     long exchange = ++last;
     waiting.put(exchange, writer);
-    events.accept(new Event.QueryTaken(exchange, ask));
+    events.accept(new Event.QueryReceived(exchange, ask));
     return exchange;
   }
 
   /** The client has gone; nothing is said if it was answered before. */
   public void left(long exchange) {
     if (waiting.remove(exchange) != null) {
-      events.accept(new Event.ClientLeft(exchange));
+      events.accept(new Event.ClientDisconnected(exchange));
     }
   }
 
   /** Passes the answer to the front that asked. */
-  public void reply(long exchange, Answer answer) {
-    Consumer<Answer> writer = waiting.remove(exchange);
+  public void reply(long exchange, QueryResponse answer) {
+    Consumer<QueryResponse> writer = waiting.remove(exchange);
     if (writer != null) {
       writer.accept(answer);
     }
--- a/src/main/java/dunlinhitch/intake/Front.java
+++ b/src/main/java/dunlinhitch/frontend/Frontend.java
@@ -1,9 +1,9 @@
-package dunlinhitch.intake;
+package dunlinhitch.frontend;
 
 import io.vertx.core.Future;
 
 /** Where clients connect; the fronts differ in wording only. */
-public interface Front {
+public interface Frontend {
   /** Listens on this address only; the result is the port. */
   Future<Integer> listen(String host, int port);
 
--- a/src/main/java/dunlinhitch/intake/GracefulShutdown.java
+++ b/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
@@ -1,4 +1,4 @@
-package dunlinhitch.intake;
+package dunlinhitch.frontend;
 
 import java.util.LinkedHashMap;
 import java.util.List;
--- a/src/main/java/dunlinhitch/intake/BadQueryException.java
+++ b/src/main/java/dunlinhitch/frontend/MalformedQueryException.java
@@ -1,10 +1,10 @@
-package dunlinhitch.intake;
+package dunlinhitch.frontend;
 
 /** A request that is no query: the message says why, in words for the client. */
-public final class BadQueryException extends Exception {
+public final class MalformedQueryException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public BadQueryException(String message) {
+  public MalformedQueryException(String message) {
     super(message);
   }
 }
--- a/src/main/java/dunlinhitch/intake/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -1,13 +1,13 @@
-package dunlinhitch.intake;
+package dunlinhitch.frontend;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
 import com.eclipsesource.json.JsonValue;
-import dunlinhitch.core.QueryAsk;
-import dunlinhitch.decide.Routing.QueryClass;
-import dunlinhitch.decide.Routing.Repeat;
-import dunlinhitch.decide.Routing.Settings;
+import dunlinhitch.balancer.settings.Idempotency;
+import dunlinhitch.balancer.settings.QueryClass;
+import dunlinhitch.balancer.settings.Settings;
+import dunlinhitch.core.QueryRequest;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -62,20 +62,20 @@
    * {@code header} gives a header's value or null; {@code customers} holds every value of {@link
    * #CUSTOMER} that came; {@code takenUs} is when the request's last byte was read.
    */
-  public QueryAsk read(
+  public QueryRequest read(
       QueryClass kind,
       UnaryOperator<String> header,
       Iterable<String> customers,
       String body,
       long takenUs)
-      throws BadQueryException {
+      throws MalformedQueryException {
     String id = word(header, TRACE_ID);
-    String key = kind.repeat() == Repeat.GUARDED ? word(header, IDEMPOTENCY_KEY) : "";
+    String key = kind.repeat() == Idempotency.GUARDED ? word(header, IDEMPOTENCY_KEY) : "";
     String expires = header.apply(EXPIRES_IN);
     long leftUs = kind.deadlineUs();
     if (expires != null) {
       if (!SECONDS.matcher(expires).matches()) {
-        throw new BadQueryException(EXPIRES_IN + " is no number of seconds");
+        throw new MalformedQueryException(EXPIRES_IN + " is no number of seconds");
       }
       leftUs = Math.min(leftUs, (long) (Double.parseDouble(expires) * 1e6));
     }
@@ -83,9 +83,9 @@
       JsonObject o = Json.parse(body).asObject();
       JsonValue text = o.get("predicate");
       if (text == null) {
-        throw new BadQueryException("predicate is missing");
+        throw new MalformedQueryException("predicate is missing");
       }
-      return new QueryAsk(
+      return new QueryRequest(
           id,
           key,
           kind,
@@ -96,7 +96,7 @@
           text.asString(),
           "1".equals(header.apply(SHOW_PRUNED)));
     } catch (RuntimeException e) {
-      throw new BadQueryException("the body is no query: " + e.getMessage());
+      throw new MalformedQueryException("the body is no query: " + e.getMessage());
     }
   }
 
@@ -118,16 +118,16 @@
     return named;
   }
 
-  private List<QueryAsk.PartAsk> parts(JsonValue ranges) throws BadQueryException {
+  private List<QueryRequest.PartRequest> parts(JsonValue ranges) throws MalformedQueryException {
     if (ranges == null || ranges.asArray().isEmpty()) {
-      throw new BadQueryException("ranges is missing or empty");
+      throw new MalformedQueryException("ranges is missing or empty");
     }
     JsonArray array = ranges.asArray();
     int shards = settings.get().layout().shards();
     if (1 + array.size() > settings.get().limits().mostHeld()) {
-      throw new BadQueryException("more ranges than may be held");
+      throw new MalformedQueryException("more ranges than may be held");
     }
-    List<QueryAsk.PartAsk> parts = new ArrayList<>(array.size());
+    List<QueryRequest.PartRequest> parts = new ArrayList<>(array.size());
     Set<Integer> seen = new HashSet<>();
     double whole = 0;
     for (JsonValue value : array) {
@@ -136,24 +136,26 @@
       double portion = o.get("portion").asDouble();
       double price = o.getDouble("price", 0);
       if (shard < 0 || shards > 0 && shard >= shards || !seen.add(shard)) {
-        throw new BadQueryException("range " + shard + " does not exist or is named twice");
+        throw new MalformedQueryException("range " + shard + " does not exist or is named twice");
       }
       if (!(portion >= 0 && portion <= 1.001) || !(price >= 0 && price <= 1e12)) {
-        throw new BadQueryException("portion or price of range " + shard + " is out of range");
+        throw new MalformedQueryException(
+            "portion or price of range " + shard + " is out of range");
       }
-      parts.add(new QueryAsk.PartAsk(shard, portion, (long) price));
+      parts.add(new QueryRequest.PartRequest(shard, portion, (long) price));
       whole += portion;
     }
     if (Math.abs(whole - 1) > PORTIONS_SLACK) {
-      throw new BadQueryException("the portions add up to " + whole);
+      throw new MalformedQueryException("the portions add up to " + whole);
     }
     return parts;
   }
 
-  private static String word(UnaryOperator<String> header, String name) throws BadQueryException {
+  private static String word(UnaryOperator<String> header, String name)
+      throws MalformedQueryException {
     String value = header.apply(name);
     if (value == null || !WORD.matcher(value).matches()) {
-      throw new BadQueryException(name + " is missing or no plain word");
+      throw new MalformedQueryException(name + " is missing or no plain word");
     }
     return value;
   }
--- a/src/main/java/dunlinhitch/intake/flight/FlightFront.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -1,14 +1,14 @@
-package dunlinhitch.intake.flight;
+package dunlinhitch.frontend.flight;
 
-import dunlinhitch.core.Answer;
-import dunlinhitch.core.Count;
+import dunlinhitch.balancer.settings.QueryClass;
+import dunlinhitch.core.Counter;
 import dunlinhitch.core.Event;
-import dunlinhitch.core.QueryAsk;
-import dunlinhitch.decide.Routing.QueryClass;
-import dunlinhitch.intake.BadQueryException;
-import dunlinhitch.intake.Exchanges;
-import dunlinhitch.intake.Front;
-import dunlinhitch.intake.QueryReader;
+import dunlinhitch.core.QueryRequest;
+import dunlinhitch.core.QueryResponse;
+import dunlinhitch.frontend.Exchanges;
+import dunlinhitch.frontend.Frontend;
+import dunlinhitch.frontend.MalformedQueryException;
+import dunlinhitch.frontend.QueryReader;
 import io.grpc.Deadline;
 import io.grpc.netty.NettyServerBuilder;
 import io.vertx.core.Context;
@@ -49,7 +49,7 @@
  * with class and identity in headers. What it takes goes the way of every other query; only the
  * wording is its own.
  */
-public final class FlightFront implements Front {
+public final class FlightFrontend implements Frontend {
   public static final String CLASS = "X-Qos";
   public static final String TOTAL = "total";
   private static final String PRUNED = "pruned";
@@ -70,7 +70,7 @@
       new ThreadPoolExecutor(THREADS, THREADS, 10, TimeUnit.SECONDS, new LinkedBlockingQueue<>());
   private FlightServer server;
 
-  public FlightFront(
+  public FlightFrontend(
       Vertx vertx,
       Context context,
       Exchanges exchanges,
@@ -109,7 +109,7 @@
    */
   private void warmUp(String host, int bound) throws InterruptedException {
     try (VectorSchemaRoot root = VectorSchemaRoot.create(schema(true, null), allocator)) {
-      fill(root, List.of(new Answer.PartValue(0, "")));
+      fill(root, List.of(new QueryResponse.PartValue(0, "")));
     }
     FlightClient self =
         FlightClient.builder(allocator, Location.forGrpcInsecure(host, bound)).build();
@@ -145,27 +145,27 @@
       Deadline deadline = io.grpc.Context.current().getDeadline();
       CallHeaders headers = call.getMiddleware(HEADERS).headers();
       try {
-        QueryAsk ask = read(headers, ticket, takenUs);
+        QueryRequest ask = read(headers, ticket, takenUs);
         if (deadline != null) { // the earlier of the two binds
           ask = ask.dueBy(takenUs + Math.max(0, deadline.timeRemaining(TimeUnit.MICROSECONDS)));
         }
         open(ask, listener);
-      } catch (BadQueryException e) {
-        context.runOnContext(v -> events.accept(new Event.Noted(Count.BAD_REQUESTS)));
+      } catch (MalformedQueryException e) {
+        context.runOnContext(v -> events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS)));
         listener.error(
             CallStatus.INVALID_ARGUMENT.withDescription(e.getMessage()).toRuntimeException());
       }
     }
 
-    private QueryAsk read(CallHeaders headers, Ticket ticket, long takenUs)
-        throws BadQueryException {
+    private QueryRequest read(CallHeaders headers, Ticket ticket, long takenUs)
+        throws MalformedQueryException {
       String name = headers.get(CLASS);
       QueryClass kind = name == null ? null : reader.classOf(name);
       if (kind == null) {
-        throw new BadQueryException(CLASS + " names no class");
+        throw new MalformedQueryException(CLASS + " names no class");
       }
       if (ticket.getBytes().length > QueryReader.MOST_BYTES) {
-        throw new BadQueryException("the ticket is over 64 KiB");
+        throw new MalformedQueryException("the ticket is over 64 KiB");
       }
       Iterable<String> customers = headers.getAll(QueryReader.CUSTOMER);
       return reader.read(
@@ -183,7 +183,7 @@
     private boolean left;
   }
 
-  private void open(QueryAsk ask, NoOpFlightProducer.ServerStreamListener listener) {
+  private void open(QueryRequest ask, NoOpFlightProducer.ServerStreamListener listener) {
     Call call = new Call();
     listener.setOnCancelHandler(
         () ->
@@ -201,11 +201,11 @@
         });
   }
 
-  private void write(NoOpFlightProducer.ServerStreamListener listener, Answer answer) {
+  private void write(NoOpFlightProducer.ServerStreamListener listener, QueryResponse answer) {
     if (listener.isCancelled()) {
       return;
     }
-    if (answer instanceof Answer.Served served) {
+    if (answer instanceof QueryResponse.Served served) {
       try (VectorSchemaRoot root =
           VectorSchemaRoot.create(schema(served.whole(), served.pruned()), allocator)) {
         fill(root, served.parts());
@@ -218,7 +218,7 @@
                 .withDescription("the answer could not be written")
                 .toRuntimeException());
       }
-    } else if (answer instanceof Answer.Refused refused) {
+    } else if (answer instanceof QueryResponse.Rejected refused) {
       ErrorFlightMetadata metadata = new ErrorFlightMetadata();
       if (refused.comeBackUs() > 0) {
         metadata.insert(
@@ -231,7 +231,7 @@
               .toRuntimeException());
     } else {
       listener.error(
-          (answer instanceof Answer.OutOfTime
+          (answer instanceof QueryResponse.DeadlineExceeded
                   ? CallStatus.TIMED_OUT.withDescription("out of time")
                   : CallStatus.INTERNAL.withDescription("failed"))
               .toRuntimeException());
@@ -254,7 +254,7 @@
         words);
   }
 
-  private static void fill(VectorSchemaRoot root, List<Answer.PartValue> parts) {
+  private static void fill(VectorSchemaRoot root, List<QueryResponse.PartValue> parts) {
     IntVector ranges = (IntVector) root.getVector("range");
     VarCharVector blobs = (VarCharVector) root.getVector("blob");
     for (int i = 0; i < parts.size(); i++) {
--- a/src/main/java/dunlinhitch/intake/http/Links.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -1,9 +1,9 @@
-package dunlinhitch.intake.http;
+package dunlinhitch.frontend.http;
 
-import dunlinhitch.core.Count;
+import dunlinhitch.core.Counter;
 import dunlinhitch.core.Event;
-import dunlinhitch.intake.GracefulShutdown;
-import dunlinhitch.intake.GracefulShutdown.Fate;
+import dunlinhitch.frontend.GracefulShutdown;
+import dunlinhitch.frontend.GracefulShutdown.Fate;
 import io.vertx.core.http.HttpConnection;
 import io.vertx.core.http.HttpServerRequest;
 import java.util.ArrayList;
@@ -24,7 +24,7 @@
  * query need. How the front ends is {@link GracefulShutdown}'s, which also says that nothing is
  * closed on which a request has come unread.
  */
-final class Links {
+final class ClientConnections {
   /**
    * A first request must be whole so soon after its connection was made, a later one so soon after
    * its first byte.
@@ -111,7 +111,8 @@
   private long dueUs = Long.MAX_VALUE;
 
   /** {@code mostOpen}: so many descriptors, those of lingering ones included. */
-  Links(IntSupplier most, int mostOpen, LongSupplier clock, Consumer<Event> events, Host host) {
+  ClientConnections(
+      IntSupplier most, int mostOpen, LongSupplier clock, Consumer<Event> events, Host host) {
     this.most = most;
     this.mostOpen = mostOpen;
     this.clock = clock;
@@ -131,7 +132,7 @@
             new LingeringClose.Watch() {
               @Override
               public void came() {
-                Links.this.came(link);
+                ClientConnections.this.came(link);
               }
 
               @Override
@@ -153,7 +154,7 @@
     connection.closeHandler(v -> gone(link));
     if (links.size() >= most.getAsInt()) {
       link.crowded = !makesRoom();
-      events.accept(new Event.Noted(Count.CLIENTS_CROWDED_OUT));
+      events.accept(new Event.ConditionCounted(Counter.CLIENTS_CROWDED_OUT));
     }
     links.put(connection, link);
     end.made(link.madeUs, link);
@@ -299,14 +300,14 @@
   void closeOverdue() {
     long now = clock.getAsLong();
     for (Link link : List.copyOf(links.values())) {
-      Count why = link.stage == Stage.IDLE ? Count.CLIENTS_IDLE : Count.CLIENTS_SLOW;
+      Counter why = link.stage == Stage.IDLE ? Counter.CLIENTS_IDLE : Counter.CLIENTS_SLOW;
       boolean stalled = link.edge.stalledUs() < now - WRITE_US;
       if (stalled) {
         link.edge.cut();
       }
       if (stalled
           || now >= dueUs(link) && (end.closeQuiet(now, link) || end.refuseUnfinished(link))) {
-        events.accept(new Event.Noted(why));
+        events.accept(new Event.ConditionCounted(why));
       }
     }
   }
--- a/src/main/java/dunlinhitch/intake/http/ClientListener.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientListener.java
@@ -1,6 +1,6 @@
-package dunlinhitch.intake.http;
+package dunlinhitch.frontend.http;
 
-import dunlinhitch.handover.StillOpen;
+import dunlinhitch.concurrent.StillOpen;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
 import io.netty.channel.IoHandlerFactory;
--- a/src/main/java/dunlinhitch/intake/http/HttpFront.java
+++ b/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
@@ -1,16 +1,16 @@
-package dunlinhitch.intake.http;
+package dunlinhitch.frontend.http;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
-import dunlinhitch.core.Answer;
-import dunlinhitch.core.Count;
+import dunlinhitch.balancer.settings.QueryClass;
+import dunlinhitch.core.Counter;
 import dunlinhitch.core.Event;
-import dunlinhitch.decide.Routing.QueryClass;
-import dunlinhitch.intake.BadQueryException;
-import dunlinhitch.intake.Exchanges;
-import dunlinhitch.intake.Front;
-import dunlinhitch.intake.GracefulShutdown.Fate;
-import dunlinhitch.intake.QueryReader;
+import dunlinhitch.core.QueryResponse;
+import dunlinhitch.frontend.Exchanges;
+import dunlinhitch.frontend.Frontend;
+import dunlinhitch.frontend.GracefulShutdown.Fate;
+import dunlinhitch.frontend.MalformedQueryException;
+import dunlinhitch.frontend.QueryReader;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -35,7 +35,7 @@
  * The platform's front: HTTP/1.1, a query a POST. It reads and words; what is answered is decided
  * elsewhere.
  */
-public final class HttpFront implements Front {
+public final class HttpFrontend implements Frontend {
   private static final long LOOK_AFTER_MS = 200;
   private static final long END_LOOK_MS = 10;
   private static final String REFUSED = "refused; trying again is harmless\n";
@@ -47,7 +47,7 @@
   private final BooleanSupplier ready;
   private final Supplier<String> stats;
   private final HttpServer server;
-  private final Links links;
+  private final ClientConnections links;
 
   /** Where it accepts, and how many at once; null: as any server. */
   private final ClientListener listener;
@@ -58,7 +58,7 @@
   private long endTimer = -1;
 
   /** {@code mostLinks}: connections that clients may hold at once. */
-  public HttpFront(
+  public HttpFrontend(
       Vertx vertx,
       Exchanges exchanges,
       QueryReader reader,
@@ -78,7 +78,7 @@
     this.stats = stats;
     this.listener = listener;
     this.mostOpen = mostOpen;
-    links = new Links(mostLinks, mostOpen, clock, events, new End());
+    links = new ClientConnections(mostLinks, mostOpen, clock, events, new End());
     HttpServerOptions options =
         new HttpServerOptions()
             .setHttp2ClearTextEnabled(false)
@@ -94,8 +94,8 @@
           c.exceptionHandler(
               e ->
                   events.accept(
-                      new Event.Noted(
-                          e instanceof IOException ? Count.CLIENTS_RESET : Count.FAULTS)));
+                      new Event.ConditionCounted(
+                          e instanceof IOException ? Counter.CLIENTS_RESET : Counter.FAULTS)));
           ReadAhead ahead = ReadAhead.install(c, () -> links.flooded(c));
           links.made(c, () -> ahead.holdsAny() || decoder.holdsAny());
         });
@@ -104,7 +104,7 @@
           if (!links.asked(request)) {
             return;
           }
-          events.accept(new Event.Noted(Count.BAD_REQUESTS));
+          events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS));
           HttpServerRequest.DEFAULT_INVALID_REQUEST_HANDLER.handle(request);
         });
     server.requestHandler(this::request);
@@ -151,10 +151,10 @@
   }
 
   /** What of the end is not the connections' own. */
-  private final class End implements Links.Host {
+  private final class End implements ClientConnections.Host {
     @Override
     public void refuse(HttpServerRequest request) {
-      HttpFront.this.refuse(request);
+      HttpFrontend.this.refuse(request);
     }
 
     @Override
@@ -216,7 +216,7 @@
    * Where the body is still to come the connection ends too: it may be long, and nobody wants it.
    */
   private void bad(HttpServerRequest request, int status, String why) {
-    events.accept(new Event.Noted(Count.BAD_REQUESTS));
+    events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS));
     end(request, status, "text/plain", Buffer.buffer(why + "\n"), !request.isEnded());
   }
 
@@ -258,7 +258,7 @@
     Fate fate = links.taken(request);
     if (fate != Fate.SEND_ON) {
       if (fate == Fate.REFUSE) {
-        events.accept(new Event.Noted(Count.TURNED_AWAY));
+        events.accept(new Event.ConditionCounted(Counter.TURNED_AWAY));
         refuse(request);
       }
       return;
@@ -274,13 +274,13 @@
                   takenUs),
               answer -> write(request, answer));
       links.onLeft(request, () -> exchanges.left(exchange));
-    } catch (BadQueryException e) {
+    } catch (MalformedQueryException e) {
       bad(request, 400, e.getMessage());
     }
   }
 
-  private void write(HttpServerRequest request, Answer answer) {
-    if (answer instanceof Answer.Served served) {
+  private void write(HttpServerRequest request, QueryResponse answer) {
+    if (answer instanceof QueryResponse.Served served) {
       if (served.pruned() != null) {
         request
             .response()
@@ -299,7 +299,7 @@
           Buffer.buffer(
               Json.object().add("total", served.whole()).add("answers", parts).toString()),
           false);
-    } else if (answer instanceof Answer.Refused refused) {
+    } else if (answer instanceof QueryResponse.Rejected refused) {
       if (refused.comeBackUs() > 0) {
         request
             .response()
@@ -309,7 +309,7 @@
       }
       end(request, 503, "text/plain", Buffer.buffer(REFUSED), false);
     } else {
-      boolean late = answer instanceof Answer.OutOfTime;
+      boolean late = answer instanceof QueryResponse.DeadlineExceeded;
       end(
           request,
           late ? 504 : 500,
--- a/src/main/java/dunlinhitch/intake/http/ParkingSelectStrategy.java
+++ b/src/main/java/dunlinhitch/frontend/http/ParkingSelectStrategy.java
@@ -1,4 +1,4 @@
-package dunlinhitch.intake.http;
+package dunlinhitch.frontend.http;
 
 import io.netty.channel.SelectStrategy;
 import io.netty.util.IntSupplier;
--- a/src/main/java/dunlinhitch/intake/http/ReadAhead.java
+++ b/src/main/java/dunlinhitch/frontend/http/ReadAhead.java
@@ -1,4 +1,4 @@
-package dunlinhitch.intake.http;
+package dunlinhitch.frontend.http;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
--- a/src/main/java/dunlinhitch/intake/http/StrictDecoder.java
+++ b/src/main/java/dunlinhitch/frontend/http/StrictDecoder.java
@@ -1,4 +1,4 @@
-package dunlinhitch.intake.http;
+package dunlinhitch.frontend.http;
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaderValues;
--- a/src/main/java/dunlinhitch/scoring/Verdicts.java
+++ b/src/main/java/dunlinhitch/scoring/Verdicts.java
@@ -1,8 +1,8 @@
 package dunlinhitch.scoring;
 
-import dunlinhitch.fleet.Fact;
-import dunlinhitch.fleet.Facts;
-import dunlinhitch.fleet.FactsRule;
+import dunlinhitch.cluster.ReplicatedEntry;
+import dunlinhitch.cluster.ReplicatedMap;
+import dunlinhitch.cluster.ReplicatedMapSettings;
 import java.util.List;
 
 /**
@@ -10,23 +10,25 @@
  * are of the day's clock.
  */
 public final class Verdicts {
-  private static final FactsRule RULE = new FactsRule(600_000_000, 2_000_000, 1_000, 16);
+  private static final ReplicatedMapSettings RULE =
+      new ReplicatedMapSettings(600_000_000, 2_000_000, 1_000, 16);
 
   private final String self;
-  private final Facts<ScorerIdentity, Failure> facts = new Facts<>(RULE, ScorerIdentity.ORDER);
+  private final ReplicatedMap<ScorerIdentity, Failure> facts =
+      new ReplicatedMap<>(RULE, ScorerIdentity.ORDER);
 
   public Verdicts(String self) {
     this.self = self;
   }
 
   /** Another broker's word; true if it was news. */
-  public boolean told(long dayUs, Fact<ScorerIdentity, Failure> fact) {
-    return !fact.author().equals(self) && facts.take(dayUs, fact) == Facts.Took.NEWS;
+  public boolean told(long dayUs, ReplicatedEntry<ScorerIdentity, Failure> fact) {
+    return !fact.author().equals(self) && facts.take(dayUs, fact) == ReplicatedMap.MergeResult.NEWS;
   }
 
   /** This broker left it out. */
   public void failed(long dayUs, ScorerIdentity scorer, Failure failure) {
-    facts.take(dayUs, new Fact<>(scorer, self, dayUs, failure));
+    facts.take(dayUs, new ReplicatedEntry<>(scorer, self, dayUs, failure));
   }
 
   /** Other brokers that left the same one out of late. */
@@ -35,7 +37,7 @@
     return (int) facts.of(scorer).stream().filter(fact -> !fact.author().equals(self)).count();
   }
 
-  public List<Fact<ScorerIdentity, Failure>> since(long version, int most) {
+  public List<ReplicatedEntry<ScorerIdentity, Failure>> since(long version, int most) {
     return facts.since(version, most);
   }
 
--- a/src/main/java/dunlinhitch/scoring/WeightRule.java
+++ b/src/main/java/dunlinhitch/scoring/WeightRule.java
@@ -1,6 +1,6 @@
 package dunlinhitch.scoring;
 
-import dunlinhitch.fleet.FactsRule;
+import dunlinhitch.cluster.ReplicatedMapSettings;
 import dunlinhitch.scoring.api.ScoringApi;
 
 /**
@@ -45,8 +45,8 @@
     }
   }
 
-  FactsRule facts() {
-    return new FactsRule(LIVES * halfLifeUs, SKEW_US, MOST_FACTS, MOST_OF_AUTHOR);
+  ReplicatedMapSettings facts() {
+    return new ReplicatedMapSettings(LIVES * halfLifeUs, SKEW_US, MOST_FACTS, MOST_OF_AUTHOR);
   }
 
   /** The furthest that one broker, whatever it says, moves the logarithm of a merged weight. */
--- a/src/main/java/dunlinhitch/scoring/Weights.java
+++ b/src/main/java/dunlinhitch/scoring/Weights.java
@@ -1,7 +1,7 @@
 package dunlinhitch.scoring;
 
-import dunlinhitch.fleet.Fact;
-import dunlinhitch.fleet.Facts;
+import dunlinhitch.cluster.ReplicatedEntry;
+import dunlinhitch.cluster.ReplicatedMap;
 import dunlinhitch.scoring.api.FleetWeight;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -39,18 +39,18 @@
   private final String self;
   private final ScorerIdentity scorer;
   private final WeightRule rule;
-  private final Facts<WeightKey, Weight> facts;
+  private final ReplicatedMap<WeightKey, Weight> facts;
   private final Map<Took, Long> counts = new EnumMap<>(Took.class);
 
   public Weights(String self, ScorerIdentity scorer, WeightRule rule) {
     this.self = self;
     this.scorer = scorer;
     this.rule = rule;
-    facts = new Facts<>(rule.facts(), WeightKey.ORDER);
+    facts = new ReplicatedMap<>(rule.facts(), WeightKey.ORDER);
   }
 
   /** A word of another broker, or one that was passed on. */
-  public Took told(long dayUs, Fact<WeightKey, Weight> fact) {
+  public Took told(long dayUs, ReplicatedEntry<WeightKey, Weight> fact) {
     Took took;
     if (fact.author().equals(self)) {
       took = Took.OWN;
@@ -74,7 +74,7 @@
       return;
     }
     WeightKey key = new WeightKey(scorer, store, queryClass);
-    Fact<WeightKey, Weight> before = facts.of(key, self);
+    ReplicatedEntry<WeightKey, Weight> before = facts.of(key, self);
     boolean same =
         before != null
             && before.value().startedMs() == weight.startedMs()
@@ -82,7 +82,7 @@
             && Math.abs(Math.log(weight.value() / before.value().value())) < rule.tellStep()
             && weight.evidence() < 2 * before.value().evidence();
     if (!same && (before == null || dayUs > before.atUs())) {
-      facts.take(dayUs, new Fact<>(key, self, dayUs, weight));
+      facts.take(dayUs, new ReplicatedEntry<>(key, self, dayUs, weight));
     }
   }
 
@@ -93,7 +93,7 @@
   Map<Place, FleetWeight> merged(long dayUs, Map<String, Long> startedMs) {
     facts.forget(dayUs);
     Map<Place, List<Say>> says = new HashMap<>();
-    for (Fact<WeightKey, Weight> fact : facts.all()) {
+    for (ReplicatedEntry<WeightKey, Weight> fact : facts.all()) {
       Long started = startedMs.get(fact.key().store());
       boolean counts =
           started != null
@@ -134,7 +134,7 @@
   /**
    * What came in after that version, own and others', the latest first: what is to be passed on.
    */
-  public List<Fact<WeightKey, Weight>> since(long version, int most) {
+  public List<ReplicatedEntry<WeightKey, Weight>> since(long version, int most) {
     return facts.since(version, most);
   }
 
--- a/src/main/java/dunlinhitch/scoring/host/News.java
+++ b/src/main/java/dunlinhitch/scoring/host/News.java
@@ -1,6 +1,6 @@
 package dunlinhitch.scoring.host;
 
-import dunlinhitch.fleet.Fact;
+import dunlinhitch.cluster.ReplicatedEntry;
 import dunlinhitch.scoring.Failure;
 import dunlinhitch.scoring.ScorerIdentity;
 import dunlinhitch.scoring.Weight;
@@ -13,7 +13,7 @@
  */
 public record News(
     long number,
-    List<Fact<WeightKey, Weight>> weights,
-    List<Fact<ScorerIdentity, Failure>> verdicts) {
+    List<ReplicatedEntry<WeightKey, Weight>> weights,
+    List<ReplicatedEntry<ScorerIdentity, Failure>> verdicts) {
   static final News NONE = new News(0, List.of(), List.of());
 }
--- a/src/main/java/dunlinhitch/scoring/host/ScorerHost.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerHost.java
@@ -1,6 +1,6 @@
 package dunlinhitch.scoring.host;
 
-import dunlinhitch.fleet.Fact;
+import dunlinhitch.cluster.ReplicatedEntry;
 import dunlinhitch.scoring.FactorTable;
 import dunlinhitch.scoring.Failure;
 import dunlinhitch.scoring.ScorerIdentity;
@@ -152,7 +152,7 @@
         });
   }
 
-  public void told(Fact<WeightKey, Weight> fact) {
+  public void told(ReplicatedEntry<WeightKey, Weight> fact) {
     tell(
         () -> {
           if (scoring != null) {
@@ -161,7 +161,7 @@
         });
   }
 
-  public void toldVerdict(Fact<ScorerIdentity, Failure> fact) {
+  public void toldVerdict(ReplicatedEntry<ScorerIdentity, Failure> fact) {
     tell(() -> verdicts.told(surroundings.dayUs().getAsLong(), fact));
   }
 
--- a/src/main/java/dunlinhitch/Broker.java
+++ b/src/main/java/dunlinhitch/server/Broker.java
@@ -1,32 +1,34 @@
-package dunlinhitch;
-
-import dunlinhitch.admin.AdminFront;
-import dunlinhitch.admin.BanFolder;
+package dunlinhitch.server;
+
+import dunlinhitch.admin.AdminServer;
+import dunlinhitch.admin.DisabledEndpointFolder;
+import dunlinhitch.backend.BackendTransport;
+import dunlinhitch.backend.Backends;
+import dunlinhitch.backend.LoadReportParser;
+import dunlinhitch.backend.flight.FlightStores;
+import dunlinhitch.backend.frames.FrameTransport;
+import dunlinhitch.balancer.settings.Idempotency;
+import dunlinhitch.balancer.settings.QueryClass;
+import dunlinhitch.balancer.settings.ShardLayout;
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Product;
-import dunlinhitch.core.Count;
+import dunlinhitch.core.Counter;
 import dunlinhitch.core.Effect;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
 import dunlinhitch.core.Reducer;
-import dunlinhitch.decide.Routing;
-import dunlinhitch.dispatch.Reports;
-import dunlinhitch.dispatch.Stores;
-import dunlinhitch.dispatch.Transport;
-import dunlinhitch.dispatch.flight.FlightStores;
-import dunlinhitch.dispatch.frames.FrameTransport;
-import dunlinhitch.intake.Exchanges;
-import dunlinhitch.intake.Front;
-import dunlinhitch.intake.QueryReader;
-import dunlinhitch.intake.flight.FlightFront;
-import dunlinhitch.intake.http.ClientListener;
-import dunlinhitch.intake.http.HttpFront;
-import dunlinhitch.membership.MembershipSettings;
-import dunlinhitch.membership.StoreEntry;
-import dunlinhitch.phases.PhaseSettings;
-import dunlinhitch.roster.RosterReader;
-import dunlinhitch.roster.Source;
-import dunlinhitch.roster.Watch;
+import dunlinhitch.discovery.DiscoverySource;
+import dunlinhitch.discovery.DiscoveryWatch;
+import dunlinhitch.discovery.EndpointListReader;
+import dunlinhitch.endpoints.Endpoint;
+import dunlinhitch.endpoints.EndpointRegistrySettings;
+import dunlinhitch.frontend.Exchanges;
+import dunlinhitch.frontend.Frontend;
+import dunlinhitch.frontend.QueryReader;
+import dunlinhitch.frontend.flight.FlightFrontend;
+import dunlinhitch.frontend.http.ClientListener;
+import dunlinhitch.frontend.http.HttpFrontend;
+import dunlinhitch.twophase.TwoPhaseSettings;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -106,16 +108,16 @@
   private final long startUs = clock.getAsLong();
   private final Promise<Void> ended = Promise.promise();
   private final Reducer reducer;
-  private final Loop loop;
+  private final ReducerLoop loop;
   private final Exchanges exchanges;
-  private final HttpFront http;
-  private final AdminFront admin;
-  private final BanFolder bans;
-  private final Stores stores;
-  private final List<Source> sources;
-  private final RecordSources records;
-  private final FleetLink peers;
-  private final Front flight;
+  private final HttpFrontend http;
+  private final AdminServer admin;
+  private final DisabledEndpointFolder bans;
+  private final Backends stores;
+  private final List<DiscoverySource> sources;
+  private final DnsSources records;
+  private final ClusterLink peers;
+  private final Frontend flight;
   private FlightStores flightStores;
 
   /**
@@ -160,7 +162,7 @@
       log.accept(config.talk().trouble());
     }
     // no class of the fleet is loaded unless the product's own file has a [fleet]
-    peers = config.product().fleet() == null ? null : new FleetLink(vertx, config, clock);
+    peers = config.product().fleet() == null ? null : new ClusterLink(vertx, config, clock);
     reducer =
         new Reducer(
             config.settings(),
@@ -169,12 +171,14 @@
             peers == null ? null : peers.place(),
             config.seed(),
             startUs);
-    loop = new Loop(vertx, context, reducer, clock, () -> reducer.settings().tickUs(), this::fault);
+    loop =
+        new ReducerLoop(
+            vertx, context, reducer, clock, () -> reducer.settings().tickUs(), this::fault);
     exchanges = new Exchanges(loop);
     QueryReader queries = new QueryReader(reducer::settings);
     int mostOpen = mostOpen(config.sockets());
     http =
-        new HttpFront(
+        new HttpFrontend(
             vertx,
             exchanges,
             queries,
@@ -188,13 +192,13 @@
     admin =
         config.admin() == null
             ? null
-            : new AdminFront(vertx, this::ready, reducer::figures, loop, clock);
+            : new AdminServer(vertx, this::ready, reducer::figures, loop, clock);
     bans =
-        new BanFolder(
+        new DisabledEndpointFolder(
             vertx,
             config.scratch() == null ? null : config.scratch().resolve(BANS),
-            (out, back) -> loop.accept(new Event.BarsSeen(out, back)));
-    Reports reports = new Reports(() -> reducer.settings().reportFields());
+            (out, back) -> loop.accept(new Event.DisabledEndpointsChanged(out, back)));
+    LoadReportParser reports = new LoadReportParser(() -> reducer.settings().reportFields());
     FrameTransport.Shared frames =
         new FrameTransport.Shared(
             vertx,
@@ -207,19 +211,19 @@
     flight =
         config.product().flight() == null
             ? null
-            : new FlightFront(vertx, context, exchanges, queries, loop, clock);
-    stores = new Stores(entry -> open(context, frames, reports, entry), loop);
-    RosterReader reader = new RosterReader(config.settings().zones(), loop);
-    Event.RosterNews before =
+            : new FlightFrontend(vertx, context, exchanges, queries, loop, clock);
+    stores = new Backends(entry -> open(context, frames, reports, entry), loop);
+    EndpointListReader reader = new EndpointListReader(config.settings().zones(), loop);
+    Event.EndpointsUpdated before =
         config.known().get("instances") == null ? null : reader.read(config.known(), true);
     known = before != null && !before.stores().isEmpty();
     if (before != null) {
       loop.accept(before);
     }
-    List<Source> all = new ArrayList<>();
+    List<DiscoverySource> all = new ArrayList<>();
     if (config.product().discovery()) {
       all.add(
-          new Watch(
+          new DiscoveryWatch(
               vertx,
               reducer::settings,
               config.seed(),
@@ -232,13 +236,14 @@
     records =
         config.product() == Product.NONE
             ? null
-            : new RecordSources(vertx, config, reader, loop, clock, log, reducer::membership);
+            : new DnsSources(vertx, config, reader, loop, clock, log, reducer::membership);
     if (records != null) {
       all.addAll(records.sources());
     }
     sources = List.copyOf(all);
     loop.edges(this::carryOut);
-    loop.accept(new Event.DiscoveryNamed(config.discovery().host(), config.discovery().port()));
+    loop.accept(
+        new Event.DiscoveryConfigured(config.discovery().host(), config.discovery().port()));
   }
 
   /**
@@ -253,9 +258,9 @@
             own / 4, own - sockets / (shared ? SHARED_STORES_PART : STORES_PART) - OWN_SOCKETS));
   }
 
-  private Transport open(
-      Context context, FrameTransport.Shared frames, Reports reports, StoreEntry entry) {
-    if (entry.wire() == StoreEntry.StoreWire.FRAMES) {
+  private BackendTransport open(
+      Context context, FrameTransport.Shared frames, LoadReportParser reports, Endpoint entry) {
+    if (entry.wire() == Endpoint.Protocol.FRAMES) {
       return new FrameTransport(frames, entry);
     }
     if (flightStores == null) {
@@ -265,12 +270,12 @@
     return flightStores.open(entry);
   }
 
-  private static MembershipSettings membership(Config config) {
+  private static EndpointRegistrySettings membership(Config config) {
     Product.MembershipTimes times = config.product().membership();
-    Routing.Layout layout = config.settings().layout();
+    ShardLayout layout = config.settings().layout();
     return times == null
         ? null
-        : MembershipSettings.of(layout.cells(), layout.inARow())
+        : EndpointRegistrySettings.of(layout.cells(), layout.inARow())
             .withTimes(
                 times.lingerUs(),
                 times.staleForUs(),
@@ -280,10 +285,10 @@
   }
 
   /** Only of classes that are safe to repeat: a first pass is asked beside the full one. */
-  private static List<PhaseSettings> phases(Config config) {
-    List<PhaseSettings> all = new ArrayList<>();
+  private static List<TwoPhaseSettings> phases(Config config) {
+    List<TwoPhaseSettings> all = new ArrayList<>();
     for (Product.Phase p : config.product().phases()) {
-      Routing.QueryClass kind =
+      QueryClass kind =
           config.settings().classes().stream()
               .filter(c -> c.name().equals(p.queryClass()))
               .findFirst()
@@ -294,9 +299,9 @@
                               + p.queryClass()
                               + "]: the settings have no such class; there is "
                               + config.settings().classes().stream()
-                                  .map(Routing.QueryClass::name)
+                                  .map(QueryClass::name)
                                   .toList()));
-      if (kind.repeat() != Routing.Repeat.FREE) {
+      if (kind.repeat() != Idempotency.FREE) {
         throw new Config.ConfigException(
             "[phases "
                 + p.queryClass()
@@ -309,7 +314,7 @@
                 + "]: the class has a second step, which ranks full answers, and so can not go in two phases");
       }
       all.add(
-          new PhaseSettings(
+          new TwoPhaseSettings(
               p.queryClass(), p.share(), p.least(), p.trial(), p.audit(), p.margin(), p.closeUs()));
     }
     return all;
@@ -334,7 +339,7 @@
       return Future.failedFuture(ENDS);
     }
     vertx.exceptionHandler(this::fault);
-    sources.forEach(Source::start);
+    sources.forEach(DiscoverySource::start);
     if (records != null) {
       records.start();
     }
@@ -353,7 +358,7 @@
               if (shared
                   && before) { // the process that was here is asked to end only after this one is
                 // ready
-                loop.accept(new Event.SiblingServes(clock.getAsLong() + OVERLAP_US));
+                loop.accept(new Event.OverlapStarted(clock.getAsLong() + OVERLAP_US));
               }
               return http.listen(config.listen().host(), config.listen().port());
             })
@@ -395,12 +400,12 @@
   private void fault(Throwable e) {
     StackTraceElement[] trace = e.getStackTrace();
     log.accept("fault: " + e + (trace.length > 0 ? " at " + trace[0] : ""));
-    vertx.runOnContext(v -> loop.accept(new Event.Noted(Count.FAULTS)));
+    vertx.runOnContext(v -> loop.accept(new Event.ConditionCounted(Counter.FAULTS)));
   }
 
   private boolean ready() {
     boolean told =
-        sources.stream().anyMatch(Source::answered)
+        sources.stream().anyMatch(DiscoverySource::answered)
             || (known || records != null && records.restored())
                 && clock.getAsLong() - startUs > KNOWN_WILL_DO_US;
     return warm && told && !ending && !reducer.fenced();
@@ -429,23 +434,24 @@
                 .mapToLong(kind -> kind.deadlineUs())
                 .max()
                 .orElseThrow());
-    loop.accept(new Event.EndNamed(now + GRACE_US + longestUs - ROOM_US));
+    loop.accept(new Event.DrainStarted(now + GRACE_US + longestUs - ROOM_US));
     overUs = now + GRACE_US + longestUs - CLOSE_ROOM_US;
     vertx.setTimer(MicroClock.timerMs(now, overUs), t -> ended.tryComplete()); // whoever holds what
     if (shared) {
-      loop.accept(new Event.SiblingServes(Long.MAX_VALUE));
+      loop.accept(new Event.OverlapStarted(Long.MAX_VALUE));
       http.leaveToSibling();
     }
     long drainUs = now + GRACE_US + longestUs / 2;
     vertx.setTimer(MicroClock.timerMs(now, drainUs), t -> http.drain());
     vertx.setTimer(
-        MicroClock.timerMs(now, drainUs + CROSSING_US), t -> loop.accept(new Event.StopAsked()));
+        MicroClock.timerMs(now, drainUs + CROSSING_US),
+        t -> loop.accept(new Event.ShutdownRequested()));
     return ended.future();
   }
 
   /** Ends it at once, where nobody can be crossing that. */
   public Future<Void> close() {
-    loop.accept(new Event.StopAsked());
+    loop.accept(new Event.ShutdownRequested());
     return ended.future();
   }
 
@@ -461,7 +467,7 @@
                 taken(read.result());
               } else {
                 log.accept("the configuration stays as it was: " + read.cause().getMessage());
-                loop.accept(new Event.Noted(Count.BAD_CONFIGURATIONS));
+                loop.accept(new Event.ConditionCounted(Counter.BAD_CONFIGURATIONS));
               }
             });
   }
@@ -477,9 +483,10 @@
 
   private void taken(Config read) {
     writtenMs = read.writtenMs();
-    loop.accept(new Event.ConfigWritten(writtenMs));
+    loop.accept(new Event.ConfigurationFileChanged(writtenMs));
     loop.accept(
-        new Event.ConfigTaken(read.settings(), read.discovery().host(), read.discovery().port()));
+        new Event.ConfigurationReloaded(
+            read.settings(), read.discovery().host(), read.discovery().port()));
     log.accept(
         "the configuration was taken: classes "
             + read.settings().classes().stream().map(kind -> kind.name()).toList());
@@ -516,39 +523,39 @@
   }
 
   private void carryOut(Effect effect) {
-    if (effect instanceof Effect.SendCall e) {
+    if (effect instanceof Effect.SendRequest e) {
       stores.call(e);
-    } else if (effect instanceof Effect.Reply e) {
+    } else if (effect instanceof Effect.SendResponse e) {
       exchanges.reply(e.exchange(), e.answer());
-    } else if (effect instanceof Effect.GiveUp e) {
+    } else if (effect instanceof Effect.CancelAttempt e) {
       stores.giveUp(e);
-    } else if (effect instanceof Effect.Withdraw e) {
+    } else if (effect instanceof Effect.WithdrawAttempt e) {
       stores.withdraw(e);
-    } else if (effect instanceof Effect.Probe e) {
+    } else if (effect instanceof Effect.SendHealthCheck e) {
       stores.probe(e);
-    } else if (effect instanceof Effect.Release e) {
+    } else if (effect instanceof Effect.CloseIdleConnections e) {
       stores.release(e.store());
-    } else if (effect instanceof Effect.StoreChanged e) {
+    } else if (effect instanceof Effect.EndpointChanged e) {
       stores.changed(e.store(), e.entry(), e.barred());
-    } else if (effect instanceof Effect.KeepBar e) {
+    } else if (effect instanceof Effect.PersistDisabledEndpoint e) {
       bans.keep(e.store(), e.out())
           .onSuccess(v -> admin.reply(e.call(), 200, e.out() ? "out" : "may serve"))
           .onFailure(
               why -> admin.reply(e.call(), 500, "it could not be kept: " + why.getMessage()));
-    } else if (effect instanceof Effect.UnknownStore e) {
+    } else if (effect instanceof Effect.RejectUnknownEndpoint e) {
       admin.reply(e.call(), 404, "no such calendar store");
-    } else if (effect instanceof Effect.Resync) {
-      sources.forEach(Source::resync);
-    } else if (effect instanceof Effect.FollowDiscovery e) {
+    } else if (effect instanceof Effect.RefreshEndpoints) {
+      sources.forEach(DiscoverySource::resync);
+    } else if (effect instanceof Effect.ChangeDiscoveryAddress e) {
       sources.forEach(source -> source.follow(e.host(), e.port()));
-    } else if (effect instanceof Effect.ReadAgain) {
+    } else if (effect instanceof Effect.ReloadConfiguration) {
       readAgain();
-    } else if (effect instanceof Effect.TellPeer e) {
+    } else if (effect instanceof Effect.SendGossip e) {
       peers.tell(e);
-    } else if (effect instanceof Effect.Log e) {
+    } else if (effect instanceof Effect.LogMessage e) {
       log.accept(e.text());
-    } else if (effect instanceof Effect.Finished) {
-      sources.forEach(Source::stop);
+    } else if (effect instanceof Effect.ShutdownCompleted) {
+      sources.forEach(DiscoverySource::stop);
       long now = clock.getAsLong();
       long dueUs = overUs == 0 ? now + CLOSE_AT_ONCE_US : Math.min(overUs, now + CLOSE_US);
       Future.join(
--- a/src/main/java/dunlinhitch/FleetLink.java
+++ b/src/main/java/dunlinhitch/server/ClusterLink.java
@@ -1,22 +1,22 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
-import dunlinhitch.audit.AuditRule;
-import dunlinhitch.audit.Digest;
-import dunlinhitch.audit.Versions;
+import dunlinhitch.cluster.ClusterSettings;
+import dunlinhitch.cluster.Member;
+import dunlinhitch.cluster.MembershipProtocol;
+import dunlinhitch.cluster.MembershipProtocolSettings;
+import dunlinhitch.cluster.SubsetSettings;
+import dunlinhitch.cluster.gossip.AddressBook;
+import dunlinhitch.cluster.gossip.GossipSocket;
+import dunlinhitch.cluster.versions.SettingsDigest;
+import dunlinhitch.cluster.versions.VersionSkewSettings;
+import dunlinhitch.cluster.versions.VersionVector;
 import dunlinhitch.config.Config;
+import dunlinhitch.config.GossipAddresses;
 import dunlinhitch.config.Product;
-import dunlinhitch.config.Talk;
+import dunlinhitch.core.ClusterIdentity;
 import dunlinhitch.core.Effect;
 import dunlinhitch.core.Event;
-import dunlinhitch.core.FleetPlace;
 import dunlinhitch.core.MicroClock;
-import dunlinhitch.fleet.FleetSettings;
-import dunlinhitch.fleet.Peer;
-import dunlinhitch.fleet.SubsetRule;
-import dunlinhitch.fleet.View;
-import dunlinhitch.fleet.ViewSettings;
-import dunlinhitch.peers.PeerSocket;
-import dunlinhitch.peers.Reach;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.util.ArrayList;
@@ -27,7 +27,7 @@
  * This broker's link to the others, where the product's own file has a {@code [fleet]}: its place
  * for the reducer, and the socket.
  */
-final class FleetLink {
+final class ClusterLink {
   /** Of the time between two looks an answer may take so much; then others are asked. */
   private static final int ANSWER_PART = 3;
 
@@ -40,33 +40,37 @@
 
   private final Vertx vertx;
   private final Product.Fleet told;
-  private final FleetPlace place;
-  private final Reach reach;
-  private PeerSocket socket;
+  private final ClusterIdentity place;
+  private final AddressBook reach;
+  private GossipSocket socket;
 
-  FleetLink(Vertx vertx, Config config, MicroClock clock) {
+  ClusterLink(Vertx vertx, Config config, MicroClock clock) {
     this.vertx = vertx;
     told = config.product().fleet();
     reach = reach(told, config.talk(), config.name());
     long dayMs = System.currentTimeMillis();
     List<String> zones = config.settings().zones();
     int zone = config.settings().zone();
-    Peer self =
-        new Peer(
+    Member self =
+        new Member(
             config.name(),
             zone < zones.size() ? Integer.toString(zone) : "",
             told.advertise().host(),
             told.advertise().port(),
             dayMs,
-            Peer.Status.ALIVE);
+            Member.Status.ALIVE);
     place =
-        new FleetPlace(
+        new ClusterIdentity(
             self,
-            told.peers().stream().map(peer -> new View.Seed(peer.host(), peer.port())).toList(),
+            told.peers().stream()
+                .map(peer -> new MembershipProtocol.Seed(peer.host(), peer.port()))
+                .toList(),
             settings(told, reach),
             dayMs * 1000 - clock.getAsLong(),
-            new AuditRule(told.behindUs(), AuditRule.STANDARD.againUs(), told.shutOutUs()),
-            new Versions(Main.VERSION, Digest.of(config.settings()), config.writtenMs(), 0));
+            new VersionSkewSettings(
+                told.behindUs(), VersionSkewSettings.STANDARD.againUs(), told.shutOutUs()),
+            new VersionVector(
+                BuildVersion.TEXT, SettingsDigest.of(config.settings()), config.writtenMs(), 0));
   }
 
   /**
@@ -74,22 +78,24 @@
    * own address whatever others are told that it is, or it would take itself for another one of its
    * name.
    */
-  static Reach reach(Product.Fleet told, Talk talk, String self) {
+  static AddressBook reach(Product.Fleet told, GossipAddresses talk, String self) {
     boolean there = talk != null && talk.listen() != null;
-    List<Reach.Known> known = new ArrayList<>();
+    List<AddressBook.Known> known = new ArrayList<>();
     if (there && talk.listen().equals(told.listen()) && !talk.peers().isEmpty()) {
       talk.peers()
-          .forEach(one -> known.add(new Reach.Known(one.name(), one.at().host(), one.at().port())));
-      known.add(new Reach.Known(self, told.advertise().host(), told.advertise().port()));
+          .forEach(
+              one ->
+                  known.add(new AddressBook.Known(one.name(), one.at().host(), one.at().port())));
+      known.add(new AddressBook.Known(self, told.advertise().host(), told.advertise().port()));
     }
-    return new Reach(there ? PLATFORM_BYTES : PeerSocket.STANDARD_BYTES, known);
+    return new AddressBook(there ? PLATFORM_BYTES : GossipSocket.STANDARD_BYTES, known);
   }
 
   /** The view reckons with words as large as the socket lets out. */
-  static FleetSettings settings(Product.Fleet told, Reach reach) {
-    FleetSettings standard = FleetSettings.STANDARD;
-    ViewSettings view =
-        new ViewSettings(
+  static ClusterSettings settings(Product.Fleet told, AddressBook reach) {
+    ClusterSettings standard = ClusterSettings.STANDARD;
+    MembershipProtocolSettings view =
+        new MembershipProtocolSettings(
                 told.lookUs(),
                 told.lookUs() / ANSWER_PART,
                 standard.view().helpers(),
@@ -98,8 +104,8 @@
                 standard.view().mostPeers())
             .withWords(reach.mostBytes())
             .withAddresses(!reach.isTold());
-    return new FleetSettings(
-        new SubsetRule(told.least(), standard.subsets().spread(), told.slack()),
+    return new ClusterSettings(
+        new SubsetSettings(told.least(), standard.subsets().spread(), told.slack()),
         view,
         told.turnUs(),
         (long) (PATIENCE * told.turnUs()),
@@ -107,17 +113,17 @@
         standard.mostStores());
   }
 
-  FleetPlace place() {
+  ClusterIdentity place() {
     return place;
   }
 
   Future<Integer> listen(Consumer<Event> events) {
-    socket = new PeerSocket(vertx, reach, events);
+    socket = new GossipSocket(vertx, reach, events);
     return socket.listen(told.listen().host(), told.listen().port());
   }
 
   /** What is said before it listens is lost, as any word may be. */
-  void tell(Effect.TellPeer word) {
+  void tell(Effect.SendGossip word) {
     if (socket != null) {
       socket.tell(word);
     }
--- a/src/main/java/dunlinhitch/RecordSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -1,18 +1,18 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Product;
 import dunlinhitch.core.Event;
-import dunlinhitch.membership.Claim;
-import dunlinhitch.membership.Membership;
-import dunlinhitch.roster.RosterFile;
-import dunlinhitch.roster.RosterReader;
-import dunlinhitch.roster.Source;
-import dunlinhitch.roster.dnssd.Announcer;
-import dunlinhitch.roster.dnssd.DnsSource;
-import dunlinhitch.roster.dnssd.Names;
-import dunlinhitch.roster.dnssd.Records;
+import dunlinhitch.discovery.DiscoverySource;
+import dunlinhitch.discovery.EndpointListFile;
+import dunlinhitch.discovery.EndpointListReader;
+import dunlinhitch.discovery.dnssd.DnsDiscoverySource;
+import dunlinhitch.discovery.dnssd.Names;
+import dunlinhitch.discovery.dnssd.RecordRegistrar;
+import dunlinhitch.discovery.dnssd.Records;
+import dunlinhitch.endpoints.EndpointClaim;
+import dunlinhitch.endpoints.EndpointRegistry;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import java.io.IOException;
@@ -28,7 +28,7 @@
  * service, the last known state on disk, and the broker's own announcement. Only made where there
  * is such a file.
  */
-final class RecordSources {
+public final class DnsSources {
   private static final long SAVE_EVERY_MS = 1_000;
 
   /** A state that has not changed is written again after so long, for its ages. */
@@ -38,24 +38,24 @@
   private final Consumer<Event> events;
   private final LongSupplier clock;
   private final Consumer<String> log;
-  private final Supplier<Membership> membership;
-  private final List<DnsSource> sources = new ArrayList<>();
-  private final RosterFile file;
-  private final Announcer announcer;
+  private final Supplier<EndpointRegistry> membership;
+  private final List<DnsDiscoverySource> sources = new ArrayList<>();
+  private final EndpointListFile file;
+  private final RecordRegistrar announcer;
   private boolean restored;
   private boolean saving;
   private boolean said;
   private long savedVersion = -1;
   private long savedUs;
 
-  RecordSources(
+  DnsSources(
       Vertx vertx,
       Config config,
-      RosterReader reader,
+      EndpointListReader reader,
       Consumer<Event> events,
       LongSupplier clock,
       Consumer<String> log,
-      Supplier<Membership> membership) {
+      Supplier<EndpointRegistry> membership) {
     this.vertx = vertx;
     this.events = events;
     this.clock = clock;
@@ -65,18 +65,18 @@
     for (Product.DnsService service : product.dnsSd()) {
       for (Address server : service.servers()) {
         sources.add(
-            new DnsSource(
+            new DnsDiscoverySource(
                 vertx, settings(service, server), reader, events, log, clock, config.seed()));
       }
     }
-    file = product.stateDir() == null ? null : new RosterFile(product.stateDir());
+    file = product.stateDir() == null ? null : new EndpointListFile(product.stateDir());
     announcer =
         product.announcement() == null
             ? null
-            : new Announcer(vertx, announcement(product.announcement()), clock, log);
+            : new RecordRegistrar(vertx, announcement(product.announcement()), clock, log);
   }
 
-  static DnsSource.Settings settings(Product.DnsService service, Address server) {
+  public static DnsDiscoverySource.Settings settings(Product.DnsService service, Address server) {
     try {
       Name name = Names.parse(service.service());
       List<Name> browsed =
@@ -85,15 +85,15 @@
               : service.subtypes().stream().map(subtype -> Names.subtype(subtype, name)).toList();
       Name zone = service.zone() == null ? Names.domain(name) : Names.parse(service.zone());
       String host = server.host().replaceAll("[\\[\\]]", "");
-      DnsSource.Push push =
+      DnsDiscoverySource.Push push =
           service.push() == null
               ? null
-              : new DnsSource.Push(
+              : new DnsDiscoverySource.Push(
                   service.push().host(),
                   service.push().port(),
                   service.pushTrust(),
                   service.pushName());
-      return new DnsSource.Settings(
+      return new DnsDiscoverySource.Settings(
           "dns_sd " + service.name() + " at " + server.host() + ":" + server.port(),
           service.rank(),
           host,
@@ -109,9 +109,9 @@
     }
   }
 
-  private static Announcer.Settings announcement(Product.Announcement a) {
+  private static RecordRegistrar.Settings announcement(Product.Announcement a) {
     try {
-      return new Announcer.Settings(
+      return new RecordRegistrar.Settings(
           a.server().host(),
           a.server().port(),
           Names.parse(a.zone()),
@@ -123,13 +123,13 @@
           a.txt(),
           a.ttlUs(),
           a.leaseUs(),
-          a.key() == null ? null : Announcer.key(a.key()));
+          a.key() == null ? null : RecordRegistrar.key(a.key()));
     } catch (IOException | IllegalArgumentException e) {
       throw new Config.ConfigException("[announce]: " + e.getMessage());
     }
   }
 
-  List<? extends Source> sources() {
+  List<? extends DiscoverySource> sources() {
     return sources;
   }
 
@@ -144,7 +144,7 @@
     }
     long now = clock.getAsLong();
     try {
-      RosterFile.Kept kept = file.read(now);
+      EndpointListFile.Kept kept = file.read(now);
       if (kept != null) {
         restore(kept, now);
       }
@@ -155,13 +155,13 @@
   }
 
   /** Old words of the sources that are still used; how old they are, they bring along. */
-  private void restore(RosterFile.Kept kept, long now) {
-    for (DnsSource source : sources) {
-      List<Claim> claims = kept.bySource().getOrDefault(source.name(), List.of());
+  private void restore(EndpointListFile.Kept kept, long now) {
+    for (DnsDiscoverySource source : sources) {
+      List<EndpointClaim> claims = kept.bySource().getOrDefault(source.name(), List.of());
       if (!claims.isEmpty()) {
         restored = true;
-        source.restored(claims.stream().map(Claim::key).toList());
-        events.accept(new Event.SourceSaid(source.name(), false, claims));
+        source.restored(claims.stream().map(EndpointClaim::key).toList());
+        events.accept(new Event.SourceUpdated(source.name(), false, claims));
         log.accept(
             source.name()
                 + ": "
@@ -174,7 +174,7 @@
   }
 
   private Future<Void> save() {
-    Membership now = membership.get();
+    EndpointRegistry now = membership.get();
     long nowUs = clock.getAsLong();
     if (saving || now.version() == savedVersion && nowUs < savedUs + SAVE_UNCHANGED_US) {
       return Future.succeededFuture();
@@ -182,7 +182,7 @@
     saving = true;
     savedVersion = now.version();
     savedUs = nowUs;
-    List<Membership.Row> rows = now.rows();
+    List<EndpointRegistry.Row> rows = now.rows();
     return vertx
         .<Void>executeBlocking(
             () -> {
--- a/src/main/java/dunlinhitch/Signals.java
+++ b/src/main/java/dunlinhitch/server/ProcessSignals.java
@@ -1,4 +1,4 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import java.lang.reflect.Proxy;
 
@@ -6,8 +6,8 @@
  * Signals that the JDK has no public interface for; {@code sun.misc.Signal} is open to all but not
  * to be named without a warning. A JVM that does not heed SIGHUP ends on it.
  */
-final class Signals {
-  private Signals() {}
+final class ProcessSignals {
+  private ProcessSignals() {}
 
   /**
    * Runs the task, on a thread of the JVM's, whenever the process gets the signal of that name.
@@ -20,7 +20,7 @@
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
       Object proxy =
           Proxy.newProxyInstance(
-              Signals.class.getClassLoader(),
+              ProcessSignals.class.getClassLoader(),
               new Class<?>[] {handler},
               (self, method, arguments) ->
                   switch (method.getName()) {
--- a/src/main/java/dunlinhitch/Loop.java
+++ b/src/main/java/dunlinhitch/server/ReducerLoop.java
@@ -1,4 +1,4 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import dunlinhitch.core.Effect;
 import dunlinhitch.core.Event;
@@ -16,7 +16,7 @@
  * one event loop. Turns are at least a tick apart: what comes in meanwhile shares one, and so its
  * sends share calls.
  */
-final class Loop implements Consumer<Event> {
+final class ReducerLoop implements Consumer<Event> {
   private final Vertx vertx;
   private final Context context;
   private final Reducer reducer;
@@ -38,7 +38,7 @@
   private long timer = -1;
   private boolean ended;
 
-  Loop(
+  ReducerLoop(
       Vertx vertx,
       Context context,
       Reducer reducer,
@@ -99,7 +99,7 @@
     } catch (
         RuntimeException e) { // the turns that follow still end what is open when its time is over
       faults.accept(e);
-      effects = List.of(new Effect.WakeAt(lastTurnUs + tickUs.getAsLong()));
+      effects = List.of(new Effect.ScheduleWakeUp(lastTurnUs + tickUs.getAsLong()));
     }
     for (Effect effect : effects) {
       carryOut(effect);
@@ -108,7 +108,7 @@
 
   /** A fault at one edge must not keep the other effects of the turn from being carried out. */
   private void carryOut(Effect effect) {
-    if (effect instanceof Effect.WakeAt e) {
+    if (effect instanceof Effect.ScheduleWakeUp e) {
       if (!ended) { // else nothing is due any more: no timer is to keep this alive
         wake(Math.max(e.dueUs(), lastTurnUs + tickUs.getAsLong()));
       }
@@ -117,7 +117,9 @@
     ended |=
         effect
             instanceof
-            Effect.Finished; // events still have their turn: a front may read on until it is closed
+            Effect
+                .ShutdownCompleted; // events still have their turn: a front may read on until it is
+    // closed
     try {
       edges.accept(effect);
     } catch (RuntimeException e) {
--- a/src/main/java/dunlinhitch/Rehearsal.java
+++ b/src/main/java/dunlinhitch/server/WarmUp.java
@@ -1,13 +1,13 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
+import dunlinhitch.balancer.settings.Settings;
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Product;
 import dunlinhitch.core.MicroClock;
-import dunlinhitch.decide.Routing;
 import io.vertx.core.Context;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
@@ -26,7 +26,7 @@
  * fifth of the queries of its first seconds on part of a core. The build archives the classes from
  * one, too.
  */
-final class Rehearsal {
+public final class WarmUp {
   private static final int CLIENTS = 12;
   private static final int MOST_PARTS = 6;
 
@@ -52,7 +52,7 @@
   private static final int PRICE_US = 1000;
   private final Vertx vertx;
   private final Context context;
-  private final Routing.Settings settings;
+  private final Settings settings;
   private final String host;
   private final String body;
   private final MicroClock clock = new MicroClock();
@@ -66,13 +66,8 @@
    * {@code host}: where it listens, on ports of its own and for its time only; {@code endUs}: when,
    * by the system's clock, it is better cut short.
    */
-  Rehearsal(
-      Vertx vertx,
-      Context context,
-      Routing.Settings settings,
-      String host,
-      int queries,
-      long endUs) {
+  public WarmUp(
+      Vertx vertx, Context context, Settings settings, String host, int queries, long endUs) {
     this.vertx = vertx;
     this.context = context;
     this.settings = settings;
@@ -98,7 +93,7 @@
    * Without a descriptor left the broker can not accept those whose connections hold them, so what
    * is not answered is not waited for.
    */
-  Future<Integer> run() {
+  public Future<Integer> run() {
     NetServer peers = vertx.createNetServer();
     NetClient clients = vertx.createNetClient();
     return peers
--- a/src/main/java/dunlinhitch/wire/FormatException.java
+++ b/src/main/java/dunlinhitch/simulator/FormatException.java
@@ -1,4 +1,4 @@
-package dunlinhitch.wire;
+package dunlinhitch.simulator;
 
 import java.io.IOException;
 
--- a/src/main/java/dunlinhitch/wire/ReplyWriter.java
+++ b/src/main/java/dunlinhitch/simulator/ReplyWriter.java
@@ -1,13 +1,13 @@
-package dunlinhitch.wire;
+package dunlinhitch.simulator;
 
-import dunlinhitch.decide.Routing;
+import dunlinhitch.balancer.BalancerActions;
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
 /** Encodes the actions of one reply, in the order they are called, for the instance set last. */
-final class ReplyWriter implements Routing.Actions {
+final class ReplyWriter implements BalancerActions {
   private static final int HEADER = 12;
   private ByteBuffer out = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
   private int records;
--- a/src/main/java/dunlinhitch/phases/Summaries.java
+++ b/src/main/java/dunlinhitch/twophase/BlockSummaries.java
@@ -1,4 +1,4 @@
-package dunlinhitch.phases;
+package dunlinhitch.twophase;
 
 import java.util.Arrays;
 import java.util.LinkedHashMap;
@@ -14,7 +14,7 @@
  * <p>The other way round, a bitmap of predicates for each block, takes a container for nearly every
  * hash: see {@code lab measure summaries}.
  */
-public final class Summaries {
+public final class BlockSummaries {
   /** What a summary suggests. */
   public enum Hint {
     UNKNOWN,
@@ -38,7 +38,7 @@
    * Blocks from {@code mostBlocks} on are not kept; what is older than {@code mostAgeUs}
    * (microseconds) suggests nothing.
    */
-  public Summaries(int mostBlocks, int mostPredicates, long mostAgeUs) {
+  public BlockSummaries(int mostBlocks, int mostPredicates, long mostAgeUs) {
     this.mostBlocks = mostBlocks;
     this.mostPredicates = mostPredicates;
     this.mostAgeUs = mostAgeUs;
--- a/src/main/java/dunlinhitch/phases/Plan.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
@@ -1,4 +1,4 @@
-package dunlinhitch.phases;
+package dunlinhitch.twophase;
 
 import java.util.Set;
 
@@ -9,7 +9,7 @@
  * @param firstEndUs when the first pass is over at the latest (microseconds, absolute)
  * @param why why it goes in one phase, or that it does not
  */
-public record Plan(Set<Integer> first, long firstEndUs, Why why) {
+public record TwoPhasePlan(Set<Integer> first, long firstEndUs, Why why) {
   /** Why a query goes as it does. */
   public enum Why {
     TWO_PHASES,
@@ -23,7 +23,7 @@
     KNOWN_FULL
   }
 
-  public Plan {
+  public TwoPhasePlan {
     first = Set.copyOf(first);
   }
 
@@ -31,7 +31,7 @@
     return !first.isEmpty();
   }
 
-  static Plan one(Why why) {
-    return new Plan(Set.of(), 0, why);
+  static TwoPhasePlan one(Why why) {
+    return new TwoPhasePlan(Set.of(), 0, why);
   }
 }
--- a/src/main/java/dunlinhitch/phases/Phases.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
@@ -1,6 +1,6 @@
-package dunlinhitch.phases;
+package dunlinhitch.twophase;
 
-import dunlinhitch.phases.Plan.Why;
+import dunlinhitch.twophase.TwoPhasePlan.Why;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.EnumMap;
@@ -17,7 +17,7 @@
  * of those are asked in full all the same. No I/O, no clock, no threads: every call brings the time
  * (microseconds on one clock).
  */
-public final class Phases {
+public final class TwoPhasePlanner {
   private static final int MOST_BLOCKS = 1 << 20;
   private static final int MOST_PREDICATES = 256;
   private static final long SUMMARY_US = 30_000_000;
@@ -88,7 +88,7 @@
   }
 
   private static final class OfClass {
-    private final PhaseSettings settings;
+    private final TwoPhaseSettings settings;
     private final Took first = new Took();
 
     /**
@@ -105,7 +105,7 @@
     private boolean paid;
     private final Map<Why, Long> whys = new EnumMap<>(Why.class);
 
-    OfClass(PhaseSettings settings) {
+    OfClass(TwoPhaseSettings settings) {
       this.settings = settings;
     }
 
@@ -128,10 +128,11 @@
   }
 
   private final Map<String, OfClass> classes = new HashMap<>();
-  private final Summaries summaries = new Summaries(MOST_BLOCKS, MOST_PREDICATES, SUMMARY_US);
+  private final BlockSummaries summaries =
+      new BlockSummaries(MOST_BLOCKS, MOST_PREDICATES, SUMMARY_US);
   private final RandomGenerator random;
 
-  public Phases(Collection<PhaseSettings> settings, RandomGenerator random) {
+  public TwoPhasePlanner(Collection<TwoPhaseSettings> settings, RandomGenerator random) {
     settings.forEach(s -> classes.put(s.queryClass(), new OfClass(s)));
     this.random = random;
   }
@@ -154,7 +155,7 @@
    * A query has come. {@code able} are the shards whose every store can give a first answer; {@code
    * untilUs} is its aim, or its deadline where that is nearer.
    */
-  public Plan arrived(
+  public TwoPhasePlan arrived(
       long nowUs,
       String queryClass,
       Collection<Integer> shards,
@@ -163,14 +164,14 @@
       long untilUs) {
     OfClass c = classes.get(queryClass);
     if (c == null) {
-      return Plan.one(Why.NOT_SET);
+      return TwoPhasePlan.one(Why.NOT_SET);
     }
-    Plan plan = plan(nowUs, c, shards, able, predicate, untilUs);
+    TwoPhasePlan plan = plan(nowUs, c, shards, able, predicate, untilUs);
     c.whys.merge(plan.why(), 1L, Long::sum);
     return plan;
   }
 
-  private Plan plan(
+  private TwoPhasePlan plan(
       long nowUs,
       OfClass c,
       Collection<Integer> shards,
@@ -178,13 +179,13 @@
       String predicate,
       long untilUs) {
     if (shards.size() < c.settings.least()) {
-      return Plan.one(Why.FEW_BLOCKS);
+      return TwoPhasePlan.one(Why.FEW_BLOCKS);
     }
     if (nowUs < c.closedUntilUs) {
-      return Plan.one(Why.CLOSED);
+      return TwoPhasePlan.one(Why.CLOSED);
     }
     if (able.isEmpty()) {
-      return Plan.one(Why.ONE_PHASE_STORES);
+      return TwoPhasePlan.one(Why.ONE_PHASE_STORES);
     }
     boolean known = c.first.count() >= ENOUGH && c.full.count() >= ENOUGH;
     boolean pays = known && c.empty > c.price() + c.settings.margin();
@@ -194,7 +195,7 @@
             && random.nextDouble()
                 < (known ? c.settings.trial() : Math.max(FIRST_TRIALS, c.settings.trial()));
     if (!pays && !trial) {
-      return Plan.one(Why.DOES_NOT_PAY);
+      return TwoPhasePlan.one(Why.DOES_NOT_PAY);
     }
     long left = untilUs - nowUs;
     long most = (long) (c.settings.share() * left);
@@ -204,18 +205,18 @@
                 ? Math.min(most, Math.max(LEAST_FIRST_US, (long) (2 * c.waited.at(LATE))))
                 : most);
     if (c.full.count() >= ENOUGH && untilUs - end < 2 * c.full.at(SLOW)) {
-      return Plan.one(Why.TOO_LITTLE_TIME);
+      return TwoPhasePlan.one(Why.TOO_LITTLE_TIME);
     }
-    int feature = Summaries.feature(predicate);
+    int feature = BlockSummaries.feature(predicate);
     Set<Integer> first = new HashSet<>();
     for (int shard : able) {
-      if (trial || summaries.hint(nowUs, shard, feature) != Summaries.Hint.SOMETHING) {
+      if (trial || summaries.hint(nowUs, shard, feature) != BlockSummaries.Hint.SOMETHING) {
         first.add(shard);
       }
     }
     return first.isEmpty()
-        ? Plan.one(Why.KNOWN_FULL)
-        : new Plan(first, end, trial ? Why.TRIAL : Why.TWO_PHASES);
+        ? TwoPhasePlan.one(Why.KNOWN_FULL)
+        : new TwoPhasePlan(first, end, trial ? Why.TRIAL : Why.TWO_PHASES);
   }
 
   /** A first answer came in, so long after its part was sent. */
@@ -227,7 +228,7 @@
       c.waited.add(nowUs, tookUs);
       c.empty += FADE * ((answer.records() == 0 ? 1 : 0) - c.empty);
       summaries.told(
-          nowUs, shard, answer.version(), Summaries.feature(predicate), answer.records() == 0);
+          nowUs, shard, answer.version(), BlockSummaries.feature(predicate), answer.records() == 0);
     }
   }
 
@@ -285,7 +286,7 @@
       pruned.remove(one);
       audited.add(one);
     }
-    int feature = Summaries.feature(predicate);
+    int feature = BlockSummaries.feature(predicate);
     full.sort(
         (a, b) -> Long.compare(rank(nowUs, b, feature, answers), rank(nowUs, a, feature, answers)));
     full.addAll(audited);
--- a/src/main/java/dunlinhitch/phases/PhaseSettings.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhaseSettings.java
@@ -1,4 +1,4 @@
-package dunlinhitch.phases;
+package dunlinhitch.twophase;
 
 /**
  * How queries of one class go in two phases.
@@ -12,7 +12,7 @@
  * @param margin what must be saved, as a share of the full work, for it to pay
  * @param closeUs for how long pruning is closed after it was wrong (microseconds)
  */
-public record PhaseSettings(
+public record TwoPhaseSettings(
     String queryClass,
     double share,
     int least,
@@ -20,7 +20,7 @@
     double audit,
     double margin,
     long closeUs) {
-  public PhaseSettings {
+  public TwoPhaseSettings {
     if (!(share > 0 && share < 1)
         || least < 2
         || !(trial >= 0 && trial <= 1)
@@ -31,7 +31,7 @@
     }
   }
 
-  public static PhaseSettings of(String queryClass) {
-    return new PhaseSettings(queryClass, 0.3, 3, 0.02, 0.02, 0.05, 60_000_000);
+  public static TwoPhaseSettings of(String queryClass) {
+    return new TwoPhaseSettings(queryClass, 0.3, 3, 0.02, 0.02, 0.05, 60_000_000);
   }
 }
--- a/src/test/java/dunlinhitch/keys/RuleSetTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/RuleSetTest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.keys;
+package dunlinhitch.answerkeys;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
@@ -6,13 +6,13 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.keys.KeysException.Code;
-import dunlinhitch.keys.Rewrite.DropTerms;
-import dunlinhitch.keys.Rewrite.DropVariant;
-import dunlinhitch.keys.Rewrite.FoldCase;
-import dunlinhitch.keys.Rewrite.FoldSpaces;
-import dunlinhitch.keys.Rewrite.FoldVariant;
-import dunlinhitch.keys.Rewrite.SortTerms;
+import dunlinhitch.answerkeys.KeysException.Code;
+import dunlinhitch.answerkeys.Rewrite.DropTerms;
+import dunlinhitch.answerkeys.Rewrite.DropVariant;
+import dunlinhitch.answerkeys.Rewrite.FoldCase;
+import dunlinhitch.answerkeys.Rewrite.FoldSpaces;
+import dunlinhitch.answerkeys.Rewrite.FoldVariant;
+import dunlinhitch.answerkeys.Rewrite.SortTerms;
 import java.util.ArrayList;
 import java.util.Collections;
 import java.util.List;
--- a/src/test/java/dunlinhitch/dispatch/frames/QuietTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/QuietTest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.dispatch.frames;
+package dunlinhitch.backend.frames;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
