--- a/src/test/java/dunlinhitch/handover/HandoverTest.java
+++ b/src/test/java/dunlinhitch/concurrent/HandoverTest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.handover;
+package dunlinhitch.concurrent;
 
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
--- a/src/test/java/dunlinhitch/conf/ConfTest.java
+++ b/src/test/java/dunlinhitch/config/syntax/ConfTest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.conf;
+package dunlinhitch.config.syntax;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/dunlinhitch/lab/measure/FloorsCommandTest.java
+++ b/src/test/java/dunlinhitch/experiments/measurements/FloorsCommandTest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.measure;
+package dunlinhitch.experiments.measurements;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
--- a/src/test/java/dunlinhitch/lab/sim/ScorerWorldTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/ScorerWorldTest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.sim;
+package dunlinhitch.experiments.simulation;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
--- a/src/test/java/dunlinhitch/lab/fleet/RigScriptTest.java
+++ b/src/test/java/dunlinhitch/experiments/testbed/RigScriptTest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.lab.fleet;
+package dunlinhitch.experiments.testbed;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
--- a/src/test/java/dunlinhitch/intake/GracefulShutdownTest.java
+++ b/src/test/java/dunlinhitch/frontend/GracefulShutdownTest.java
@@ -1,11 +1,11 @@
-package dunlinhitch.intake;
+package dunlinhitch.frontend;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.intake.GracefulShutdown.Fate;
-import dunlinhitch.intake.GracefulShutdown.Stage;
+import dunlinhitch.frontend.GracefulShutdown.Fate;
+import dunlinhitch.frontend.GracefulShutdown.Stage;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
--- a/src/test/java/dunlinhitch/intake/http/ParkingSelectStrategyTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
@@ -1,4 +1,4 @@
-package dunlinhitch.intake.http;
+package dunlinhitch.frontend.http;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
