--- a/src/test/java/dunlinhitch/NoDelayTest.java
+++ b/src/test/java/dunlinhitch/server/NoDelayTest.java
@@ -1,10 +1,10 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dunlinhitch.lab.standin.Client;
-import dunlinhitch.lab.standin.FrameStore;
-import dunlinhitch.lab.standin.Stage;
+import dunlinhitch.experiments.fakes.Client;
+import dunlinhitch.experiments.fakes.FrameStore;
+import dunlinhitch.experiments.fakes.Stage;
 import io.vertx.core.internal.VertxInternal;
 import java.lang.reflect.Field;
 import java.lang.reflect.Method;
--- a/src/test/java/dunlinhitch/OwnTransport.java
+++ b/src/test/java/dunlinhitch/server/OwnTransport.java
@@ -1,4 +1,4 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import io.vertx.core.impl.transports.NioTransport;
 import io.vertx.core.transport.Transport;
--- a/src/test/java/dunlinhitch/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -1,13 +1,13 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
 import com.eclipsesource.json.Json;
+import dunlinhitch.balancer.settings.Settings;
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Product;
-import dunlinhitch.decide.Routing.Settings;
-import dunlinhitch.lab.standin.Stage;
+import dunlinhitch.experiments.fakes.Stage;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
--- a/src/test/java/dunlinhitch/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -1,4 +1,4 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
@@ -6,9 +6,9 @@
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Product;
-import dunlinhitch.lab.standin.Discovery;
-import dunlinhitch.lab.standin.FrameStore;
-import dunlinhitch.lab.standin.Stage;
+import dunlinhitch.experiments.fakes.Discovery;
+import dunlinhitch.experiments.fakes.FrameStore;
+import dunlinhitch.experiments.fakes.Stage;
 import java.io.IOException;
 import java.net.HttpURLConnection;
 import java.net.ServerSocket;
--- a/src/test/java/dunlinhitch/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -1,19 +1,19 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinhitch.config.Product;
-import dunlinhitch.lab.standin.Client;
-import dunlinhitch.lab.standin.Client.Got;
-import dunlinhitch.lab.standin.Discovery;
-import dunlinhitch.lab.standin.FlightStore;
-import dunlinhitch.lab.standin.FrameStore;
-import dunlinhitch.lab.standin.Stage;
-import dunlinhitch.lab.standin.Store;
-import dunlinhitch.lab.standin.Store.Do;
-import dunlinhitch.lab.standin.Store.First;
-import dunlinhitch.lab.standin.Store.Seen;
+import dunlinhitch.experiments.fakes.Client;
+import dunlinhitch.experiments.fakes.Client.Got;
+import dunlinhitch.experiments.fakes.Discovery;
+import dunlinhitch.experiments.fakes.FlightStore;
+import dunlinhitch.experiments.fakes.FrameStore;
+import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.Store;
+import dunlinhitch.experiments.fakes.Store.Do;
+import dunlinhitch.experiments.fakes.Store.First;
+import dunlinhitch.experiments.fakes.Store.Seen;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
--- a/src/test/java/dunlinhitch/UpgradeTest.java
+++ b/src/test/java/dunlinhitch/server/UpgradeTest.java
@@ -1,13 +1,13 @@
-package dunlinhitch;
+package dunlinhitch.server;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.intake.http.ClientListener;
-import dunlinhitch.lab.standin.Client;
-import dunlinhitch.lab.standin.FrameStore;
-import dunlinhitch.lab.standin.Stage;
+import dunlinhitch.experiments.fakes.Client;
+import dunlinhitch.experiments.fakes.FrameStore;
+import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.frontend.http.ClientListener;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
