--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
@@ -264,7 +264,7 @@
     Held held = new Held(answer, f.by, f.begunUs);
     remove(f, f.lead);
     boolean kept = take(nowUs, held, f.key);
-    share(nowUs, f, kept ? held : null, Count.JOINED);
+    share(f, kept ? held : null, Count.JOINED);
     if (f.home != null) {
       acts.add(
           new Act.TellHome(
@@ -348,8 +348,8 @@
             ? byNumber.size() >= settings.mostFlights()
             : f.waiters.size() >= settings.mostWaiters();
     if (full
-        || f != null
-            && f.lead == null) { // without a lead it waits for a home of its own: the views differ
+        || (f != null
+            && f.lead == null)) { // without a lead it waits for a home of its own: the views differ
       acts.add(new Act.TellPeer(peer, flight, now, Said.NOTHING, null));
       return done(nowUs);
     }
@@ -382,7 +382,7 @@
     if (said == Said.ANSWER && held != null && keying.mayShare(held.by())) {
       Held now = notAhead(nowUs, held);
       if (take(nowUs, now, waits ? f.key : null) && waits) {
-        share(nowUs, f, now, Count.FROM_HOME);
+        share(f, now, Count.FROM_HOME);
         return done(nowUs);
       }
     }
@@ -412,7 +412,7 @@
       if (held == null) {
         passOn(nowUs, f, false);
       } else {
-        share(nowUs, f, kept ? now : null, Count.FROM_HOME);
+        share(f, kept ? now : null, Count.FROM_HOME);
       }
     }
     return done(nowUs);
@@ -457,7 +457,7 @@
         }
       }
     }
-    if (ledBefore && f.lead == null || f.waiters.isEmpty()) {
+    if ((ledBefore && f.lead == null) || f.waiters.isEmpty()) {
       passOn(nowUs, f, false);
     } else if (f.lead == null && nowUs >= f.homeUntilUs) {
       count(Count.HOME_LATE);
@@ -537,7 +537,7 @@
    * The flight is over: all that wait get the answer, or go to a store alone where they may not
    * have it.
    */
-  private void share(long nowUs, Flight f, Held held, Count how) {
+  private void share(Flight f, Held held, Count how) {
     close(f);
     for (Waiter waiter : List.copyOf(f.waiters)) {
       remove(f, waiter);
--- a/src/main/java/dunlinhitch/answerkeys/RuleLives.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleLives.java
@@ -175,8 +175,8 @@
       boolean changed = unsaid.contains(life);
       long since = nowUs - saidUs.getOrDefault(life, Long.MIN_VALUE / 2);
       boolean urgent = !own.get(life).withdrawn().isEmpty() || own.get(life).suspect();
-      if (changed && (urgent || since >= SAY_EVERY_US)
-          || !own.get(life).equals(Evidence.NONE) && since >= settings.lifeUs() / 2) {
+      if ((changed && (urgent || since >= SAY_EVERY_US))
+          || (!own.get(life).equals(Evidence.NONE) && since >= settings.lifeUs() / 2)) {
         say(nowUs, life);
       }
     }
--- a/src/main/java/dunlinhitch/answerkeys/RuleSet.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleSet.java
@@ -302,7 +302,7 @@
           separator != null
               && separator != ' '
               && (c == separator
-                  || spaced.length() > 0 && spaced.charAt(spaced.length() - 1) == separator);
+                  || (spaced.length() > 0 && spaced.charAt(spaced.length() - 1) == separator));
       if (blank && spaced.length() > 0 && !atMark) {
         spaced.append(' ');
       }
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -85,7 +85,7 @@
             || barred
             || state == ServerState.GONE
             || state == ServerState.WITHDRAWN
-            || state == ServerState.DRAINING && !up
+            || (state == ServerState.DRAINING && !up)
             || out.size() + firsts.size() + parts.size() > FlightStores.MOST_OUT;
     if (mayNot) {
       parts.forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED));
@@ -126,7 +126,7 @@
       waiting.clear();
       calls.forEach(this::begin);
     } else if (seen == ConnectivityState.SHUTDOWN
-        || seen == ConnectivityState.TRANSIENT_FAILURE && !first) {
+        || (seen == ConnectivityState.TRANSIENT_FAILURE && !first)) {
       dropWaiting();
     } else {
       channel.notifyWhenStateChanged(
--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -109,8 +109,8 @@
         // store drains
         boolean fits =
             c.takes(parts.size(), ids)
-                && (state == ServerState.READY || c.isOpen() && !c.isWriting());
-        if (fits && (best == null || c.isOpen() && !best.isOpen())) {
+                && (state == ServerState.READY || (c.isOpen() && !c.isWriting()));
+        if (fits && (best == null || (c.isOpen() && !best.isOpen()))) {
           best = c;
         }
       }
--- a/src/main/java/dunlinhitch/balancer/LoadBalancer.java
+++ b/src/main/java/dunlinhitch/balancer/LoadBalancer.java
@@ -198,7 +198,7 @@
    */
   private double entry(Server s) {
     double mean = warmth(s) < 1 ? 0 : fleetLoad.at(now, 4.0 * reportAgeUs);
-    double others = mean + (s.reported - mean) * faded(s.reportedAtUs, reportAgeUs);
+    double others = mean + (s.reported - mean) * faded(s.reportedAtUs, (double) reportAgeUs);
     return Math.max(0, s.ledgerUs) + others * unitUs();
   }
 
@@ -302,9 +302,9 @@
   private boolean usable(Server s, boolean lastResort) {
     return !barred.contains(s.id)
         && (s.state == ServerState.READY
-            || lastResort
+            || (lastResort
                 && s.state == ServerState.DRAINING
-                && now < s.toldUs + settings.rules().drainGraceUs() - marginUs);
+                && now < s.toldUs + settings.rules().drainGraceUs() - marginUs));
   }
 
   // ---- cold guard ---------------------------------------------------------------------
@@ -486,7 +486,7 @@
         a,
         e.outcome() == AttemptOutcome.TIMEOUT
             || e.outcome() == AttemptOutcome.RESET
-            || e.outcome() == AttemptOutcome.CANCELLED && silent(a),
+            || (e.outcome() == AttemptOutcome.CANCELLED && silent(a)),
         e.outcome() == AttemptOutcome.OK);
     if (e.outcome() == AttemptOutcome.MOOT && a.number > 0) {
       repeatedAt.removeLastOccurrence(a.sentUs);
@@ -532,7 +532,7 @@
     switch (e.outcome()) {
       case OK -> {
         s.heardUs = now;
-        a.part.query.learned.took.add(now - a.sentUs);
+        a.part.query.learned.took.add((double) (now - a.sentUs));
         learnWork(a.part.query.learned);
         learnServed(a);
         calibrate(a);
@@ -573,7 +573,7 @@
   private void calibrate(Attempt a) {
     learnWay(a.server, now - a.sentUs - a.workUs - waitPerWork() * a.aheadUs);
     if (warmth(a.server) >= 1 && wayUs(a.server) <= 0) {
-      double time = Math.min(PACE_MOST * a.predictedUs, now - a.sentUs);
+      double time = Math.min(PACE_MOST * a.predictedUs, (double) (now - a.sentUs));
       waits.add(a.aheadUs, time - a.workUs, FLEET_STEP);
     }
   }
@@ -1003,7 +1003,7 @@
       return;
     }
     if (e.token() == SWEEP) {
-      lagUs = Math.max(now - sweepDueUs - marginUs, LAG_KEPT * lagUs);
+      lagUs = Math.max((double) (now - sweepDueUs - marginUs), LAG_KEPT * lagUs);
       sweepAgain();
       warmReady = servers.values().stream().filter(s -> usable(s, false) && warmth(s) >= 1).count();
     }
@@ -1044,7 +1044,7 @@
     if (q.holdUntilUs > 0 && now >= q.holdUntilUs) {
       goOn(q);
     }
-    if (q.over || q.step == 1 && q.parts.size() < q.expected || !q.scouts.isEmpty()) {
+    if (q.over || (q.step == 1 && q.parts.size() < q.expected) || !q.scouts.isEmpty()) {
       return;
     }
     for (Part part : q.parts) {
@@ -1075,7 +1075,7 @@
       LoadReportField field = settings.reportFields().get(i);
       double value = Double.isFinite(report[i]) ? Math.max(0, Math.min(REPORT_CAP, report[i])) : 0;
       double mine = field == LoadReportField.OUTSTANDING ? s.out.size() : s.out.size() / 2.0;
-      if (field == LoadReportField.OUTSTANDING || field == LoadReportField.BACKLOG && !held) {
+      if (field == LoadReportField.OUTSTANDING || (field == LoadReportField.BACKLOG && !held)) {
         load += Math.max(0, value - mine);
         seen = true;
       } else if (field == LoadReportField.UTILIZATION && !held) {
@@ -1086,7 +1086,8 @@
     if (seen) {
       fleetLoad.blend(load, FLEET_STEP, now, 4.0 * reportAgeUs);
       s.reported +=
-          (1 - (1 - REPORT_STEP) * faded(s.reportedAtUs, reportAgeUs)) * (load - s.reported);
+          (1 - (1 - REPORT_STEP) * faded(s.reportedAtUs, (double) reportAgeUs))
+              * (load - s.reported);
       s.reportedAtUs = now;
     }
   }
--- a/src/main/java/dunlinhitch/balancer/settings/Limits.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Limits.java
@@ -18,9 +18,9 @@
   public Limits {
     positive("limits.maxAttempts", maxAttempts);
     positive("limits.mostHeld", mostHeld);
-    atLeastZero("limits.maxRetryAfterUs", maxRetryAfterUs);
-    atLeastZero("limits.connectTimeoutUs", connectTimeoutUs);
+    atLeastZero("limits.maxRetryAfterUs", (double) maxRetryAfterUs);
+    atLeastZero("limits.connectTimeoutUs", (double) connectTimeoutUs);
     positive("limits.streamsPerConnection", streamsPerConnection);
-    atLeastZero("limits.connectionIdleUs", connectionIdleUs);
+    atLeastZero("limits.connectionIdleUs", (double) connectionIdleUs);
   }
 }
--- a/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
+++ b/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
@@ -22,10 +22,10 @@
     double need,
     double shortWorth) {
   public QueryClass {
-    positive("classes.aimUs", aimUs);
-    positive("classes.deadlineUs", deadlineUs);
+    positive("classes.aimUs", (double) aimUs);
+    positive("classes.deadlineUs", (double) deadlineUs);
     atLeastZero("classes.aimStretch", aimStretch);
-    atLeastZero("classes.dedupWindowUs", dedupWindowUs);
+    atLeastZero("classes.dedupWindowUs", (double) dedupWindowUs);
     atLeastZero("classes.worth", worth);
     atLeastZero("classes.followUp", followUp);
     ratio("classes.lateWorth", lateWorth);
--- a/src/main/java/dunlinhitch/balancer/settings/Rules.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Rules.java
@@ -16,15 +16,15 @@
     long fallUs,
     long drainGraceUs) {
   public Rules {
-    atLeastZero("rules.answerSlackUs", answerSlackUs);
-    atLeastZero("rules.askWithinUs", askWithinUs);
+    atLeastZero("rules.answerSlackUs", (double) answerSlackUs);
+    atLeastZero("rules.askWithinUs", (double) askWithinUs);
     atLeastZero("rules.budgetFree", budgetFree);
-    atLeastZero("rules.ratioSpanUs", ratioSpanUs);
+    atLeastZero("rules.ratioSpanUs", (double) ratioSpanUs);
     ratio("rules.coldFrom", coldFrom);
-    atLeastZero("rules.warmAfterUs", warmAfterUs);
+    atLeastZero("rules.warmAfterUs", (double) warmAfterUs);
     atLeastZero("rules.overloadFactor", overloadFactor);
-    atLeastZero("rules.fallUs", fallUs);
-    atLeastZero("rules.drainGraceUs", drainGraceUs);
+    atLeastZero("rules.fallUs", (double) fallUs);
+    atLeastZero("rules.drainGraceUs", (double) drainGraceUs);
     if (Double.isNaN(repeatRatio) || repeatRatio > 1e6) {
       throw new IllegalArgumentException("rules.repeatRatio is out of range: " + repeatRatio);
     }
--- a/src/main/java/dunlinhitch/balancer/settings/Settings.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Settings.java
@@ -25,7 +25,7 @@
     boolean marksRepeats) {
   public Settings {
     positive("aggregators", aggregators);
-    positive("tickUs", tickUs);
+    positive("tickUs", (double) tickUs);
     ratio("overShareWorth", overShareWorth);
     if (classes.isEmpty()) {
       throw new IllegalArgumentException("classes is empty");
--- a/src/main/java/dunlinhitch/balancer/settings/ShardLayout.java
+++ b/src/main/java/dunlinhitch/balancer/settings/ShardLayout.java
@@ -10,6 +10,6 @@
     positive("layout.cells", cells);
     positive("layout.inARow", inARow);
     positive("layout.partsPerCall", partsPerCall);
-    atLeastZero("layout.callOverheadUs", callOverheadUs);
+    atLeastZero("layout.callOverheadUs", (double) callOverheadUs);
   }
 }
--- a/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -189,7 +189,7 @@
       }
     }
     trimRides();
-    answerWaiting(dayUs);
+    answerWaiting();
     settle();
   }
 
@@ -213,9 +213,9 @@
     boolean turned = (before >= FAILING) != (now >= FAILING);
     Long shared = sharedUs.get(store);
     if (turned
-        || answered
+        || (answered
             && !report.isEmpty()
-            && (shared == null || dayUs - shared >= settings.turnUs())) {
+            && (shared == null || dayUs - shared >= settings.turnUs()))) {
       sharedUs.put(store, dayUs);
       EndpointObservation signal =
           new EndpointObservation(
@@ -272,7 +272,7 @@
       return false;
     }
     waiting.put(store, new Waiting(dayUs, due, end));
-    answerWaiting(dayUs);
+    answerWaiting();
     return false;
   }
 
@@ -350,7 +350,7 @@
     view.leave();
   }
 
-  private void answerWaiting(long dayUs) {
+  private void answerWaiting() {
     for (Map.Entry<String, Waiting> entry : List.copyOf(waiting.entrySet())) {
       Optional<EndpointObservation> seen =
           signals.report(
--- a/src/main/java/dunlinhitch/cluster/Member.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -68,7 +68,7 @@
 
   /** Whether it could still be gainsaid, or need not be. */
   boolean isBelievable() {
-    return incarnation < MOST_BELIEVED || incarnation == MOST_BELIEVED && status == Status.ALIVE;
+    return incarnation < MOST_BELIEVED || (incarnation == MOST_BELIEVED && status == Status.ALIVE);
   }
 
   int bytes() {
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -336,7 +336,7 @@
       health.worse(1);
     }
     Member peer = peers.get(look.name());
-    if (peer == null || !peer.takesPart() || knowsItself() && alone()) {
+    if (peer == null || !peer.takesPart() || (knowsItself() && alone())) {
       return;
     }
     if (look.time() < settings.tries()) {
@@ -706,7 +706,8 @@
     boolean here = self.isAt(said.host(), said.port());
     if (here
         && (said.incarnation() > self.incarnation()
-            || said.incarnation() == self.incarnation() && said.status() != Member.Status.ALIVE)) {
+            || (said.incarnation() == self.incarnation()
+                && said.status() != Member.Status.ALIVE))) {
       if (displacedBy == null) { // it is not, or an earlier life was: it says this itself
         health.worse(said.status() == Member.Status.SUSPECT ? 1 : 0);
         become(self.in(said.incarnation() + 1), null);
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -67,7 +67,7 @@
         || mostHealth < 0
         || stretch < 1
         || wordBytes < LEAST_WORD
-        || pageBytes != 0 && pageBytes < wordBytes) {
+        || (pageBytes != 0 && pageBytes < wordBytes)) {
       throw new IllegalArgumentException(
           "looks are made once or more, times stretched from 1 on, a word has "
               + LEAST_WORD
--- a/src/main/java/dunlinhitch/cluster/RendezvousHash.java
+++ b/src/main/java/dunlinhitch/cluster/RendezvousHash.java
@@ -39,7 +39,7 @@
     for (String name : names) {
       words[key.length] = name;
       long rank = of(words);
-      if (best == null || rank > most || rank == most && name.compareTo(best) < 0) {
+      if (best == null || rank > most || (rank == most && name.compareTo(best) < 0)) {
         best = name;
         most = rank;
       }
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
@@ -157,12 +157,12 @@
     return (bytes[at] & 0xff) << 24
         | (bytes[at + 1] & 0xff) << 16
         | (bytes[at + 2] & 0xff) << 8
-        | bytes[at + 3] & 0xff;
+        | (bytes[at + 3] & 0xff);
   }
 
   static GossipMessage read(byte[] bytes) throws MalformedMessageException {
     int version = bytes.length == 0 ? VERSION : bytes[0] & 0xff;
-    if (version == JSON || version >= LEAST_BINARY && version < VERSION) {
+    if (version == JSON || (version >= LEAST_BINARY && version < VERSION)) {
       throw new MalformedMessageException(
           Why.OLDER, "a word of version " + (version == JSON ? 1 : version));
     }
@@ -245,7 +245,7 @@
     String name = texts.read(in);
     String zone = texts.read(in);
     String host = texts.read(in);
-    int port = (in.readRawByte() & 0xff) << 8 | in.readRawByte() & 0xff;
+    int port = (in.readRawByte() & 0xff) << 8 | (in.readRawByte() & 0xff);
     return new Member(name, zone, host, port, sinceMs + in.readSInt64(), one(STATUSES, status));
   }
 
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
@@ -164,7 +164,7 @@
     byte[] all = Arrays.copyOf(room, used + GossipDecoder.SUM_BYTES);
     int sum = GossipDecoder.sum(all, used);
     for (int i = 0; i < GossipDecoder.SUM_BYTES; i++) {
-      all[used + i] = (byte) (sum >>> 8 * (GossipDecoder.SUM_BYTES - 1 - i));
+      all[used + i] = (byte) (sum >>> (8 * (GossipDecoder.SUM_BYTES - 1 - i)));
     }
     return all;
   }
--- a/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
@@ -127,8 +127,8 @@
     VersionVector newest = held.get(self);
     for (VersionVector v : held.values()) {
       if (v.settingsMs() > newest.settingsMs()
-          || v.settingsMs() == newest.settingsMs()
-              && v.settings().compareTo(newest.settings()) > 0) {
+          || (v.settingsMs() == newest.settingsMs()
+              && v.settings().compareTo(newest.settings()) > 0)) {
         newest = v;
       }
     }
--- a/src/main/java/dunlinhitch/config/ConfigFile.java
+++ b/src/main/java/dunlinhitch/config/ConfigFile.java
@@ -67,7 +67,7 @@
     for (String key : before.names()) {
       JsonValue was = before.get(key);
       JsonValue is = now.get(key);
-      if (at.isEmpty() && MAY_GO.contains(key) || was.isNull()) {
+      if ((at.isEmpty() && MAY_GO.contains(key)) || was.isNull()) {
         continue;
       }
       if (is == null || is.isNull()) {
--- a/src/main/java/dunlinhitch/config/GossipAddresses.java
+++ b/src/main/java/dunlinhitch/config/GossipAddresses.java
@@ -64,9 +64,9 @@
   private static boolean isEmpty(JsonValue value) {
     return value == null
         || value.isNull()
-        || value.isString() && value.asString().isEmpty()
-        || value.isArray() && value.asArray().isEmpty()
-        || value.isObject() && value.asObject().isEmpty();
+        || (value.isString() && value.asString().isEmpty())
+        || (value.isArray() && value.asArray().isEmpty())
+        || (value.isObject() && value.asObject().isEmpty());
   }
 
   /** Settings that do not speak of it allow it, for the platform gave addresses. */
--- a/src/main/java/dunlinhitch/core/Attempts.java
+++ b/src/main/java/dunlinhitch/core/Attempts.java
@@ -160,8 +160,8 @@
   private boolean takesNothingNew(StoreRow store) {
     return store.state() == ServerState.GONE
         || store.state() == ServerState.WITHDRAWN
-        || store.state() == ServerState.DRAINING
-            && host.now() >= store.toldUs + host.settings().rules().drainGraceUs();
+        || (store.state() == ServerState.DRAINING
+            && host.now() >= store.toldUs + host.settings().rules().drainGraceUs());
   }
 
   /**
--- a/src/main/java/dunlinhitch/core/EndpointStage.java
+++ b/src/main/java/dunlinhitch/core/EndpointStage.java
@@ -180,7 +180,7 @@
       }
       Endpoint entry = change.entry();
       StoreRow row = tables.byName.get(entry.name());
-      if (!change.told() || row == null && entry.state() == ServerState.GONE) {
+      if (!change.told() || (row == null && entry.state() == ServerState.GONE)) {
         continue;
       }
       if (row == null) {
--- a/src/main/java/dunlinhitch/core/SecondStep.java
+++ b/src/main/java/dunlinhitch/core/SecondStep.java
@@ -68,8 +68,7 @@
    * holds.
    */
   private List<PartRow> best(List<PartRow> in, QueryClass kind) {
-    counters.add(
-        Counter.BAD_SCORES, (int) in.stream().filter(part -> Double.isNaN(part.score)).count());
+    counters.add(Counter.BAD_SCORES, in.stream().filter(part -> Double.isNaN(part.score)).count());
     List<PartRow> ranked = new ArrayList<>(in);
     ranked.sort(
         Comparator.comparingDouble(
--- a/src/main/java/dunlinhitch/core/TwoPhaseStage.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseStage.java
@@ -245,7 +245,7 @@
             || why == TwoPhasePlan.Why.TOO_LITTLE_TIME;
     Said before = said.get(name);
     if (ofTheQuery
-        || before != null && (before.why() == why || host.now() < before.atUs() + SAY_EVERY_US)) {
+        || (before != null && (before.why() == why || host.now() < before.atUs() + SAY_EVERY_US))) {
       return;
     }
     said.put(name, new Said(why, host.now()));
--- a/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
@@ -252,7 +252,7 @@
    * A zone's serial rises with every change (RFC 1982 order does not matter here: other is other).
    */
   private void askSerial(long now) {
-    if (soaAsked || now < soaDueUs || dialogue != null && dialogue.isUp()) {
+    if (soaAsked || now < soaDueUs || (dialogue != null && dialogue.isUp())) {
       if (!soaAsked && now >= soaDueUs) {
         soaDueUs = now + settings.soaEveryUs();
       }
--- a/src/main/java/dunlinhitch/discovery/dnssd/Records.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Records.java
@@ -256,11 +256,13 @@
     Map<Question, List<Record>> found = found(message);
     List<Record> own = follow(question, found);
     boolean nothing =
-        rcode == Rcode.NXDOMAIN || rcode == Rcode.NOERROR && own != null && own.isEmpty();
-    if (rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN || own == null || nothing && !authority) {
+        rcode == Rcode.NXDOMAIN || (rcode == Rcode.NOERROR && own != null && own.isEmpty());
+    if ((rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN)
+        || own == null
+        || (nothing && !authority)) {
       odd(
           own == null ? Oddity.NO_ALIAS : Oddity.NOT_AUTHORITATIVE,
-          own == null || nothing && !authority ? 1 : 0);
+          own == null || (nothing && !authority) ? 1 : 0);
       pauseAndAsk(set);
       return;
     }
--- a/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
@@ -166,7 +166,7 @@
                       byte[] whole = rest[0].getBytes(2, 2 + rest[0].getUnsignedShort(0));
                       Message message = read(query, whole);
                       if (message == null
-                          || key != null && key.verify(message, whole, signed) != Rcode.NOERROR) {
+                          || (key != null && key.verify(message, whole, signed) != Rcode.NOERROR)) {
                         strays++;
                         answer.tryFail("the answer over TCP does not belong to the question");
                       } else {
@@ -186,7 +186,7 @@
   /** The message if it answers this query, else null. */
   static Message read(Message query, byte[] bytes) {
     if (bytes.length < HEAD
-        || ((bytes[0] & 0xff) << 8 | bytes[1] & 0xff) != query.getHeader().getID()
+        || ((bytes[0] & 0xff) << 8 | (bytes[1] & 0xff)) != query.getHeader().getID()
         || (bytes[2] & 0x80) == 0) {
       return null;
     }
@@ -198,7 +198,8 @@
           message.getHeader().getOpcode() == query.getHeader().getOpcode()
               && (repeated == null
                   ? message.getHeader().getOpcode() == Opcode.UPDATE
-                      || message.getRcode() != Rcode.NOERROR && message.getRcode() != Rcode.NXDOMAIN
+                      || (message.getRcode() != Rcode.NOERROR
+                          && message.getRcode() != Rcode.NXDOMAIN)
                   : repeated.getName().equals(asked.getName())
                       && repeated.getType() == asked.getType());
       return same ? message : null;
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
@@ -326,8 +326,8 @@
     Endpoint entry = claim.entry();
     boolean unusable =
         entry.state() == ServerState.WITHDRAWN
-            || !source.trusted && entry.cell() >= settings.cells();
-    if (unusable || !stores.containsKey(entry.name()) && stores.size() >= settings.mostStores()) {
+            || (!source.trusted && entry.cell() >= settings.cells());
+    if (unusable || (!stores.containsKey(entry.name()) && stores.size() >= settings.mostStores())) {
       refused++;
       if (held != null) {
         drop(held, StatusReason.TAKEN_BACK); // what was said before is not said any more
@@ -450,7 +450,7 @@
   }
 
   private static StatusReason graver(StatusReason a, StatusReason b) {
-    return a == null || b != null && b.ordinal() < a.ordinal() ? b : a;
+    return a == null || (b != null && b.ordinal() < a.ordinal()) ? b : a;
   }
 
   /** A store is at that address, or at none; who else is there has to be looked at again. */
@@ -519,7 +519,7 @@
       reason = StatusReason.CAME_AND_WENT;
     }
     if (verdict.by().source.trusted
-        || status == EndpointStatus.DISPUTED && reason != StatusReason.SHARED_ADDRESS) {
+        || (status == EndpointStatus.DISPUTED && reason != StatusReason.SHARED_ADDRESS)) {
       meet(s, null);
     }
     s.status = status;
@@ -528,7 +528,7 @@
     serve(s, status == EndpointStatus.LIVE || status == EndpointStatus.STALE ? cell : -1);
     boolean mayStandIn =
         (status == EndpointStatus.ANNOUNCED
-                || status == EndpointStatus.DISPUTED && reason != StatusReason.OTHER_CELLS)
+                || (status == EndpointStatus.DISPUTED && reason != StatusReason.OTHER_CELLS))
             && verdict.entry().state() == ServerState.READY;
     bench(s, mayStandIn ? cell : -1, verdict.by().sinceUs);
   }
@@ -594,7 +594,7 @@
   }
 
   private void bench(Store s, int cell, long sinceUs) {
-    if (s.benchedCell != cell || cell >= 0 && s.benchedSinceUs != sinceUs) {
+    if (s.benchedCell != cell || (cell >= 0 && s.benchedSinceUs != sinceUs)) {
       if (s.benchedCell >= 0) {
         benched.get(s.benchedCell).remove(s);
         dirtyFor(s.benchedCell);
@@ -627,7 +627,7 @@
         break;
       }
       Store oldest = benched.get(cell).isEmpty() ? null : benched.get(cell).first();
-      best = best == null || oldest != null && OLDEST.compare(oldest, best) < 0 ? oldest : best;
+      best = best == null || (oldest != null && OLDEST.compare(oldest, best) < 0) ? oldest : best;
     }
     Store before = standIn[position];
     if (before != best) {
--- a/src/main/java/dunlinhitch/endpoints/TimingWheel.java
+++ b/src/main/java/dunlinhitch/endpoints/TimingWheel.java
@@ -27,7 +27,7 @@
   private static final int SLOTS = 1 << SLOT_BITS;
   private static final int WHEELS = 4;
   private static final int DUE = -2;
-  private static final long REACH = 1L << SLOT_BITS * WHEELS;
+  private static final long REACH = 1L << (SLOT_BITS * WHEELS);
 
   /** One moment that is set. Its links are the wheel's own. */
   public static final class Handle<T> {
@@ -112,7 +112,7 @@
       for (int wheel = WHEELS - 1;
           wheel > 0;
           wheel--) { // coarse slots that begin now fall into finer ones
-        if ((tick & (1L << SLOT_BITS * wheel) - 1) == 0) {
+        if ((tick & (1L << (SLOT_BITS * wheel)) - 1) == 0) {
           empty(wheel, due);
         }
       }
@@ -136,7 +136,7 @@
   }
 
   private void empty(int wheel, List<Handle<T>> due) {
-    int slot = wheel * SLOTS + (int) (tick >> SLOT_BITS * wheel & SLOTS - 1);
+    int slot = wheel * SLOTS + (int) (tick >> (SLOT_BITS * wheel) & SLOTS - 1);
     List<Handle<T>> fallen = new ArrayList<>();
     while (heads.get(slot) != null) {
       Handle<T> handle = heads.get(slot);
@@ -160,13 +160,13 @@
     long next = Long.MAX_VALUE;
     for (int wheel = 0; wheel < WHEELS; wheel++) {
       if (filled[wheel] != 0) {
-        long turn = tick >> SLOT_BITS * wheel;
+        long turn = tick >> (SLOT_BITS * wheel);
         // bits from the slot behind the present one on, all round; the present one itself comes
         // last
         int ahead =
             Long.numberOfTrailingZeros(
                 Long.rotateRight(filled[wheel], (int) (turn + 1 & SLOTS - 1)));
-        next = Math.min(next, turn + 1 + ahead << SLOT_BITS * wheel);
+        next = Math.min(next, (turn + 1 + ahead) << (SLOT_BITS * wheel));
       }
     }
     return next;
@@ -176,10 +176,10 @@
     long ahead = Math.min(handle.dueTick - tick, REACH - 1);
     long at = tick + ahead;
     int wheel = 0;
-    while (wheel < WHEELS - 1 && ahead >= 1L << SLOT_BITS * (wheel + 1)) {
+    while (wheel < WHEELS - 1 && ahead >= 1L << (SLOT_BITS * (wheel + 1))) {
       wheel++;
     }
-    int within = (int) (at >> SLOT_BITS * wheel & SLOTS - 1);
+    int within = (int) (at >> (SLOT_BITS * wheel) & SLOTS - 1);
     int slot = wheel * SLOTS + within;
     Handle<T> head = heads.get(slot);
     if (head == null) {
--- a/src/main/java/dunlinhitch/experiments/answerkeys/KeysWorld.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/KeysWorld.java
@@ -540,7 +540,7 @@
     int generation = Integer.parseInt(value[2]);
     wrong +=
         Integer.parseInt(value[0]) != q.wish
-                || !value[1].equals("any") && !value[1].equals(language)
+                || (!value[1].equals("any") && !value[1].equals(language))
             ? 1
             : 0;
     List<Long> ofShard = ends.get(q.ask.shard());
--- a/src/main/java/dunlinhitch/experiments/dns/Responder.java
+++ b/src/main/java/dunlinhitch/experiments/dns/Responder.java
@@ -364,7 +364,7 @@
             send(zone.get(key).stream().map(record -> new PushChange(false, key, record)).toList());
           }
           case Dso.UNSUBSCRIBE ->
-              byId.remove((first.data()[0] & 0xff) << 8 | first.data()[1] & 0xff);
+              byId.remove((first.data()[0] & 0xff) << 8 | (first.data()[1] & 0xff));
           default -> socket.write(Dso.write(new Head(id, true, 11)));
         }
       } catch (IOException | RuntimeException e) {
--- a/src/main/java/dunlinhitch/experiments/fakes/WorkingStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/WorkingStore.java
@@ -66,7 +66,7 @@
       Runnable over =
           () -> {
             lateUs += (System.nanoTime() - from) / 1e3 - job.us();
-            lateUs = Math.max(-workUs, Math.min(4 * workUs, lateUs));
+            lateUs = Math.max((double) -workUs, Math.min((double) (4 * workUs), lateUs));
             busy--;
             job.done().run();
             begin();
--- a/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
@@ -97,17 +97,18 @@
     row(out, seed, brokers, rate, "exact", exact, exact);
     row(out, seed, brokers, rate, "rules", rules, exact);
     if (rate > 1000) {
-      figure(LEAST_SAVED * rules.fetches(), exact.fetches());
+      figure(LEAST_SAVED * rules.fetches(), (double) exact.fetches());
     }
-    figure(rules.p99Us(), 1.05 * none.p99Us());
-    figure(rules.again(), 0);
+    figure((double) rules.p99Us(), 1.05 * none.p99Us());
+    figure((double) rules.again(), 0);
     figure(
-        rules.wrong()
-            + exact.wrong()
-            + rules.old()
-            + exact.old()
-            + rules.unended()
-            + exact.unended(),
+        (double)
+            (rules.wrong()
+                + exact.wrong()
+                + rules.old()
+                + exact.old()
+                + rules.unended()
+                + exact.unended()),
         0);
   }
 
@@ -134,8 +135,8 @@
   private void faults(PrintStream out, Setup setup, String what) {
     Result r = new KeysWorld(setup).play();
     double bound = setup.turnsFalse() ? r.mayBeWrong() : 0;
-    figure(r.wrong(), bound);
-    figure(r.old() + r.unended(), 0);
+    figure((double) r.wrong(), bound);
+    figure((double) (r.old() + r.unended()), 0);
     out.printf(
         Locale.ROOT,
         "%8d %-22s %5d %9d %8d %10.0f %6s %5d %8d  %s%n",
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
@@ -171,7 +171,7 @@
     }
     world.playTo(end);
     long most = world.mostProbesInASecond(settled + 2 * SECOND_US);
-    figure(most, MOST_PROBES);
+    figure((double) most, MOST_PROBES);
     out.printf(
         Locale.ROOT,
         "%8d %24s %18d %18d %10.0f%n",
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Shape.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Shape.java
@@ -82,7 +82,8 @@
       List<Consumer<Hasher>> elements = new ArrayList<>();
       many.forEach(element -> elements.add(into -> put(into, element)));
       boolean loose =
-          many instanceof Set && !(many instanceof LinkedHashSet) || many instanceof PriorityQueue;
+          (many instanceof Set && !(many instanceof LinkedHashSet))
+              || many instanceof PriorityQueue;
       parts(hasher, elements, !loose);
     } else if (value.getClass().isArray()) {
       hasher.putInt(Array.getLength(value));
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
@@ -51,7 +51,7 @@
   private static final long DAY_US = 1_700_000_000_000_000L;
   private static final double REPORTS_FADE = 4; // aims
 
-  private final class Store {
+  private static final class Store {
     private final double times;
     private final String name;
     private long busyUntilUs;
--- a/src/main/java/dunlinhitch/experiments/testbed/RigScript.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/RigScript.java
@@ -142,7 +142,7 @@
       who.remove(who.size() - 1);
     }
     int wanted = lasts ? LASTING.get(what) : 1;
-    if (wanted >= 0 && who.size() != wanted || who.isEmpty()) {
+    if ((wanted >= 0 && who.size() != wanted) || who.isEmpty()) {
       throw new IllegalArgumentException(
           what + " names " + (wanted < 0 ? "one or more" : wanted + "") + " of the rig");
     }
@@ -156,7 +156,7 @@
             "only a broker can " + what + ", and " + name + " is none");
       }
     }
-    if (lasts && to <= from || Math.max(from, to) > MOST_MS) {
+    if ((lasts && to <= from) || Math.max(from, to) > MOST_MS) {
       throw new IllegalArgumentException(
           "it ends after it begins, within " + MOST_MS / 1000 + " s");
     }
--- a/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -43,7 +43,7 @@
 
     void pass(Buffer bytes) {
       Links.Rule rule = links.of(from, to);
-      if (silent || rule != null && rule.harm() == Links.Harm.LOST) {
+      if (silent || (rule != null && rule.harm() == Links.Harm.LOST)) {
         silent = true;
         fellSilent.add(broker); // what was lost of a stream never comes, so nothing behind it does
         return;
--- a/src/main/java/dunlinhitch/frontend/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -110,7 +110,7 @@
     for (String name : customers) {
       boolean known =
           settings.get().tenants().stream().anyMatch(tenant -> tenant.name().equals(name));
-      if (!known || !named.isEmpty() && !named.equals(name)) {
+      if (!known || (!named.isEmpty() && !named.equals(name))) {
         return "";
       }
       named = name;
@@ -135,7 +135,7 @@
       int shard = o.get("range").asInt();
       double portion = o.get("portion").asDouble();
       double price = o.getDouble("price", 0);
-      if (shard < 0 || shards > 0 && shard >= shards || !seen.add(shard)) {
+      if (shard < 0 || (shards > 0 && shard >= shards) || !seen.add(shard)) {
         throw new MalformedQueryException("range " + shard + " does not exist or is named twice");
       }
       if (!(portion >= 0 && portion <= 1.001) || !(price >= 0 && price <= 1e12)) {
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -177,7 +177,7 @@
         .anyMatch(
             link ->
                 end.closeQuiet(now, link)
-                    || link.stage == Stage.HEAD && end.refuseUnfinished(link));
+                    || (link.stage == Stage.HEAD && end.refuseUnfinished(link)));
   }
 
   /** Where descriptors are short those that linger go first. */
@@ -306,7 +306,7 @@
         link.edge.cut();
       }
       if (stalled
-          || now >= dueUs(link) && (end.closeQuiet(now, link) || end.refuseUnfinished(link))) {
+          || (now >= dueUs(link) && (end.closeQuiet(now, link) || end.refuseUnfinished(link)))) {
         events.accept(new Event.ConditionCounted(why));
       }
     }
--- a/src/main/java/dunlinhitch/scoring/Standing.java
+++ b/src/main/java/dunlinhitch/scoring/Standing.java
@@ -35,7 +35,8 @@
     failures++;
     double wait =
         Math.min(
-            rule.mostUs(), rule.firstUs() * Math.pow(2, failures - 1 + (doubters > 1 ? 1 : 0)));
+            (double) rule.mostUs(),
+            rule.firstUs() * Math.pow(2, failures - 1 + (doubters > 1 ? 1 : 0)));
     triedUs = nowUs + (long) (wait * (0.8 + 0.2 * random.nextDouble()));
   }
 
--- a/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
@@ -65,7 +65,10 @@
           double mean =
               now == null ? ending.tookUs() : now.us * keep + ending.tookUs() * (1 - keep);
           now =
-              new Seen(Math.max(1, Math.max(mean, ending.tookUs())), ending.atUs(), c.startedMs());
+              new Seen(
+                  Math.max(1, Math.max(mean, (double) ending.tookUs())),
+                  ending.atUs(),
+                  c.startedMs());
         }
       }
       seen.put(c.store(), now);
--- a/src/main/java/dunlinhitch/server/Broker.java
+++ b/src/main/java/dunlinhitch/server/Broker.java
@@ -406,8 +406,8 @@
   private boolean ready() {
     boolean told =
         sources.stream().anyMatch(DiscoverySource::answered)
-            || (known || records != null && records.restored())
-                && clock.getAsLong() - startUs > KNOWN_WILL_DO_US;
+            || ((known || (records != null && records.restored()))
+                && clock.getAsLong() - startUs > KNOWN_WILL_DO_US);
     return warm && told && !ending && !reducer.fenced();
   }
 
--- a/src/main/java/dunlinhitch/server/DnsSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -176,7 +176,7 @@
   private Future<Void> save() {
     EndpointRegistry now = membership.get();
     long nowUs = clock.getAsLong();
-    if (saving || now.version() == savedVersion && nowUs < savedUs + SAVE_UNCHANGED_US) {
+    if (saving || (now.version() == savedVersion && nowUs < savedUs + SAVE_UNCHANGED_US)) {
       return Future.succeededFuture();
     }
     saving = true;
