--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -284,7 +284,7 @@
         || out.isEmpty()
         || barred
         || state != ServerState.READY
-        || !shared.limits().mayProbe()) {
+        || !shared.limits().mayHealthCheck()) {
       return;
     }
     long quietUs = shared.limits().connectTimeoutUs() / FlightStores.QUIET_PART;
--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -174,7 +174,7 @@
   private boolean mayCheck() {
     return state == ServerState.READY
         && !barred
-        && shared.limits().mayProbe()
+        && shared.limits().mayHealthCheck()
         && shared.limits().connectTimeoutUs() > 0;
   }
 
--- a/src/main/java/dunlinhitch/balancer/BalancerActions.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerActions.java
@@ -11,10 +11,10 @@
    * Answers the query from the parts that are in; the first of two answers where a second step
    * follows.
    */
-  void answer(int query, boolean whole);
+  void answer(int query, boolean complete);
 
-  /** Final: refused, safe to ask again after {@code comeBackUs} (0: no advice). */
-  void refuse(int query, long comeBackUs);
+  /** Final: refused, safe to ask again after {@code retryAfterUs} (0: no advice). */
+  void reject(int query, long retryAfterUs);
 
   /** Final: given up, with no promise. */
   void fail(int query);
@@ -23,19 +23,19 @@
   void cancel(int part, int attempt);
 
   /** Shuts the idle connections to a server, so that the next send opens a new one. */
-  void release(int server);
+  void closeIdleConnections(int server);
 
   /** Checks a server. */
-  void probe(int server);
+  void sendHealthCheck(int server);
 
   /**
    * Asks for an {@link TimerFired} with this token at that time or soon after; never within this
    * event.
    */
-  void alarm(long token, long dueUs);
+  void scheduleTimer(long token, long dueUs);
 
   /** Asks for changes of the server list from now on. */
-  void subscribe();
+  void subscribeToServerList();
 
   /** Leaves a line for the operators. */
   void log(String text);
--- a/src/main/java/dunlinhitch/balancer/LoadBalancer.java
+++ b/src/main/java/dunlinhitch/balancer/LoadBalancer.java
@@ -118,7 +118,8 @@
             : new Shares(told.tenants().size());
     settings = told;
     classes = Learned.carry(classes, settings.classes(), WINDOW, FIRST_ELAPSED);
-    long shortest = settings.classes().stream().mapToLong(QueryClass::aimUs).min().orElseThrow();
+    long shortest =
+        settings.classes().stream().mapToLong(QueryClass::latencyObjectiveUs).min().orElseThrow();
     sweepUs = Math.max(Math.max(settings.tickUs(), SWEEP_LEAST_US), shortest / SWEEPS_PER_AIM);
     marginUs = Math.max(MARGIN_LEAST_US, 2 * settings.tickUs());
     reportAgeUs = shortest;
@@ -160,7 +161,7 @@
    * ones.
    */
   private double typicalUs(Learned c) {
-    return c.workUs > 0 ? c.workUs : c.kind.aimUs() * FIRST_WORK;
+    return c.workUs > 0 ? c.workUs : c.kind.latencyObjectiveUs() * FIRST_WORK;
   }
 
   /** In a jam all parts wait: what is learned may fall at once but rise only slowly. */
@@ -226,7 +227,7 @@
   // ---- placement ----------------------------------------------------------------------
 
   private double score(Server s, Part part) {
-    double price = settings.prices().crossZone() * CROSSING * part.query.kind.aimUs();
+    double price = settings.prices().crossZone() * CROSSING * part.query.kind.latencyObjectiveUs();
     double load = entry(s) + debt(s) + workOf(part) + callCost(s);
     return load / warmth(s) + wayUs(s) / waitPerWork() + (s.zone == settings.zone() ? 0 : price);
   }
@@ -311,12 +312,12 @@
 
   /** The share of its capacity that a server is sure to have by now. */
   private double warmth(Server s) {
-    long warmAfter = settings.rules().warmAfterUs();
+    long warmAfter = settings.rules().slowStartDurationUs();
     long age = now - s.startedUs;
     if (s.startedUs <= 0 || age >= warmAfter || warmAfter <= 0) {
       return 1;
     }
-    double from = settings.rules().coldFrom();
+    double from = settings.rules().initialCapacityShare();
     return Math.max(0.01, from + (1 - from) * Math.max(0, age) / warmAfter);
   }
 
@@ -330,7 +331,7 @@
     return COLD_SHARE
         * settings.rules().overloadFactor()
         * warmth(s)
-        * Math.max(1.0 / settings.aggregators(), warm);
+        * Math.max(1.0 / settings.brokers(), warm);
   }
 
   private final Fading served = new Fading(); // work that a warm server has answered of late
@@ -393,7 +394,7 @@
     if (a.idle && lostIdle > LOST_LEAST && lostIdle > 2 * lostFresh) {
       lostIdle -= LOST_STEP / 10 * lostIdle; // tried again in time
       a.idle = false;
-      actions.release(s.id);
+      actions.closeIdleConnections(s.id);
     }
     if (part.attempts > 0) {
       repeatedAt.addLast(now);
@@ -419,7 +420,7 @@
       return Math.max(now + 1, q.kind.floor() < q.kind.need() ? planUs(q) : q.expiresUs);
     }
     double late = 2 * q.learned.took.quantile(0.95);
-    return settings.limits().parallelTries() ? end : Math.min(end, now + (long) late);
+    return settings.limits().parallelAttempts() ? end : Math.min(end, now + (long) late);
   }
 
   /**
@@ -436,7 +437,7 @@
         };
     return allowed
         && part.attempts < mostAttempts(part)
-        && (!copy || settings.limits().parallelTries())
+        && (!copy || settings.limits().parallelAttempts())
         && withinBudget(copy ? COPY_SHARE : 1);
   }
 
@@ -446,8 +447,8 @@
 
   /** Only a stated budget needs the times, and none older than its span. */
   private void countTaken() {
-    if (settings.rules().repeatRatio() >= 0) {
-      State.dropBefore(takenAt, now - settings.rules().ratioSpanUs() + settings.tickUs());
+    if (settings.rules().retryRatio() >= 0) {
+      State.dropBefore(takenAt, now - settings.rules().retryRatioWindowUs() + settings.tickUs());
       takenAt.addLast(now);
     }
   }
@@ -457,10 +458,10 @@
    */
   private boolean withinBudget(double share) {
     Rules rules = settings.rules();
-    State.dropBefore(repeatedAt, now - rules.ratioSpanUs() - settings.tickUs());
-    State.dropBefore(takenAt, now - rules.ratioSpanUs() + settings.tickUs());
-    double most = rules.budgetFree() + rules.repeatRatio() * takenAt.size();
-    return rules.repeatRatio() < 0 || repeatedAt.size() + 1 <= share * most;
+    State.dropBefore(repeatedAt, now - rules.retryRatioWindowUs() - settings.tickUs());
+    State.dropBefore(takenAt, now - rules.retryRatioWindowUs() + settings.tickUs());
+    double most = rules.retryBudgetFloor() + rules.retryRatio() * takenAt.size();
+    return rules.retryRatio() < 0 || repeatedAt.size() + 1 <= share * most;
   }
 
   /** Sends the part if it has nothing out and may be sent; else it waits for the next sweep. */
@@ -538,7 +539,7 @@
         calibrate(a);
         s.failuresInARow /= 2;
         double unforeseen =
-            settings.limits().mayProbe()
+            settings.limits().mayHealthCheck()
                 ? 0 // then probes tell of the slow
                 : now - a.sentUs - LATE_FACTOR * a.predictedUs;
         s.debtUs = Math.max(DEBT_KEPT * debt(s), Math.min(unforeseen, DEBT_CAP * unitUs()));
@@ -641,7 +642,7 @@
         && now - a.sentUs > left
         && mayRepeat(part, false)
         && withinBudget(COPY_SHARE)
-        && !settings.limits().parallelTries()
+        && !settings.limits().parallelAttempts()
         && settings.limits().mayCancel()) {
       cancel(a);
     }
@@ -661,8 +662,11 @@
     QueryClass kind = c.kind;
     Query q = new Query(e, c, settings.limits().maxAttempts(), now);
     double own = e.hintUs() > 0 ? e.hintUs() : typicalUs(c) * e.parts();
-    long aim = Math.min(kind.deadlineUs(), kind.aimUs() + (long) (kind.aimStretch() * own));
-    q.aimUs = now + aim - spentUs(c, e) - (long) lagUs;
+    long aim =
+        Math.min(
+            kind.deadlineUs(),
+            kind.latencyObjectiveUs() + (long) (kind.latencyObjectiveStretch() * own));
+    q.latencyObjectiveUs = now + aim - spentUs(c, e) - (long) lagUs;
     pending.add(q);
     alarm(q, giveUpUs(q));
     alarm(q, aimedUs(q));
@@ -686,7 +690,7 @@
    * expiry.
    */
   private long giveUpUs(Query q) {
-    long end = q.kind.lateWorth() > 0 ? q.expiresUs : Math.min(q.aimUs, q.expiresUs);
+    long end = q.kind.lateWeight() > 0 ? q.expiresUs : Math.min(q.latencyObjectiveUs, q.expiresUs);
     return end - marginUs;
   }
 
@@ -700,8 +704,10 @@
     double second =
         q.step > 1 || q.kind.followUp() == 0
             ? 0
-            : Math.min(SECOND_MOST * q.kind.aimUs(), q.learned.took.quantile(SECOND_QUANTILE));
-    return Math.min(q.aimUs, q.expiresUs) - marginUs - (long) second;
+            : Math.min(
+                SECOND_MOST * q.kind.latencyObjectiveUs(),
+                q.learned.took.quantile(SECOND_QUANTILE));
+    return Math.min(q.latencyObjectiveUs, q.expiresUs) - marginUs - (long) second;
   }
 
   /**
@@ -713,7 +719,7 @@
     return now >= aimedUs(q)
         && enough(q)
         && q.kind.floor() < q.kind.need()
-        && q.kind.shortWorth() * q.answered / q.kind.need() >= q.kind.lateWorth();
+        && q.kind.partialWeight() * q.answered / q.kind.need() >= q.kind.lateWeight();
   }
 
   private boolean enough(Query q) {
@@ -819,7 +825,7 @@
     }
     missed += FLEET_STEP * (1 - missed);
     if (q.kind.repeat() == Idempotency.FREE || q.parts.stream().allMatch(p -> p.mayHaveRunUs < 0)) {
-      actions.refuse(q.id, settings.limits().retryAfter() ? comeBackUs(q) : 0);
+      actions.reject(q.id, settings.limits().retryAfter() ? retryAfterUs(q) : 0);
     } else {
       actions.fail(q.id);
     }
@@ -830,9 +836,9 @@
    * A client is told to come back while its aim can still be met, if it can; else as late as it
    * heeds.
    */
-  private long comeBackUs(Query q) {
+  private long retryAfterUs(Query q) {
     long most = settings.limits().maxRetryAfterUs();
-    long room = (long) (q.aimUs - now - 2 * typicalUs(q.learned));
+    long room = (long) (q.latencyObjectiveUs - now - 2 * typicalUs(q.learned));
     return room > 0 ? Math.min(most, Math.max(1, room / 4)) : most;
   }
 
@@ -906,14 +912,14 @@
   private double patience(Query q) {
     if (q.patience == 0) {
       double worth =
-          q.kind.worth()
+          q.kind.priorityWeight()
               / Math.max(1, q.expected * typicalUs(q.learned))
               * (q.repeat ? REPEAT_WORTH : 1)
               / Math.max(1, overShare(q.tenant));
       meanDensity = meanDensity == 0 ? worth : meanDensity + 0.05 * (worth - meanDensity);
       q.patience =
           PATIENCE
-              * (1 + 1.0 / settings.aggregators())
+              * (1 + 1.0 / settings.brokers())
               * Math.max(1 / PATIENCE_MOST, Math.min(PATIENCE_MOST, worth / meanDensity));
     }
     return q.patience;
@@ -992,14 +998,14 @@
 
   private void start() {
     sweepAgain();
-    if (settings.mustAskForList()) {
-      actions.subscribe(); // without this nothing of drains or restarts is ever told
+    if (settings.mustPollServerList()) {
+      actions.subscribeToServerList(); // without this nothing of drains or restarts is ever told
     }
   }
 
   private void alarmRang(TimerFired e) {
     if (e.token() == ASK) {
-      actions.subscribe();
+      actions.subscribeToServerList();
       return;
     }
     if (e.token() == SWEEP) {
@@ -1019,7 +1025,7 @@
 
   private void sweepAgain() {
     sweepDueUs = now + sweepUs;
-    actions.alarm(SWEEP, sweepDueUs);
+    actions.scheduleTimer(SWEEP, sweepDueUs);
   }
 
   private long sweepDueUs;
@@ -1033,7 +1039,7 @@
 
   /** An alarm of a query looks at no other: under load there are many of both. */
   private void alarm(Query q, long dueUs) {
-    actions.alarm(QUERY * (1 + (long) q.id), dueUs);
+    actions.scheduleTimer(QUERY * (1 + (long) q.id), dueUs);
   }
 
   private void lookAt(Query q) {
@@ -1101,7 +1107,7 @@
    * are dearer than told.
    */
   private boolean scout(Query q) {
-    if (!settings.limits().mayProbe() || now - fleetLoad.atUs < reportAgeUs / 2) {
+    if (!settings.limits().mayHealthCheck() || now - fleetLoad.atUs < reportAgeUs / 2) {
       return false;
     }
     Set<Server> unheard = new LinkedHashSet<>();
@@ -1122,7 +1128,7 @@
     probeCredit -= q.scouts.size();
     for (Server s : q.scouts) {
       s.probing = true;
-      actions.probe(s.id);
+      actions.sendHealthCheck(s.id);
     }
     q.holdUntilUs = now + reportAgeUs / SCOUTS_PER_AIM;
     alarm(q, q.holdUntilUs);
@@ -1169,9 +1175,9 @@
   }
 
   private void askAgain() {
-    if (settings.mustAskForList()) {
-      long wait = Math.max(settings.tickUs(), settings.rules().askWithinUs() / 40);
-      actions.alarm(ASK, now + Math.min(wait << Math.min(askFailures++, 4), 60_000_000L));
+    if (settings.mustPollServerList()) {
+      long wait = Math.max(settings.tickUs(), settings.rules().pollWithinUs() / 40);
+      actions.scheduleTimer(ASK, now + Math.min(wait << Math.min(askFailures++, 4), 60_000_000L));
     }
   }
 
--- a/src/main/java/dunlinhitch/balancer/State.java
+++ b/src/main/java/dunlinhitch/balancer/State.java
@@ -176,7 +176,9 @@
                           .findFirst()
                           .orElseGet(
                               () ->
-                                  new Learned(kind, new Window(window, kind.aimUs() * firstShare))))
+                                  new Learned(
+                                      kind,
+                                      new Window(window, kind.latencyObjectiveUs() * firstShare))))
               .toList();
       for (int i = 0; i < after.size(); i++) {
         after.get(i).kind = kinds.get(i);
@@ -337,7 +339,7 @@
     final int tenant;
     final List<Part> parts = new ArrayList<>();
     int expected;
-    long aimUs;
+    long latencyObjectiveUs;
     final long expiresUs;
     final long takenUs;
     int step = 1;
--- a/src/main/java/dunlinhitch/balancer/settings/Limits.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Limits.java
@@ -6,10 +6,10 @@
 /** What the site allows. */
 public record Limits(
     int maxAttempts,
-    int mostHeld,
+    int maxInFlight,
     boolean mayCancel,
-    boolean mayProbe,
-    boolean parallelTries,
+    boolean mayHealthCheck,
+    boolean parallelAttempts,
     boolean retryAfter,
     long maxRetryAfterUs,
     long connectTimeoutUs,
@@ -17,7 +17,7 @@
     long connectionIdleUs) {
   public Limits {
     positive("limits.maxAttempts", maxAttempts);
-    positive("limits.mostHeld", mostHeld);
+    positive("limits.mostHeld", maxInFlight);
     atLeastZero("limits.maxRetryAfterUs", (double) maxRetryAfterUs);
     atLeastZero("limits.connectTimeoutUs", (double) connectTimeoutUs);
     positive("limits.streamsPerConnection", streamsPerConnection);
--- a/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
+++ b/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
@@ -9,28 +9,28 @@
  */
 public record QueryClass(
     String name,
-    long aimUs,
-    double aimStretch,
+    long latencyObjectiveUs,
+    double latencyObjectiveStretch,
     long deadlineUs,
     Idempotency repeat,
-    double lateWorth,
+    double lateWeight,
     long dedupWindowUs,
-    double worth,
+    double priorityWeight,
     boolean streaming,
     int followUp,
     double floor,
     double need,
-    double shortWorth) {
+    double partialWeight) {
   public QueryClass {
-    positive("classes.aimUs", (double) aimUs);
+    positive("classes.aimUs", (double) latencyObjectiveUs);
     positive("classes.deadlineUs", (double) deadlineUs);
-    atLeastZero("classes.aimStretch", aimStretch);
+    atLeastZero("classes.aimStretch", latencyObjectiveStretch);
     atLeastZero("classes.dedupWindowUs", (double) dedupWindowUs);
-    atLeastZero("classes.worth", worth);
+    atLeastZero("classes.worth", priorityWeight);
     atLeastZero("classes.followUp", followUp);
-    ratio("classes.lateWorth", lateWorth);
+    ratio("classes.lateWorth", lateWeight);
     ratio("classes.floor", floor);
     ratio("classes.need", need);
-    ratio("classes.shortWorth", shortWorth);
+    ratio("classes.shortWorth", partialWeight);
   }
 }
--- a/src/main/java/dunlinhitch/balancer/settings/Settings.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Settings.java
@@ -7,26 +7,26 @@
 
 /** All an aggregator is told at its start. */
 public record Settings(
-    int aggregators,
+    int brokers,
     List<String> zones,
     int zone,
     long tickUs,
     List<QueryClass> classes,
     List<Tenant> tenants,
-    double overShareWorth,
+    double overQuotaWeight,
     ShardLayout layout,
     Limits limits,
     Rules rules,
     Prices prices,
-    boolean mustAskForList,
+    boolean mustPollServerList,
     boolean reportsInAnswers,
-    boolean reportsInProbes,
+    boolean reportsInHealthChecks,
     List<LoadReportField> reportFields,
     boolean marksRepeats) {
   public Settings {
-    positive("aggregators", aggregators);
+    positive("aggregators", brokers);
     positive("tickUs", (double) tickUs);
-    ratio("overShareWorth", overShareWorth);
+    ratio("overShareWorth", overQuotaWeight);
     if (classes.isEmpty()) {
       throw new IllegalArgumentException("classes is empty");
     }
@@ -39,20 +39,20 @@
   /** The same with other classes. */
   public Settings withClasses(List<QueryClass> others) {
     return new Settings(
-        aggregators,
+        brokers,
         zones,
         zone,
         tickUs,
         others,
         tenants,
-        overShareWorth,
+        overQuotaWeight,
         layout,
         limits,
         rules,
         prices,
-        mustAskForList,
+        mustPollServerList,
         reportsInAnswers,
-        reportsInProbes,
+        reportsInHealthChecks,
         reportFields,
         marksRepeats);
   }
@@ -60,26 +60,26 @@
   /** The same with turns so far apart. */
   public Settings withTick(long us) {
     return new Settings(
-        aggregators,
+        brokers,
         zones,
         zone,
         us,
         classes,
         tenants,
-        overShareWorth,
+        overQuotaWeight,
         layout,
         limits,
         rules,
         prices,
-        mustAskForList,
+        mustPollServerList,
         reportsInAnswers,
-        reportsInProbes,
+        reportsInHealthChecks,
         reportFields,
         marksRepeats);
   }
 
   /** The same among so many that share what all may do together. */
-  public Settings amongAggregators(int many) {
+  public Settings amongBrokers(int many) {
     return new Settings(
         many,
         zones,
@@ -87,14 +87,14 @@
         tickUs,
         classes,
         tenants,
-        overShareWorth,
+        overQuotaWeight,
         layout,
         limits,
         rules,
         prices,
-        mustAskForList,
+        mustPollServerList,
         reportsInAnswers,
-        reportsInProbes,
+        reportsInHealthChecks,
         reportFields,
         marksRepeats);
   }
--- a/src/main/java/dunlinhitch/cli/Main.java
+++ b/src/main/java/dunlinhitch/cli/Main.java
@@ -231,7 +231,7 @@
                                         "class "
                                             + kind.name()
                                             + ": aim "
-                                            + kind.aimUs()
+                                            + kind.latencyObjectiveUs()
                                             + " us, deadline "
                                             + kind.deadlineUs()
                                             + " us"));
--- a/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -246,7 +246,7 @@
    * The decisions want that store probed. True: do it now. Else it is another's turn: {@link
    * Out#probed} tells what came of it, or {@link Out#probe} that the turn has come here after all.
    */
-  public boolean mayProbe(long dayUs, String store) {
+  public boolean mayHealthCheck(long dayUs, String store) {
     if (waiting.containsKey(store)) {
       return false;
     }
--- a/src/main/java/dunlinhitch/core/Attempts.java
+++ b/src/main/java/dunlinhitch/core/Attempts.java
@@ -132,7 +132,7 @@
         >= (part.first ? most - 1 : most)) { // one is left for the full pass
       return "it had all its attempts";
     }
-    if (part.out > 0 && !settings.limits().parallelTries()) {
+    if (part.out > 0 && !settings.limits().parallelAttempts()) {
       return "another attempt is out";
     }
     if (store == null || takesNothingNew(store)) {
--- a/src/main/java/dunlinhitch/core/ClusterStage.java
+++ b/src/main/java/dunlinhitch/core/ClusterStage.java
@@ -291,8 +291,8 @@
   }
 
   /** True: the probe is to be made here and now; else its end is owed. */
-  boolean mayProbe(StoreRow store) {
-    boolean mine = fleet.mayProbe(dayUs(), store.entry.name());
+  boolean mayHealthCheck(StoreRow store) {
+    boolean mine = fleet.mayHealthCheck(dayUs(), store.entry.name());
     counters.add(mine ? Counter.PROBES_IN_TURN : Counter.PROBES_LEFT_TO_OTHERS);
     return mine;
   }
--- a/src/main/java/dunlinhitch/core/QueryResponse.java
+++ b/src/main/java/dunlinhitch/core/QueryResponse.java
@@ -23,8 +23,8 @@
     }
   }
 
-  /** Trying again is harmless, best after {@code comeBackUs} (0: no advice). */
-  record Rejected(long comeBackUs) implements QueryResponse {}
+  /** Trying again is harmless, best after {@code retryAfterUs} (0: no advice). */
+  record Rejected(long retryAfterUs) implements QueryResponse {}
 
   /** Given up, with no promise about its effect. */
   record Failed() implements QueryResponse {}
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -383,11 +383,11 @@
             || keyless
             || stopping
             || fenced()
-            || tables.held() + 1 + ask.parts().size() > settings.limits().mostHeld();
+            || tables.held() + 1 + ask.parts().size() > settings.limits().maxInFlight();
     if (full || ask.deadlineUs() <= now || tables.byId.containsKey(ask.id())) {
       counters.add(Counter.TURNED_AWAY);
-      long comeBackUs = settings.limits().retryAfter() ? settings.limits().maxRetryAfterUs() : 0;
-      say(e.exchange(), ask, new QueryResponse.Rejected(comeBackUs));
+      long retryAfterUs = settings.limits().retryAfter() ? settings.limits().maxRetryAfterUs() : 0;
+      say(e.exchange(), ask, new QueryResponse.Rejected(retryAfterUs));
       return;
     }
     QueryRow q = new QueryRow(++lastNumber, e.exchange(), ask, settings.limits().maxAttempts());
@@ -464,7 +464,7 @@
       tell(
           new BalancerEvent.SettingsChanged(
               now < siblingUs
-                  ? seenByDecisions().amongAggregators(2 * settings.aggregators())
+                  ? seenByDecisions().amongBrokers(2 * settings.brokers())
                   : seenByDecisions()));
     }
   }
@@ -656,10 +656,10 @@
     }
 
     @Override
-    public void refuse(int query, long comeBackUs) {
+    public void reject(int query, long retryAfterUs) {
       QueryRow q = tables.queries.get(query);
       if (q == null) {
-        ended(query, TwoPhaseStage.End.REFUSED, comeBackUs);
+        ended(query, TwoPhaseStage.End.REFUSED, retryAfterUs);
         return;
       }
       boolean ran = q.all().stream().anyMatch(part -> part.mayHaveRunUs >= 0);
@@ -668,7 +668,7 @@
         giveUp(q);
         return;
       }
-      reply(q, new QueryResponse.Rejected(comeBackUs), Counter.REFUSED);
+      reply(q, new QueryResponse.Rejected(retryAfterUs), Counter.REFUSED);
     }
 
     @Override
@@ -681,9 +681,9 @@
       }
     }
 
-    private void ended(int leg, TwoPhaseStage.End how, long comeBackUs) {
+    private void ended(int leg, TwoPhaseStage.End how, long retryAfterUs) {
       if (phases != null) {
-        phases.ended(leg, how, comeBackUs);
+        phases.ended(leg, how, retryAfterUs);
       }
     }
 
@@ -697,29 +697,29 @@
     }
 
     @Override
-    public void release(int server) {
+    public void closeIdleConnections(int server) {
       effects.add(new Effect.CloseIdleConnections(server));
     }
 
     @Override
-    public void probe(int server) {
+    public void sendHealthCheck(int server) {
       StoreRow store = tables.stores.get(server);
       if (store == null || tables.isBarred(store)) {
         owe(new BalancerEvent.HealthCheckCompleted(server, AttemptOutcome.MOOT, 0, new float[0]));
         return;
       }
-      if (fleet == null || fleet.mayProbe(store)) {
+      if (fleet == null || fleet.mayHealthCheck(store)) {
         Reducer.this.probe(store);
       }
     }
 
     @Override
-    public void alarm(long token, long dueUs) {
+    public void scheduleTimer(long token, long dueUs) {
       due(dueUs, DueKind.ALARM, token);
     }
 
     @Override
-    public void subscribe() {
+    public void subscribeToServerList() {
       effects.add(new Effect.RefreshEndpoints());
     }
 
--- a/src/main/java/dunlinhitch/core/TwoPhaseStage.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseStage.java
@@ -94,7 +94,7 @@
     private final Set<Integer> legs = new HashSet<>();
     private int firstLeg;
     private boolean refused;
-    private long comeBackUs;
+    private long retryAfterUs;
     private final long begunUs;
 
     Split(QueryRow q, long begunUs) {
@@ -148,13 +148,13 @@
                   classes.add(
                       new QueryClass(
                           kind.name() + FIRST,
-                          kind.aimUs(),
+                          kind.latencyObjectiveUs(),
                           0,
                           kind.deadlineUs(),
                           Idempotency.FREE,
                           0,
                           0,
-                          kind.worth() * priceOf(phase.queryClass()),
+                          kind.priorityWeight() * priceOf(phase.queryClass()),
                           false,
                           0,
                           0,
@@ -206,7 +206,7 @@
     List<Integer> shards = q.parts.stream().map(part -> part.ask.shard()).toList();
     Set<Integer> may = new HashSet<>();
     shards.stream().filter(this::isAble).forEach(may::add);
-    long until = Math.min(q.ask.deadlineUs(), host.now() + q.ask.kind().aimUs());
+    long until = Math.min(q.ask.deadlineUs(), host.now() + q.ask.kind().latencyObjectiveUs());
     TwoPhasePlan plan = phases.arrived(host.now(), name, shards, may, q.ask.text(), until);
     counters.add(plan.twoPhases() ? Counter.QUERIES_IN_TWO_PHASES : Counter.QUERIES_IN_ONE_PHASE);
     say(name, plan.why());
@@ -327,15 +327,15 @@
   }
 
   /** The decisions have ended one of their queries; false where it is no leg. */
-  boolean ended(int leg, End how, long comeBackUs) {
+  boolean ended(int leg, End how, long retryAfterUs) {
     if (!byLeg.containsKey(leg)) {
       return false;
     }
-    host.later(() -> legOver(leg, how, comeBackUs));
+    host.later(() -> legOver(leg, how, retryAfterUs));
     return true;
   }
 
-  private void legOver(int leg, End how, long comeBackUs) {
+  private void legOver(int leg, End how, long retryAfterUs) {
     Split s = byLeg.remove(leg);
     if (s == null) {
       return;
@@ -348,7 +348,7 @@
       return;
     }
     s.refused |= how == End.REFUSED;
-    s.comeBackUs = Math.max(s.comeBackUs, comeBackUs);
+    s.retryAfterUs = Math.max(s.retryAfterUs, retryAfterUs);
     finish(s);
   }
 
@@ -453,7 +453,7 @@
           new QueryResponse.Served(whole, s.q.in(), pruned),
           whole ? Counter.ANSWERED_WHOLE : Counter.ANSWERED_PARTLY);
     } else if (s.refused) {
-      host.reply(s.q, new QueryResponse.Rejected(s.comeBackUs), Counter.REFUSED);
+      host.reply(s.q, new QueryResponse.Rejected(s.retryAfterUs), Counter.REFUSED);
     } else {
       host.giveUp(s.q);
     }
--- a/src/main/java/dunlinhitch/discovery/WatchTimings.java
+++ b/src/main/java/dunlinhitch/discovery/WatchTimings.java
@@ -58,13 +58,13 @@
    * asking is no excuse.
    */
   static WatchTimings of(Settings settings) {
-    if (!settings.mustAskForList()) {
+    if (!settings.mustPollServerList()) {
       return new WatchTimings(SILENT_US, STALLED_US, ANSWER_US, AGAIN_US, MOST_CALLS, OWN_AGENT);
     }
-    long withinUs = settings.rules().askWithinUs();
+    long withinUs = settings.rules().pollWithinUs();
     long longestUs =
         Math.min(LONGEST_US, withinUs > 0 ? Math.max(SECOND_US, withinUs / 2) : LONGEST_US);
-    long apartUs = Math.min(longestUs, settings.aggregators() * APART_US);
+    long apartUs = Math.min(longestUs, settings.brokers() * APART_US);
     Backoff.Bounds pauses =
         new Backoff.Bounds(Math.max(SECOND_US / 10, apartUs / 4), Math.max(SECOND_US, apartUs));
     return new WatchTimings(SILENT_US, STALLED_US, ANSWER_US, 0, 1, pauses);
--- a/src/main/java/dunlinhitch/experiments/fakes/Stage.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Stage.java
@@ -133,20 +133,20 @@
         new QueryClass(
             "report", 700_000, 0, 1_100_000, Idempotency.FREE, 0.1, 0, 3, false, 2, 1, 1, 0.9));
     return new Settings(
-        one.aggregators(),
+        one.brokers(),
         one.zones(),
         one.zone(),
         one.tickUs(),
         classes,
         List.of(new Tenant("north", 10, 0.6), new Tenant("south", 5, 0.4)),
-        one.overShareWorth(),
+        one.overQuotaWeight(),
         one.layout(),
         one.limits(),
         one.rules(),
         one.prices(),
-        one.mustAskForList(),
+        one.mustPollServerList(),
         one.reportsInAnswers(),
-        one.reportsInProbes(),
+        one.reportsInHealthChecks(),
         one.reportFields(),
         one.marksRepeats());
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/World.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/World.java
@@ -736,7 +736,7 @@
             false,
             parts,
             "t" + number);
-    asked += kind.worth();
+    asked += kind.priorityWeight();
     ask(new Asked(ask, 0, time.now(), clients.nextDouble() < 0.8));
   }
 
@@ -826,14 +826,18 @@
     QueryClass kind = a.ask().kind();
     if (answer instanceof QueryResponse.Served s) {
       double share = s.parts().stream().mapToDouble(v -> 1.0 / a.ask().parts().size()).sum();
-      double earned = kind.worth() * (s.whole() ? 1 : kind.shortWorth() * share / kind.need());
-      worth += time.now() <= a.beganUs() + kind.aimUs() ? earned : earned * kind.lateWorth();
+      double earned =
+          kind.priorityWeight() * (s.whole() ? 1 : kind.partialWeight() * share / kind.need());
+      worth +=
+          time.now() <= a.beganUs() + kind.latencyObjectiveUs()
+              ? earned
+              : earned * kind.lateWeight();
       return;
     }
     if (a.tries() >= 2 || time.now() >= a.ask().deadlineUs() - 100_000) {
       return;
     }
-    long advised = answer instanceof QueryResponse.Rejected r ? r.comeBackUs() : 0;
+    long advised = answer instanceof QueryResponse.Rejected r ? r.retryAfterUs() : 0;
     long wait =
         a.obeys() ? Math.max(advised, (long) Streams.between(clients, 20_000, 200_000)) : 5_000;
     time.after(
--- a/src/main/java/dunlinhitch/experiments/testbed/FleetWorld.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FleetWorld.java
@@ -109,7 +109,7 @@
     /** The decisions want that store probed. */
     public void wantProbe(String store) {
       if (up) {
-        if (fleet.mayProbe(dayUs(), store)) {
+        if (fleet.mayHealthCheck(dayUs(), store)) {
           probe(store);
         }
         wake();
--- a/src/main/java/dunlinhitch/frontend/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -124,7 +124,7 @@
     }
     JsonArray array = ranges.asArray();
     int shards = settings.get().layout().shards();
-    if (1 + array.size() > settings.get().limits().mostHeld()) {
+    if (1 + array.size() > settings.get().limits().maxInFlight()) {
       throw new MalformedQueryException("more ranges than may be held");
     }
     List<QueryRequest.PartRequest> parts = new ArrayList<>(array.size());
--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -220,9 +220,9 @@
       }
     } else if (answer instanceof QueryResponse.Rejected refused) {
       ErrorFlightMetadata metadata = new ErrorFlightMetadata();
-      if (refused.comeBackUs() > 0) {
+      if (refused.retryAfterUs() > 0) {
         metadata.insert(
-            RETRY_AFTER, String.format(Locale.ROOT, "%.3f", refused.comeBackUs() / 1e6));
+            RETRY_AFTER, String.format(Locale.ROOT, "%.3f", refused.retryAfterUs() / 1e6));
       }
       listener.error(
           CallStatus.UNAVAILABLE
--- a/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
@@ -300,12 +300,12 @@
               Json.object().add("total", served.whole()).add("answers", parts).toString()),
           false);
     } else if (answer instanceof QueryResponse.Rejected refused) {
-      if (refused.comeBackUs() > 0) {
+      if (refused.retryAfterUs() > 0) {
         request
             .response()
             .putHeader(
                 HttpHeaders.RETRY_AFTER,
-                String.format(Locale.ROOT, "%.3f", refused.comeBackUs() / 1e6));
+                String.format(Locale.ROOT, "%.3f", refused.retryAfterUs() / 1e6));
       }
       end(request, 503, "text/plain", Buffer.buffer(REFUSED), false);
     } else {
--- a/src/main/java/dunlinhitch/simulator/ReplyWriter.java
+++ b/src/main/java/dunlinhitch/simulator/ReplyWriter.java
@@ -63,9 +63,9 @@
   }
 
   @Override
-  public void refuse(int query, long comeBackUs) {
+  public void reject(int query, long retryAfterUs) {
     begin(81, 8);
-    out.putInt(query).putInt(u32(comeBackUs));
+    out.putInt(query).putInt(u32(retryAfterUs));
   }
 
   @Override
@@ -81,25 +81,25 @@
   }
 
   @Override
-  public void release(int server) {
+  public void closeIdleConnections(int server) {
     begin(86, 4);
     out.putInt(server);
   }
 
   @Override
-  public void probe(int server) {
+  public void sendHealthCheck(int server) {
     begin(85, 4);
     out.putInt(server);
   }
 
   @Override
-  public void alarm(long token, long dueUs) {
+  public void scheduleTimer(long token, long dueUs) {
     begin(84, 12);
     out.putLong(token).putInt(u32(Math.max(1, dueUs - nowUs)));
   }
 
   @Override
-  public void subscribe() {
+  public void subscribeToServerList() {
     begin(90, 1);
     out.put((byte) 1);
   }
--- a/src/main/java/dunlinhitch/simulator/SimulatorAdapter.java
+++ b/src/main/java/dunlinhitch/simulator/SimulatorAdapter.java
@@ -22,7 +22,7 @@
  */
 public final class SimulatorAdapter implements BatchReader.Sink {
   private static final int HEADER = 20;
-  private final Map<Integer, LoadBalancer> aggregators = new HashMap<>();
+  private final Map<Integer, LoadBalancer> brokers = new HashMap<>();
   private final BatchReader reader = new BatchReader();
   private final ReplyWriter writer = new ReplyWriter();
   private long clock;
@@ -75,7 +75,7 @@
     writer.instance(instance, clock);
     try {
       LoadBalancer policy = new LoadBalancer(SettingsReader.read(settings), seed, writer);
-      aggregators.put(instance, policy);
+      brokers.put(instance, policy);
       policy.on(clock, new BalancerEvent.Started());
     } catch (RuntimeException e) {
       report(e);
@@ -84,12 +84,12 @@
 
   @Override
   public void stop(int instance) {
-    aggregators.remove(instance);
+    brokers.remove(instance);
   }
 
   @Override
   public void event(int instance, BalancerEvent event) {
-    LoadBalancer policy = aggregators.get(instance);
+    LoadBalancer policy = brokers.get(instance);
     if (policy == null) {
       return;
     }
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -71,10 +71,10 @@
     Limits l = Stage.settings(100).limits();
     return new Limits(
         l.maxAttempts(),
-        l.mostHeld(),
+        l.maxInFlight(),
         l.mayCancel(),
-        l.mayProbe(),
-        l.parallelTries(),
+        l.mayHealthCheck(),
+        l.parallelAttempts(),
         l.retryAfter(),
         l.maxRetryAfterUs(),
         1_500_000,
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
@@ -84,10 +84,10 @@
         mostConnections,
         new Limits(
             l.maxAttempts(),
-            l.mostHeld(),
+            l.maxInFlight(),
             l.mayCancel(),
             false,
-            l.parallelTries(),
+            l.parallelAttempts(),
             l.retryAfter(),
             l.maxRetryAfterUs(),
             l.connectTimeoutUs(),
--- a/src/test/java/dunlinhitch/balancer/ColdFleet.java
+++ b/src/test/java/dunlinhitch/balancer/ColdFleet.java
@@ -270,7 +270,7 @@
     }
 
     @Override
-    public void refuse(int query, long comeBackUs) {}
+    public void reject(int query, long retryAfterUs) {}
 
     @Override
     public void fail(int query) {}
@@ -282,10 +282,10 @@
     }
 
     @Override
-    public void release(int server) {}
+    public void closeIdleConnections(int server) {}
 
     @Override
-    public void probe(int server) {
+    public void sendHealthCheck(int server) {
       int mine = life;
       at(
           now + 600,
@@ -303,7 +303,7 @@
     }
 
     @Override
-    public void alarm(long token, long dueUs) {
+    public void scheduleTimer(long token, long dueUs) {
       int mine = life;
       at(
           Math.max(now + 1, dueUs),
@@ -315,7 +315,7 @@
     }
 
     @Override
-    public void subscribe() {}
+    public void subscribeToServerList() {}
 
     @Override
     public void log(String text) {}
--- a/src/test/java/dunlinhitch/balancer/ColdRampTest.java
+++ b/src/test/java/dunlinhitch/balancer/ColdRampTest.java
@@ -109,7 +109,7 @@
     int sent = 0;
     for (int seed = 0; seed < 100; seed++) {
       Sites site = new Sites();
-      site.aggregators = 100;
+      site.brokers = 100;
       site.callUs = callUs;
       Script s = new Script(site.build(), seed);
       s.list(Sites.fresh(1, 0, s.now));
@@ -136,7 +136,7 @@
     for (int processes : List.of(1, 2)) {
       List<Script> all = new ArrayList<>();
       for (int i = 0; i < processes; i++) {
-        all.add(new Script(new Sites().build().amongAggregators(processes), i));
+        all.add(new Script(new Sites().build().amongBrokers(processes), i));
         all.get(i).list(Sites.fresh(1, 0, all.get(i).now));
       }
       List<Long> sentAt = new ArrayList<>();
--- a/src/test/java/dunlinhitch/balancer/LoadBalancerTest.java
+++ b/src/test/java/dunlinhitch/balancer/LoadBalancerTest.java
@@ -333,7 +333,7 @@
   @Test
   void aFreshServerGetsNoMoreThanItsBudget() {
     Sites site = new Sites();
-    site.aggregators = 2;
+    site.brokers = 2;
     Script s = new Script(site.build());
     s.list(Sites.fresh(1, 0, s.now));
     for (int i = 0; i < 40; i++) {
@@ -757,7 +757,7 @@
     Sites site = new Sites();
     site.tickUs = 1_000;
     site.floor = 0.5;
-    site.lateWorth = 0.1;
+    site.lateWeight = 0.1;
     Script s = pair(site);
     s.query(0, LONG, 0, 1);
     s.end(s.sent.get(0), AttemptOutcome.OK);
@@ -769,7 +769,7 @@
   void whatIsInAtTheAimIsWorthMoreThanLateness() {
     Sites site = new Sites();
     site.floor = 0.5;
-    site.lateWorth = 0.1;
+    site.lateWeight = 0.1;
     Script s = pair(site);
     s.query(0, LONG, 0, 1, 2, 3);
     for (Script.Sent sent : List.copyOf(s.sent.subList(0, 3))) {
@@ -785,7 +785,7 @@
   @Test
   void whatMustBeWholeGoesOnPastTheAimWhereLateIsWorthSomething() {
     Sites site = new Sites();
-    site.lateWorth = 0.3;
+    site.lateWeight = 0.3;
     Script s = pair(site);
     s.query(0, LONG, 0);
     s.run(2_000_000);
@@ -917,7 +917,7 @@
   @Test
   void whatNobodyCouldTakeIsRefusedBeforeHalfOfItsTimeIsOver() {
     Sites site = new Sites();
-    site.lateWorth = 0.3;
+    site.lateWeight = 0.3;
     Script s = new Script(site.build());
     s.list(Sites.ready(1, 0));
     s.query(0, LONG, 0);
@@ -956,7 +956,7 @@
   void workThatNobodyWillWaitForTimesOutAtTheAim() {
     Sites site = new Sites();
     site.floor = 0.5;
-    site.lateWorth = 0.1;
+    site.lateWeight = 0.1;
     Script s = pair(site);
     s.query(0, LONG, 0, 1);
     assertTrue(s.last().timeOutUs() <= 1_000_000, "time-out: " + s.last().timeOutUs());
@@ -969,7 +969,7 @@
     int started = 0;
     for (int seed = 0; seed < 60; seed++) {
       Sites site = new Sites();
-      site.aggregators = 60;
+      site.brokers = 60;
       Script s = new Script(site.build(), seed);
       s.list(Sites.ready(1, 0), Sites.fresh(2, 1, s.now - 1_000));
       for (int shard = 0; shard < 3; shard++) {
@@ -981,7 +981,7 @@
     int later = 0;
     for (int seed = 0; seed < 60; seed++) {
       Sites site = new Sites();
-      site.aggregators = 60;
+      site.brokers = 60;
       Script s = new Script(site.build(), seed);
       s.list(Sites.ready(1, 0), Sites.fresh(2, 1, s.now - 1_000));
       s.query(0, LONG, 0);
--- a/src/test/java/dunlinhitch/balancer/Script.java
+++ b/src/test/java/dunlinhitch/balancer/Script.java
@@ -103,8 +103,8 @@
   }
 
   @Override
-  public void refuse(int query, long comeBackUs) {
-    done.add("refuse " + query + " " + comeBackUs);
+  public void reject(int query, long retryAfterUs) {
+    done.add("refuse " + query + " " + retryAfterUs);
   }
 
   @Override
@@ -118,22 +118,22 @@
   }
 
   @Override
-  public void release(int server) {
+  public void closeIdleConnections(int server) {
     done.add("release " + server);
   }
 
   @Override
-  public void probe(int server) {
+  public void sendHealthCheck(int server) {
     done.add("probe " + server);
   }
 
   @Override
-  public void alarm(long token, long dueUs) {
+  public void scheduleTimer(long token, long dueUs) {
     alarms.computeIfAbsent(Math.max(now + 1, dueUs), at -> new ArrayList<>()).add(token);
   }
 
   @Override
-  public void subscribe() {
+  public void subscribeToServerList() {
     done.add("subscribe");
   }
 
--- a/src/test/java/dunlinhitch/balancer/Sites.java
+++ b/src/test/java/dunlinhitch/balancer/Sites.java
@@ -29,26 +29,37 @@
   double ratio = -1;
   double free;
   double overload = 2;
-  int aggregators = 1;
+  int brokers = 1;
   long tickUs = 5_000;
   double probePrice;
   int perCall = 1;
   long callUs;
   int inARow = 2;
-  double lateWorth;
+  double lateWeight;
   double crossing;
   List<Tenant> tenants = List.of();
 
   Settings build() {
     return new Settings(
-        aggregators,
+        brokers,
         List.of("a", "b"),
         0,
         tickUs,
         List.of(
             new QueryClass(
-                "search", 1_000_000, 0, 3_000_000, repeat, lateWorth, dedupUs, 1, false, followUp,
-                floor, need, 0.9)),
+                "search",
+                1_000_000,
+                0,
+                3_000_000,
+                repeat,
+                lateWeight,
+                dedupUs,
+                1,
+                false,
+                followUp,
+                floor,
+                need,
+                0.9)),
         tenants,
         0.1,
         new ShardLayout(2, inARow, 8, perCall, callUs),
--- a/src/test/java/dunlinhitch/core/AttemptsTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptsTest.java
@@ -60,19 +60,19 @@
     Settings s = Stage.settings(40);
     Limits l = s.limits();
     return new Settings(
-        s.aggregators(),
+        s.brokers(),
         s.zones(),
         s.zone(),
         s.tickUs(),
         s.classes(),
         s.tenants(),
-        s.overShareWorth(),
+        s.overQuotaWeight(),
         s.layout(),
         new Limits(
             9,
-            l.mostHeld(),
+            l.maxInFlight(),
             l.mayCancel(),
-            l.mayProbe(),
+            l.mayHealthCheck(),
             true,
             l.retryAfter(),
             l.maxRetryAfterUs(),
@@ -81,9 +81,9 @@
             l.connectionIdleUs()),
         s.rules(),
         s.prices(),
-        s.mustAskForList(),
+        s.mustPollServerList(),
         s.reportsInAnswers(),
-        s.reportsInProbes(),
+        s.reportsInHealthChecks(),
         s.reportFields(),
         s.marksRepeats());
   }
--- a/src/test/java/dunlinhitch/core/ReducerTest.java
+++ b/src/test/java/dunlinhitch/core/ReducerTest.java
@@ -539,20 +539,20 @@
       Settings s, List<QueryClass> classes, int attempts, boolean mayCancel) {
     Limits l = s.limits();
     return new Settings(
-        s.aggregators(),
+        s.brokers(),
         s.zones(),
         s.zone(),
         s.tickUs(),
         classes,
         s.tenants(),
-        s.overShareWorth(),
+        s.overQuotaWeight(),
         s.layout(),
         new Limits(
             attempts,
-            l.mostHeld(),
+            l.maxInFlight(),
             mayCancel,
-            l.mayProbe(),
-            l.parallelTries(),
+            l.mayHealthCheck(),
+            l.parallelAttempts(),
             l.retryAfter(),
             l.maxRetryAfterUs(),
             l.connectTimeoutUs(),
@@ -560,9 +560,9 @@
             l.connectionIdleUs()),
         s.rules(),
         s.prices(),
-        s.mustAskForList(),
+        s.mustPollServerList(),
         s.reportsInAnswers(),
-        s.reportsInProbes(),
+        s.reportsInHealthChecks(),
         s.reportFields(),
         s.marksRepeats());
   }
@@ -638,7 +638,7 @@
     QueryClass strict =
         new QueryClass(
             free.name(),
-            free.aimUs(),
+            free.latencyObjectiveUs(),
             0,
             free.deadlineUs(),
             Idempotency.SINGLE_SHOT,
@@ -653,7 +653,7 @@
     QueryClass added =
         new QueryClass(
             "hall-search",
-            free.aimUs(),
+            free.latencyObjectiveUs(),
             0,
             free.deadlineUs(),
             Idempotency.FREE,
@@ -783,18 +783,18 @@
   private static QueryClass effect(QueryClass c, Idempotency repeat, long windowUs) {
     return new QueryClass(
         c.name(),
-        c.aimUs(),
+        c.latencyObjectiveUs(),
         0,
         c.deadlineUs(),
         repeat,
-        c.lateWorth(),
+        c.lateWeight(),
         windowUs,
-        c.worth(),
+        c.priorityWeight(),
         false,
         0,
         c.floor(),
         c.need(),
-        c.shortWorth());
+        c.partialWeight());
   }
 
   /**
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -31,14 +31,14 @@
         s.tickUs(),
         s.classes(),
         s.tenants(),
-        s.overShareWorth(),
+        s.overQuotaWeight(),
         s.layout(),
         s.limits(),
         s.rules(),
         s.prices(),
         true,
         s.reportsInAnswers(),
-        s.reportsInProbes(),
+        s.reportsInHealthChecks(),
         s.reportFields(),
         s.marksRepeats());
   }
@@ -222,7 +222,7 @@
             .allMatch(
                 times ->
                     times.pauses().longestUs()
-                        <= Math.min(4 * SECOND, PUSHED.rules().askWithinUs() / 2)));
+                        <= Math.min(4 * SECOND, PUSHED.rules().pollWithinUs() / 2)));
   }
 
   @Test
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -96,20 +96,20 @@
             1,
             1);
     return new Settings(
-        s.aggregators(),
+        s.brokers(),
         s.zones(),
         s.zone(),
         s.tickUs(),
         List.of(kind),
         s.tenants(),
-        s.overShareWorth(),
+        s.overQuotaWeight(),
         s.layout(),
         new Limits(
             l.maxAttempts(),
-            l.mostHeld(),
+            l.maxInFlight(),
             mayCancel,
             false,
-            l.parallelTries(),
+            l.parallelAttempts(),
             l.retryAfter(),
             l.maxRetryAfterUs(),
             20_000_000,
@@ -117,9 +117,9 @@
             l.connectionIdleUs()),
         s.rules(),
         s.prices(),
-        s.mustAskForList(),
+        s.mustPollServerList(),
         s.reportsInAnswers(),
-        s.reportsInProbes(),
+        s.reportsInHealthChecks(),
         s.reportFields(),
         s.marksRepeats());
   }
--- a/src/test/java/dunlinhitch/simulator/WireTest.java
+++ b/src/test/java/dunlinhitch/simulator/WireTest.java
@@ -230,9 +230,9 @@
                  "Domain": {"ClassNeed": [0.5]}, "Report": {"Via": "probe", "Fields": ["backlog", "x0"]}}""");
     assertEquals(Idempotency.GUARDED, s.classes().get(0).repeat());
     assertEquals(0.5, s.classes().get(0).floor());
-    assertEquals(-1, s.rules().repeatRatio());
+    assertEquals(-1, s.rules().retryRatio());
     assertEquals(List.of(LoadReportField.BACKLOG, LoadReportField.OTHER), s.reportFields());
-    assertTrue(s.reportsInProbes() && !s.reportsInAnswers() && !s.mustAskForList());
+    assertTrue(s.reportsInHealthChecks() && !s.reportsInAnswers() && !s.mustPollServerList());
   }
 
   @Test
