--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -32,8 +32,8 @@
     int many = 2 + random.nextInt(MOST_FAULTS - 1);
     for (int i = 0; i < many; i++) {
       long from =
-          (long) (Streams.between(random, 3, SECONDS - 15) * 1_000_000 + random.nextInt(1_000_000));
-      long length = (long) (Streams.between(random, 1, 10) * 1_000_000);
+          1_000_000L * (long) Streams.between(random, 3, SECONDS - 15) + random.nextInt(1_000_000);
+      long length = 1_000_000L * (long) Streams.between(random, 1, 10);
       List<String> some = new ArrayList<>();
       for (int s = 1 + random.nextInt(4); s > 0; s--) {
         String name = "s" + random.nextInt(18);
--- a/src/test/java/dunlinhitch/simulator/WireTest.java
+++ b/src/test/java/dunlinhitch/simulator/WireTest.java
@@ -160,7 +160,7 @@
     ReplyWriter writer = new ReplyWriter();
     writer.instance(3, 0);
     writer.send(0x5d3a91c4, 0x03124a07, 80_000);
-    writer.alarm(77, 500_000);
+    writer.scheduleTimer(77, 500_000);
     writer.instance(5, 0);
     writer.log("two servers known");
     assertArrayEquals(
@@ -182,11 +182,11 @@
   void otherActionsHaveTheirCodesAndSizes() {
     ReplyWriter writer = new ReplyWriter();
     writer.instance(3, 0);
-    writer.refuse(1, 7);
+    writer.reject(1, 7);
     writer.fail(1);
     writer.cancel(1, 2);
-    writer.probe(4);
-    writer.subscribe();
+    writer.sendHealthCheck(4);
+    writer.subscribeToServerList();
     writer.panic("x");
     assertArrayEquals(
         hex(
@@ -253,7 +253,7 @@
   void releaseIsWrittenAsTheWireHasIt() {
     ReplyWriter writer = new ReplyWriter();
     writer.instance(3, 0);
-    writer.release(77);
+    writer.closeIdleConnections(77);
     java.nio.ByteBuffer frame =
         java.nio.ByteBuffer.wrap(writer.finish(1)).order(java.nio.ByteOrder.LITTLE_ENDIAN);
     assertEquals(86, frame.get(12));
