--- a/src/main/java/dunlinhitch/answerkeys/Pairs.java
+++ b/src/main/java/dunlinhitch/answerkeys/Pairs.java
@@ -97,7 +97,7 @@
     for (Rule rule : ofClass) {
       RuleState state = lives.state(rule);
       if (state == RuleState.PROPOSED || state == RuleState.TRIED) {
-        AnswerKey with = keying.key(ask, other -> keying.trusted(other) || other == rule);
+        AnswerKey with = keying.key(ask, other -> keying.trusted(other) || other.equals(rule));
         if (state == RuleState.PROPOSED) {
           if (!with.equals(plain)) {
             lives.seen(nowUs, rule);
@@ -180,12 +180,12 @@
   }
 
   private boolean without(Ask one, Ask other, Rule rule) {
-    Predicate<Rule> rest = r -> keying.trusted(r) && r != rule;
+    Predicate<Rule> rest = r -> keying.trusted(r) && !r.equals(rule);
     return !keying.key(one, rest).equals(keying.key(other, rest));
   }
 
   private boolean acts(Ask ask, Rule rule) {
-    return !keying.key(ask, r -> r == rule).equals(keying.key(ask, r -> false));
+    return !keying.key(ask, r -> r.equals(rule)).equals(keying.key(ask, r -> false));
   }
 
   /**
--- a/src/main/java/dunlinhitch/experiments/answerkeys/KeysWorld.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/KeysWorld.java
@@ -535,7 +535,7 @@
   }
 
   private void given(Query q, Held held) {
-    String[] value = held.answer().value().split("/");
+    String[] value = held.answer().value().split("/", 0);
     String language = q.ask.variants().get("language");
     int generation = Integer.parseInt(value[2]);
     wrong +=
--- a/src/main/java/dunlinhitch/experiments/dns/OldLookUp.java
+++ b/src/main/java/dunlinhitch/experiments/dns/OldLookUp.java
@@ -269,6 +269,7 @@
     }
   }
 
+  @SuppressWarnings("ReferenceEquality") // Netty has one instance of each code
   private static boolean notThere(Throwable e) {
     if (e instanceof DnsException dns) {
       return dns.code() == io.vertx.core.dns.DnsResponseCode.NXDOMAIN;
--- a/src/main/java/dunlinhitch/experiments/fakes/Client.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Client.java
@@ -61,12 +61,13 @@
         CompletableFuture<HttpResponse<String>> sent =
             client.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
         CompletableFuture<Got> got = sent.thenApply(Client::got);
-        got.whenComplete(
-            (g, e) -> {
-              if (got.isCancelled()) {
-                sent.cancel(true);
-              }
-            });
+        var unused =
+            got.whenComplete(
+                (g, e) -> {
+                  if (got.isCancelled()) {
+                    sent.cancel(true);
+                  }
+                });
         return got;
       }
 
@@ -115,12 +116,13 @@
                 new HeaderCallOption(sent),
                 CallOptions.timeout(10, TimeUnit.SECONDS));
         CompletableFuture<Got> got = CompletableFuture.supplyAsync(() -> got(stream));
-        got.whenComplete(
-            (g, e) -> {
-              if (got.isCancelled()) {
-                stream.cancel("left", null);
-              }
-            });
+        var unused =
+            got.whenComplete(
+                (g, e) -> {
+                  if (got.isCancelled()) {
+                    stream.cancel("left", null);
+                  }
+                });
         return got;
       }
 
--- a/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
@@ -5,6 +5,7 @@
 import io.vertx.core.net.NetServer;
 import io.vertx.core.net.NetSocket;
 import io.vertx.core.parsetools.RecordParser;
+import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
@@ -49,8 +50,9 @@
 
   private void frame(NetSocket socket, char letter, byte[] rest) {
     if (letter == 'n') {
-      givenUp.add(new String(rest));
-      dropped(new String(rest));
+      String partId = new String(rest, StandardCharsets.UTF_8);
+      givenUp.add(partId);
+      dropped(partId);
     } else if (letter == 'o') {
       checks.add(name);
       if (!mute) {
--- a/src/main/java/dunlinhitch/experiments/fakes/Store.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Store.java
@@ -32,6 +32,7 @@
   }
 
   /** An answer as it is to be written. */
+  @SuppressWarnings("ArrayRecordComponent") // written once and never compared
   protected record Row(String id, String end, String score, String report, byte[] value) {}
 
   protected Row row(Seen part, Do how) {
@@ -116,7 +117,7 @@
       while (call[line] != '\n') {
         line++;
       }
-      String[] words = new String(call, at, line - at, StandardCharsets.UTF_8).split(" ");
+      String[] words = new String(call, at, line - at, StandardCharsets.UTF_8).split(" ", 0);
       int length = Integer.parseInt(words[3]);
       parts.add(
           new Seen(
--- a/src/main/java/dunlinhitch/experiments/fakes/WorkingStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/WorkingStore.java
@@ -56,6 +56,7 @@
     return "latency_ms=" + workUs / 1000 + ",queue=" + waiting.size();
   }
 
+  @SuppressWarnings("NonAtomicVolatileUpdate") // written by the event loop alone, read by others
   private void begin() {
     while (busy < cores && !waiting.isEmpty()) {
       Job job = waiting.poll();
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -160,28 +160,29 @@
       String body = "{\"ranges\":[" + ranges + "],\"predicate\":" + Json.value(predicate) + "}";
       long from = due;
       open.incrementAndGet();
-      client
-          .ask("free-search", Map.of("X-Trace-Id", "m" + i, "X-Expires-In", "1.100"), body)
-          .whenComplete(
-              (got, e) -> {
-                long us = (System.nanoTime() - from) / 1000;
-                if (got != null && (got.end().equals("whole") || got.end().equals("partial"))) {
-                  double share =
-                      got.end().equals("whole") ? 1 : SHORT_WORTH * got.parts().size() / PARTS;
-                  if (counts) {
-                    worth.add(us <= AIM_US ? share : LATE_WORTH * share);
-                    took.recordValue(Math.min(us, 9_000_000));
-                  }
-                  got.parts()
-                      .forEach(
-                          (shard, value) -> {
-                            if (value.equals(NONE) != isEmpty(predicate, shard, empty)) {
-                              lost.incrementAndGet();
-                            }
-                          });
-                }
-                open.decrementAndGet();
-              });
+      var unused =
+          client
+              .ask("free-search", Map.of("X-Trace-Id", "m" + i, "X-Expires-In", "1.100"), body)
+              .whenComplete(
+                  (got, e) -> {
+                    long us = (System.nanoTime() - from) / 1000;
+                    if (got != null && (got.end().equals("whole") || got.end().equals("partial"))) {
+                      double share =
+                          got.end().equals("whole") ? 1 : SHORT_WORTH * got.parts().size() / PARTS;
+                      if (counts) {
+                        worth.add(us <= AIM_US ? share : LATE_WORTH * share);
+                        took.recordValue(Math.min(us, 9_000_000));
+                      }
+                      got.parts()
+                          .forEach(
+                              (shard, value) -> {
+                                if (value.equals(NONE) != isEmpty(predicate, shard, empty)) {
+                                  lost.incrementAndGet();
+                                }
+                              });
+                    }
+                    open.decrementAndGet();
+                  });
     }
     long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
     while (open.get() > 0 && System.nanoTime() < until) {
--- a/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
@@ -137,7 +137,7 @@
     stage.onLog =
         line -> {
           if (line.contains(" is withdrawn")) {
-            seenNanos.put(line.split(" ")[1], System.nanoTime());
+            seenNanos.put(line.split(" ", 0)[1], System.nanoTime());
           }
         };
     Address pushed = push ? new Address("localhost", responder.startPush(folder)) : null;
@@ -224,12 +224,13 @@
               long due = System.nanoTime();
               for (int i = 0; !over.get(); i++) {
                 int first = random.nextInt(20);
-                client
-                    .ask(
-                        "free-search",
-                        Map.of("X-Trace-Id", "l" + i, "X-Expires-In", "1.000"),
-                        Client.body(first, first + 1, first + 2, first + 3))
-                    .thenAccept(got -> answered.addAndGet(got.end().equals("whole") ? 1 : 0));
+                var unused =
+                    client
+                        .ask(
+                            "free-search",
+                            Map.of("X-Trace-Id", "l" + i, "X-Expires-In", "1.000"),
+                            Client.body(first, first + 1, first + 2, first + 3))
+                        .thenAccept(got -> answered.addAndGet(got.end().equals("whole") ? 1 : 0));
                 due += gap;
                 java.util.concurrent.locks.LockSupport.parkNanos(due - System.nanoTime());
               }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Brokers.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Brokers.java
@@ -55,6 +55,8 @@
   }
 
   /** A word on its way. */
+  @SuppressWarnings(
+      "ArrayRecordComponent") // the array is never changed, and flights are compared by identity
   private record Flight<W>(
       int from, int to, W word, int sentAt, boolean copied, Digest[] digests) {}
 
@@ -361,6 +363,7 @@
     return new State<>(state.now(), locals, state.downAt(), state.cut(), flights, spent);
   }
 
+  @SuppressWarnings("ReferenceEquality") // two flights may be equal: this one is meant
   private static <W, V> List<Flight<W>> without(
       State<W, V> state, Flight<W> gone, Flight<W> instead) {
     List<Flight<W>> flights = new ArrayList<>();
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
@@ -1,8 +1,9 @@
 package dunlinhitch.experiments.modelchecker;
 
+import java.util.ArrayDeque;
 import java.util.ArrayList;
+import java.util.Deque;
 import java.util.HashSet;
-import java.util.LinkedList;
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
@@ -150,7 +151,7 @@
   }
 
   private void find(String wrong, int number) {
-    LinkedList<String> trace = new LinkedList<>();
+    Deque<String> trace = new ArrayDeque<>();
     for (int at = number; steps.get(at).before() >= 0; at = steps.get(at).before()) {
       trace.addFirst(model.told(steps.get(at).move()));
     }
--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -85,7 +85,7 @@
     List<String> rest = new ArrayList<>(lines);
     for (int i = 0; i < rest.size(); i++) {
       if (rest.get(i).startsWith("day ")) {
-        String[] words = rest.get(i).split("\\s+");
+        String[] words = rest.get(i).split("\\s+", 0);
         for (int w = 1; w + 1 < words.length; w += 2) {
           head.put(words[w], words[w + 1]);
         }
--- a/src/main/java/dunlinhitch/experiments/simulation/Fault.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Fault.java
@@ -82,13 +82,13 @@
   }
 
   static Fault read(String line) {
-    List<String> words = new ArrayList<>(List.of(line.split("\\s+")));
+    List<String> words = new ArrayList<>(List.of(line.split("\\s+", 0)));
     long from = -1;
     long to = -1;
     String cold = "";
     String how = words.remove(0);
     if (how.equals("at")) {
-      String[] times = words.remove(0).split("\\.\\.");
+      String[] times = words.remove(0).split("\\.\\.", 0);
       from = time(times[0]);
       to = times.length > 1 ? time(times[1]) : -1;
     } else if (how.equals("when")) {
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
@@ -25,6 +25,8 @@
  */
 public final class ScorerWorld {
   /**
+   * What one run is made of.
+   *
    * @param workUs mean work of a part
    * @param slowShare stores that take 4 to 8 times as long, and report as few parts of what waits
    *     there
--- a/src/main/java/dunlinhitch/experiments/testbed/Rig.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/Rig.java
@@ -33,6 +33,7 @@
   private static final int LINES = 4_000;
 
   /** In the settings' form: two classes, short times, {@code %d} brokers, cells and shards. */
+  @SuppressWarnings("InlineFormatString") // a text of its own reads better than within the call
   private static final String SETTINGS =
       """
             {"ReplicasOfMe":%d,"FailureDomains":["here"],"MyZone":0,"TickUs":5000,
--- a/src/main/java/dunlinhitch/experiments/testbed/ViewWorld.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ViewWorld.java
@@ -82,6 +82,7 @@
       }
     }
 
+    @SuppressWarnings("ReferenceEquality") // a snapshot is replaced, never changed
     private void after() {
       ClusterSnapshot seen = view.now();
       if (seen != shown) {
--- a/src/main/java/dunlinhitch/scoring/host/ScorerHost.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerHost.java
@@ -376,6 +376,7 @@
     }
   }
 
+  @SuppressWarnings("ReferenceEquality") // the loader returns the very object where nothing changed
   private void loaded(long nowUs, Call<Loaded> call) {
     Judge fresh = coming;
     boolean unchanged = call.failure == null && call.result == loadingBeside;
