--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/package-info.java
@@ -0,0 +1,4 @@
+/**
+ * A simulated cluster whose brokers share answer keys, on virtual time.
+ */
+package dunlinhitch.experiments.answerkeys;
