--- a/src/main/java/dunlinhitch/twophase/BlockSummaries.java
+++ b/src/main/java/dunlinhitch/twophase/BlockSummaries.java
@@ -1,118 +1,166 @@
 package dunlinhitch.twophase;
 
 import java.util.Arrays;
+import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.Map;
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * What first answers told: for each predicate, which blocks had nothing and which had something, as
- * compressed bitmaps over the blocks; for each block the version of its data and when it was heard.
- * Bounded by blocks and by predicates, of which the one that was longest unused goes. A summary is
- * a hint: two predicates may share a hash, and data change. One thread at a time.
+ * Summaries of first answers: for each predicate, compressed bitmaps of the blocks that had no
+ * matching records and of those that had some; for each block, the version of its data and the time
+ * of its last answer.
  *
- * <p>The other way round, a bitmap of predicates for each block, takes a container for nearly every
- * hash: see {@code lab measure summaries}.
+ * <p>Bounded by a number of blocks and a number of predicates, of which the least recently used one
+ * is evicted. A summary is only a hint: two predicates may share a hash, and data change. Not
+ * thread-safe; the planner owns it.
+ *
+ * <p>The transposed layout, a bitmap of predicates for each block, needs a container for nearly
+ * every hash: see {@code lab measure summaries}.
  */
 public final class BlockSummaries {
-  /** What a summary suggests. */
+  private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
+  private static final int FNV_PRIME = 0x01000193;
+
+  /** Smallest size to which the arrays indexed by block grow. */
+  private static final int MIN_CAPACITY = 64;
+
+  /**
+   * Version hash of a block without a summary; those of real versions have their lowest bit set.
+   */
+  private static final int NO_VERSION = 0;
+
+  /** Size of a version hash and a time, for each block. */
+  private static final long BYTES_PER_BLOCK = 12;
+
+  /** What the summary of a block suggests for a predicate. */
   public enum Hint {
+    /** There is no summary, or it is too old. */
     UNKNOWN,
+    /** The block had no matching records. */
     NOTHING,
+    /** The block had matching records. */
     SOMETHING
   }
 
-  private static final class Blocks {
-    private final RoaringBitmap nothing = new RoaringBitmap();
-    private final RoaringBitmap something = new RoaringBitmap();
+  private static final class PredicateBitmaps {
+    private final RoaringBitmap empty = new RoaringBitmap();
+    private final RoaringBitmap nonEmpty = new RoaringBitmap();
   }
 
-  private final int mostBlocks;
-  private final int mostPredicates;
-  private final long mostAgeUs;
-  private final Map<Integer, Blocks> byFeature = new LinkedHashMap<>(16, 0.75f, true);
-  private int[] versions = {};
-  private long[] heardUs = {};
+  private final int maxBlocks;
+  private final int maxPredicates;
+  private final long maxAgeUs;
+
+  /** By the hash of the predicate, in access order. */
+  private final Map<Integer, PredicateBitmaps> bitmapsByFeature =
+      new LinkedHashMap<>(16, 0.75f, true);
+
+  private int[] versionHashes = {};
+  private long[] updatedUs = {};
 
   /**
-   * Blocks from {@code mostBlocks} on are not kept; what is older than {@code mostAgeUs}
-   * (microseconds) suggests nothing.
+   * Creates an empty table.
+   *
+   * @param mostBlocks blocks with this number or a higher one are ignored
+   * @param mostPredicates number of predicates above which the least recently used one is evicted
+   * @param mostAgeUs age in microseconds above which a summary gives no hint
    */
   public BlockSummaries(int mostBlocks, int mostPredicates, long mostAgeUs) {
-    this.mostBlocks = mostBlocks;
-    this.mostPredicates = mostPredicates;
-    this.mostAgeUs = mostAgeUs;
+    maxBlocks = mostBlocks;
+    maxPredicates = mostPredicates;
+    maxAgeUs = mostAgeUs;
   }
 
-  /** FNV-1a: the same for the same text in every process. */
+  /** Hashes a predicate by FNV-1a, which gives the same value in every process. */
   public static int feature(String predicate) {
-    int hash = 0x811c9dc5;
+    int hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < predicate.length(); i++) {
-      hash = (hash ^ predicate.charAt(i)) * 0x01000193;
+      hash = (hash ^ predicate.charAt(i)) * FNV_PRIME;
     }
     return hash;
   }
 
   /**
-   * A first answer of that version came; another version than before makes what was known of the
-   * block void.
+   * Records a first answer. If the version differs from the block's last one, all summaries of the
+   * block are discarded first.
+   *
+   * @param nowUs time of the answer, in microseconds
+   * @param block number of the block
+   * @param version version of the block's data
+   * @param feature {@linkplain #feature hash} of the predicate
+   * @param empty whether the block has no matching records
    */
   public void told(long nowUs, int block, String version, int feature, boolean empty) {
-    if (block < 0 || block >= mostBlocks) {
+    if (block < 0 || block >= maxBlocks) {
       return;
     }
-    if (block >= versions.length) {
-      int size = Math.min(mostBlocks, Math.max(64, 2 * block + 1));
-      versions = Arrays.copyOf(versions, size);
-      heardUs = Arrays.copyOf(heardUs, size);
-    }
-    int versionHash = feature(version) | 1; // 0: nothing was heard
-    if (versions[block] != versionHash) {
+    ensureCapacity(block);
+    int versionHash = feature(version) | 1; // never NO_VERSION
+    if (versionHashes[block] != versionHash) {
       forget(block);
-      versions[block] = versionHash;
+      versionHashes[block] = versionHash;
+    }
+    updatedUs[block] = nowUs;
+    PredicateBitmaps bitmaps =
+        bitmapsByFeature.computeIfAbsent(feature, key -> new PredicateBitmaps());
+    (empty ? bitmaps.empty : bitmaps.nonEmpty).add(block);
+    (empty ? bitmaps.nonEmpty : bitmaps.empty).remove(block);
+    if (bitmapsByFeature.size() > maxPredicates) {
+      evictLeastRecentlyUsed();
     }
-    heardUs[block] = nowUs;
-    Blocks blocks = byFeature.computeIfAbsent(feature, k -> new Blocks());
-    (empty ? blocks.nothing : blocks.something).add(block);
-    (empty ? blocks.something : blocks.nothing).remove(block);
-    if (byFeature.size() > mostPredicates) {
-      byFeature.remove(byFeature.keySet().iterator().next());
+  }
+
+  private void ensureCapacity(int block) {
+    if (block < versionHashes.length) {
+      return;
     }
+    int capacity = Math.min(maxBlocks, Math.max(MIN_CAPACITY, 2 * block + 1));
+    versionHashes = Arrays.copyOf(versionHashes, capacity);
+    updatedUs = Arrays.copyOf(updatedUs, capacity);
   }
 
+  private void evictLeastRecentlyUsed() {
+    Iterator<Integer> features = bitmapsByFeature.keySet().iterator();
+    features.next();
+    features.remove();
+  }
+
+  /** Returns what the block's summary suggests for the predicate with the hash {@code feature}. */
   public Hint hint(long nowUs, int block, int feature) {
-    Blocks blocks = byFeature.get(feature);
-    if (blocks == null
-        || block < 0
-        || block >= versions.length
-        || versions[block] == 0
-        || nowUs - heardUs[block] > mostAgeUs) {
+    // the lookup counts as a use of the predicate, also where the block has no summary
+    PredicateBitmaps bitmaps = bitmapsByFeature.get(feature);
+    if (bitmaps == null || !hasSummary(block) || nowUs - updatedUs[block] > maxAgeUs) {
       return Hint.UNKNOWN;
     }
-    return blocks.something.contains(block)
-        ? Hint.SOMETHING
-        : blocks.nothing.contains(block) ? Hint.NOTHING : Hint.UNKNOWN;
+    if (bitmaps.nonEmpty.contains(block)) {
+      return Hint.SOMETHING;
+    }
+    return bitmaps.empty.contains(block) ? Hint.NOTHING : Hint.UNKNOWN;
   }
 
-  /** The block's data are other ones, or may be. */
+  private boolean hasSummary(int block) {
+    return block >= 0 && block < versionHashes.length && versionHashes[block] != NO_VERSION;
+  }
+
+  /** Discards the summaries of a block whose data have changed, or may have. */
   public void forget(int block) {
-    if (block >= 0 && block < versions.length && versions[block] != 0) {
-      versions[block] = 0;
-      byFeature
-          .values()
-          .forEach(
-              blocks -> {
-                blocks.nothing.remove(block);
-                blocks.something.remove(block);
-              });
+    if (!hasSummary(block)) {
+      return;
+    }
+    versionHashes[block] = NO_VERSION;
+    for (PredicateBitmaps bitmaps : bitmapsByFeature.values()) {
+      bitmaps.empty.remove(block);
+      bitmaps.nonEmpty.remove(block);
     }
   }
 
-  /** Bytes of the bitmaps and of what is kept for each block. */
+  /** Returns the memory of the bitmaps and of the arrays indexed by block, in bytes. */
   public long bytes() {
-    return byFeature.values().stream()
-            .mapToLong(b -> b.nothing.getLongSizeInBytes() + b.something.getLongSizeInBytes())
-            .sum()
-        + 12L * versions.length;
+    long bitmapBytes = 0;
+    for (PredicateBitmaps bitmaps : bitmapsByFeature.values()) {
+      bitmapBytes += bitmaps.empty.getLongSizeInBytes() + bitmaps.nonEmpty.getLongSizeInBytes();
+    }
+    return bitmapBytes + BYTES_PER_BLOCK * versionHashes.length;
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/twophase/ClassEstimates.java
@@ -0,0 +1,176 @@
+package dunlinhitch.twophase;
+
+import dunlinhitch.twophase.TwoPhasePlan.Why;
+import java.util.EnumMap;
+import java.util.Map;
+
+/**
+ * What the planner has learnt of one query class: latencies of both passes, the share of empty
+ * blocks, the cost of a first pass, and whether pruning is closed after a failed audit.
+ *
+ * <p>Not thread-safe; owned by the {@link TwoPhasePlanner}.
+ */
+final class ClassEstimates {
+  /**
+   * Samples of each pass below which the class is not known well enough, so that it is only tried.
+   */
+  private static final int MIN_SAMPLES = 20;
+
+  /** Cost of a first pass relative to a full one, until it was measured without queueing. */
+  private static final double INITIAL_COST_RATIO = 0.1;
+
+  private static final double MAX_COST_RATIO = 2;
+
+  private static final double INITIAL_EMPTY_SHARE = 0.5;
+
+  /** Weight of the newest answer in the exponentially decayed share of empty blocks. */
+  private static final double EMPTY_SHARE_WEIGHT = 0.02;
+
+  /** A full pass whose quick end exceeds the quickest one by this factor has been queued. */
+  private static final double QUEUEING_FACTOR = 1.5;
+
+  /** Lets the quickest full pass rise slowly: replicas that became slower for good are no queue. */
+  private static final double QUICKEST_DRIFT = 1.0005;
+
+  /** The quick end of a pass, which contains the least queueing delay. */
+  private static final double QUICK_PERCENTILE = 5;
+
+  /** The slow end of a full pass, for which time must remain after the first pass. */
+  private static final double SLOW_PERCENTILE = 90;
+
+  /** The first answers that the first pass waits for. */
+  private static final double FIRST_PASS_PERCENTILE = 99;
+
+  /**
+   * Shortest time limit of a first pass, in microseconds: effects are carried out a tick apart, and
+   * a connection may have to be established.
+   */
+  private static final long MIN_FIRST_PASS_US = 25_000;
+
+  /** Safety factor over a latency percentile where a pass must fit into a time. */
+  private static final int LATENCY_HEADROOM = 2;
+
+  private final TwoPhaseSettings settings;
+  private final LatencyWindow firstPass = new LatencyWindow();
+
+  /**
+   * The first pass including answers that missed its end: without these the time limit, which
+   * derives from this window, would shrink further and further.
+   */
+  private final LatencyWindow firstPassWithTimeouts = new LatencyWindow();
+
+  private final LatencyWindow fullPass = new LatencyWindow();
+  private final Map<Why, Long> planCounts = new EnumMap<>(Why.class);
+  private double emptyShare = INITIAL_EMPTY_SHARE;
+  private double costRatio = INITIAL_COST_RATIO;
+  private double quickestFullUs = LatencyWindow.MAX_LATENCY_US;
+  private long closedUntilUs = Long.MIN_VALUE;
+  private boolean paysOff;
+
+  ClassEstimates(TwoPhaseSettings settings) {
+    this.settings = settings;
+  }
+
+  TwoPhaseSettings settings() {
+    return settings;
+  }
+
+  /** Whether both passes have been sampled often enough to decide by the estimates. */
+  boolean isSampled() {
+    return firstPass.count() >= MIN_SAMPLES && isFullPassSampled();
+  }
+
+  private boolean isFullPassSampled() {
+    return fullPass.count() >= MIN_SAMPLES;
+  }
+
+  /** Exponentially decayed share of first answers without records. */
+  double emptyShare() {
+    return emptyShare;
+  }
+
+  /** Cost of a first pass as a share of the full work; 0 while there are too few samples. */
+  double costRatio() {
+    return isSampled() ? costRatio : 0;
+  }
+
+  /** Decides anew whether two phases save more than they cost, and remembers the decision. */
+  boolean updatePaysOff() {
+    paysOff = isSampled() && emptyShare > costRatio() + settings.minSavings();
+    return paysOff;
+  }
+
+  /** The last result of {@link #updatePaysOff}. */
+  boolean paysOff() {
+    return paysOff;
+  }
+
+  /** When a first pass that begins now has to end, for a query that must be complete at untilUs. */
+  long firstPassEndUs(long nowUs, long untilUs) {
+    long remainingUs = untilUs - nowUs;
+    long limitUs = (long) (settings.firstPassShare() * remainingUs);
+    if (!isSampled()) {
+      return nowUs + limitUs;
+    }
+    double slowestUs = firstPassWithTimeouts.percentileUs(FIRST_PASS_PERCENTILE);
+    long expectedUs = (long) (LATENCY_HEADROOM * slowestUs);
+    return nowUs + Math.min(limitUs, Math.max(MIN_FIRST_PASS_US, expectedUs));
+  }
+
+  /** Whether a full pass fits between the end of the first one and {@code untilUs}. */
+  boolean hasTimeForFullPass(long firstPassEndUs, long untilUs) {
+    return !isFullPassSampled()
+        || !(untilUs - firstPassEndUs < LATENCY_HEADROOM * fullPass.percentileUs(SLOW_PERCENTILE));
+  }
+
+  /** Handles an answer of a first pass. */
+  void onFirstAnswer(long nowUs, long latencyUs, boolean empty) {
+    firstPass.record(nowUs, latencyUs);
+    firstPassWithTimeouts.record(nowUs, latencyUs);
+    emptyShare += EMPTY_SHARE_WEIGHT * ((empty ? 1 : 0) - emptyShare);
+  }
+
+  /** Handles a first answer that missed the end of its pass: its latency is unknown but longer. */
+  void onFirstAnswerTimeout(long nowUs, long waitedUs) {
+    firstPassWithTimeouts.record(nowUs, LATENCY_HEADROOM * waitedUs);
+  }
+
+  /** Handles an answer of a full pass. */
+  void onFullAnswer(long nowUs, long latencyUs) {
+    fullPass.record(nowUs, latencyUs);
+    if (isSampled()) {
+      updateCostRatio();
+    }
+  }
+
+  /**
+   * Compares the quick ends of both passes, where replicas have no queue. If even the quickest full
+   * answers were queued, the ratio reflects the queue more than the cost: it may only fall then.
+   */
+  private void updateCostRatio() {
+    double quickFullUs = fullPass.percentileUs(QUICK_PERCENTILE);
+    double ratio = Math.min(MAX_COST_RATIO, firstPass.percentileUs(QUICK_PERCENTILE) / quickFullUs);
+    quickestFullUs = Math.min(quickFullUs, quickestFullUs * QUICKEST_DRIFT);
+    boolean queued = quickFullUs > QUEUEING_FACTOR * quickestFullUs;
+    costRatio = queued ? Math.min(costRatio, ratio) : ratio;
+  }
+
+  /** Whether pruning is closed after a failed audit. */
+  boolean isClosed(long nowUs) {
+    return nowUs < closedUntilUs;
+  }
+
+  /** Closes pruning for the configured time, counted from now. */
+  void close(long nowUs) {
+    closedUntilUs = nowUs + settings.closeDurationUs();
+  }
+
+  void countPlan(Why why) {
+    planCounts.merge(why, 1L, Long::sum);
+  }
+
+  /** Number of plans for each reason, since the start. */
+  Map<Why, Long> planCounts() {
+    return Map.copyOf(planCounts);
+  }
+}
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
@@ -3,35 +3,49 @@
 import java.util.Set;
 
 /**
- * How one query goes.
+ * The decision for one query: a single phase, or a first pass over some of its shards.
  *
- * @param first shards that are asked first; empty: one phase
- * @param firstEndUs when the first pass is over at the latest (microseconds, absolute)
- * @param why why it goes in one phase, or that it does not
+ * @param first shards of the first pass; empty if the query runs in a single phase
+ * @param firstEndUs the time at which the first pass ends at the latest, in absolute microseconds;
+ *     0 for a single phase
+ * @param why the reason for the decision
  */
 public record TwoPhasePlan(Set<Integer> first, long firstEndUs, Why why) {
-  /** Why a query goes as it does. */
+  /**
+   * Reason for running a query in two phases or in one. The names appear in the broker's output.
+   */
   public enum Why {
+    /** Two phases: the first pass is expected to save more than it costs. */
     TWO_PHASES,
+    /** Two phases, as a trial that keeps the estimates up to date. */
     TRIAL,
+    /** One phase: two-phase execution is not configured for the class. */
     NOT_SET,
+    /** One phase: the query covers too few blocks. */
     FEW_BLOCKS,
+    /** One phase: the expected savings do not cover the cost of the first pass. */
     DOES_NOT_PAY,
+    /** One phase: what remains after a first pass is too short for the full pass. */
     TOO_LITTLE_TIME,
+    /** One phase: pruning is closed after a failed audit. */
     CLOSED,
+    /** One phase: no shard has only replicas that support a first pass. */
     ONE_PHASE_STORES,
+    /** One phase: the summaries say that every eligible block has matching records. */
     KNOWN_FULL
   }
 
+  /** Copies the set of shards. */
   public TwoPhasePlan {
     first = Set.copyOf(first);
   }
 
+  /** Returns whether the query has a first pass. */
   public boolean twoPhases() {
     return !first.isEmpty();
   }
 
-  static TwoPhasePlan one(Why why) {
+  static TwoPhasePlan singlePhase(Why why) {
     return new TwoPhasePlan(Set.of(), 0, why);
   }
 }
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
@@ -1,159 +1,114 @@
 package dunlinhitch.twophase;
 
+import dunlinhitch.twophase.BlockSummaries.Hint;
 import dunlinhitch.twophase.TwoPhasePlan.Why;
 import java.util.ArrayList;
 import java.util.Collection;
-import java.util.EnumMap;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
 import java.util.random.RandomGenerator;
-import org.HdrHistogram.Histogram;
 
 /**
- * Whether a query goes in two phases, how long the first may take, which blocks it spares and which
- * of those are asked in full all the same. No I/O, no clock, no threads: every call brings the time
- * (microseconds on one clock).
+ * Decides whether a query runs in two phases, how long its first pass may take, which blocks that
+ * pass prunes, and which prunable blocks are queried in full all the same as an audit.
+ *
+ * <p>Pure: no I/O, clock or threads; every call passes the time, in microseconds on one monotonic
+ * clock. Not thread-safe; the reducer owns it.
  */
 public final class TwoPhasePlanner {
-  private static final int MOST_BLOCKS = 1 << 20;
-  private static final int MOST_PREDICATES = 256;
-  private static final long SUMMARY_US = 30_000_000;
-  private static final long WINDOW_US = 20_000_000;
-  private static final long MOST_TOOK_US = 60_000_000;
+  private static final int MAX_BLOCKS = 1 << 20;
+  private static final int MAX_PREDICATES = 256;
 
-  /**
-   * A first pass gets as much at least: turns are ticks apart, and a connection may have to come
-   * up.
-   */
-  private static final long LEAST_FIRST_US = 25_000;
-
-  /** Of a first pass, until it has been seen where there is no queue. */
-  private static final double FIRST_PRICE = 0.1;
-
-  private static final double CONGESTED = 1.5;
-
-  /** Stores that have become slower for good are no queue. */
-  private static final double DRIFT = 1.0005;
-
-  private static final double QUICK = 5;
-  private static final double SLOW = 90;
-  private static final double LATE = 99;
-
-  /** Before so many answers of both passes are seen, two phases are only tried. */
-  private static final int ENOUGH = 20;
-
-  /** What is known of the share of empty blocks fades by this with each first answer. */
-  private static final double FADE = 0.02;
-
-  /** While nothing is known yet, one query in so many is a trial. */
-  private static final double FIRST_TRIALS = 0.25;
+  /** Age after which a summary gives no hint any more, in microseconds. */
+  private static final long MAX_SUMMARY_AGE_US = 30_000_000;
 
-  /** A first answer: how many records the block has, and the value that stands for none. */
-  public record First(long records, String version, String emptyValue) {}
+  /** Smallest share of trials while the class has too few samples to decide by. */
+  private static final double MIN_INITIAL_TRIAL_SHARE = 0.25;
 
   /**
-   * What becomes of the blocks of a first pass: which have their value, which are asked in full, in
-   * this order.
+   * The answer of one block to a first pass.
+   *
+   * @param records number of matching records in the block
+   * @param version version of the block's data
+   * @param emptyValue the full answer of a block without matching records
    */
-  public record Outcome(Set<Integer> pruned, List<Integer> full, Set<Integer> audited) {}
-
-  /** Quantiles of the last two windows. */
-  private static final class Took {
-    private Histogram now = new Histogram(MOST_TOOK_US, 2);
-    private Histogram before = new Histogram(MOST_TOOK_US, 2);
-    private long turnUs;
-
-    void add(long atUs, long tookUs) {
-      if (atUs >= turnUs) {
-        Histogram oldest = before;
-        before = now;
-        now = oldest;
-        now.reset();
-        turnUs = atUs + WINDOW_US;
-      }
-      now.recordValue(Math.max(1, Math.min(MOST_TOOK_US, tookUs)));
-    }
-
-    long count() {
-      return now.getTotalCount() + before.getTotalCount();
-    }
-
-    double at(double percentile) {
-      Histogram fuller = now.getTotalCount() >= before.getTotalCount() ? now : before;
-      return fuller.getValueAtPercentile(percentile);
+  public record First(long records, String version, String emptyValue) {
+    private boolean isEmpty() {
+      return records == 0;
     }
   }
 
-  private static final class OfClass {
-    private final TwoPhaseSettings settings;
-    private final Took first = new Took();
-
-    /**
-     * As first, and with it those that never came in time: without them the wait would grow shorter
-     * and shorter.
-     */
-    private final Took waited = new Took();
-
-    private final Took full = new Took();
-    private double empty = 0.5;
-    private double price = FIRST_PRICE;
-    private double quickestFull = MOST_TOOK_US;
-    private long closedUntilUs = Long.MIN_VALUE;
-    private boolean paid;
-    private final Map<Why, Long> whys = new EnumMap<>(Why.class);
-
-    OfClass(TwoPhaseSettings settings) {
-      this.settings = settings;
-    }
-
-    double price() {
-      return first.count() < ENOUGH || full.count() < ENOUGH ? 0 : price;
-    }
+  /**
+   * What a completed first pass leaves to be done.
+   *
+   * @param pruned blocks that are empty and need no full answer
+   * @param full blocks that are to be queried in full, in this order; includes the audited ones
+   * @param audited empty blocks that are queried in full to verify the first answer
+   */
+  public record Outcome(Set<Integer> pruned, List<Integer> full, Set<Integer> audited) {}
 
-    /**
-     * The quick ends of both passes, where stores have no queue. Where even the quickest full part
-     * waited, the ratio says more of the queue than of the price: then it may only fall.
-     */
-    void learnPrice() {
-      if (first.count() >= ENOUGH && full.count() >= ENOUGH) {
-        double quick = full.at(QUICK);
-        double ratio = Math.min(2, first.at(QUICK) / quick);
-        quickestFull = Math.min(quick, quickestFull * DRIFT);
-        price = quick > CONGESTED * quickestFull ? Math.min(price, ratio) : ratio;
-      }
-    }
-  }
+  /**
+   * The state of one query class, as shown to operators.
+   *
+   * @param queryClass name of the class
+   * @param empty estimated share of empty blocks
+   * @param price cost of a first pass as a share of the full work; 0 while unknown
+   * @param pays whether two phases paid by the last decision
+   * @param closed whether pruning is closed after a failed audit
+   * @param whys number of plans for each reason, since the start
+   */
+  public record Shown(
+      String queryClass,
+      double empty,
+      double price,
+      boolean pays,
+      boolean closed,
+      Map<Why, Long> whys) {}
 
-  private final Map<String, OfClass> classes = new HashMap<>();
+  private final Map<String, ClassEstimates> estimatesByClass = new HashMap<>();
   private final BlockSummaries summaries =
-      new BlockSummaries(MOST_BLOCKS, MOST_PREDICATES, SUMMARY_US);
+      new BlockSummaries(MAX_BLOCKS, MAX_PREDICATES, MAX_SUMMARY_AGE_US);
   private final RandomGenerator random;
 
+  /**
+   * Creates a planner.
+   *
+   * @param settings one entry for each class whose queries may run in two phases
+   * @param random source of trials and audits; drawn from only by this planner's calls
+   */
   public TwoPhasePlanner(Collection<TwoPhaseSettings> settings, RandomGenerator random) {
-    settings.forEach(s -> classes.put(s.queryClass(), new OfClass(s)));
+    for (TwoPhaseSettings classSettings : settings) {
+      estimatesByClass.put(classSettings.queryClass(), new ClassEstimates(classSettings));
+    }
     this.random = random;
   }
 
-  /** True where queries of the class may go in two phases. */
+  /** Returns whether queries of the class may run in two phases. */
   public boolean isSet(String queryClass) {
-    return classes.containsKey(queryClass);
-  }
-
-  public double share(String queryClass) {
-    return classes.get(queryClass).settings.share();
+    return estimatesByClass.containsKey(queryClass);
   }
 
-  /** What a first pass costs of the full work, 0 while too little is known. */
+  /**
+   * Returns the cost of a first pass as a share of the full work; 0 while there are too few
+   * samples. The class must be {@linkplain #isSet set}.
+   */
   public double price(String queryClass) {
-    return classes.get(queryClass).price();
+    return estimatesByClass.get(queryClass).costRatio();
   }
 
   /**
-   * A query has come. {@code able} are the shards whose every store can give a first answer; {@code
-   * untilUs} is its aim, or its deadline where that is nearer.
+   * Plans a query that has arrived.
+   *
+   * @param nowUs the current time
+   * @param queryClass name of the query's class
+   * @param shards all shards of the query
+   * @param able those shards of which every replica supports a first pass
+   * @param predicate text of the query's predicate
+   * @param untilUs the query's latency objective, or its deadline where that is earlier
+   * @return the plan; it never covers shards that are not in {@code able}
    */
   public TwoPhasePlan arrived(
       long nowUs,
@@ -162,99 +117,106 @@
       Set<Integer> able,
       String predicate,
       long untilUs) {
-    OfClass c = classes.get(queryClass);
-    if (c == null) {
-      return TwoPhasePlan.one(Why.NOT_SET);
+    ClassEstimates estimates = estimatesByClass.get(queryClass);
+    if (estimates == null) {
+      return TwoPhasePlan.singlePhase(Why.NOT_SET);
     }
-    TwoPhasePlan plan = plan(nowUs, c, shards, able, predicate, untilUs);
-    c.whys.merge(plan.why(), 1L, Long::sum);
+    TwoPhasePlan plan = plan(nowUs, estimates, shards.size(), able, predicate, untilUs);
+    estimates.countPlan(plan.why());
     return plan;
   }
 
   private TwoPhasePlan plan(
       long nowUs,
-      OfClass c,
-      Collection<Integer> shards,
+      ClassEstimates estimates,
+      int blocks,
       Set<Integer> able,
       String predicate,
       long untilUs) {
-    if (shards.size() < c.settings.least()) {
-      return TwoPhasePlan.one(Why.FEW_BLOCKS);
+    if (blocks < estimates.settings().minBlocks()) {
+      return TwoPhasePlan.singlePhase(Why.FEW_BLOCKS);
     }
-    if (nowUs < c.closedUntilUs) {
-      return TwoPhasePlan.one(Why.CLOSED);
+    if (estimates.isClosed(nowUs)) {
+      return TwoPhasePlan.singlePhase(Why.CLOSED);
     }
     if (able.isEmpty()) {
-      return TwoPhasePlan.one(Why.ONE_PHASE_STORES);
+      return TwoPhasePlan.singlePhase(Why.ONE_PHASE_STORES);
+    }
+    boolean paysOff = estimates.updatePaysOff();
+    if (!paysOff && !drawTrial(estimates)) {
+      return TwoPhasePlan.singlePhase(Why.DOES_NOT_PAY);
     }
-    boolean known = c.first.count() >= ENOUGH && c.full.count() >= ENOUGH;
-    boolean pays = known && c.empty > c.price() + c.settings.margin();
-    c.paid = pays;
-    boolean trial =
-        !pays
-            && random.nextDouble()
-                < (known ? c.settings.trial() : Math.max(FIRST_TRIALS, c.settings.trial()));
-    if (!pays && !trial) {
-      return TwoPhasePlan.one(Why.DOES_NOT_PAY);
+    long firstPassEndUs = estimates.firstPassEndUs(nowUs, untilUs);
+    if (!estimates.hasTimeForFullPass(firstPassEndUs, untilUs)) {
+      return TwoPhasePlan.singlePhase(Why.TOO_LITTLE_TIME);
     }
-    long left = untilUs - nowUs;
-    long most = (long) (c.settings.share() * left);
-    long end =
-        nowUs
-            + (known
-                ? Math.min(most, Math.max(LEAST_FIRST_US, (long) (2 * c.waited.at(LATE))))
-                : most);
-    if (c.full.count() >= ENOUGH && untilUs - end < 2 * c.full.at(SLOW)) {
-      return TwoPhasePlan.one(Why.TOO_LITTLE_TIME);
+    // a trial asks every block, for its answers are what the estimates are made of
+    Set<Integer> firstPass =
+        paysOff ? withoutNonEmptyHint(nowUs, able, predicate) : new HashSet<>(able);
+    if (firstPass.isEmpty()) {
+      return TwoPhasePlan.singlePhase(Why.KNOWN_FULL);
     }
+    return new TwoPhasePlan(firstPass, firstPassEndUs, paysOff ? Why.TWO_PHASES : Why.TRIAL);
+  }
+
+  private boolean drawTrial(ClassEstimates estimates) {
+    double trialShare = estimates.settings().trialShare();
+    return random.nextDouble()
+        < (estimates.isSampled() ? trialShare : Math.max(MIN_INITIAL_TRIAL_SHARE, trialShare));
+  }
+
+  private Set<Integer> withoutNonEmptyHint(long nowUs, Set<Integer> able, String predicate) {
     int feature = BlockSummaries.feature(predicate);
-    Set<Integer> first = new HashSet<>();
+    Set<Integer> shards = new HashSet<>();
     for (int shard : able) {
-      if (trial || summaries.hint(nowUs, shard, feature) != BlockSummaries.Hint.SOMETHING) {
-        first.add(shard);
+      if (summaries.hint(nowUs, shard, feature) != Hint.SOMETHING) {
+        shards.add(shard);
       }
     }
-    return first.isEmpty()
-        ? TwoPhasePlan.one(Why.KNOWN_FULL)
-        : new TwoPhasePlan(first, end, trial ? Why.TRIAL : Why.TWO_PHASES);
+    return shards;
   }
 
-  /** A first answer came in, so long after its part was sent. */
+  /** Handles an answer of a first pass, received {@code tookUs} after its request was sent. */
   public void firstCame(
       long nowUs, String queryClass, int shard, String predicate, First answer, long tookUs) {
-    OfClass c = classes.get(queryClass);
-    if (c != null) {
-      c.first.add(nowUs, tookUs);
-      c.waited.add(nowUs, tookUs);
-      c.empty += FADE * ((answer.records() == 0 ? 1 : 0) - c.empty);
-      summaries.told(
-          nowUs, shard, answer.version(), BlockSummaries.feature(predicate), answer.records() == 0);
+    ClassEstimates estimates = estimatesByClass.get(queryClass);
+    if (estimates == null) {
+      return;
     }
+    estimates.onFirstAnswer(nowUs, tookUs, answer.isEmpty());
+    int feature = BlockSummaries.feature(predicate);
+    summaries.told(nowUs, shard, answer.version(), feature, answer.isEmpty());
   }
 
-  /**
-   * A first answer was given up after so long: it would have taken longer, nobody knows how much.
-   */
+  /** Handles a first answer that was given up after {@code waitedUs}. */
   public void firstMissed(long nowUs, String queryClass, long waitedUs) {
-    OfClass c = classes.get(queryClass);
-    if (c != null) {
-      c.waited.add(nowUs, 2 * waitedUs);
+    ClassEstimates estimates = estimatesByClass.get(queryClass);
+    if (estimates != null) {
+      estimates.onFirstAnswerTimeout(nowUs, waitedUs);
     }
   }
 
-  /** A full answer came in, of a query of either kind. */
+  /**
+   * Handles a full answer, received {@code tookUs} after its request was sent, of a query with or
+   * without a first pass.
+   */
   public void fullCame(long nowUs, String queryClass, long tookUs) {
-    OfClass c = classes.get(queryClass);
-    if (c != null) {
-      c.full.add(nowUs, tookUs);
-      c.learnPrice();
+    ClassEstimates estimates = estimatesByClass.get(queryClass);
+    if (estimates != null) {
+      estimates.onFullAnswer(nowUs, tookUs);
     }
   }
 
   /**
-   * The first pass is over. Blocks whose store said that there is nothing are spared, but for the
-   * audited; the rest are asked in full, those that are likeliest to have something first. A block
-   * without a first answer is never spared.
+   * Handles the end of a first pass. A block is pruned only if its own answer within this query
+   * said that it has no matching records; at least one block is queried in full where audits are
+   * on. The blocks most likely to have records come first.
+   *
+   * @param nowUs the current time
+   * @param queryClass name of the query's class
+   * @param predicate text of the query's predicate
+   * @param asked shards of the first pass
+   * @param answers the answers that arrived in time, by shard
    */
   public Outcome over(
       long nowUs,
@@ -262,38 +224,45 @@
       String predicate,
       Collection<Integer> asked,
       Map<Integer, First> answers) {
-    OfClass c = classes.get(queryClass);
+    ClassEstimates estimates = estimatesByClass.get(queryClass);
+    // pruning may have closed while this pass was in flight
+    boolean closed = estimates == null || estimates.isClosed(nowUs);
     List<Integer> full = new ArrayList<>();
     Set<Integer> pruned = new HashSet<>();
     Set<Integer> audited = new HashSet<>();
-    boolean closed = c == null || nowUs < c.closedUntilUs; // it closed while this one was under way
     for (int shard : asked) {
       First answer = answers.get(shard);
-      if (closed || answer == null || answer.records() != 0) {
+      if (closed || answer == null || !answer.isEmpty()) {
         full.add(shard);
-      } else if (random.nextDouble() < c.settings.audit()) {
+      } else if (random.nextDouble() < estimates.settings().auditShare()) {
         audited.add(shard);
       } else {
         pruned.add(shard);
       }
     }
-    if (!asked.isEmpty()
-        && full.isEmpty()
-        && audited.isEmpty()
-        && c.settings.audit() > 0
-        && pruned.size() == asked.size()) {
-      int one = asked.stream().skip(random.nextInt(asked.size())).findFirst().orElseThrow();
-      pruned.remove(one);
-      audited.add(one);
+    boolean allPruned = !asked.isEmpty() && pruned.size() == asked.size();
+    if (allPruned && estimates.settings().auditShare() > 0) {
+      int shard = asked.stream().skip(random.nextInt(asked.size())).findFirst().orElseThrow();
+      pruned.remove(shard);
+      audited.add(shard);
     }
-    int feature = BlockSummaries.feature(predicate);
-    full.sort(
-        (a, b) -> Long.compare(rank(nowUs, b, feature, answers), rank(nowUs, a, feature, answers)));
+    sortByLikelihood(full, nowUs, predicate, answers);
     full.addAll(audited);
     return new Outcome(pruned, full, audited);
   }
 
-  private long rank(long nowUs, int shard, int feature, Map<Integer, First> answers) {
+  private void sortByLikelihood(
+      List<Integer> shards, long nowUs, String predicate, Map<Integer, First> answers) {
+    int feature = BlockSummaries.feature(predicate);
+    shards.sort(
+        (left, right) ->
+            Long.compare(
+                likelihood(nowUs, right, feature, answers),
+                likelihood(nowUs, left, feature, answers)));
+  }
+
+  /** Ranks a block by its number of records, or by its summary where it gave no answer. */
+  private long likelihood(long nowUs, int shard, int feature, Map<Integer, First> answers) {
     First answer = answers.get(shard);
     if (answer != null) {
       return answer.records();
@@ -306,45 +275,43 @@
   }
 
   /**
-   * An audited block's full answer is in; {@code same}: it is the empty value that its store gave.
-   * True: pruning closes.
+   * Handles the full answer of an audited block.
+   *
+   * @param nowUs the current time
+   * @param queryClass name of the query's class
+   * @param shard the audited block
+   * @param same whether the full answer equals the empty value of its first answer
+   * @return true if this failed audit has closed pruning, false if it was closed already or the
+   *     audit passed
    */
   public boolean audited(long nowUs, String queryClass, int shard, boolean same) {
-    OfClass c = classes.get(queryClass);
-    if (same || c == null) {
+    ClassEstimates estimates = estimatesByClass.get(queryClass);
+    if (same || estimates == null) {
       return false;
     }
     summaries.forget(shard);
-    boolean was = nowUs < c.closedUntilUs;
-    c.closedUntilUs = nowUs + c.settings.closeUs();
-    return !was;
+    boolean alreadyClosed = estimates.isClosed(nowUs);
+    estimates.close(nowUs);
+    return !alreadyClosed;
   }
 
-  /** The stores of a block are other ones now. */
+  /** Handles a change of the replicas of a block: its summaries are discarded. */
   public void forget(int shard) {
     summaries.forget(shard);
   }
 
-  /** A line for the operators. */
-  public record Shown(
-      String queryClass,
-      double empty,
-      double price,
-      boolean pays,
-      boolean closed,
-      Map<Why, Long> whys) {}
-
+  /** Returns the state of every class, for operators; the order is unspecified. */
   public List<Shown> shown(long nowUs) {
-    return classes.values().stream()
-        .map(
-            c ->
-                new Shown(
-                    c.settings.queryClass(),
-                    c.empty,
-                    c.price(),
-                    c.paid,
-                    nowUs < c.closedUntilUs,
-                    Map.copyOf(c.whys)))
-        .toList();
+    return estimatesByClass.values().stream().map(estimates -> shown(nowUs, estimates)).toList();
+  }
+
+  private static Shown shown(long nowUs, ClassEstimates estimates) {
+    return new Shown(
+        estimates.settings().queryClass(),
+        estimates.emptyShare(),
+        estimates.costRatio(),
+        estimates.paysOff(),
+        estimates.isClosed(nowUs),
+        estimates.planCounts());
   }
 }
--- a/src/main/java/dunlinhitch/twophase/TwoPhaseSettings.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhaseSettings.java
@@ -1,37 +1,44 @@
 package dunlinhitch.twophase;
 
 /**
- * How queries of one class go in two phases.
+ * Settings of two-phase execution for one query class. All shares lie between 0 and 1.
  *
- * @param queryClass the class's name
- * @param share of the time until the aim (the deadline, where that is nearer), the most that the
- *     first pass may take
- * @param least with fewer blocks a query goes in one phase
- * @param trial share of queries that try two phases while it does not seem to pay
- * @param audit share of the blocks that would be pruned that are asked in full all the same
- * @param margin what must be saved, as a share of the full work, for it to pay
- * @param closeUs for how long pruning is closed after it was wrong (microseconds)
+ * @param queryClass name of the query class
+ * @param firstPassShare the largest share of the time until the latency objective (or the deadline,
+ *     where that is earlier) that the first pass may take; neither 0 nor 1
+ * @param minBlocks a query over fewer blocks runs in a single phase; at least 2
+ * @param trialShare share of queries that run in two phases while two phases do not seem to pay
+ * @param auditShare share of the prunable blocks that are queried in full all the same, to verify
+ *     that they are empty
+ * @param minSavings the share of the full work that must be saved for two phases to pay
+ * @param closeDurationUs for how long pruning stays closed after an audit has failed, in
+ *     microseconds
  */
 public record TwoPhaseSettings(
     String queryClass,
-    double share,
-    int least,
-    double trial,
-    double audit,
-    double margin,
-    long closeUs) {
+    double firstPassShare,
+    int minBlocks,
+    double trialShare,
+    double auditShare,
+    double minSavings,
+    long closeDurationUs) {
+  /**
+   * Checks the ranges.
+   *
+   * @throws IllegalArgumentException if a value is out of its range
+   */
   public TwoPhaseSettings {
-    if (!(share > 0 && share < 1)
-        || least < 2
-        || !(trial >= 0 && trial <= 1)
-        || !(audit >= 0 && audit <= 1)
-        || !(margin >= 0 && margin < 1)
-        || closeUs < 0) {
+    if (!(firstPassShare > 0 && firstPassShare < 1)
+        || minBlocks < 2
+        || !isShare(trialShare)
+        || !isShare(auditShare)
+        || !(minSavings >= 0 && minSavings < 1)
+        || closeDurationUs < 0) {
       throw new IllegalArgumentException("settings of phases out of range");
     }
   }
 
-  public static TwoPhaseSettings of(String queryClass) {
-    return new TwoPhaseSettings(queryClass, 0.3, 3, 0.02, 0.02, 0.05, 60_000_000);
+  private static boolean isShare(double value) {
+    return value >= 0 && value <= 1;
   }
 }
