--- a/src/main/java/dunlinhitch/simulator/BatchDecoder.java
+++ b/src/main/java/dunlinhitch/simulator/BatchDecoder.java
@@ -15,183 +15,227 @@
 import java.util.Map;
 
 /**
- * Decodes the records of a batch, one after the other, and keeps the shared numbered server lists.
+ * Decodes the records of a batch in order. It keeps the numbered server-list pages of all batches,
+ * because a later record refers to a page by its number.
+ *
+ * <p>Not thread-safe; the {@link SimulatorAdapter} owns it.
  */
-final class BatchReader {
-  /** Takes what was read, in order. */
-  interface Sink {
-    void up(int instance, long seed, String settings);
+final class BatchDecoder {
+  /** Receives the decoded records in the order of the batch, on the decoding thread. */
+  interface Handler {
+    /** An instance starts. */
+    void onInstanceStarted(int instance, long seed, String settings);
 
-    void stop(int instance);
+    /** An instance stops; further records for it are ignored. */
+    void onInstanceStopped(int instance);
 
-    void event(int instance, BalancerEvent event);
+    /** An event for a running instance. */
+    void onEvent(int instance, BalancerEvent event);
   }
 
-  private static final int HINT_VALID = 1;
-  private static final int REPEAT = 2;
-  private static final int ENTRY_BYTES = 22;
-  private final Map<Integer, List<ServerEntry>> pages = new HashMap<>();
+  /** Attribute of arrived work: its hint is valid. */
+  private static final int ATTRIBUTE_HINT_VALID = 1;
+
+  /** Attribute of an arrived query: the client marked it as a retry. */
+  private static final int ATTRIBUTE_RETRY = 2;
+
+  /** Encoded size of one entry of a server-list page. */
+  private static final int SERVER_ENTRY_BYTES = 22;
+
+  /** Kinds of a server-list update. */
+  private static final int LIST_DELTA = 0;
+
+  private static final int LIST_FULL = 1;
+  private static final int LIST_CACHED = 2;
+  private static final int LIST_FAILED = 3;
+
+  private final Map<Integer, List<ServerEntry>> serverListPages = new HashMap<>();
   private long nowUs;
 
-  /** Reads {@code records} records from the body of a frame. */
-  void read(byte[] body, int records, long clockUs, Sink sink) throws FormatException {
+  /**
+   * Decodes the body of one frame.
+   *
+   * @param body the frame without its header
+   * @param records number of records in the body
+   * @param clockUs the simulator's time, to which spans in the records are relative
+   * @param handler receives the records; those before a malformed one have been handled
+   */
+  void decode(byte[] body, int records, long clockUs, Handler handler)
+      throws MalformedFrameException {
     nowUs = clockUs;
-    ByteBuffer in = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
+    ByteBuffer buffer = ByteBuffer.wrap(body).order(ByteOrder.LITTLE_ENDIAN);
     try {
       for (int i = 0; i < records; i++) {
-        int code = in.get() & 0xFF;
-        int length = in.getInt();
-        if (length < 0 || length > in.remaining()) {
-          throw new FormatException("record " + i + " is longer than its frame");
+        int code = unsignedByte(buffer);
+        int length = buffer.getInt();
+        if (length < 0 || length > buffer.remaining()) {
+          throw new MalformedFrameException("record " + i + " is longer than its frame");
         }
-        ByteBuffer fields = in.slice(in.position(), length).order(ByteOrder.LITTLE_ENDIAN);
-        in.position(in.position() + length);
-        record(code, fields, sink);
+        ByteBuffer fields = buffer.slice(buffer.position(), length).order(ByteOrder.LITTLE_ENDIAN);
+        buffer.position(buffer.position() + length);
+        decodeRecord(code, fields, handler);
       }
     } catch (BufferUnderflowException e) {
-      throw new FormatException("a record is cut short");
+      throw new MalformedFrameException("a record is cut short");
     }
-    if (in.hasRemaining()) {
-      throw new FormatException("the frame is longer than its records");
+    if (buffer.hasRemaining()) {
+      throw new MalformedFrameException("the frame is longer than its records");
     }
   }
 
-  private void record(int code, ByteBuffer in, Sink sink) throws FormatException {
-    if (code == 17) {
-      page(in);
+  private void decodeRecord(int code, ByteBuffer fields, Handler handler)
+      throws MalformedFrameException {
+    if (code == RecordCode.SERVER_LIST_PAGE) {
+      decodeServerListPage(fields);
       return;
     }
-    int instance = in.getInt();
+    int instance = fields.getInt();
     switch (code) {
-      case 21 -> sink.event(instance, new BalancerEvent.TimerFired(in.getLong()));
-      case 16 ->
-          sink.event(
-              instance,
-              new BalancerEvent.AttemptStarted(
-                  in.getInt(), in.getShort() & 0xFFFF, in.getInt(), u32(in)));
-      case 18 -> sink.event(instance, new BalancerEvent.ClientDisconnected(in.getInt()));
-      case 19 ->
-          sink.event(
-              instance,
-              new BalancerEvent.AttemptCompleted(
-                  in.getInt(),
-                  in.getShort() & 0xFFFF,
-                  outcome(in.getShort() & 0xFFFF),
-                  in.getInt(),
-                  u32(in),
-                  in.get() != 0,
-                  report(in)));
-      case 20 -> sink.up(instance, in.getLong(), text(in));
-      case 22 -> sink.event(instance, list(in));
-      case 23 ->
-          sink.event(
-              instance,
-              new BalancerEvent.HealthCheckCompleted(
-                  in.getInt(), outcome(in.getShort() & 0xFFFF), u32(in), report(in)));
-      case 24 -> sink.event(instance, peer(in));
-      case 25 -> sink.event(instance, submit(in));
-      case 26 -> sink.stop(instance);
-      default -> throw new FormatException("unknown record code " + code);
+      case RecordCode.INSTANCE_STARTED ->
+          handler.onInstanceStarted(instance, fields.getLong(), decodeSettings(fields));
+      case RecordCode.INSTANCE_STOPPED -> handler.onInstanceStopped(instance);
+      default -> handler.onEvent(instance, decodeEvent(code, fields));
     }
   }
 
-  private void page(ByteBuffer in) throws FormatException {
-    int number = in.getShort() & 0xFFFF;
-    int count = in.getInt();
-    if (count < 0 || (long) count * ENTRY_BYTES > in.remaining()) {
-      throw new FormatException("a server list is cut short");
+  private BalancerEvent decodeEvent(int code, ByteBuffer fields) throws MalformedFrameException {
+    return switch (code) {
+      case RecordCode.TIMER_FIRED -> new BalancerEvent.TimerFired(fields.getLong());
+      case RecordCode.ATTEMPT_STARTED ->
+          new BalancerEvent.AttemptStarted(
+              fields.getInt(), unsignedShort(fields), fields.getInt(), unsignedInt(fields));
+      case RecordCode.CLIENT_DISCONNECTED -> new BalancerEvent.ClientDisconnected(fields.getInt());
+      case RecordCode.ATTEMPT_COMPLETED -> decodeAttemptCompleted(fields);
+      case RecordCode.SERVER_LIST_UPDATED -> decodeServerListUpdated(fields);
+      case RecordCode.HEALTH_CHECK_COMPLETED ->
+          new BalancerEvent.HealthCheckCompleted(
+              fields.getInt(),
+              outcomeOf(unsignedShort(fields)),
+              unsignedInt(fields),
+              decodeLoadReport(fields));
+      case RecordCode.PEER_MESSAGE_RECEIVED -> decodePeerMessage(fields);
+      case RecordCode.WORK_ARRIVED -> decodeWorkArrived(fields);
+      default -> throw new MalformedFrameException("unknown record code " + code);
+    };
+  }
+
+  private static BalancerEvent decodeAttemptCompleted(ByteBuffer fields) {
+    return new BalancerEvent.AttemptCompleted(
+        fields.getInt(),
+        unsignedShort(fields),
+        outcomeOf(unsignedShort(fields)),
+        fields.getInt(),
+        unsignedInt(fields),
+        fields.get() != 0,
+        decodeLoadReport(fields));
+  }
+
+  private void decodeServerListPage(ByteBuffer fields) throws MalformedFrameException {
+    int number = unsignedShort(fields);
+    int count = fields.getInt();
+    if (count < 0 || (long) count * SERVER_ENTRY_BYTES > fields.remaining()) {
+      throw new MalformedFrameException("a server list is cut short");
     }
     List<ServerEntry> entries = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
-      int id = in.getInt();
-      int zone = in.getShort() & 0xFFFF;
-      in.get();
-      int cell = in.getShort() & 0xFFFF;
-      int state = in.get();
-      entries.add(
-          new ServerEntry(
-              id,
-              zone,
-              cell,
-              state == 1 ? ServerState.READY : state == 2 ? ServerState.DRAINING : ServerState.GONE,
-              in.getFloat(),
-              in.getLong()));
+      entries.add(decodeServerEntry(fields));
     }
-    pages.put(number, List.copyOf(entries));
+    serverListPages.put(number, List.copyOf(entries));
+  }
+
+  private static ServerEntry decodeServerEntry(ByteBuffer fields) {
+    int id = fields.getInt();
+    int zone = unsignedShort(fields);
+    fields.get(); // unused by the balancer
+    int cell = unsignedShort(fields);
+    int state = fields.get();
+    return new ServerEntry(id, zone, cell, stateOf(state), fields.getFloat(), fields.getLong());
   }
 
-  private BalancerEvent list(ByteBuffer in) throws FormatException {
-    in.getLong();
-    int page = in.getShort() & 0xFFFF;
-    int kind = in.get();
-    if (kind == 3) {
+  private static ServerState stateOf(int code) {
+    return switch (code) {
+      case 1 -> ServerState.READY;
+      case 2 -> ServerState.DRAINING;
+      default -> ServerState.GONE;
+    };
+  }
+
+  private BalancerEvent decodeServerListUpdated(ByteBuffer fields) throws MalformedFrameException {
+    fields.getLong(); // unused by the balancer
+    int page = unsignedShort(fields);
+    int kind = fields.get();
+    if (kind == LIST_FAILED) {
       return new BalancerEvent.ServerListUpdated(ServerListKind.FAILED, List.of());
     }
-    List<ServerEntry> entries = pages.get(page);
-    if (entries == null || kind < 0 || kind > 3) {
-      throw new FormatException("a server list of kind " + kind + " names list " + page);
+    List<ServerEntry> entries = serverListPages.get(page);
+    if (entries == null || kind < LIST_DELTA || kind > LIST_CACHED) {
+      throw new MalformedFrameException("a server list of kind " + kind + " names list " + page);
     }
-    return new BalancerEvent.ServerListUpdated(
-        kind == 0 ? ServerListKind.DELTA : kind == 1 ? ServerListKind.FULL : ServerListKind.CACHED,
-        entries);
-  }
-
-  private BalancerEvent submit(ByteBuffer in) {
-    int id = in.getInt();
-    int tenant = in.getInt();
-    in.getLong();
-    float measure = in.getFloat();
-    long number = (long) in.getFloat();
-    long expires = u32(in);
-    int attributes = in.getShort() & 0xFFFF;
-    int queryClass = in.getShort() & 0xFFFF;
-    float shard = in.getFloat();
-    long hint = in.remaining() >= 4 ? u32(in) : 0;
-    long given = (attributes & HINT_VALID) != 0 ? hint : 0;
+    return new BalancerEvent.ServerListUpdated(listKindOf(kind), entries);
+  }
+
+  private static ServerListKind listKindOf(int code) {
+    return switch (code) {
+      case LIST_DELTA -> ServerListKind.DELTA;
+      case LIST_FULL -> ServerListKind.FULL;
+      default -> ServerListKind.CACHED;
+    };
+  }
+
+  /** A query where the shard is negative, else one part of a query. */
+  private BalancerEvent decodeWorkArrived(ByteBuffer fields) {
+    int id = fields.getInt();
+    int tenant = fields.getInt();
+    fields.getLong(); // unused by the balancer
+    float size = fields.getFloat();
+    long number = (long) fields.getFloat();
+    long expiresInUs = unsignedInt(fields);
+    int attributes = unsignedShort(fields);
+    int queryClass = unsignedShort(fields);
+    float shard = fields.getFloat();
+    long encodedHint = fields.remaining() >= Integer.BYTES ? unsignedInt(fields) : 0;
+    long hint = (attributes & ATTRIBUTE_HINT_VALID) != 0 ? encodedHint : 0;
     if (shard < 0) {
       return new BalancerEvent.QueryArrived(
           id,
           number,
           queryClass,
           tenant,
-          Math.round(measure),
-          nowUs + expires,
-          given,
-          (attributes & REPEAT) != 0);
+          Math.round(size),
+          nowUs + expiresInUs,
+          hint,
+          (attributes & ATTRIBUTE_RETRY) != 0);
     }
-    return new BalancerEvent.PartArrived(id, number, (int) shard, measure, given);
+    return new BalancerEvent.PartArrived(id, number, (int) shard, size, hint);
   }
 
-  private static BalancerEvent peer(ByteBuffer in) {
-    int author = in.getShort() & 0xFFFF;
-    byte[] content = new byte[in.getShort() & 0xFFFF];
-    in.get(content);
-    return new BalancerEvent.PeerMessageReceived(author, content);
+  private static BalancerEvent decodePeerMessage(ByteBuffer fields) {
+    int sender = unsignedShort(fields);
+    byte[] content = new byte[unsignedShort(fields)];
+    fields.get(content);
+    return new BalancerEvent.PeerMessageReceived(sender, content);
   }
 
-  private static long u32(ByteBuffer in) {
-    return in.getInt() & 0xFFFF_FFFFL;
-  }
-
-  private static String text(ByteBuffer in) throws FormatException {
-    int length = in.getInt();
-    if (length < 0 || length > in.remaining()) {
-      throw new FormatException("the settings are cut short");
+  private static String decodeSettings(ByteBuffer fields) throws MalformedFrameException {
+    int length = fields.getInt();
+    if (length < 0 || length > fields.remaining()) {
+      throw new MalformedFrameException("the settings are cut short");
     }
     byte[] bytes = new byte[length];
-    in.get(bytes);
+    fields.get(bytes);
     return new String(bytes, StandardCharsets.UTF_8);
   }
 
-  private static float[] report(ByteBuffer in) {
-    float[] values = new float[in.hasRemaining() ? in.get() & 0xFF : 0];
+  /** A record may end before its load report, which is empty then. */
+  private static float[] decodeLoadReport(ByteBuffer fields) {
+    float[] values = new float[fields.hasRemaining() ? unsignedByte(fields) : 0];
     for (int i = 0; i < values.length; i++) {
-      values[i] = in.getFloat();
+      values[i] = fields.getFloat();
     }
     return values;
   }
 
-  private static AttemptOutcome outcome(int code) {
+  private static AttemptOutcome outcomeOf(int code) {
     return switch (code) {
       case 100 -> AttemptOutcome.OK;
       case 302 -> AttemptOutcome.FULL;
@@ -203,4 +247,16 @@
       default -> AttemptOutcome.ERROR;
     };
   }
+
+  private static int unsignedByte(ByteBuffer buffer) {
+    return buffer.get() & 0xFF;
+  }
+
+  private static int unsignedShort(ByteBuffer buffer) {
+    return buffer.getShort() & 0xFFFF;
+  }
+
+  private static long unsignedInt(ByteBuffer buffer) {
+    return buffer.getInt() & 0xFFFF_FFFFL;
+  }
 }
--- a/src/main/java/dunlinhitch/simulator/MalformedFrameException.java
+++ b/src/main/java/dunlinhitch/simulator/MalformedFrameException.java
@@ -2,11 +2,11 @@
 
 import java.io.IOException;
 
-/** The input is not what the wire page describes. */
-final class FormatException extends IOException {
+/** The input violates the simulator's protocol; reading can not be resumed after it. */
+final class MalformedFrameException extends IOException {
   private static final long serialVersionUID = 1L;
 
-  FormatException(String message) {
+  MalformedFrameException(String message) {
     super(message);
   }
 }
--- a/src/main/java/dunlinhitch/simulator/ReplyEncoder.java
+++ b/src/main/java/dunlinhitch/simulator/ReplyEncoder.java
@@ -6,117 +6,149 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** Encodes the actions of one reply, in the order they are called, for the instance set last. */
-final class ReplyWriter implements BalancerActions {
-  private static final int HEADER = 12;
-  private ByteBuffer out = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
+/**
+ * Encodes the balancer's actions into one reply frame, in the order of the calls, each for the
+ * instance selected last.
+ *
+ * <p>Not thread-safe; the {@link SimulatorAdapter} owns it.
+ */
+final class ReplyEncoder implements BalancerActions {
+  private static final int FRAME_HEADER_BYTES = 12;
+  private static final int FRAME_LENGTH_OFFSET = 0;
+  private static final int RECORD_COUNT_OFFSET = 4;
+  private static final int SEQUENCE_OFFSET = 8;
+
+  /** Code, length and instance number of a record. */
+  private static final int RECORD_HEADER_BYTES = 9;
+
+  private static final int INITIAL_CAPACITY = 1 << 16;
+  private static final int MAX_TEXT_BYTES = 0xFFFF;
+  private static final long MAX_UNSIGNED_INT = 0xFFFF_FFFFL;
+
+  private ByteBuffer buffer = allocate(INITIAL_CAPACITY);
   private int records;
   private int instance;
   private long nowUs;
 
-  ReplyWriter() {
-    out.position(HEADER);
+  ReplyEncoder() {
+    buffer.position(FRAME_HEADER_BYTES);
   }
 
-  /** The instance that the next actions are for, and its clock: here due times become spans. */
-  void instance(int number, long clockUs) {
+  private static ByteBuffer allocate(int capacity) {
+    return ByteBuffer.allocate(capacity).order(ByteOrder.LITTLE_ENDIAN);
+  }
+
+  /**
+   * Selects the instance of the next actions.
+   *
+   * @param number the instance
+   * @param clockUs its current time: due times are encoded relative to it
+   */
+  void selectInstance(int number, long clockUs) {
     instance = number;
     nowUs = clockUs;
   }
 
-  /** Returns the finished frame and starts the next. */
+  /** Returns the finished frame and begins the next one. */
   byte[] finish(int sequence) {
-    out.putInt(0, out.position()).putInt(4, records).putInt(8, sequence);
-    byte[] frame = Arrays.copyOf(out.array(), out.position());
-    out.position(HEADER);
+    buffer.putInt(FRAME_LENGTH_OFFSET, buffer.position());
+    buffer.putInt(RECORD_COUNT_OFFSET, records);
+    buffer.putInt(SEQUENCE_OFFSET, sequence);
+    byte[] frame = Arrays.copyOf(buffer.array(), buffer.position());
+    buffer.position(FRAME_HEADER_BYTES);
     records = 0;
     return frame;
   }
 
-  private void begin(int code, int fieldBytes) {
-    int needed = out.position() + fieldBytes + 9;
-    if (needed > out.capacity()) {
-      ByteBuffer larger =
-          ByteBuffer.allocate(Math.max(needed, out.capacity() * 2)).order(ByteOrder.LITTLE_ENDIAN);
-      out.flip();
-      larger.put(out);
-      out = larger;
-    }
-    out.put((byte) code).putInt(fieldBytes + 4).putInt(instance);
+  private void beginRecord(int code, int fieldBytes) {
+    ensureCapacity(buffer.position() + RECORD_HEADER_BYTES + fieldBytes);
+    buffer.put((byte) code).putInt(Integer.BYTES + fieldBytes).putInt(instance);
     records++;
   }
 
-  private static int u32(long value) {
-    return (int) Math.max(0, Math.min(value, 0xFFFF_FFFFL));
+  private void ensureCapacity(int needed) {
+    if (needed <= buffer.capacity()) {
+      return;
+    }
+    ByteBuffer larger = allocate(Math.max(needed, buffer.capacity() * 2));
+    buffer.flip();
+    larger.put(buffer);
+    buffer = larger;
+  }
+
+  /** Clamps a value to the range of an unsigned 32-bit field. */
+  private static int unsignedInt(long value) {
+    return (int) Math.max(0, Math.min(value, MAX_UNSIGNED_INT));
   }
 
   @Override
   public void send(int part, int server, long dueUs) {
-    begin(80, 12);
-    out.putInt(part).putInt(server).putInt(u32(dueUs - nowUs));
+    beginRecord(RecordCode.SEND, 12);
+    buffer.putInt(part).putInt(server).putInt(unsignedInt(dueUs - nowUs));
   }
 
   @Override
-  public void answer(int query, boolean whole) {
-    begin(92, 5);
-    out.putInt(query).put((byte) (whole ? 1 : 0));
+  public void answer(int query, boolean complete) {
+    beginRecord(RecordCode.ANSWER, 5);
+    buffer.putInt(query).put((byte) (complete ? 1 : 0));
   }
 
   @Override
   public void reject(int query, long retryAfterUs) {
-    begin(81, 8);
-    out.putInt(query).putInt(u32(retryAfterUs));
+    beginRecord(RecordCode.REJECT, 8);
+    buffer.putInt(query).putInt(unsignedInt(retryAfterUs));
   }
 
   @Override
   public void fail(int query) {
-    begin(82, 4);
-    out.putInt(query);
+    beginRecord(RecordCode.FAIL, 4);
+    buffer.putInt(query);
   }
 
   @Override
   public void cancel(int part, int attempt) {
-    begin(83, 6);
-    out.putInt(part).putShort((short) attempt);
+    beginRecord(RecordCode.CANCEL, 6);
+    buffer.putInt(part).putShort((short) attempt);
   }
 
   @Override
   public void closeIdleConnections(int server) {
-    begin(86, 4);
-    out.putInt(server);
+    beginRecord(RecordCode.CLOSE_IDLE_CONNECTIONS, 4);
+    buffer.putInt(server);
   }
 
   @Override
   public void sendHealthCheck(int server) {
-    begin(85, 4);
-    out.putInt(server);
+    beginRecord(RecordCode.SEND_HEALTH_CHECK, 4);
+    buffer.putInt(server);
   }
 
   @Override
   public void scheduleTimer(long token, long dueUs) {
-    begin(84, 12);
-    out.putLong(token).putInt(u32(Math.max(1, dueUs - nowUs)));
+    beginRecord(RecordCode.SCHEDULE_TIMER, 12);
+    buffer.putLong(token).putInt(unsignedInt(Math.max(1, dueUs - nowUs)));
   }
 
   @Override
   public void subscribeToServerList() {
-    begin(90, 1);
-    out.put((byte) 1);
+    beginRecord(RecordCode.SUBSCRIBE_TO_SERVER_LIST, 1);
+    buffer.put((byte) 1);
   }
 
   @Override
   public void log(String text) {
-    text(88, text);
+    encodeText(RecordCode.LOG, text);
   }
 
+  /** Reports a fault of the selected instance. */
   void panic(String text) {
-    text(89, text);
+    encodeText(RecordCode.PANIC, text);
   }
 
-  private void text(int code, String text) {
+  private void encodeText(int code, String text) {
     byte[] bytes = text.getBytes(StandardCharsets.UTF_8);
-    int length = Math.min(bytes.length, 0xFFFF);
-    begin(code, 2 + length);
-    out.putShort((short) length).put(bytes, 0, length);
+    int length = Math.min(bytes.length, MAX_TEXT_BYTES);
+    beginRecord(code, Short.BYTES + length);
+    buffer.putShort((short) length).put(bytes, 0, length);
   }
 }
--- a/src/main/java/dunlinhitch/simulator/SimulatorAdapter.java
+++ b/src/main/java/dunlinhitch/simulator/SimulatorAdapter.java
@@ -17,92 +17,119 @@
 import java.util.Map;
 
 /**
- * Hosts the aggregators of one process on the simulator's wire: batches on standard input, replies
- * out.
+ * Hosts the load balancers of one simulated process: reads batch frames from standard input and
+ * writes one reply frame for each to standard output.
+ *
+ * <p>Single-threaded: everything happens on the thread that calls {@link #serve}.
  */
-public final class SimulatorAdapter implements BatchReader.Sink {
-  private static final int HEADER = 20;
-  private final Map<Integer, LoadBalancer> brokers = new HashMap<>();
-  private final BatchReader reader = new BatchReader();
-  private final ReplyWriter writer = new ReplyWriter();
-  private long clock;
+public final class SimulatorAdapter implements BatchDecoder.Handler {
+  private static final int FRAME_HEADER_BYTES = 20;
+  private static final int OUTPUT_BUFFER_BYTES = 1 << 16;
+  private static final int EXIT_OK = 0;
+  private static final int EXIT_MALFORMED_INPUT = 1;
 
-  /** Runs until the end of input (exit code 0) or the first malformed frame (1). */
+  private final Map<Integer, LoadBalancer> balancers = new HashMap<>();
+  private final BatchDecoder decoder = new BatchDecoder();
+  private final ReplyEncoder encoder = new ReplyEncoder();
+  private long nowUs;
+
+  /** Header of a batch frame. */
+  private record FrameHeader(int records, int length, long clockUs, int sequence) {
+    static FrameHeader decode(byte[] bytes) throws MalformedFrameException {
+      ByteBuffer buffer = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
+      FrameHeader header =
+          new FrameHeader(buffer.getInt(), buffer.getInt(), buffer.getLong(), buffer.getInt());
+      if (header.length < FRAME_HEADER_BYTES || header.records < 0) {
+        throw new MalformedFrameException(
+            "a frame of " + header.length + " bytes and " + header.records + " records");
+      }
+      return header;
+    }
+
+    int bodyLength() {
+      return length - FRAME_HEADER_BYTES;
+    }
+  }
+
+  /**
+   * Serves standard input until it ends.
+   *
+   * @return the exit code: 0 at the end of the input, 1 after the first malformed frame
+   */
   public static int serve() {
     try {
       new SimulatorAdapter()
           .run(new FileInputStream(FileDescriptor.in), new FileOutputStream(FileDescriptor.out));
-      return 0;
+      return EXIT_OK;
     } catch (IOException e) {
       System.err.println("dunlinhitch: " + e.getMessage());
-      return 1;
+      return EXIT_MALFORMED_INPUT;
     }
   }
 
   /** Answers each batch until the input ends. */
   void run(InputStream from, OutputStream to) throws IOException {
-    DataInputStream in = new DataInputStream(from);
-    OutputStream out = new BufferedOutputStream(to, 1 << 16);
-    byte[] header = new byte[HEADER];
+    DataInputStream input = new DataInputStream(from);
+    OutputStream output = new BufferedOutputStream(to, OUTPUT_BUFFER_BYTES);
+    byte[] headerBytes = new byte[FRAME_HEADER_BYTES];
     while (true) {
-      int got = in.readNBytes(header, 0, HEADER);
-      if (got == 0) {
+      int headerLength = input.readNBytes(headerBytes, 0, FRAME_HEADER_BYTES);
+      if (headerLength == 0) {
         return;
       }
-      if (got < HEADER) {
-        throw new FormatException("the input ends within a header");
-      }
-      ByteBuffer head = ByteBuffer.wrap(header).order(ByteOrder.LITTLE_ENDIAN);
-      int records = head.getInt();
-      int length = head.getInt();
-      clock = head.getLong();
-      int sequence = head.getInt();
-      if (length < HEADER || records < 0) {
-        throw new FormatException("a frame of " + length + " bytes and " + records + " records");
+      if (headerLength < FRAME_HEADER_BYTES) {
+        throw new MalformedFrameException("the input ends within a header");
       }
-      byte[] body = in.readNBytes(length - HEADER);
-      if (body.length < length - HEADER) {
-        throw new FormatException("the input ends within a frame");
+      FrameHeader header = FrameHeader.decode(headerBytes);
+      byte[] body = input.readNBytes(header.bodyLength());
+      if (body.length < header.bodyLength()) {
+        throw new MalformedFrameException("the input ends within a frame");
       }
-      reader.read(body, records, clock, this);
-      out.write(writer.finish(sequence));
-      out.flush();
+      nowUs = header.clockUs();
+      decoder.decode(body, header.records(), nowUs, this);
+      output.write(encoder.finish(header.sequence()));
+      output.flush();
     }
   }
 
+  /** Creates the instance's balancer and starts it; settings that can not be read are a fault. */
   @Override
-  public void up(int instance, long seed, String settings) {
-    writer.instance(instance, clock);
+  public void onInstanceStarted(int instance, long seed, String settings) {
+    encoder.selectInstance(instance, nowUs);
     try {
-      LoadBalancer policy = new LoadBalancer(SettingsReader.read(settings), seed, writer);
-      brokers.put(instance, policy);
-      policy.on(clock, new BalancerEvent.Started());
+      LoadBalancer balancer = new LoadBalancer(SettingsReader.read(settings), seed, encoder);
+      balancers.put(instance, balancer);
+      balancer.on(nowUs, new BalancerEvent.Started());
     } catch (RuntimeException e) {
-      report(e);
+      // the protocol has a record for a fault of one instance; the others go on
+      reportFault(e);
     }
   }
 
+  /** Discards the instance's balancer. */
   @Override
-  public void stop(int instance) {
-    brokers.remove(instance);
+  public void onInstanceStopped(int instance) {
+    balancers.remove(instance);
   }
 
+  /** Passes the event to the instance's balancer; one for an unknown instance is ignored. */
   @Override
-  public void event(int instance, BalancerEvent event) {
-    LoadBalancer policy = brokers.get(instance);
-    if (policy == null) {
+  public void onEvent(int instance, BalancerEvent event) {
+    LoadBalancer balancer = balancers.get(instance);
+    if (balancer == null) {
       return;
     }
-    writer.instance(instance, clock);
+    encoder.selectInstance(instance, nowUs);
     try {
-      policy.on(clock, event);
+      balancer.on(nowUs, event);
     } catch (RuntimeException e) {
-      report(e);
+      // the protocol has a record for a fault of one instance; the others go on
+      reportFault(e);
     }
   }
 
-  private void report(RuntimeException e) {
-    StackTraceElement[] trace = e.getStackTrace();
-    writer.panic(e + (trace.length > 0 ? " at " + trace[0] : ""));
+  private void reportFault(RuntimeException fault) {
+    StackTraceElement[] trace = fault.getStackTrace();
+    encoder.panic(fault + (trace.length > 0 ? " at " + trace[0] : ""));
   }
 }
