--- a/src/main/java/dunlinhitch/admin/AdminServer.java
+++ b/src/main/java/dunlinhitch/admin/AdminServer.java
@@ -21,147 +21,187 @@
 import java.util.function.Supplier;
 
 /**
- * Where operators call: HTTP/1.1 at an address of its own, one call a connection, 2xx yes, 4xx and
- * 5xx no.
+ * HTTP/1.1 server of the operators' address. Each connection serves one request and is closed after
+ * its response; 2xx means success, 4xx and 5xx failure.
+ *
+ * <p>Runs on the event-loop thread that {@link #listen} is called on; {@link #reply} must be called
+ * on that thread, too. Connections are bounded in number and in duration, so that idle or slow
+ * clients neither lock out others nor exhaust file descriptors.
  */
 public final class AdminServer {
-  /** Callers that say nothing, or half a call, must not keep others out nor use up descriptors. */
-  private static final int MOST_CALLERS = 32;
+  /** Number of connections above which the oldest one is closed. */
+  private static final int MAX_CONNECTIONS = 32;
 
-  private static final long LONGEST_US = 5_000_000;
-  private static final long LOOK_AFTER_MS = 500;
+  /** Age at which a connection is closed, in microseconds. */
+  private static final long MAX_CONNECTION_AGE_US = 5_000_000;
+
+  /** Interval between two checks for connections that are too old, in milliseconds. */
+  private static final long AGE_CHECK_INTERVAL_MS = 500;
+
+  private static final String TEXT = "text/plain";
 
   private final Vertx vertx;
   private final BooleanSupplier ready;
-  private final Supplier<BrokerStatus> figures;
+  private final Supplier<BrokerStatus> status;
   private final Consumer<Event> events;
   private final LongSupplier clock;
   private final HttpServer server;
 
-  /** Calls that wait for their word. */
-  private final Map<Long, HttpServerRequest> open = new HashMap<>();
+  /** Requests that wait for {@link #reply}, by call number. */
+  private final Map<Long, HttpServerRequest> pendingCalls = new HashMap<>();
 
-  private long lastCall;
+  private long lastCallNumber;
 
-  /** Who is connected since when, the oldest first. */
-  private final Map<HttpConnection, Long> callers = new LinkedHashMap<>();
+  /** Open connections with the time of their acceptance in microseconds, the oldest first. */
+  private final Map<HttpConnection, Long> acceptedUs = new LinkedHashMap<>();
 
+  /**
+   * Creates a server that does not listen yet.
+   *
+   * @param vertx runs the server
+   * @param ready whether the broker is ready to serve clients
+   * @param status the broker's current status, for metrics
+   * @param events receives operators' requests and counted conditions
+   * @param clock monotonic time in microseconds
+   */
   public AdminServer(
       Vertx vertx,
       BooleanSupplier ready,
-      Supplier<BrokerStatus> figures,
+      Supplier<BrokerStatus> status,
       Consumer<Event> events,
       LongSupplier clock) {
     this.vertx = vertx;
     this.ready = ready;
-    this.figures = figures;
+    this.status = status;
     this.events = events;
     this.clock = clock;
     server = vertx.createHttpServer(new HttpServerOptions().setHttp2ClearTextEnabled(false));
-    server.connectionHandler(this::made);
-    server.requestHandler(request -> request.end().onSuccess(v -> answer(request)));
+    server.connectionHandler(this::onConnection);
+    server.requestHandler(request -> request.end().onSuccess(body -> route(request)));
   }
 
-  /** Listens on this address only; the result is the port. */
+  /** Listens on this address only; the result is the port, which matters if {@code port} is 0. */
   public Future<Integer> listen(String host, int port) {
-    vertx.setPeriodic(LOOK_AFTER_MS, t -> closeOverdue());
+    vertx.setPeriodic(AGE_CHECK_INTERVAL_MS, timer -> closeAgedConnections());
     return server.listen(port, host).map(HttpServer::actualPort);
   }
 
+  /** Stops listening and closes all connections. */
   public Future<Void> close() {
     return server.close();
   }
 
-  private void made(HttpConnection connection) {
-    if (callers.size() >= MOST_CALLERS) {
-      closeOldest();
+  /**
+   * Completes a pending operator call; one that is not pending any more is ignored.
+   *
+   * @param call number of the call, as in its event
+   * @param httpStatus HTTP status of the response
+   * @param text one line for the operator
+   */
+  public void reply(long call, int httpStatus, String text) {
+    HttpServerRequest request = pendingCalls.remove(call);
+    if (request == null) {
+      return;
+    }
+    if (httpStatus < 400) {
+      respond(request, httpStatus, TEXT, text + "\n");
+    } else {
+      respondError(request, httpStatus, text);
+    }
+  }
+
+  private void onConnection(HttpConnection connection) {
+    if (acceptedUs.size() >= MAX_CONNECTIONS) {
+      closeOldestConnection();
     }
-    callers.put(connection, clock.getAsLong());
-    connection.exceptionHandler(e -> {}); // the close that follows says all there is to say
-    connection.closeHandler(v -> callers.remove(connection));
+    acceptedUs.put(connection, clock.getAsLong());
+    // an exception is followed by the close, which is all that matters here
+    connection.exceptionHandler(ignored -> {});
+    connection.closeHandler(closed -> acceptedUs.remove(connection));
   }
 
-  private void closeOldest() {
-    Iterator<HttpConnection> all = callers.keySet().iterator();
-    HttpConnection oldest = all.next();
-    all.remove();
+  private void closeOldestConnection() {
+    Iterator<HttpConnection> oldestFirst = acceptedUs.keySet().iterator();
+    HttpConnection oldest = oldestFirst.next();
+    oldestFirst.remove();
     oldest.close();
   }
 
-  private void closeOverdue() {
-    while (!callers.isEmpty()
-        && callers.values().iterator().next() + LONGEST_US <= clock.getAsLong()) {
-      closeOldest();
+  private void closeAgedConnections() {
+    while (!acceptedUs.isEmpty()
+        && acceptedUs.values().iterator().next() + MAX_CONNECTION_AGE_US <= clock.getAsLong()) {
+      closeOldestConnection();
     }
   }
 
-  private void answer(HttpServerRequest request) {
+  private void route(HttpServerRequest request) {
     switch (request.path() == null ? "" : request.path()) {
-      case "/ready" -> {
-        if (allowed(request, HttpMethod.GET)) {
-          boolean yes = ready.getAsBoolean();
-          end(request, yes ? 200 : 503, "text/plain", yes ? "ready\n" : "not ready\n");
-        }
-      }
-      case "/metrics" -> {
-        if (allowed(request, HttpMethod.GET)) {
-          end(request, 200, MetricsText.TYPE, MetricsText.of(figures.get()));
-        }
-      }
-      case "/calendar-stores/disable" -> bar(request, true);
-      case "/calendar-stores/enable" -> bar(request, false);
-      default -> bad(request, 404, "no such page");
+      case "/ready" -> onReadiness(request);
+      case "/metrics" -> onMetrics(request);
+      case "/calendar-stores/disable" -> onDisableRequest(request, true);
+      case "/calendar-stores/enable" -> onDisableRequest(request, false);
+      default -> respondError(request, 404, "no such page");
     }
   }
 
-  private void bar(HttpServerRequest request, boolean out) {
-    if (!allowed(request, HttpMethod.POST)) {
+  private void onReadiness(HttpServerRequest request) {
+    if (!requireMethod(request, HttpMethod.GET)) {
       return;
     }
-    String id = request.getParam("host");
-    if (id == null || id.isEmpty()) {
-      bad(request, 400, "host is missing");
-      return;
+    if (ready.getAsBoolean()) {
+      respond(request, 200, TEXT, "ready\n");
+    } else {
+      respond(request, 503, TEXT, "not ready\n");
+    }
+  }
+
+  private void onMetrics(HttpServerRequest request) {
+    if (requireMethod(request, HttpMethod.GET)) {
+      respond(request, 200, MetricsText.CONTENT_TYPE, MetricsText.of(status.get()));
     }
-    open.put(++lastCall, request);
-    events.accept(new Event.EndpointDisableRequested(lastCall, id, out));
   }
 
-  /** Says to the call of that number how it ended. */
-  public void reply(long call, int status, String text) {
-    HttpServerRequest request = open.remove(call);
-    if (request != null && status < 400) {
-      end(request, status, "text/plain", text + "\n");
-    } else if (request != null) {
-      bad(request, status, text);
+  private void onDisableRequest(HttpServerRequest request, boolean disable) {
+    if (!requireMethod(request, HttpMethod.POST)) {
+      return;
+    }
+    String endpointId = request.getParam("host");
+    if (endpointId == null || endpointId.isEmpty()) {
+      respondError(request, 400, "host is missing");
+      return;
     }
+    lastCallNumber++;
+    pendingCalls.put(lastCallNumber, request);
+    events.accept(new Event.EndpointDisableRequested(lastCallNumber, endpointId, disable));
   }
 
-  private boolean allowed(HttpServerRequest request, HttpMethod method) {
-    if (request.method() == method) {
+  /** Returns whether the request has this method, and responds with an error if not. */
+  private boolean requireMethod(HttpServerRequest request, HttpMethod method) {
+    if (method.equals(request.method())) {
       return true;
     }
     request.response().putHeader(HttpHeaders.ALLOW, method.name());
-    bad(request, 405, "this wants a " + method.name());
+    respondError(request, 405, "this wants a " + method.name());
     return false;
   }
 
-  private void bad(HttpServerRequest request, int status, String why) {
+  private void respondError(HttpServerRequest request, int httpStatus, String message) {
     events.accept(new Event.ConditionCounted(Counter.BAD_ADMIN_CALLS));
-    end(request, status, "text/plain", why + "\n");
+    respond(request, httpStatus, TEXT, message + "\n");
   }
 
-  private void end(HttpServerRequest request, int status, String type, String text) {
+  private static void respond(
+      HttpServerRequest request, int httpStatus, String contentType, String body) {
     if (request.response().closed()) {
       return;
     }
     HttpConnection connection = request.connection();
     request
         .response()
-        .setStatusCode(status)
-        .putHeader(HttpHeaders.CONTENT_TYPE, type)
+        .setStatusCode(httpStatus)
+        .putHeader(HttpHeaders.CONTENT_TYPE, contentType)
         .putHeader(HttpHeaders.CONNECTION, "close")
-        .end(text)
+        .end(body)
         .onComplete(done -> connection.close());
   }
 }
--- a/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
+++ b/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
@@ -13,122 +13,149 @@
 import java.util.stream.Stream;
 
 /**
- * The ids of the stores that are out by hand, each as a file of its own: two processes of a broker
- * share the folder, and neither can undo what the other wrote. What this process wrote itself is no
- * news to it. Files are touched on one worker thread, in the order asked.
+ * Folder that stores the ids of administratively disabled endpoints, one empty file for each, named
+ * by the id in URL-safe base64 without padding.
+ *
+ * <p>The folder may be shared by overlapping processes of one broker: since each id is a file of
+ * its own, no process can overwrite what another one stored. Changes by other processes are
+ * reported to the listener; those made through this object are not.
+ *
+ * <p>Files are accessed on one worker thread in the order of the calls. All methods must be called,
+ * and the listener is notified, on the same event-loop thread.
  */
 public final class DisabledEndpointFolder {
-  private record Change(Set<String> out, Set<String> back) {}
+  private static final long POLL_INTERVAL_MS = 50;
+
+  private record Change(Set<String> disabled, Set<String> enabled) {
+    boolean isEmpty() {
+      return disabled.isEmpty() && enabled.isEmpty();
+    }
+  }
 
-  private static final long LOOK_AFTER_MS = 50;
   private final Vertx vertx;
   private final Path folder;
+  private final BiConsumer<Set<String>, Set<String>> listener;
 
-  /** Ids out, ids back. */
-  private final BiConsumer<Set<String>, Set<String>> news;
+  /** Ids that the folder is known to contain; accessed by the worker thread only. */
+  private final Set<String> storedIds = new HashSet<>();
 
-  /** What the folder held when it was last looked at; only the worker touches it. */
-  private final Set<String> seen = new HashSet<>();
+  private boolean polling;
 
-  private boolean looking;
-
-  /** {@code folder} null: nothing is kept beyond this process. */
+  /**
+   * Creates a store that has not read its folder yet.
+   *
+   * @param vertx runs the file operations
+   * @param folder the folder, or null to store nothing beyond this process
+   * @param listener receives the ids that were disabled and those that were enabled
+   */
   public DisabledEndpointFolder(
-      Vertx vertx, Path folder, BiConsumer<Set<String>, Set<String>> news) {
+      Vertx vertx, Path folder, BiConsumer<Set<String>, Set<String>> listener) {
     this.vertx = vertx;
     this.folder = folder;
-    this.news = news;
+    this.listener = listener;
   }
 
   /**
-   * Reads what was left here; {@code shared}: and from now on what another process changes. The
-   * result is whether another process of this broker was here before.
+   * Reads the folder and creates it if necessary.
+   *
+   * @param shared whether to poll the folder for changes by other processes from now on
+   * @return whether the folder existed, that is whether another process of this broker was here
+   *     before
    */
   public Future<Boolean> start(boolean shared) {
     if (folder == null) {
       return Future.succeededFuture(false);
     }
     if (shared) {
-      vertx.setPeriodic(LOOK_AFTER_MS, t -> look());
+      vertx.setPeriodic(POLL_INTERVAL_MS, timer -> poll());
     }
-    Future<Boolean> before =
+    Future<Boolean> existed =
         vertx.executeBlocking(
             () -> {
               boolean found = Files.isDirectory(folder);
               Files.createDirectories(folder);
               return found;
             });
-    return before.compose(found -> look().map(found));
+    return existed.compose(found -> poll().map(found));
   }
 
-  /** Over when it is kept. */
-  public Future<Void> keep(String id, boolean out) {
-    return folder == null
-        ? Future.succeededFuture()
-        : vertx.executeBlocking(
-            () -> {
-              Path file = folder.resolve(name(id));
-              if (out) {
-                Files.write(file, new byte[0]);
-                seen.add(id);
-              } else {
-                Files.deleteIfExists(file);
-                seen.remove(id);
-              }
-              return null;
-            });
+  /**
+   * Stores that an endpoint is disabled, or that it is enabled again.
+   *
+   * @return completes when the change is stored
+   */
+  public Future<Void> keep(String id, boolean disabled) {
+    if (folder == null) {
+      return Future.succeededFuture();
+    }
+    return vertx.executeBlocking(
+        () -> {
+          store(id, disabled);
+          return null;
+        });
+  }
+
+  private void store(String id, boolean disabled) throws IOException {
+    Path file = folder.resolve(fileNameOf(id));
+    if (disabled) {
+      Files.write(file, new byte[0]);
+      storedIds.add(id);
+    } else {
+      Files.deleteIfExists(file);
+      storedIds.remove(id);
+    }
   }
 
-  private Future<Void> look() {
-    if (looking) {
+  private Future<Void> poll() {
+    if (polling) {
       return Future.succeededFuture();
     }
-    looking = true;
+    polling = true;
     return vertx
-        .executeBlocking(
-            () -> {
-              Set<String> now = list();
-              Change change = new Change(minus(now, seen), minus(seen, now));
-              seen.addAll(change.out());
-              seen.removeAll(change.back());
-              return change;
-            })
-        .onComplete(done -> looking = false)
+        .executeBlocking(this::readChange)
+        .onComplete(done -> polling = false)
         .map(
             change -> {
-              if (!change.out().isEmpty() || !change.back().isEmpty()) {
-                news.accept(change.out(), change.back());
+              if (!change.isEmpty()) {
+                listener.accept(change.disabled(), change.enabled());
               }
               return null;
             });
   }
 
-  private static Set<String> minus(Set<String> some, Set<String> others) {
-    Set<String> left = new HashSet<>(some);
-    left.removeAll(others);
-    return left;
+  private Change readChange() throws IOException {
+    Set<String> currentIds = readIds();
+    Change change =
+        new Change(difference(currentIds, storedIds), difference(storedIds, currentIds));
+    storedIds.addAll(change.disabled());
+    storedIds.removeAll(change.enabled());
+    return change;
+  }
+
+  private static Set<String> difference(Set<String> ids, Set<String> excluded) {
+    Set<String> remaining = new HashSet<>(ids);
+    remaining.removeAll(excluded);
+    return remaining;
   }
 
-  private Set<String> list() throws IOException {
+  private Set<String> readIds() throws IOException {
     Set<String> ids = new HashSet<>();
     try (Stream<Path> files = Files.list(folder)) {
-      files.forEach(
-          file -> {
-            try {
-              ids.add(
-                  new String(
-                      Base64.getUrlDecoder().decode(file.getFileName().toString()),
-                      StandardCharsets.UTF_8));
-            } catch (IllegalArgumentException e) {
-              // a file of somebody else's
-            }
-          });
+      files.forEach(file -> addId(ids, file.getFileName().toString()));
     }
     return ids;
   }
 
-  /** An id may hold any sign; a file's name may not. */
-  private static String name(String id) {
+  private static void addId(Set<String> ids, String fileName) {
+    try {
+      ids.add(new String(Base64.getUrlDecoder().decode(fileName), StandardCharsets.UTF_8));
+    } catch (IllegalArgumentException e) {
+      // not written by a broker: other files in the folder are ignored
+    }
+  }
+
+  /** Encodes an id, which may contain any character, as a portable file name. */
+  private static String fileNameOf(String id) {
     return Base64.getUrlEncoder()
         .withoutPadding()
         .encodeToString(id.getBytes(StandardCharsets.UTF_8));
--- a/src/main/java/dunlinhitch/admin/MetricsText.java
+++ b/src/main/java/dunlinhitch/admin/MetricsText.java
@@ -4,65 +4,64 @@
 import dunlinhitch.core.BrokerStatus.OfClass;
 import java.util.function.ToLongFunction;
 
-/** Figures in Prometheus' text format. */
+/** Renders a {@link BrokerStatus} as metrics in Prometheus' text format. */
 final class MetricsText {
-  static final String TYPE = "text/plain; version=0.0.4; charset=utf-8";
+  /** Content type of the format. */
+  static final String CONTENT_TYPE = "text/plain; version=0.0.4; charset=utf-8";
+
+  private static final String NAME_PREFIX = "router_";
+  private static final String COUNTER = "counter";
+  private static final String GAUGE = "gauge";
+
   private final StringBuilder out = new StringBuilder();
 
   private MetricsText() {}
 
-  static String of(BrokerStatus figures) {
+  static String of(BrokerStatus status) {
     MetricsText text = new MetricsText();
-    text.classes("passed", "Requests served.", figures, OfClass::served);
-    text.classes("dropped", "Requests refused.", figures, OfClass::refused);
-    text.classes("bad_gateway", "Requests failed.", figures, OfClass::failed);
-    text.one(
-        "upstream_tries", "counter", "Attempts written whole to calendar stores.", figures.tries());
-    text.one("in_progress", "gauge", "Requests taken but not yet ended.", figures.inProgress());
-    text.one(
-        "known_calendar_stores", "gauge", "Calendar stores on the list.", figures.knownStores());
-    text.one(
+    text.appendByClass("passed", "Requests served.", status, OfClass::served);
+    text.appendByClass("dropped", "Requests refused.", status, OfClass::refused);
+    text.appendByClass("bad_gateway", "Requests failed.", status, OfClass::failed);
+    text.append(
+        "upstream_tries", COUNTER, "Attempts written whole to calendar stores.", status.tries());
+    text.append("in_progress", GAUGE, "Requests taken but not yet ended.", status.inProgress());
+    text.append(
+        "known_calendar_stores", GAUGE, "Calendar stores on the list.", status.knownStores());
+    text.append(
         "skipped_calendar_stores",
-        "gauge",
+        GAUGE,
         "Calendar stores on the list that get nothing new.",
-        figures.skippedStores());
-    text.one("loads", "counter", "Configurations taken on SIGHUP.", figures.loads());
-    text.one(
-        "load_errors", "counter", "Configurations turned down on SIGHUP.", figures.loadErrors());
+        status.skippedStores());
+    text.append("loads", COUNTER, "Configurations taken on SIGHUP.", status.loads());
+    text.append(
+        "load_errors", COUNTER, "Configurations turned down on SIGHUP.", status.loadErrors());
     return text.out.toString();
   }
 
-  private void head(String name, String type, String help) {
-    out.append("# HELP router_")
-        .append(name)
-        .append(' ')
-        .append(help)
-        .append("\n# TYPE router_")
-        .append(name)
-        .append(' ')
-        .append(type)
-        .append('\n');
+  private void append(String name, String type, String help, long value) {
+    appendHeader(name, type, help);
+    out.append(NAME_PREFIX).append(name).append(' ').append(value).append('\n');
+  }
+
+  private void appendByClass(
+      String name, String help, BrokerStatus status, ToLongFunction<OfClass> value) {
+    appendHeader(name, COUNTER, help);
+    for (OfClass ofClass : status.classes()) {
+      out.append(NAME_PREFIX).append(name);
+      out.append("{category=\"").append(escape(ofClass.name())).append("\"} ");
+      out.append(value.applyAsLong(ofClass)).append('\n');
+    }
   }
 
-  private void one(String name, String type, String help, long value) {
-    head(name, type, help);
-    out.append("router_").append(name).append(' ').append(value).append('\n');
+  private void appendHeader(String name, String type, String help) {
+    out.append("# HELP ").append(NAME_PREFIX).append(name);
+    out.append(' ').append(help).append('\n');
+    out.append("# TYPE ").append(NAME_PREFIX).append(name);
+    out.append(' ').append(type).append('\n');
   }
 
-  private void classes(
-      String name, String help, BrokerStatus figures, ToLongFunction<OfClass> value) {
-    head(name, "counter", help);
-    figures
-        .classes()
-        .forEach(
-            c ->
-                out.append("router_")
-                    .append(name)
-                    .append("{category=\"")
-                    .append(
-                        c.name().replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n"))
-                    .append("\"} ")
-                    .append(value.applyAsLong(c))
-                    .append('\n'));
+  /** Escapes a label value as the format demands. */
+  private static String escape(String labelValue) {
+    return labelValue.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
   }
 }
