--- a/src/main/java/dunlinhitch/config/Config.java
+++ b/src/main/java/dunlinhitch/config/Config.java
@@ -1,22 +1,25 @@
 package dunlinhitch.config;
 
-import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonObject;
-import com.eclipsesource.json.JsonValue;
 import dunlinhitch.balancer.settings.Settings;
-import java.io.IOException;
-import java.nio.file.Files;
-import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import java.util.Map;
 
 /**
- * What a broker is told at its start: a JSON file, with name and addresses over-ridden by the
- * environment. {@code admin}, where operators call, may be null; {@code known} is the list of
- * stores as the broker last had it, empty if there was none; {@code product} is what its own
- * settings file switches on; {@code scratch} is a folder that the processes of this broker share,
- * or null; {@code writtenMs} is when the file was written, Unix time in milliseconds; {@code talk}
- * is what the platform says of words between brokers, or null.
+ * A broker's configuration: the platform's JSON file, with name and addresses overridden by
+ * environment variables, and the product's own settings file. Immutable.
+ *
+ * @param name the broker's name
+ * @param listen address of the HTTP frontend
+ * @param admin address for operators, or null
+ * @param discovery address of the discovery service
+ * @param seed seed of the balancer's random numbers
+ * @param known the endpoint list as the broker last had it, empty if there was none
+ * @param sockets number of file descriptors that the process may have open
+ * @param settings settings of the load balancer
+ * @param product what the product's own settings file switches on
+ * @param scratch a folder that the processes of this broker share, or null
+ * @param writtenMs when the file was written, Unix time in milliseconds; 0 if unknown
+ * @param talk what the platform says of the addresses for gossip, or null
  */
 public record Config(
     String name,
@@ -31,16 +34,10 @@
     Path scratch,
     long writtenMs,
     GossipAddresses talk) {
-  /** Where the file does not say how many descriptors the process may hold. */
+  /** Number of file descriptors where the file has no {@code limits.sockets}. */
   public static final int SOCKETS = 1024;
 
-  private static final int LEAST_SOCKETS = 64;
-
-  private static final String ADMIN = "ROUTER_ADMIN_ADDR";
-  private static final String SCRATCH = "TMPDIR";
-  static final String DISCOVERY = "ROUTER_DISCOVERY";
-
-  /** Where the platform says nothing of words between brokers. */
+  /** Creates a configuration of a platform without addresses for gossip. */
   public Config(
       String name,
       Address listen,
@@ -58,89 +55,59 @@
         null);
   }
 
-  /** An IP address and a port. */
+  /**
+   * A network address.
+   *
+   * @param host an IP address or a host name, an IPv6 address with or without brackets
+   * @param port the port, 0 to 65535
+   */
   public record Address(String host, int port) {
+    private static final int MAX_PORT = 65_535;
+
+    /**
+     * Parses {@code HOST:PORT}.
+     *
+     * @param what name of the setting, for the error message
+     * @param text the text to parse
+     * @throws ConfigException if the text has another form
+     */
     public static Address parse(String what, String text) {
       int colon = text.lastIndexOf(':');
       try {
         int port = Integer.parseInt(text.substring(colon + 1));
-        if (colon > 0 && port >= 0 && port <= 65_535) {
+        if (colon > 0 && port >= 0 && port <= MAX_PORT) {
           return new Address(text.substring(0, colon), port);
         }
       } catch (NumberFormatException e) {
-        // worded below, as for any other text that is no address
+        // reported below, as any other text that is no address
       }
       throw new ConfigException(what + " is no HOST:PORT: " + text);
     }
-  }
-
-  /** The configuration can not be used; the message is one plain line. */
-  public static final class ConfigException extends RuntimeException {
-    private static final long serialVersionUID = 1L;
 
-    public ConfigException(String message) {
-      super(message.replaceAll("\\s+", " "));
+    /** Returns whether the host is written as an IP address, so that no name has to be resolved. */
+    boolean hasIpAddress() {
+      return host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}")
+          || host.matches("\\[?[0-9a-fA-F:.]*:[0-9a-fA-F:.]*\\]?");
     }
-  }
 
-  /** From what the file holds; {@code env} holds the ROUTER_ variables. */
-  static Config read(Path file, JsonObject root, Product product, Map<String, String> env) {
-    try {
-      JsonValue settings = root.get("settings");
-      if (settings == null) {
-        throw new ConfigException("settings is missing");
-      }
-      JsonValue known = root.get("known");
-      String name = env.getOrDefault("ROUTER_NAME", root.getString("name", "broker"));
-      GossipAddresses talk = GossipAddresses.read(root);
-      return new Config(
-          name,
-          Address.parse("listen", env.getOrDefault("ROUTER_LISTEN", root.getString("listen", ""))),
-          admin(env.getOrDefault(ADMIN, root.getString("admin_addr", ""))),
-          Address.parse("discovery", env.getOrDefault(DISCOVERY, root.getString("discovery", ""))),
-          Long.parseUnsignedLong(root.getString("seed", "0"), 16),
-          known == null || known.isNull() ? Json.object() : known.asObject(),
-          sockets(root.get("limits")),
-          SettingsReader.read(settings.asObject()),
-          GossipAddresses.placed(product, talk, name),
-          env.getOrDefault(SCRATCH, "").isEmpty() ? null : Path.of(env.get(SCRATCH)),
-          written(file),
-          talk);
-    } catch (ConfigException e) {
-      throw new ConfigException(file + ": " + e.getMessage());
-    } catch (RuntimeException e) {
-      throw new ConfigException(file + " does not hold what it should: " + e.getMessage());
+    /** Returns whether other processes can send to this address: an IP address with a port. */
+    boolean isReachable() {
+      return hasIpAddress() && port != 0;
     }
-  }
 
-  private static long written(Path file) {
-    try {
-      return Math.max(0, Files.getLastModifiedTime(file).toMillis());
-    } catch (IOException e) {
-      return 0; // it was there a moment ago: older than any
+    /** Returns {@code HOST:PORT}. */
+    String hostAndPort() {
+      return host + ":" + port;
     }
   }
 
-  private static Address admin(String text) {
-    return text.isEmpty() ? null : Address.parse("admin_addr", text);
-  }
-
-  private static int sockets(JsonValue limits) {
-    int sockets =
-        limits == null || limits.isNull() ? SOCKETS : limits.asObject().getInt("sockets", SOCKETS);
-    if (sockets < LEAST_SOCKETS) {
-      throw new ConfigException("limits.sockets is under " + LEAST_SOCKETS + ": " + sockets);
-    }
-    return sockets;
-  }
+  /** The configuration can not be used; the message is one line in plain text. */
+  public static final class ConfigException extends RuntimeException {
+    private static final long serialVersionUID = 1L;
 
-  static JsonObject json(Path file) {
-    try {
-      return Json.parse(Files.readString(file)).asObject();
-    } catch (NoSuchFileException e) {
-      throw new ConfigException("there is no file " + file);
-    } catch (IOException | RuntimeException e) {
-      throw new ConfigException("cannot read " + file + ": " + e.getMessage());
+    /** Creates an error; line breaks in the message become blanks. */
+    public ConfigException(String message) {
+      super(message.replaceAll("\\s+", " "));
     }
   }
 }
--- a/src/main/java/dunlinhitch/config/ConfigFile.java
+++ b/src/main/java/dunlinhitch/config/ConfigFile.java
@@ -1,103 +1,72 @@
 package dunlinhitch.config;
 
-import com.eclipsesource.json.JsonArray;
 import com.eclipsesource.json.JsonObject;
-import com.eclipsesource.json.JsonValue;
 import java.nio.file.Path;
 import java.util.HashMap;
-import java.util.HashSet;
 import java.util.Map;
-import java.util.Set;
 
 /**
- * The file that a broker was started with, and reads again when it is asked to. What it takes then
- * is whole: beside all that a start demands it has every key of the file that is held, for the
- * default in the place of a lost one could loosen a rule unseen. Used by one thread at a time.
+ * The platform's configuration file, read at the start and again on reload. A reload is all or
+ * nothing: a file that can not be used leaves the current configuration in place.
+ *
+ * <p>Not thread-safe: at most one thread may use it at a time.
  */
 public final class ConfigFile {
-  /**
-   * The list of stores as it was, and the other brokers: they need not be there, and their entries
-   * may be worded anew.
-   */
-  private static final Set<String> MAY_GO = Set.of("known", GossipAddresses.PEERS);
-
   private final Path file;
-  private final Path ownFile;
-  private final Map<String, String> env;
-  private JsonObject held = new JsonObject();
-  private Config config;
+  private final Path productFile;
+  private final Map<String, String> environment;
+  private JsonObject currentRoot = new JsonObject();
+  private Config current;
 
-  /** {@code env} holds the ROUTER_ variables. */
-  public ConfigFile(Path file, Path ownFile, Map<String, String> env) {
+  /**
+   * Creates an object that has read nothing yet.
+   *
+   * @param file the platform's JSON file
+   * @param productFile the product's own settings file, which need not exist
+   * @param environment environment variables
+   */
+  public ConfigFile(Path file, Path productFile, Map<String, String> environment) {
     this.file = file;
-    this.ownFile = ownFile;
-    this.env = Map.copyOf(env);
+    this.productFile = productFile;
+    this.environment = Map.copyOf(environment);
   }
 
-  /** As a start reads it. */
+  /**
+   * Reads both files, as at the start.
+   *
+   * @throws Config.ConfigException if a file can not be used
+   */
   public Config read() {
-    JsonObject root = Config.json(file);
-    config = Config.read(file, root, Product.read(ownFile), env);
-    held = root;
-    return config;
+    JsonObject root = ConfigReader.parse(file);
+    current = ConfigReader.read(file, root, Product.read(productFile), environment);
+    currentRoot = root;
+    return current;
   }
 
   /**
-   * As it is now, where it was replaced since; throws, and holds what it held, where it can not be
-   * used. Discovery's address in it goes before the environment, which still says what it did at
-   * the start.
+   * Reads the platform's file again. Its address of the discovery service takes precedence over the
+   * environment, which still has that of the start. The product's settings stay.
+   *
+   * @throws Config.ConfigException if the file can not be used, lacks a key of the current one, or
+   *     changes what needs a restart
    */
   public Config again() {
-    JsonObject root = Config.json(file);
-    requireKeysOf(held, root, "");
-    Map<String, String> rest = new HashMap<>(env);
-    rest.remove(Config.DISCOVERY);
-    Config now = Config.read(file, root, config.product(), rest);
-    if (!now.settings().zones().equals(config.settings().zones())
-        || !now.settings().layout().equals(config.settings().layout())) {
-      throw new Config.ConfigException(
-          file + ": other zones, or another layout of shards, want a restart");
-    }
-    held = root;
-    config = now;
-    return now;
-  }
-
-  private void requireKeysOf(JsonObject before, JsonObject now, String at) {
-    for (String key : before.names()) {
-      JsonValue was = before.get(key);
-      JsonValue is = now.get(key);
-      if ((at.isEmpty() && MAY_GO.contains(key)) || was.isNull()) {
-        continue;
-      }
-      if (is == null || is.isNull()) {
-        throw new Config.ConfigException(file + ": " + at + key + " is missing");
-      }
-      if (was.isObject() && is.isObject()) {
-        requireKeysOf(was.asObject(), is.asObject(), at + key + ".");
-      } else if (was.isArray() && is.isArray()) {
-        requireKeysOfAll(was.asArray(), is.asArray(), at + key);
-      }
-    }
+    JsonObject root = ConfigReader.parse(file);
+    RequiredKeys.check(file, currentRoot, root);
+    Map<String, String> overrides = new HashMap<>(environment);
+    overrides.remove(ConfigReader.DISCOVERY_VARIABLE);
+    Config reloaded = ConfigReader.read(file, root, current.product(), overrides);
+    requireSameTopology(reloaded);
+    currentRoot = root;
+    current = reloaded;
+    return reloaded;
   }
 
-  /** Entries may come and go, but each has the keys that all of them had. */
-  private void requireKeysOfAll(JsonArray before, JsonArray now, String at) {
-    Set<String> common = null;
-    for (JsonValue was : before) {
-      Set<String> names = was.isObject() ? new HashSet<>(was.asObject().names()) : Set.of();
-      if (common == null) {
-        common = new HashSet<>(names);
-      }
-      common.retainAll(names);
-    }
-    for (JsonValue is : now) {
-      for (String key : common == null ? Set.<String>of() : common) {
-        JsonValue value = is.isObject() ? is.asObject().get(key) : null;
-        if (value == null || value.isNull()) {
-          throw new Config.ConfigException(file + ": " + at + "[]." + key + " is missing");
-        }
-      }
+  private void requireSameTopology(Config reloaded) {
+    if (!reloaded.settings().zones().equals(current.settings().zones())
+        || !reloaded.settings().layout().equals(current.settings().layout())) {
+      throw new Config.ConfigException(
+          file + ": other zones, or another layout of shards, want a restart");
     }
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/config/GossipAddressesReader.java
@@ -0,0 +1,135 @@
+package dunlinhitch.config;
+
+import com.eclipsesource.json.JsonObject;
+import com.eclipsesource.json.JsonValue;
+import dunlinhitch.config.Config.Address;
+import dunlinhitch.config.Config.ConfigException;
+import dunlinhitch.config.GossipAddresses.Known;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.regex.Pattern;
+
+/** Reads {@link GossipAddresses} from the platform's file. */
+final class GossipAddressesReader {
+  /** Key of the other brokers' addresses. */
+  static final String PEERS = "peers";
+
+  /** Key of the address that gossip messages to this broker are delivered at. */
+  static final String LISTEN = "peer_listen";
+
+  private static final String ALL = "peers_all";
+  private static final int MAX_PEERS = 1024;
+  private static final Pattern ADDRESS = Pattern.compile(".+:[0-9]{1,5}");
+
+  private GossipAddressesReader() {}
+
+  /** Returns the addresses, or null if the file has none of the keys. */
+  static GossipAddresses read(JsonObject root) {
+    if (isEmpty(root.get(LISTEN)) && isEmpty(root.get(PEERS)) && isEmpty(root.get(ALL))) {
+      return null;
+    }
+    try {
+      return readAddresses(root);
+    } catch (RuntimeException e) {
+      // whatever is wrong with these keys, the JSON library's unchecked exceptions included, must
+      // not keep the broker from starting
+      return GossipAddresses.unusable(
+          "no words between brokers by the platform's addresses: "
+              + String.valueOf(e.getMessage()).replaceAll("\\s+", " "));
+    }
+  }
+
+  private static GossipAddresses readAddresses(JsonObject root) {
+    if (!isAllowed(root)) {
+      throw new ConfigException("the settings' Limits.PeerMessages allows none");
+    }
+    JsonValue listen = root.get(LISTEN);
+    if (isEmpty(listen)) {
+      throw new ConfigException(LISTEN + " is missing");
+    }
+    JsonValue all = root.get(ALL);
+    Address allAddress = isEmpty(all) ? null : address(ALL, all);
+    Address listenAddress = address(LISTEN, listen);
+    JsonValue peers = root.get(PEERS);
+    return new GossipAddresses(
+        listenAddress, isEmpty(peers) ? List.of() : peers(peers), allAddress, null);
+  }
+
+  private static boolean isEmpty(JsonValue value) {
+    return value == null
+        || value.isNull()
+        || (value.isString() && value.asString().isEmpty())
+        || (value.isArray() && value.asArray().isEmpty())
+        || (value.isObject() && value.asObject().isEmpty());
+  }
+
+  /** Settings without the limit allow gossip, since the platform gave addresses for it. */
+  private static boolean isAllowed(JsonObject root) {
+    JsonValue limits = root.get("settings").asObject().get("Limits");
+    return limits == null || limits.isNull() || limits.asObject().getBoolean("PeerMessages", true);
+  }
+
+  private static Address address(String key, JsonValue value) {
+    if (!value.isString()) {
+      throw new ConfigException(key + " is no HOST:PORT: " + value);
+    }
+    Address address = Address.parse(key, value.asString());
+    if (!address.isReachable()) {
+      throw new ConfigException(key + " is no IP address with a port: " + value.asString());
+    }
+    return address;
+  }
+
+  /** Reads one entry or an array of entries. */
+  private static List<Known> peers(JsonValue value) {
+    List<Known> peers = new ArrayList<>();
+    if (value.isArray()) {
+      value.asArray().forEach(entry -> peers.addAll(peersOfEntry(entry)));
+    } else {
+      peers.addAll(peersOfEntry(value));
+    }
+    if (peers.size() > MAX_PEERS) {
+      throw new ConfigException(PEERS + " has over " + MAX_PEERS + " addresses");
+    }
+    return peers;
+  }
+
+  /**
+   * Reads an entry: an address, an object with a name and an address, or an object of addresses by
+   * name.
+   */
+  private static List<Known> peersOfEntry(JsonValue entry) {
+    if (!entry.isObject()) {
+      return List.of(new Known("", address(PEERS, entry)));
+    }
+    JsonObject object = entry.asObject();
+    JsonValue name = object.get("name");
+    List<Known> peers =
+        name != null && name.isString()
+            ? peerWithName(name.asString(), object)
+            : peersByName(object);
+    if (peers.isEmpty()) {
+      throw new ConfigException(PEERS + " has an entry without an address: " + entry);
+    }
+    return peers;
+  }
+
+  private static List<Known> peersByName(JsonObject addresses) {
+    List<Known> peers = new ArrayList<>();
+    for (JsonObject.Member member : addresses) {
+      peers.add(new Known(member.getName(), address(PEERS, member.getValue())));
+    }
+    return peers;
+  }
+
+  /** Takes the first member that is an address; there may be others, such as a zone. */
+  private static List<Known> peerWithName(String name, JsonObject object) {
+    for (JsonObject.Member member : object) {
+      JsonValue value = member.getValue();
+      if (value.isString() && ADDRESS.matcher(value.asString()).matches()) {
+        return List.of(new Known(name, address(PEERS, value)));
+      }
+    }
+    return List.of();
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/config/LegacyProductFile.java
@@ -0,0 +1,34 @@
+package dunlinhitch.config;
+
+import com.eclipsesource.json.JsonObject;
+import com.eclipsesource.json.JsonValue;
+import java.nio.file.Path;
+
+/** Translates the earlier JSON form of the product's settings file, for the error message. */
+final class LegacyProductFile {
+  private LegacyProductFile() {}
+
+  /** Returns the directives that replace the file's content, on one line. */
+  static String asDirectives(Path file) {
+    JsonObject root = ConfigReader.parse(file);
+    StringBuilder out = new StringBuilder();
+    JsonValue flight = root.get("flight");
+    if (flight != null && flight.isObject()) {
+      out.append("'[flight]', 'listen ")
+          .append(flight.asObject().getString("listen", "HOST:PORT"))
+          .append("'");
+    }
+    JsonValue dns = root.get("dns_sd");
+    if (dns != null && dns.isObject()) {
+      out.append(out.isEmpty() ? "" : ", ")
+          .append("'discovery off', '[dns_sd main]', 'server ")
+          .append(dns.asObject().getString("server", "HOST:PORT"))
+          .append("', 'service ")
+          .append(dns.asObject().getString("service", "NAME"))
+          .append("'");
+    }
+    return out.isEmpty()
+        ? "nothing, for it switches nothing on"
+        : out + " (each a line; 'discovery' before any section)";
+  }
+}
--- a/src/main/java/dunlinhitch/config/Product.java
+++ b/src/main/java/dunlinhitch/config/Product.java
@@ -1,24 +1,22 @@
 package dunlinhitch.config;
 
-import com.eclipsesource.json.JsonObject;
-import com.eclipsesource.json.JsonValue;
 import dunlinhitch.config.Config.Address;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
 
 /**
- * What the product's own settings file switches on; without the file nothing of it is, and no class
- * of it is loaded.
+ * What the product's own settings file switches on. Without the file nothing of it is on, and no
+ * class that implements it is loaded. Immutable.
  *
- * @param flight where the Arrow Flight front listens, or null
- * @param discovery whether the platform's list is followed
- * @param dnsSd services whose records name stores
- * @param announcement where the broker announces itself, or null
- * @param stateDir where the last known state is kept, or null
- * @param membership its times, or null for the standard
- * @param phases classes whose queries may go in two phases
- * @param fleet how this broker knows the others, or null
+ * @param flight address of the Arrow Flight frontend, or null
+ * @param discovery whether the platform's endpoint list is used
+ * @param dnsSd DNS-SD services whose records name endpoints
+ * @param announcement the broker's own DNS-SD records, or null
+ * @param stateDir folder of the last known state, or null
+ * @param membership times of the endpoint registry, or null for the defaults
+ * @param phases query classes that may run in two phases
+ * @param fleet this broker's part in a cluster of brokers, or null
  */
 public record Product(
     Address flight,
@@ -29,22 +27,34 @@
     MembershipTimes membership,
     List<Phase> phases,
     Fleet fleet) {
+  /** Nothing is switched on. */
   public static final Product NONE =
       new Product(null, true, List.of(), null, null, null, List.of(), null);
 
-  /** The form of this file that came before. */
-  private static final String OLD = "fronts.json";
+  /** Name of the file in an earlier form, which is no longer read. */
+  private static final String LEGACY_FILE = "fronts.json";
 
+  /** Copies the lists. */
   public Product {
     dnsSd = List.copyOf(dnsSd);
     phases = List.copyOf(phases);
   }
 
   /**
-   * The brokers among themselves: where this one hears the others (null: where the platform says),
-   * where they reach it, where it begins to look for them, how many stores of a cell it keeps to at
-   * least, how uneven that may be (a share over the mean), how often one of all probes a store,
-   * when one on older versions is a straggler and when it is shut out.
+   * This broker's part in a cluster of brokers, from the section {@code [fleet]}.
+   *
+   * @param listen address for gossip to this broker; null: that of the platform
+   * @param advertise address that other brokers reach it at
+   * @param peers addresses of brokers to join the cluster by
+   * @param least smallest subset of a cell's endpoints that each broker uses
+   * @param slack how far the number of brokers of an endpoint may exceed the mean, as a share of it
+   * @param lookUs protocol period of failure detection, in microseconds
+   * @param suspectUs how long a suspected broker counts as alive, in microseconds
+   * @param turnUs interval at which one of all brokers checks the health of an endpoint, in
+   *     microseconds
+   * @param behindUs how long a broker may have older versions before it counts as a straggler, in
+   *     microseconds
+   * @param shutOutUs after how long with older versions than most it is fenced, in microseconds
    */
   public record Fleet(
       Address listen,
@@ -57,22 +67,44 @@
       long turnUs,
       long behindUs,
       long shutOutUs) {
+    /** Copies the peers. */
     public Fleet {
       peers = List.copyOf(peers);
     }
 
-    Fleet at(Address hears, Address reached, List<Address> others) {
+    /** Returns the same settings with other addresses. */
+    Fleet withAddresses(Address newListen, Address newAdvertise, List<Address> newPeers) {
       return new Fleet(
-          hears, reached, others, least, slack, lookUs, suspectUs, turnUs, behindUs, shutOutUs);
+          newListen,
+          newAdvertise,
+          newPeers,
+          least,
+          slack,
+          lookUs,
+          suspectUs,
+          turnUs,
+          behindUs,
+          shutOutUs);
     }
   }
 
-  /** The same with another standing among the brokers. */
-  Product with(Fleet other) {
-    return new Product(flight, discovery, dnsSd, announcement, stateDir, membership, phases, other);
+  /** Returns the same settings with another part in the cluster, or none if it is null. */
+  Product withCluster(Fleet cluster) {
+    return new Product(
+        flight, discovery, dnsSd, announcement, stateDir, membership, phases, cluster);
   }
 
-  /** A class whose queries may go in two phases; shares are from 0 to 1. */
+  /**
+   * A query class that may run in two phases. All shares are from 0 to 1.
+   *
+   * @param queryClass name of the class
+   * @param share largest share of the time until the latency objective for the first pass
+   * @param least a query over fewer blocks runs in a single phase
+   * @param trial share of queries that run in two phases while these do not seem to pay
+   * @param audit share of prunable blocks that are queried in full all the same
+   * @param margin share of the work that must be saved for two phases to pay
+   * @param closeUs how long pruning is closed after a failed audit, in microseconds
+   */
   public record Phase(
       String queryClass,
       double share,
@@ -83,9 +115,19 @@
       long closeUs) {}
 
   /**
-   * A service and the servers that are asked for it, each a source of its own. {@code push}, {@code
-   * pushTrust} and {@code pushName} may be null; times are microseconds, {@code soaEveryUs} 0:
-   * never.
+   * A DNS-SD service and the servers that are asked for it, each a discovery source of its own.
+   *
+   * @param name label of the section
+   * @param servers DNS servers, by IP address
+   * @param service the service type with its domain
+   * @param subtypes only instances of these subtypes are used, all if empty
+   * @param rank precedence among sources that disagree; the lowest wins, the platform's list has 0
+   * @param zone the zone whose serial is polled, or null for the service's domain
+   * @param soaEveryUs interval of that poll in microseconds; 0: never
+   * @param push server of DNS Push Notifications, or null
+   * @param pushTrust PEM file of the authorities that may certify it, or null for the system's
+   * @param pushName name that its certificate must have, or null for that of {@code push}
+   * @param instances largest number of instances that are used
    */
   public record DnsService(
       String name,
@@ -99,6 +141,7 @@
       Path pushTrust,
       String pushName,
       int instances) {
+    /** Copies the lists. */
     public DnsService {
       servers = List.copyOf(servers);
       subtypes = List.copyOf(subtypes);
@@ -106,8 +149,18 @@
   }
 
   /**
-   * The broker's own records; {@code address} is where clients reach it, {@code key} a TSIG key
-   * file or null.
+   * The broker's own DNS-SD records.
+   *
+   * @param server primary server of the zone
+   * @param zone the zone that is updated
+   * @param service the service type that brokers are found by
+   * @param instance this broker's instance name
+   * @param target host name within the zone
+   * @param address address that clients reach the broker at
+   * @param txt strings of the TXT record
+   * @param ttlUs time to live of the records, in microseconds
+   * @param leaseUs how long the server keeps them without a renewal, in microseconds
+   * @param key file of the TSIG key, or null for unsigned updates
    */
   public record Announcement(
       Address server,
@@ -120,136 +173,49 @@
       long ttlUs,
       long leaseUs,
       Path key) {
+    /** Copies the TXT strings. */
     public Announcement {
       txt = List.copyOf(txt);
     }
   }
 
-  /** In microseconds. */
+  /**
+   * Times of the endpoint registry, in microseconds.
+   *
+   * @param lingerUs how long a withdrawn endpoint may return as the same
+   * @param staleForUs how long records are used past their expiry
+   * @param holdUs delay of the second return within the calm time; each further one doubles it
+   * @param holdMostUs longest delay of a return
+   * @param calmUs time without a withdrawal after which returns are not delayed any more
+   */
   public record MembershipTimes(
       long lingerUs, long staleForUs, long holdUs, long holdMostUs, long calmUs) {}
 
   /**
-   * What the file says; where there is none, {@link #NONE}. Throws a {@link
-   * Config.ConfigException}.
+   * Reads the product's settings file.
+   *
+   * @return its content, {@link #NONE} if there is no file
+   * @throws Config.ConfigException if the file can not be used, or only one of the earlier form
+   *     exists
    */
   public static Product read(Path file) {
     if (Files.exists(file)) {
       return ProductReader.read(file);
     }
-    Path old = file.resolveSibling(OLD);
-    if (Files.exists(old)) {
+    Path legacyFile = file.resolveSibling(LEGACY_FILE);
+    if (Files.exists(legacyFile)) {
       throw new Config.ConfigException(
-          old + " is no longer read; write into " + file + ": " + translated(old));
+          legacyFile
+              + " is no longer read; write into "
+              + file
+              + ": "
+              + LegacyProductFile.asDirectives(legacyFile));
     }
     return NONE;
   }
 
-  /** What holds, a line each, for {@code check}; empty where nothing is switched on. */
+  /** Returns a summary for operators, one line for each setting; empty if nothing is on. */
   public String described() {
-    if (this.equals(NONE)) {
-      return "";
-    }
-    StringBuilder out = new StringBuilder();
-    out.append("discovery: ").append(discovery ? "followed" : "not followed").append('\n');
-    if (flight != null) {
-      out.append("flight: listens on ")
-          .append(flight.host())
-          .append(':')
-          .append(flight.port())
-          .append('\n');
-    }
-    for (DnsService s : dnsSd) {
-      out.append("dns_sd ").append(s.name()).append(": ").append(s.service());
-      s.subtypes().forEach(subtype -> out.append(", subtype ").append(subtype));
-      s.servers()
-          .forEach(
-              server ->
-                  out.append(", at ").append(server.host()).append(':').append(server.port()));
-      out.append(", rank ")
-          .append(s.rank())
-          .append(s.push() == null ? "" : ", push from " + s.push().host() + ":" + s.push().port())
-          .append(s.soaEveryUs() > 0 ? ", serial every " + s.soaEveryUs() / 1000 + " ms" : "")
-          .append('\n');
-    }
-    for (Phase p : phases) {
-      out.append("phases ")
-          .append(p.queryClass())
-          .append(": first pass within ")
-          .append(Math.round(100 * p.share()))
-          .append(" % of the time, from ")
-          .append(p.least())
-          .append(" blocks on, audit ")
-          .append(100 * p.audit())
-          .append(" %, trial ")
-          .append(100 * p.trial())
-          .append(" %\n");
-    }
-    if (fleet != null) {
-      out.append("fleet: hears other brokers on ")
-          .append(fleet.listen().host())
-          .append(':')
-          .append(fleet.listen().port())
-          .append(", begins with ")
-          .append(fleet.peers().size())
-          .append(" of them, keeps to ")
-          .append(fleet.least())
-          .append(" stores of a cell at least, probes in turns of ")
-          .append(fleet.turnUs() / 1000)
-          .append(" ms\n");
-    }
-    if (announcement != null) {
-      out.append("announce: ")
-          .append(announcement.instance())
-          .append(" as ")
-          .append(announcement.service())
-          .append(" at ")
-          .append(announcement.server().host())
-          .append(':')
-          .append(announcement.server().port())
-          .append(announcement.key() == null ? ", not signed" : ", signed")
-          .append('\n');
-    }
-    if (stateDir != null) {
-      out.append("state: kept in ").append(stateDir).append('\n');
-    }
-    if (membership != null) {
-      out.append("membership: linger ")
-          .append(membership.lingerUs() / 1000)
-          .append(" ms, stale for ")
-          .append(membership.staleForUs() / 1_000_000)
-          .append(" s, hold ")
-          .append(membership.holdUs() / 1000)
-          .append(" to ")
-          .append(membership.holdMostUs() / 1000)
-          .append(" ms, calm ")
-          .append(membership.calmUs() / 1000)
-          .append(" ms\n");
-    }
-    return out.toString();
-  }
-
-  /** The old file's content as directives, on one line. */
-  private static String translated(Path old) {
-    JsonObject root = Config.json(old);
-    StringBuilder out = new StringBuilder();
-    JsonValue flight = root.get("flight");
-    if (flight != null && flight.isObject()) {
-      out.append("'[flight]', 'listen ")
-          .append(flight.asObject().getString("listen", "HOST:PORT"))
-          .append("'");
-    }
-    JsonValue dns = root.get("dns_sd");
-    if (dns != null && dns.isObject()) {
-      out.append(out.isEmpty() ? "" : ", ")
-          .append("'discovery off', '[dns_sd main]', 'server ")
-          .append(dns.asObject().getString("server", "HOST:PORT"))
-          .append("', 'service ")
-          .append(dns.asObject().getString("service", "NAME"))
-          .append("'");
-    }
-    return out.isEmpty()
-        ? "nothing, for it switches nothing on"
-        : out + " (each a line; 'discovery' before any section)";
+    return equals(NONE) ? "" : ProductDescription.of(this);
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/config/ProductDescription.java
@@ -0,0 +1,85 @@
+package dunlinhitch.config;
+
+/** Summarizes a {@link Product} for operators, one line for each setting that is on. */
+final class ProductDescription {
+  private static final long US_PER_MS = 1_000;
+  private static final long US_PER_S = 1_000_000;
+  private static final int PERCENT = 100;
+
+  private final StringBuilder out = new StringBuilder();
+
+  private ProductDescription() {}
+
+  static String of(Product product) {
+    ProductDescription description = new ProductDescription();
+    description.appendFrontends(product);
+    product.dnsSd().forEach(description::appendDnsService);
+    product.phases().forEach(description::appendPhase);
+    if (product.fleet() != null) {
+      description.appendCluster(product.fleet());
+    }
+    if (product.announcement() != null) {
+      description.appendAnnouncement(product.announcement());
+    }
+    if (product.stateDir() != null) {
+      description.out.append("state: kept in ").append(product.stateDir()).append('\n');
+    }
+    if (product.membership() != null) {
+      description.appendMembership(product.membership());
+    }
+    return description.out.toString();
+  }
+
+  private void appendFrontends(Product product) {
+    out.append("discovery: ").append(product.discovery() ? "followed" : "not followed");
+    out.append('\n');
+    if (product.flight() != null) {
+      out.append("flight: listens on ").append(product.flight().hostAndPort()).append('\n');
+    }
+  }
+
+  private void appendDnsService(Product.DnsService service) {
+    out.append("dns_sd ").append(service.name()).append(": ").append(service.service());
+    service.subtypes().forEach(subtype -> out.append(", subtype ").append(subtype));
+    service.servers().forEach(server -> out.append(", at ").append(server.hostAndPort()));
+    out.append(", rank ").append(service.rank());
+    if (service.push() != null) {
+      out.append(", push from ").append(service.push().hostAndPort());
+    }
+    if (service.soaEveryUs() > 0) {
+      out.append(", serial every ").append(service.soaEveryUs() / US_PER_MS).append(" ms");
+    }
+    out.append('\n');
+  }
+
+  private void appendPhase(Product.Phase phase) {
+    out.append("phases ").append(phase.queryClass());
+    out.append(": first pass within ").append(Math.round(PERCENT * phase.share()));
+    out.append(" % of the time, from ").append(phase.least());
+    out.append(" blocks on, audit ").append(PERCENT * phase.audit());
+    out.append(" %, trial ").append(PERCENT * phase.trial()).append(" %\n");
+  }
+
+  private void appendCluster(Product.Fleet cluster) {
+    out.append("fleet: hears other brokers on ").append(cluster.listen().hostAndPort());
+    out.append(", begins with ").append(cluster.peers().size());
+    out.append(" of them, keeps to ").append(cluster.least());
+    out.append(" stores of a cell at least, probes in turns of ");
+    out.append(cluster.turnUs() / US_PER_MS).append(" ms\n");
+  }
+
+  private void appendAnnouncement(Product.Announcement announcement) {
+    out.append("announce: ").append(announcement.instance());
+    out.append(" as ").append(announcement.service());
+    out.append(" at ").append(announcement.server().hostAndPort());
+    out.append(announcement.key() == null ? ", not signed" : ", signed").append('\n');
+  }
+
+  private void appendMembership(Product.MembershipTimes times) {
+    out.append("membership: linger ").append(times.lingerUs() / US_PER_MS);
+    out.append(" ms, stale for ").append(times.staleForUs() / US_PER_S);
+    out.append(" s, hold ").append(times.holdUs() / US_PER_MS);
+    out.append(" to ").append(times.holdMostUs() / US_PER_MS);
+    out.append(" ms, calm ").append(times.calmUs() / US_PER_MS).append(" ms\n");
+  }
+}
--- a/src/main/java/dunlinhitch/config/syntax/Directive.java
+++ b/src/main/java/dunlinhitch/config/syntax/Directive.java
@@ -3,22 +3,27 @@
 import java.nio.file.Path;
 import java.util.List;
 
-/** One line of a settings file: a name and its words, each with its place. */
-public record Directive(Path file, int line, Word name, List<Word> words) {
-  /** A word and the column that it begins in, from 1. */
-  public record Word(String text, int column) {}
-
+/**
+ * One line of a settings file: a name and its arguments.
+ *
+ * @param file the file that contains the line
+ * @param line number of the line, from 1
+ * @param name the first token
+ * @param arguments the tokens behind it
+ */
+public record Directive(Path file, int line, Token name, List<Token> arguments) {
+  /** Copies the arguments. */
   public Directive {
-    words = List.copyOf(words);
+    arguments = List.copyOf(arguments);
   }
 
-  /** What is wrong with the line as a whole. */
-  public SyntaxException wrong(String message) {
-    return wrong(name, message);
+  /** Returns an error about the directive, located at its name. */
+  public SyntaxException error(String message) {
+    return error(name, message);
   }
 
-  /** What is wrong with one of its words. */
-  public SyntaxException wrong(Word at, String message) {
-    return new SyntaxException(file, line, at.column(), message);
+  /** Returns an error about one of its tokens. */
+  public SyntaxException error(Token token, String message) {
+    return new SyntaxException(file, line, token.column(), message);
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/config/syntax/DirectiveSchema.java
@@ -0,0 +1,19 @@
+package dunlinhitch.config.syntax;
+
+/**
+ * Declaration of one directive.
+ *
+ * @param name its name
+ * @param kind kind of its value
+ * @param required whether its section must contain it
+ * @param repeatable whether its section may contain it more than once
+ * @param defaultValue the value where the file has none, or null
+ * @param help what it means, for those who write a file
+ */
+record DirectiveSchema(
+    String name,
+    ValueKind kind,
+    boolean required,
+    boolean repeatable,
+    String defaultValue,
+    String help) {}
--- /dev/null
+++ b/src/main/java/dunlinhitch/config/syntax/NameSuggestion.java
@@ -0,0 +1,34 @@
+package dunlinhitch.config.syntax;
+
+import java.util.Collection;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Optional;
+import org.apache.commons.text.similarity.LevenshteinDistance;
+
+/** Suggests what an unknown name was meant to be. */
+final class NameSuggestion {
+  /** Edits up to which a name is suggested, however short it is. */
+  private static final int MIN_TOLERANCE = 2;
+
+  private NameSuggestion() {}
+
+  /**
+   * Returns the end of an error message: the nearest declared name, all declared names if none is
+   * near, or nothing if there are none.
+   */
+  static String forUnknown(String unknown, Collection<String> declared) {
+    LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
+    List<String> names = declared.stream().filter(name -> !name.isEmpty()).toList();
+    Optional<String> nearest =
+        names.stream().min(Comparator.comparing(name -> distance.apply(unknown, name)));
+    if (nearest.isEmpty()) {
+      return "";
+    }
+    String name = nearest.get();
+    if (distance.apply(unknown, name) <= Math.max(MIN_TOLERANCE, name.length() / 2)) {
+      return "; did you mean " + name + "?";
+    }
+    return "; there is " + String.join(", ", names);
+  }
+}
--- a/src/main/java/dunlinhitch/config/syntax/Section.java
+++ b/src/main/java/dunlinhitch/config/syntax/Section.java
@@ -3,9 +3,11 @@
 import java.util.List;
 
 /**
- * Directives under one head {@code [kind label]}; those before the first head stand in a section
- * without a kind.
+ * The directives under one header {@code [kind label]}, before they are checked against a schema.
  *
- * @param head the line of the head, or null for the first section
+ * @param kind first word of the header; empty for the directives before the first header
+ * @param label second word of the header, or empty
+ * @param header the line of the header, or null for the directives before the first one
+ * @param directives the directives in order; the reader appends to this list
  */
-public record Section(String kind, String label, Directive head, List<Directive> directives) {}
+record Section(String kind, String label, Directive header, List<Directive> directives) {}
--- a/src/main/java/dunlinhitch/config/syntax/SyntaxException.java
+++ b/src/main/java/dunlinhitch/config/syntax/SyntaxException.java
@@ -2,16 +2,21 @@
 
 import java.nio.file.Path;
 
-/** A settings file can not be used; the message is one line that names the place and what to do. */
+/** A settings file can not be used; the message is one line with the place and the remedy. */
 public final class SyntaxException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Lines and columns count from 1. */
+  /** Creates an error at a place; lines and columns count from 1. */
   public SyntaxException(Path file, int line, int column, String message) {
-    super(file + ":" + line + ":" + column + ": " + message.replaceAll("\\s+", " "));
+    super(file + ":" + line + ":" + column + ": " + onOneLine(message));
   }
 
+  /** Creates an error about a file as a whole. */
   public SyntaxException(Path file, String message) {
-    super(file + ": " + message.replaceAll("\\s+", " "));
+    super(file + ": " + onOneLine(message));
+  }
+
+  private static String onOneLine(String message) {
+    return message.replaceAll("\\s+", " ");
   }
 }
--- a/src/main/java/dunlinhitch/config/syntax/SyntaxReader.java
+++ b/src/main/java/dunlinhitch/config/syntax/SyntaxReader.java
@@ -11,141 +11,128 @@
 import java.util.List;
 
 /**
- * Reads the lines of a settings file, in the manner of classic daemons: one directive a line, a
- * name and words behind it; {@code [kind label]} begins a section; {@code #} begins a comment;
- * {@code "..."} holds blanks, with {@code \"} and {@code \\} in it; {@code include FILE} reads
- * another file in its place, its path relative to the file that names it. What the names mean is
- * {@link Schema}'s.
+ * Reads a settings file into sections, in the manner of classic daemons: one directive a line;
+ * {@code [kind label]} begins a section; {@code include FILE} reads another file in its place, by a
+ * path relative to the including file. What the names mean is up to the {@link Schema}.
  */
-public final class SyntaxReader {
-  static final int MOST_BYTES = 1 << 20;
-  static final int MOST_LINES = 20_000;
-  static final int MOST_DEPTH = 8;
+final class SyntaxReader {
+  /** Largest size of one file. */
+  private static final int MAX_FILE_BYTES = 1 << 20;
+
+  /** Largest number of lines of all included files together. */
+  private static final int MAX_LINES = 20_000;
+
+  /** Largest number of files that are open at the same time by inclusion. */
+  private static final int MAX_INCLUDE_DEPTH = 8;
+
+  private static final String INCLUDE = "include";
+  private static final String HEADER_START = "[";
+  private static final String HEADER_END = "]";
+
+  /** Length of the shortest header: a kind of one character in brackets. */
+  private static final int MIN_HEADER_LENGTH = 3;
+
   private final List<Section> sections = new ArrayList<>();
-  private final Deque<Path> open = new ArrayDeque<>();
-  private int lines;
+  private final Deque<Path> openFiles = new ArrayDeque<>();
+  private int totalLines;
 
   private SyntaxReader() {
     sections.add(new Section("", "", null, new ArrayList<>()));
   }
 
   /**
-   * The sections in order; the first is the one without a head. Throws a {@link SyntaxException}.
+   * Reads a file and all that it includes.
+   *
+   * @return the sections in order; the first one has no header
+   * @throws SyntaxException if a file can not be read or has a malformed line
    */
-  public static List<Section> read(Path file) {
+  static List<Section> read(Path file) {
     SyntaxReader reader = new SyntaxReader();
-    reader.file(file, null);
+    reader.readFile(file, null);
     return reader.sections;
   }
 
-  private void file(Path file, Directive from) {
-    Path whole = file.toAbsolutePath().normalize();
-    if (open.contains(whole)) {
-      throw from.wrong("this file includes itself: " + file);
+  /** Reads one file; {@code include} is the directive that includes it, null for the first file. */
+  private void readFile(Path file, Directive include) {
+    Path absolute = file.toAbsolutePath().normalize();
+    if (openFiles.contains(absolute)) {
+      throw include.error("this file includes itself: " + file);
     }
-    if (open.size() >= MOST_DEPTH) {
-      throw from.wrong(
+    if (openFiles.size() >= MAX_INCLUDE_DEPTH) {
+      throw include.error(
           "files are included "
-              + MOST_DEPTH
+              + MAX_INCLUDE_DEPTH
               + " deep; put these directives into one of the others");
     }
-    open.push(whole);
-    int number = 0;
-    for (String line : text(file, from).split("\n", -1)) {
-      number++;
-      if (++lines > MOST_LINES) {
-        throw new SyntaxException(file, number, 1, "more than " + MOST_LINES + " lines in all");
+    openFiles.push(absolute);
+    int lineNumber = 0;
+    for (String line : contentOf(file, include).split("\n", -1)) {
+      lineNumber++;
+      totalLines++;
+      if (totalLines > MAX_LINES) {
+        throw new SyntaxException(file, lineNumber, 1, "more than " + MAX_LINES + " lines in all");
       }
-      line(file, number, line.endsWith("\r") ? line.substring(0, line.length() - 1) : line);
+      readLine(file, lineNumber, withoutCarriageReturn(line));
     }
-    open.pop();
+    openFiles.pop();
   }
 
-  private static String text(Path file, Directive from) {
-    String why;
+  private static String withoutCarriageReturn(String line) {
+    return line.endsWith("\r") ? line.substring(0, line.length() - 1) : line;
+  }
+
+  private static String contentOf(Path file, Directive include) {
+    String problem;
     try {
-      if (Files.size(file) > MOST_BYTES) {
-        why = "it is larger than " + MOST_BYTES + " bytes";
-      } else {
+      if (Files.size(file) <= MAX_FILE_BYTES) {
         return Files.readString(file);
       }
+      problem = "it is larger than " + MAX_FILE_BYTES + " bytes";
     } catch (NoSuchFileException e) {
-      why = "there is no such file";
+      problem = "there is no such file";
     } catch (CharacterCodingException e) {
-      why = "it is not in UTF-8";
+      problem = "it is not in UTF-8";
     } catch (IOException e) {
-      why = "it can not be read: " + e.getMessage();
+      problem = "it can not be read: " + e.getMessage();
     }
-    throw from == null ? new SyntaxException(file, why) : from.wrong(file + ": " + why);
+    throw include == null
+        ? new SyntaxException(file, problem)
+        : include.error(file + ": " + problem);
   }
 
-  private void line(Path file, int number, String line) {
-    List<Directive.Word> words = words(file, number, line);
-    if (words.isEmpty()) {
+  private void readLine(Path file, int lineNumber, String line) {
+    List<Token> tokens = LineLexer.tokens(file, lineNumber, line);
+    if (tokens.isEmpty()) {
       return;
     }
-    Directive.Word first = words.get(0);
-    if (first.text().startsWith("[")) {
-      head(file, number, line, first);
+    Token first = tokens.get(0);
+    if (first.text().startsWith(HEADER_START)) {
+      beginSection(new Directive(file, lineNumber, first, List.of()), line);
       return;
     }
-    Directive directive = new Directive(file, number, first, words.subList(1, words.size()));
-    if (first.text().equals("include")) {
-      if (directive.words().size() != 1) {
-        throw directive.wrong("include wants the name of one file");
-      }
-      file(file.resolveSibling(directive.words().get(0).text()), directive);
+    Directive directive = new Directive(file, lineNumber, first, tokens.subList(1, tokens.size()));
+    if (first.text().equals(INCLUDE)) {
+      readIncluded(directive);
     } else {
       sections.get(sections.size() - 1).directives().add(directive);
     }
   }
 
-  private void head(Path file, int number, String line, Directive.Word first) {
-    int hash = line.indexOf('#');
-    String text = (hash < 0 ? line : line.substring(0, hash)).trim();
-    Directive head = new Directive(file, number, first, List.of());
-    if (!text.endsWith("]") || text.length() < 3) {
-      throw head.wrong("a section begins with [KIND] or [KIND NAME] on a line of its own");
+  private void readIncluded(Directive include) {
+    if (include.arguments().size() != 1) {
+      throw include.error("include wants the name of one file");
     }
-    String[] parts = text.substring(1, text.length() - 1).trim().split("\\s+", 2);
-    sections.add(new Section(parts[0], parts.length < 2 ? "" : parts[1], head, new ArrayList<>()));
+    readFile(include.file().resolveSibling(include.arguments().get(0).text()), include);
   }
 
-  private static List<Directive.Word> words(Path file, int number, String line) {
-    List<Directive.Word> words = new ArrayList<>();
-    int at = 0;
-    while (at < line.length()) {
-      char c = line.charAt(at);
-      if (c == ' ' || c == '\t') {
-        at++;
-      } else if (c == '#') {
-        break;
-      } else if (c == '"') {
-        int begin = at++;
-        StringBuilder text = new StringBuilder();
-        while (at < line.length() && line.charAt(at) != '"') {
-          if (line.charAt(at) == '\\' && at + 1 < line.length()) {
-            at++;
-          }
-          text.append(line.charAt(at++));
-        }
-        if (at >= line.length()) {
-          throw new SyntaxException(
-              file, number, begin + 1, "this quote is not closed on its line");
-        }
-        at++;
-        words.add(new Directive.Word(text.toString(), begin + 1));
-      } else if (c < ' ') {
-        throw new SyntaxException(
-            file, number, at + 1, "a control character; only blanks and tabs part words");
-      } else {
-        int begin = at;
-        while (at < line.length() && " \t#\"".indexOf(line.charAt(at)) < 0) {
-          at++;
-        }
-        words.add(new Directive.Word(line.substring(begin, at), begin + 1));
-      }
+  private void beginSection(Directive header, String line) {
+    int comment = line.indexOf('#');
+    String text = (comment < 0 ? line : line.substring(0, comment)).trim();
+    if (!text.endsWith(HEADER_END) || text.length() < MIN_HEADER_LENGTH) {
+      throw header.error("a section begins with [KIND] or [KIND NAME] on a line of its own");
     }
-    return words;
+    String[] parts = text.substring(1, text.length() - 1).trim().split("\\s+", 2);
+    String label = parts.length < 2 ? "" : parts[1];
+    sections.add(new Section(parts[0], label, header, new ArrayList<>()));
   }
 }
--- a/src/test/java/dunlinhitch/config/ConfigFileTest.java
+++ b/src/test/java/dunlinhitch/config/ConfigFileTest.java
@@ -12,15 +12,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What is taken of a file that was replaced, and what is not. */
+/** Reload of the configuration file: which replacements are accepted. */
 class ConfigFileTest {
-  private static final String ONE =
+  private static final String CLASS_A =
       "{\"Name\":\"a\",\"DeadlineUs\":1000000,\"OnTimeUs\":500000,\"Idempotency\":\"free\"}";
-  private static final String TWO =
+  private static final String CLASS_B =
       "{\"Name\":\"b\",\"DeadlineUs\":2000000,\"OnTimeUs\":500000,\"Idempotency\":\"free\"}";
-  @TempDir private Path dir;
+  @TempDir private Path folder;
 
-  private static String text(String classes, String limits) {
+  private static String configWith(String classes, String limits) {
     return "{\"listen\":\"127.0.0.1:1\",\"discovery\":\"127.0.0.1:2\",\"settings\":{\"Classes\":["
         + classes
         + "],\"Limits\":{"
@@ -29,40 +29,43 @@
   }
 
   @Test
-  void aBrokenFileChangesNothingAndAWholeOneAll() throws IOException {
-    Path path = dir.resolve("config.json");
-    String whole = text(ONE, "\"MaxAttempts\":4");
-    Files.writeString(path, whole);
+  void reloadIsAllOrNothing() throws IOException {
+    Path path = folder.resolve("config.json");
+    String valid = configWith(CLASS_A, "\"MaxAttempts\":4");
+    Files.writeString(path, valid);
     ConfigFile file =
-        new ConfigFile(path, dir.resolve("none"), Map.of("ROUTER_DISCOVERY", "127.0.0.1:3"));
+        new ConfigFile(path, folder.resolve("none"), Map.of("ROUTER_DISCOVERY", "127.0.0.1:3"));
     assertEquals(3, file.read().discovery().port());
-    for (String broken :
+    for (String invalid :
         List.of(
             "",
-            whole.substring(0, whole.length() - 9),
+            valid.substring(0, valid.length() - 9),
             "[]",
-            text(ONE, ""),
-            text(ONE, "\"MaxAttempts\":0"),
-            text(ONE, "\"MaxAttempts\":null"),
-            text(ONE, "\"MaxAttempts\":\"4\""),
-            text(ONE, "\"MaxAttempts\":1e300"),
-            text("", "\"MaxAttempts\":4"),
-            text(ONE.replace("\"DeadlineUs\":1000000,", ""), "\"MaxAttempts\":4"),
-            text(ONE.replace("1000000", "-5"), "\"MaxAttempts\":4"),
-            text(ONE.replace("1000000", "\"soon\""), "\"MaxAttempts\":4"),
-            text(ONE + "," + TWO.replace("\"Idempotency\"", "\"Other\""), "\"MaxAttempts\":4"),
-            whole.replace("\"discovery\"", "\"other\""),
-            whole.replace("[\"x\"]", "[\"x\",\"y\"]"))) {
-      Files.writeString(path, broken);
-      assertThrows(ConfigException.class, file::again, broken);
+            configWith(CLASS_A, ""),
+            configWith(CLASS_A, "\"MaxAttempts\":0"),
+            configWith(CLASS_A, "\"MaxAttempts\":null"),
+            configWith(CLASS_A, "\"MaxAttempts\":\"4\""),
+            configWith(CLASS_A, "\"MaxAttempts\":1e300"),
+            configWith("", "\"MaxAttempts\":4"),
+            configWith(CLASS_A.replace("\"DeadlineUs\":1000000,", ""), "\"MaxAttempts\":4"),
+            configWith(CLASS_A.replace("1000000", "-5"), "\"MaxAttempts\":4"),
+            configWith(CLASS_A.replace("1000000", "\"soon\""), "\"MaxAttempts\":4"),
+            configWith(
+                CLASS_A + "," + CLASS_B.replace("\"Idempotency\"", "\"Other\""),
+                "\"MaxAttempts\":4"),
+            valid.replace("\"discovery\"", "\"other\""),
+            valid.replace("[\"x\"]", "[\"x\",\"y\"]"))) {
+      Files.writeString(path, invalid);
+      assertThrows(ConfigException.class, file::again, invalid);
     }
-    Files.writeString(path, text(TWO + "," + ONE, "\"MaxAttempts\":2,\"MostHeld\":7"));
-    Config taken = file.again();
+    Files.writeString(
+        path, configWith(CLASS_B + "," + CLASS_A, "\"MaxAttempts\":2,\"MostHeld\":7"));
+    Config reloaded = file.again();
     assertEquals(
-        List.of("b", "a"), taken.settings().classes().stream().map(c -> c.name()).toList());
-    assertEquals(2, taken.settings().limits().maxAttempts());
-    assertEquals(2, taken.discovery().port());
-    Files.writeString(path, whole); // it lacks a key of the file that is held now
+        List.of("b", "a"), reloaded.settings().classes().stream().map(c -> c.name()).toList());
+    assertEquals(2, reloaded.settings().limits().maxAttempts());
+    assertEquals(2, reloaded.discovery().port());
+    Files.writeString(path, valid); // lacks a key of the current file
     assertThrows(ConfigException.class, file::again);
   }
 }
--- a/src/test/java/dunlinhitch/config/syntax/ConfTest.java
+++ b/src/test/java/dunlinhitch/config/ProductTest.java
@@ -1,33 +1,40 @@
-package dunlinhitch.config.syntax;
+package dunlinhitch.config;
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.config.Config;
-import dunlinhitch.config.Product;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The product's settings file: what it comes to, and where an error is said to be. */
-class ConfTest {
+/** The product's settings file: its values, and the places of its errors. */
+class ProductTest {
   @TempDir private Path folder;
 
-  private Path write(String name, String text) throws IOException {
-    return Files.writeString(folder.resolve(name), text);
+  private Path write(String name, String content) throws IOException {
+    return Files.writeString(folder.resolve(name), content);
   }
 
   @Test
-  void aFileWithAllThatThereIs() throws IOException {
+  void readsAFileWithEverySection() throws IOException {
     write(
         "more.conf",
-        "[announce]\nserver 127.0.0.1:53\nzone example.org\nservice _b._tcp.example.org\n"
-            + "instance \"east wing # 1\" # a comment\naddress 127.0.0.1:7070\ntxt v=1\ntxt w=2\n");
+        """
+        [announce]
+        server 127.0.0.1:53
+        zone example.org
+        service _b._tcp.example.org
+        instance "east wing # 1" # a comment
+        address 127.0.0.1:7070
+        txt v=1
+        txt w=2
+        """);
     Path file =
         write(
             "dunlinhitch.conf",
@@ -57,7 +64,7 @@
     assertEquals(5_000_000, product.membership().lingerUs());
     assertEquals(86_400_000_000L, product.membership().staleForUs());
     assertEquals("east wing # 1", product.announcement().instance());
-    assertEquals(java.util.List.of("v=1", "w=2"), product.announcement().txt());
+    assertEquals(List.of("v=1", "w=2"), product.announcement().txt());
     assertEquals("east-wing-1", product.announcement().target());
   }
 
@@ -83,29 +90,30 @@
             [dns_sd a]~server ns.example:1~service _c._tcp.example | 2:8: server is an IP address
             discovery off | discovery is off and there is no [dns_sd NAME]
             """)
-  void errorsNamePlaceAndRemedy(String text, String error) throws IOException {
-    Path file = write("dunlinhitch.conf", text.replace("~", "\n"));
-    String said = assertThrows(Config.ConfigException.class, () -> Product.read(file)).getMessage();
-    assertTrue(said.contains(error), said);
-    assertTrue(said.startsWith(folder.toString()) && said.indexOf('\n') < 0, said);
+  void errorsNamePlaceAndRemedy(String content, String expected) throws IOException {
+    Path file = write("dunlinhitch.conf", content.replace("~", "\n"));
+    String message =
+        assertThrows(Config.ConfigException.class, () -> Product.read(file)).getMessage();
+    assertTrue(message.contains(expected), message);
+    assertTrue(message.startsWith(folder.toString()) && message.indexOf('\n') < 0, message);
   }
 
   @Test
-  void theOldFormSaysWhatToWrite() throws IOException {
+  void legacyFileIsRejectedWithItsReplacement() throws IOException {
     write(
         "fronts.json",
         "{\"flight\": {\"listen\": \"127.0.0.1:8815\"}, \"dns_sd\": {\"server\": \"127.0.0.1:53\","
             + " \"service\": \"_c._tcp.example.\"}}");
-    String said =
+    String message =
         assertThrows(
                 Config.ConfigException.class,
                 () -> Product.read(folder.resolve("dunlinhitch.conf")))
             .getMessage();
     assertTrue(
-        said.contains(
+        message.contains(
             "'[flight]', 'listen 127.0.0.1:8815', 'discovery off', '[dns_sd main]', "
                 + "'server 127.0.0.1:53', 'service _c._tcp.example.'"),
-        said);
+        message);
     assertEquals(Product.NONE, Product.read(folder.resolve("sub").resolve("dunlinhitch.conf")));
   }
 }
