--- a/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
+++ b/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
@@ -20,8 +20,8 @@
  * its own, no process can overwrite what another one stored. Changes by other processes are
  * reported to the listener; those made through this object are not.
  *
- * <p>Files are accessed on one worker thread in the order of the calls. All methods must be called,
- * and the listener is notified, on the same event-loop thread.
+ * <p>File accesses run one at a time on the worker pool, in the order of the calls. All methods
+ * must be called, and the listener is notified, on the same event-loop thread.
  */
 public final class DisabledEndpointFolder {
   private static final long POLL_INTERVAL_MS = 50;
@@ -36,7 +36,7 @@
   private final Path folder;
   private final BiConsumer<Set<String>, Set<String>> listener;
 
-  /** Ids that the folder is known to contain; accessed by the worker thread only. */
+  /** Ids that the folder is known to contain; accessed only by tasks on the worker pool. */
   private final Set<String> storedIds = new HashSet<>();
 
   private boolean polling;
--- a/src/main/java/dunlinhitch/config/ProductSchema.java
+++ b/src/main/java/dunlinhitch/config/ProductSchema.java
@@ -1,6 +1,7 @@
 package dunlinhitch.config;
 
 import dunlinhitch.config.syntax.Schema;
+import dunlinhitch.config.syntax.SectionSchema;
 import dunlinhitch.config.syntax.ValueKind;
 
 /** Declares the sections and directives of the product's settings file. */
@@ -132,10 +133,10 @@
             "how long it is closed after a block was spared that had something");
   }
 
-  /** The cluster of brokers. */
+  /** The cluster of brokers: its addresses and subsets. */
   private static void declareCluster(Schema schema) {
-    schema
-        .section("fleet", false)
+    SectionSchema cluster = schema.section("fleet", false);
+    cluster
         .optional(
             "listen",
             ValueKind.ADDRESS,
@@ -157,7 +158,13 @@
             "slack",
             ValueKind.PERCENT,
             "20%",
-            "how far the brokers at one store may be over the mean")
+            "how far the brokers at one store may be over the mean");
+    declareClusterTimes(cluster);
+  }
+
+  /** The cluster of brokers: failure detection, health checks and version skew. */
+  private static void declareClusterTimes(SectionSchema cluster) {
+    cluster
         .optional(
             "look",
             ValueKind.DURATION,
--- a/src/main/java/dunlinhitch/twophase/BlockSummaries.java
+++ b/src/main/java/dunlinhitch/twophase/BlockSummaries.java
@@ -62,14 +62,14 @@
   /**
    * Creates an empty table.
    *
-   * @param mostBlocks blocks with this number or a higher one are ignored
-   * @param mostPredicates number of predicates above which the least recently used one is evicted
-   * @param mostAgeUs age in microseconds above which a summary gives no hint
+   * @param maxBlocks blocks with this number or a higher one are ignored
+   * @param maxPredicates number of predicates above which the least recently used one is evicted
+   * @param maxAgeUs age in microseconds above which a summary gives no hint
    */
-  public BlockSummaries(int mostBlocks, int mostPredicates, long mostAgeUs) {
-    maxBlocks = mostBlocks;
-    maxPredicates = mostPredicates;
-    maxAgeUs = mostAgeUs;
+  public BlockSummaries(int maxBlocks, int maxPredicates, long maxAgeUs) {
+    this.maxBlocks = maxBlocks;
+    this.maxPredicates = maxPredicates;
+    this.maxAgeUs = maxAgeUs;
   }
 
   /** Hashes a predicate by FNV-1a, which gives the same value in every process. */
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
@@ -176,14 +176,14 @@
     return shards;
   }
 
-  /** Handles an answer of a first pass, received {@code tookUs} after its request was sent. */
+  /** Handles an answer of a first pass, received {@code latencyUs} after its request was sent. */
   public void firstCame(
-      long nowUs, String queryClass, int shard, String predicate, First answer, long tookUs) {
+      long nowUs, String queryClass, int shard, String predicate, First answer, long latencyUs) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     if (estimates == null) {
       return;
     }
-    estimates.onFirstAnswer(nowUs, tookUs, answer.isEmpty());
+    estimates.onFirstAnswer(nowUs, latencyUs, answer.isEmpty());
     int feature = BlockSummaries.feature(predicate);
     summaries.told(nowUs, shard, answer.version(), feature, answer.isEmpty());
   }
@@ -197,13 +197,13 @@
   }
 
   /**
-   * Handles a full answer, received {@code tookUs} after its request was sent, of a query with or
-   * without a first pass.
+   * Handles a full answer, received {@code latencyUs} after its request was sent, of a query with
+   * or without a first pass.
    */
-  public void fullCame(long nowUs, String queryClass, long tookUs) {
+  public void fullCame(long nowUs, String queryClass, long latencyUs) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     if (estimates != null) {
-      estimates.onFullAnswer(nowUs, tookUs);
+      estimates.onFullAnswer(nowUs, latencyUs);
     }
   }
 
