--- /dev/null
+++ b/src/main/java/dunlinhitch/endpoints/ClaimConflicts.java
@@ -0,0 +1,30 @@
+package dunlinhitch.endpoints;
+
+/** In what two claims on one endpoint contradict each other. */
+final class ClaimConflicts {
+  private ClaimConflicts() {}
+
+  /** The most severe contradiction of the two, or null where they agree. */
+  static StatusReason between(Endpoint one, Endpoint other) {
+    if (one.cell() != other.cell()) {
+      return StatusReason.CELL_CONFLICT;
+    }
+    if (!one.sameAddress(other) || one.zone() != other.zone()) {
+      return StatusReason.ADDRESS_CONFLICT;
+    }
+    boolean bothStartsKnown = one.startedUs() != 0 && other.startedUs() != 0;
+    if (bothStartsKnown && one.startedUs() != other.startedUs()) {
+      return StatusReason.START_TIME_CONFLICT;
+    }
+    return null;
+  }
+
+  /** The more severe of two conflicts, either of which may be null: none. */
+  static StatusReason moreSevere(StatusReason one, StatusReason other) {
+    if (one == null) {
+      return other;
+    }
+    // the constants of conflicts are declared from the most severe on
+    return other != null && other.compareTo(one) < 0 ? other : one;
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/endpoints/ClaimEvaluator.java
@@ -0,0 +1,85 @@
+package dunlinhitch.endpoints;
+
+import dunlinhitch.balancer.ServerState;
+import java.util.List;
+
+/**
+ * Weighs the claims on one endpoint against each other.
+ *
+ * <p>Not thread-safe; the registry owns it.
+ */
+final class ClaimEvaluator {
+  private final AddressIndex addresses;
+
+  ClaimEvaluator(AddressIndex addresses) {
+    this.addresses = addresses;
+  }
+
+  /**
+   * The result of the claims that count, or null where none does. Enters the endpoint's address
+   * into the index where its claims agree and are not of a trusted source.
+   */
+  Evaluation evaluate(EndpointRecord endpoint) {
+    List<ActiveClaim> claims =
+        endpoint.claims.stream()
+            .filter(claim -> counts(endpoint.lastWithdrawal, claim))
+            .sorted(ActiveClaim.PRECEDENCE)
+            .toList();
+    if (claims.isEmpty()) {
+      return null;
+    }
+    ActiveClaim first = claims.get(0);
+    Endpoint merged = first.endpoint;
+    StatusReason conflict = null;
+    for (ActiveClaim claim : claims) {
+      if (claim.stale != first.stale || claim.source.rank != first.source.rank) {
+        break;
+      }
+      conflict =
+          ClaimConflicts.moreSevere(conflict, ClaimConflicts.between(merged, claim.endpoint));
+      merged = merge(merged, claim.endpoint);
+    }
+    if (conflict == null && !first.source.trusted) {
+      addresses.put(endpoint, merged.host() + ":" + merged.port());
+      conflict = addresses.isShared(endpoint) ? StatusReason.SHARED_ADDRESS : null;
+    }
+    if (conflict != null) {
+      return new Evaluation(first, merged, EndpointStatus.DISPUTED, conflict);
+    }
+    return withoutConflict(first, merged);
+  }
+
+  private static Endpoint merge(Endpoint merged, Endpoint other) {
+    Endpoint result =
+        other.state() == ServerState.DRAINING ? merged.in(ServerState.DRAINING) : merged;
+    return result.startedUs() == 0 ? result.startedAt(other.startedUs()) : result;
+  }
+
+  private static Evaluation withoutConflict(ActiveClaim claim, Endpoint endpoint) {
+    if (endpoint.state() == ServerState.DRAINING) {
+      return new Evaluation(claim, endpoint, EndpointStatus.DRAINING, StatusReason.DRAINING);
+    }
+    if (claim.stale) {
+      return new Evaluation(claim, endpoint, EndpointStatus.STALE, StatusReason.STALE_CLAIM);
+    }
+    return new Evaluation(claim, endpoint, EndpointStatus.LIVE, StatusReason.CLAIMED);
+  }
+
+  /**
+   * A claim counts unless another source withdrew the endpoint after the claim was made: one of
+   * higher precedence, or one of the same that had claimed the same. Where two of the same
+   * precedence contradicted each other, the withdrawal by one settles the conflict and leaves the
+   * claim of the other.
+   */
+  private static boolean counts(Withdrawal withdrawal, ActiveClaim claim) {
+    if (withdrawal == null
+        || claim.source == withdrawal.source()
+        || claim.source.rank < withdrawal.source().rank
+        || claim.sinceUs >= withdrawal.atUs()
+        || withdrawal.reason() != StatusReason.WITHDRAWN_BY_SOURCE) {
+      return true;
+    }
+    return claim.source.rank == withdrawal.source().rank
+        && ClaimConflicts.between(claim.endpoint, withdrawal.endpoint()) != null;
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/endpoints/ClaimTable.java
@@ -0,0 +1,140 @@
+package dunlinhitch.endpoints;
+
+import dunlinhitch.balancer.ServerState;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The claims in force and the endpoints that they name. Every change marks its endpoint for another
+ * evaluation.
+ *
+ * <p>Not thread-safe; the registry owns it.
+ */
+final class ClaimTable {
+  private final EndpointRegistrySettings settings;
+  private final RegistryTimers timers;
+  private final ClaimExpiry expiry;
+  private final Map<String, EndpointRecord> endpoints = new LinkedHashMap<>();
+
+  /** Endpoints to evaluate again; the registry's own set. */
+  private final Set<EndpointRecord> pending;
+
+  private long rejected;
+
+  ClaimTable(
+      EndpointRegistrySettings settings, RegistryTimers timers, Set<EndpointRecord> pending) {
+    this.settings = settings;
+    this.timers = timers;
+    this.pending = pending;
+    expiry =
+        new ClaimExpiry(
+            timers,
+            settings.staleForUs(),
+            pending,
+            claim -> withdraw(claim, StatusReason.CLAIM_EXPIRED));
+  }
+
+  /** Endpoints with claims or with history, in the order of their first claims. */
+  Collection<EndpointRecord> endpoints() {
+    return Collections.unmodifiableCollection(endpoints.values());
+  }
+
+  /** Claims that were rejected since the start. */
+  long rejected() {
+    return rejected;
+  }
+
+  /** Takes in a claim or its withdrawal; one that is older than what is in force is ignored. */
+  void apply(ClaimSource source, EndpointClaim update) {
+    ActiveClaim current = source.claims.get(update.key());
+    if (current != null && update.heardUs() < current.reportedUs) {
+      return;
+    }
+    Endpoint endpoint = update.entry();
+    boolean ended = endpoint == null || endpoint.state() == ServerState.GONE;
+    boolean rejects = !ended && isRejected(source, endpoint);
+    if (rejects) {
+      rejected++;
+    }
+    if (ended || rejects) { // a rejected claim replaces the one before it all the same
+      withdrawIfPresent(current);
+      return;
+    }
+    if (current != null && !current.owner.name.equals(endpoint.name())) {
+      withdraw(current, StatusReason.WITHDRAWN_BY_SOURCE);
+      current = null;
+    }
+    setContent(current == null ? add(source, update) : current, update);
+  }
+
+  /** Ends a claim. */
+  void withdraw(ActiveClaim claim, StatusReason reason) {
+    expiry.cancel(claim);
+    claim.source.claims.remove(claim.key, claim);
+    EndpointRecord endpoint = claim.owner;
+    endpoint.claims.remove(claim);
+    pending.add(endpoint);
+    if (!endpoint.isClaimedBy(claim.source)) {
+      endpoint.lastWithdrawal =
+          new Withdrawal(timers.nowUs(), claim.source, reason, claim.endpoint);
+    }
+  }
+
+  /** After a source was removed: claims of others that its withdrawals overruled count again. */
+  void onSourceRemoved(ClaimSource source) {
+    for (EndpointRecord endpoint : endpoints.values()) {
+      Withdrawal withdrawal = endpoint.lastWithdrawal;
+      if (withdrawal != null
+          && withdrawal.source() == source
+          && withdrawal.reason() == StatusReason.WITHDRAWN_BY_SOURCE) {
+        endpoint.lastWithdrawal = withdrawal.withSourceRemoved();
+        pending.add(endpoint);
+      }
+    }
+  }
+
+  /** Forgets an endpoint, unless it is claimed again. */
+  void forgetUnclaimed(EndpointRecord endpoint) {
+    if (endpoint.claims.isEmpty()) {
+      endpoints.remove(endpoint.name, endpoint);
+    }
+  }
+
+  private boolean isRejected(ClaimSource source, Endpoint endpoint) {
+    if (endpoint.state() == ServerState.WITHDRAWN) {
+      return true;
+    }
+    if (!source.trusted && endpoint.cell() >= settings.cells()) {
+      return true;
+    }
+    return !endpoints.containsKey(endpoint.name()) && endpoints.size() >= settings.mostStores();
+  }
+
+  private void withdrawIfPresent(ActiveClaim claim) {
+    if (claim != null) {
+      withdraw(claim, StatusReason.WITHDRAWN_BY_SOURCE);
+    }
+  }
+
+  private ActiveClaim add(ClaimSource source, EndpointClaim update) {
+    EndpointRecord endpoint =
+        endpoints.computeIfAbsent(update.entry().name(), EndpointRecord::new);
+    ActiveClaim claim = new ActiveClaim(source, update.key(), endpoint);
+    endpoint.claims.add(claim);
+    source.claims.put(claim.key, claim);
+    return claim;
+  }
+
+  private void setContent(ActiveClaim claim, EndpointClaim update) {
+    if (!update.entry().equals(claim.endpoint)) {
+      claim.endpoint = update.entry();
+      claim.sinceUs = update.heardUs();
+      pending.add(claim.owner);
+    }
+    claim.reportedUs = update.heardUs();
+    expiry.renew(claim, update.untilUs());
+  }
+}
--- a/src/main/java/dunlinhitch/endpoints/Endpoint.java
+++ b/src/main/java/dunlinhitch/endpoints/Endpoint.java
@@ -3,8 +3,12 @@
 import dunlinhitch.balancer.ServerState;
 
 /**
- * One calendar store as its sources have it; {@code startedUs} (Unix time in microseconds) 0: long
- * ago; {@code phases} 2: it can say cheaply whether a block has anything.
+ * One replica of a store, as its sources describe it.
+ *
+ * @param zone index of its zone in the settings
+ * @param cell the cell of shards that it has
+ * @param startedUs when its process started, Unix time in microseconds; 0: long ago or unknown
+ * @param phases 2 where it can answer cheaply whether a block has any match, else 1
  */
 public record Endpoint(
     String name,
@@ -17,13 +21,13 @@
     long startedUs,
     Protocol wire,
     int phases) {
-  /** What a store speaks. */
+  /** The protocol that an endpoint speaks. */
   public enum Protocol {
     FRAMES,
     FLIGHT
   }
 
-  /** One that knows a single phase. */
+  /** An endpoint that knows a single phase. */
   public Endpoint(
       String name,
       String host,
@@ -37,26 +41,29 @@
     this(name, host, port, zone, cell, state, weight, startedUs, wire, 1);
   }
 
-  /** True where both are reached in the same way. */
+  /** True where both are reached at the same address by the same protocol. */
   public boolean sameAddress(Endpoint other) {
     return host.equals(other.host) && port == other.port && wire == other.wire;
   }
 
-  public Endpoint in(ServerState other) {
-    return other == state
+  /** This endpoint in another state. */
+  public Endpoint in(ServerState newState) {
+    return newState == state
         ? this
-        : new Endpoint(name, host, port, zone, cell, other, weight, startedUs, wire, phases);
+        : new Endpoint(name, host, port, zone, cell, newState, weight, startedUs, wire, phases);
   }
 
-  public Endpoint phases(int known) {
-    return known == phases
+  /** This endpoint with another number of phases. */
+  public Endpoint phases(int newPhases) {
+    return newPhases == phases
         ? this
-        : new Endpoint(name, host, port, zone, cell, state, weight, startedUs, wire, known);
+        : new Endpoint(name, host, port, zone, cell, state, weight, startedUs, wire, newPhases);
   }
 
-  public Endpoint startedAt(long us) {
-    return us == startedUs
+  /** This endpoint with another start, Unix time in microseconds. */
+  public Endpoint startedAt(long newStartedUs) {
+    return newStartedUs == startedUs
         ? this
-        : new Endpoint(name, host, port, zone, cell, state, weight, us, wire, phases);
+        : new Endpoint(name, host, port, zone, cell, state, weight, newStartedUs, wire, phases);
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/EndpointChange.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointChange.java
@@ -1,14 +1,12 @@
 package dunlinhitch.endpoints;
 
 /**
- * A store is from now on something else to the broker.
+ * A change of one endpoint in the list that the registry publishes.
  *
- * @param entry what the decisions and the edges are to know; its state is one of {@code
- *     ServerState}
- * @param told true where {@code entry} differs from what it was before; else only the reason or the
- *     status does
- * @param announced false where the only source is one that is taken at its word: then nothing need
- *     be said of it
+ * @param entry the endpoint as the balancer and the transports are to use it
+ * @param told true where {@code entry} differs from the one published before; otherwise only the
+ *     status or its reason has changed
+ * @param announced false where the only source is a trusted one: such a change need not be logged
  */
 public record EndpointChange(
     Endpoint entry, EndpointStatus status, StatusReason reason, boolean told, boolean announced) {}
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
@@ -1,17 +1,19 @@
 package dunlinhitch.endpoints;
 
 /**
- * Bounds of the membership; all times are microseconds.
+ * Bounds of the endpoint registry; all times are microseconds.
  *
- * @param cells number of cells; shard s is held by the cells (s + j) mod this, j below {@code
+ * @param cells number of cells; shard s is in the cells (s + j) mod this, for j below {@code
  *     inARow}
- * @param lingerUs how long a store that was taken back is remembered as the same process
- * @param staleForUs how long a word is kept past its time
- * @param firstHoldUs how long the second return within {@code calmUs} waits; each further one twice
- *     as long
- * @param mostHoldUs the longest that a return waits
- * @param calmUs after so long without a withdrawal a store's comings and goings are forgotten
- * @param mostStores ids that are kept at the most, claims of further ones are refused
+ * @param inARow number of consecutive cells that have a shard
+ * @param lingerUs how long a withdrawn endpoint is remembered as the same process
+ * @param staleForUs how long a claim stays in force after its expiry
+ * @param firstHoldUs hold-down of the second return within {@code calmUs}; each further return is
+ *     held down twice as long
+ * @param mostHoldUs the longest hold-down of a return
+ * @param calmUs quiet period without a withdrawal, after which the flaps of an endpoint are
+ *     forgotten
+ * @param mostStores bound of the endpoint names; claims of further ones are rejected
  */
 public record EndpointRegistrySettings(
     int cells,
@@ -22,15 +24,19 @@
     long mostHoldUs,
     long calmUs,
     int mostStores) {
+  private static final long DEFAULT_LINGER_US = 10_000_000;
+  private static final long DEFAULT_STALE_FOR_US = 3_600_000_000L;
+  private static final long DEFAULT_FIRST_HOLD_US = 500_000;
+  private static final long DEFAULT_LONGEST_HOLD_US = 30_000_000;
+  private static final long DEFAULT_QUIET_PERIOD_US = 60_000_000;
+  private static final int DEFAULT_MAX_ENDPOINTS = 20_000;
+
+  /** Checks the bounds. */
   public EndpointRegistrySettings {
-    if (cells < 1
-        || inARow < 1
-        || lingerUs < 0
-        || staleForUs < 0
-        || firstHoldUs < 0
-        || mostHoldUs < firstHoldUs
-        || calmUs < 0
-        || mostStores < 1) {
+    boolean layoutInRange = cells >= 1 && inARow >= 1 && mostStores >= 1;
+    boolean holdInRange = firstHoldUs >= 0 && mostHoldUs >= firstHoldUs;
+    boolean timesInRange = lingerUs >= 0 && staleForUs >= 0 && calmUs >= 0;
+    if (!layoutInRange || !holdInRange || !timesInRange) {
       throw new IllegalArgumentException("membership settings out of range");
     }
   }
@@ -38,12 +44,27 @@
   /** The defaults for a layout. */
   public static EndpointRegistrySettings of(int cells, int inARow) {
     return new EndpointRegistrySettings(
-        cells, inARow, 10_000_000, 3_600_000_000L, 500_000, 30_000_000, 60_000_000, 20_000);
+        cells,
+        inARow,
+        DEFAULT_LINGER_US,
+        DEFAULT_STALE_FOR_US,
+        DEFAULT_FIRST_HOLD_US,
+        DEFAULT_LONGEST_HOLD_US,
+        DEFAULT_QUIET_PERIOD_US,
+        DEFAULT_MAX_ENDPOINTS);
   }
 
+  /** These settings with other times, all in microseconds. */
   public EndpointRegistrySettings withTimes(
-      long linger, long staleFor, long firstHold, long mostHold, long calm) {
+      long newLingerUs, long newStaleForUs, long newFirstHoldUs, long newMostHoldUs, long newCalmUs) {
     return new EndpointRegistrySettings(
-        cells, inARow, linger, staleFor, firstHold, mostHold, calm, mostStores);
+        cells,
+        inARow,
+        newLingerUs,
+        newStaleForUs,
+        newFirstHoldUs,
+        newMostHoldUs,
+        newCalmUs,
+        mostStores);
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/EndpointStatus.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointStatus.java
@@ -1,36 +1,32 @@
 package dunlinhitch.endpoints;
 
-/** What a store is to the broker, all that is said of it weighed. */
+/** The status of an endpoint after all claims on it are weighed. */
 public enum EndpointStatus {
-  /** It is said to be there, but gets nothing yet: it came and went too often of late. */
+  /** Claimed, but held down by flap damping: it gets no requests yet. */
   ANNOUNCED(false),
   /** It serves. */
   LIVE(true),
-  /** It serves by a word that is past its time: its source is silent. */
+  /** It serves by an expired claim, because its source is unavailable. */
   STALE(true),
-  /** Its own word, or its source's, is that it wants nothing new. */
+  /** By its own or its source's request it gets no new work. */
   DRAINING(true),
-  /** What is said of it does not fit together: it gets nothing until it does. */
+  /** Claims on it contradict each other: it gets no requests until the conflict ends. */
   DISPUTED(false),
-  /**
-   * As disputed or announced, but its blocks have no other store: the oldest word holds meanwhile.
-   */
+  /** Disputed or announced, but serving because its shards have no other endpoint. */
   STANDING_IN(true),
-  /**
-   * It was taken back: nothing new, at once; it is remembered for a while, for it may come back.
-   */
+  /** Withdrawn: no new requests from now on; remembered for a while, because it may return. */
   WITHDRAWN(false),
-  /** It is not there. */
+  /** Not part of the list. */
   GONE(false);
 
-  private final boolean told;
+  private final boolean usesClaimedState;
 
-  EndpointStatus(boolean told) {
-    this.told = told;
+  EndpointStatus(boolean usesClaimedState) {
+    this.usesClaimedState = usesClaimedState;
   }
 
-  /** True where the store's own state (ready or draining) is what the decisions are told. */
-  public boolean byItsWord() {
-    return told;
+  /** True where the published state is the claimed one (ready or draining). */
+  boolean usesClaimedState() {
+    return usesClaimedState;
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/StatusReason.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusReason.java
@@ -1,28 +1,31 @@
 package dunlinhitch.endpoints;
 
-/** Why a store has the status that it has. */
+/**
+ * Why an endpoint has its status. The constants of conflicts are declared from the most severe on;
+ * {@link ClaimConflicts#moreSevere} relies on their order.
+ */
 public enum StatusReason {
   CLAIMED("it is claimed"),
-  PAST_ITS_TIME("its records are past their time and its source is silent"),
-  WANTS_NOTHING("it drains"),
-  TAKEN_BACK("its record was withdrawn"),
-  RAN_OUT("its records ran out and its source stayed silent"),
-  SOURCE_LEFT("its source is no longer used"),
-  OTHER_CELLS("two claims name other cells"),
-  OTHER_ADDRESSES("two claims name other addresses"),
-  OTHER_STARTS("two claims name other starts"),
+  STALE_CLAIM("its records are past their time and its source is silent"),
+  DRAINING("it drains"),
+  WITHDRAWN_BY_SOURCE("its record was withdrawn"),
+  CLAIM_EXPIRED("its records ran out and its source stayed silent"),
+  SOURCE_REMOVED("its source is no longer used"),
+  CELL_CONFLICT("two claims name other cells"),
+  ADDRESS_CONFLICT("two claims name other addresses"),
+  START_TIME_CONFLICT("two claims name other starts"),
   SHARED_ADDRESS("another id is at the same address"),
-  CAME_AND_WENT("it came and went too often"),
+  FLAPPING("it came and went too often"),
   NOT_CLAIMED("nobody claims it");
 
-  private final String words;
+  private final String message;
 
-  StatusReason(String words) {
-    this.words = words;
+  StatusReason(String message) {
+    this.message = message;
   }
 
-  /** For the operators. */
+  /** The text for operators. */
   public String words() {
-    return words;
+    return message;
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
@@ -0,0 +1,131 @@
+package dunlinhitch.endpoints;
+
+import dunlinhitch.balancer.ServerState;
+import java.util.Set;
+
+/**
+ * Moves endpoints from one status to the next by the result of their claims, flap damping and time.
+ *
+ * <p>Not thread-safe; the registry owns it.
+ */
+final class StatusUpdater {
+  private final EndpointRegistrySettings settings;
+  private final RegistryTimers timers;
+  private final ClaimTable claims;
+  private final AddressIndex addresses;
+  private final ShardCoverage coverage;
+  private final FlapDamping damping;
+
+  /** Endpoints to evaluate again; the registry's own set. */
+  private final Set<EndpointRecord> pending;
+
+  StatusUpdater(
+      EndpointRegistrySettings settings,
+      RegistryTimers timers,
+      ClaimTable claims,
+      AddressIndex addresses,
+      ShardCoverage coverage,
+      Set<EndpointRecord> pending) {
+    this.settings = settings;
+    this.timers = timers;
+    this.claims = claims;
+    this.addresses = addresses;
+    this.coverage = coverage;
+    this.pending = pending;
+    damping = new FlapDamping(settings);
+  }
+
+  /** Sets the status of an endpoint that has claims which count. */
+  void onClaimed(EndpointRecord endpoint, Evaluation evaluation) {
+    long nowUs = timers.nowUs();
+    timers.cancel(endpoint.timer);
+    if (endpoint.status == EndpointStatus.WITHDRAWN) {
+      damping.onReturn(endpoint.flaps, nowUs);
+    }
+    EndpointStatus status = evaluation.status();
+    StatusReason reason = evaluation.reason();
+    if (status != EndpointStatus.DISPUTED && damping.isHeldDown(endpoint.flaps, nowUs)) {
+      endpoint.timer =
+          timers.schedule(endpoint.flaps.holdUntilUs, () -> pending.add(endpoint));
+      status = EndpointStatus.ANNOUNCED;
+      reason = StatusReason.FLAPPING;
+    }
+    boolean disagreeing =
+        status == EndpointStatus.DISPUTED && reason != StatusReason.SHARED_ADDRESS;
+    if (disagreeing || evaluation.claim().source.trusted) {
+      addresses.remove(endpoint);
+    }
+    endpoint.status = status;
+    endpoint.reason = reason;
+    updateCoverage(endpoint, evaluation);
+  }
+
+  private void updateCoverage(EndpointRecord endpoint, Evaluation evaluation) {
+    int cell = Math.floorMod(evaluation.endpoint().cell(), settings.cells());
+    boolean serving =
+        endpoint.status == EndpointStatus.LIVE || endpoint.status == EndpointStatus.STALE;
+    coverage.setServing(endpoint, serving ? cell : EndpointRecord.NO_CELL);
+    if (mayStandIn(endpoint) && evaluation.endpoint().state() == ServerState.READY) {
+      coverage.setStandby(endpoint, cell, evaluation.claim().sinceUs);
+    } else {
+      coverage.clearStandby(endpoint);
+    }
+  }
+
+  private static boolean mayStandIn(EndpointRecord endpoint) {
+    return switch (endpoint.status) {
+      case ANNOUNCED -> true;
+      case DISPUTED -> endpoint.reason != StatusReason.CELL_CONFLICT;
+      default -> false;
+    };
+  }
+
+  /** Sets the status of an endpoint without any claim that counts. */
+  void onUnclaimed(EndpointRecord endpoint) {
+    addresses.remove(endpoint);
+    coverage.setServing(endpoint, EndpointRecord.NO_CELL);
+    coverage.clearStandby(endpoint);
+    if (endpoint.status == EndpointStatus.WITHDRAWN) {
+      return; // the linger timer is pending
+    }
+    timers.cancel(endpoint.timer);
+    if (endpoint.status == EndpointStatus.GONE) {
+      rememberFlaps(endpoint);
+    } else {
+      endpoint.reason = endpoint.lastWithdrawal.reason();
+      withdraw(endpoint);
+    }
+  }
+
+  private void withdraw(EndpointRecord endpoint) {
+    if (endpoint.lastWithdrawal.source().trusted) {
+      endpoint.status = EndpointStatus.GONE;
+      endpoint.lastServing = null;
+      claims.forgetUnclaimed(endpoint);
+      return;
+    }
+    long nowUs = timers.nowUs();
+    endpoint.status = EndpointStatus.WITHDRAWN;
+    damping.onWithdrawal(endpoint.flaps, nowUs);
+    endpoint.timer =
+        timers.schedule(nowUs + settings.lingerUs(), () -> onLingerEnded(endpoint));
+  }
+
+  private void onLingerEnded(EndpointRecord endpoint) {
+    endpoint.status = EndpointStatus.GONE;
+    endpoint.lastServing = null;
+    pending.add(endpoint);
+  }
+
+  /** Keeps the flap history of an endpoint that is gone for one quiet period. */
+  private void rememberFlaps(EndpointRecord endpoint) {
+    if (endpoint.lastWithdrawal.source().trusted) {
+      endpoint.lastServing = null;
+      claims.forgetUnclaimed(endpoint);
+      return;
+    }
+    endpoint.timer =
+        timers.schedule(
+            timers.nowUs() + settings.calmUs(), () -> claims.forgetUnclaimed(endpoint));
+  }
+}
--- a/src/main/java/dunlinhitch/endpoints/TimingWheel.java
+++ b/src/main/java/dunlinhitch/endpoints/TimingWheel.java
@@ -2,69 +2,89 @@
 
 import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.Comparator;
 import java.util.List;
 import java.util.function.Consumer;
 
 /**
- * A hierarchical timing wheel (Varghese and Lauck, SOSP 1987, scheme 6.2): setting, moving and
- * dropping a moment cost the same however many are set. Four wheels of 64 slots; the finest slot is
- * {@link #TICK_US} wide, so that what is set rings up to one tick late, never early. A moment
- * further off than the wheels reach is put into the furthest slot and set again from there.
+ * A hierarchical timing wheel (Varghese and Lauck, SOSP 1987, scheme 6.2): scheduling and
+ * cancelling a timer take constant time however many are pending. Four wheels of 64 slots; the
+ * finest slot is {@link #TICK_US} wide, so that a timer fires up to one tick late, never early. A
+ * timer beyond the reach of the wheels waits in the furthest slot and is scheduled again from
+ * there.
  *
- * <p>Times are microseconds on one clock that never runs back. Items that fall due together ring in
- * the order of their ticks and, within one, of their setting, so that the same calls give the same
- * order. One thread at a time.
+ * <p>Times are microseconds on one clock that never runs back. Timers that are due together fire in
+ * the order of their ticks and, within one tick, in the order in which they were scheduled, so that
+ * the same calls give the same order. Not thread-safe.
+ *
+ * @param <T> what a timer hands to its consumer when it fires
  */
 public final class TimingWheel<T> {
+  private static final int TICK_BITS = 13;
+
   /** Width of the finest slot. */
-  public static final long TICK_US = 1 << 13;
+  public static final long TICK_US = 1 << TICK_BITS;
 
-  /** No moment is set. */
+  /** The time of a timer that is not scheduled. */
   public static final long NEVER = Long.MAX_VALUE;
 
-  private static final int TICK_BITS = 13;
   private static final int SLOT_BITS = 6;
   private static final int SLOTS = 1 << SLOT_BITS;
   private static final int WHEELS = 4;
-  private static final int DUE = -2;
+
+  /** Ticks that the wheels reach ahead. */
   private static final long REACH = 1L << (SLOT_BITS * WHEELS);
 
-  /** One moment that is set. Its links are the wheel's own. */
+  /** Slot of a timer that is due and has not fired yet. */
+  private static final int DUE = -2;
+
+  /** Slot of a timer that has fired or was cancelled. */
+  private static final int UNSCHEDULED = -1;
+
+  /** Orders timers by when they were scheduled. */
+  private static final Comparator<Handle<?>> BY_SEQUENCE =
+      (one, other) -> Long.compare(one.sequence, other.sequence);
+
+  /**
+   * One scheduled timer. Its links belong to the wheel.
+   *
+   * @param <T> what the timer hands to its consumer when it fires
+   */
   public static final class Handle<T> {
     private final T item;
-    private final long order;
+
+    /** Position in the order of scheduling. */
+    private final long sequence;
+
     private long dueTick;
-    private Handle<T> before;
-    private Handle<T> after;
+    private Handle<T> previous;
+    private Handle<T> next;
 
-    /**
-     * Wheel and slot where it hangs, {@link #DUE} until it rings, or -1 once it rang or was
-     * dropped.
-     */
-    private int slot = -1;
+    /** Its wheel and slot, {@link #DUE} or {@link #UNSCHEDULED}. */
+    private int slot = UNSCHEDULED;
 
-    private Handle(T item, long order) {
+    private Handle(T item, long sequence) {
       this.item = item;
-      this.order = order;
+      this.sequence = sequence;
     }
 
-    /** True until it rang or was dropped. */
+    /** True until the timer has fired or was cancelled. */
     public boolean isSet() {
-      return slot != -1;
+      return slot != UNSCHEDULED;
     }
   }
 
-  /** Rings of handles, one for each slot of each wheel; null: empty. */
+  /** Circular lists of timers, one for each slot of each wheel; null: empty. */
   private final List<Handle<T>> heads = new ArrayList<>();
 
-  /** For each wheel a bit for each slot that holds something. */
-  private final long[] filled = new long[WHEELS];
+  /** For each wheel one bit for each slot that is not empty. */
+  private final long[] occupied = new long[WHEELS];
 
   private long tick;
-  private long order;
+  private long lastSequence;
   private int size;
 
-  /** Begins at that time. */
+  /** Creates an empty wheel whose time begins at {@code nowUs}. */
   public TimingWheel(long nowUs) {
     tick = nowUs >> TICK_BITS;
     for (int i = 0; i < WHEELS * SLOTS; i++) {
@@ -72,149 +92,160 @@
     }
   }
 
+  /** Number of pending timers. */
   public int size() {
     return size;
   }
 
-  /** Sets a moment; one that is past rings with the next {@link #advance}. */
+  /** Schedules a timer; one whose time is past fires with the next {@link #advance}. */
   public Handle<T> set(long dueUs, T item) {
-    Handle<T> handle = new Handle<>(item, ++order);
-    handle.dueTick =
-        Math.max(tick + 1, (Math.min(dueUs, NEVER - TICK_US) + TICK_US - 1) >> TICK_BITS);
-    hang(handle);
+    Handle<T> handle = new Handle<>(item, ++lastSequence);
+    long boundedDueUs = Math.min(dueUs, NEVER - TICK_US);
+    handle.dueTick = Math.max(tick + 1, (boundedDueUs + TICK_US - 1) >> TICK_BITS);
+    link(handle);
     size++;
     return handle;
   }
 
-  /** Drops it; one that rang or is null is passed over. */
+  /** Cancels a timer; null and a timer that has fired are ignored. */
   public void drop(Handle<T> handle) {
-    if (handle != null && handle.slot >= 0) {
-      unhang(handle);
+    if (handle == null) {
+      return;
+    }
+    if (handle.slot >= 0) {
+      unlink(handle);
       size--;
-    } else if (handle != null) {
-      handle.slot = -1; // due, and dropped by one that rang before it
+    } else { // where it is due: cancelled by a timer that fired before it
+      handle.slot = UNSCHEDULED;
     }
   }
 
   /**
-   * Rings all that is due by then. What is set from within rings with the next call at the
-   * earliest.
+   * Fires all timers that are due by {@code nowUs}. A timer scheduled by {@code onDue} fires with
+   * the next call at the earliest.
    */
-  public void advance(long nowUs, Consumer<T> ring) {
-    long until = nowUs >> TICK_BITS;
+  public void advance(long nowUs, Consumer<T> onDue) {
+    long untilTick = nowUs >> TICK_BITS;
     List<Handle<T>> due = new ArrayList<>();
-    while (tick < until && size > 0) {
-      long next = nextEventTick();
-      if (next > until) {
+    while (tick < untilTick && size > 0) {
+      long nextTick = nextEventTick();
+      if (nextTick > untilTick) {
         break;
       }
-      tick = next;
-      for (int wheel = WHEELS - 1;
-          wheel > 0;
-          wheel--) { // coarse slots that begin now fall into finer ones
-        if ((tick & (1L << (SLOT_BITS * wheel)) - 1) == 0) {
-          empty(wheel, due);
-        }
-      }
-      empty(0, due);
+      tick = nextTick;
+      cascade(due);
+      drainSlot(0, due);
     }
-    tick = Math.max(tick, until);
+    tick = Math.max(tick, untilTick);
     for (Handle<T> handle : due) {
       if (handle.slot == DUE) {
-        handle.slot = -1;
-        ring.accept(handle.item);
+        handle.slot = UNSCHEDULED;
+        onDue.accept(handle.item);
       }
     }
   }
 
   /**
-   * When the next call of {@link #advance} may have something to ring (it may be that it only turns
-   * a coarser wheel), or {@link #NEVER}.
+   * When the next call of {@link #advance} may have a timer to fire (or only a coarser wheel to
+   * turn), or {@link #NEVER}.
    */
   public long nextUs() {
     return size == 0 ? NEVER : nextEventTick() << TICK_BITS;
   }
 
-  private void empty(int wheel, List<Handle<T>> due) {
-    int slot = wheel * SLOTS + (int) (tick >> (SLOT_BITS * wheel) & SLOTS - 1);
-    List<Handle<T>> fallen = new ArrayList<>();
+  /** Distributes the coarse slots that begin at this tick over finer ones. */
+  private void cascade(List<Handle<T>> due) {
+    for (int wheel = WHEELS - 1; wheel > 0; wheel--) {
+      long ticksPerSlot = 1L << (SLOT_BITS * wheel);
+      if ((tick & (ticksPerSlot - 1)) == 0) {
+        drainSlot(wheel, due);
+      }
+    }
+  }
+
+  /** Empties the present slot of a wheel: what is due goes to {@code due}, the rest to others. */
+  private void drainSlot(int wheel, List<Handle<T>> due) {
+    int slot = wheel * SLOTS + slotWithin(wheel, tick);
+    List<Handle<T>> drained = new ArrayList<>();
     while (heads.get(slot) != null) {
       Handle<T> handle = heads.get(slot);
-      unhang(handle);
-      fallen.add(handle);
+      unlink(handle);
+      drained.add(handle);
     }
-    fallen.sort((a, b) -> Long.compare(a.order, b.order));
-    for (Handle<T> handle : fallen) {
+    drained.sort(BY_SEQUENCE);
+    for (Handle<T> handle : drained) {
       if (handle.dueTick <= tick) {
         handle.slot = DUE;
         due.add(handle);
         size--;
       } else {
-        hang(handle);
+        link(handle);
       }
     }
   }
 
-  /** The next tick at which any slot begins that holds something. */
+  /** The next tick at which a slot begins that is not empty. */
   private long nextEventTick() {
-    long next = Long.MAX_VALUE;
+    long nextTick = Long.MAX_VALUE;
     for (int wheel = 0; wheel < WHEELS; wheel++) {
-      if (filled[wheel] != 0) {
-        long turn = tick >> (SLOT_BITS * wheel);
-        // bits from the slot behind the present one on, all round; the present one itself comes
-        // last
-        int ahead =
-            Long.numberOfTrailingZeros(
-                Long.rotateRight(filled[wheel], (int) (turn + 1 & SLOTS - 1)));
-        next = Math.min(next, (turn + 1 + ahead) << (SLOT_BITS * wheel));
+      if (occupied[wheel] == 0) {
+        continue;
       }
+      long nextSlot = (tick >> (SLOT_BITS * wheel)) + 1;
+      // rotated so that the slot after the present one is bit 0 and the present one comes last
+      long rotated = Long.rotateRight(occupied[wheel], (int) (nextSlot & (SLOTS - 1)));
+      int slotsAhead = Long.numberOfTrailingZeros(rotated);
+      nextTick = Math.min(nextTick, (nextSlot + slotsAhead) << (SLOT_BITS * wheel));
     }
-    return next;
+    return nextTick;
+  }
+
+  private static int slotWithin(int wheel, long atTick) {
+    return (int) ((atTick >> (SLOT_BITS * wheel)) & (SLOTS - 1));
   }
 
-  private void hang(Handle<T> handle) {
-    long ahead = Math.min(handle.dueTick - tick, REACH - 1);
-    long at = tick + ahead;
+  private void link(Handle<T> handle) {
+    long ticksAhead = Math.min(handle.dueTick - tick, REACH - 1);
     int wheel = 0;
-    while (wheel < WHEELS - 1 && ahead >= 1L << (SLOT_BITS * (wheel + 1))) {
+    while (wheel < WHEELS - 1 && ticksAhead >= 1L << (SLOT_BITS * (wheel + 1))) {
       wheel++;
     }
-    int within = (int) (at >> (SLOT_BITS * wheel) & SLOTS - 1);
+    int within = slotWithin(wheel, tick + ticksAhead);
     int slot = wheel * SLOTS + within;
     Handle<T> head = heads.get(slot);
     if (head == null) {
-      handle.before = handle;
-      handle.after = handle;
+      handle.previous = handle;
+      handle.next = handle;
       heads.set(slot, handle);
-      filled[wheel] |= 1L << within;
+      occupied[wheel] |= 1L << within;
     } else {
-      handle.before = head.before;
-      handle.after = head;
-      head.before.after = handle;
-      head.before = handle;
+      handle.previous = head.previous;
+      handle.next = head;
+      head.previous.next = handle;
+      head.previous = handle;
     }
     handle.slot = slot;
   }
 
-  private void unhang(Handle<T> handle) {
+  private void unlink(Handle<T> handle) {
     int slot = handle.slot;
-    if (handle.after == handle) {
+    if (handle.next == handle) {
       heads.set(slot, null);
-      filled[slot / SLOTS] &= ~(1L << slot % SLOTS);
+      occupied[slot / SLOTS] &= ~(1L << (slot % SLOTS));
     } else {
-      handle.before.after = handle.after;
-      handle.after.before = handle.before;
+      handle.previous.next = handle.next;
+      handle.next.previous = handle.previous;
       if (heads.get(slot) == handle) {
-        heads.set(slot, handle.after);
+        heads.set(slot, handle.next);
       }
     }
-    handle.before = null;
-    handle.after = null;
-    handle.slot = -1;
+    handle.previous = null;
+    handle.next = null;
+    handle.slot = UNSCHEDULED;
   }
 
   @Override
   public String toString() {
-    return size + " set, from tick " + tick + ", slots " + Arrays.toString(filled);
+    return size + " set, from tick " + tick + ", slots " + Arrays.toString(occupied);
   }
 }
--- a/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
@@ -139,7 +139,7 @@
     says("a", S, claim(at("s", 1, 0, 0), S));
     says("b", 2 * S, claim(at("s", 1, 1, 0), 2 * S));
     assertEquals(ServerState.WITHDRAWN, state("s"));
-    assertEquals(StatusReason.OTHER_CELLS, seen.get(seen.size() - 1).reason());
+    assertEquals(StatusReason.CELL_CONFLICT, seen.get(seen.size() - 1).reason());
   }
 
   @Test
@@ -206,7 +206,7 @@
     assertEquals(ServerState.READY, state("s"));
     take(membership.passed(25 * S + S / 10));
     assertEquals(ServerState.WITHDRAWN, state("s"));
-    assertEquals(StatusReason.RAN_OUT, seen.get(seen.size() - 1).reason());
+    assertEquals(StatusReason.CLAIM_EXPIRED, seen.get(seen.size() - 1).reason());
   }
 
   @Test
