--- a/src/main/java/dunlinhitch/discovery/Backoff.java
+++ b/src/main/java/dunlinhitch/discovery/Backoff.java
@@ -3,39 +3,46 @@
 import java.util.SplittableRandom;
 
 /**
- * Growing pauses between one try and the next, each drawn anew. Guards against brokers in step: all
- * lose discovery in one moment, and with equal pauses all would ask again in one moment, each time.
+ * Exponential backoff with jitter between one attempt and the next. The jitter keeps brokers that
+ * lost discovery at the same moment from returning at the same moment.
+ *
+ * <p>Pure and deterministic by its seed. Not thread-safe; its watch session owns it.
  */
 final class Backoff {
-  /** A pause is at least this share of what it may be. */
-  private static final double LEAST = 0.5;
+  /** A delay is at least this share of its bound. */
+  private static final double MIN_SHARE = 0.5;
 
   private final SplittableRandom random;
 
-  /** What the next may be if that is more than a first one; 0: it is a first one. */
-  private long pauseUs;
+  /** Bound of the next delay where it is above the initial one; 0 after a reset. */
+  private long nextBoundUs;
 
-  /** The longest that a first pause may be, and that any may be. */
-  record Bounds(long firstUs, long longestUs) {}
+  /**
+   * Bounds of the delays, in microseconds.
+   *
+   * @param initialUs the longest that the first delay may be
+   * @param maximumUs the longest that any delay may be
+   */
+  record Bounds(long initialUs, long maximumUs) {}
 
   Backoff(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  /** The next, within what holds now. */
-  long nextUs(Bounds bounds) {
-    long mostUs = Math.min(bounds.longestUs(), Math.max(pauseUs, bounds.firstUs()));
-    pauseUs = 2 * mostUs;
-    return drawn(mostUs);
+  /** The next delay in microseconds, within the bounds that apply now. */
+  long nextDelayUs(Bounds bounds) {
+    long boundUs = Math.min(bounds.maximumUs(), Math.max(nextBoundUs, bounds.initialUs()));
+    nextBoundUs = 2 * boundUs;
+    return jitteredUs(boundUs);
   }
 
-  /** A span of its own that is that long at most. */
-  long drawn(long us) {
-    return (long) (us * (LEAST + (1 - LEAST) * random.nextDouble()));
+  /** A random delay of at most {@code boundUs}, which leaves the backoff as it is. */
+  long jitteredUs(long boundUs) {
+    return (long) (boundUs * (MIN_SHARE + (1 - MIN_SHARE) * random.nextDouble()));
   }
 
-  /** It was heard: the next pause is a first one. */
-  void heard() {
-    pauseUs = 0;
+  /** Starts again from the initial delay, after a success. */
+  void reset() {
+    nextBoundUs = 0;
   }
 }
--- a/src/main/java/dunlinhitch/discovery/DiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoverySource.java
@@ -1,17 +1,26 @@
 package dunlinhitch.discovery;
 
-/** Where the list of stores comes from. */
+/**
+ * A source of endpoint lists. Its updates arrive as events.
+ *
+ * <p>All methods are called on the event loop of the source's owner and do not block.
+ */
 public interface DiscoverySource {
+  /** Starts to follow the source. */
   void start();
 
-  /** Discovery is at that address; what is held stands until something is heard from there. */
+  /**
+   * Discovery is at that address from now on; the last list stays in force until the new address
+   * has sent one.
+   */
   void follow(String host, int port);
 
+  /** Stops for good and closes all connections. */
   void stop();
 
-  /** Asks again now. */
+  /** Polls again at once. */
   void resync();
 
-  /** True once the source itself has been heard since the start. */
+  /** True once the source itself has answered since the start. */
   boolean answered();
 }
--- a/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
@@ -7,6 +7,7 @@
 import dunlinhitch.core.Counter;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Vertx;
 import io.vertx.core.http.HttpClientAgent;
 import io.vertx.core.http.HttpClientConnection;
@@ -23,30 +24,43 @@
 import java.util.function.Supplier;
 
 /**
- * Follows discovery. While it is lost or silent the last list stands; the watch is opened again and
- * says which list it had, so that what was missed comes first. Where discovery moves, the old
- * address is heard until the new one has spoken. When that is to be is the {@link
- * WatchStateMachine}'s; this reads and writes.
+ * Follows the discovery service over HTTP. While it is unavailable the last list stays in force;
+ * the watch is opened again from the generation that is known, so that missed changes come first.
+ * Where discovery moves, the old address is read until the new one has sent a list. {@link
+ * WatchStateMachine} decides when to do what; this class does the I/O.
+ *
+ * <p>Confined to the event loop on which it was created.
  */
 public final class DiscoveryWatch implements DiscoverySource {
-  private static final int MOST_BYTES = 4 << 20;
-  private static final int CONNECT_MS = 1000;
-  private static final String LIST = "/registry/instances";
+  private static final int MAX_LIST_BYTES = 4 << 20;
+  private static final int CONNECT_TIMEOUT_MS = 1000;
+  private static final int STATUS_OK = 200;
+  private static final String LIST_URI = "/registry/instances";
+  private static final long NO_TIMER = -1;
+
   private final Vertx vertx;
   private final HttpClientAgent client;
   private final EndpointListReader reader;
   private final Consumer<Event> events;
   private final LongSupplier clock;
-  private final WatchStateMachine plan;
+  private final WatchStateMachine stateMachine;
 
-  /** Calls that are out, by their numbers. */
-  private final Map<Long, Call> calls = new HashMap<>();
+  /** Requests in flight, by their numbers. */
+  private final Map<Long, ListRequest> requests = new HashMap<>();
 
-  private long timer = -1;
-  private long timerUs = WatchStateMachine.NEVER;
+  private long timerId = NO_TIMER;
+  private long timerDueUs = WatchStateMachine.NEVER;
   private boolean answered;
 
-  /** {@code settings}: as they are now, for a new configuration may bring others. */
+  /**
+   * Creates a watch that follows no address yet.
+   *
+   * @param settings the settings in force; a new configuration may bring others
+   * @param seed of the jitter
+   * @param knownGeneration generation of the list that is known at the start
+   * @param events gets the lists and the failures, on the event loop
+   * @param clock microseconds
+   */
   public DiscoveryWatch(
       Vertx vertx,
       Supplier<Settings> settings,
@@ -59,10 +73,11 @@
     this.reader = reader;
     this.events = events;
     this.clock = clock;
-    plan = new WatchStateMachine(() -> WatchTimings.of(settings.get()), knownGeneration, seed);
+    stateMachine =
+        new WatchStateMachine(() -> WatchTimings.of(settings.get()), knownGeneration, seed);
     client =
         vertx.createHttpClient(
-            new HttpClientOptions().setConnectTimeout(CONNECT_MS).setKeepAlive(false));
+            new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS).setKeepAlive(false));
   }
 
   @Override
@@ -72,170 +87,190 @@
 
   @Override
   public void start() {
-    // begins with the address that it is told to follow
+    // begins with the first address to follow
   }
 
   @Override
   public void follow(String host, int port) {
-    carryOut(plan.follow(clock.getAsLong(), host, port));
+    perform(stateMachine.follow(clock.getAsLong(), host, port));
   }
 
   @Override
   public void stop() {
-    carryOut(plan.stop());
+    perform(stateMachine.stop());
   }
 
-  /** Asks again from the list that is held; the watch that was open ends. */
+  /** Polls again from the known generation; an open watch ends. */
   @Override
   public void resync() {
-    carryOut(plan.resync(clock.getAsLong()));
+    perform(stateMachine.resync(clock.getAsLong()));
   }
 
-  private void carryOut(List<WatchStateMachine.Step> steps) {
-    for (WatchStateMachine.Step step : steps) {
-      if (step instanceof WatchStateMachine.Step.Ask ask) {
-        Call call = new Call(ask);
-        calls.put(ask.call(), call);
-        call.open();
-      } else if (step instanceof WatchStateMachine.Step.Drop drop) {
-        calls.remove(drop.call()).close();
-      } else if (step instanceof WatchStateMachine.Step.Lost) {
-        events.accept(new Event.ConditionCounted(Counter.ROSTER_LOST));
-      } else if (step instanceof WatchStateMachine.Step.Silent silent) {
-        events.accept(new Event.DiscoveryUnavailable(silent.sinceUs()));
-      } else if (step instanceof WatchStateMachine.Step.Heard) {
-        events.accept(new Event.DiscoveryRecovered());
-      }
+  private void perform(List<WatchAction> actions) {
+    for (WatchAction action : actions) {
+      perform(action);
+    }
+    rescheduleTimer();
+  }
+
+  private void perform(WatchAction action) {
+    if (action instanceof WatchAction.OpenRequest open) {
+      ListRequest request = new ListRequest(open);
+      requests.put(open.requestId(), request);
+      request.open();
+    } else if (action instanceof WatchAction.CloseRequest close) {
+      requests.remove(close.requestId()).close();
+    } else if (action instanceof WatchAction.CountFailure) {
+      events.accept(new Event.ConditionCounted(Counter.ROSTER_LOST));
+    } else if (action instanceof WatchAction.ReportUnavailable report) {
+      events.accept(new Event.DiscoveryUnavailable(report.sinceUs()));
+    } else if (action instanceof WatchAction.ReportRecovered) {
+      events.accept(new Event.DiscoveryRecovered());
     }
-    long next = plan.nextUs();
-    if (next != timerUs) {
-      vertx.cancelTimer(timer);
-      timerUs = next;
-      timer =
-          next == WatchStateMachine.NEVER
-              ? -1
-              : vertx.setTimer(
-                  MicroClock.timerMs(clock.getAsLong(), next),
-                  t -> {
-                    timerUs = WatchStateMachine.NEVER;
-                    carryOut(plan.passed(clock.getAsLong()));
-                  });
+  }
+
+  private void rescheduleTimer() {
+    long nextUs = stateMachine.nextUs();
+    if (nextUs == timerDueUs) {
+      return;
     }
+    vertx.cancelTimer(timerId);
+    timerDueUs = nextUs;
+    timerId =
+        nextUs == WatchStateMachine.NEVER
+            ? NO_TIMER
+            : vertx.setTimer(MicroClock.timerMs(clock.getAsLong(), nextUs), id -> onTimer());
+  }
+
+  private void onTimer() {
+    timerDueUs = WatchStateMachine.NEVER;
+    perform(stateMachine.onTimer(clock.getAsLong()));
   }
 
-  /** One call, and what is read by it. */
-  private final class Call {
-    private final WatchStateMachine.Step.Ask ask;
-    private final EndpointListParser text = new EndpointListParser(MOST_BYTES);
+  /** One request for the list, and what is received for it. */
+  private final class ListRequest {
+    private final WatchAction.OpenRequest parameters;
+    private final EndpointListParser parser = new EndpointListParser(MAX_LIST_BYTES);
+
+    /** Null until it is connected. */
     private HttpClientConnection connection;
+
     private long generation;
 
-    Call(WatchStateMachine.Step.Ask ask) {
-      this.ask = ask;
-      generation = Math.max(0, ask.since());
+    ListRequest(WatchAction.OpenRequest parameters) {
+      this.parameters = parameters;
+      generation = Math.max(0, parameters.sinceGeneration());
     }
 
-    private boolean isHeard() {
-      return plan.hears(ask.call());
+    private long id() {
+      return parameters.requestId();
     }
 
-    private void lost() {
-      carryOut(plan.lost(clock.getAsLong(), ask.call()));
+    private boolean isActive() {
+      return stateMachine.isActive(id());
+    }
+
+    private void onFailure() {
+      perform(stateMachine.onFailure(clock.getAsLong(), id()));
     }
 
     void close() {
-      if (connection != null) { // else it is closed when it comes up
+      if (connection != null) { // otherwise it is closed as soon as it is connected
         connection.close();
       }
     }
 
     /**
-     * A connection of its own, not one of a pool: a pool has five for an address, and while five
-     * calls hang it would make none of those that are to be made beside them.
+     * Opens a connection outside any pool: a pool has five for an address, and while five requests
+     * hang it would open none for those that are to be made beside them.
      */
     void open() {
-      client
-          .connect(
-              new HttpConnectOptions()
-                  .setHost(ask.host())
-                  .setPort(ask.port())
-                  .setConnectTimeout(CONNECT_MS))
-          .onComplete(
-              made -> {
-                if (made.failed()) {
-                  lost();
-                  return;
-                }
-                connection = made.result();
-                // without a handler Vert.x writes each reset to the log as an error
-                connection.exceptionHandler(e -> lost());
-                if (!isHeard()) {
-                  close();
-                  return;
-                }
-                String uri =
-                    ask.since() == WatchStateMachine.NONE_YET
-                        ? LIST
-                        : LIST + "?follow=1&since=" + ask.since();
-                connection
-                    .request(
-                        new RequestOptions().setHost(ask.host()).setPort(ask.port()).setURI(uri))
-                    .onSuccess(this::send)
-                    .onFailure(e -> lost());
-              });
+      HttpConnectOptions options =
+          new HttpConnectOptions()
+              .setHost(parameters.host())
+              .setPort(parameters.port())
+              .setConnectTimeout(CONNECT_TIMEOUT_MS);
+      client.connect(options).onComplete(this::onConnected);
+    }
+
+    private void onConnected(AsyncResult<HttpClientConnection> result) {
+      if (result.failed()) {
+        onFailure();
+        return;
+      }
+      connection = result.result();
+      // without a handler Vert.x writes each reset to the log as an error
+      connection.exceptionHandler(e -> onFailure());
+      if (!isActive()) {
+        close();
+        return;
+      }
+      RequestOptions options =
+          new RequestOptions().setHost(parameters.host()).setPort(parameters.port()).setURI(uri());
+      connection.request(options).onSuccess(this::send).onFailure(e -> onFailure());
+    }
+
+    private String uri() {
+      long since = parameters.sinceGeneration();
+      return since == WatchStateMachine.NO_GENERATION
+          ? LIST_URI
+          : LIST_URI + "?follow=1&since=" + since;
     }
 
     private void send(HttpClientRequest request) {
-      request.exceptionHandler(e -> lost());
-      request.send().onSuccess(this::listen).onFailure(e -> lost());
+      request.exceptionHandler(e -> onFailure());
+      request.send().onSuccess(this::onResponse).onFailure(e -> onFailure());
     }
 
-    private void listen(HttpClientResponse response) {
-      if (response.statusCode() != 200) {
-        lost();
+    private void onResponse(HttpClientResponse response) {
+      if (response.statusCode() != STATUS_OK) {
+        onFailure();
         return;
       }
-      carryOut(plan.answered(clock.getAsLong(), ask.call()));
-      response.handler(bytes -> read(bytes.getBytes()));
-      response.exceptionHandler(e -> lost());
-      response.endHandler(v -> lost());
+      perform(stateMachine.onResponse(clock.getAsLong(), id()));
+      response.handler(bytes -> onData(bytes.getBytes()));
+      response.exceptionHandler(e -> onFailure());
+      response.endHandler(end -> onFailure());
     }
 
-    private void read(byte[] bytes) {
+    private void onData(byte[] bytes) {
       try {
-        List<String> lists = isHeard() ? text.read(bytes) : List.of();
-        carryOut(plan.heard(clock.getAsLong(), ask.call(), text.isWithin()));
-        for (int strays = text.strays(); strays > 0; strays--) {
-          events.accept(
-              new Event.ConditionCounted(
-                  Counter.BAD_ROSTER_ENTRIES)); // a line that is no list changes nothing
+        List<String> lists = isActive() ? parser.read(bytes) : List.of();
+        perform(stateMachine.onData(clock.getAsLong(), id(), parser.isInObject()));
+        for (int strayLines = parser.takeStrayLines(); strayLines > 0; strayLines--) {
+          countMalformed(); // a line that is no list changes nothing else
         }
         for (String list : lists) {
-          if (isHeard()) {
-            take(Json.parse(list).asObject());
+          if (isActive()) {
+            apply(Json.parse(list).asObject());
           }
         }
-        text.check();
-      } catch (EndpointListParser.SpoiltException
-          | RuntimeException e) { // what it held is missing: it is asked for again
-        events.accept(new Event.ConditionCounted(Counter.BAD_ROSTER_ENTRIES));
-        lost();
+        parser.check();
+      } catch (MalformedListException | RuntimeException e) {
+        // the JSON library throws several kinds; the content is lost and has to be requested again
+        countMalformed();
+        onFailure();
       }
     }
 
-    private void take(JsonObject list) {
-      Event.EndpointsUpdated news = reader.read(list, false);
-      long numbered = list.getLong("generation", generation);
-      if (!plan.fits(ask.call(), numbered, news.kind() == ServerListKind.FULL)) {
-        events.accept(new Event.ConditionCounted(Counter.BAD_ROSTER_ENTRIES));
-        carryOut(plan.misfit(clock.getAsLong(), ask.call()));
+    private void countMalformed() {
+      events.accept(new Event.ConditionCounted(Counter.BAD_ROSTER_ENTRIES));
+    }
+
+    private void apply(JsonObject list) {
+      Event.EndpointsUpdated update = reader.read(list, false);
+      long listGeneration = list.getLong("generation", generation);
+      boolean complete = update.kind() == ServerListKind.FULL;
+      if (!stateMachine.accepts(id(), listGeneration, complete)) {
+        countMalformed();
+        perform(stateMachine.onUnusableList(clock.getAsLong(), id()));
         return;
       }
-      generation = numbered;
+      generation = listGeneration;
       answered = true;
-      events.accept(news);
+      events.accept(update);
       events.accept(new Event.EndpointListGenerationChanged(generation));
-      carryOut(plan.listed(clock.getAsLong(), ask.call(), generation));
+      perform(stateMachine.onList(clock.getAsLong(), id(), generation));
     }
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/discovery/EndpointListFormat.java
@@ -0,0 +1,134 @@
+package dunlinhitch.discovery;
+
+import com.eclipsesource.json.Json;
+import com.eclipsesource.json.JsonArray;
+import com.eclipsesource.json.JsonObject;
+import com.eclipsesource.json.JsonValue;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.endpoints.Endpoint;
+import dunlinhitch.endpoints.Endpoint.Protocol;
+import dunlinhitch.endpoints.EndpointClaim;
+import dunlinhitch.endpoints.EndpointRegistry;
+import dunlinhitch.endpoints.TimingWheel;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * The stored form of {@link EndpointListFile}: a header line {@code dunlinhitch-roster 1 SHA-256},
+ * and behind it a JSON object which the checksum is of. Times are Unix microseconds.
+ */
+final class EndpointListFormat {
+  /** Begin of the header line: the name and the version of the form. */
+  private static final String MAGIC = "dunlinhitch-roster 1 ";
+
+  /**
+   * A claim that never expires, such as one of a push session, is stored with an expiry so long
+   * after the file was written.
+   */
+  private static final long UNBOUNDED_CLAIM_US = 60_000_000;
+
+  private EndpointListFormat() {}
+
+  /** The content of a file with the claims among those rows, in pieces to be written in order. */
+  static List<ByteBuffer> encode(long nowUs, List<EndpointRegistry.Row> rows) {
+    JsonArray claims = new JsonArray();
+    for (EndpointRegistry.Row row : rows) {
+      boolean isClaim = !row.source().isEmpty() && row.entry() != null;
+      if (isClaim) {
+        claims.add(encodeClaim(nowUs, row));
+      }
+    }
+    JsonObject root = new JsonObject().add("saved", nowUs).add("claims", claims);
+    byte[] body = root.toString().getBytes(StandardCharsets.UTF_8);
+    byte[] header = (MAGIC + checksum(body) + "\n").getBytes(StandardCharsets.US_ASCII);
+    return List.of(ByteBuffer.wrap(header), ByteBuffer.wrap(body));
+  }
+
+  private static JsonObject encodeClaim(long nowUs, EndpointRegistry.Row row) {
+    Endpoint endpoint = row.entry();
+    boolean unbounded = row.untilUs() == TimingWheel.NEVER;
+    return new JsonObject()
+        .add("source", row.source())
+        .add("key", row.key())
+        .add("id", endpoint.name())
+        .add("host", endpoint.host())
+        .add("port", endpoint.port())
+        .add("zone", endpoint.zone())
+        .add("cell", endpoint.cell())
+        .add("state", endpoint.state().name())
+        .add("weight", endpoint.weight())
+        .add("start", endpoint.startedUs())
+        .add("wire", endpoint.wire().name())
+        .add("phases", endpoint.phases())
+        .add("heard", row.heardUs())
+        .add("until", unbounded ? nowUs + UNBOUNDED_CLAIM_US : row.untilUs());
+  }
+
+  /**
+   * The claims of a file. A claim reported after {@code nowUs} (the clock was set back) counts as
+   * reported now.
+   *
+   * @throws RuntimeException where the content is of another version or damaged
+   */
+  static EndpointListFile.Kept decode(long nowUs, byte[] content) {
+    int headerEnd = 0;
+    while (headerEnd < content.length && content[headerEnd] != '\n') {
+      headerEnd++;
+    }
+    String header = new String(content, 0, headerEnd, StandardCharsets.US_ASCII);
+    if (!header.startsWith(MAGIC)) {
+      throw new IllegalArgumentException("not of this version");
+    }
+    int bodyStart = Math.min(headerEnd + 1, content.length);
+    byte[] body = Arrays.copyOfRange(content, bodyStart, content.length);
+    if (!header.substring(MAGIC.length()).equals(checksum(body))) {
+      throw new IllegalArgumentException("its checksum does not fit");
+    }
+    JsonObject root = Json.parse(new String(body, StandardCharsets.UTF_8)).asObject();
+    Map<String, List<EndpointClaim>> bySource = new LinkedHashMap<>();
+    for (JsonValue value : root.get("claims").asArray()) {
+      JsonObject json = value.asObject();
+      EndpointClaim claim = decodeClaim(nowUs, json);
+      bySource
+          .computeIfAbsent(json.get("source").asString(), source -> new ArrayList<>())
+          .add(claim);
+    }
+    return new EndpointListFile.Kept(root.get("saved").asLong(), bySource);
+  }
+
+  private static EndpointClaim decodeClaim(long nowUs, JsonObject json) {
+    Endpoint endpoint =
+        new Endpoint(
+            json.get("id").asString(),
+            json.get("host").asString(),
+            json.get("port").asInt(),
+            json.get("zone").asInt(),
+            json.get("cell").asInt(),
+            ServerState.valueOf(json.get("state").asString()),
+            json.get("weight").asDouble(),
+            json.get("start").asLong(),
+            Protocol.valueOf(json.get("wire").asString()),
+            json.getInt("phases", 1));
+    long storedReportedUs = json.get("heard").asLong();
+    long reportedUs = Math.min(nowUs, storedReportedUs);
+    long lifetimeUs = Math.max(0, json.get("until").asLong() - storedReportedUs);
+    return new EndpointClaim(
+        json.get("key").asString(), endpoint, reportedUs, reportedUs + lifetimeUs);
+  }
+
+  private static String checksum(byte[] body) {
+    try {
+      return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(body));
+    } catch (NoSuchAlgorithmException e) { // every Java platform has SHA-256
+      throw new IllegalStateException(e);
+    }
+  }
+}
--- a/src/main/java/dunlinhitch/discovery/EndpointListParser.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListParser.java
@@ -6,166 +6,137 @@
 import java.util.List;
 
 /**
- * Cuts what discovery writes into JSON objects, however they are broken into lines and chunks: a
- * list may come indented. An object ends with the brace that closes it. Text between objects is
- * skipped; where it is no blank it is counted.
+ * Splits the stream of discovery into JSON objects, however they are broken into lines and chunks:
+ * a list may be indented. An object ends with the brace that closes it. Text between objects is
+ * skipped; lines of it that are not blank are counted.
+ *
+ * <p>Not thread-safe; one for each response.
  */
 final class EndpointListParser {
-  /**
-   * The text can not be an object, or is longer than any list: what follows can not be told apart
-   * either.
-   */
-  static final class SpoiltException extends Exception {
-    private static final long serialVersionUID = 1L;
-
-    SpoiltException(String message) {
-      super(message);
-    }
-  }
+  /** More consecutive lines that are no list mean that the sender is not discovery. */
+  private static final int MAX_STRAY_LINES = 32;
 
-  /** A list has three levels; the reader of JSON would go as deep as it is told to. */
-  private static final int MOST_DEPTH = 32;
+  private final int maxObjectBytes;
+  private final JsonObjectScanner scanner = new JsonObjectScanner();
 
-  /**
-   * So many lines that are no list, and no list between them, are no slip: what speaks there is not
-   * discovery.
-   */
-  private static final int MOST_STRAYS = 32;
-
-  private final int most;
-
-  /** What has come of an object that is not whole. */
-  private byte[] begun = new byte[0];
+  /** The bytes of an incomplete object, and room behind them. */
+  private byte[] buffer = new byte[0];
 
   private int length;
 
-  /** Up to here it has been looked at. */
-  private int seen;
+  /** Bytes of the buffer that are scanned. */
+  private int scanned;
+
+  private boolean inStrayLine;
 
-  private int depth;
+  /** Stray lines since the count was taken last. */
+  private int strayLines;
 
-  /** For each level whether a brace began it, the innermost last. */
-  private long braces;
+  /** Stray lines since the last object. */
+  private int consecutiveStrayLines;
 
-  private boolean quoted;
-  private boolean escaped;
-  private boolean strayLine;
-  private int strays;
-  private int straysInARow;
-  private SpoiltException spoilt;
+  private MalformedListException failure;
 
-  /** No object may be longer than {@code most} bytes. */
-  EndpointListParser(int most) {
-    this.most = most;
+  /** No object may be longer than {@code maxObjectBytes}. */
+  EndpointListParser(int maxObjectBytes) {
+    this.maxObjectBytes = maxObjectBytes;
   }
 
-  /** True while an object has begun and is not whole. */
-  boolean isWithin() {
-    return depth > 0;
+  /** True while an object has begun and is incomplete. */
+  boolean isInObject() {
+    return scanner.isInObject();
   }
 
-  /** Lines that were no part of an object, since it was last asked. */
-  int strays() {
-    int so = strays;
-    strays = 0;
-    return so;
+  /** Lines that were no part of an object, since the last call. */
+  int takeStrayLines() {
+    int taken = strayLines;
+    strayLines = 0;
+    return taken;
   }
 
-  /** Throws where the text was spoilt behind what was read of it last. */
-  void check() throws SpoiltException {
-    if (spoilt != null) {
-      throw spoilt;
+  /** Throws where the text behind the objects read last is malformed. */
+  void check() throws MalformedListException {
+    if (failure != null) {
+      throw failure;
     }
   }
 
   /**
-   * Takes what came next; the result is the objects that are whole by it, before a place where the
-   * text is spoilt too.
+   * Takes the next bytes and returns the objects that they complete. Objects before a malformed
+   * place are returned; {@link #check} and the next call throw then.
    */
-  List<String> read(byte[] bytes) throws SpoiltException {
+  List<String> read(byte[] bytes) throws MalformedListException {
     check();
-    List<String> whole = new ArrayList<>();
+    List<String> objects = new ArrayList<>();
     try {
-      cut(bytes, whole);
-    } catch (SpoiltException e) {
-      spoilt = e;
-      if (whole.isEmpty()) {
+      split(bytes, objects);
+    } catch (MalformedListException e) {
+      failure = e;
+      if (objects.isEmpty()) {
         throw e;
       }
     }
-    return whole;
+    return objects;
   }
 
-  private void cut(byte[] bytes, List<String> whole) throws SpoiltException {
-    begun =
-        begun.length < length + bytes.length
-            ? Arrays.copyOf(begun, Math.max(2 * begun.length, length + bytes.length))
-            : begun;
-    System.arraycopy(bytes, 0, begun, length, bytes.length);
-    length += bytes.length;
+  private void split(byte[] bytes, List<String> objects) throws MalformedListException {
+    append(bytes);
     int from = 0;
-    for (; seen < length; seen++) {
-      byte b = begun[seen];
-      if (depth == 0) {
-        from = b == '{' && !strayLine ? seen : seen + 1;
-      }
-      if (take(b)) {
-        whole.add(new String(begun, from, seen + 1 - from, StandardCharsets.UTF_8));
-        from = seen + 1;
+    for (; scanned < length; scanned++) {
+      byte next = buffer[scanned];
+      if (scanner.isInObject()) {
+        if (scanner.accept(next)) {
+          consecutiveStrayLines = 0;
+          int end = scanned + 1;
+          objects.add(new String(buffer, from, end - from, StandardCharsets.UTF_8));
+          from = end;
+        }
+      } else {
+        from = next == '{' && !inStrayLine ? scanned : scanned + 1;
+        acceptOutside(next);
       }
     }
-    length -= from;
-    seen = length;
-    if (from > 0) {
-      System.arraycopy(begun, from, begun, 0, length);
+    discard(from);
+    if (length > maxObjectBytes) {
+      throw new MalformedListException("an object of more than " + maxObjectBytes + " bytes");
     }
-    if (length > most) {
-      throw new SpoiltException("an object of more than " + most + " bytes");
+  }
+
+  private void append(byte[] bytes) {
+    int needed = length + bytes.length;
+    if (buffer.length < needed) {
+      buffer = Arrays.copyOf(buffer, Math.max(2 * buffer.length, needed));
     }
+    System.arraycopy(bytes, 0, buffer, length, bytes.length);
+    length = needed;
   }
 
-  /** True where an object is whole by this byte. */
-  private boolean take(byte b) throws SpoiltException {
-    if (quoted) {
-      if (b >= 0 && b < ' ') { // JSON has none in a string: the end of an object was lost
-        throw new SpoiltException("a string is not closed");
-      }
-      quoted = escaped || b != '"';
-      escaped = !escaped && b == '\\';
-    } else if (depth == 0) {
-      outside(b);
-    } else if (b == '"') {
-      quoted = true;
-    } else if (b == '{' || b == '[') {
-      if (++depth > MOST_DEPTH) {
-        throw new SpoiltException("more than " + MOST_DEPTH + " levels");
-      }
-      braces = braces << 1 | (b == '{' ? 1 : 0);
-    } else if (b == '}' || b == ']') {
-      if ((braces & 1)
-          != (b == '}' ? 1 : 0)) { // else what follows would be swallowed until it stalls
-        throw new SpoiltException("a bracket is not closed");
-      }
-      braces >>= 1;
-      depth--;
-      straysInARow = depth == 0 ? 0 : straysInARow;
-      return depth == 0;
+  private void discard(int count) {
+    length -= count;
+    scanned = length;
+    if (count > 0) {
+      System.arraycopy(buffer, count, buffer, 0, length);
     }
-    return false;
   }
 
-  private void outside(byte b) throws SpoiltException {
-    if (b == '\n') {
-      strayLine = false;
-    } else if (!strayLine && b == '{') {
-      depth = 1;
-      braces = 1;
-    } else if (!strayLine && b != ' ' && b != '\t' && b != '\r') {
-      strayLine = true;
-      strays++;
-      if (++straysInARow > MOST_STRAYS) {
-        throw new SpoiltException("more than " + MOST_STRAYS + " lines that are no list");
-      }
+  private void acceptOutside(byte next) throws MalformedListException {
+    if (next == '\n') {
+      inStrayLine = false;
+    } else if (inStrayLine) {
+      return;
+    } else if (next == '{') {
+      scanner.begin();
+    } else if (next != ' ' && next != '\t' && next != '\r') {
+      onStrayLine();
+    }
+  }
+
+  private void onStrayLine() throws MalformedListException {
+    inStrayLine = true;
+    strayLines++;
+    consecutiveStrayLines++;
+    if (consecutiveStrayLines > MAX_STRAY_LINES) {
+      throw new MalformedListException("more than " + MAX_STRAY_LINES + " lines that are no list");
     }
   }
 }
--- a/src/main/java/dunlinhitch/discovery/EndpointListReader.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListReader.java
@@ -14,51 +14,66 @@
 import java.util.function.Consumer;
 
 /**
- * Reads lists of stores in discovery's form; an entry that can not be used is skipped and counted.
+ * Reads endpoint lists in discovery's JSON form; an entry that can not be used is skipped and
+ * counted. Immutable: it may be used on any thread that the event consumer allows.
  */
 public final class EndpointListReader {
-  /** In microseconds it is a number still. */
-  private static final long LATEST_MS = Long.MAX_VALUE / 1000;
+  private static final int MAX_PORT = 65_535;
+  private static final long MICROSECONDS_PER_MILLISECOND = 1000;
+
+  /** The latest start that can be expressed in microseconds. */
+  private static final long LATEST_START_MS = Long.MAX_VALUE / MICROSECONDS_PER_MILLISECOND;
 
   private final List<String> zones;
   private final Consumer<Event> events;
 
-  /** {@code zones} are the names of the settings, in order; null: any will do. */
+  /**
+   * Creates a reader.
+   *
+   * @param zones the names of the zones in the settings, in their order; null: any zone is accepted
+   * @param events gets an event for each entry that is skipped
+   */
   public EndpointListReader(List<String> zones, Consumer<Event> events) {
     this.zones = zones == null ? null : List.copyOf(zones);
     this.events = events;
   }
 
-  /** A list that replaces all ({@code reset}) or changes some. */
+  /**
+   * Reads a complete list ({@code reset}) or a change of it; {@code cached}: it comes from a cache
+   * and not from discovery.
+   */
   public Event.EndpointsUpdated read(JsonObject list, boolean cached) {
-    List<Endpoint> entries = new ArrayList<>();
+    List<Endpoint> endpoints = new ArrayList<>();
     for (JsonValue value : list.get("instances").asArray()) {
       try {
-        entries.add(entry(value.asObject()));
-      } catch (RuntimeException e) {
+        endpoints.add(entry(value.asObject()));
+      } catch (RuntimeException e) { // the JSON library throws several kinds for wrong types
         events.accept(new Event.ConditionCounted(Counter.BAD_ROSTER_ENTRIES));
       }
     }
     boolean reset = list.getBoolean("reset", false);
-    return new Event.EndpointsUpdated(
-        cached ? ServerListKind.CACHED : reset ? ServerListKind.FULL : ServerListKind.DELTA,
-        entries);
+    ServerListKind kind = reset ? ServerListKind.FULL : ServerListKind.DELTA;
+    return new Event.EndpointsUpdated(cached ? ServerListKind.CACHED : kind, endpoints);
   }
 
-  private Endpoint entry(JsonObject o) {
+  private Endpoint entry(JsonObject json) {
     return entry(
-            o.get("instanceId").asString(),
-            o.get("hostPort").asString(),
-            o.getString("zone", ""),
-            o.get("cell").asInt(),
-            o.get("lifecycle").asString(),
-            o.getDouble("weight", 1),
-            o.getLong("startedAtMs", 0),
-            o.getString("protocol", ""))
-        .phases(o.getInt("phases", 1));
+            json.get("instanceId").asString(),
+            json.get("hostPort").asString(),
+            json.getString("zone", ""),
+            json.get("cell").asInt(),
+            json.get("lifecycle").asString(),
+            json.getDouble("weight", 1),
+            json.getLong("startedAtMs", 0),
+            json.getString("protocol", ""))
+        .phases(json.getInt("phases", 1));
   }
 
-  /** An entry from its words, wherever they stand; throws where one is of no use. */
+  /**
+   * The endpoint of these fields, from whatever form they were read.
+   *
+   * @throws IllegalArgumentException where a field can not be used
+   */
   public Endpoint entry(
       String name,
       String hostPort,
@@ -70,37 +85,18 @@
       String protocol) {
     int colon = hostPort.lastIndexOf(':');
     int port = Integer.parseInt(hostPort.substring(colon + 1));
-    ServerState state =
-        switch (lifecycle) {
-          case "ready" -> ServerState.READY;
-          case "draining" -> ServerState.DRAINING;
-          case "gone" -> ServerState.GONE;
-          default -> throw new IllegalArgumentException("no such state: " + lifecycle);
-        };
+    ServerState state = stateOf(lifecycle);
+    if (name.isEmpty()) {
+      throw new IllegalArgumentException("no id");
+    }
+    if (colon < 1 || port < 1 || port > MAX_PORT) {
+      throw new IllegalArgumentException("no address: " + hostPort);
+    }
+    checkNumbers(cell, startedAtMs, weight);
     int zoneIndex = zones == null ? 0 : zones.indexOf(zone);
-    String wrong =
-        name.isEmpty()
-            ? "no id"
-            : colon < 1 || port < 1 || port > 65_535
-                ? "no address: " + hostPort
-                : cell < 0
-                    ? "no cell: " + cell
-                    : startedAtMs < 0 || startedAtMs > LATEST_MS
-                        ? "no start: " + startedAtMs
-                        : !Double.isFinite(weight)
-                            ? "no weight: " + weight
-                            : zoneIndex < 0 && state != ServerState.GONE
-                                ? "no zone of the settings: " + zone
-                                : "";
-    if (!wrong.isEmpty()) {
-      throw new IllegalArgumentException(wrong);
+    if (zoneIndex < 0 && state != ServerState.GONE) {
+      throw new IllegalArgumentException("no zone of the settings: " + zone);
     }
-    Protocol wire =
-        switch (protocol.toLowerCase(Locale.ROOT)) {
-          case "", "frames" -> Protocol.FRAMES;
-          case "flight" -> Protocol.FLIGHT;
-          default -> throw new IllegalArgumentException("no such protocol: " + protocol);
-        };
     return new Endpoint(
         name,
         hostPort.substring(0, colon),
@@ -109,7 +105,36 @@
         cell,
         state,
         weight,
-        startedAtMs * 1000,
-        wire);
+        startedAtMs * MICROSECONDS_PER_MILLISECOND,
+        protocolOf(protocol));
+  }
+
+  private static void checkNumbers(int cell, long startedAtMs, double weight) {
+    if (cell < 0) {
+      throw new IllegalArgumentException("no cell: " + cell);
+    }
+    if (startedAtMs < 0 || startedAtMs > LATEST_START_MS) {
+      throw new IllegalArgumentException("no start: " + startedAtMs);
+    }
+    if (!Double.isFinite(weight)) {
+      throw new IllegalArgumentException("no weight: " + weight);
+    }
+  }
+
+  private static ServerState stateOf(String lifecycle) {
+    return switch (lifecycle) {
+      case "ready" -> ServerState.READY;
+      case "draining" -> ServerState.DRAINING;
+      case "gone" -> ServerState.GONE;
+      default -> throw new IllegalArgumentException("no such state: " + lifecycle);
+    };
+  }
+
+  private static Protocol protocolOf(String protocol) {
+    return switch (protocol.toLowerCase(Locale.ROOT)) {
+      case "", "frames" -> Protocol.FRAMES;
+      case "flight" -> Protocol.FLIGHT;
+      default -> throw new IllegalArgumentException("no such protocol: " + protocol);
+    };
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/ClaimTable.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimTable.java
@@ -120,8 +120,7 @@
   }
 
   private ActiveClaim add(ClaimSource source, EndpointClaim update) {
-    EndpointRecord endpoint =
-        endpoints.computeIfAbsent(update.entry().name(), EndpointRecord::new);
+    EndpointRecord endpoint = endpoints.computeIfAbsent(update.entry().name(), EndpointRecord::new);
     ActiveClaim claim = new ActiveClaim(source, update.key(), endpoint);
     endpoint.claims.add(claim);
     source.claims.put(claim.key, claim);
--- a/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
@@ -30,7 +30,9 @@
   /** Written by {@link FlapDamping}. */
   final FlapHistory flaps = new FlapHistory();
 
-  /** End of the hold-down, of the linger or of the flap memory; written by {@link StatusUpdater}. */
+  /**
+   * End of the hold-down, of the linger or of the flap memory; written by {@link StatusUpdater}.
+   */
   TimingWheel.Handle<Runnable> timer;
 
   /** The status of the last change; written by {@link ChangePublisher}. */
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
@@ -56,7 +56,11 @@
 
   /** These settings with other times, all in microseconds. */
   public EndpointRegistrySettings withTimes(
-      long newLingerUs, long newStaleForUs, long newFirstHoldUs, long newMostHoldUs, long newCalmUs) {
+      long newLingerUs,
+      long newStaleForUs,
+      long newFirstHoldUs,
+      long newMostHoldUs,
+      long newCalmUs) {
     return new EndpointRegistrySettings(
         cells,
         inARow,
--- a/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
@@ -45,8 +45,7 @@
     EndpointStatus status = evaluation.status();
     StatusReason reason = evaluation.reason();
     if (status != EndpointStatus.DISPUTED && damping.isHeldDown(endpoint.flaps, nowUs)) {
-      endpoint.timer =
-          timers.schedule(endpoint.flaps.holdUntilUs, () -> pending.add(endpoint));
+      endpoint.timer = timers.schedule(endpoint.flaps.holdUntilUs, () -> pending.add(endpoint));
       status = EndpointStatus.ANNOUNCED;
       reason = StatusReason.FLAPPING;
     }
@@ -107,8 +106,7 @@
     long nowUs = timers.nowUs();
     endpoint.status = EndpointStatus.WITHDRAWN;
     damping.onWithdrawal(endpoint.flaps, nowUs);
-    endpoint.timer =
-        timers.schedule(nowUs + settings.lingerUs(), () -> onLingerEnded(endpoint));
+    endpoint.timer = timers.schedule(nowUs + settings.lingerUs(), () -> onLingerEnded(endpoint));
   }
 
   private void onLingerEnded(EndpointRecord endpoint) {
@@ -125,7 +123,6 @@
       return;
     }
     endpoint.timer =
-        timers.schedule(
-            timers.nowUs() + settings.calmUs(), () -> claims.forgetUnclaimed(endpoint));
+        timers.schedule(timers.nowUs() + settings.calmUs(), () -> claims.forgetUnclaimed(endpoint));
   }
 }
--- a/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
@@ -28,22 +28,22 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The watch on real connections to a discovery that plays by script; its clock is the test's. */
+/** The watch on real connections to a scripted discovery server; the clock is the test's. */
 class DiscoveryWatchTest {
-  private static final long STEP_US = 120_000;
+  private static final long RETRY_US = 120_000;
   private static final String OK = "HTTP/1.1 200 OK\r\n";
   private final Vertx vertx =
       Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
   private final Context context = vertx.getOrCreateContext();
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   private final AtomicLong clock = new AtomicLong(1_000_000_000);
-  private final List<Script> scripts = new ArrayList<>();
+  private final List<FakeDiscovery> servers = new ArrayList<>();
   private final Settings settings = Stage.settings(40);
   private DiscoveryWatch watch;
-  private Script discovery;
+  private FakeDiscovery discovery;
 
-  /** A connection by which the watch asked. */
-  private record Asked(Socket socket, String line) {
+  /** A connection on which the watch sent a request. */
+  private record Request(Socket socket, String requestLine) {
     void write(String text) throws IOException {
       write(text.getBytes(StandardCharsets.UTF_8));
     }
@@ -58,8 +58,8 @@
       socket.close();
     }
 
-    /** Waits until the watch has ended it; a reset is an end too. */
-    void ended() throws IOException {
+    /** Waits until the watch has closed the connection; a reset counts too. */
+    void awaitClosed() throws IOException {
       socket.setSoTimeout(10_000);
       try {
         assertEquals(-1, socket.getInputStream().read());
@@ -69,22 +69,22 @@
     }
   }
 
-  /** Accepts, reads heads and does nothing else by itself. */
-  private final class Script implements AutoCloseable {
+  /** A server that accepts, reads request heads and does nothing else by itself. */
+  private final class FakeDiscovery implements AutoCloseable {
     private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-    private final BlockingQueue<Asked> asked = new LinkedBlockingQueue<>();
+    private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
 
-    Script() throws IOException {
-      scripts.add(this);
+    FakeDiscovery() throws IOException {
+      servers.add(this);
       Thread thread =
           new Thread(
               () -> {
                 while (!socket.isClosed()) {
                   try {
-                    Socket one = socket.accept();
-                    asked.add(new Asked(one, head(one)));
+                    Socket accepted = socket.accept();
+                    requests.add(new Request(accepted, head(accepted)));
                   } catch (IOException e) {
-                    // the test is over, or the watch has gone
+                    // the test is over, or the watch has closed the connection
                   }
                 }
               });
@@ -92,8 +92,8 @@
       thread.start();
     }
 
-    private String head(Socket one) throws IOException {
-      InputStream in = one.getInputStream();
+    private String head(Socket accepted) throws IOException {
+      InputStream in = accepted.getInputStream();
       StringBuilder head = new StringBuilder();
       for (int b = in.read();
           b >= 0 && head.indexOf("\r\n\r\n") < 0;
@@ -103,18 +103,18 @@
       return head.isEmpty() ? "" : head.substring(0, head.indexOf("\r\n"));
     }
 
-    Asked next() throws InterruptedException {
-      Asked next = asked.poll(10, TimeUnit.SECONDS);
+    Request next() throws InterruptedException {
+      Request next = requests.poll(10, TimeUnit.SECONDS);
       assertNotNull(next, "no call came");
       return next;
     }
 
-    /** The call after one that was lost: the pause between is over. */
-    Asked again() throws InterruptedException {
+    /** The request after one that failed: the backoff between is over. */
+    Request nextAfterFailure() throws InterruptedException {
       while (true) {
-        Event.ConditionCounted lost = DiscoveryWatchTest.this.next(Event.ConditionCounted.class);
-        if (lost.what() == Counter.ROSTER_LOST) {
-          clock.addAndGet(STEP_US);
+        Event.ConditionCounted failure = DiscoveryWatchTest.this.next(Event.ConditionCounted.class);
+        if (failure.what() == Counter.ROSTER_LOST) {
+          clock.addAndGet(RETRY_US);
           return next();
         }
       }
@@ -123,15 +123,15 @@
     @Override
     public void close() throws IOException {
       socket.close();
-      for (Asked one : asked) {
-        one.socket().close();
+      for (Request request : requests) {
+        request.socket().close();
       }
     }
   }
 
   @BeforeEach
   void start() throws Exception {
-    discovery = new Script();
+    discovery = new FakeDiscovery();
     watch =
         onLoop(
             () ->
@@ -147,24 +147,24 @@
   }
 
   @AfterEach
-  void end() throws Exception {
+  void tearDown() throws Exception {
     onLoop(
         () -> {
           watch.stop();
           return null;
         });
-    for (Script script : scripts) {
-      script.close();
+    for (FakeDiscovery server : servers) {
+      server.close();
     }
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  private <T> T onLoop(java.util.concurrent.Callable<T> what) throws Exception {
+  private <T> T onLoop(java.util.concurrent.Callable<T> task) throws Exception {
     CompletableFuture<T> done = new CompletableFuture<>();
     context.runOnContext(
         v -> {
           try {
-            done.complete(what.call());
+            done.complete(task.call());
           } catch (Exception | Error e) {
             done.completeExceptionally(e);
           }
@@ -172,15 +172,15 @@
     return done.get(10, TimeUnit.SECONDS);
   }
 
-  private void follow(Script script) throws Exception {
+  private void follow(FakeDiscovery server) throws Exception {
     onLoop(
         () -> {
-          watch.follow("127.0.0.1", script.socket.getLocalPort());
+          watch.follow("127.0.0.1", server.socket.getLocalPort());
           return null;
         });
   }
 
-  /** The next event of that kind; others are passed over. */
+  /** The next event of that kind; others are skipped. */
   private <T extends Event> T next(Class<T> kind) throws InterruptedException {
     for (; ; ) {
       Event event = events.poll(10, TimeUnit.SECONDS);
@@ -215,41 +215,39 @@
         + "\r\n";
   }
 
-  private static List<String> names(Event.EndpointsUpdated news) {
-    return news.stores().stream().map(store -> store.name()).toList();
+  private static List<String> names(Event.EndpointsUpdated update) {
+    return update.stores().stream().map(store -> store.name()).toList();
   }
 
-  /** Time goes on by what the longest wait for the next call beside those that hang may be. */
-  private Asked afterAWait(long us) throws InterruptedException {
+  /** The next request, after the longest delay of one beside those that hang. */
+  private Request requestAfter(long us) throws InterruptedException {
     clock.addAndGet(us);
     return discovery.next();
   }
 
   /**
-   * Discovery takes calls and answers none. Each further one is made all the same, on a connection
-   * of its own, while those before it are still open; when it answers one, the others end.
+   * Discovery accepts requests and answers none. Further ones are made all the same, each on its
+   * own connection, while those before are open; when one is answered, the others are closed.
    */
   @Test
-  void callsThatHangHoldBackNoOther() throws Exception {
-    List<Asked> hang = new ArrayList<>(List.of(discovery.next(), afterAWait(8 * STEP_US)));
-    while (hang.size() < 8) {
-      hang.add(afterAWait(STEP_US));
+  void hangingRequestsDelayNoOther() throws Exception {
+    List<Request> pendingRequests =
+        new ArrayList<>(List.of(discovery.next(), requestAfter(8 * RETRY_US)));
+    while (pendingRequests.size() < 8) {
+      pendingRequests.add(requestAfter(RETRY_US));
     }
-    Asked last = hang.remove(7);
+    Request last = pendingRequests.remove(7);
     last.write(OK + "Transfer-Encoding: chunked\r\n\r\n" + chunk(list(5, true, "s")));
     assertEquals(List.of("s"), names(next(Event.EndpointsUpdated.class)));
-    for (Asked one : hang) {
-      one.ended();
+    for (Request request : pendingRequests) {
+      request.awaitClosed();
     }
   }
 
-  /**
-   * A call is given up while it connects: its connection is closed when it comes up, and nothing is
-   * asked by it.
-   */
+  /** A request is given up while it connects: its connection is closed once it is connected. */
   @Test
-  void aCallGivenUpWhileItConnectsLeavesNoConnection() throws Exception {
-    Script other = new Script();
+  void aRequestGivenUpWhileConnectingLeavesNoConnection() throws Exception {
+    FakeDiscovery other = new FakeDiscovery();
     discovery.next();
     onLoop(
         () -> {
@@ -257,92 +255,90 @@
           watch.stop();
           return null;
         });
-    Asked closed = other.next();
-    assertEquals("", closed.line());
-    closed.ended();
+    Request closed = other.next();
+    assertEquals("", closed.requestLine());
+    closed.awaitClosed();
     assertTrue(events.isEmpty(), "a call that was not wanted any more is no lost one: " + events);
   }
 
   /**
-   * Discovery moves while calls to the old address hang: these end, and the new address is asked
-   * for all it has.
+   * Discovery moves while requests to the old address hang: these are closed, and the new address
+   * is asked for its complete list.
    */
   @Test
-  void aMoveEndsTheCallsThatHang() throws Exception {
-    Asked first = discovery.next();
-    Asked second = afterAWait(8 * STEP_US);
-    Script moved = new Script();
+  void aMoveClosesHangingRequests() throws Exception {
+    Request first = discovery.next();
+    Request second = requestAfter(8 * RETRY_US);
+    FakeDiscovery moved = new FakeDiscovery();
     follow(moved);
-    assertEquals("GET /registry/instances HTTP/1.1", moved.next().line());
-    first.ended();
-    second.ended();
+    assertEquals("GET /registry/instances HTTP/1.1", moved.next().requestLine());
+    first.awaitClosed();
+    second.awaitClosed();
   }
 
   /**
-   * An indented list in pieces, cut within a character; then no length, a whole line, part of
-   * another and a reset: only whole ones count.
+   * An indented list in pieces, cut within a character; then without a length a complete line, part
+   * of another and a reset: only complete lists count.
    */
   @Test
-  void wholeListsCountThoughTheAnswerIsCut() throws Exception {
-    Asked one = discovery.next();
-    assertEquals("GET /registry/instances?follow=1&since=0 HTTP/1.1", one.line());
-    one.write(OK + "\r\n");
+  void completeListsCountThoughTheResponseIsCut() throws Exception {
+    Request first = discovery.next();
+    assertEquals("GET /registry/instances?follow=1&since=0 HTTP/1.1", first.requestLine());
+    first.write(OK + "\r\n");
     byte[] indented =
         list(5, true, "süd")
             .replace(",", ",\n  ")
             .replace("[", "[\n")
             .getBytes(StandardCharsets.UTF_8);
     for (byte b : indented) {
-      one.write(new byte[] {b});
+      first.write(new byte[] {b});
     }
     assertEquals(List.of("süd"), names(next(Event.EndpointsUpdated.class)));
-    one.write(list(6, false, "x") + list(7, false, "y").substring(0, 60));
+    first.write(list(6, false, "x") + list(7, false, "y").substring(0, 60));
     assertEquals(List.of("x"), names(next(Event.EndpointsUpdated.class)));
-    one.reset();
-    Asked two = discovery.again();
-    assertEquals("GET /registry/instances?follow=1&since=6 HTTP/1.1", two.line());
-    two.write(
+    first.reset();
+    Request second = discovery.nextAfterFailure();
+    assertEquals("GET /registry/instances?follow=1&since=6 HTTP/1.1", second.requestLine());
+    second.write(
         OK
             + "Transfer-Encoding: chunked\r\n\r\n"
             + chunk(list(8, false, "z").substring(0, 50))
             + "0\r\n\r\n");
-    Asked three = discovery.again();
-    assertEquals("GET /registry/instances?follow=1&since=6 HTTP/1.1", three.line());
-    three.write(
+    Request third = discovery.nextAfterFailure();
+    assertEquals("GET /registry/instances?follow=1&since=6 HTTP/1.1", third.requestLine());
+    third.write(
         OK
             + "Transfer-Encoding: chunked\r\n\r\n"
             + chunk(list(9, false, "w"))
             + "50\r\n{\"generation\":10,");
     assertEquals(List.of("w"), names(next(Event.EndpointsUpdated.class)));
-    three.reset();
-    assertEquals("GET /registry/instances?follow=1&since=9 HTTP/1.1", discovery.again().line());
+    third.reset();
+    assertEquals(
+        "GET /registry/instances?follow=1&since=9 HTTP/1.1",
+        discovery.nextAfterFailure().requestLine());
   }
 
-  /**
-   * A change of an older generation than the one that is held would turn back what is known: all is
-   * asked for instead.
-   */
+  /** A change older than the known generation is ignored, and a complete list requested. */
   @Test
-  void anOlderChangeChangesNothing() throws Exception {
-    Asked one = discovery.next();
-    one.write(OK + "\r\n" + list(9, true, "s") + list(8, false, "old") + list(10, false, "later"));
+  void anOlderChangeIsIgnored() throws Exception {
+    Request first = discovery.next();
+    first.write(
+        OK + "\r\n" + list(9, true, "s") + list(8, false, "old") + list(10, false, "later"));
     assertEquals(List.of("s"), names(next(Event.EndpointsUpdated.class)));
-    Asked two = discovery.again();
-    one.ended();
-    assertEquals("GET /registry/instances HTTP/1.1", two.line());
-    two.write(OK + "\r\n" + list(3, true, "t"));
+    Request second = discovery.nextAfterFailure();
+    first.awaitClosed();
+    assertEquals("GET /registry/instances HTTP/1.1", second.requestLine());
+    second.write(OK + "\r\n" + list(3, true, "t"));
     assertEquals(List.of("t"), names(next(Event.EndpointsUpdated.class)));
-    assertEquals("GET /registry/instances?follow=1&since=3 HTTP/1.1", discovery.next().line());
+    assertEquals(
+        "GET /registry/instances?follow=1&since=3 HTTP/1.1", discovery.next().requestLine());
   }
 
-  /**
-   * What can be no list is counted, its connection ended, and asked for again; what came whole
-   * before it stands.
-   */
+  /** Malformed lists are counted, close the connection and are requested again. */
   @Test
-  void spoiltListsEndTheConnectionInOrder() throws Exception {
-    String good = list(5, true, "s");
-    List<String> spoilt =
+  void malformedListsCloseTheConnectionInOrder() throws Exception {
+    String valid = list(5, true, "s");
+    List<String> malformed =
         List.of(
             "{\"generation\":\"six\",\"reset\":true,\"instances\":[]}\n",
             "{\"generation\":6,\"reset\":true}\n",
@@ -353,70 +349,67 @@
             "{\"a\":\"" + "x".repeat((4 << 20) + 1),
             "{\"cut\n",
             "no list\n".repeat(10_000));
-    for (String text : spoilt) {
-      Asked one = discovery.next();
-      one.write(OK + "\r\n" + good);
+    for (String text : malformed) {
+      Request request = discovery.next();
+      request.write(OK + "\r\n" + valid);
       assertEquals(List.of("s"), names(next(Event.EndpointsUpdated.class)));
       try {
-        one.write(text);
+        request.write(text);
       } catch (java.net.SocketException e) {
-        // it had enough of it
+        // the watch has closed the connection
       }
-      long noted = 0;
-      for (Counter what = next(Event.ConditionCounted.class).what();
-          what != Counter.ROSTER_LOST;
-          what = next(Event.ConditionCounted.class).what()) {
-        assertEquals(Counter.BAD_ROSTER_ENTRIES, what);
-        noted++;
+      long counted = 0;
+      for (Counter counter = next(Event.ConditionCounted.class).what();
+          counter != Counter.ROSTER_LOST;
+          counter = next(Event.ConditionCounted.class).what()) {
+        assertEquals(Counter.BAD_ROSTER_ENTRIES, counter);
+        counted++;
       }
-      assertTrue(noted >= 1 && noted < 100, noted + " for " + text.substring(0, 5));
+      assertTrue(counted >= 1 && counted < 100, counted + " for " + text.substring(0, 5));
       assertTrue(
           events.stream().noneMatch(Event.EndpointsUpdated.class::isInstance),
           text.substring(0, 5));
-      one.ended();
-      clock.addAndGet(STEP_US);
+      request.awaitClosed();
+      clock.addAndGet(RETRY_US);
     }
   }
 
-  /**
-   * Entries of wrong types are left out, each counted, and the others of the list are taken; of an
-   * id that stands twice the last counts.
-   */
+  /** Entries of wrong types are skipped and counted, and the others of the list are used. */
   @Test
-  void spoiltEntriesAreLeftOutAlone() throws Exception {
-    String good = "\"hostPort\":\"127.0.0.1:7\",\"zone\":\"a\",\"cell\":0,\"lifecycle\":\"ready\"";
-    List<String> spoilt =
+  void onlyMalformedEntriesAreSkipped() throws Exception {
+    String valid = "\"hostPort\":\"127.0.0.1:7\",\"zone\":\"a\",\"cell\":0,\"lifecycle\":\"ready\"";
+    List<String> malformed =
         List.of(
             "null",
             "[]",
             "{}",
-            "{\"instanceId\":7," + good + "}",
-            "{\"instanceId\":\"x\"," + good + ",\"cell\":\"0\"}",
-            "{\"instanceId\":\"x\"," + good + ",\"hostPort\":\"h:99999\"}",
-            "{\"instanceId\":\"x\"," + good + ",\"startedAtMs\":9000000000000000000}",
-            "{\"instanceId\":\"x\"," + good + ",\"weight\":1e999}",
-            "{\"instanceId\":\"x\"," + good + ",\"lifecycle\":\"\"}");
-    Asked one = discovery.next();
-    one.write(
+            "{\"instanceId\":7," + valid + "}",
+            "{\"instanceId\":\"x\"," + valid + ",\"cell\":\"0\"}",
+            "{\"instanceId\":\"x\"," + valid + ",\"hostPort\":\"h:99999\"}",
+            "{\"instanceId\":\"x\"," + valid + ",\"startedAtMs\":9000000000000000000}",
+            "{\"instanceId\":\"x\"," + valid + ",\"weight\":1e999}",
+            "{\"instanceId\":\"x\"," + valid + ",\"lifecycle\":\"\"}");
+    Request request = discovery.next();
+    request.write(
         OK
             + "\r\n{\"generation\":5,\"reset\":true,\"instances\":["
-            + String.join(",", spoilt)
+            + String.join(",", malformed)
             + ",{\"instanceId\":\"s\","
-            + good
+            + valid
             + "}]}\n");
-    for (int i = 0; i < spoilt.size(); i++) {
+    for (int i = 0; i < malformed.size(); i++) {
       assertEquals(
-          Counter.BAD_ROSTER_ENTRIES, next(Event.ConditionCounted.class).what(), spoilt.get(i));
+          Counter.BAD_ROSTER_ENTRIES, next(Event.ConditionCounted.class).what(), malformed.get(i));
     }
     assertEquals(List.of("s"), names(next(Event.EndpointsUpdated.class)));
   }
 
   /**
-   * A list in each form that an answer may have, cut into single bytes: lengths, chunks and their
-   * extensions, trailers, words before the answer.
+   * A list in each form that a response may have, cut into single bytes: lengths, chunks and their
+   * extensions, trailers, interim responses.
    */
   @Test
-  void listsAreReadInAllForms() throws Exception {
+  void listsAreReadInAllResponseForms() throws Exception {
     String text =
         list(5, true, "süd")
             + "\n \r\n"
@@ -428,34 +421,34 @@
     for (byte b : all) {
       pieces.append("1\r\n").append((char) (b & 0xff)).append("\r\n");
     }
-    String whole = new String(all, StandardCharsets.ISO_8859_1);
+    String body = new String(all, StandardCharsets.ISO_8859_1);
     String size = Integer.toHexString(all.length).toUpperCase(java.util.Locale.ROOT);
     for (String form :
         List.of(
-            OK + "Content-Length: " + all.length + "\r\n\r\n" + whole,
-            OK + "connection: close\r\ncontent-length:" + all.length + "\r\n\r\n" + whole,
-            OK + chunked + size + "\r\n" + whole + "\r\n0\r\n\r\n",
+            OK + "Content-Length: " + all.length + "\r\n\r\n" + body,
+            OK + "connection: close\r\ncontent-length:" + all.length + "\r\n\r\n" + body,
+            OK + chunked + size + "\r\n" + body + "\r\n0\r\n\r\n",
             OK
                 + "transfer-ENCODING:\t Chunked \r\n\r\n000"
                 + size
                 + " ; a=\"b;c\";d\r\n"
-                + whole
+                + body
                 + "\r\n0;e\r\nX-Sum: 1\r\n\r\n",
             "HTTP/1.1 200\r\n" + chunked + pieces + "0\r\n\r\n",
             "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 103 Early Hints\r\nLink: x\r\n\r\n"
                 + OK
                 + chunked
                 + pieces)) {
-      Asked one = discovery.next();
+      Request request = discovery.next();
       for (byte b : form.getBytes(StandardCharsets.ISO_8859_1)) {
-        one.write(new byte[] {b});
+        request.write(new byte[] {b});
       }
       for (String name : List.of("süd", "x", "y")) {
         assertEquals(List.of(name), names(next(Event.EndpointsUpdated.class)), form);
       }
-      one.reset();
+      request.reset();
       assertEquals(Counter.ROSTER_LOST, next(Event.ConditionCounted.class).what());
-      clock.addAndGet(STEP_US);
+      clock.addAndGet(RETRY_US);
     }
   }
 }
--- a/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
+++ b/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
@@ -9,67 +9,65 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What discovery writes, cut into objects. */
+/** Splitting discovery's stream into objects. */
 class EndpointListParserTest {
-  private static final String PLAIN =
+  private static final String COMPACT =
       "{\"generation\":1,\"instances\":[{\"instanceId\":\"a }\\\" é\"}]}";
   private static final String INDENTED =
       "{\n  \"generation\": 2,\n\n  \"instances\": [\n    {\n      \"zone\": \"{\"\n    }\n  ]\n}";
 
   /** Indented or not, with empty lines between, in pieces of any size: the same objects. */
   @Test
-  void linesAndChunksChangeNothing() throws EndpointListParser.SpoiltException {
+  void lineBreaksAndChunksDoNotMatter() throws MalformedListException {
     byte[] all =
-        ("\n" + PLAIN + "\n\n" + INDENTED + "\r\n \n" + PLAIN + PLAIN)
+        ("\n" + COMPACT + "\n\n" + INDENTED + "\r\n \n" + COMPACT + COMPACT)
             .getBytes(StandardCharsets.UTF_8);
     for (int piece = 1; piece <= all.length; piece++) {
-      EndpointListParser text = new EndpointListParser(1000);
+      EndpointListParser parser = new EndpointListParser(1000);
       List<String> objects = new ArrayList<>();
       for (int from = 0; from < all.length; from += piece) {
         objects.addAll(
-            text.read(java.util.Arrays.copyOfRange(all, from, Math.min(all.length, from + piece))));
+            parser.read(
+                java.util.Arrays.copyOfRange(all, from, Math.min(all.length, from + piece))));
       }
-      assertEquals(List.of(PLAIN, INDENTED, PLAIN, PLAIN), objects, "pieces of " + piece);
-      assertEquals(0, text.strays());
-      assertTrue(!text.isWithin());
+      assertEquals(List.of(COMPACT, INDENTED, COMPACT, COMPACT), objects, "pieces of " + piece);
+      assertEquals(0, parser.takeStrayLines());
+      assertTrue(!parser.isInObject());
     }
   }
 
   @Test
-  void whatIsNoObjectIsSkippedAndWhatCanNotEndIsSpoilt() throws EndpointListParser.SpoiltException {
-    EndpointListParser text = new EndpointListParser(100);
+  void textBetweenObjectsIsSkippedAndUnterminatedObjectsAreMalformed()
+      throws MalformedListException {
+    EndpointListParser parser = new EndpointListParser(100);
     assertEquals(
-        List.of(PLAIN),
-        text.read(("nonsense {\n]\n" + PLAIN + "\n{\"cut").getBytes(StandardCharsets.UTF_8)));
-    assertEquals(2, text.strays());
-    assertTrue(text.isWithin());
+        List.of(COMPACT),
+        parser.read(("nonsense {\n]\n" + COMPACT + "\n{\"cut").getBytes(StandardCharsets.UTF_8)));
+    assertEquals(2, parser.takeStrayLines());
+    assertTrue(parser.isInObject());
     assertThrows(
-        EndpointListParser.SpoiltException.class,
-        () -> text.read("\n".getBytes(StandardCharsets.UTF_8)));
+        MalformedListException.class, () -> parser.read("\n".getBytes(StandardCharsets.UTF_8)));
     assertThrows(
-        EndpointListParser.SpoiltException.class,
+        MalformedListException.class,
         () ->
             new EndpointListParser(100)
                 .read(("{" + " ".repeat(100)).getBytes(StandardCharsets.UTF_8)));
   }
 
-  /**
-   * What came whole before the place where the text is spoilt counts, in the same piece too;
-   * nothing behind it does.
-   */
+  /** Objects in front of a malformed place are returned, in the same chunk too; none behind it. */
   @Test
-  void whatIsWholeBeforeASpoiltPlaceCounts() throws EndpointListParser.SpoiltException {
-    for (String spoilt :
+  void objectsBeforeAMalformedPlaceAreReturned() throws MalformedListException {
+    for (String malformed :
         List.of("{\"a\":[}\n", "{\"a\":" + "[".repeat(40), "x\n".repeat(40), "{\"cut\n")) {
-      EndpointListParser text = new EndpointListParser(1000);
+      EndpointListParser parser = new EndpointListParser(1000);
       assertEquals(
-          List.of(PLAIN),
-          text.read((PLAIN + "\n" + spoilt + PLAIN).getBytes(StandardCharsets.UTF_8)),
-          spoilt);
-      assertThrows(EndpointListParser.SpoiltException.class, text::check);
+          List.of(COMPACT),
+          parser.read((COMPACT + "\n" + malformed + COMPACT).getBytes(StandardCharsets.UTF_8)),
+          malformed);
+      assertThrows(MalformedListException.class, parser::check);
       assertThrows(
-          EndpointListParser.SpoiltException.class,
-          () -> text.read(PLAIN.getBytes(StandardCharsets.UTF_8)));
+          MalformedListException.class,
+          () -> parser.read(COMPACT.getBytes(StandardCharsets.UTF_8)));
     }
   }
 }
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -5,248 +5,250 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinhitch.balancer.settings.Settings;
-import dunlinhitch.discovery.WatchStateMachine.Step;
 import dunlinhitch.experiments.fakes.Stage;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.NavigableMap;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.function.Supplier;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** One clock for the list, on a made clock: nothing here waits. */
+/** The state machine of the watch on a virtual clock: nothing here waits. */
 class WatchStateMachineTest {
-  private static final long SECOND = 1_000_000;
-  private static final Settings PUSHED = Stage.settings(40);
-  private final List<Step> steps = new ArrayList<>();
-  private long now = 1_000 * SECOND;
+  private static final long SECOND_US = 1_000_000;
+  private static final Settings PUSHED_SETTINGS = Stage.settings(40);
+  private final List<WatchAction> actions = new ArrayList<>();
+  private long now = 1_000 * SECOND_US;
 
-  private static Settings asked(int brokers) {
-    Settings s = PUSHED;
+  private static Settings polledSettings(int brokers) {
     return new Settings(
         brokers,
-        s.zones(),
-        s.zone(),
-        s.tickUs(),
-        s.classes(),
-        s.tenants(),
-        s.overQuotaWeight(),
-        s.layout(),
-        s.limits(),
-        s.rules(),
-        s.prices(),
+        PUSHED_SETTINGS.zones(),
+        PUSHED_SETTINGS.zone(),
+        PUSHED_SETTINGS.tickUs(),
+        PUSHED_SETTINGS.classes(),
+        PUSHED_SETTINGS.tenants(),
+        PUSHED_SETTINGS.overQuotaWeight(),
+        PUSHED_SETTINGS.layout(),
+        PUSHED_SETTINGS.limits(),
+        PUSHED_SETTINGS.rules(),
+        PUSHED_SETTINGS.prices(),
         true,
-        s.reportsInAnswers(),
-        s.reportsInHealthChecks(),
-        s.reportFields(),
-        s.marksRepeats());
+        PUSHED_SETTINGS.reportsInAnswers(),
+        PUSHED_SETTINGS.reportsInHealthChecks(),
+        PUSHED_SETTINGS.reportFields(),
+        PUSHED_SETTINGS.marksRepeats());
   }
 
-  private WatchStateMachine plan(Settings settings) {
+  private WatchStateMachine stateMachine(Settings settings) {
     return new WatchStateMachine(() -> WatchTimings.of(settings), 41, 7);
   }
 
-  private void took(List<Step> some) {
-    steps.addAll(some);
+  private void record(List<WatchAction> more) {
+    actions.addAll(more);
   }
 
-  /** Time passes and nothing is heard. */
-  private void quiet(WatchStateMachine plan, long us) {
-    long end = now + us;
-    while (plan.nextUs() <= end) {
-      now = plan.nextUs();
-      took(plan.passed(now));
-      assertTrue(plan.nextUs() > now, "it would spin");
+  /** Time passes and nothing is received. */
+  private void passWithoutData(WatchStateMachine stateMachine, long delayUs) {
+    long endUs = now + delayUs;
+    while (stateMachine.nextUs() <= endUs) {
+      now = stateMachine.nextUs();
+      record(stateMachine.onTimer(now));
+      assertTrue(stateMachine.nextUs() > now, "it would spin");
     }
-    now = end;
+    now = endUs;
   }
 
-  private <T extends Step> List<T> of(Class<T> kind) {
-    return steps.stream().filter(kind::isInstance).map(kind::cast).toList();
+  private <T extends WatchAction> List<T> of(Class<T> kind) {
+    return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
-  private Step.Ask last() {
-    List<Step.Ask> asks = of(Step.Ask.class);
-    return asks.get(asks.size() - 1);
+  private WatchAction.OpenRequest lastRequest() {
+    List<WatchAction.OpenRequest> requests = of(WatchAction.OpenRequest.class);
+    return requests.get(requests.size() - 1);
   }
 
-  /** The call that was made last is answered, and its first list is of that generation. */
-  private long open(WatchStateMachine plan, long generation) {
-    long call = last().call();
-    took(plan.answered(now, call));
-    took(plan.heard(now, call, false));
-    took(plan.listed(now, call, generation));
-    return call;
+  /** The latest request is answered, and its first list is of that generation. */
+  private long openWatch(WatchStateMachine stateMachine, long generation) {
+    long requestId = lastRequest().requestId();
+    record(stateMachine.onResponse(now, requestId));
+    record(stateMachine.onData(now, requestId, false));
+    record(stateMachine.onList(now, requestId, generation));
+    return requestId;
   }
 
   /**
-   * Empty lines of each 2 s keep a watch; without them it is given up well before 6 s and asked
-   * from the list it had.
+   * An empty line every 2 s keeps a watch alive; without it the watch is given up well before 6 s
+   * and opened again from the known generation.
    */
   @Test
-  void silenceEndsAWatchAndNothingElseDoes() {
-    WatchStateMachine plan = plan(PUSHED);
-    took(plan.follow(now, "a", 1));
-    assertEquals(41, last().since());
-    long call = open(plan, 50);
+  void onlyTheIdleTimeoutEndsAWatchWithoutFailures() {
+    WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
+    record(stateMachine.follow(now, "a", 1));
+    assertEquals(41, lastRequest().sinceGeneration());
+    long requestId = openWatch(stateMachine, 50);
     for (int i = 0; i < 20; i++) {
-      quiet(plan, 2 * SECOND);
-      took(plan.heard(now, call, false));
+      passWithoutData(stateMachine, 2 * SECOND_US);
+      record(stateMachine.onData(now, requestId, false));
     }
-    assertEquals(1, of(Step.Ask.class).size());
-    assertEquals(List.of(), of(Step.Silent.class));
-    long fell = now;
-    quiet(plan, 3 * SECOND);
-    assertEquals(new Step.Silent(fell), of(Step.Silent.class).get(0));
-    assertEquals(50, last().since());
-    assertTrue(steps.contains(new Step.Drop(call)));
-    assertFalse(plan.hears(call));
-    open(plan, 51);
-    assertEquals(1, of(Step.Heard.class).size());
+    assertEquals(1, of(WatchAction.OpenRequest.class).size());
+    assertEquals(List.of(), of(WatchAction.ReportUnavailable.class));
+    long lastDataUs = now;
+    passWithoutData(stateMachine, 3 * SECOND_US);
+    assertEquals(
+        new WatchAction.ReportUnavailable(lastDataUs),
+        of(WatchAction.ReportUnavailable.class).get(0));
+    assertEquals(50, lastRequest().sinceGeneration());
+    assertTrue(actions.contains(new WatchAction.CloseRequest(requestId)));
+    assertFalse(stateMachine.isActive(requestId));
+    openWatch(stateMachine, 51);
+    assertEquals(1, of(WatchAction.ReportRecovered.class).size());
   }
 
   /**
-   * The agent is down for 9 s and says nothing; a call from then may never be answered. What it has
-   * counts as told from its first moment: a call is made within 130 ms of any moment, and no more
-   * than eight are out.
+   * The agent is down for 9 s without a reset, and a request from then may never be answered. The
+   * broker answers for what the agent has from its return on: a request is made within 130 ms of
+   * any moment, and no more than eight are in flight.
    */
   @Test
-  void anAgentThatComesBackIsAskedAtOnce() {
-    WatchStateMachine plan = plan(PUSHED);
-    took(plan.follow(now, "a", 1));
-    open(plan, 50);
-    quiet(plan, 4 * SECOND);
+  void anAgentThatReturnsIsRequestedAtOnce() {
+    WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
+    record(stateMachine.follow(now, "a", 1));
+    openWatch(stateMachine, 50);
+    passWithoutData(stateMachine, 4 * SECOND_US);
     for (int i = 0; i < 38; i++) {
-      int calls = of(Step.Ask.class).size();
-      quiet(plan, 130_000);
-      assertTrue(of(Step.Ask.class).size() > calls);
-      assertTrue(of(Step.Ask.class).size() - of(Step.Drop.class).size() <= 8);
+      int requestCount = of(WatchAction.OpenRequest.class).size();
+      passWithoutData(stateMachine, 130_000);
+      assertTrue(of(WatchAction.OpenRequest.class).size() > requestCount);
+      assertTrue(
+          of(WatchAction.OpenRequest.class).size() - of(WatchAction.CloseRequest.class).size()
+              <= 8);
     }
-    long back = last().call();
-    open(plan, 60);
+    long answeredId = lastRequest().requestId();
+    openWatch(stateMachine, 60);
     assertEquals(
-        of(Step.Ask.class).size() - 1, of(Step.Drop.class).size(), "only the answered one is left");
-    assertTrue(plan.hears(back));
+        of(WatchAction.OpenRequest.class).size() - 1,
+        of(WatchAction.CloseRequest.class).size(),
+        "only the answered one is left");
+    assertTrue(stateMachine.isActive(answeredId));
   }
 
-  /**
-   * A list that begins and stalls is no list, though its bytes dribble in or empty lines follow it.
-   */
+  /** A list that stalls ends the watch, though bytes of it dribble in or empty lines follow it. */
   @Test
-  void anObjectThatDoesNotEndBreaksTheWatch() {
-    WatchStateMachine plan = plan(PUSHED);
-    took(plan.follow(now, "a", 1));
-    long call = open(plan, 50);
-    long began = now;
-    for (int i = 0; i < 30 && plan.hears(call); i++) {
-      took(plan.heard(now, call, true));
-      quiet(plan, 200_000);
+  void anObjectThatStaysIncompleteEndsTheWatch() {
+    WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
+    record(stateMachine.follow(now, "a", 1));
+    long requestId = openWatch(stateMachine, 50);
+    long startedUs = now;
+    for (int i = 0; i < 30 && stateMachine.isActive(requestId); i++) {
+      record(stateMachine.onData(now, requestId, true));
+      passWithoutData(stateMachine, 200_000);
     }
-    assertFalse(plan.hears(call));
-    assertTrue(now <= began + 3 * SECOND);
-    assertEquals(50, last().since());
+    assertFalse(stateMachine.isActive(requestId));
+    assertTrue(now <= startedUs + 3 * SECOND_US);
+    assertEquals(50, lastRequest().sinceGeneration());
   }
 
   /**
-   * Moved during a silence: only the new one is asked, for all it has, then for what comes after;
-   * nothing of the old one is read.
+   * Discovery moves while it is unavailable: only the new address is requested, for its complete
+   * list and then for what follows; nothing of the old one is read.
    */
   @Test
-  void aMoveDuringSilenceAsksTheNewAddressAlone() {
-    WatchStateMachine plan = plan(PUSHED);
-    took(plan.follow(now, "a", 1));
-    open(plan, 50);
-    quiet(plan, 4 * SECOND);
-    long old = last().call();
-    took(plan.follow(now, "b", 2));
-    assertFalse(plan.hears(old));
-    assertEquals(WatchStateMachine.NONE_YET, last().since());
-    long whole = open(plan, 3);
-    assertFalse(plan.hears(whole));
-    assertEquals(3, last().since());
-    assertEquals("b", last().host());
+  void aMoveWhileUnavailableRequestsTheNewAddressOnly() {
+    WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
+    record(stateMachine.follow(now, "a", 1));
+    openWatch(stateMachine, 50);
+    passWithoutData(stateMachine, 4 * SECOND_US);
+    long oldId = lastRequest().requestId();
+    record(stateMachine.follow(now, "b", 2));
+    assertFalse(stateMachine.isActive(oldId));
+    assertEquals(WatchStateMachine.NO_GENERATION, lastRequest().sinceGeneration());
+    long completeListId = openWatch(stateMachine, 3);
+    assertFalse(stateMachine.isActive(completeListId));
+    assertEquals(3, lastRequest().sinceGeneration());
+    assertEquals("b", lastRequest().host());
   }
 
-  /**
-   * Moved while the old one speaks: it is heard until the new one has spoken, and not a moment
-   * longer.
-   */
+  /** Discovery moves while the old address streams: it is read until the new one has a list. */
   @Test
-  void theOldAddressIsHeardUntilTheNewOneSpeaks() {
-    WatchStateMachine plan = plan(PUSHED);
-    took(plan.follow(now, "a", 1));
-    long old = open(plan, 50);
-    took(plan.follow(now, "b", 2));
-    took(plan.listed(now, old, 51));
-    assertTrue(plan.hears(old));
-    open(plan, 3);
-    assertFalse(plan.hears(old));
-    int asks = of(Step.Ask.class).size();
-    took(plan.lost(now, old));
-    assertEquals(asks, of(Step.Ask.class).size());
+  void theOldAddressIsReadUntilTheNewOneHasSentAList() {
+    WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
+    record(stateMachine.follow(now, "a", 1));
+    long oldId = openWatch(stateMachine, 50);
+    record(stateMachine.follow(now, "b", 2));
+    record(stateMachine.onList(now, oldId, 51));
+    assertTrue(stateMachine.isActive(oldId));
+    openWatch(stateMachine, 3);
+    assertFalse(stateMachine.isActive(oldId));
+    int requests = of(WatchAction.OpenRequest.class).size();
+    record(stateMachine.onFailure(now, oldId));
+    assertEquals(requests, of(WatchAction.OpenRequest.class).size());
   }
 
   /**
-   * A discovery that all share is lost to all in one moment: they do not come back in one, and bear
-   * its few calls a second.
+   * A shared discovery fails for all brokers at once: they do not return at once, and stay within
+   * the few requests a second that it serves.
    */
   @Test
-  void aSharedDiscoveryIsAskedSeldomAndNotInStep() {
-    List<Long> firsts = new ArrayList<>();
-    long calls = 0;
-    long lasting = 0;
+  void aSharedDiscoveryIsPolledSeldomAndNotInStep() {
+    List<Long> firstRetries = new ArrayList<>();
+    long requestCount = 0;
+    long lateRequests = 0;
     for (int broker = 0; broker < 4; broker++) {
-      WatchStateMachine plan = new WatchStateMachine(() -> WatchTimings.of(asked(4)), 41, broker);
-      steps.clear();
-      now = 1_000 * SECOND;
-      took(plan.follow(now, "a", 1));
-      open(plan, 50);
-      took(plan.lost(now, last().call())); // it went down: watches end
-      firsts.add(plan.nextUs() / 10_000);
-      for (long end = now + 30 * SECOND;
-          now < end;
-          now = plan.nextUs()) { // each call ends with 503 at once
-        took(plan.passed(now));
-        took(plan.lost(now, last().call()));
-        lasting += now > end - 25 * SECOND ? 1 : 0;
+      WatchStateMachine stateMachine =
+          new WatchStateMachine(() -> WatchTimings.of(polledSettings(4)), 41, broker);
+      actions.clear();
+      now = 1_000 * SECOND_US;
+      record(stateMachine.follow(now, "a", 1));
+      openWatch(stateMachine, 50);
+      record(
+          stateMachine.onFailure(
+              now, lastRequest().requestId())); // discovery went down: watches end
+      firstRetries.add(stateMachine.nextUs() / 10_000);
+      for (long endUs = now + 30 * SECOND_US;
+          now < endUs;
+          now = stateMachine.nextUs()) { // each request ends with 503 at once
+        record(stateMachine.onTimer(now));
+        record(stateMachine.onFailure(now, lastRequest().requestId()));
+        lateRequests += now > endUs - 25 * SECOND_US ? 1 : 0;
       }
-      calls += of(Step.Ask.class).size();
+      requestCount += of(WatchAction.OpenRequest.class).size();
     }
-    assertTrue(firsts.stream().distinct().count() >= 3, "in step: " + firsts);
-    assertTrue(calls <= 1.5 * 30 + 4, "calls in 30 s: " + calls);
-    assertTrue(lasting <= 1.4 * 25, "calls in the last 25 s: " + lasting);
+    assertTrue(firstRetries.stream().distinct().count() >= 3, "in step: " + firstRetries);
+    assertTrue(requestCount <= 1.5 * 30 + 4, "calls in 30 s: " + requestCount);
+    assertTrue(lateRequests <= 1.4 * 25, "calls in the last 25 s: " + lateRequests);
     assertTrue(
         IntStream.of(1, 4, 100)
-            .mapToObj(n -> WatchTimings.of(asked(n)))
+            .mapToObj(n -> WatchTimings.of(polledSettings(n)))
             .allMatch(
                 times ->
-                    times.pauses().longestUs()
-                        <= Math.min(4 * SECOND, PUSHED.rules().pollWithinUs() / 2)));
+                    times.backoff().maximumUs()
+                        <= Math.min(4 * SECOND_US, PUSHED_SETTINGS.rules().pollWithinUs() / 2)));
   }
 
   @Test
-  void whoAsksForTheListAgainGetsOneCallNotTwo() {
-    WatchStateMachine plan = plan(asked(4));
-    took(plan.follow(now, "a", 1));
-    took(plan.resync(now));
-    assertEquals(1, of(Step.Ask.class).size());
-    open(plan, 50);
-    took(plan.resync(now));
-    assertEquals(2, of(Step.Ask.class).size());
-    took(plan.stop());
-    assertEquals(WatchStateMachine.NEVER, plan.nextUs());
+  void aResyncMakesOneRequestNotTwo() {
+    WatchStateMachine stateMachine = stateMachine(polledSettings(4));
+    record(stateMachine.follow(now, "a", 1));
+    record(stateMachine.resync(now));
+    assertEquals(1, of(WatchAction.OpenRequest.class).size());
+    openWatch(stateMachine, 50);
+    record(stateMachine.resync(now));
+    assertEquals(2, of(WatchAction.OpenRequest.class).size());
+    record(stateMachine.stop());
+    assertEquals(WatchStateMachine.NEVER, stateMachine.nextUs());
   }
 
-  /**
-   * What becomes of a call while discovery can not be reached; it never answers one of these later.
-   */
+  /** What happens to a request while discovery is down; it never answers one of these later. */
   private enum Fault {
     REFUSED,
-    SAYS_503,
+    RESPONDS_503,
     NEVER_CONNECTS,
     NEVER_ANSWERS,
-    HEAD_ALONE,
+    HEAD_ONLY,
     LATE_HEAD,
     MOVES,
     ONE_LINE,
@@ -255,27 +257,35 @@
   }
 
   /**
-   * When a call is made that discovery, there again since {@code backUs}, can answer; before that
-   * each call has a fault of its own.
+   * When a request is made that discovery, available again from {@code backUs} on, can answer;
+   * before that each request has a fault of its own.
    */
-  private long askedAfter(
-      WatchStateMachine plan, long backUs, SplittableRandom random, Fault[] faults) {
-    TreeMap<Long, Runnable> script = new TreeMap<>();
-    int[] seen = {0};
+  private long firstRequestAfter(
+      WatchStateMachine stateMachine, long backUs, SplittableRandom random, Fault[] faults) {
+    NavigableMap<Long, Runnable> script = new TreeMap<>();
+    int[] processed = {0};
     for (int guard = 0; guard < 100_000; guard++) {
-      for (; seen[0] < steps.size(); seen[0]++) {
-        if (steps.get(seen[0]) instanceof Step.Ask ask) {
+      for (; processed[0] < actions.size(); processed[0]++) {
+        if (actions.get(processed[0]) instanceof WatchAction.OpenRequest request) {
           if (now >= backUs) {
             return now;
           }
-          fails(plan, backUs, ask.call(), faults[random.nextInt(faults.length)], script, random);
+          scheduleFault(
+              stateMachine,
+              backUs,
+              request.requestId(),
+              faults[random.nextInt(faults.length)],
+              script,
+              random);
         }
       }
       Map.Entry<Long, Runnable> next = script.firstEntry();
-      if (next == null || next.getKey() > plan.nextUs()) {
-        assertTrue(plan.nextUs() > now || plan.nextUs() == now && next == null, "it would spin");
-        now = Math.max(now, plan.nextUs());
-        took(plan.passed(now));
+      if (next == null || next.getKey() > stateMachine.nextUs()) {
+        assertTrue(
+            stateMachine.nextUs() > now || (stateMachine.nextUs() == now && next == null),
+            "it would spin");
+        now = Math.max(now, stateMachine.nextUs());
+        record(stateMachine.onTimer(now));
       } else {
         now = script.pollFirstEntry().getKey();
         next.getValue().run();
@@ -284,175 +294,191 @@
     throw new AssertionError("no call was made");
   }
 
-  private void fails(
-      WatchStateMachine plan,
+  private void scheduleFault(
+      WatchStateMachine stateMachine,
       long backUs,
-      long call,
+      long requestId,
       Fault fault,
-      TreeMap<Long, Runnable> script,
+      NavigableMap<Long, Runnable> script,
       SplittableRandom random) {
     long at = now + 1 + random.nextLong(300_000);
-    Runnable lost = () -> took(plan.lost(now, call));
-    Runnable head = () -> took(now < backUs ? plan.answered(now, call) : List.of());
-    Runnable line = () -> took(now < backUs ? plan.heard(now, call, false) : List.of());
+    Runnable failure = () -> record(stateMachine.onFailure(now, requestId));
+    Runnable head = untilBack(backUs, () -> stateMachine.onResponse(now, requestId));
+    Runnable emptyLine = untilBack(backUs, () -> stateMachine.onData(now, requestId, false));
+    Runnable listing = untilBack(backUs, () -> stateMachine.onList(now, requestId, 50));
     Runnable list =
         () -> {
-          line.run();
-          took(now < backUs ? plan.listed(now, call, 50) : List.of());
+          emptyLine.run();
+          listing.run();
         };
     switch (fault) {
-      case REFUSED -> script.put(now + 1, lost);
-      case SAYS_503 -> script.put(at, lost);
-      case NEVER_CONNECTS -> script.put(now + SECOND, lost);
-      case HEAD_ALONE -> script.put(at, head);
+      case REFUSED -> script.put(now + 1, failure);
+      case RESPONDS_503 -> script.put(at, failure);
+      case NEVER_CONNECTS -> script.put(now + SECOND_US, failure);
+      case HEAD_ONLY -> script.put(at, head);
       case LATE_HEAD -> script.put(now + 2_600_000 + random.nextLong(390_000), head);
-      case MOVES -> script.put(at, () -> took(plan.follow(now, "b" + call, 2)));
+      case MOVES -> script.put(at, () -> record(stateMachine.follow(now, "b" + requestId, 2)));
       case LIST_AND_RESET -> {
         script.put(at, head);
         script.put(at + 1, list);
-        script.put(at + 2 + random.nextLong(3 * SECOND), lost);
+        script.put(at + 2 + random.nextLong(3 * SECOND_US), failure);
+      }
+      case ONE_LINE -> {
+        script.put(at, head);
+        script.put(at + 1, emptyLine);
       }
-      case ONE_LINE, LISTS_AND_SILENCE -> {
+      case LISTS_AND_SILENCE -> {
         script.put(at, head);
-        script.put(at + 1, fault == Fault.ONE_LINE ? line : list);
-        for (int i = 1; fault == Fault.LISTS_AND_SILENCE && i < random.nextInt(4); i++) {
-          script.put(at + 2 * i * SECOND, line);
+        script.put(at + 1, list);
+        for (int i = 1; i < random.nextInt(4); i++) {
+          script.put(at + 2L * i * SECOND_US, emptyLine);
         }
       }
       case NEVER_ANSWERS -> {}
     }
   }
 
-  /** Every seed: a history of its own, until a moment of its own. */
+  /** Passes an input to the state machine only while discovery is still down. */
+  private Runnable untilBack(long backUs, Supplier<List<WatchAction>> input) {
+    return () -> {
+      if (now < backUs) {
+        record(input.get());
+      }
+    };
+  }
+
+  /** The longest time to a request over many seeds, each with its own faults and outage. */
   private long latest(Settings settings, Fault... faults) {
     long latest = 0;
     for (int seed = 0; seed < 400; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
-      steps.clear();
-      now = 1_000 * SECOND;
-      WatchStateMachine plan = new WatchStateMachine(() -> WatchTimings.of(settings), 41, seed);
-      took(plan.follow(now, "a", 1));
-      long backUs = now + SECOND + random.nextLong(40 * SECOND);
-      latest = Math.max(latest, askedAfter(plan, backUs, random, faults) - backUs);
+      actions.clear();
+      now = 1_000 * SECOND_US;
+      WatchStateMachine stateMachine =
+          new WatchStateMachine(() -> WatchTimings.of(settings), 41, seed);
+      record(stateMachine.follow(now, "a", 1));
+      long backUs = now + SECOND_US + random.nextLong(40 * SECOND_US);
+      latest = Math.max(latest, firstRequestAfter(stateMachine, backUs, random, faults) - backUs);
     }
     return latest;
   }
 
   /**
-   * What discovery has counts as told 6 s after it could be reached. Where it is asked, whatever
-   * failed before and in whatever order, a call is made early enough for an answer that takes 1.8
-   * s.
+   * The broker answers for what discovery has from 6 s after it could be reached. Where it is
+   * polled, whatever failed before and in whatever order, a request is made early enough for a
+   * response that takes 1.8 s.
    */
   @Test
-  void whateverFailedBeforeASharedDiscoveryIsReadWithinSixSeconds() {
+  void afterAnyFaultsASharedDiscoveryIsReadWithinSixSeconds() {
     for (int brokers : new int[] {1, 4, 30, 100}) {
-      for (Fault alone : Fault.values()) {
-        long us = latest(asked(brokers), alone);
-        assertTrue(us <= 4_200_000, brokers + " brokers, " + alone + ": " + us);
+      for (Fault fault : Fault.values()) {
+        long delayUs = latest(polledSettings(brokers), fault);
+        assertTrue(delayUs <= 4_200_000, brokers + " brokers, " + fault + ": " + delayUs);
       }
-      long us = latest(asked(brokers), Fault.values());
-      assertTrue(us <= 4_200_000, brokers + " brokers, all: " + us);
+      long delayUs = latest(polledSettings(brokers), Fault.values());
+      assertTrue(delayUs <= 4_200_000, brokers + " brokers, all: " + delayUs);
     }
   }
 
   /**
-   * What an agent gets at its return counts at once: but for a watch that fell silent, and is
-   * noticed in 3 s, it is asked in 130 ms.
+   * The broker answers at once for what an agent has at its return: it is requested within 130 ms,
+   * but for a watch that fell silent, which is noticed within 3 s.
    */
   @Test
-  void whateverFailedBeforeAnAgentIsAskedAtOnce() {
-    long us =
-        latest(PUSHED, Fault.REFUSED, Fault.SAYS_503, Fault.NEVER_CONNECTS, Fault.NEVER_ANSWERS);
-    assertTrue(us <= 130_000, "asked after " + us);
-    us = latest(PUSHED, Fault.values());
-    assertTrue(us <= 3_200_000, "asked after " + us);
+  void afterAnyFaultsAnAgentIsRequestedAtOnce() {
+    long delayUs =
+        latest(
+            PUSHED_SETTINGS,
+            Fault.REFUSED,
+            Fault.RESPONDS_503,
+            Fault.NEVER_CONNECTS,
+            Fault.NEVER_ANSWERS);
+    assertTrue(delayUs <= 130_000, "asked after " + delayUs);
+    delayUs = latest(PUSHED_SETTINGS, Fault.values());
+    assertTrue(delayUs <= 3_200_000, "asked after " + delayUs);
   }
 
-  /**
-   * An agent that takes 2 s for each answer is heard all the same: beside those that come and go
-   * one call waits for it.
-   */
+  /** An agent that takes 2 s for each response is read all the same: one request waits for it. */
   @Test
-  void aSlowAgentIsHeard() {
-    WatchStateMachine plan = plan(PUSHED);
-    took(plan.follow(now, "a", 1));
-    quiet(plan, 10 * SECOND);
+  void aSlowAgentIsRead() {
+    WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
+    record(stateMachine.follow(now, "a", 1));
+    passWithoutData(stateMachine, 10 * SECOND_US);
     assertTrue(
-        of(Step.Ask.class).stream()
-            .anyMatch(ask -> plan.hears(ask.call()) && ask.call() < last().call() - 10),
+        of(WatchAction.OpenRequest.class).stream()
+            .anyMatch(
+                request ->
+                    stateMachine.isActive(request.requestId())
+                        && request.requestId() < lastRequest().requestId() - 10),
         "each call is given up too soon");
   }
 
-  /** Moved twice before the second address has spoken: the first is heard until the third has. */
+  /**
+   * Moved again before the second address has sent a list: the first is read until the third has.
+   */
   @Test
-  void whoSpeaksIsHeardOverAMoveThatLeadNowhere() {
-    WatchStateMachine plan = plan(PUSHED);
-    took(plan.follow(now, "a", 1));
-    long old = open(plan, 50);
-    took(plan.follow(now, "b", 2));
-    long nowhere = last().call();
-    took(plan.follow(now, "c", 3));
-    assertTrue(plan.hears(old));
-    assertFalse(plan.hears(nowhere));
-    open(plan, 3);
-    assertFalse(plan.hears(old));
+  void aStreamingAddressIsReadAcrossAnAbandonedMove() {
+    WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
+    record(stateMachine.follow(now, "a", 1));
+    long oldId = openWatch(stateMachine, 50);
+    record(stateMachine.follow(now, "b", 2));
+    long abandonedId = lastRequest().requestId();
+    record(stateMachine.follow(now, "c", 3));
+    assertTrue(stateMachine.isActive(oldId));
+    assertFalse(stateMachine.isActive(abandonedId));
+    openWatch(stateMachine, 3);
+    assertFalse(stateMachine.isActive(oldId));
   }
 
-  /**
-   * Lists that follow each other without a gap, each piece ending within one, are whole in time:
-   * nothing stalls.
-   */
+  /** Lists without a gap between them, each chunk ending within one, are no stall. */
   @Test
-  void listsWithoutAGapAreNoStall() {
-    WatchStateMachine plan = plan(PUSHED);
-    took(plan.follow(now, "a", 1));
-    long call = open(plan, 50);
+  void consecutiveListsAreNoStall() {
+    WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
+    record(stateMachine.follow(now, "a", 1));
+    long requestId = openWatch(stateMachine, 50);
     for (int i = 0; i < 30; i++) {
-      quiet(plan, 200_000);
-      took(plan.heard(now, call, true));
-      took(plan.listed(now, call, 51 + i));
+      passWithoutData(stateMachine, 200_000);
+      record(stateMachine.onData(now, requestId, true));
+      record(stateMachine.onList(now, requestId, 51 + i));
     }
-    assertTrue(plan.hears(call));
+    assertTrue(stateMachine.isActive(requestId));
   }
 
-  /**
-   * New settings hold for the calls that follow: lists that were pushed are to be asked for, of a
-   * discovery that all share.
-   */
+  /** New settings apply to the requests that follow: here from pushed lists to polled ones. */
   @Test
-  void newSettingsBringOtherTimes() {
-    Settings[] settings = {PUSHED};
-    WatchStateMachine plan = new WatchStateMachine(() -> WatchTimings.of(settings[0]), 41, 7);
-    took(plan.follow(now, "a", 1));
-    quiet(plan, 3 * SECOND);
-    settings[0] = asked(100);
-    quiet(plan, 5 * SECOND);
-    int calls = of(Step.Ask.class).size();
-    quiet(plan, 30 * SECOND);
+  void newSettingsBringOtherTimings() {
+    Settings[] settings = {PUSHED_SETTINGS};
+    WatchStateMachine stateMachine =
+        new WatchStateMachine(() -> WatchTimings.of(settings[0]), 41, 7);
+    record(stateMachine.follow(now, "a", 1));
+    passWithoutData(stateMachine, 3 * SECOND_US);
+    settings[0] = polledSettings(100);
+    passWithoutData(stateMachine, 5 * SECOND_US);
+    int requestCount = of(WatchAction.OpenRequest.class).size();
+    passWithoutData(stateMachine, 30 * SECOND_US);
     assertTrue(
-        of(Step.Ask.class).size() - calls <= 12,
-        "calls in 30 s: " + (of(Step.Ask.class).size() - calls));
+        of(WatchAction.OpenRequest.class).size() - requestCount <= 12,
+        "calls in 30 s: " + (of(WatchAction.OpenRequest.class).size() - requestCount));
   }
 
-  /**
-   * A change of a generation before the one that is held is none to go by: the whole list is asked
-   * for.
-   */
+  /** A change older than the known generation can not be applied: a complete list is requested. */
   @Test
-  void anOlderChangeIsNotTakenAndAllIsAskedFor() {
-    WatchStateMachine plan = plan(PUSHED);
-    took(plan.follow(now, "a", 1));
-    long call = open(plan, 50);
+  void anOlderChangeIsIgnoredAndACompleteListRequested() {
+    WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
+    record(stateMachine.follow(now, "a", 1));
+    long requestId = openWatch(stateMachine, 50);
     assertTrue(
-        plan.fits(call, 50, false) && plan.fits(call, 51, false) && plan.fits(call, 3, true));
-    assertFalse(plan.fits(call, 49, false));
-    took(plan.misfit(now, call));
-    quiet(plan, 130_000);
-    assertEquals(WatchStateMachine.NONE_YET, last().since());
-    assertEquals(1, of(Step.Lost.class).size());
-    long whole = last().call();
-    assertTrue(plan.fits(whole, 3, false));
-    open(plan, 3);
-    assertEquals(3, last().since());
+        stateMachine.accepts(requestId, 50, false)
+            && stateMachine.accepts(requestId, 51, false)
+            && stateMachine.accepts(requestId, 3, true));
+    assertFalse(stateMachine.accepts(requestId, 49, false));
+    record(stateMachine.onUnusableList(now, requestId));
+    passWithoutData(stateMachine, 130_000);
+    assertEquals(WatchStateMachine.NO_GENERATION, lastRequest().sinceGeneration());
+    assertEquals(1, of(WatchAction.CountFailure.class).size());
+    long completeListId = lastRequest().requestId();
+    assertTrue(stateMachine.accepts(completeListId, 3, false));
+    openWatch(stateMachine, 3);
+    assertEquals(3, lastRequest().sinceGeneration());
   }
 }
--- a/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
@@ -21,335 +21,356 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What the membership makes of claims. Two cells, each shard in one of them; sources "a" and "b" of
- * one rank, "c" below.
+ * The endpoint list by the claims of several sources. Two cells, each shard in one of them; sources
+ * "a" and "b" of one rank, "c" below.
  */
 class EndpointRegistryTest {
-  private static final long S = 1_000_000;
-  private static final long FAR = 10_000 * S;
-  private final EndpointRegistry membership = fresh();
+  private static final long SECOND_US = 1_000_000;
+  private static final long FAR_FUTURE_US = 10_000 * SECOND_US;
+  private final EndpointRegistry registry = newRegistry();
 
-  /** What the decisions hold, by the changes alone. */
-  private final Map<String, Endpoint> roster = new TreeMap<>();
+  /** The published endpoints, by the changes alone. */
+  private final Map<String, Endpoint> published = new TreeMap<>();
 
-  private final List<EndpointChange> seen = new ArrayList<>();
+  private final List<EndpointChange> allChanges = new ArrayList<>();
 
-  private static EndpointRegistry fresh() {
-    EndpointRegistry m =
+  private static EndpointRegistry newRegistry() {
+    EndpointRegistry registry =
         new EndpointRegistry(
-            new EndpointRegistrySettings(2, 1, 10 * S, 20 * S, S / 2, 4 * S, 60 * S, 50), 0);
-    m.named("a", 1, false);
-    m.named("b", 1, false);
-    m.named("c", 2, false);
-    return m;
+            new EndpointRegistrySettings(
+                2,
+                1,
+                10 * SECOND_US,
+                20 * SECOND_US,
+                SECOND_US / 2,
+                4 * SECOND_US,
+                60 * SECOND_US,
+                50),
+            0);
+    registry.named("a", 1, false);
+    registry.named("b", 1, false);
+    registry.named("c", 2, false);
+    return registry;
   }
 
-  private static Endpoint at(String name, int port, int cell, long startedUs) {
+  private static Endpoint endpoint(String name, int port, int cell, long startedUs) {
     return new Endpoint(
         name, "127.0.0.1", port, 0, cell, ServerState.READY, 1, startedUs, Protocol.FRAMES);
   }
 
-  private static EndpointClaim claim(Endpoint entry, long atUs) {
+  private static EndpointClaim claim(Endpoint entry, long reportedUs) {
     return new EndpointClaim(
-        entry.name() + "/" + entry.port() + "/" + entry.startedUs(), entry, atUs, FAR);
+        entry.name() + "/" + entry.port() + "/" + entry.startedUs(),
+        entry,
+        reportedUs,
+        FAR_FUTURE_US);
   }
 
-  private void take(List<EndpointChange> changes) {
-    for (EndpointChange c : changes) {
-      seen.add(c);
-      if (c.told()) {
-        roster.put(c.entry().name(), c.entry());
+  private void apply(List<EndpointChange> changes) {
+    for (EndpointChange change : changes) {
+      allChanges.add(change);
+      if (change.told()) {
+        published.put(change.entry().name(), change.entry());
       }
     }
   }
 
-  private void says(String source, long atUs, EndpointClaim... claims) {
-    take(membership.said(atUs, source, false, List.of(claims)));
+  private void report(String source, long reportedUs, EndpointClaim... claims) {
+    apply(registry.said(reportedUs, source, false, List.of(claims)));
   }
 
   private ServerState state(String name) {
-    return roster.get(name).state();
+    return published.get(name).state();
   }
 
   private EndpointStatus status(String name) {
-    return membership.rows().stream()
-        .filter(r -> r.store().equals(name))
+    return registry.rows().stream()
+        .filter(row -> row.store().equals(name))
         .findFirst()
         .orElseThrow()
         .status();
   }
 
   @Test
-  void goneAndBackWithinASecondIsTheSameStore() {
-    take(membership.said(S, "a", true, List.of(claim(at("s", 1, 0, 0), S))));
-    says("a", 20 * S, EndpointClaim.back("s/1/0", 20 * S));
+  void aReturnWithinTheLingerIsTheSameProcess() {
+    apply(registry.said(SECOND_US, "a", true, List.of(claim(endpoint("s", 1, 0, 0), SECOND_US))));
+    report("a", 20 * SECOND_US, EndpointClaim.back("s/1/0", 20 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"));
-    says("a", 20 * S + S / 2, claim(at("s", 1, 0, 0), 20 * S + S / 2));
+    report(
+        "a",
+        20 * SECOND_US + SECOND_US / 2,
+        claim(endpoint("s", 1, 0, 0), 20 * SECOND_US + SECOND_US / 2));
     assertEquals(ServerState.READY, state("s"));
-    assertEquals(0, roster.get("s").startedUs(), "no cold start");
+    assertEquals(0, published.get("s").startedUs(), "no cold start");
   }
 
   @Test
-  void anotherTargetOrStartIsARestart() {
-    take(
-        membership.said(
-            S, "a", true, List.of(claim(at("s", 1, 0, 0), S), claim(at("t", 2, 0, 5), S))));
-    says(
+  void anotherAddressOrStartIsARestart() {
+    apply(
+        registry.said(
+            SECOND_US,
+            "a",
+            true,
+            List.of(
+                claim(endpoint("s", 1, 0, 0), SECOND_US),
+                claim(endpoint("t", 2, 0, 5), SECOND_US))));
+    report(
         "a",
-        20 * S,
-        EndpointClaim.back("s/1/0", 20 * S),
-        claim(at("s", 9, 0, 0), 20 * S),
-        EndpointClaim.back("t/2/5", 20 * S),
-        claim(at("t", 2, 0, 7 * S), 20 * S));
-    assertEquals(20 * S, roster.get("s").startedUs());
-    assertEquals(7 * S, roster.get("t").startedUs());
-    says("a", 21 * S, claim(at("u", 3, 0, 0), 21 * S));
-    assertEquals(21 * S, roster.get("u").startedUs(), "what turns up under our eyes is new");
+        20 * SECOND_US,
+        EndpointClaim.back("s/1/0", 20 * SECOND_US),
+        claim(endpoint("s", 9, 0, 0), 20 * SECOND_US),
+        EndpointClaim.back("t/2/5", 20 * SECOND_US),
+        claim(endpoint("t", 2, 0, 7 * SECOND_US), 20 * SECOND_US));
+    assertEquals(20 * SECOND_US, published.get("s").startedUs());
+    assertEquals(7 * SECOND_US, published.get("t").startedUs());
+    report("a", 21 * SECOND_US, claim(endpoint("u", 3, 0, 0), 21 * SECOND_US));
+    assertEquals(
+        21 * SECOND_US, published.get("u").startedUs(), "what turns up under our eyes is new");
   }
 
   @Test
-  void whatStaysAwayIsGoneAndComesBackAsAnother() {
-    take(membership.said(S, "a", true, List.of(claim(at("s", 1, 0, 0), S))));
-    says("a", 2 * S, EndpointClaim.back("s/1/0", 2 * S));
-    take(membership.passed(11 * S));
+  void aReturnAfterTheLingerIsAnotherProcess() {
+    apply(registry.said(SECOND_US, "a", true, List.of(claim(endpoint("s", 1, 0, 0), SECOND_US))));
+    report("a", 2 * SECOND_US, EndpointClaim.back("s/1/0", 2 * SECOND_US));
+    apply(registry.passed(11 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"));
-    take(membership.passed(12 * S + S / 10));
+    apply(registry.passed(12 * SECOND_US + SECOND_US / 10));
     assertEquals(ServerState.GONE, state("s"));
-    says("a", 80 * S, claim(at("s", 1, 0, 0), 80 * S));
-    assertEquals(80 * S, roster.get("s").startedUs());
+    report("a", 80 * SECOND_US, claim(endpoint("s", 1, 0, 0), 80 * SECOND_US));
+    assertEquals(80 * SECOND_US, published.get("s").startedUs());
   }
 
   @Test
-  void disputesGetNothingUnlessABlockWouldBeBare() {
-    says(
-        "a", S, claim(at("s", 1, 0, 0), S), claim(at("t", 2, 0, 0), S), claim(at("u", 3, 1, 0), S));
-    says("b", 2 * S, claim(at("s", 9, 0, 0), 2 * S), claim(at("u", 8, 1, 0), 2 * S));
+  void disputedEndpointsServeOnlyWhereTheyStandIn() {
+    report(
+        "a",
+        SECOND_US,
+        claim(endpoint("s", 1, 0, 0), SECOND_US),
+        claim(endpoint("t", 2, 0, 0), SECOND_US),
+        claim(endpoint("u", 3, 1, 0), SECOND_US));
+    report(
+        "b",
+        2 * SECOND_US,
+        claim(endpoint("s", 9, 0, 0), 2 * SECOND_US),
+        claim(endpoint("u", 8, 1, 0), 2 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"), "t holds the block");
     assertEquals(ServerState.READY, state("u"), "nobody else holds it");
-    assertEquals(3, roster.get("u").port(), "the older claim stands");
+    assertEquals(3, published.get("u").port(), "the older claim stands");
     assertEquals(EndpointStatus.STANDING_IN, status("u"));
-    says("a", 3 * S, claim(at("v", 4, 1, 0), 3 * S));
+    report("a", 3 * SECOND_US, claim(endpoint("v", 4, 1, 0), 3 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("u"), "now another does");
-    says("b", 4 * S, EndpointClaim.back("s/9/0", 4 * S));
+    report("b", 4 * SECOND_US, EndpointClaim.back("s/9/0", 4 * SECOND_US));
     assertEquals(ServerState.READY, state("s"), "settled");
   }
 
   @Test
-  void whoMayNotHoldTheShardNeverStandsIn() {
-    says("a", S, claim(at("s", 1, 0, 0), S));
-    says("b", 2 * S, claim(at("s", 1, 1, 0), 2 * S));
+  void anEndpointOfADisputedCellNeverStandsIn() {
+    report("a", SECOND_US, claim(endpoint("s", 1, 0, 0), SECOND_US));
+    report("b", 2 * SECOND_US, claim(endpoint("s", 1, 1, 0), 2 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"));
-    assertEquals(StatusReason.CELL_CONFLICT, seen.get(seen.size() - 1).reason());
+    assertEquals(StatusReason.CELL_CONFLICT, allChanges.get(allChanges.size() - 1).reason());
   }
 
   @Test
-  void twoIdsAtOneAddress() {
-    says("a", S, claim(at("s", 1, 0, 0), S), claim(at("t", 5, 0, 0), S));
-    says("a", 2 * S, claim(at("u", 1, 0, 0), 2 * S));
+  void twoNamesAtOneAddressAreDisputed() {
+    report(
+        "a",
+        SECOND_US,
+        claim(endpoint("s", 1, 0, 0), SECOND_US),
+        claim(endpoint("t", 5, 0, 0), SECOND_US));
+    report("a", 2 * SECOND_US, claim(endpoint("u", 1, 0, 0), 2 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"));
     assertEquals(ServerState.WITHDRAWN, state("u"));
-    says("a", 3 * S, EndpointClaim.back("u/1/0", 3 * S));
+    report("a", 3 * SECOND_US, EndpointClaim.back("u/1/0", 3 * SECOND_US));
     assertEquals(ServerState.READY, state("s"));
   }
 
   @Test
-  void theHigherRankIsBelievedAndItsWithdrawalObeyed() {
-    says("c", S, claim(at("s", 9, 0, 0), S));
-    says("a", 2 * S, claim(at("s", 1, 0, 0), 2 * S));
-    assertEquals(1, roster.get("s").port());
-    says("a", 3 * S, EndpointClaim.back("s/1/0", 3 * S));
+  void theSourceOfPrecedenceWinsAndItsWithdrawalOverrules() {
+    report("c", SECOND_US, claim(endpoint("s", 9, 0, 0), SECOND_US));
+    report("a", 2 * SECOND_US, claim(endpoint("s", 1, 0, 0), 2 * SECOND_US));
+    assertEquals(1, published.get("s").port());
+    report("a", 3 * SECOND_US, EndpointClaim.back("s/1/0", 3 * SECOND_US));
     assertEquals(
         ServerState.WITHDRAWN, state("s"), "what the lower one said before does not count");
-    says("c", 4 * S, claim(at("s", 9, 0, 7), 4 * S));
+    report("c", 4 * SECOND_US, claim(endpoint("s", 9, 0, 7), 4 * SECOND_US));
     assertEquals(ServerState.READY, state("s"), "what it says anew does");
-    says("c", 5 * S, EndpointClaim.back("s/9/0", 5 * S), EndpointClaim.back("s/9/7", 5 * S));
+    report(
+        "c",
+        5 * SECOND_US,
+        EndpointClaim.back("s/9/0", 5 * SECOND_US),
+        EndpointClaim.back("s/9/7", 5 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"));
   }
 
   @Test
-  void aFlappingStoreWaitsLongerEachTime() {
-    says("a", S, claim(at("s", 1, 0, 0), S), claim(at("t", 2, 0, 0), S));
-    long[] waited = new long[6];
-    long now = 2 * S;
-    for (int i = 0; i < waited.length; i++) {
-      says("a", now, EndpointClaim.back("s/1/0", now));
+  void aFlappingEndpointIsHeldDownLongerEachTime() {
+    report(
+        "a",
+        SECOND_US,
+        claim(endpoint("s", 1, 0, 0), SECOND_US),
+        claim(endpoint("t", 2, 0, 0), SECOND_US));
+    long[] holdDownsUs = new long[6];
+    long now = 2 * SECOND_US;
+    for (int i = 0; i < holdDownsUs.length; i++) {
+      report("a", now, EndpointClaim.back("s/1/0", now));
       assertEquals(ServerState.WITHDRAWN, state("s"), "obeyed at once");
-      now += S / 10;
-      says("a", now, claim(at("s", 1, 0, 0), now));
-      long back = now;
+      now += SECOND_US / 10;
+      report("a", now, claim(endpoint("s", 1, 0, 0), now));
+      long returnedUs = now;
       while (state("s") != ServerState.READY) {
-        now = membership.nextUs();
-        take(membership.passed(now));
+        now = registry.nextUs();
+        apply(registry.passed(now));
       }
-      waited[i] = now - back;
-      now += S;
+      holdDownsUs[i] = now - returnedUs;
+      now += SECOND_US;
     }
-    assertEquals(0, waited[0]);
+    assertEquals(0, holdDownsUs[0]);
     for (int i = 2; i < 5; i++) {
-      assertTrue(waited[i] >= 1.8 * waited[i - 1], "longer each time");
+      assertTrue(holdDownsUs[i] >= 1.8 * holdDownsUs[i - 1], "longer each time");
     }
-    assertTrue(waited[5] <= 4 * S + 10_000, "but no longer than the settings say");
-    // its block bare, it serves all the same
-    says("a", now, EndpointClaim.back("s/1/0", now), EndpointClaim.back("t/2/0", now));
-    says("a", now + 1, claim(at("s", 1, 0, 0), now + 1));
+    assertTrue(holdDownsUs[5] <= 4 * SECOND_US + 10_000, "but no longer than the settings say");
+    // without another endpoint for its shard it serves all the same
+    report("a", now, EndpointClaim.back("s/1/0", now), EndpointClaim.back("t/2/0", now));
+    report("a", now + 1, claim(endpoint("s", 1, 0, 0), now + 1));
     assertEquals(EndpointStatus.STANDING_IN, status("s"));
   }
 
   @Test
-  void silenceIsNoWithdrawalUntilTheBound() {
-    says("a", S, new EndpointClaim("s", at("s", 1, 0, 0), S, 5 * S));
-    take(membership.silent(3 * S, "a"));
-    take(membership.passed(6 * S));
+  void claimsOfAnUnavailableSourceStayStaleUntilTheBound() {
+    report(
+        "a", SECOND_US, new EndpointClaim("s", endpoint("s", 1, 0, 0), SECOND_US, 5 * SECOND_US));
+    apply(registry.silent(3 * SECOND_US, "a"));
+    apply(registry.passed(6 * SECOND_US));
     assertEquals(EndpointStatus.STALE, status("s"));
     assertEquals(ServerState.READY, state("s"));
-    take(membership.passed(24 * S));
+    apply(registry.passed(24 * SECOND_US));
     assertEquals(ServerState.READY, state("s"));
-    take(membership.passed(25 * S + S / 10));
+    apply(registry.passed(25 * SECOND_US + SECOND_US / 10));
     assertEquals(ServerState.WITHDRAWN, state("s"));
-    assertEquals(StatusReason.CLAIM_EXPIRED, seen.get(seen.size() - 1).reason());
+    assertEquals(StatusReason.CLAIM_EXPIRED, allChanges.get(allChanges.size() - 1).reason());
   }
 
   @Test
-  void boundsOnIdsAndCells() {
+  void claimsBeyondTheBoundsAreRejected() {
     for (int i = 0; i < 60; i++) {
-      says("a", S, claim(at("s" + i, 100 + i, 0, 0), S));
+      report("a", SECOND_US, claim(endpoint("s" + i, 100 + i, 0, 0), SECOND_US));
     }
-    says("a", S, claim(at("z", 7, 2, 0), S));
-    assertEquals(50, roster.size());
-    assertEquals(11, membership.refused());
-    assertFalse(roster.containsKey("z"));
+    report("a", SECOND_US, claim(endpoint("z", 7, 2, 0), SECOND_US));
+    assertEquals(50, published.size());
+    assertEquals(11, registry.refused());
+    assertFalse(published.containsKey("z"));
   }
 
-  /** Scripts of three sources: a claim or its withdrawal, each source's in their order. */
-  record Said(String source, int store, int variant, boolean back) {}
+  /** One step of a script: a claim or its withdrawal by one of three sources. */
+  record Report(String source, int store, int variant, boolean withdrawal) {}
 
   @Provide
-  Arbitrary<List<Said>> scripts() {
+  Arbitrary<List<Report>> scripts() {
     return Combinators.combine(
             Arbitraries.of("a", "b", "c"),
             Arbitraries.integers().between(0, 3),
             Arbitraries.integers().between(0, 3),
             Arbitraries.integers().between(0, 3))
-        .as((source, store, variant, back) -> new Said(source, store, variant, back == 0))
+        .as(
+            (source, store, variant, withdrawal) ->
+                new Report(source, store, variant, withdrawal == 0))
         .list()
         .ofMaxSize(14);
   }
 
-  private static EndpointClaim of(Said said, long atUs) {
+  private static EndpointClaim toClaim(Report report, long reportedUs) {
     Endpoint entry =
-        at(
-            "s" + said.store(),
-            said.variant() == 1 ? 77 : 10 + said.store(),
-            said.variant() == 2 ? 1 - said.store() % 2 : said.store() % 2,
-            said.variant() == 3 ? 9 : 0);
-    String key = entry.name() + "/" + said.variant();
-    return said.back() ? EndpointClaim.back(key, atUs) : new EndpointClaim(key, entry, atUs, FAR);
+        endpoint(
+            "s" + report.store(),
+            report.variant() == 1 ? 77 : 10 + report.store(),
+            report.variant() == 2 ? 1 - report.store() % 2 : report.store() % 2,
+            report.variant() == 3 ? 9 : 0);
+    String key = entry.name() + "/" + report.variant();
+    return report.withdrawal()
+        ? EndpointClaim.back(key, reportedUs)
+        : new EndpointClaim(key, entry, reportedUs, FAR_FUTURE_US);
   }
 
-  /**
-   * Claims only (withdrawals have moments of their own): any order gives the same states, addresses
-   * and reasons.
-   */
+  /** Claims without withdrawals: any order gives the same statuses and reasons. */
   @Property(tries = 400, seed = "20261201")
-  void anyOrderOfTheSameClaimsGivesTheSameRoster(
-      @ForAll("scripts") List<Said> script, @ForAll long seed) {
-    List<Said> claims = new ArrayList<>();
+  void theOrderOfClaimsDoesNotMatter(@ForAll("scripts") List<Report> script, @ForAll long seed) {
+    List<Report> claims = new ArrayList<>();
     script.stream()
-        .filter(s -> !s.back())
-        .filter(s -> claims.stream().noneMatch(c -> c.equals(s)))
+        .filter(candidate -> !candidate.withdrawal())
+        .filter(candidate -> claims.stream().noneMatch(report -> report.equals(candidate)))
         .forEach(claims::add);
     List<Integer> order = new ArrayList<>();
     for (int i = 0; i < claims.size(); i++) {
       order.add(i);
     }
-    Map<String, String> first = outcome(claims, order);
+    Map<String, String> expected = outcome(claims, order);
     java.util.Collections.shuffle(order, new Random(seed));
-    assertEquals(first, outcome(claims, order));
+    assertEquals(expected, outcome(claims, order));
   }
 
-  private static Map<String, String> outcome(List<Said> claims, List<Integer> order) {
-    EndpointRegistry m = fresh();
+  private static Map<String, String> outcome(List<Report> claims, List<Integer> order) {
+    EndpointRegistry registry = newRegistry();
     for (int i : order) {
-      m.said(100 * S, claims.get(i).source(), false, List.of(of(claims.get(i), S + i)));
+      registry.said(
+          100 * SECOND_US,
+          claims.get(i).source(),
+          false,
+          List.of(toClaim(claims.get(i), SECOND_US + i)));
     }
     Map<String, String> result = new TreeMap<>();
-    m.rows()
+    registry
+        .rows()
         .forEach(
-            r ->
+            row ->
                 result.put(
-                    r.store() + "/" + r.source() + "/" + r.key(), r.status() + " " + r.reason()));
+                    row.store() + "/" + row.source() + "/" + row.key(),
+                    row.status() + " " + row.reason()));
     return result;
   }
 
   /**
-   * Whatever happens: no store that no source claims any more is told ready, and none outside the
-   * cell that is claimed.
+   * Whatever the sources report, an endpoint that no source claims is not published as ready, and
+   * none in another cell than claimed.
    */
   @Property(tries = 400, seed = "20261201")
-  void noScheduleSendsToAWithdrawnStore(@ForAll("scripts") List<Said> script) {
-    EndpointRegistry m = fresh();
-    Map<String, ServerState> told = new HashMap<>();
-    Map<String, EndpointClaim> standing = new HashMap<>();
-    long now = S;
-    for (Said said : script) {
-      now += S / 3;
-      EndpointClaim claim = of(said, now);
-      String key = said.source() + claim.key();
-      if (said.back()) {
-        standing.remove(key);
+  void noWithdrawnEndpointIsPublishedAsReady(@ForAll("scripts") List<Report> script) {
+    EndpointRegistry registry = newRegistry();
+    Map<String, ServerState> publishedStates = new HashMap<>();
+    Map<String, EndpointClaim> activeClaims = new HashMap<>();
+    long now = SECOND_US;
+    for (Report report : script) {
+      now += SECOND_US / 3;
+      EndpointClaim claim = toClaim(report, now);
+      String key = report.source() + claim.key();
+      if (report.withdrawal()) {
+        activeClaims.remove(key);
       } else {
-        standing.put(key, claim);
+        activeClaims.put(key, claim);
       }
-      List<EndpointChange> changes = new ArrayList<>(m.passed(now));
-      changes.addAll(m.said(now, said.source(), false, List.of(claim)));
+      List<EndpointChange> changes = new ArrayList<>(registry.passed(now));
+      changes.addAll(registry.said(now, report.source(), false, List.of(claim)));
       changes.stream()
           .filter(EndpointChange::told)
-          .forEach(c -> told.put(c.entry().name(), c.entry().state()));
-      told.forEach(
+          .forEach(change -> publishedStates.put(change.entry().name(), change.entry().state()));
+      publishedStates.forEach(
           (name, state) ->
               assertTrue(
                   state != ServerState.READY
-                      || standing.values().stream().anyMatch(c -> c.entry().name().equals(name)),
+                      || activeClaims.values().stream()
+                          .anyMatch(active -> active.entry().name().equals(name)),
                   name));
-      for (EndpointChange c : changes) {
+      for (EndpointChange change : changes) {
         boolean claimed =
-            standing.values().stream()
+            activeClaims.values().stream()
                 .anyMatch(
-                    x ->
-                        x.entry().name().equals(c.entry().name())
-                            && x.entry().cell() == c.entry().cell());
+                    active ->
+                        active.entry().name().equals(change.entry().name())
+                            && active.entry().cell() == change.entry().cell());
         assertTrue(
-            !c.told() || c.entry().state() != ServerState.READY || claimed,
+            !change.told() || change.entry().state() != ServerState.READY || claimed,
             "another cell than claimed");
       }
     }
   }
-
-  /** The wheel against a sorted map: each moment rings once, not early and at most a tick late. */
-  @Property(tries = 200, seed = "20261201")
-  void theWheelRingsInTime(@ForAll("moments") List<Long> moments) {
-    TimingWheel<Long> wheel = new TimingWheel<>(0);
-    moments.forEach(due -> wheel.set(due, due));
-    List<Long> rung = new ArrayList<>();
-    long now = 0;
-    while (wheel.nextUs() != TimingWheel.NEVER) {
-      now = Math.max(now, wheel.nextUs());
-      long at = now;
-      wheel.advance(
-          now,
-          due -> {
-            assertTrue(
-                due <= at && at - due <= TimingWheel.TICK_US || due < TimingWheel.TICK_US,
-                due + " at " + at);
-            rung.add(due);
-          });
-    }
-    assertEquals(moments.stream().sorted().toList(), rung.stream().sorted().toList());
-    assertEquals(0, wheel.size());
-  }
-
-  @Provide
-  Arbitrary<List<Long>> moments() {
-    return Arbitraries.longs().between(0, 200L * 3600 * S).list().ofMaxSize(40);
-  }
 }
--- /dev/null
+++ b/src/test/java/dunlinhitch/endpoints/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the endpoint registry and of the timing wheel. */
+package dunlinhitch.endpoints;
