--- a/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
@@ -57,7 +57,7 @@
    *
    * @param settings the settings in force; a new configuration may bring others
    * @param seed of the jitter
-   * @param knownGeneration generation of the list that is known at the start
+   * @param initialGeneration generation of the list that is known at the start
    * @param events gets the lists and the failures, on the event loop
    * @param clock microseconds
    */
@@ -65,7 +65,7 @@
       Vertx vertx,
       Supplier<Settings> settings,
       long seed,
-      long knownGeneration,
+      long initialGeneration,
       EndpointListReader reader,
       Consumer<Event> events,
       LongSupplier clock) {
@@ -74,7 +74,7 @@
     this.events = events;
     this.clock = clock;
     stateMachine =
-        new WatchStateMachine(() -> WatchTimings.of(settings.get()), knownGeneration, seed);
+        new WatchStateMachine(() -> WatchTimings.of(settings.get()), initialGeneration, seed);
     client =
         vertx.createHttpClient(
             new HttpClientOptions().setConnectTimeout(CONNECT_TIMEOUT_MS).setKeepAlive(false));
--- a/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
@@ -23,7 +23,7 @@
   private final Supplier<WatchTimings> timings;
 
   private final SplittableRandom random;
-  private final long knownGeneration;
+  private final long initialGeneration;
   private final WatchOutput output = new WatchOutput();
 
   /** The session on discovery's address; null until there is one. */
@@ -37,10 +37,10 @@
 
   private boolean unavailableReported;
 
-  /** {@code knownGeneration} is that of the list known at the start. */
-  WatchStateMachine(Supplier<WatchTimings> timings, long knownGeneration, long seed) {
+  /** {@code initialGeneration} is that of the list known at the start. */
+  WatchStateMachine(Supplier<WatchTimings> timings, long initialGeneration, long seed) {
     this.timings = timings;
-    this.knownGeneration = knownGeneration;
+    this.initialGeneration = initialGeneration;
     random = new SplittableRandom(seed);
   }
 
@@ -61,7 +61,7 @@
       previous.end();
       previous = null;
     }
-    long generation = first ? knownGeneration : NO_GENERATION;
+    long generation = first ? initialGeneration : NO_GENERATION;
     current = new WatchSession(host, port, generation, timings, random, output);
     lastReceivedUs = unavailableReported ? lastReceivedUs : nowUs;
     current.open(nowUs);
--- a/src/main/java/dunlinhitch/endpoints/ClaimConflicts.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimConflicts.java
@@ -12,8 +12,8 @@
     if (!one.sameAddress(other) || one.zone() != other.zone()) {
       return StatusReason.ADDRESS_CONFLICT;
     }
-    boolean bothStartsKnown = one.startedUs() != 0 && other.startedUs() != 0;
-    if (bothStartsKnown && one.startedUs() != other.startedUs()) {
+    boolean bothStartsClaimed = one.startedUs() != 0 && other.startedUs() != 0;
+    if (bothStartsClaimed && one.startedUs() != other.startedUs()) {
       return StatusReason.START_TIME_CONFLICT;
     }
     return null;
--- a/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
@@ -31,7 +31,7 @@
   final FlapHistory flaps = new FlapHistory();
 
   /**
-   * End of the hold-down, of the linger or of the flap memory; written by {@link StatusUpdater}.
+   * End of the suppression, of the linger or of the flap memory; written by {@link StatusUpdater}.
    */
   TimingWheel.Handle<Runnable> timer;
 
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
@@ -140,7 +140,9 @@
     return collectChanges();
   }
 
-  /** Lets time pass: expiries, hold-downs and lingers that are due by {@code nowUs} take effect. */
+  /**
+   * Lets time pass: expiries, suppressions and lingers that are due by {@code nowUs} take effect.
+   */
   public List<EndpointChange> passed(long nowUs) {
     timers.advance(nowUs);
     return collectChanges();
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
@@ -8,10 +8,10 @@
  * @param inARow number of consecutive cells that have a shard
  * @param lingerUs how long a withdrawn endpoint is remembered as the same process
  * @param staleForUs how long a claim stays in force after its expiry
- * @param firstHoldUs hold-down of the second return within {@code calmUs}; each further return is
- *     held down twice as long
- * @param mostHoldUs the longest hold-down of a return
- * @param calmUs quiet period without a withdrawal, after which the flaps of an endpoint are
+ * @param firstHoldUs suppression of the second return within {@code calmUs}; each further return is
+ *     suppressed twice as long
+ * @param mostHoldUs the longest suppression of a return
+ * @param calmUs stable period without a withdrawal, after which the flaps of an endpoint are
  *     forgotten
  * @param mostStores bound of the endpoint names; claims of further ones are rejected
  */
@@ -26,17 +26,17 @@
     int mostStores) {
   private static final long DEFAULT_LINGER_US = 10_000_000;
   private static final long DEFAULT_STALE_FOR_US = 3_600_000_000L;
-  private static final long DEFAULT_FIRST_HOLD_US = 500_000;
-  private static final long DEFAULT_LONGEST_HOLD_US = 30_000_000;
-  private static final long DEFAULT_QUIET_PERIOD_US = 60_000_000;
+  private static final long DEFAULT_FIRST_SUPPRESSION_US = 500_000;
+  private static final long DEFAULT_MAX_SUPPRESSION_US = 30_000_000;
+  private static final long DEFAULT_STABLE_PERIOD_US = 60_000_000;
   private static final int DEFAULT_MAX_ENDPOINTS = 20_000;
 
   /** Checks the bounds. */
   public EndpointRegistrySettings {
     boolean layoutInRange = cells >= 1 && inARow >= 1 && mostStores >= 1;
-    boolean holdInRange = firstHoldUs >= 0 && mostHoldUs >= firstHoldUs;
+    boolean suppressionInRange = firstHoldUs >= 0 && mostHoldUs >= firstHoldUs;
     boolean timesInRange = lingerUs >= 0 && staleForUs >= 0 && calmUs >= 0;
-    if (!layoutInRange || !holdInRange || !timesInRange) {
+    if (!layoutInRange || !suppressionInRange || !timesInRange) {
       throw new IllegalArgumentException("membership settings out of range");
     }
   }
@@ -48,9 +48,9 @@
         inARow,
         DEFAULT_LINGER_US,
         DEFAULT_STALE_FOR_US,
-        DEFAULT_FIRST_HOLD_US,
-        DEFAULT_LONGEST_HOLD_US,
-        DEFAULT_QUIET_PERIOD_US,
+        DEFAULT_FIRST_SUPPRESSION_US,
+        DEFAULT_MAX_SUPPRESSION_US,
+        DEFAULT_STABLE_PERIOD_US,
         DEFAULT_MAX_ENDPOINTS);
   }
 
@@ -58,17 +58,17 @@
   public EndpointRegistrySettings withTimes(
       long newLingerUs,
       long newStaleForUs,
-      long newFirstHoldUs,
-      long newMostHoldUs,
-      long newCalmUs) {
+      long newFirstSuppressionUs,
+      long newMaxSuppressionUs,
+      long newStablePeriodUs) {
     return new EndpointRegistrySettings(
         cells,
         inARow,
         newLingerUs,
         newStaleForUs,
-        newFirstHoldUs,
-        newMostHoldUs,
-        newCalmUs,
+        newFirstSuppressionUs,
+        newMaxSuppressionUs,
+        newStablePeriodUs,
         mostStores);
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/EndpointStatus.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointStatus.java
@@ -2,7 +2,7 @@
 
 /** The status of an endpoint after all claims on it are weighed. */
 public enum EndpointStatus {
-  /** Claimed, but held down by flap damping: it gets no requests yet. */
+  /** Claimed, but suppressed by flap damping: it gets no requests yet. */
   ANNOUNCED(false),
   /** It serves. */
   LIVE(true),
--- a/src/main/java/dunlinhitch/endpoints/FlapDamping.java
+++ b/src/main/java/dunlinhitch/endpoints/FlapDamping.java
@@ -1,13 +1,13 @@
 package dunlinhitch.endpoints;
 
 /**
- * Flap damping: an endpoint that returns again and again is held down before it serves, each time
+ * Flap damping: an endpoint that returns again and again is suppressed before it serves, each time
  * twice as long, up to a bound.
  *
  * <p>Stateless but for the settings; the state is in the {@link FlapHistory} of each endpoint.
  */
 final class FlapDamping {
-  /** Withdrawals up to this number have no hold-down. */
+  /** Withdrawals up to this number are not suppressed. */
   private static final int UNDAMPED_WITHDRAWALS = 1;
 
   /** Bound of the doublings, so that the shift can not overflow. */
@@ -20,21 +20,21 @@
   }
 
   void onWithdrawal(FlapHistory history, long nowUs) {
-    boolean quietSince = nowUs - history.lastWithdrawalUs > settings.calmUs();
-    history.withdrawals = quietSince ? 1 : history.withdrawals + 1;
+    boolean wasStable = nowUs - history.lastWithdrawalUs > settings.calmUs();
+    history.withdrawals = wasStable ? 1 : history.withdrawals + 1;
     history.lastWithdrawalUs = nowUs;
   }
 
-  /** Starts the hold-down of an endpoint that is claimed again. */
+  /** Starts the suppression of an endpoint that is claimed again. */
   void onReturn(FlapHistory history, long nowUs) {
-    history.holdUntilUs = nowUs + holdDownUs(history);
+    history.suppressedUntilUs = nowUs + suppressionUs(history);
   }
 
-  boolean isHeldDown(FlapHistory history, long nowUs) {
-    return nowUs < history.holdUntilUs;
+  boolean isSuppressed(FlapHistory history, long nowUs) {
+    return nowUs < history.suppressedUntilUs;
   }
 
-  private long holdDownUs(FlapHistory history) {
+  private long suppressionUs(FlapHistory history) {
     int damped = history.withdrawals - UNDAMPED_WITHDRAWALS;
     if (damped <= 0) {
       return 0;
--- a/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
@@ -44,8 +44,9 @@
     }
     EndpointStatus status = evaluation.status();
     StatusReason reason = evaluation.reason();
-    if (status != EndpointStatus.DISPUTED && damping.isHeldDown(endpoint.flaps, nowUs)) {
-      endpoint.timer = timers.schedule(endpoint.flaps.holdUntilUs, () -> pending.add(endpoint));
+    if (status != EndpointStatus.DISPUTED && damping.isSuppressed(endpoint.flaps, nowUs)) {
+      endpoint.timer =
+          timers.schedule(endpoint.flaps.suppressedUntilUs, () -> pending.add(endpoint));
       status = EndpointStatus.ANNOUNCED;
       reason = StatusReason.FLAPPING;
     }
@@ -88,21 +89,22 @@
       return; // the linger timer is pending
     }
     timers.cancel(endpoint.timer);
-    if (endpoint.status == EndpointStatus.GONE) {
-      rememberFlaps(endpoint);
-    } else {
+    boolean wasListed = endpoint.status != EndpointStatus.GONE;
+    if (wasListed) {
       endpoint.reason = endpoint.lastWithdrawal.reason();
-      withdraw(endpoint);
     }
-  }
-
-  private void withdraw(EndpointRecord endpoint) {
     if (endpoint.lastWithdrawal.source().trusted) {
-      endpoint.status = EndpointStatus.GONE;
-      endpoint.lastServing = null;
+      remove(endpoint);
       claims.forgetUnclaimed(endpoint);
-      return;
+    } else if (wasListed) {
+      linger(endpoint);
+    } else {
+      rememberFlaps(endpoint);
     }
+  }
+
+  /** Withdraws an endpoint and remembers its process for the linger. */
+  private void linger(EndpointRecord endpoint) {
     long nowUs = timers.nowUs();
     endpoint.status = EndpointStatus.WITHDRAWN;
     damping.onWithdrawal(endpoint.flaps, nowUs);
@@ -110,19 +112,18 @@
   }
 
   private void onLingerEnded(EndpointRecord endpoint) {
+    remove(endpoint);
+    pending.add(endpoint);
+  }
+
+  private static void remove(EndpointRecord endpoint) {
     endpoint.status = EndpointStatus.GONE;
     endpoint.lastServing = null;
-    pending.add(endpoint);
   }
 
-  /** Keeps the flap history of an endpoint that is gone for one quiet period. */
+  /** Keeps the flap history of an endpoint that is gone for one stable period. */
   private void rememberFlaps(EndpointRecord endpoint) {
-    if (endpoint.lastWithdrawal.source().trusted) {
-      endpoint.lastServing = null;
-      claims.forgetUnclaimed(endpoint);
-      return;
-    }
-    endpoint.timer =
-        timers.schedule(timers.nowUs() + settings.calmUs(), () -> claims.forgetUnclaimed(endpoint));
+    long forgetUs = timers.nowUs() + settings.calmUs();
+    endpoint.timer = timers.schedule(forgetUs, () -> claims.forgetUnclaimed(endpoint));
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/TimingWheel.java
+++ b/src/main/java/dunlinhitch/endpoints/TimingWheel.java
@@ -102,7 +102,7 @@
     Handle<T> handle = new Handle<>(item, ++lastSequence);
     long boundedDueUs = Math.min(dueUs, NEVER - TICK_US);
     handle.dueTick = Math.max(tick + 1, (boundedDueUs + TICK_US - 1) >> TICK_BITS);
-    link(handle);
+    insert(handle);
     size++;
     return handle;
   }
@@ -113,7 +113,7 @@
       return;
     }
     if (handle.slot >= 0) {
-      unlink(handle);
+      remove(handle);
       size--;
     } else { // where it is due: cancelled by a timer that fired before it
       handle.slot = UNSCHEDULED;
@@ -169,7 +169,7 @@
     List<Handle<T>> drained = new ArrayList<>();
     while (heads.get(slot) != null) {
       Handle<T> handle = heads.get(slot);
-      unlink(handle);
+      remove(handle);
       drained.add(handle);
     }
     drained.sort(BY_SEQUENCE);
@@ -179,7 +179,7 @@
         due.add(handle);
         size--;
       } else {
-        link(handle);
+        insert(handle);
       }
     }
   }
@@ -204,7 +204,7 @@
     return (int) ((atTick >> (SLOT_BITS * wheel)) & (SLOTS - 1));
   }
 
-  private void link(Handle<T> handle) {
+  private void insert(Handle<T> handle) {
     long ticksAhead = Math.min(handle.dueTick - tick, REACH - 1);
     int wheel = 0;
     while (wheel < WHEELS - 1 && ticksAhead >= 1L << (SLOT_BITS * (wheel + 1))) {
@@ -227,7 +227,7 @@
     handle.slot = slot;
   }
 
-  private void unlink(Handle<T> handle) {
+  private void remove(Handle<T> handle) {
     int slot = handle.slot;
     if (handle.next == handle) {
       heads.set(slot, null);
--- a/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
@@ -16,10 +16,13 @@
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
+import java.net.SocketException;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.concurrent.BlockingQueue;
+import java.util.concurrent.Callable;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
@@ -63,7 +66,7 @@
       socket.setSoTimeout(10_000);
       try {
         assertEquals(-1, socket.getInputStream().read());
-      } catch (java.net.SocketException e) {
+      } catch (SocketException e) {
         assertTrue(e.getMessage().contains("reset"), e.getMessage());
       }
     }
@@ -105,7 +108,7 @@
 
     Request next() throws InterruptedException {
       Request next = requests.poll(10, TimeUnit.SECONDS);
-      assertNotNull(next, "no call came");
+      assertNotNull(next, "no request came");
       return next;
     }
 
@@ -159,7 +162,7 @@
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  private <T> T onLoop(java.util.concurrent.Callable<T> task) throws Exception {
+  private <T> T onLoop(Callable<T> task) throws Exception {
     CompletableFuture<T> done = new CompletableFuture<>();
     context.runOnContext(
         v -> {
@@ -258,7 +261,7 @@
     Request closed = other.next();
     assertEquals("", closed.requestLine());
     closed.awaitClosed();
-    assertTrue(events.isEmpty(), "a call that was not wanted any more is no lost one: " + events);
+    assertTrue(events.isEmpty(), "a request given up on purpose is no failure: " + events);
   }
 
   /**
@@ -355,7 +358,7 @@
       assertEquals(List.of("s"), names(next(Event.EndpointsUpdated.class)));
       try {
         request.write(text);
-      } catch (java.net.SocketException e) {
+      } catch (SocketException e) {
         // the watch has closed the connection
       }
       long counted = 0;
@@ -422,7 +425,7 @@
       pieces.append("1\r\n").append((char) (b & 0xff)).append("\r\n");
     }
     String body = new String(all, StandardCharsets.ISO_8859_1);
-    String size = Integer.toHexString(all.length).toUpperCase(java.util.Locale.ROOT);
+    String size = Integer.toHexString(all.length).toUpperCase(Locale.ROOT);
     for (String form :
         List.of(
             OK + "Content-Length: " + all.length + "\r\n\r\n" + body,
--- a/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
+++ b/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
@@ -6,6 +6,7 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -27,8 +28,7 @@
       List<String> objects = new ArrayList<>();
       for (int from = 0; from < all.length; from += piece) {
         objects.addAll(
-            parser.read(
-                java.util.Arrays.copyOfRange(all, from, Math.min(all.length, from + piece))));
+            parser.read(Arrays.copyOfRange(all, from, Math.min(all.length, from + piece))));
       }
       assertEquals(List.of(COMPACT, INDENTED, COMPACT, COMPACT), objects, "pieces of " + piece);
       assertEquals(0, parser.takeStrayLines());
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -57,7 +57,7 @@
     while (stateMachine.nextUs() <= endUs) {
       now = stateMachine.nextUs();
       record(stateMachine.onTimer(now));
-      assertTrue(stateMachine.nextUs() > now, "it would spin");
+      assertTrue(stateMachine.nextUs() > now, "the timer would spin");
     }
     now = endUs;
   }
@@ -218,8 +218,8 @@
       requestCount += of(WatchAction.OpenRequest.class).size();
     }
     assertTrue(firstRetries.stream().distinct().count() >= 3, "in step: " + firstRetries);
-    assertTrue(requestCount <= 1.5 * 30 + 4, "calls in 30 s: " + requestCount);
-    assertTrue(lateRequests <= 1.4 * 25, "calls in the last 25 s: " + lateRequests);
+    assertTrue(requestCount <= 1.5 * 30 + 4, "requests in 30 s: " + requestCount);
+    assertTrue(lateRequests <= 1.4 * 25, "requests in the last 25 s: " + lateRequests);
     assertTrue(
         IntStream.of(1, 4, 100)
             .mapToObj(n -> WatchTimings.of(polledSettings(n)))
@@ -283,7 +283,7 @@
       if (next == null || next.getKey() > stateMachine.nextUs()) {
         assertTrue(
             stateMachine.nextUs() > now || (stateMachine.nextUs() == now && next == null),
-            "it would spin");
+            "the timer would spin");
         now = Math.max(now, stateMachine.nextUs());
         record(stateMachine.onTimer(now));
       } else {
@@ -291,7 +291,7 @@
         next.getValue().run();
       }
     }
-    throw new AssertionError("no call was made");
+    throw new AssertionError("no request was made");
   }
 
   private void scheduleFault(
@@ -393,9 +393,9 @@
             Fault.RESPONDS_503,
             Fault.NEVER_CONNECTS,
             Fault.NEVER_ANSWERS);
-    assertTrue(delayUs <= 130_000, "asked after " + delayUs);
+    assertTrue(delayUs <= 130_000, "requested after " + delayUs);
     delayUs = latest(PUSHED_SETTINGS, Fault.values());
-    assertTrue(delayUs <= 3_200_000, "asked after " + delayUs);
+    assertTrue(delayUs <= 3_200_000, "requested after " + delayUs);
   }
 
   /** An agent that takes 2 s for each response is read all the same: one request waits for it. */
@@ -410,7 +410,7 @@
                 request ->
                     stateMachine.isActive(request.requestId())
                         && request.requestId() < lastRequest().requestId() - 10),
-        "each call is given up too soon");
+        "each request is given up too soon");
   }
 
   /**
@@ -458,7 +458,7 @@
     passWithoutData(stateMachine, 30 * SECOND_US);
     assertTrue(
         of(WatchAction.OpenRequest.class).size() - requestCount <= 12,
-        "calls in 30 s: " + (of(WatchAction.OpenRequest.class).size() - requestCount));
+        "requests in 30 s: " + (of(WatchAction.OpenRequest.class).size() - requestCount));
   }
 
   /** A change older than the known generation can not be applied: a complete list is requested. */
--- a/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
@@ -7,6 +7,7 @@
 import dunlinhitch.balancer.ServerState;
 import dunlinhitch.endpoints.Endpoint.Protocol;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -101,7 +102,7 @@
         20 * SECOND_US + SECOND_US / 2,
         claim(endpoint("s", 1, 0, 0), 20 * SECOND_US + SECOND_US / 2));
     assertEquals(ServerState.READY, state("s"));
-    assertEquals(0, published.get("s").startedUs(), "no cold start");
+    assertEquals(0, published.get("s").startedUs(), "no slow start");
   }
 
   @Test
@@ -125,7 +126,7 @@
     assertEquals(7 * SECOND_US, published.get("t").startedUs());
     report("a", 21 * SECOND_US, claim(endpoint("u", 3, 0, 0), 21 * SECOND_US));
     assertEquals(
-        21 * SECOND_US, published.get("u").startedUs(), "what turns up under our eyes is new");
+        21 * SECOND_US, published.get("u").startedUs(), "it appeared after the complete list");
   }
 
   @Test
@@ -153,14 +154,14 @@
         2 * SECOND_US,
         claim(endpoint("s", 9, 0, 0), 2 * SECOND_US),
         claim(endpoint("u", 8, 1, 0), 2 * SECOND_US));
-    assertEquals(ServerState.WITHDRAWN, state("s"), "t holds the block");
-    assertEquals(ServerState.READY, state("u"), "nobody else holds it");
-    assertEquals(3, published.get("u").port(), "the older claim stands");
+    assertEquals(ServerState.WITHDRAWN, state("s"), "t serves the shard");
+    assertEquals(ServerState.READY, state("u"), "no other endpoint serves it");
+    assertEquals(3, published.get("u").port(), "the older claim has precedence");
     assertEquals(EndpointStatus.STANDING_IN, status("u"));
     report("a", 3 * SECOND_US, claim(endpoint("v", 4, 1, 0), 3 * SECOND_US));
-    assertEquals(ServerState.WITHDRAWN, state("u"), "now another does");
+    assertEquals(ServerState.WITHDRAWN, state("u"), "now another serves it");
     report("b", 4 * SECOND_US, EndpointClaim.back("s/9/0", 4 * SECOND_US));
-    assertEquals(ServerState.READY, state("s"), "settled");
+    assertEquals(ServerState.READY, state("s"), "the conflict has ended");
   }
 
   @Test
@@ -192,9 +193,9 @@
     assertEquals(1, published.get("s").port());
     report("a", 3 * SECOND_US, EndpointClaim.back("s/1/0", 3 * SECOND_US));
     assertEquals(
-        ServerState.WITHDRAWN, state("s"), "what the lower one said before does not count");
+        ServerState.WITHDRAWN, state("s"), "earlier claims of the lower source are overruled");
     report("c", 4 * SECOND_US, claim(endpoint("s", 9, 0, 7), 4 * SECOND_US));
-    assertEquals(ServerState.READY, state("s"), "what it says anew does");
+    assertEquals(ServerState.READY, state("s"), "later ones count");
     report(
         "c",
         5 * SECOND_US,
@@ -210,11 +211,11 @@
         SECOND_US,
         claim(endpoint("s", 1, 0, 0), SECOND_US),
         claim(endpoint("t", 2, 0, 0), SECOND_US));
-    long[] holdDownsUs = new long[6];
+    long[] suppressionsUs = new long[6];
     long now = 2 * SECOND_US;
-    for (int i = 0; i < holdDownsUs.length; i++) {
+    for (int i = 0; i < suppressionsUs.length; i++) {
       report("a", now, EndpointClaim.back("s/1/0", now));
-      assertEquals(ServerState.WITHDRAWN, state("s"), "obeyed at once");
+      assertEquals(ServerState.WITHDRAWN, state("s"), "withdrawn at once");
       now += SECOND_US / 10;
       report("a", now, claim(endpoint("s", 1, 0, 0), now));
       long returnedUs = now;
@@ -222,14 +223,14 @@
         now = registry.nextUs();
         apply(registry.passed(now));
       }
-      holdDownsUs[i] = now - returnedUs;
+      suppressionsUs[i] = now - returnedUs;
       now += SECOND_US;
     }
-    assertEquals(0, holdDownsUs[0]);
+    assertEquals(0, suppressionsUs[0]);
     for (int i = 2; i < 5; i++) {
-      assertTrue(holdDownsUs[i] >= 1.8 * holdDownsUs[i - 1], "longer each time");
+      assertTrue(suppressionsUs[i] >= 1.8 * suppressionsUs[i - 1], "longer each time");
     }
-    assertTrue(holdDownsUs[5] <= 4 * SECOND_US + 10_000, "but no longer than the settings say");
+    assertTrue(suppressionsUs[5] <= 4 * SECOND_US + 10_000, "but no longer than the settings say");
     // without another endpoint for its shard it serves all the same
     report("a", now, EndpointClaim.back("s/1/0", now), EndpointClaim.back("t/2/0", now));
     report("a", now + 1, claim(endpoint("s", 1, 0, 0), now + 1));
@@ -305,7 +306,7 @@
       order.add(i);
     }
     Map<String, String> expected = outcome(claims, order);
-    java.util.Collections.shuffle(order, new Random(seed));
+    Collections.shuffle(order, new Random(seed));
     assertEquals(expected, outcome(claims, order));
   }
 
