--- /dev/null
+++ b/src/main/java/dunlinhitch/endpoints/FlapDamping.java
@@ -0,0 +1,45 @@
+package dunlinhitch.endpoints;
+
+/**
+ * Flap damping: an endpoint that returns again and again is suppressed before it serves, each time
+ * twice as long, up to a bound.
+ *
+ * <p>Stateless but for the settings; the state is in the {@link FlapHistory} of each endpoint.
+ */
+final class FlapDamping {
+  /** Withdrawals up to this number are not suppressed. */
+  private static final int UNDAMPED_WITHDRAWALS = 1;
+
+  /** Bound of the doublings, so that the shift can not overflow. */
+  private static final int MAX_DOUBLINGS = 20;
+
+  private final EndpointRegistrySettings settings;
+
+  FlapDamping(EndpointRegistrySettings settings) {
+    this.settings = settings;
+  }
+
+  void onWithdrawal(FlapHistory history, long nowUs) {
+    boolean wasStable = nowUs - history.lastWithdrawalUs > settings.calmUs();
+    history.withdrawals = wasStable ? 1 : history.withdrawals + 1;
+    history.lastWithdrawalUs = nowUs;
+  }
+
+  /** Starts the suppression of an endpoint that is claimed again. */
+  void onReturn(FlapHistory history, long nowUs) {
+    history.suppressedUntilUs = nowUs + suppressionUs(history);
+  }
+
+  boolean isSuppressed(FlapHistory history, long nowUs) {
+    return nowUs < history.suppressedUntilUs;
+  }
+
+  private long suppressionUs(FlapHistory history) {
+    int damped = history.withdrawals - UNDAMPED_WITHDRAWALS;
+    if (damped <= 0) {
+      return 0;
+    }
+    int doublings = Math.min(MAX_DOUBLINGS, damped - 1);
+    return Math.min(settings.mostHoldUs(), settings.firstHoldUs() << doublings);
+  }
+}
