--- /dev/null
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropy.java
@@ -0,0 +1,144 @@
+package dunlinhitch.cluster;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/**
+ * Anti-entropy of the member lists: brokers announce a digest of the members that they know, those
+ * whose digests differ compare them by bucket and send each other the members of the buckets that
+ * differ. The result is tracked in {@link Convergence}.
+ *
+ * <p>Not thread-safe; owned by {@link MembershipProtocol}.
+ */
+final class AntiEntropy {
+  private final MembershipProtocolSettings settings;
+  private final MemberList members;
+  private final Convergence convergence;
+  private final MessageSender sender;
+  private final SplittableRandom random;
+  private final boolean hasSeeds;
+
+  /** Bytes of pages that may still be sent in this protocol period. */
+  private int pageBudgetBytes;
+
+  AntiEntropy(
+      MembershipProtocolSettings settings,
+      MemberList members,
+      Convergence convergence,
+      MessageSender sender,
+      SplittableRandom random,
+      boolean hasSeeds) {
+    this.settings = settings;
+    this.members = members;
+    this.convergence = convergence;
+    this.sender = sender;
+    this.random = random;
+    this.hasSeeds = hasSeeds;
+    resetPageBudget();
+  }
+
+  /** A protocol period begins. */
+  void resetPageBudget() {
+    pageBudgetBytes = settings.pageBytes();
+  }
+
+  /** Updates the convergence state and asks a member that has diverged for long to compare. */
+  void runPeriod(long nowUs) {
+    if (settings.isAntiEntropyEnabled() && convergence.update(requiredMatches(), nowUs)) {
+      members.markChanged();
+    }
+    convergence
+        .nextToCompare(nowUs, settings.everyUs())
+        .map(members::peer)
+        .ifPresent(peer -> sender.sendBuckets(peer, GossipMessage.COMPARE));
+  }
+
+  /** A broker joins: it gets all members, unless it announced the same digest. */
+  void onJoin(GossipMessage message) {
+    if (settings.isAntiEntropyEnabled() && message.digest() != members.digest()) {
+      sendPages(message.from(), members.digestTable().differing(List.of()));
+    }
+  }
+
+  /** Handles the digest, the buckets and the versions that a message announces. */
+  void onMessage(GossipMessage message, long nowUs) {
+    Member from = message.from();
+    boolean matches = message.digest() == members.digest();
+    Member known = members.peer(from.name());
+    if (known != null && known.takesPart() && known.isAt(from.host(), from.port())) {
+      if (message.versions() != null) {
+        members.setPeerVersions(from.name(), message.versions());
+      }
+      onDigest(message, matches, nowUs);
+    }
+    if (message.buckets().isEmpty() || !settings.isAntiEntropyEnabled()) {
+      return;
+    }
+    if (message.number() == GossipMessage.COMPARE) {
+      sender.sendBuckets(from, GossipMessage.COMPARED);
+    }
+    if (!matches) {
+      sendPages(from, members.digestTable().differing(message.buckets()));
+    }
+  }
+
+  private void onDigest(GossipMessage message, boolean matches, long nowUs) {
+    if (settings.isAntiEntropyEnabled()
+        && message.digest() != 0
+        && convergence.onDigest(message.from().name(), matches, requiredMatches(), nowUs)) {
+      members.markChanged();
+    }
+  }
+
+  /** Members that must announce the same digest for the list to count as converged. */
+  private int requiredMatches() {
+    int others = members.size() - 1;
+    if (others == 0 && hasSeeds) {
+      return 1;
+    }
+    return Math.min(others, 1 + MessageSender.bitLength(others));
+  }
+
+  /**
+   * Sends the members of these buckets from a random one on, as far as the budget of this period
+   * goes; a later exchange brings the rest.
+   */
+  private void sendPages(Member to, boolean[] buckets) {
+    List<Member> selected = new ArrayList<>();
+    for (Member peer : members.peers()) {
+      if (buckets[AntiEntropyDigest.bucket(peer.name())]) {
+        selected.add(peer);
+      }
+    }
+    int first = selected.isEmpty() ? 0 : random.nextInt(selected.size());
+    List<Member> page = new ArrayList<>();
+    int remaining = sender.pageCapacityBytes();
+    for (int i = 0; i < selected.size(); i++) {
+      Member peer = selected.get((first + i) % selected.size());
+      if (peer.bytes() > remaining) {
+        if (!sendPage(to, page)) {
+          return;
+        }
+        page.clear();
+        remaining = sender.pageCapacityBytes();
+      }
+      remaining -= peer.bytes();
+      page.add(peer);
+    }
+    if (!page.isEmpty()) {
+      sendPage(to, page);
+    }
+  }
+
+  /** False where the budget is used up. */
+  private boolean sendPage(Member to, List<Member> page) {
+    GossipMessage message = sender.page(page);
+    pageBudgetBytes -= message.bytes();
+    if (pageBudgetBytes < 0) {
+      return false;
+    }
+    sender.sendUnchanged(to, message);
+    return true;
+  }
+}
--- a/src/main/java/dunlinhitch/cluster/Convergence.java
+++ b/src/main/java/dunlinhitch/cluster/Convergence.java
@@ -6,75 +6,94 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Who was heard to hold the same digest and who another, since the own one last changed. */
+/**
+ * Tracks whether the cluster has converged: which members announced the same digest as this broker,
+ * and which another, since its own digest last changed.
+ *
+ * <p>Not thread-safe; owned by {@link MembershipProtocol}. Times are in microseconds.
+ */
 final class Convergence {
-  private static final int MOST_UNLIKE = 32;
-  private final Set<String> alike = new HashSet<>();
+  /** Members with another digest that are tracked at most. */
+  private static final int MAX_DIVERGED = 32;
 
-  /** When they were heard to differ, or were last asked what differs. */
-  private final Map<String, Long> unlike = new LinkedHashMap<>();
+  private static final long NOT_CONVERGED = -1;
 
-  private long settledUs = -1;
+  private final Set<String> matching = new HashSet<>();
 
-  /** The own digest changed. */
-  void changed() {
-    alike.clear();
-    unlike.clear();
-    settledUs = -1;
+  /** For each member with another digest when that was noticed, or when it was last compared. */
+  private final Map<String, Long> diverged = new LinkedHashMap<>();
+
+  private long convergedSinceUs = NOT_CONVERGED;
+
+  /** Starts anew: this broker's own digest changed. */
+  void reset() {
+    matching.clear();
+    diverged.clear();
+    convergedSinceUs = NOT_CONVERGED;
   }
 
   /**
-   * True where what is known of the others changed by it; {@code needed}: so many alike, and none
-   * unlike, and it is settled.
+   * Handles the digest that a member announced.
+   *
+   * @param name the member
+   * @param matches whether it is this broker's digest
+   * @param requiredMatches the matching members for the cluster to count as converged
+   * @param nowUs the current time
+   * @return true where the state that {@link ClusterSnapshot} shows changed
    */
-  boolean heard(String name, boolean same, int needed, long nowUs) {
-    if (!same) {
-      alike.remove(name);
-      settledUs = -1;
-      return unlike.size() < MOST_UNLIKE && unlike.putIfAbsent(name, nowUs) == null;
+  boolean onDigest(String name, boolean matches, int requiredMatches, long nowUs) {
+    if (!matches) {
+      matching.remove(name);
+      convergedSinceUs = NOT_CONVERGED;
+      return diverged.size() < MAX_DIVERGED && diverged.putIfAbsent(name, nowUs) == null;
     }
-    boolean turned = unlike.remove(name) != null;
-    if (alike.size() < needed) {
-      alike.add(name);
+    boolean wasDiverged = diverged.remove(name) != null;
+    if (matching.size() < requiredMatches) {
+      matching.add(name);
     }
-    return check(needed, nowUs) || turned;
+    return update(requiredMatches, nowUs) || wasDiverged;
   }
 
-  void left(String name) {
-    alike.remove(name);
-    unlike.remove(name);
+  /** Forgets a member that takes part no more. */
+  void remove(String name) {
+    matching.remove(name);
+    diverged.remove(name);
   }
 
-  boolean check(int needed, long nowUs) {
-    boolean settled = unlike.isEmpty() && alike.size() >= needed;
-    if (settled == settledUs >= 0) {
+  /** Evaluates the state anew; true where the cluster converged or ceased to be so. */
+  boolean update(int requiredMatches, long nowUs) {
+    boolean converged = diverged.isEmpty() && matching.size() >= requiredMatches;
+    boolean wasConverged = convergedSinceUs >= 0;
+    if (converged == wasConverged) {
       return false;
     }
-    settledUs = settled ? nowUs : -1;
+    convergedSinceUs = converged ? nowUs : NOT_CONVERGED;
     return true;
   }
 
   /**
-   * The one that has differed longest, for {@code forUs} or more; it is next again when so much has
-   * passed.
+   * The member that has differed longest, if that is {@code minimumUs} or more; it is not returned
+   * again before as long has passed.
    */
-  Optional<String> toAsk(long nowUs, long forUs) {
-    for (Map.Entry<String, Long> entry : unlike.entrySet()) {
-      if (nowUs - entry.getValue() >= forUs) {
+  Optional<String> nextToCompare(long nowUs, long minimumUs) {
+    for (Map.Entry<String, Long> entry : diverged.entrySet()) {
+      if (nowUs - entry.getValue() >= minimumUs) {
         String name = entry.getKey();
-        unlike.remove(name);
-        unlike.put(name, nowUs);
+        diverged.remove(name);
+        diverged.put(name, nowUs);
         return Optional.of(name);
       }
     }
     return Optional.empty();
   }
 
-  Set<String> unlike() {
-    return unlike.keySet();
+  /** The members that announced another digest; a live view. */
+  Set<String> divergedMembers() {
+    return diverged.keySet();
   }
 
-  long settledUs() {
-    return settledUs;
+  /** Since when the cluster has converged; negative where it has not. */
+  long convergedSinceUs() {
+    return convergedSinceUs;
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/cluster/FailureDetector.java
@@ -0,0 +1,328 @@
+package dunlinhitch.cluster;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.SplittableRandom;
+
+/**
+ * Failure detection of one broker's cluster membership, after SWIM (Das, Gupta and Motivala, 2002)
+ * with Lifeguard's extensions: each protocol period it pings one member, asks a few others to ping
+ * it where no ack came, suspects it after several such failures, and declares it dead when the
+ * suspicion times out.
+ *
+ * <p>Pure: no clock, I/O or threads. Not thread-safe; owned by {@link MembershipProtocol}.
+ */
+final class FailureDetector {
+  /** Consecutive pings without any ack after which this broker takes itself for isolated. */
+  private static final int ISOLATION_THRESHOLD = 8;
+
+  /** The same where Lifeguard is off: there any message received counts as an ack. */
+  private static final int ISOLATION_THRESHOLD_WITHOUT_LIFEGUARD = 3;
+
+  /** Failed pings that wait for a retry at most. */
+  private static final int MAX_PENDING_RETRIES = 64;
+
+  /** Retries in one protocol period. */
+  private static final int RETRIES_PER_PERIOD = 2;
+
+  /** Join addresses that are contacted in a period in which no member acks. */
+  private static final int JOINS_WHEN_ISOLATED = 2;
+
+  /** One ping in progress, direct first and then indirect. */
+  private static final class PendingPing {
+    private final String target;
+
+    /** Counts the consecutive pings to this target, from 1. */
+    private final int attempt;
+
+    private final long sentUs;
+    private final long directDeadlineUs;
+    private final long deadlineUs;
+    private boolean indirect;
+
+    PendingPing(String target, int attempt, long sentUs, long timeoutUs, long totalTimeoutUs) {
+      this.target = target;
+      this.attempt = attempt;
+      this.sentUs = sentUs;
+      directDeadlineUs = sentUs + timeoutUs;
+      deadlineUs = sentUs + totalTimeoutUs;
+    }
+
+    long nextDeadlineUs() {
+      return indirect ? deadlineUs : directDeadlineUs;
+    }
+  }
+
+  /** A ping that failed and is to be repeated as that attempt. */
+  private record PingRetry(String target, int attempt) {}
+
+  private final MembershipProtocolSettings settings;
+  private final MemberList members;
+  private final SuspicionTable suspicions;
+  private final LocalHealth localHealth;
+  private final MessageSender sender;
+  private final JoinAddresses joinAddresses;
+  private final SplittableRandom random;
+  private final RelayedPings relayedPings;
+  private final ProbeOrder probeOrder;
+  private final Map<Long, PendingPing> pendingPings = new LinkedHashMap<>();
+  private final Deque<PingRetry> retries = new ArrayDeque<>();
+  private long nextPeriodUs;
+  private long lastReceivedUs = Long.MIN_VALUE;
+  private int consecutiveTimeouts;
+  private long declaredDead;
+
+  FailureDetector(
+      MembershipProtocolSettings settings,
+      MemberList members,
+      LocalHealth localHealth,
+      MessageSender sender,
+      JoinAddresses joinAddresses,
+      SplittableRandom random) {
+    this.settings = settings;
+    this.members = members;
+    suspicions = members.suspicions();
+    this.localHealth = localHealth;
+    this.sender = sender;
+    this.joinAddresses = joinAddresses;
+    this.random = random;
+    relayedPings = new RelayedPings(settings, members, sender);
+    probeOrder = new ProbeOrder(members, random);
+  }
+
+  /** Makes the first protocol period due at that time. */
+  void start(long nowUs) {
+    nextPeriodUs = nowUs;
+  }
+
+  /** True while every recent ping went unanswered: this broker is cut off, or the last one. */
+  boolean isIsolated() {
+    int threshold =
+        settings.isLifeguardEnabled() ? ISOLATION_THRESHOLD : ISOLATION_THRESHOLD_WITHOUT_LIFEGUARD;
+    return consecutiveTimeouts >= threshold;
+  }
+
+  /** Members that this broker itself declared dead. */
+  long declaredDead() {
+    return declaredDead;
+  }
+
+  /** When the next timeout or protocol period is due. */
+  long nextUs() {
+    long next = Math.min(nextPeriodUs, relayedPings.nextDeadlineUs());
+    for (PendingPing ping : pendingPings.values()) {
+      next = Math.min(next, ping.nextDeadlineUs());
+    }
+    for (String name : suspicions.names()) {
+      next = Math.min(next, suspicionDeadlineUs(name));
+    }
+    return next;
+  }
+
+  /**
+   * Starts anew where this broker did not run for a period or more: it could not receive acks
+   * meanwhile, so their absence says nothing of the others.
+   */
+  void resetAfterStall(long nowUs) {
+    long lateUs = nowUs - nextPeriodUs;
+    if (!settings.isLifeguardEnabled() || lateUs < settings.everyUs()) {
+      return;
+    }
+    localHealth.degrade(lateUs / settings.everyUs());
+    pendingPings.clear();
+    retries.clear();
+    relayedPings.clear();
+    suspicions.restartAll(nowUs);
+    nextPeriodUs = nowUs;
+  }
+
+  /** Handles the pings and suspicions whose time is up. */
+  void expire(long nowUs) {
+    relayedPings.expire(nowUs);
+    expirePendingPings(nowUs);
+    expireSuspicions(nowUs);
+  }
+
+  private void expirePendingPings(long nowUs) {
+    for (Map.Entry<Long, PendingPing> entry : List.copyOf(pendingPings.entrySet())) {
+      PendingPing ping = entry.getValue();
+      if (nowUs >= ping.deadlineUs) {
+        pendingPings.remove(entry.getKey());
+        onPingFailed(ping, nowUs);
+      } else if (nowUs >= ping.directDeadlineUs && !ping.indirect) {
+        ping.indirect = true;
+        pingIndirectly(entry.getKey(), ping);
+      }
+    }
+  }
+
+  private void expireSuspicions(long nowUs) {
+    for (String name : List.copyOf(suspicions.names())) {
+      if (nowUs >= suspicionDeadlineUs(name)) {
+        declaredDead++;
+        members.put(members.peer(name).as(Member.Status.DEAD), nowUs);
+      }
+    }
+  }
+
+  /** An isolated broker cannot tell who is dead, so its suspicions do not time out. */
+  private long suspicionDeadlineUs(String name) {
+    if (settings.isLifeguardEnabled() && isIsolated()) {
+      return Long.MAX_VALUE;
+    }
+    return suspicions.deadlineUs(name, members.size(), localHealth);
+  }
+
+  /** True where a protocol period is due; then {@link #runPeriod} follows. */
+  boolean isPeriodDue(long nowUs) {
+    return nowUs >= nextPeriodUs;
+  }
+
+  /** Runs one protocol period: a ping, retries of failed ones, and joins where they are needed. */
+  void runPeriod(long nowUs) {
+    if (nowUs - nextPeriodUs > settings.answerUs()) {
+      localHealth.degrade(1);
+    }
+    nextPeriodUs = nowUs + settings.everyUs();
+    boolean roundBegins = probeOrder.isRoundComplete();
+    Member target = probeOrder.next();
+    sendJoins(target, roundBegins);
+    if (target != null) {
+      ping(target, 1, nowUs);
+    }
+    for (int i = 0; i < RETRIES_PER_PERIOD && !retries.isEmpty(); i++) {
+      PingRetry retry = retries.remove();
+      Member peer = members.peer(retry.target());
+      if (peer != null && peer.takesPart()) {
+        ping(peer, retry.attempt(), nowUs);
+      }
+    }
+  }
+
+  private void sendJoins(Member target, boolean roundBegins) {
+    boolean antiEntropy = settings.isAntiEntropyEnabled();
+    if (target == null || isIsolated()) {
+      joinAddresses.sendJoins(antiEntropy ? JOINS_WHEN_ISOLATED : Integer.MAX_VALUE);
+    } else if (antiEntropy && roundBegins) {
+      joinAddresses.sendJoins(1); // there may be brokers that no member here knows
+    }
+  }
+
+  private void ping(Member target, int attempt, long nowUs) {
+    long sequenceNumber = sender.nextSequenceNumber();
+    pendingPings.put(
+        sequenceNumber,
+        new PendingPing(
+            target.name(),
+            attempt,
+            nowUs,
+            localHealth.scale(settings.answerUs()),
+            localHealth.scale(2 * settings.answerUs())));
+    sender.send(target, GossipMessage.Kind.PING, sequenceNumber);
+  }
+
+  /**
+   * Sends the ping-reqs of an indirect probe. Where there are fewer helpers than are wanted, some
+   * are asked more than once, and the target is pinged again: any one message may have been lost.
+   */
+  private void pingIndirectly(long sequenceNumber, PendingPing ping) {
+    List<Member> helpers = new ArrayList<>();
+    for (Member peer : members.peers()) {
+      if (peer.status() == Member.Status.ALIVE && !peer.name().equals(ping.target)) {
+        helpers.add(peer);
+      }
+    }
+    List<Member> remaining = new ArrayList<>(helpers);
+    for (int i = 0; i < settings.helpers() && !helpers.isEmpty(); i++) {
+      if (remaining.isEmpty()) {
+        if (!settings.isLifeguardEnabled()) {
+          break;
+        }
+        remaining.addAll(helpers);
+      }
+      Member helper = remaining.remove(random.nextInt(remaining.size()));
+      sender.send(helper, GossipMessage.Kind.PING_REQUEST, sequenceNumber, ping.target);
+    }
+    Member target = members.peer(ping.target);
+    if (settings.isLifeguardEnabled() && target != null) {
+      sender.send(target, GossipMessage.Kind.PING, sequenceNumber);
+    }
+  }
+
+  private void onPingFailed(PendingPing ping, long nowUs) {
+    countTimeout();
+    if (lastReceivedUs < ping.sentUs) {
+      localHealth.degrade(1);
+    }
+    Member target = members.peer(ping.target);
+    if (target == null || !target.takesPart() || (settings.isLifeguardEnabled() && isIsolated())) {
+      return;
+    }
+    if (ping.attempt < settings.tries()) {
+      if (retries.size() < MAX_PENDING_RETRIES) {
+        retries.add(new PingRetry(ping.target, ping.attempt + 1));
+      }
+      return;
+    }
+    suspect(target, nowUs);
+  }
+
+  private void countTimeout() {
+    boolean wasIsolated = isIsolated();
+    consecutiveTimeouts++;
+    if (wasIsolated != isIsolated()) {
+      members.markChanged();
+    }
+  }
+
+  private void suspect(Member target, long nowUs) {
+    SuspicionReport report =
+        new SuspicionReport(target.name(), target.incarnation(), members.self().name());
+    if (target.status() != Member.Status.ALIVE) {
+      if (suspicions.addReport(report)) {
+        members.markChanged();
+      }
+      return;
+    }
+    members.put(target.as(Member.Status.SUSPECT), nowUs);
+    suspicions.addReport(report);
+    if (settings.isLifeguardEnabled()) {
+      sender.sendGossip(target); // the suspect itself learns of it first, to refute
+    }
+  }
+
+  /** Notes that some message was received. */
+  void onMessage(long nowUs) {
+    lastReceivedUs = nowUs;
+    if (!settings.isLifeguardEnabled()) {
+      consecutiveTimeouts = 0;
+    }
+  }
+
+  /** Pings a member on behalf of another broker. */
+  void onPingRequest(GossipMessage message, long nowUs) {
+    relayedPings.onPingRequest(message, nowUs);
+  }
+
+  /** Handles an ack, direct or relayed; an ack for a ping that has timed out is ignored. */
+  void onAck(GossipMessage message, long nowUs) {
+    relayedPings.onAck(message);
+    PendingPing ping = pendingPings.get(message.number());
+    if (ping == null
+        || !(ping.target.equals(message.from().name()) || ping.target.equals(message.about()))) {
+      return;
+    }
+    pendingPings.remove(message.number());
+    localHealth.improve();
+    retries.removeIf(retry -> retry.target().equals(ping.target));
+    if (settings.isLifeguardEnabled() && isIsolated()) {
+      suspicions.restartAll(nowUs);
+      members.markChanged();
+    }
+    consecutiveTimeouts = 0;
+  }
+}
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -1,24 +1,24 @@
 package dunlinhitch.cluster;
 
 /**
- * The times and bounds of the brokers' view of each other, times in microseconds.
+ * The times and bounds of the membership protocol; times in microseconds.
  *
- * @param everyUs one other broker is asked whether it lives so often
- * @param answerUs an answer is waited for so long; then others are asked to ask
- * @param helpers how many others are asked to ask
- * @param suspectUs one that did not answer is suspected so long before it counts as dead
- * @param forgetUs a dead one is remembered so long, so that old word does not bring it back
- * @param mostPeers brokers that are known at once, at the most
- * @param tries looks in a row without an answer before one is suspected
- * @param mostHealth how far an ill broker stretches its own times, at the most; 0: it does not know
- *     itself
- * @param stretch a suspicion that nobody confirms lasts so many times as long, and each the longer
- *     the larger the fleet; 1: all last the same
- * @param wordBytes what one word comes to, at the most
- * @param pageBytes pages that a broker sends in a period to those whose digest differs; 0: digests
- *     are not told
- * @param addresses whether digests are of the addresses too; not where each broker may be told
- *     others for the same one
+ * @param everyUs length of the protocol period: one member is pinged in each
+ * @param answerUs timeout of a direct ping; after it the indirect probe begins, which takes as long
+ * @param helpers members that are asked to ping on this broker's behalf
+ * @param suspectUs base of the suspicion timeout: a suspect member is declared dead after it
+ * @param forgetUs how long a dead member is remembered, so that late messages do not bring it back
+ * @param mostPeers bound of the member list
+ * @param tries failed pings in a row before a member is suspected
+ * @param mostHealth bound of the local health score, by which a broker that is slow itself
+ *     stretches its timeouts; 0: Lifeguard's extensions are off
+ * @param stretch factor by which a suspicion that nobody confirms lasts longer than one with all
+ *     confirmations; 1: all last the same, whatever the cluster size
+ * @param wordBytes bound of one message
+ * @param pageBytes bound of the member pages that a broker sends in a period to members whose
+ *     digest differs; 0: anti-entropy is off
+ * @param addresses whether digests cover addresses; off where each broker may know another address
+ *     of the same member
  */
 public record MembershipProtocolSettings(
     long everyUs,
@@ -33,14 +33,21 @@
     int wordBytes,
     int pageBytes,
     boolean addresses) {
-  /** One look a 200 ms; the bounds that follow from these stand in docs/view.md. */
+  /** A protocol period of 200 ms; the bounds that follow stand in docs/view.md. */
   public static final MembershipProtocolSettings STANDARD =
       new MembershipProtocolSettings(200_000, 80_000, 3, 1_000_000, 30_000_000, 1024);
 
-  /** The least that a word's own part, one broker and a row of buckets fit in. */
-  private static final int LEAST_WORD = 256;
+  /** A message of this size has room for its header, one member and the sums of all buckets. */
+  private static final int MIN_MESSAGE_BYTES = 256;
 
+  /** Checks that the times fit each other and the bounds are positive. */
   public MembershipProtocolSettings {
+    requireValidTimes(everyUs, answerUs, helpers, suspectUs, forgetUs, mostPeers);
+    requireValidBounds(tries, mostHealth, stretch, wordBytes, pageBytes);
+  }
+
+  private static void requireValidTimes(
+      long everyUs, long answerUs, int helpers, long suspectUs, long forgetUs, int mostPeers) {
     if (everyUs <= 0
         || answerUs <= 0
         || 2 * answerUs > everyUs
@@ -63,14 +70,18 @@
               + ", peers "
               + mostPeers);
     }
+  }
+
+  private static void requireValidBounds(
+      int tries, int mostHealth, int stretch, int wordBytes, int pageBytes) {
     if (tries < 1
         || mostHealth < 0
         || stretch < 1
-        || wordBytes < LEAST_WORD
+        || wordBytes < MIN_MESSAGE_BYTES
         || (pageBytes != 0 && pageBytes < wordBytes)) {
       throw new IllegalArgumentException(
           "looks are made once or more, times stretched from 1 on, a word has "
-              + LEAST_WORD
+              + MIN_MESSAGE_BYTES
               + " bytes or more, and pages are none or at least one word: tries "
               + tries
               + ", health "
@@ -84,13 +95,13 @@
     }
   }
 
-  /** The times given, and the standard for all else. */
+  /** These times with the standard bounds. */
   public MembershipProtocolSettings(
       long everyUs, long answerUs, int helpers, long suspectUs, long forgetUs, int mostPeers) {
     this(everyUs, answerUs, helpers, suspectUs, forgetUs, mostPeers, 3, 8, 4, 1_200, 4_800, true);
   }
 
-  /** Words of that size at the most. */
+  /** The same with messages of at most that many bytes. */
   public MembershipProtocolSettings withWords(int bytes) {
     return new MembershipProtocolSettings(
         everyUs,
@@ -107,7 +118,7 @@
         addresses);
   }
 
-  /** With addresses in the digests or without. */
+  /** The same with addresses covered by the digests, or not. */
   public MembershipProtocolSettings withAddresses(boolean compared) {
     return new MembershipProtocolSettings(
         everyUs,
@@ -124,9 +135,19 @@
         compared);
   }
 
-  /** The view as it was before it knew itself and compared digests, to measure against. */
+  /** The same without Lifeguard, retries and anti-entropy, as a baseline for measurements. */
   public MembershipProtocolSettings plain() {
     return new MembershipProtocolSettings(
         everyUs, answerUs, 2, suspectUs, forgetUs, mostPeers, 1, 0, 1, 32_768, 0, addresses);
   }
+
+  /** Whether Lifeguard's extensions to SWIM are on. */
+  boolean isLifeguardEnabled() {
+    return mostHealth > 0;
+  }
+
+  /** Whether digests are announced and compared. */
+  boolean isAntiEntropyEnabled() {
+    return pageBytes > 0;
+  }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
@@ -0,0 +1,115 @@
+package dunlinhitch.cluster;
+
+/**
+ * Merges what other brokers say of members into the {@link MemberList}, after SWIM: the higher
+ * incarnation wins, and a broker that is suspected or declared dead refutes that under a higher
+ * incarnation of its own.
+ *
+ * <p>Not thread-safe; owned by {@link MembershipProtocol}.
+ */
+final class MembershipUpdates {
+  private final MembershipProtocolSettings settings;
+  private final MemberList members;
+  private final SuspicionTable suspicions;
+  private final LocalHealth localHealth;
+  private long rejected;
+
+  MembershipUpdates(
+      MembershipProtocolSettings settings, MemberList members, LocalHealth localHealth) {
+    this.settings = settings;
+    this.members = members;
+    suspicions = members.suspicions();
+    this.localHealth = localHealth;
+  }
+
+  /** Updates that were dropped: the list was full, or the incarnation could not be refuted. */
+  long rejected() {
+    return rejected;
+  }
+
+  /** Merges the state of one member. */
+  void merge(Member update, long nowUs) {
+    if (!update.isBelievable()) {
+      rejected++;
+      return;
+    }
+    if (update.name().equals(members.self().name())) {
+      mergeSelf(update);
+      return;
+    }
+    Member current = members.peer(update.name());
+    if (current == null && !update.takesPart() && settings.isAntiEntropyEnabled()) {
+      // It has expired here. Peers that still remember it would otherwise bring it back everywhere,
+      // without end.
+      return;
+    }
+    if (current == null && members.peers().size() >= settings.mostPeers()) {
+      rejected++;
+    } else if (current == null || update.replaces(current)) {
+      members.put(update, nowUs);
+    }
+  }
+
+  /** Merges one broker's report that another did not answer. */
+  void merge(SuspicionReport report, long nowUs) {
+    Member self = members.self();
+    if (report.name().equals(self.name())) {
+      if (report.incarnation() == self.incarnation()) {
+        mergeSelf(self.as(Member.Status.SUSPECT));
+      }
+      return;
+    }
+    Member current = members.peer(report.name());
+    if (current == null || current.incarnation() != report.incarnation() || !current.takesPart()) {
+      return;
+    }
+    if (current.status() == Member.Status.ALIVE) {
+      members.put(current.as(Member.Status.SUSPECT), nowUs);
+    }
+    if (suspicions.addReport(report)) {
+      members.markChanged();
+    }
+  }
+
+  /** Handles what others say of this broker's own name. */
+  private void mergeSelf(Member update) {
+    Member self = members.self();
+    if (self.status() != Member.Status.ALIVE) {
+      return;
+    }
+    if (self.isAt(update.host(), update.port())) {
+      if (needsRefutation(update)) {
+        refute(update);
+      }
+    } else if (isNewerClaimOfName(update)) {
+      resolveNameConflict(update);
+    }
+  }
+
+  private boolean needsRefutation(Member update) {
+    Member self = members.self();
+    return update.incarnation() > self.incarnation()
+        || (update.incarnation() == self.incarnation() && update.status() != Member.Status.ALIVE);
+  }
+
+  private void refute(Member update) {
+    if (members.displacedBy() != null) {
+      return; // the broker that bears the name refutes this itself
+    }
+    localHealth.degrade(update.status() == Member.Status.SUSPECT ? 1 : 0);
+    members.replaceSelf(members.self().in(update.incarnation() + 1), null);
+  }
+
+  private boolean isNewerClaimOfName(Member update) {
+    Member displacedBy = members.displacedBy();
+    return update.replaces(members.self()) && (displacedBy == null || update.replaces(displacedBy));
+  }
+
+  private void resolveNameConflict(Member update) {
+    if (update.takesPart()) {
+      members.replaceSelf(members.self(), update);
+    } else {
+      members.replaceSelf(members.self().in(update.incarnation() + 1), null);
+    }
+  }
+}
--- a/src/main/java/dunlinhitch/cluster/SuspicionTable.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionTable.java
@@ -8,111 +8,129 @@
 import java.util.Set;
 
 /**
- * Whom this broker holds for suspect, since when, and who else found the same; and which of that is
- * still to be told. A suspicion is as long as the fleet is large, and the shorter the more found it
- * on their own (Lifeguard's logarithm).
+ * The members that this broker suspects, since when, and which brokers reported the same; and the
+ * reports that are still to be disseminated. A suspicion times out later in a larger cluster, and
+ * sooner with each independent report, after Lifeguard's logarithm.
+ *
+ * <p>Not thread-safe; owned by {@link MembershipProtocol}. Times are in microseconds.
  */
 final class SuspicionTable {
-  /** Beside the first so many more make it as short as it gets. */
-  private static final int MOST_CONFIRM = 3;
+  /** Reports after the first with which a suspicion has its shortest timeout. */
+  private static final int MAX_CONFIRMATIONS = 3;
 
-  private static final class Case {
+  private static final class Suspicion {
     private final long incarnation;
     private long sinceUs;
     private final Set<String> accusers = new HashSet<>();
 
-    Case(long incarnation, long sinceUs) {
+    Suspicion(long incarnation, long sinceUs) {
       this.incarnation = incarnation;
       this.sinceUs = sinceUs;
     }
   }
 
   private final MembershipProtocolSettings settings;
-  private final Map<String, Case> cases = new HashMap<>();
-  private final UpdateQueue<SuspicionReport> news = new UpdateQueue<>();
+  private final Map<String, Suspicion> suspicions = new HashMap<>();
+  private final UpdateQueue<SuspicionReport> pendingReports = new UpdateQueue<>();
 
   SuspicionTable(MembershipProtocolSettings settings) {
     this.settings = settings;
   }
 
-  /** It is suspect under that incarnation from now on, where it was not. */
+  /** Suspects a member under that incarnation; no effect where it already is. */
   void begin(String name, long incarnation, long nowUs) {
-    Case held = cases.get(name);
-    if (held == null || held.incarnation != incarnation) {
+    Suspicion current = suspicions.get(name);
+    if (current == null || current.incarnation != incarnation) {
       end(name);
-      cases.put(name, new Case(incarnation, nowUs));
+      suspicions.put(name, new Suspicion(incarnation, nowUs));
     }
   }
 
+  /** Ends the suspicion of a member: it refuted it, or is dead, or has left. */
   void end(String name) {
-    Case held = cases.remove(name);
-    if (held != null) {
-      held.accusers.forEach(by -> news.forget(new SuspicionReport(name, held.incarnation, by)));
+    Suspicion ended = suspicions.remove(name);
+    if (ended == null) {
+      return;
+    }
+    for (String accuser : ended.accusers) {
+      pendingReports.remove(new SuspicionReport(name, ended.incarnation, accuser));
     }
   }
 
-  /** True where it is news. */
-  boolean accused(SuspicionReport doubt) {
-    Case held = cases.get(doubt.name());
-    if (held == null
-        || held.incarnation != doubt.incarnation()
-        || held.accusers.size() > MOST_CONFIRM
-        || !held.accusers.add(doubt.by())) {
+  /** Adds a report; true where it is new and concerns a current suspicion. */
+  boolean addReport(SuspicionReport report) {
+    Suspicion suspicion = suspicions.get(report.name());
+    if (suspicion == null
+        || suspicion.incarnation != report.incarnation()
+        || suspicion.accusers.size() > MAX_CONFIRMATIONS
+        || !suspicion.accusers.add(report.by())) {
       return false;
     }
     if (settings.stretch() > 1) {
-      news.fresh(doubt);
+      pendingReports.enqueue(report);
     }
     return true;
   }
 
+  /** The number of brokers that are known to suspect the member. */
   int accusers(String name) {
-    Case held = cases.get(name);
-    return held == null ? 0 : held.accusers.size();
+    Suspicion suspicion = suspicions.get(name);
+    return suspicion == null ? 0 : suspicion.accusers.size();
   }
 
-  /** When it counts as dead in a fleet of so many. */
-  long dueUs(String name, int members, LocalHealth health) {
-    Case held = cases.get(name);
-    return held.sinceUs + health.stretched(lastsUs(held.accusers.size(), members));
+  /** When the suspected member is to be declared dead in a cluster of that size. */
+  long deadlineUs(String name, int members, LocalHealth localHealth) {
+    Suspicion suspicion = suspicions.get(name);
+    return suspicion.sinceUs + localHealth.scale(timeoutUs(suspicion.accusers.size(), members));
   }
 
-  long lastsUs(int accusers, int members) {
+  /** How long a suspicion with so many accusers lasts in a cluster of that size. */
+  long timeoutUs(int accusers, int members) {
     if (settings.stretch() == 1) {
       return settings.suspectUs();
     }
     double shortest = settings.suspectUs() * Math.max(1, Math.log10(members));
-    int confirm = Math.min(MOST_CONFIRM, members - 2);
-    if (confirm <= 0) {
+    int requiredConfirmations = Math.min(MAX_CONFIRMATIONS, members - 2);
+    if (requiredConfirmations <= 0) {
       return (long) shortest;
     }
     double longest = shortest * settings.stretch();
-    int confirmed = Math.min(confirm, Math.max(0, accusers - 1));
+    int confirmations = Math.min(requiredConfirmations, Math.max(0, accusers - 1));
     return (long)
-        (longest - (longest - shortest) * Math.log(confirmed + 1) / Math.log(confirm + 1));
+        (longest
+            - (longest - shortest)
+                * Math.log(confirmations + 1)
+                / Math.log(requiredConfirmations + 1));
   }
 
+  /** The names of the suspected members; a live view. */
   Set<String> names() {
-    return cases.keySet();
+    return suspicions.keySet();
   }
 
-  /** This broker could not have heard them meanwhile. */
-  void beginAnew(long nowUs) {
-    cases.values().forEach(held -> held.sinceUs = nowUs);
+  /** Restarts all timeouts: this broker could not have received a refutation before. */
+  void restartAll(long nowUs) {
+    suspicions.values().forEach(suspicion -> suspicion.sinceUs = nowUs);
   }
 
-  /** What rides on the next word, within so many bytes; each on so many words. */
-  List<SuspicionReport> riding(int most, int bytes, int times) {
-    List<SuspicionReport> riding = new ArrayList<>();
-    int left = bytes;
-    for (SuspicionReport doubt : news.next(most)) {
-      left -= doubt.bytes();
-      if (left < 0) {
+  /**
+   * The reports for the next message, which count as transmitted with it.
+   *
+   * @param limit reports at most
+   * @param maxBytes what they may come to
+   * @param transmissions messages after which a report is dropped from the queue
+   */
+  List<SuspicionReport> nextReports(int limit, int maxBytes, int transmissions) {
+    List<SuspicionReport> chosen = new ArrayList<>();
+    int remaining = maxBytes;
+    for (SuspicionReport report : pendingReports.leastTransmitted(limit)) {
+      remaining -= report.bytes();
+      if (remaining < 0) {
         break;
       }
-      riding.add(doubt);
-      news.rides(doubt, times);
+      chosen.add(report);
+      pendingReports.recordTransmission(report, transmissions);
     }
-    return riding;
+    return chosen;
   }
 }
--- a/src/main/java/dunlinhitch/cluster/UpdateQueue.java
+++ b/src/main/java/dunlinhitch/cluster/UpdateQueue.java
@@ -6,38 +6,44 @@
 import java.util.Map;
 
 /**
- * What is still to be told, and how often it was: what was told least often goes first, and what
- * was told often enough is news no more.
+ * The updates that are still to be disseminated, with the number of messages that carried each: the
+ * least transmitted go first, and one that was transmitted often enough is dropped.
+ *
+ * <p>Not thread-safe.
  */
 final class UpdateQueue<T> {
-  private final Map<T, Integer> told = new LinkedHashMap<>();
+  private final Map<T, Integer> transmissions = new LinkedHashMap<>();
 
-  void fresh(T item) {
-    told.put(item, 0);
+  /** Queues an update as not transmitted yet. */
+  void enqueue(T update) {
+    transmissions.put(update, 0);
   }
 
-  void allFresh(Collection<T> items) {
-    told.clear();
-    items.forEach(this::fresh);
+  /** Queues these updates in place of all others. */
+  void replaceAll(Collection<T> updates) {
+    transmissions.clear();
+    updates.forEach(this::enqueue);
   }
 
-  void forget(T item) {
-    told.remove(item);
+  /** Drops an update, if it is queued. */
+  void remove(T update) {
+    transmissions.remove(update);
   }
 
-  /** So many at the most, the next first. */
-  List<T> next(int most) {
-    return told.entrySet().stream()
+  /** At most {@code limit} updates, the least transmitted first. */
+  List<T> leastTransmitted(int limit) {
+    return transmissions.entrySet().stream()
         .sorted(Map.Entry.comparingByValue())
-        .limit(most)
+        .limit(limit)
         .map(Map.Entry::getKey)
         .toList();
   }
 
-  /** It rides on one word more, of so many. */
-  void rides(T item, int times) {
-    if (told.containsKey(item) && told.merge(item, 1, Integer::sum) >= times) {
-      told.remove(item);
+  /** Counts a message that carries the update; after {@code limit} messages it is dropped. */
+  void recordTransmission(T update, int limit) {
+    if (transmissions.containsKey(update)
+        && transmissions.merge(update, 1, Integer::sum) >= limit) {
+      transmissions.remove(update);
     }
   }
 }
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -404,12 +404,13 @@
   @Test
   void suspicionsAndSnapshots() {
     SuspicionTable suspicions = new SuspicionTable(SETTINGS);
-    assertEquals(4 * S, suspicions.lastsUs(1, 8));
+    assertEquals(4 * S, suspicions.timeoutUs(1, 8));
     assertTrue(
-        suspicions.lastsUs(2, 8) < 4 * S && suspicions.lastsUs(2, 8) > suspicions.lastsUs(3, 8));
-    assertEquals(S, suspicions.lastsUs(4, 8), 1);
-    assertEquals(S, suspicions.lastsUs(1, 2));
-    assertEquals(8 * S, suspicions.lastsUs(1, 100));
+        suspicions.timeoutUs(2, 8) < 4 * S
+            && suspicions.timeoutUs(2, 8) > suspicions.timeoutUs(3, 8));
+    assertEquals(S, suspicions.timeoutUs(4, 8), 1);
+    assertEquals(S, suspicions.timeoutUs(1, 2));
+    assertEquals(8 * S, suspicions.timeoutUs(1, 100));
     ViewWorld world = settled(1, 4, 0);
     ClusterSnapshot before = world.node(0).view().now();
     world.kill(3);
