--- /dev/null
+++ b/src/main/java/dunlinhitch/cluster/ActiveMembers.java
@@ -0,0 +1,90 @@
+package dunlinhitch.cluster;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeSet;
+
+/**
+ * The members that subsets and duties are computed from: those of the latest snapshot without the
+ * fenced ones. An isolated broker stays with the members that it knew last; if each of many
+ * isolated brokers took itself for the only one, all of them together would use every endpoint and
+ * take every duty.
+ *
+ * <p>Not thread-safe; owned by {@link ClusterCoordinator}.
+ */
+final class ActiveMembers {
+  private final String self;
+  private ClusterSnapshot snapshot;
+
+  /** The members of the last snapshot that was taken while this broker was not isolated. */
+  private Set<String> lastConnected;
+
+  private Set<String> names;
+  private Map<String, String> zones = new HashMap<>();
+  private Set<String> fenced = Set.of();
+
+  ActiveMembers(Member self, ClusterSnapshot snapshot) {
+    this.self = self.name();
+    this.snapshot = snapshot;
+    lastConnected = snapshot.names();
+    names = lastConnected;
+    zones.put(self.name(), self.zone());
+  }
+
+  /** Sets the members that act on outdated versions; it counts from the next refresh on. */
+  void fence(Set<String> outdated) {
+    fenced = Set.copyOf(outdated);
+  }
+
+  /** Takes over a snapshot; true where the active members changed. */
+  boolean refresh(ClusterSnapshot latest) {
+    if (latest.number() != snapshot.number()) {
+      snapshot = latest;
+      lastConnected = snapshot.alone() ? lastConnected : snapshot.names();
+    }
+    Set<String> current = withoutFenced();
+    if (current.equals(names)) {
+      return false;
+    }
+    names = current;
+    zones = new HashMap<>();
+    snapshot.members().forEach(member -> zones.put(member.name(), member.peer().zone()));
+    return true;
+  }
+
+  private Set<String> withoutFenced() {
+    if (fenced.isEmpty()) {
+      return lastConnected;
+    }
+    Set<String> remaining = new TreeSet<>(lastConnected);
+    remaining.removeIf(name -> fenced.contains(name) && !name.equals(self));
+    return remaining;
+  }
+
+  /** The snapshot of the last refresh. */
+  ClusterSnapshot snapshot() {
+    return snapshot;
+  }
+
+  /** This broker's name. */
+  String self() {
+    return self;
+  }
+
+  /** The names of the active members, in order. */
+  Set<String> names() {
+    return names;
+  }
+
+  /** The active members with their zones, as subsetting takes them. */
+  List<Subsetting.MemberView> withZones() {
+    List<Subsetting.MemberView> members = new ArrayList<>(names.size());
+    for (String name : names) {
+      members.add(new Subsetting.MemberView(name, zones.getOrDefault(name, "")));
+    }
+    return members;
+  }
+}
--- a/src/main/java/dunlinhitch/cluster/DutyRotation.java
+++ b/src/main/java/dunlinhitch/cluster/DutyRotation.java
@@ -4,85 +4,85 @@
 import java.util.List;
 
 /**
- * Whose turn it is to do, for all brokers, what one of them should do. A task has epochs of one
- * length; in each the brokers stand in an order by hash, and the first does it. Who comes after it
- * does it only when nothing was heard of it in the epoch and its own place in the row has come:
- * {@code patience} for each place before it. So a silent first costs one patience, not one epoch,
- * and where all hear each other one broker does it in each epoch.
+ * Rotates a duty among the brokers by rendezvous hashing. A duty has epochs of one length; in each
+ * the brokers are ordered by hash, and the first of them, the leader, carries it out. The next in
+ * the order takes over only if the duty is not known to be done in this epoch and its own time has
+ * come: one takeover delay for each place before it. So an unresponsive leader costs one takeover
+ * delay and not an epoch, and where all brokers are connected the duty is done once an epoch.
  *
- * <p>Bound: a broker that hears nobody keeps to the first places of the largest fleet that it has
- * known, so brokers that are all cut from each other do it once in each epoch together. Of a fleet
- * in two halves that both hear someone, each half does it once: at most two in an epoch, and in one
- * epoch more for each further part, whatever the number of brokers.
+ * <p>Bounds: an isolated broker stays with the members of the largest cluster that it knew, and
+ * takes over from nobody, so brokers that are all isolated from each other do a duty once an epoch
+ * together. In a cluster that is partitioned in two, each side does it once: at most two in an
+ * epoch, and in one epoch more for each further part, whatever the number of brokers.
  *
- * <p>Epochs are counted on the clock of the day, which brokers share but for their offsets; an
- * offset moves a turn by itself and no more.
+ * <p>Epochs are counted on the wall clock, which brokers share but for their offsets; an offset
+ * shifts a broker's turns by itself and no more. Immutable.
  */
 public final class DutyRotation {
   private final long epochUs;
-  private final long patienceUs;
+  private final long takeoverDelayUs;
 
   /**
-   * {@code epochUs}: once in so long; {@code patienceUs}: what one place in the row waits for the
-   * place before it.
+   * Creates a rotation.
+   *
+   * @param epochUs the duty is done once in so many microseconds
+   * @param takeoverDelayUs how long each place in the order waits for the one before it, in
+   *     microseconds; at most an epoch
    */
-  public DutyRotation(long epochUs, long patienceUs) {
-    if (epochUs <= 0 || patienceUs <= 0 || patienceUs > epochUs) {
+  public DutyRotation(long epochUs, long takeoverDelayUs) {
+    if (epochUs <= 0 || takeoverDelayUs <= 0 || takeoverDelayUs > epochUs) {
       throw new IllegalArgumentException(
           "a turn's patience is above 0 and at most its epoch: "
-              + patienceUs
+              + takeoverDelayUs
               + " of "
               + epochUs
               + " us");
     }
     this.epochUs = epochUs;
-    this.patienceUs = patienceUs;
+    this.takeoverDelayUs = takeoverDelayUs;
   }
 
-  /** The epoch that a moment of the day's clock, in microseconds, falls in. */
-  public long epoch(long dayUs) {
-    return Math.floorDiv(dayUs, epochUs);
+  /** When that epoch of the duty begins; duties are spread over the epoch by their hash. */
+  public long epochStartUs(String duty, long epoch) {
+    return epoch * epochUs + Math.floorMod(RendezvousHash.of("phase", duty), epochUs);
   }
 
-  /**
-   * When that epoch of the task begins, on the day's clock: tasks are spread over the epoch by
-   * their hash.
-   */
-  public long beginsUs(String task, long epoch) {
-    return epoch * epochUs + Math.floorMod(RendezvousHash.of("phase", task), epochUs);
-  }
-
-  /** The epoch of the task, which begins at a moment of its own, that this moment falls in. */
-  public long epochOf(String task, long dayUs) {
-    long epoch = epoch(dayUs);
-    return beginsUs(task, epoch) <= dayUs ? epoch : epoch - 1;
+  /** The epoch of the duty at that time. */
+  public long epochOf(String duty, long wallUs) {
+    long epoch = Math.floorDiv(wallUs, epochUs);
+    return epochStartUs(duty, epoch) <= wallUs ? epoch : epoch - 1;
   }
 
-  /** How many of a row may come to act for the first within the epoch. */
-  public int standIns() {
-    return (int) ((epochUs - 1) / patienceUs);
+  /** How many brokers may take over one after the other within an epoch. */
+  public int maxSubstitutes() {
+    return (int) ((epochUs - 1) / takeoverDelayUs);
   }
 
-  /** The row of that epoch, the one whose turn it is first. */
-  public List<String> row(String task, long epoch, Collection<String> brokers) {
-    return RendezvousHash.order(brokers, "turn", task, Long.toString(epoch));
+  /** The order of the brokers in that epoch of the duty, the leader first. */
+  public List<String> order(String duty, long epoch, Collection<String> brokers) {
+    return RendezvousHash.order(brokers, "turn", duty, Long.toString(epoch));
   }
 
   /**
-   * When that broker is to do the task in that epoch if nobody is heard to have done it by then, on
-   * the day's clock; {@link Long#MAX_VALUE} where its place does not come within the epoch, or it
-   * hears nobody ({@code alone}) and is not the first.
+   * When a broker is to carry out the duty in that epoch, unless it is known to be done by then.
+   *
+   * @param duty the duty
+   * @param epoch the epoch
+   * @param brokers all brokers that share the duty
+   * @param self the broker that asks, one of them
+   * @param isolated whether it is isolated: then it takes over from nobody
+   * @return the time, or {@link Long#MAX_VALUE} where its turn does not come within the epoch
    */
   public long dueUs(
-      String task, long epoch, Collection<String> brokers, String self, boolean alone) {
-    int place = row(task, epoch, brokers).indexOf(self);
+      String duty, long epoch, Collection<String> brokers, String self, boolean isolated) {
+    int place = order(duty, epoch, brokers).indexOf(self);
     if (place < 0) {
       throw new IllegalArgumentException(
           self + " is not among the brokers whose turns are asked for: " + brokers);
     }
-    if (place > 0 && (alone || place > standIns())) {
+    if (place > 0 && (isolated || place > maxSubstitutes())) {
       return Long.MAX_VALUE;
     }
-    return beginsUs(task, epoch) + place * patienceUs;
+    return epochStartUs(duty, epoch) + place * takeoverDelayUs;
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/cluster/EndpointSubset.java
@@ -0,0 +1,142 @@
+package dunlinhitch.cluster;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.Collections;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The subset of the endpoint list that this broker sends work to: for each cell the endpoints that
+ * {@link Subsetting} assigns to it, with a substitute for each of them that fails. Only cells with
+ * a change are computed anew.
+ *
+ * <p>Not thread-safe; owned by {@link ClusterCoordinator}.
+ */
+final class EndpointSubset {
+  private final Subsetting subsetting;
+  private final ActiveMembers members;
+  private final SharedObservations observations;
+  private final Map<String, ClusterCoordinator.Listed> endpoints = new LinkedHashMap<>();
+  private final Map<String, List<String>> selectedByCell = new HashMap<>();
+  private final Set<String> changedCells = new HashSet<>();
+  private Set<String> selected = Set.of();
+  private long changes;
+
+  EndpointSubset(SubsetSettings settings, ActiveMembers members, SharedObservations observations) {
+    subsetting = new Subsetting(settings);
+    this.members = members;
+    this.observations = observations;
+  }
+
+  /** The names of the selected endpoints. */
+  Set<String> selected() {
+    return selected;
+  }
+
+  /** How often the selected endpoints changed. */
+  long changes() {
+    return changes;
+  }
+
+  /** The endpoints of the list by name; a live view. */
+  Map<String, ClusterCoordinator.Listed> endpoints() {
+    return Collections.unmodifiableMap(endpoints);
+  }
+
+  /** Adds or updates an endpoint; returns what it was before, or null. */
+  ClusterCoordinator.Listed put(ClusterCoordinator.Listed endpoint) {
+    ClusterCoordinator.Listed before = endpoints.put(endpoint.name(), endpoint);
+    changedCells.add(endpoint.cell());
+    if (before != null) {
+      changedCells.add(before.cell());
+    }
+    return before;
+  }
+
+  /** Removes an endpoint, if it is listed. */
+  void remove(String name) {
+    ClusterCoordinator.Listed before = endpoints.remove(name);
+    if (before != null) {
+      changedCells.add(before.cell());
+    }
+  }
+
+  /** The state of an endpoint changed, so its cell is computed anew with the next update. */
+  void markChanged(String name) {
+    ClusterCoordinator.Listed endpoint = endpoints.get(name);
+    if (endpoint != null) {
+      changedCells.add(endpoint.cell());
+    }
+  }
+
+  /** All cells are computed anew with the next update. */
+  void markAllChanged() {
+    endpoints.values().forEach(endpoint -> changedCells.add(endpoint.cell()));
+  }
+
+  /** True where an update would compute anything. */
+  boolean hasChanges() {
+    return !changedCells.isEmpty();
+  }
+
+  /** Computes the changed cells; true where the selected endpoints became others. */
+  boolean update() {
+    Map<String, List<Subsetting.Store>> usableByCell = usableEndpointsOfChangedCells();
+    List<Subsetting.MemberView> brokers = members.withZones();
+    for (String cell : changedCells) {
+      List<Subsetting.Store> usable = usableByCell.get(cell);
+      if (usable == null) {
+        selectedByCell.remove(cell);
+      } else {
+        selectedByCell.put(cell, select(cell, brokers, usable));
+      }
+    }
+    changedCells.clear();
+    Set<String> wanted = new HashSet<>();
+    selectedByCell.values().forEach(wanted::addAll);
+    if (wanted.equals(selected)) {
+      return false;
+    }
+    selected = Set.copyOf(wanted);
+    changes++;
+    return true;
+  }
+
+  private Map<String, List<Subsetting.Store>> usableEndpointsOfChangedCells() {
+    Map<String, List<Subsetting.Store>> byCell = new HashMap<>();
+    for (ClusterCoordinator.Listed endpoint : endpoints.values()) {
+      if (endpoint.usable() && changedCells.contains(endpoint.cell())) {
+        byCell
+            .computeIfAbsent(endpoint.cell(), cell -> new ArrayList<>())
+            .add(new Subsetting.Store(endpoint.name(), endpoint.zone()));
+      }
+    }
+    return byCell;
+  }
+
+  private List<String> select(
+      String cell, Collection<Subsetting.MemberView> brokers, List<Subsetting.Store> usable) {
+    List<String> order = subsetting.of(cell, brokers, usable).get(members.self());
+    return withSubstitutes(order, subsetting.size(brokers.size(), usable.size()));
+  }
+
+  /**
+   * The first {@code size} of the order, and for each of them that fails the next that does not.
+   */
+  private List<String> withSubstitutes(List<String> order, int size) {
+    List<String> wanted = new ArrayList<>(order.subList(0, size));
+    int missing = (int) wanted.stream().filter(observations::isFailing).count();
+    for (int i = size; i < order.size() && missing > 0; i++) {
+      if (!observations.isFailing(order.get(i))) {
+        wanted.add(order.get(i));
+        missing--;
+      }
+    }
+    return wanted;
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
@@ -0,0 +1,172 @@
+package dunlinhitch.cluster;
+
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+
+/**
+ * Decides which broker makes a health check, so that in each epoch one does and shares the result:
+ * the leader of the epoch by {@link DutyRotation}, or the next in its order where the leader is not
+ * known to have made it.
+ *
+ * <p>Not thread-safe; owned by {@link ClusterCoordinator}. Times are microseconds of the wall
+ * clock, which the brokers share.
+ */
+final class HealthCheckDuty {
+  /** Health checks that wait for their turn at most; beyond it they end without a result. */
+  private static final int MAX_PENDING = 64;
+
+  /**
+   * A health check that this broker wants and others may make.
+   *
+   * @param sinceWallUs when it was wanted
+   * @param dueWallUs when this broker makes it after all, or {@link Long#MAX_VALUE}
+   * @param endWallUs when it ends without a result
+   */
+  private record PendingCheck(long sinceWallUs, long dueWallUs, long endWallUs) {}
+
+  private final DutyRotation rotation;
+  private final long epochUs;
+  private final ActiveMembers members;
+  private final MembershipProtocol membership;
+  private final SharedObservations observations;
+  private final Map<String, ClusterCoordinator.Listed> endpoints;
+  private final ClusterCoordinator.Out out;
+  private final Map<String, PendingCheck> pending = new LinkedHashMap<>();
+  private long takenOver;
+
+  /** {@code endpoints}: a live view of the endpoint list by name. */
+  HealthCheckDuty(
+      ClusterSettings settings,
+      ActiveMembers members,
+      MembershipProtocol membership,
+      SharedObservations observations,
+      Map<String, ClusterCoordinator.Listed> endpoints,
+      ClusterCoordinator.Out out) {
+    rotation = new DutyRotation(settings.turnUs(), settings.patienceUs());
+    epochUs = settings.turnUs();
+    this.members = members;
+    this.membership = membership;
+    this.observations = observations;
+    this.endpoints = endpoints;
+    this.out = out;
+  }
+
+  /** Health checks that this broker made in place of another. */
+  long takenOver() {
+    return takenOver;
+  }
+
+  /** Requests a health check; see {@link ClusterCoordinator#mayHealthCheck}. */
+  boolean request(String endpoint, long wallUs) {
+    if (pending.containsKey(endpoint)) {
+      return false;
+    }
+    if (!endpoints.containsKey(endpoint)) {
+      return true;
+    }
+    long epoch = rotation.epochOf(endpoint, wallUs);
+    long epochStartUs = rotation.epochStartUs(endpoint, epoch);
+    long dueUs = isDone(endpoint, epoch, wallUs) ? Long.MAX_VALUE : dueUs(endpoint, epoch);
+    if (dueUs <= wallUs) {
+      takenOver += dueUs > epochStartUs ? 1 : 0;
+      announce(endpoint, epoch, wallUs);
+      return true;
+    }
+    long endUs = epochStartUs + epochUs;
+    if (dueUs >= endUs) { // the next epoch may be this broker's
+      dueUs = dueUs(endpoint, epoch + 1);
+      endUs += epochUs;
+    }
+    if (pending.size() >= MAX_PENDING) {
+      out.probed(endpoint, null);
+      return false;
+    }
+    pending.put(endpoint, new PendingCheck(wallUs, dueUs, endUs));
+    completeFromObservations();
+    return false;
+  }
+
+  private boolean isDone(String endpoint, long epoch, long wallUs) {
+    long sinceUs = Math.min(rotation.epochStartUs(endpoint, epoch), wallUs - epochUs / 2);
+    return observations.table().observedSince(endpoint, sinceUs);
+  }
+
+  private long dueUs(String endpoint, long epoch) {
+    return rotation.dueUs(
+        endpoint, epoch, members.names(), members.self(), members.snapshot().alone());
+  }
+
+  /**
+   * Announces that this broker makes the health check of this epoch, which counts as done from then
+   * on. The next in the order are notified at once: a piggybacked update would reach them only
+   * after their own turns.
+   */
+  private void announce(String endpoint, long epoch, long wallUs) {
+    observations.share(endpoints.get(endpoint), List.of(), wallUs);
+    int remaining = rotation.maxSubstitutes();
+    for (String name : rotation.order(endpoint, epoch, members.names())) {
+      if (remaining == 0) {
+        return;
+      }
+      if (!name.equals(members.self())) {
+        membership.tell(name);
+        remaining--;
+      }
+    }
+  }
+
+  /** Makes the health checks that are due here after all, and ends those that are too old. */
+  void onTime(long wallUs) {
+    for (Map.Entry<String, PendingCheck> entry : List.copyOf(pending.entrySet())) {
+      PendingCheck check = entry.getValue();
+      String endpoint = entry.getKey();
+      if (wallUs >= check.dueWallUs() && pending.remove(endpoint) != null) {
+        takeTurn(endpoint, wallUs);
+      } else if (wallUs >= check.endWallUs() && pending.remove(endpoint) != null) {
+        out.probed(endpoint, null);
+      }
+    }
+  }
+
+  private void takeTurn(String endpoint, long wallUs) {
+    long epoch = rotation.epochOf(endpoint, wallUs);
+    if (isDone(endpoint, epoch, wallUs)) {
+      out.probed(endpoint, null);
+      return;
+    }
+    takenOver++;
+    announce(endpoint, epoch, wallUs);
+    out.probe(endpoint);
+  }
+
+  /** Ends the pending health checks for which another broker has shared a load report. */
+  void completeFromObservations() {
+    for (Map.Entry<String, PendingCheck> entry : List.copyOf(pending.entrySet())) {
+      String endpoint = entry.getKey();
+      long sinceUs = entry.getValue().sinceWallUs() - epochUs;
+      Optional<EndpointObservation> shared =
+          observations.table().latestReport(endpoint, sinceUs, members.self());
+      if (shared.isPresent() && pending.remove(endpoint) != null) {
+        out.probed(endpoint, shared.get());
+      }
+    }
+  }
+
+  /** Ends the health check of an endpoint that was removed from the list. */
+  void cancel(String endpoint) {
+    if (pending.remove(endpoint) != null) {
+      out.probed(endpoint, null);
+    }
+  }
+
+  /** When a pending health check is due or ends; {@link Long#MAX_VALUE} where there is none. */
+  long nextWallUs() {
+    long next = Long.MAX_VALUE;
+    for (PendingCheck check : pending.values()) {
+      next = Math.min(next, Math.min(check.dueWallUs(), check.endWallUs()));
+    }
+    return next;
+  }
+}
--- a/src/main/java/dunlinhitch/cluster/ObservationTable.java
+++ b/src/main/java/dunlinhitch/cluster/ObservationTable.java
@@ -8,140 +8,171 @@
 import java.util.Optional;
 
 /**
- * What all brokers saw of the stores, merged: of each store the latest signal of each of the few
- * authors that saw it last. Merging is commutative, associative and idempotent, so brokers that
- * heard the same signals in any order, any number of times, hold the same. Bounded by {@code
- * mostStores} and {@code MOST_AUTHORS}; what is older than {@code staleUs} says nothing.
+ * The current observations of endpoints, merged from all brokers: of each endpoint the latest
+ * observation of each of the few brokers that observed it last. Merging is commutative, associative
+ * and idempotent, so brokers that received the same observations in any order, any number of times,
+ * have the same table.
+ *
+ * <p>Not thread-safe. Times are microseconds of the wall clock.
  */
 public final class ObservationTable {
   /**
-   * One store's load is one figure; a few that saw it tell a store that fails from a link that
-   * does.
+   * Observations of one endpoint: its load is one figure, but a failing endpoint is told from a
+   * failing network path only by several observers.
    */
-  static final int MOST_AUTHORS = 3;
+  static final int MAX_AUTHORS = 3;
 
   /**
-   * Order of one store's signals: what is kept first. It is total, so what is kept depends on the
-   * set alone.
+   * The latest first; a total order, so that what a full table retains depends on the set alone.
    */
-  private static final Comparator<EndpointObservation> LATEST =
+  private static final Comparator<EndpointObservation> LATEST_FIRST =
       Comparator.comparingLong(EndpointObservation::startedMs)
           .thenComparingLong(EndpointObservation::seenUs)
           .thenComparingLong(EndpointObservation::number)
           .thenComparing(EndpointObservation::author)
           .reversed();
 
-  private final int mostStores;
-  private final long staleUs;
-  private final Map<String, List<EndpointObservation>> byStore = new LinkedHashMap<>();
-  private long refused;
+  private final int maxEndpoints;
+  private final long maxAgeUs;
+  private final Map<String, List<EndpointObservation>> byEndpoint = new LinkedHashMap<>();
+  private long rejected;
 
-  public ObservationTable(int mostStores, long staleUs) {
-    this.mostStores = mostStores;
-    this.staleUs = staleUs;
+  /** A table of at most {@code maxEndpoints}, without observations older than {@code maxAgeUs}. */
+  public ObservationTable(int maxEndpoints, long maxAgeUs) {
+    this.maxEndpoints = maxEndpoints;
+    this.maxAgeUs = maxAgeUs;
   }
 
   /**
-   * Takes a signal at {@code nowUs} of the day's clock; true where it was news. One that is stale,
-   * of a life that is over or beyond the bound is passed over; one from the future (a clock that is
-   * ahead) counts as seen now, so that it can not outlive the truth.
+   * Merges an observation. One that is outdated, of an earlier incarnation of the endpoint, or
+   * beyond the bound is dropped; one from the future (of a broker whose clock is ahead) counts as
+   * made now, so that it does not outlive its successors.
+   *
+   * @return true where it is new
    */
-  public boolean take(EndpointObservation told, long nowUs) {
-    EndpointObservation signal =
-        told.seenUs() <= nowUs
-            ? told
-            : new EndpointObservation(
-                told.store(),
-                told.startedMs(),
-                told.author(),
-                told.number(),
-                nowUs,
-                told.report(),
-                told.failed());
-    if (nowUs - signal.seenUs() > staleUs) {
+  public boolean merge(EndpointObservation received, long nowUs) {
+    EndpointObservation observation = notInTheFuture(received, nowUs);
+    if (nowUs - observation.seenUs() > maxAgeUs) {
       return false;
     }
-    List<EndpointObservation> held = byStore.get(signal.store());
-    if (held == null) {
-      if (byStore.size() >= mostStores) {
-        refused++;
+    List<EndpointObservation> current = byEndpoint.get(observation.store());
+    if (current == null) {
+      if (byEndpoint.size() >= maxEndpoints) {
+        rejected++;
         return false;
       }
-      held = new ArrayList<>(MOST_AUTHORS + 1);
-      byStore.put(signal.store(), held);
+      current = new ArrayList<>(MAX_AUTHORS + 1);
+      byEndpoint.put(observation.store(), current);
     }
-    if (!held.isEmpty() && held.get(0).startedMs() > signal.startedMs()) {
+    if (isOutdated(observation, current)) {
       return false;
     }
-    for (EndpointObservation other : held) {
-      if (other.author().equals(signal.author()) && !signal.replaces(other)) {
-        return false;
-      }
-    }
-    held.removeIf(
-        other -> other.author().equals(signal.author()) || other.startedMs() < signal.startedMs());
-    held.add(signal);
-    held.sort(LATEST);
-    if (held.size() > MOST_AUTHORS) {
-      return held.remove(MOST_AUTHORS) != signal;
+    current.removeIf(
+        other ->
+            other.author().equals(observation.author())
+                || other.startedMs() < observation.startedMs());
+    current.add(observation);
+    current.sort(LATEST_FIRST);
+    if (current.size() > MAX_AUTHORS) {
+      return !current.remove(MAX_AUTHORS).equals(observation);
     }
     return true;
   }
 
-  /**
-   * The latest report of the store that was seen after {@code sinceUs} by another than {@code
-   * self}, if there is one.
-   */
-  public Optional<EndpointObservation> report(String store, long sinceUs, String self) {
-    return byStore.getOrDefault(store, List.of()).stream()
-        .filter(s -> !s.author().equals(self) && s.seenUs() > sinceUs && !s.report().isEmpty())
-        .findFirst();
+  private static EndpointObservation notInTheFuture(EndpointObservation received, long nowUs) {
+    if (received.seenUs() <= nowUs) {
+      return received;
+    }
+    return new EndpointObservation(
+        received.store(),
+        received.startedMs(),
+        received.author(),
+        received.number(),
+        nowUs,
+        received.report(),
+        received.failed());
   }
 
-  /**
-   * True where that task was done by anybody since: of any author, with an answer or without one.
-   */
-  public boolean seenSince(String store, long sinceUs) {
-    return byStore.getOrDefault(store, List.of()).stream().anyMatch(s -> s.seenUs() >= sinceUs);
+  private static boolean isOutdated(
+      EndpointObservation observation, List<EndpointObservation> current) {
+    if (!current.isEmpty() && current.get(0).startedMs() > observation.startedMs()) {
+      return true;
+    }
+    for (EndpointObservation other : current) {
+      if (other.author().equals(observation.author()) && !observation.replaces(other)) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  private List<EndpointObservation> of(String endpoint) {
+    return byEndpoint.getOrDefault(endpoint, List.of());
   }
 
   /**
-   * How many brokers, of those that saw the store of late, got no answer from it in a row of {@code
-   * inARow} or more.
+   * The latest load report of an endpoint after {@code sinceUs} by a broker other than that one.
    */
-  public int failing(String store, int inARow) {
-    return (int)
-        byStore.getOrDefault(store, List.of()).stream().filter(s -> s.failed() >= inARow).count();
+  public Optional<EndpointObservation> latestReport(String endpoint, long sinceUs, String except) {
+    for (EndpointObservation observation : of(endpoint)) {
+      if (!observation.author().equals(except)
+          && observation.seenUs() > sinceUs
+          && !observation.report().isEmpty()) {
+        return Optional.of(observation);
+      }
+    }
+    return Optional.empty();
+  }
+
+  /** Whether any broker observed the endpoint since then, with a response or without. */
+  public boolean observedSince(String endpoint, long sinceUs) {
+    for (EndpointObservation observation : of(endpoint)) {
+      if (observation.seenUs() >= sinceUs) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  /** How many of an endpoint's observers had at least {@code threshold} failures in a row. */
+  public int countFailing(String endpoint, int threshold) {
+    int count = 0;
+    for (EndpointObservation observation : of(endpoint)) {
+      if (observation.failed() >= threshold) {
+        count++;
+      }
+    }
+    return count;
   }
 
-  /** How many brokers saw it of late. */
-  public int seen(String store) {
-    return byStore.getOrDefault(store, List.of()).size();
+  /** How many brokers observed the endpoint of late. */
+  public int countObservers(String endpoint) {
+    return of(endpoint).size();
   }
 
-  /** All that is held, for a newcomer. */
+  /** All current observations. */
   public List<EndpointObservation> all() {
-    return byStore.values().stream().flatMap(List::stream).toList();
+    return byEndpoint.values().stream().flatMap(List::stream).toList();
   }
 
-  /** Lets go of what is stale; call it now and then. */
-  public void passed(long nowUs) {
-    byStore
+  /** Removes the observations that are too old. */
+  public void expire(long nowUs) {
+    byEndpoint
         .values()
         .removeIf(
-            held -> {
-              held.removeIf(signal -> nowUs - signal.seenUs() > staleUs);
-              return held.isEmpty();
+            observations -> {
+              observations.removeIf(observation -> nowUs - observation.seenUs() > maxAgeUs);
+              return observations.isEmpty();
             });
   }
 
-  /** A store that is gone from the roster. */
-  public void forget(String store) {
-    byStore.remove(store);
+  /** Removes the observations of an endpoint. */
+  public void remove(String endpoint) {
+    byEndpoint.remove(endpoint);
   }
 
-  /** Signals of stores beyond the bound. */
-  public long refused() {
-    return refused;
+  /** Observations that were dropped because the table was full. */
+  public long rejected() {
+    return rejected;
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/cluster/SharedObservations.java
@@ -0,0 +1,166 @@
+package dunlinhitch.cluster;
+
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * What this broker observes of endpoints itself, what it shares of that, and what it receives and
+ * forwards of the observations of others.
+ *
+ * <p>Not thread-safe; owned by {@link ClusterCoordinator}. Times are microseconds of the wall
+ * clock.
+ */
+final class SharedObservations {
+  /** Consecutive attempts without a response after which an endpoint counts as failing. */
+  static final int FAILURE_THRESHOLD = 3;
+
+  /** Brokers that must agree on a failure: a single one may itself be cut off from the endpoint. */
+  private static final int FAILURE_QUORUM = 2;
+
+  /** Observations that one message carries at most. */
+  private static final int MAX_PIGGYBACKED = 8;
+
+  /** Messages that carry one observation. */
+  private static final int TRANSMISSIONS = 6;
+
+  private static final class PendingObservation {
+    private final EndpointObservation observation;
+    private int remainingTransmissions = TRANSMISSIONS;
+
+    PendingObservation(EndpointObservation observation) {
+      this.observation = observation;
+    }
+  }
+
+  private final String self;
+  private final int maxEndpoints;
+  private final long minimumIntervalUs;
+  private final ObservationTable table;
+  private final Map<String, Integer> consecutiveFailures = new HashMap<>();
+  private final Map<String, Long> lastSequenceNumbers = new HashMap<>();
+  private final Map<String, Long> lastSharedUs = new HashMap<>();
+
+  /** The observations to piggyback, the newest first. */
+  private final Deque<PendingObservation> pending = new ArrayDeque<>();
+
+  SharedObservations(String self, ClusterSettings settings) {
+    this.self = self;
+    maxEndpoints = settings.mostStores();
+    minimumIntervalUs = settings.turnUs();
+    table = new ObservationTable(settings.mostStores(), settings.staleUs());
+  }
+
+  /** All observations that are current, this broker's own included. */
+  ObservationTable table() {
+    return table;
+  }
+
+  /** Merges an observation of another broker; true where it is new, and then it is forwarded. */
+  boolean receive(EndpointObservation observation, long wallUs) {
+    if (observation.author().equals(self) || !table.merge(observation, wallUs)) {
+      return false;
+    }
+    enqueue(observation);
+    return true;
+  }
+
+  /**
+   * Records the outcome of an attempt of this broker. It is shared no more often than once in a
+   * duty's epoch, unless the endpoint begins or ceases to fail: otherwise each response would cost
+   * a message.
+   *
+   * @return true where the endpoint began or ceased to fail
+   */
+  boolean recordAttempt(
+      ClusterCoordinator.Listed endpoint, boolean answered, List<Float> report, long wallUs) {
+    String name = endpoint.name();
+    int failuresBefore = consecutiveFailures.getOrDefault(name, 0);
+    int failures = answered ? 0 : failuresBefore + 1;
+    if (failures == 0) {
+      consecutiveFailures.remove(name);
+    } else {
+      consecutiveFailures.put(name, failures);
+    }
+    boolean failingChanged =
+        (failuresBefore >= FAILURE_THRESHOLD) != (failures >= FAILURE_THRESHOLD);
+    boolean hasNewReport = answered && !report.isEmpty() && isSharingDue(name, wallUs);
+    if (failingChanged || hasNewReport) {
+      lastSharedUs.put(name, wallUs);
+      share(endpoint, report, wallUs);
+    }
+    return failingChanged;
+  }
+
+  private boolean isSharingDue(String endpoint, long wallUs) {
+    Long last = lastSharedUs.get(endpoint);
+    return last == null || wallUs - last >= minimumIntervalUs;
+  }
+
+  /** Lets the next outcome be shared at once. */
+  void resetSharingInterval(String endpoint) {
+    lastSharedUs.remove(endpoint);
+  }
+
+  /** Shares an observation of this broker with its current count of failures. */
+  void share(ClusterCoordinator.Listed endpoint, List<Float> report, long wallUs) {
+    EndpointObservation observation =
+        new EndpointObservation(
+            endpoint.name(),
+            endpoint.startedMs(),
+            self,
+            lastSequenceNumbers.merge(endpoint.name(), 1L, Long::sum),
+            wallUs,
+            report,
+            consecutiveFailures.getOrDefault(endpoint.name(), 0));
+    table.merge(observation, wallUs);
+    enqueue(observation);
+  }
+
+  private void enqueue(EndpointObservation observation) {
+    pending.addFirst(new PendingObservation(observation));
+    while (pending.size() > maxEndpoints) {
+      pending.removeLast();
+    }
+  }
+
+  /** The observations for the next message, within so many bytes; they count as transmitted. */
+  List<EndpointObservation> nextToPiggyback(int maxBytes) {
+    List<EndpointObservation> chosen = new ArrayList<>();
+    int remaining = maxBytes;
+    for (PendingObservation next : pending) {
+      remaining -= next.observation.bytes();
+      if (chosen.size() == MAX_PIGGYBACKED || remaining < 0) {
+        break;
+      }
+      next.remainingTransmissions--;
+      chosen.add(next.observation);
+    }
+    pending.removeIf(transmitted -> transmitted.remainingTransmissions <= 0);
+    return chosen;
+  }
+
+  /**
+   * Whether an endpoint counts as failing: by this broker's own attempts, or by those of a quorum.
+   */
+  boolean isFailing(String endpoint) {
+    return consecutiveFailures.getOrDefault(endpoint, 0) >= FAILURE_THRESHOLD
+        || table.countFailing(endpoint, FAILURE_THRESHOLD) >= FAILURE_QUORUM;
+  }
+
+  /** Forgets the failures of an endpoint that was restarted. */
+  void resetFailures(String endpoint) {
+    consecutiveFailures.remove(endpoint);
+  }
+
+  /** Forgets an endpoint that was removed from the endpoint list. */
+  void forget(String endpoint) {
+    consecutiveFailures.remove(endpoint);
+    lastSequenceNumbers.remove(endpoint);
+    lastSharedUs.remove(endpoint);
+    table.remove(endpoint);
+  }
+}
