--- a/src/main/java/dunlinhitch/cluster/ClusterSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSettings.java
@@ -1,14 +1,14 @@
 package dunlinhitch.cluster;
 
 /**
- * What holds for the brokers together.
+ * The settings of a broker as a member of a cluster; times in microseconds.
  *
- * @param subsets how many stores each keeps to
- * @param view the times of their view of each other
- * @param turnUs one of them probes one store so often, in microseconds
- * @param patienceUs the next in the row waits so long for the one before it, in microseconds
- * @param staleUs what was seen of a store says nothing after so long, in microseconds
- * @param mostStores stores that signals are kept of, at the most
+ * @param subsets how many endpoints each broker sends work to
+ * @param view the times and bounds of the membership protocol
+ * @param turnUs the epoch of health checks: one broker checks one endpoint so often
+ * @param patienceUs how long each broker waits for the one before it to make a health check
+ * @param staleUs the age at which an observation expires
+ * @param mostStores endpoints of which observations are stored, at most
  */
 public record ClusterSettings(
     SubsetSettings subsets,
@@ -17,6 +17,7 @@
     long patienceUs,
     long staleUs,
     int mostStores) {
+  /** A health check every 2 s; observations expire after 6 s. */
   public static final ClusterSettings STANDARD =
       new ClusterSettings(
           SubsetSettings.STANDARD,
@@ -26,6 +27,7 @@
           6_000_000,
           10_000);
 
+  /** Checks that observations can be stored. */
   public ClusterSettings {
     if (staleUs <= 0 || mostStores < 1) {
       throw new IllegalArgumentException(
--- a/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
@@ -8,21 +8,18 @@
 import java.util.TreeSet;
 
 /**
- * What one broker holds of the fleet at one moment. It is never changed: who decides takes one and
- * reads it to the end of the decision, so that no half of it goes by other members than the other
- * half.
+ * The membership as one broker knows it at one moment. Immutable: a decision takes one snapshot and
+ * uses it throughout, so that all parts of the decision go by the same members.
  *
- * @param number counts this broker's views; a later one is higher
- * @param members all that take part, this broker among them, in the order of their names, which is
- *     one order at all brokers
- * @param digest of names, zones and addresses of the members: equal at brokers whose decisions are
- *     to add up
- * @param settledUs since when all that were heard hold the same, on the clock that never runs back;
- *     below 0: they do not
- * @param disagree members that were heard to hold another digest since this one was held
- * @param alone true where looks are made and none is answered: then the members are those that were
- *     held last
- * @param displacedBy another broker that bears this one's name by right, or null
+ * @param number the sequence number of this broker's snapshots
+ * @param members all that take part, this broker included, in the order of their names, which is
+ *     the same at all brokers
+ * @param digest over names, zones and addresses of the members: equal at brokers that agree
+ * @param settledUs since when the cluster has converged as far as is known, on the monotonic clock;
+ *     negative where it has not
+ * @param disagree members that announced another digest
+ * @param alone whether this broker is isolated; then the members are those that it knew last
+ * @param displacedBy another broker that rightfully bears this one's name, or null
  */
 public record ClusterSnapshot(
     long number,
@@ -35,26 +32,29 @@
   /**
    * One broker that takes part.
    *
-   * @param peer its name, zone, address and incarnation; a status of SUSPECT is a doubt
-   * @param accusers how many are known to have found that it does not answer
-   * @param versions what it acts on, its build among it; null where it did not say so to this
-   *     broker yet
+   * @param peer its name, zone, address, incarnation and status
+   * @param accusers how many brokers are known to suspect it
+   * @param versions the versions that it acts on; null where they are not known yet
    */
   public record MemberView(Member peer, int accusers, VersionVector versions) {
+    /** The broker's name. */
     public String name() {
       return peer.name();
     }
 
+    /** Whether it is suspected. */
     public boolean isDoubted() {
       return peer.status() == Member.Status.SUSPECT;
     }
   }
 
+  /** Copies the collections. */
   public ClusterSnapshot {
     members = List.copyOf(members);
     disagree = Set.copyOf(disagree);
   }
 
+  /** Whether the cluster has converged, as far as this broker knows. */
   public boolean isSettled() {
     return settledUs >= 0;
   }
@@ -66,33 +66,51 @@
     return names;
   }
 
+  /** The member of that name, if it takes part. */
   public Optional<MemberView> member(String name) {
     return members.stream().filter(member -> member.name().equals(name)).findAny();
   }
 
-  /** A line of it for an operator; beyond {@code most} names it gives numbers. */
+  /** A line for an operator; where there are more than {@code most} names it gives their number. */
   public String line(long nowUs, int most) {
-    List<String> names = new ArrayList<>();
-    members.forEach(member -> names.add(member.isDoubted() ? member.name() + "?" : member.name()));
-    String who = members.size() + (members.size() <= most ? ": " + String.join(" ", names) : "");
-    String state =
-        alone
-            ? "it hears nobody"
-            : isSettled()
-                ? "settled for " + (nowUs - settledUs) / 1000 + " ms"
-                : disagree.isEmpty()
-                    ? "not compared yet"
-                    : "others hold another: "
-                        + (disagree.size() <= most
-                            ? String.join(" ", new TreeSet<>(disagree))
-                            : Integer.toString(disagree.size()));
-    return who
+    return membersText(most)
         + "; "
         + String.format("%016x", digest)
         + ", "
-        + state
-        + (displacedBy == null
-            ? ""
-            : "; its name is also taken at " + displacedBy.host() + ":" + displacedBy.port());
+        + convergenceText(nowUs, most)
+        + displacedByText();
+  }
+
+  private String membersText(int most) {
+    if (members.size() > most) {
+      return Integer.toString(members.size());
+    }
+    List<String> names = new ArrayList<>();
+    members.forEach(member -> names.add(member.isDoubted() ? member.name() + "?" : member.name()));
+    return members.size() + ": " + String.join(" ", names);
+  }
+
+  private String convergenceText(long nowUs, int most) {
+    if (alone) {
+      return "it hears nobody";
+    }
+    if (isSettled()) {
+      return "settled for " + (nowUs - settledUs) / 1000 + " ms";
+    }
+    if (disagree.isEmpty()) {
+      return "not compared yet";
+    }
+    String names =
+        disagree.size() <= most
+            ? String.join(" ", new TreeSet<>(disagree))
+            : Integer.toString(disagree.size());
+    return "others hold another: " + names;
+  }
+
+  private String displacedByText() {
+    if (displacedBy == null) {
+      return "";
+    }
+    return "; its name is also taken at " + displacedBy.host() + ":" + displacedBy.port();
   }
 }
--- a/src/main/java/dunlinhitch/cluster/EndpointObservation.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointObservation.java
@@ -3,18 +3,17 @@
 import java.util.List;
 
 /**
- * What one broker saw of a store, as it travels among the brokers. It is of the life of the store
- * that began at {@code startedMs}: of another life it says nothing.
+ * What one broker observed of an endpoint, as brokers share it. It concerns one incarnation of the
+ * endpoint, the one that started at {@code startedMs}, and says nothing of others.
  *
- * @param store its name, the same at all brokers
- * @param startedMs when that life of the store began, Unix time in milliseconds; 0: long ago
- * @param author the broker that saw it
- * @param number the author's own count of what it saw of that store; a later one stands in place of
- *     the earlier
- * @param seenUs when it was seen, on the day's clock, in microseconds
- * @param report the load that the store told, in the order of the settings' fields; empty where it
- *     told none
- * @param failed attempts and probes that failed without an answer since the last that did not
+ * @param store the endpoint's name, the same at all brokers
+ * @param startedMs when the endpoint started, Unix time in milliseconds; 0: long ago
+ * @param author the broker that made the observation
+ * @param number the author's sequence number for that endpoint; a later observation replaces the
+ *     earlier
+ * @param seenUs when it was made, on the wall clock, in microseconds
+ * @param report the endpoint's load report, in the order of the settings' fields, or empty
+ * @param failed consecutive attempts and health checks without a response
  */
 public record EndpointObservation(
     String store,
@@ -24,6 +23,10 @@
     long seenUs,
     List<Float> report,
     int failed) {
+  /** Bytes of the lengths of the two names and of the failure count. */
+  private static final int FIXED_BYTES = 4;
+
+  /** Checks that the names are not empty and the numbers not negative. */
   public EndpointObservation {
     if (store.isEmpty()
         || author.isEmpty()
@@ -48,24 +51,30 @@
     report = List.copyOf(report);
   }
 
-  /**
-   * True where this one stands in place of the other: of a later life, or of the same and said
-   * later.
-   */
+  /** Whether this one replaces the other: it is of a later incarnation, or made later. */
   boolean replaces(EndpointObservation other) {
     if (startedMs != other.startedMs) {
       return startedMs > other.startedMs;
     }
-    return seenUs != other.seenUs
-        ? seenUs > other.seenUs
-        : number != other.number ? number > other.number : author.compareTo(other.author) > 0;
+    if (seenUs != other.seenUs) {
+      return seenUs > other.seenUs;
+    }
+    if (number != other.number) {
+      return number > other.number;
+    }
+    return author.compareTo(other.author) > 0;
   }
 
+  /** About the bytes that it takes in a message. */
   int bytes() {
-    return store.length() + author.length() + 4 + 3 * Long.BYTES + Float.BYTES * report.size();
+    return store.length()
+        + author.length()
+        + FIXED_BYTES
+        + 3 * Long.BYTES
+        + Float.BYTES * report.size();
   }
 
-  /** The report as the decisions take it. */
+  /** The load report as the load balancer takes it. */
   public float[] values() {
     float[] values = new float[report.size()];
     for (int i = 0; i < values.length; i++) {
--- a/src/main/java/dunlinhitch/cluster/GossipMessage.java
+++ b/src/main/java/dunlinhitch/cluster/GossipMessage.java
@@ -4,20 +4,20 @@
 import java.util.List;
 
 /**
- * What one broker says to another, in one datagram.
+ * One message between brokers, sent as one datagram.
  *
- * @param kind what it wants
- * @param from who says it
- * @param number the look it belongs to; an answer repeats it. With buckets {@link #COMPARE} or
- *     {@link #COMPARED}
- * @param about whom to ask, for {@link Kind#PING_REQUEST}; for the answer to it whom the answer is
- *     of; else empty
- * @param versions what who says it acts on, or null
- * @param peers what is held of brokers
- * @param signals what was seen of stores
- * @param digest of the members that who says it holds; 0: it does not tell
- * @param buckets the sums that the digest is made of, where it is compared; else empty
- * @param doubts who found whom not to answer
+ * @param kind what it asks for
+ * @param from the sender as it announces itself
+ * @param number the sequence number of the ping that it belongs to, which an ack repeats; with
+ *     buckets {@link #COMPARE} or {@link #COMPARED}
+ * @param about the member to ping, for {@link Kind#PING_REQUEST}; for the ack of one the member
+ *     that acked; else empty
+ * @param versions the versions that the sender acts on, or null
+ * @param peers piggybacked updates of members
+ * @param signals piggybacked observations of endpoints
+ * @param digest the digest of the sender's member list; 0: not announced
+ * @param buckets the sums that the digest consists of, where digests are compared; else empty
+ * @param doubts piggybacked suspicion reports
  */
 public record GossipMessage(
     Kind kind,
@@ -30,25 +30,32 @@
     long digest,
     List<Long> buckets,
     List<SuspicionReport> doubts) {
-  /** With buckets: here are mine, tell what differs and yours. */
+  /** Number of a message with buckets that asks for the differing members and for buckets. */
   static final long COMPARE = 1;
 
-  /** With buckets: here are mine, tell what differs. */
+  /** Number of a message with buckets that asks for the differing members only. */
   static final long COMPARED = 2;
 
-  /**
-   * LOOK: are you there. THERE: I am. ASK: look at that one for me. JOIN: the same as LOOK, and
-   * tell me of all. LEAVE: I end. NEWS: only what rides on it.
-   */
+  /** Bytes of the kind, flags and counts. */
+  private static final int FIXED_BYTES = 8;
+
+  /** The kinds of messages; the names and their order are part of the wire format. */
   public enum Kind {
+    /** Asks for an ack. */
     PING,
+    /** Answers a ping or a join. */
     ACK,
+    /** Asks the recipient to ping a third member. */
     PING_REQUEST,
+    /** Asks for an ack and for all members. */
     JOIN,
+    /** The sender leaves. */
     LEAVE,
+    /** Carries updates only. */
     GOSSIP
   }
 
+  /** Copies the lists. */
   public GossipMessage {
     peers = List.copyOf(peers);
     signals = List.copyOf(signals);
@@ -56,7 +63,7 @@
     doubts = List.copyOf(doubts);
   }
 
-  /** A word of a broker that tells no digest. */
+  /** A message without a digest, buckets or suspicion reports. */
   public GossipMessage(
       Kind kind,
       Member from,
@@ -68,18 +75,23 @@
     this(kind, from, number, about, versions, peers, signals, 0, List.of(), List.of());
   }
 
-  /** About what it comes to in a compact form, in bytes: texts by their length, numbers in full. */
+  /** About the bytes of its encoding: texts by their length, numbers in full. */
   public int bytes() {
-    return 8
+    return FIXED_BYTES
         + 2 * Long.BYTES
         + from.bytes()
         + about.length()
         + Long.BYTES * buckets.size()
-        + (versions == null
-            ? 0
-            : versions.build().length() + versions.settings().length() + 2 * Long.BYTES)
+        + versionsBytes()
         + peers.stream().mapToInt(Member::bytes).sum()
         + signals.stream().mapToInt(EndpointObservation::bytes).sum()
         + doubts.stream().mapToInt(SuspicionReport::bytes).sum();
   }
+
+  private int versionsBytes() {
+    if (versions == null) {
+      return 0;
+    }
+    return versions.build().length() + versions.settings().length() + 2 * Long.BYTES;
+  }
 }
--- a/src/main/java/dunlinhitch/cluster/Member.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -4,39 +4,52 @@
  * One broker as the others know it.
  *
  * @param name its name, the same after a restart
- * @param zone where it stands, or empty
- * @param host where it hears the others
- * @param port the same
- * @param incarnation its own count: it alone raises it, to gainsay what is said of it, and it
- *     starts later than it ended
- * @param status what is held of it
+ * @param zone its zone, or empty
+ * @param host the host at which it receives messages
+ * @param port the port at which it receives messages
+ * @param incarnation a number that only the broker itself raises, to refute what is said of it; a
+ *     restart begins with a higher one
+ * @param status its status as last merged
  */
 public record Member(
     String name, String zone, String host, int port, long incarnation, Status status) {
   /**
-   * Incarnations are times of a start in milliseconds and a few: beyond this nobody could gainsay
-   * one.
+   * The highest valid incarnation. Incarnations begin with the start time in milliseconds, so it is
+   * never reached in regular operation.
    */
-  static final long MOST_INCARNATION = 1_000_000_000_000_000L;
+  static final long MAX_INCARNATION = 1_000_000_000_000_000L;
 
-  /** What others say is believed up to here, so that there is room to gainsay it. */
-  private static final long MOST_BELIEVED = MOST_INCARNATION / 2;
+  /** Higher incarnations are not accepted from others, so that each can still be refuted. */
+  private static final long MAX_ACCEPTED_INCARNATION = MAX_INCARNATION / 2;
 
-  /** LEFT: it said itself that it ends. */
+  private static final int MAX_PORT = 65_535;
+
+  /** Bytes of the port, the status and the lengths of the three texts. */
+  private static final int FIXED_BYTES = 6;
+
+  /**
+   * Of two statuses under one incarnation the later constant wins. The order of the constants is
+   * part of the wire format.
+   */
   public enum Status {
+    /** It answers pings. */
     ALIVE,
+    /** It did not answer, but may refute that; it still takes part. */
     SUSPECT,
+    /** It did not refute a suspicion in time. */
     DEAD,
+    /** It announced that it leaves. */
     LEFT
   }
 
+  /** Checks that there is a name and an address, and that the incarnation is in its range. */
   public Member {
     if (name.isEmpty()
         || host.isEmpty()
         || port < 1
-        || port > 65_535
+        || port > MAX_PORT
         || incarnation < 0
-        || incarnation > MOST_INCARNATION) {
+        || incarnation > MAX_INCARNATION) {
       throw new IllegalArgumentException(
           "a broker has a name, an address and an incarnation from 0 to 1e15: "
               + name
@@ -49,36 +62,41 @@
     }
   }
 
-  /** True of one that takes part: what is only suspected still counts. */
+  /** Whether it counts as a member; a suspect one does. */
   public boolean takesPart() {
     return status == Status.ALIVE || status == Status.SUSPECT;
   }
 
+  /** The same with another status. */
   Member as(Status other) {
     return new Member(name, zone, host, port, incarnation, other);
   }
 
+  /** The same, alive under another incarnation. */
   Member in(long other) {
     return new Member(name, zone, host, port, other, Status.ALIVE);
   }
 
+  /** Whether that is its address. */
   boolean isAt(String otherHost, int otherPort) {
     return port == otherPort && host.equals(otherHost);
   }
 
-  /** Whether it could still be gainsaid, or need not be. */
+  /** Whether its broker could still refute it, or need not. */
   boolean isBelievable() {
-    return incarnation < MOST_BELIEVED || (incarnation == MOST_BELIEVED && status == Status.ALIVE);
+    return incarnation < MAX_ACCEPTED_INCARNATION
+        || (incarnation == MAX_ACCEPTED_INCARNATION && status == Status.ALIVE);
   }
 
+  /** About the bytes that it takes in a message. */
   int bytes() {
-    return name.length() + zone.length() + host.length() + 6 + Long.BYTES;
+    return name.length() + zone.length() + host.length() + FIXED_BYTES + Long.BYTES;
   }
 
   /**
-   * Whether this stands in place of the other of the same name: what is of a later incarnation; of
-   * the same, at the higher address (two that took one name at once); of the same there, and worse.
-   * The order is total, so brokers that heard the same in any order hold the same.
+   * Whether this replaces the other of the same name: the higher incarnation wins; of the same
+   * incarnation the higher address, where two brokers started with one name at once; then the later
+   * {@link Status}. The order is total, so brokers that merge the same updates in any order agree.
    */
   boolean replaces(Member other) {
     if (incarnation != other.incarnation) {
--- a/src/main/java/dunlinhitch/cluster/RendezvousHash.java
+++ b/src/main/java/dunlinhitch/cluster/RendezvousHash.java
@@ -11,21 +11,23 @@
 import java.util.List;
 
 /**
- * Rendezvous hashing (Thaler and Ravishankar, 1998): who comes first for a key is whose hash with
- * the key is highest. All who know the same names find the same order, and one name that comes or
- * goes moves no two others against each other.
+ * Rendezvous hashing (Thaler and Ravishankar, 1998): names are ranked for a key by the hash of key
+ * and name together. All brokers that know the same names find the same ranking, and adding or
+ * removing one name does not move any two others against each other.
  */
 public final class RendezvousHash {
-  /** The same at every broker and in every version: an order that differed would be two orders. */
-  private static final HashFunction HASH = Hashing.murmur3_128(0x64756e6c);
+  /** Fixed for all brokers and versions: with another seed brokers would disagree on rankings. */
+  private static final int HASH_SEED = 0x64756e6c;
+
+  private static final HashFunction HASH = Hashing.murmur3_128(HASH_SEED);
 
   private RendezvousHash() {}
 
-  /** Of a key in several words; where one ends and the next begins counts. */
-  static long of(String... words) {
+  /** The hash of a key of several parts; parts are hashed with their lengths. */
+  static long of(String... parts) {
     Hasher hasher = HASH.newHasher();
-    for (String word : words) {
-      byte[] bytes = word.getBytes(StandardCharsets.UTF_8);
+    for (String part : parts) {
+      byte[] bytes = part.getBytes(StandardCharsets.UTF_8);
       hasher.putInt(bytes.length).putBytes(bytes);
     }
     return hasher.hash().asLong();
@@ -33,32 +35,33 @@
 
   /** The name that ranks first for the key, as in {@link #order}; null where there is none. */
   public static String first(Collection<String> names, String... key) {
-    String[] words = Arrays.copyOf(key, key.length + 1);
-    String best = null;
-    long most = 0;
+    String[] parts = Arrays.copyOf(key, key.length + 1);
+    String bestName = null;
+    long bestHash = 0;
     for (String name : names) {
-      words[key.length] = name;
-      long rank = of(words);
-      if (best == null || rank > most || (rank == most && name.compareTo(best) < 0)) {
-        best = name;
-        most = rank;
+      parts[key.length] = name;
+      long hash = of(parts);
+      if (bestName == null
+          || hash > bestHash
+          || (hash == bestHash && name.compareTo(bestName) < 0)) {
+        bestName = name;
+        bestHash = hash;
       }
     }
-    return best;
+    return bestName;
   }
 
-  /** The names by their rank for the key, the first first; equal hashes go by the name. */
+  /** The names by descending hash with the key; names with equal hashes in their own order. */
   static List<String> order(Collection<String> names, String... key) {
-    record Ranked(String name, long rank) {}
+    record Ranked(String name, long hash) {}
 
-    String[] words = new String[key.length + 1];
-    System.arraycopy(key, 0, words, 0, key.length);
+    String[] parts = Arrays.copyOf(key, key.length + 1);
     List<Ranked> ranked = new ArrayList<>(names.size());
     for (String name : names) {
-      words[key.length] = name;
-      ranked.add(new Ranked(name, of(words)));
+      parts[key.length] = name;
+      ranked.add(new Ranked(name, of(parts)));
     }
-    ranked.sort(Comparator.comparingLong(Ranked::rank).reversed().thenComparing(Ranked::name));
+    ranked.sort(Comparator.comparingLong(Ranked::hash).reversed().thenComparing(Ranked::name));
     return ranked.stream().map(Ranked::name).toList();
   }
 }
--- a/src/main/java/dunlinhitch/cluster/ReplicatedEntry.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedEntry.java
@@ -1,8 +1,14 @@
 package dunlinhitch.cluster;
 
 /**
- * One thing that one broker says: {@code key} is what it is about, {@code author} the broker's
- * name, {@code atUs} when it came to be so, by the author's day clock in µs. An author's facts
- * about one key never share a moment: the later one takes the place of the earlier.
+ * One entry of a {@link ReplicatedMap}. Entries of one origin about one key never share a
+ * timestamp: the later replaces the earlier.
+ *
+ * @param key what the entry is about
+ * @param author the broker that it originates from
+ * @param atUs its timestamp on the origin's wall clock, in microseconds
+ * @param value its value
+ * @param <K> the type of the keys
+ * @param <V> the type of the values
  */
 public record ReplicatedEntry<K, V>(K key, String author, long atUs, V value) {}
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
@@ -9,141 +9,159 @@
 import java.util.TreeSet;
 
 /**
- * What brokers tell each other and hold in common: for each key and author the latest fact. Taking
- * is commutative, associative and idempotent, bounds included, so that words may come late, doubled
- * and in any order: a fact is kept if it is the latest of its key and author and among the latest
- * that the rule has room for, whatever came before it. Signals, evidence and weights ride on this;
- * merging, age and bounds are written here once. No clock, no chance, no threads: the caller says
- * what time it is.
+ * A last-writer-wins map that is replicated among brokers: for each key and origin the latest
+ * entry. Merging is commutative, associative and idempotent, the bounds included, so entries may
+ * arrive late, duplicated and in any order: an entry remains if it is the latest of its key and
+ * origin and among the latest that the bounds have room for, whatever arrived before it.
+ *
+ * <p>Pure: no clock, randomness or threads; callers pass the wall-clock time in microseconds. Not
+ * thread-safe.
+ *
+ * @param <K> the type of the keys
+ * @param <V> the type of the values
  */
 public final class ReplicatedMap<K, V> {
-  /** What became of a fact that was told. */
+  /** What became of an entry that was merged. */
   public enum MergeResult {
+    /** It is new and was stored. */
     NEWS,
+    /** It was stored already. */
     KNOWN,
+    /** It has expired, or a later entry of its key and origin is stored. */
     OLD,
+    /** Its timestamp is further in the future than clock skew explains. */
     FROM_THE_FUTURE,
+    /** The map is full of later entries. */
     CROWDED_OUT
   }
 
-  private record Place<K>(K key, String author) {}
+  private record EntryId<K>(K key, String origin) {}
 
-  /** A fact and the count of changes at which it came in. */
-  private record Held<K, V>(ReplicatedEntry<K, V> fact, long version) {}
+  /** An entry and the map's version when it was stored. */
+  private record StoredEntry<K, V>(ReplicatedEntry<K, V> entry, long version) {}
 
-  private final ReplicatedMapSettings rule;
-  private final Map<Place<K>, Held<K, V>> held = new HashMap<>();
+  private final ReplicatedMapSettings settings;
+  private final Map<EntryId<K>, StoredEntry<K, V>> entries = new HashMap<>();
 
-  /** The first is the first to go. */
+  /** All entries, the first to be evicted first. */
   private final TreeSet<ReplicatedEntry<K, V>> byAge;
 
-  private final Map<String, TreeSet<ReplicatedEntry<K, V>>> byAuthor = new HashMap<>();
-  private final Comparator<ReplicatedEntry<K, V>> age;
+  private final Map<String, TreeSet<ReplicatedEntry<K, V>>> byOrigin = new HashMap<>();
+  private final Comparator<ReplicatedEntry<K, V>> oldestFirst;
   private long version;
 
-  /** {@code order} is a total order of the keys, the same at every broker. */
-  public ReplicatedMap(ReplicatedMapSettings rule, Comparator<? super K> order) {
-    this.rule = rule;
-    age =
+  /** {@code keyOrder}: a total order of the keys, the same at every broker. */
+  public ReplicatedMap(ReplicatedMapSettings settings, Comparator<? super K> keyOrder) {
+    this.settings = settings;
+    oldestFirst =
         Comparator.<ReplicatedEntry<K, V>>comparingLong(ReplicatedEntry::atUs)
             .thenComparing(ReplicatedEntry::author)
-            .thenComparing(ReplicatedEntry::key, order);
-    byAge = new TreeSet<>(age);
+            .thenComparing(ReplicatedEntry::key, keyOrder);
+    byAge = new TreeSet<>(oldestFirst);
   }
 
   /**
-   * Takes what was told, be it the author's own word or another's: only {@link MergeResult#NEWS}
-   * changes anything.
+   * Merges an entry, of this broker or another. Expired entries are removed first; apart from that
+   * the map changes only where the result is {@link MergeResult#NEWS} or {@link
+   * MergeResult#CROWDED_OUT}.
    */
-  public MergeResult take(long nowUs, ReplicatedEntry<K, V> told) {
-    Objects.requireNonNull(told.key());
+  public MergeResult take(long nowUs, ReplicatedEntry<K, V> received) {
+    Objects.requireNonNull(received.key());
     forget(nowUs);
-    if (told.atUs() > nowUs + rule.skewUs()) {
+    if (received.atUs() > nowUs + settings.skewUs()) {
       return MergeResult.FROM_THE_FUTURE;
     }
-    if (told.atUs() <= nowUs - rule.lifeUs()) {
+    if (received.atUs() <= nowUs - settings.lifeUs()) {
       return MergeResult.OLD;
     }
-    Place<K> place = new Place<>(told.key(), told.author());
-    Held<K, V> before = held.get(place);
-    if (before != null && before.fact().atUs() >= told.atUs()) {
-      return before.fact().atUs() == told.atUs() ? MergeResult.KNOWN : MergeResult.OLD;
+    EntryId<K> id = new EntryId<>(received.key(), received.author());
+    StoredEntry<K, V> before = entries.get(id);
+    if (before != null && before.entry().atUs() >= received.atUs()) {
+      return before.entry().atUs() == received.atUs() ? MergeResult.KNOWN : MergeResult.OLD;
     }
     if (before != null) {
-      remove(before.fact());
+      remove(before.entry());
     }
-    TreeSet<ReplicatedEntry<K, V>> own =
-        byAuthor.computeIfAbsent(told.author(), author -> new TreeSet<>(age));
-    held.put(place, new Held<>(told, ++version));
-    own.add(told);
-    byAge.add(told);
-    if (own.size() > rule.mostOfAuthor()) {
-      remove(own.first());
+    TreeSet<ReplicatedEntry<K, V>> ofOrigin =
+        byOrigin.computeIfAbsent(received.author(), origin -> new TreeSet<>(oldestFirst));
+    entries.put(id, new StoredEntry<>(received, ++version));
+    ofOrigin.add(received);
+    byAge.add(received);
+    evict(received.author());
+    return entries.containsKey(id) ? MergeResult.NEWS : MergeResult.CROWDED_OUT;
+  }
+
+  private void evict(String origin) {
+    TreeSet<ReplicatedEntry<K, V>> ofOrigin = byOrigin.get(origin);
+    if (ofOrigin.size() > settings.mostOfAuthor()) {
+      remove(ofOrigin.first());
     }
-    if (byAge.size() > rule.most()) {
+    if (byAge.size() > settings.most()) {
       remove(byAge.first());
     }
-    return held.containsKey(place) ? MergeResult.NEWS : MergeResult.CROWDED_OUT;
   }
 
-  /**
-   * Drops what is too old to say anything; nothing else ever removes a fact but a later one, the
-   * rule's bounds, and {@link #leave}.
-   */
+  /** Removes the entries that have expired. */
   public void forget(long nowUs) {
-    while (!byAge.isEmpty() && byAge.first().atUs() <= nowUs - rule.lifeUs()) {
+    while (!byAge.isEmpty() && byAge.first().atUs() <= nowUs - settings.lifeUs()) {
       remove(byAge.first());
     }
   }
 
-  /** Drops all that this author said: it has left for good, or is not believed any more. */
-  public void leave(String author) {
-    List.copyOf(byAuthor.getOrDefault(author, new TreeSet<>(age))).forEach(this::remove);
+  /** Removes all entries of an origin: it has left for good, or is not trusted any more. */
+  public void leave(String origin) {
+    TreeSet<ReplicatedEntry<K, V>> ofOrigin = byOrigin.get(origin);
+    if (ofOrigin != null) {
+      List.copyOf(ofOrigin).forEach(this::remove);
+    }
   }
 
-  private void remove(ReplicatedEntry<K, V> fact) {
-    held.remove(new Place<>(fact.key(), fact.author()));
-    byAge.remove(fact);
-    TreeSet<ReplicatedEntry<K, V>> own = byAuthor.get(fact.author());
-    own.remove(fact);
-    if (own.isEmpty()) {
-      byAuthor.remove(fact.author());
+  private void remove(ReplicatedEntry<K, V> entry) {
+    entries.remove(new EntryId<>(entry.key(), entry.author()));
+    byAge.remove(entry);
+    TreeSet<ReplicatedEntry<K, V>> ofOrigin = byOrigin.get(entry.author());
+    ofOrigin.remove(entry);
+    if (ofOrigin.isEmpty()) {
+      byOrigin.remove(entry.author());
     }
   }
 
-  /** What that author last said of the key, or null. */
-  public ReplicatedEntry<K, V> of(K key, String author) {
-    Held<K, V> found = held.get(new Place<>(key, author));
-    return found == null ? null : found.fact();
+  /** The latest entry of that key and origin, or null. */
+  public ReplicatedEntry<K, V> of(K key, String origin) {
+    StoredEntry<K, V> stored = entries.get(new EntryId<>(key, origin));
+    return stored == null ? null : stored.entry();
   }
 
-  /** All that is held, the latest first, in the same order at every broker that holds the same. */
+  /** All entries, the latest first, in the same order at every broker that has the same. */
   public List<ReplicatedEntry<K, V>> all() {
     return List.copyOf(byAge.descendingSet());
   }
 
-  /** What each author last said of the key, the latest first. */
+  /** The entry of each origin for that key, the latest first. */
   public List<ReplicatedEntry<K, V>> of(K key) {
-    return byAge.descendingSet().stream().filter(fact -> fact.key().equals(key)).toList();
+    return byAge.descendingSet().stream().filter(entry -> entry.key().equals(key)).toList();
   }
 
-  /** Rises with every change. */
+  /** Raised with every entry that is stored. */
   public long version() {
     return version;
   }
 
-  /** The latest {@code most} of what came in after that version: what is still to be passed on. */
+  /** The latest {@code most} of the entries that were stored after that version. */
   public List<ReplicatedEntry<K, V>> since(long version, int most) {
-    List<ReplicatedEntry<K, V>> news = new ArrayList<>();
-    for (ReplicatedEntry<K, V> fact : byAge.descendingSet()) {
-      if (news.size() < most
-          && held.get(new Place<>(fact.key(), fact.author())).version() > version) {
-        news.add(fact);
+    List<ReplicatedEntry<K, V>> recent = new ArrayList<>();
+    for (ReplicatedEntry<K, V> entry : byAge.descendingSet()) {
+      if (recent.size() >= most) {
+        break;
+      }
+      if (entries.get(new EntryId<>(entry.key(), entry.author())).version() > version) {
+        recent.add(entry);
       }
     }
-    return news;
+    return recent;
   }
 
+  /** The number of entries. */
   public int size() {
     return byAge.size();
   }
--- a/src/main/java/dunlinhitch/cluster/SubsetSettings.java
+++ b/src/main/java/dunlinhitch/cluster/SubsetSettings.java
@@ -1,25 +1,33 @@
 package dunlinhitch.cluster;
 
 /**
- * How many of a cell's stores one broker keeps to, and how uneven the sum over the brokers may be.
+ * How many of a cell's endpoints each broker sends work to, and how unevenly the brokers may be
+ * spread over the endpoints.
  *
- * @param least stores of a cell at each broker at the least, where the cell has so many: one to
- *     use, the others to fail over to
- * @param spread brokers at a store at the least, on the mean: a store that only one broker knows is
- *     lost with it
- * @param slack how far the brokers at one store may lie over the mean, as a share of it
+ * @param least endpoints of a cell for each broker at least, where the cell has so many: one to
+ *     use, the others for failover
+ * @param spread brokers for each endpoint at least, on average: an endpoint that only one broker
+ *     uses is lost with it
+ * @param slack how far the brokers of one endpoint may exceed the average, as a fraction of it
  */
 public record SubsetSettings(int least, double spread, double slack) {
-  /** Two stores of a cell, three brokers to two stores, a fifth over the mean. */
+  /** Two endpoints of a cell, three brokers for two endpoints, a fifth over the average. */
   public static final SubsetSettings STANDARD = new SubsetSettings(2, 1.5, 0.2);
 
   /**
-   * Places that a cell leaves free: without any, one broker that comes or goes moves many others.
+   * Unused assignments in a cell at least: without them, one broker that joins or leaves would move
+   * many others.
    */
-  private static final int ROOM = 2;
+  private static final int MIN_SPARE_ASSIGNMENTS = 2;
 
+  /** Absorbs rounding errors, so that a whole number is not rounded to its neighbor. */
+  private static final double ROUNDING_TOLERANCE = 1e-9;
+
+  private static final double MAX_FACTOR = 1e6;
+
+  /** Checks the ranges; NaN is rejected. */
   public SubsetSettings {
-    if (least < 1 || !(spread >= 1) || !(slack >= 0) || spread > 1e6 || slack > 1e6) {
+    if (least < 1 || !(spread >= 1) || !(slack >= 0) || spread > MAX_FACTOR || slack > MAX_FACTOR) {
       throw new IllegalArgumentException(
           "a subset has 1 store or more, a spread from 1 on and a slack from 0 on, not "
               + least
@@ -30,20 +38,24 @@
     }
   }
 
-  /** Stores of a cell with so many that each of so many brokers keeps to. */
-  public int size(int brokers, int stores) {
-    return Math.min(
-        stores, Math.max(least, (int) Math.ceil(spread * stores / Math.max(1, brokers) - 1e-9)));
+  /** The endpoints that each of so many brokers uses in a cell with so many endpoints. */
+  public int size(int brokers, int endpoints) {
+    int forSpread = (int) Math.ceil(spread * endpoints / Math.max(1, brokers) - ROUNDING_TOLERANCE);
+    return Math.min(endpoints, Math.max(least, forSpread));
   }
 
-  /** Brokers that one store of such a cell bears at the most. */
-  public int most(int brokers, int stores) {
-    if (stores == 0) {
+  /** The brokers that use one endpoint of such a cell at most. */
+  public int most(int brokers, int endpoints) {
+    if (endpoints == 0) {
       return 0;
     }
-    double mean = (double) brokers * size(brokers, stores) / stores;
-    int most = Math.max((int) Math.ceil(mean - 1e-9), (int) Math.floor(mean * (1 + slack) + 1e-9));
-    boolean tight = (long) most * stores < (long) brokers * size(brokers, stores) + ROOM;
-    return Math.min(brokers, tight ? most + 1 : most);
+    int size = size(brokers, endpoints);
+    double mean = (double) brokers * size / endpoints;
+    int rounded = (int) Math.ceil(mean - ROUNDING_TOLERANCE);
+    int withSlack = (int) Math.floor(mean * (1 + slack) + ROUNDING_TOLERANCE);
+    int most = Math.max(rounded, withSlack);
+    long needed = (long) brokers * size + MIN_SPARE_ASSIGNMENTS;
+    boolean isTight = (long) most * endpoints < needed;
+    return Math.min(brokers, isTight ? most + 1 : most);
   }
 }
--- a/src/main/java/dunlinhitch/cluster/Subsetting.java
+++ b/src/main/java/dunlinhitch/cluster/Subsetting.java
@@ -8,129 +8,162 @@
 import java.util.Map;
 
 /**
- * Which stores of a cell each broker keeps to: rendezvous hashing with bounded loads (after
+ * Assigns the endpoints of a cell to brokers by rendezvous hashing with bounded loads (after
  * Mirrokni, Thorup and Zadimoghaddam, 2018). The brokers choose one after the other, in an order by
- * hash that is another one in each cell; each takes the stores that rank first for it and are not
- * full. Whoever knows the same brokers and stores finds the same subsets, so nobody has to be
- * asked; a broker that comes or goes moves its own share and the few that it displaces.
+ * hash that differs from cell to cell; each takes the endpoints that rank first for it and are not
+ * full. All that know the same brokers and endpoints compute the same subsets, so nobody has to be
+ * asked; a broker that joins or leaves moves its own assignments and the few that it displaces.
  *
- * <p>Costs for B brokers and S stores of a cell: B S hashes and B S log S steps; only cells with a
- * change need it anew.
+ * <p>Costs for B brokers and S endpoints of a cell: B S hashes and B S log S steps. Immutable.
  */
 public final class Subsetting {
-  private final SubsetSettings rule;
+  private final SubsetSettings settings;
 
-  public Subsetting(SubsetSettings rule) {
-    this.rule = rule;
+  /** {@code settings}: the sizes of subsets and the bounds of loads. */
+  public Subsetting(SubsetSettings settings) {
+    this.settings = settings;
   }
 
-  /** One store of a cell; {@code zone} may be empty. */
+  /** One endpoint of a cell; {@code zone} may be empty. */
   public record Store(String name, String zone) {}
 
-  /** One broker of the fleet; {@code zone} may be empty. */
+  /** One broker of the cluster; {@code zone} may be empty. */
   public record MemberView(String name, String zone) {}
 
   /**
-   * For each broker the stores of the cell in the order in which it would come to them: as many as
-   * {@link SubsetSettings#size} are its subset, the rest its spares. A store of its own zone is
-   * first where that has room: what crosses zones costs.
+   * For each broker all endpoints of the cell in the order in which it would use them: the first
+   * {@link #size} are its subset, the rest its substitutes. An endpoint of its own zone comes first
+   * where that has capacity, because traffic across zones costs.
    */
   public Map<String, List<String>> of(
       String cell, Collection<MemberView> members, Collection<Store> stores) {
-    int size = rule.size(members.size(), stores.size());
-    int most = rule.most(members.size(), stores.size());
-    Map<String, MemberView> byName = new HashMap<>();
-    members.forEach(member -> byName.put(member.name(), member));
-    Map<String, String> zones = new LinkedHashMap<>();
-    stores.forEach(store -> zones.put(store.name(), store.zone()));
-    Map<String, Integer> load = new HashMap<>();
-    Map<String, List<String>> chosen = new LinkedHashMap<>();
-    for (String member : RendezvousHash.order(byName.keySet(), "turn", cell)) {
-      List<String> wished = wished(cell, byName.get(member), zones);
-      List<String> taken = new ArrayList<>(wished.size());
-      for (String store : wished) {
-        if (taken.size() < size && load.getOrDefault(store, 0) < most) {
-          taken.add(store);
-        }
-      }
-      while (taken.size()
-          < size) { // room is left only where this one is already: an earlier one makes some
-        taken.add(roomFor(wished, taken, chosen, size, load, most));
-      }
-      taken.forEach(store -> load.merge(store, 1, Integer::sum));
-      wished.stream().filter(store -> !taken.contains(store)).forEach(taken::add);
-      chosen.put(member, List.copyOf(taken));
+    Map<String, MemberView> brokers = new HashMap<>();
+    members.forEach(member -> brokers.put(member.name(), member));
+    Map<String, String> endpointZones = new LinkedHashMap<>();
+    stores.forEach(endpoint -> endpointZones.put(endpoint.name(), endpoint.zone()));
+    Assignment assignment =
+        new Assignment(
+            settings.size(members.size(), stores.size()),
+            settings.most(members.size(), stores.size()));
+    for (String broker : RendezvousHash.order(brokers.keySet(), "turn", cell)) {
+      assignment.assign(broker, preferences(cell, brokers.get(broker), endpointZones));
     }
-    return chosen;
+    return assignment.orders;
   }
 
-  /** By rank, but the best of its own zone first. */
-  private static List<String> wished(String cell, MemberView member, Map<String, String> zones) {
-    List<String> wished =
-        new ArrayList<>(RendezvousHash.order(zones.keySet(), "store", cell, member.name()));
-    for (int i = 1;
-        i < wished.size()
-            && !member.zone().isEmpty()
-            && !zones.get(wished.get(0)).equals(member.zone());
-        i++) {
-      if (zones.get(wished.get(i)).equals(member.zone())) {
-        wished.add(0, wished.remove(i));
+  /** The endpoints by rank, but the best one of the broker's own zone first. */
+  private static List<String> preferences(
+      String cell, MemberView broker, Map<String, String> endpointZones) {
+    List<String> preferences =
+        new ArrayList<>(RendezvousHash.order(endpointZones.keySet(), "store", cell, broker.name()));
+    if (broker.zone().isEmpty()) {
+      return preferences;
+    }
+    for (int i = 0; i < preferences.size(); i++) {
+      if (endpointZones.get(preferences.get(i)).equals(broker.zone())) {
+        preferences.add(0, preferences.remove(i));
+        return preferences;
       }
     }
-    return wished;
+    return preferences;
   }
 
-  /**
-   * A store that this one may take: the last broker before it that has a store which this one
-   * lacks, and lacks a store with room, moves from the one to the other. Where the bound leaves no
-   * such way, the emptiest.
-   */
-  private static String roomFor(
-      List<String> wished,
-      List<String> taken,
-      Map<String, List<String>> chosen,
-      int size,
-      Map<String, Integer> load,
-      int most) {
-    List<String> earlier = new ArrayList<>(chosen.keySet());
-    for (int i = earlier.size() - 1; i >= 0; i--) {
-      List<String> theirs = chosen.get(earlier.get(i));
-      for (String free : taken) {
-        int at = theirs.indexOf(free);
-        if (at < size || load.getOrDefault(free, 0) + 1 >= most) { // it takes one there itself
-          continue;
+  /** How many of a cell's endpoints are a broker's subset. */
+  public int size(int members, int stores) {
+    return settings.size(members, stores);
+  }
+
+  /** The assignment of one cell while the brokers choose one after the other. */
+  private static final class Assignment {
+    private final int subsetSize;
+    private final int maxLoad;
+    private final Map<String, Integer> loads = new HashMap<>();
+
+    /** The complete order of each broker that has chosen, its subset first. */
+    private final Map<String, List<String>> orders = new LinkedHashMap<>();
+
+    Assignment(int subsetSize, int maxLoad) {
+      this.subsetSize = subsetSize;
+      this.maxLoad = maxLoad;
+    }
+
+    void assign(String broker, List<String> preferences) {
+      List<String> order = new ArrayList<>(preferences.size());
+      for (String endpoint : preferences) {
+        if (order.size() < subsetSize && load(endpoint) < maxLoad) {
+          order.add(endpoint);
         }
-        for (int has = size - 1; has >= 0; has--) {
-          String given = theirs.get(has);
-          if (!taken.contains(given)) {
-            List<String> moved = new ArrayList<>(theirs);
-            moved.set(has, free);
-            moved.set(at, given);
-            chosen.put(earlier.get(i), List.copyOf(moved));
-            load.merge(free, 1, Integer::sum);
-            load.merge(given, -1, Integer::sum);
-            return given;
+      }
+      while (order.size() < subsetSize) {
+        // Only endpoints that this broker has already are not full: an earlier broker makes room.
+        order.add(makeRoom(preferences, order));
+      }
+      order.forEach(endpoint -> loads.merge(endpoint, 1, Integer::sum));
+      for (String endpoint : preferences) {
+        if (!order.contains(endpoint)) {
+          order.add(endpoint);
+        }
+      }
+      orders.put(broker, List.copyOf(order));
+    }
+
+    private int load(String endpoint) {
+      return loads.getOrDefault(endpoint, 0);
+    }
+
+    /**
+     * Frees an endpoint for a broker: the last earlier broker that uses an endpoint which this one
+     * lacks, and does not use one that is not full, moves from the one to the other. Where the
+     * bound allows no such move, returns the endpoint with the least load.
+     */
+    private String makeRoom(List<String> preferences, List<String> chosen) {
+      List<String> earlier = new ArrayList<>(orders.keySet());
+      for (int i = earlier.size() - 1; i >= 0; i--) {
+        for (String target : chosen) {
+          String freed = move(earlier.get(i), target, chosen);
+          if (freed != null) {
+            return freed;
           }
         }
       }
+      return leastLoaded(preferences, chosen);
     }
-    return emptiest(wished, taken, load);
-  }
 
-  private static String emptiest(
-      List<String> wished, List<String> taken, Map<String, Integer> load) {
-    String best = null;
-    for (String store : wished) {
-      if (!taken.contains(store)
-          && (best == null || load.getOrDefault(store, 0) < load.getOrDefault(best, 0))) {
-        best = store;
+    /**
+     * Moves an earlier broker to {@code target} from an endpoint that is not in {@code chosen}, and
+     * returns the latter; null where it cannot move.
+     */
+    private String move(String broker, String target, List<String> chosen) {
+      List<String> order = orders.get(broker);
+      int targetIndex = order.indexOf(target);
+      boolean usesTarget = targetIndex < subsetSize;
+      // The load of the target does not include the broker yet for which room is made.
+      if (usesTarget || load(target) + 1 >= maxLoad) {
+        return null;
       }
+      for (int i = subsetSize - 1; i >= 0; i--) {
+        String freed = order.get(i);
+        if (!chosen.contains(freed)) {
+          List<String> moved = new ArrayList<>(order);
+          moved.set(i, target);
+          moved.set(targetIndex, freed);
+          orders.put(broker, List.copyOf(moved));
+          loads.merge(target, 1, Integer::sum);
+          loads.merge(freed, -1, Integer::sum);
+          return freed;
+        }
+      }
+      return null;
     }
-    return best;
-  }
 
-  /** How many of a cell's stores are a broker's subset. */
-  public int size(int members, int stores) {
-    return rule.size(members, stores);
+    private String leastLoaded(List<String> preferences, List<String> chosen) {
+      String best = null;
+      for (String endpoint : preferences) {
+        if (!chosen.contains(endpoint) && (best == null || load(endpoint) < load(best))) {
+          best = endpoint;
+        }
+      }
+      return best;
+    }
   }
 }
--- a/src/main/java/dunlinhitch/cluster/versions/SettingsDigest.java
+++ b/src/main/java/dunlinhitch/cluster/versions/SettingsDigest.java
@@ -6,21 +6,23 @@
 import java.util.HexFormat;
 
 /**
- * A short name for what something means: equal records have equal ones, however the file that they
- * were read from was worded.
+ * A short digest of parsed settings: equal records have equal digests, however the file that they
+ * were read from was formatted.
  */
 public final class SettingsDigest {
-  private static final int BYTES = 6;
+  private static final int DIGEST_BYTES = 6;
 
   private SettingsDigest() {}
 
-  /** The first 48 bits of SHA-256 of its text, in hex; a record's text names all that it holds. */
-  public static String of(Record what) {
+  /**
+   * The first 48 bits of the SHA-256 of the record's text, which contains all of its components.
+   */
+  public static String of(Record settings) {
     try {
-      byte[] all =
+      byte[] hash =
           MessageDigest.getInstance("SHA-256")
-              .digest(what.toString().getBytes(StandardCharsets.UTF_8));
-      return HexFormat.of().formatHex(all, 0, BYTES);
+              .digest(settings.toString().getBytes(StandardCharsets.UTF_8));
+      return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every Java has SHA-256", e);
     }
--- a/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
@@ -9,208 +9,248 @@
 import java.util.TreeSet;
 
 /**
- * Which brokers act on older versions than others, since when, and what follows. Pure: what each
- * broker says it acts on goes in, verdicts come out; time is given.
+ * Detects which brokers act on older versions than others, since when, and what follows from it:
+ * the versions that brokers announce go in, verdicts come out.
  *
- * <p>Bounds: a broker is seen as a straggler {@code boundUs} after this one has heard both of the
- * newer version and of the one that the straggler holds; it is shut out {@code shutUs} after more
- * than half of the brokers were heard to hold the newer. So while a change is brought to one broker
- * after the other nobody is shut out for not having it, and one that says strange things shuts out
- * nobody. A broker that is itself behind knows it as soon as it hears of the newer version from
- * anyone, and goes by the same times.
+ * <p>Bounds: a broker is reported as outdated {@code boundUs} after this one knows both the newer
+ * version and the one that the outdated broker acts on; it is fenced {@code shutUs} after more than
+ * half of the brokers were known to act on the newer one. So nobody is fenced while a change is
+ * rolled out to one broker after the other, and a single faulty broker fences nobody. A broker that
+ * is itself outdated knows it as soon as any other announces the newer version, and goes by the
+ * same times.
+ *
+ * <p>Pure: no clock, I/O or threads. Not thread-safe; the reducer owns it. Times are microseconds
+ * of a monotonic clock.
  */
 public final class VersionSkewDetector {
-  /** One broker's standing in one kind. */
-  private static final class Behind {
+  /** What is known of one outdated broker in one kind of version. */
+  private static final class Skew {
+    private static final long NO_MAJORITY = -1;
+
     private final long sinceUs;
 
-    /** Since when most brokers hold the newer version; below 0: they do not. */
-    private long mostUs = -1;
+    /** Since when most brokers act on the newer version. */
+    private long majoritySinceUs = NO_MAJORITY;
 
-    private long askedUs;
-    private boolean seen;
-    private boolean shut;
+    private long lastRefreshUs;
+    private boolean reported;
+    private boolean fenced;
 
-    Behind(long sinceUs) {
+    Skew(long sinceUs) {
       this.sinceUs = sinceUs;
     }
+
+    boolean hasMajority() {
+      return majoritySinceUs >= 0;
+    }
+
+    void updateMajority(boolean majorityIsNewer, long nowUs) {
+      if (!majorityIsNewer) {
+        majoritySinceUs = NO_MAJORITY;
+      } else if (!hasMajority()) {
+        majoritySinceUs = nowUs;
+      }
+    }
   }
 
-  private final VersionSkewSettings rule;
+  /** How one broker's version of one kind compares with the newest. */
+  private record Comparison(
+      boolean isOutdated, boolean majorityIsNewer, String current, String newest) {}
+
+  private final VersionSkewSettings settings;
   private final String self;
-  private final Map<String, VersionVector> held = new LinkedHashMap<>();
-  private final Map<String, Map<SkewVerdict.Kind, Behind>> behind = new LinkedHashMap<>();
-  private final List<SkewVerdict> verdicts = new ArrayList<>();
+  private final Map<String, VersionVector> versionsByBroker = new LinkedHashMap<>();
+  private final Map<String, Map<SkewVerdict.Kind, Skew>> skewsByBroker = new LinkedHashMap<>();
+  private final List<SkewVerdict> pendingVerdicts = new ArrayList<>();
 
-  public VersionSkewDetector(VersionSkewSettings rule, String self, VersionVector own) {
-    this.rule = rule;
+  /** {@code self}: this broker's name; {@code own}: the versions that it acts on. */
+  public VersionSkewDetector(VersionSkewSettings settings, String self, VersionVector own) {
+    this.settings = settings;
     this.self = self;
-    held.put(self, own);
+    versionsByBroker.put(self, own);
   }
 
   /**
-   * A broker acts on these from now on, this one or another; a word that came late may not take it
-   * back.
+   * A broker, this one or another, announces the versions that it acts on. An announcement that was
+   * overtaken by a newer one is ignored.
    */
   public void told(long nowUs, String broker, VersionVector versions) {
-    VersionVector before = held.get(broker);
-    boolean late =
-        before != null
-            && before.settings().equals(versions.settings())
-            && before.build().equals(versions.build())
-            && versions.roster() < before.roster()
-            && versions.settingsMs() <= before.settingsMs();
-    if (!late) {
-      held.put(broker, versions);
-      judge(nowUs);
+    VersionVector before = versionsByBroker.get(broker);
+    if (before != null && isReordered(before, versions)) {
+      return;
     }
+    versionsByBroker.put(broker, versions);
+    evaluate(nowUs);
+  }
+
+  private static boolean isReordered(VersionVector before, VersionVector received) {
+    return before.settings().equals(received.settings())
+        && before.build().equals(received.build())
+        && received.roster() < before.roster()
+        && received.settingsMs() <= before.settingsMs();
   }
 
-  /** A broker is there no more: what it said binds nobody. */
+  /** Another broker takes part no more: its versions do not count any longer. */
   public void left(long nowUs, String broker) {
-    if (!broker.equals(self) && held.remove(broker) != null) {
-      behind.remove(broker);
-      judge(nowUs);
+    if (!broker.equals(self) && versionsByBroker.remove(broker) != null) {
+      skewsByBroker.remove(broker);
+      evaluate(nowUs);
     }
   }
 
-  /** Time has passed; what was decided since the last call. */
+  /** Returns the verdicts since the last call. */
   public List<SkewVerdict> passed(long nowUs) {
-    judge(nowUs);
-    List<SkewVerdict> decided = List.copyOf(verdicts);
-    verdicts.clear();
-    return decided;
+    evaluate(nowUs);
+    List<SkewVerdict> verdicts = List.copyOf(pendingVerdicts);
+    pendingVerdicts.clear();
+    return verdicts;
   }
 
   /** When {@link #passed} is to be called next, at the latest. */
   public long nextUs() {
-    long next = verdicts.isEmpty() ? Long.MAX_VALUE : 0;
-    for (Map.Entry<String, Map<SkewVerdict.Kind, Behind>> broker : behind.entrySet()) {
-      for (Behind b : broker.getValue().values()) {
-        next =
-            Math.min(
-                next,
-                !b.seen
-                    ? b.sinceUs + rule.boundUs()
-                    : !b.shut && b.mostUs >= 0 ? b.mostUs + rule.shutUs() : Long.MAX_VALUE);
-        next =
-            broker.getKey().equals(self) && b.seen
-                ? Math.min(next, b.askedUs + rule.againUs())
-                : next;
+    long next = pendingVerdicts.isEmpty() ? Long.MAX_VALUE : 0;
+    for (Map.Entry<String, Map<SkewVerdict.Kind, Skew>> entry : skewsByBroker.entrySet()) {
+      boolean own = entry.getKey().equals(self);
+      for (Skew skew : entry.getValue().values()) {
+        next = Math.min(next, nextUs(skew, own));
       }
     }
     return next;
   }
 
-  /** Brokers that are shut out, this one too where it is. */
+  private long nextUs(Skew skew, boolean own) {
+    if (!skew.reported) {
+      return skew.sinceUs + settings.boundUs();
+    }
+    long next = Long.MAX_VALUE;
+    if (!skew.fenced && skew.hasMajority()) {
+      next = skew.majoritySinceUs + settings.shutUs();
+    }
+    return own ? Math.min(next, skew.lastRefreshUs + settings.againUs()) : next;
+  }
+
+  /** The brokers that are fenced, this one included where it is. */
   public Set<String> shutOut() {
-    Set<String> out = new TreeSet<>();
-    behind.forEach(
-        (broker, kinds) -> {
-          if (kinds.values().stream().anyMatch(b -> b.shut)) {
-            out.add(broker);
+    Set<String> fenced = new TreeSet<>();
+    skewsByBroker.forEach(
+        (broker, skews) -> {
+          if (skews.values().stream().anyMatch(skew -> skew.fenced)) {
+            fenced.add(broker);
           }
         });
-    return out;
+    return fenced;
   }
 
-  /** What each broker acts on, as far as is known here. */
+  /** The versions that each broker acts on, as far as they are known here. */
   public Map<String, VersionVector> held() {
-    return Map.copyOf(held);
+    return Map.copyOf(versionsByBroker);
   }
 
   /**
-   * The newest settings that anybody acts on; of two that are meant since the same time the higher
-   * digest, at all brokers alike.
+   * The newest settings that any broker acts on. Of two that were written at the same time the one
+   * with the higher digest counts, so that all brokers choose the same.
    */
-  VersionVector newestSettings() {
-    VersionVector newest = held.get(self);
-    for (VersionVector v : held.values()) {
-      if (v.settingsMs() > newest.settingsMs()
-          || (v.settingsMs() == newest.settingsMs()
-              && v.settings().compareTo(newest.settings()) > 0)) {
-        newest = v;
+  private VersionVector newestSettings() {
+    VersionVector newest = versionsByBroker.get(self);
+    for (VersionVector candidate : versionsByBroker.values()) {
+      boolean isNewer = candidate.settingsMs() > newest.settingsMs();
+      boolean isTie = candidate.settingsMs() == newest.settingsMs();
+      if (isNewer || (isTie && candidate.settings().compareTo(newest.settings()) > 0)) {
+        newest = candidate;
       }
     }
     return newest;
   }
 
-  private void judge(long nowUs) {
+  private void evaluate(long nowUs) {
     VersionVector newest = newestSettings();
-    long holders =
-        held.values().stream().filter(v -> v.settings().equals(newest.settings())).count();
-    Map<String, Long> rosters = new LinkedHashMap<>();
-    held.values().forEach(v -> rosters.merge(v.settings(), v.roster(), Math::max));
-    for (Map.Entry<String, VersionVector> entry : held.entrySet()) {
-      VersionVector v = entry.getValue();
-      boolean old = !v.settings().equals(newest.settings());
-      judge(
-          nowUs,
-          entry.getKey(),
-          SkewVerdict.Kind.SETTINGS,
-          old,
-          2 * holders > held.size(),
-          v.settings(),
-          newest.settings());
-      long roster = rosters.get(v.settings());
-      long with =
-          held.values().stream()
-              .filter(o -> o.settings().equals(v.settings()) && o.roster() > v.roster())
-              .count();
-      judge(
-          nowUs,
-          entry.getKey(),
-          SkewVerdict.Kind.ROSTER,
-          v.roster() < roster,
-          2 * with > held.size(),
-          Long.toString(v.roster()),
-          Long.toString(roster));
+    long upToDate =
+        versionsByBroker.values().stream()
+            .filter(versions -> versions.settings().equals(newest.settings()))
+            .count();
+    Map<String, Long> newestRosters = newestRosterBySettings();
+    for (Map.Entry<String, VersionVector> entry : versionsByBroker.entrySet()) {
+      VersionVector versions = entry.getValue();
+      Comparison settingsComparison =
+          new Comparison(
+              !versions.settings().equals(newest.settings()),
+              isMajority(upToDate),
+              versions.settings(),
+              newest.settings());
+      evaluate(nowUs, entry.getKey(), SkewVerdict.Kind.SETTINGS, settingsComparison);
+      Comparison rosterComparison = compareRoster(versions, newestRosters.get(versions.settings()));
+      evaluate(nowUs, entry.getKey(), SkewVerdict.Kind.ROSTER, rosterComparison);
     }
   }
 
-  private void judge(
-      long nowUs,
-      String broker,
-      SkewVerdict.Kind kind,
-      boolean old,
-      boolean most,
-      String has,
-      String newest) {
-    Map<SkewVerdict.Kind, Behind> kinds =
-        behind.computeIfAbsent(broker, b -> new EnumMap<>(SkewVerdict.Kind.class));
-    Behind b = kinds.get(kind);
-    if (!old) {
-      kinds.remove(kind);
-      if (b != null && b.seen) {
-        verdicts.add(
-            new SkewVerdict(
-                broker,
-                kind,
-                b.shut ? SkewVerdict.Step.LET_IN : SkewVerdict.Step.CAUGHT_UP,
-                has,
-                newest,
-                nowUs - b.sinceUs));
+  private Map<String, Long> newestRosterBySettings() {
+    Map<String, Long> newest = new LinkedHashMap<>();
+    for (VersionVector versions : versionsByBroker.values()) {
+      newest.merge(versions.settings(), versions.roster(), Math::max);
+    }
+    return newest;
+  }
+
+  /** Generations of endpoint lists compare only among brokers with the same settings. */
+  private Comparison compareRoster(VersionVector versions, long newestRoster) {
+    long newer =
+        versionsByBroker.values().stream()
+            .filter(other -> other.settings().equals(versions.settings()))
+            .filter(other -> other.roster() > versions.roster())
+            .count();
+    return new Comparison(
+        versions.roster() < newestRoster,
+        isMajority(newer),
+        Long.toString(versions.roster()),
+        Long.toString(newestRoster));
+  }
+
+  private boolean isMajority(long brokers) {
+    return 2 * brokers > versionsByBroker.size();
+  }
+
+  private void evaluate(long nowUs, String broker, SkewVerdict.Kind kind, Comparison comparison) {
+    Map<SkewVerdict.Kind, Skew> skews =
+        skewsByBroker.computeIfAbsent(broker, name -> new EnumMap<>(SkewVerdict.Kind.class));
+    if (!comparison.isOutdated()) {
+      Skew ended = skews.remove(kind);
+      if (ended != null && ended.reported) {
+        SkewVerdict.Step step = ended.fenced ? SkewVerdict.Step.LET_IN : SkewVerdict.Step.CAUGHT_UP;
+        addVerdict(broker, kind, step, comparison, nowUs - ended.sinceUs);
       }
       return;
     }
-    if (b == null) {
-      b = new Behind(nowUs);
-      kinds.put(kind, b);
-    }
-    long forUs = nowUs - b.sinceUs;
-    b.mostUs = !most ? -1 : b.mostUs < 0 ? nowUs : b.mostUs;
-    if (!b.seen && forUs >= rule.boundUs()) {
-      b.seen = true;
-      b.askedUs = nowUs - rule.againUs();
-      verdicts.add(new SkewVerdict(broker, kind, SkewVerdict.Step.SEEN, has, newest, forUs));
+    Skew skew = skews.computeIfAbsent(kind, absent -> new Skew(nowUs));
+    skew.updateMajority(comparison.majorityIsNewer(), nowUs);
+    escalate(nowUs, broker, kind, comparison, skew);
+  }
+
+  private void escalate(
+      long nowUs, String broker, SkewVerdict.Kind kind, Comparison comparison, Skew skew) {
+    long durationUs = nowUs - skew.sinceUs;
+    if (!skew.reported && durationUs >= settings.boundUs()) {
+      skew.reported = true;
+      skew.lastRefreshUs = nowUs - settings.againUs();
+      addVerdict(broker, kind, SkewVerdict.Step.SEEN, comparison, durationUs);
     }
-    if (b.seen && broker.equals(self) && nowUs - b.askedUs >= rule.againUs()) {
-      b.askedUs = nowUs;
-      verdicts.add(new SkewVerdict(broker, kind, SkewVerdict.Step.BRING_UP, has, newest, forUs));
+    boolean refreshIsDue = nowUs - skew.lastRefreshUs >= settings.againUs();
+    if (skew.reported && broker.equals(self) && refreshIsDue) {
+      skew.lastRefreshUs = nowUs;
+      addVerdict(broker, kind, SkewVerdict.Step.BRING_UP, comparison, durationUs);
     }
-    if (!b.shut && b.mostUs >= 0 && nowUs - b.mostUs >= rule.shutUs()) {
-      b.shut = true;
-      verdicts.add(new SkewVerdict(broker, kind, SkewVerdict.Step.SHUT_OUT, has, newest, forUs));
+    if (!skew.fenced && skew.hasMajority() && nowUs - skew.majoritySinceUs >= settings.shutUs()) {
+      skew.fenced = true;
+      addVerdict(broker, kind, SkewVerdict.Step.SHUT_OUT, comparison, durationUs);
     }
   }
+
+  private void addVerdict(
+      String broker,
+      SkewVerdict.Kind kind,
+      SkewVerdict.Step step,
+      Comparison comparison,
+      long durationUs) {
+    pendingVerdicts.add(
+        new SkewVerdict(broker, kind, step, comparison.current(), comparison.newest(), durationUs));
+  }
 }
--- a/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
@@ -1,16 +1,17 @@
 package dunlinhitch.cluster.versions;
 
 /**
- * What a broker acts on.
+ * The versions that a broker acts on.
  *
- * @param build its program
- * @param settings a digest of the parsed settings: files that mean the same have the same one
- * @param settingsMs since when those settings are meant, Unix time in milliseconds (when the file
- *     was written); it orders two digests
- * @param roster the generation of discovery's list that it holds; 0: none yet. Comparable among
- *     brokers with the same settings, for those name the discovery that counts
+ * @param build the version of the program
+ * @param settings a digest of the parsed settings, see {@link SettingsDigest}
+ * @param settingsMs when the settings file was written, Unix time in milliseconds; orders two
+ *     digests
+ * @param roster the generation of the endpoint list, 0 before the first; comparable only among
+ *     brokers with the same settings, for those name the same discovery
  */
 public record VersionVector(String build, String settings, long settingsMs, long roster) {
+  /** Checks that the texts are not empty and the numbers not negative. */
   public VersionVector {
     if (build.isEmpty() || settings.isEmpty() || settingsMs < 0 || roster < 0) {
       throw new IllegalArgumentException(
@@ -25,12 +26,13 @@
     }
   }
 
+  /** The same with another generation of the endpoint list. */
   public VersionVector withRoster(long generation) {
     return new VersionVector(build, settings, settingsMs, generation);
   }
 
-  public VersionVector withSettings(String digest, long ms) {
-    return new VersionVector(
-        build, digest, ms, 0); // their discovery may be another one, with numbers of its own
+  /** The same build with other settings and, for their discovery may be another, no list yet. */
+  public VersionVector withSettings(String digest, long writtenMs) {
+    return new VersionVector(build, digest, writtenMs, 0);
   }
 }
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -204,8 +204,8 @@
     ViewWorld world = settled(1, 5, 0);
     MembershipProtocol view = world.node(0).view();
     Member self = world.node(1).view().self();
-    long far = Member.MOST_INCARNATION / 2;
-    for (long incarnation : new long[] {far, far + 1, Member.MOST_INCARNATION}) {
+    long far = Member.MAX_INCARNATION / 2;
+    for (long incarnation : new long[] {far, far + 1, Member.MAX_INCARNATION}) {
       long before = view.refused();
       view.heard(
           world.nowUs(),
