--- a/src/main/java/dunlinhitch/cluster/AntiEntropy.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropy.java
@@ -65,8 +65,8 @@
   void onMessage(GossipMessage message, long nowUs) {
     Member from = message.from();
     boolean matches = message.digest() == members.digest();
-    Member known = members.peer(from.name());
-    if (known != null && known.takesPart() && known.isAt(from.host(), from.port())) {
+    Member current = members.peer(from.name());
+    if (current != null && current.takesPart() && current.isAt(from.host(), from.port())) {
       if (message.versions() != null) {
         members.setPeerVersions(from.name(), message.versions());
       }
--- a/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -130,16 +130,16 @@
    *
    * @param nowUs the current time
    * @param changed endpoints that were added or updated
-   * @param gone names of the endpoints that were removed
+   * @param removed names of the endpoints that were removed
    */
-  public void roster(long nowUs, Collection<Listed> changed, Collection<String> gone) {
+  public void roster(long nowUs, Collection<Listed> changed, Collection<String> removed) {
     for (Listed endpoint : changed) {
       Listed before = subset.put(endpoint);
       if (before != null && before.startedMs() != endpoint.startedMs()) {
         observations.resetFailures(endpoint.name());
       }
     }
-    for (String name : gone) {
+    for (String name : removed) {
       subset.remove(name);
       observations.forget(name);
       healthChecks.cancel(name);
@@ -148,9 +148,9 @@
   }
 
   /** Handles a message of another broker. */
-  public void heard(long nowUs, long dayUs, GossipMessage word) {
-    membership.heard(nowUs, word);
-    for (EndpointObservation observation : word.signals()) {
+  public void heard(long nowUs, long dayUs, GossipMessage message) {
+    membership.heard(nowUs, message);
+    for (EndpointObservation observation : message.signals()) {
       if (observations.receive(observation, dayUs)) {
         subset.markChanged(observation.store());
       }
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -174,8 +174,8 @@
     }
     updateDeparture(before, peer, nowUs);
     updates.enqueue(peer.name());
-    boolean tookPart = before != null && before.takesPart();
-    if (tookPart) {
+    boolean wasMember = before != null && before.takesPart();
+    if (wasMember) {
       digestTable.remove(before);
     }
     if (peer.takesPart()) {
@@ -184,7 +184,7 @@
       peerVersions.remove(peer.name());
       convergence.remove(peer.name());
     }
-    if (tookPart != peer.takesPart()) {
+    if (wasMember != peer.takesPart()) {
       version++;
       largestSize = Math.max(largestSize, digestTable.size());
     }
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -25,7 +25,7 @@
   /** Where the messages of this broker go; carried out in the order in which it was called. */
   public interface Out {
     /** Sends a message to the broker at an address; it may be lost, delayed or duplicated. */
-    void send(String host, int port, GossipMessage word);
+    void send(String host, int port, GossipMessage message);
   }
 
   /** An address at which a broker of the cluster may be found at start-up. */
@@ -178,22 +178,22 @@
   }
 
   /** Handles a message: merges the updates that it carries, then answers it. */
-  public void heard(long nowUs, GossipMessage word) {
-    Member from = word.from();
+  public void heard(long nowUs, GossipMessage message) {
+    Member from = message.from();
     if (from.name().equals(self().name()) && self().isAt(from.host(), from.port())) {
       return; // from this broker itself, or from an earlier process at its address
     }
     failureDetector.resetAfterStall(nowUs);
     failureDetector.onMessage(nowUs);
     membershipUpdates.merge(from, nowUs);
-    word.peers().forEach(update -> membershipUpdates.merge(update, nowUs));
-    word.doubts().forEach(report -> membershipUpdates.merge(report, nowUs));
-    antiEntropy.onMessage(word, nowUs);
-    switch (word.kind()) {
-      case PING -> sender.send(from, GossipMessage.Kind.ACK, word.number());
-      case JOIN -> onJoin(word);
-      case PING_REQUEST -> failureDetector.onPingRequest(word, nowUs);
-      case ACK -> failureDetector.onAck(word, nowUs);
+    message.peers().forEach(update -> membershipUpdates.merge(update, nowUs));
+    message.doubts().forEach(report -> membershipUpdates.merge(report, nowUs));
+    antiEntropy.onMessage(message, nowUs);
+    switch (message.kind()) {
+      case PING -> sender.send(from, GossipMessage.Kind.ACK, message.number());
+      case JOIN -> onJoin(message);
+      case PING_REQUEST -> failureDetector.onPingRequest(message, nowUs);
+      case ACK -> failureDetector.onAck(message, nowUs);
       case LEAVE, GOSSIP -> {
         // they consist of updates, which are merged
       }
--- a/src/main/java/dunlinhitch/cluster/Subsetting.java
+++ b/src/main/java/dunlinhitch/cluster/Subsetting.java
@@ -95,8 +95,8 @@
         }
       }
       while (order.size() < subsetSize) {
-        // Only endpoints that this broker has already are not full: an earlier broker makes room.
-        order.add(makeRoom(preferences, order));
+        // Only endpoints that this broker has already are not full: an earlier one frees one.
+        order.add(freeCapacity(preferences, order));
       }
       order.forEach(endpoint -> loads.merge(endpoint, 1, Integer::sum));
       for (String endpoint : preferences) {
@@ -116,7 +116,7 @@
      * lacks, and does not use one that is not full, moves from the one to the other. Where the
      * bound allows no such move, returns the endpoint with the least load.
      */
-    private String makeRoom(List<String> preferences, List<String> chosen) {
+    private String freeCapacity(List<String> preferences, List<String> chosen) {
       List<String> earlier = new ArrayList<>(orders.keySet());
       for (int i = earlier.size() - 1; i >= 0; i--) {
         for (String target : chosen) {
@@ -137,7 +137,7 @@
       List<String> order = orders.get(broker);
       int targetIndex = order.indexOf(target);
       boolean usesTarget = targetIndex < subsetSize;
-      // The load of the target does not include the broker yet for which room is made.
+      // The load of the target does not include the broker yet for which it is freed.
       if (usesTarget || load(target) + 1 >= maxLoad) {
         return null;
       }
--- a/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
@@ -168,7 +168,7 @@
         versionsByBroker.values().stream()
             .filter(versions -> versions.settings().equals(newest.settings()))
             .count();
-    Map<String, Long> newestRosters = newestRosterBySettings();
+    Map<String, Long> newestGenerations = newestGenerationBySettings();
     for (Map.Entry<String, VersionVector> entry : versionsByBroker.entrySet()) {
       VersionVector versions = entry.getValue();
       Comparison settingsComparison =
@@ -178,12 +178,13 @@
               versions.settings(),
               newest.settings());
       evaluate(nowUs, entry.getKey(), SkewVerdict.Kind.SETTINGS, settingsComparison);
-      Comparison rosterComparison = compareRoster(versions, newestRosters.get(versions.settings()));
-      evaluate(nowUs, entry.getKey(), SkewVerdict.Kind.ROSTER, rosterComparison);
+      Comparison generationComparison =
+          compareGeneration(versions, newestGenerations.get(versions.settings()));
+      evaluate(nowUs, entry.getKey(), SkewVerdict.Kind.ROSTER, generationComparison);
     }
   }
 
-  private Map<String, Long> newestRosterBySettings() {
+  private Map<String, Long> newestGenerationBySettings() {
     Map<String, Long> newest = new LinkedHashMap<>();
     for (VersionVector versions : versionsByBroker.values()) {
       newest.merge(versions.settings(), versions.roster(), Math::max);
@@ -192,17 +193,17 @@
   }
 
   /** Generations of endpoint lists compare only among brokers with the same settings. */
-  private Comparison compareRoster(VersionVector versions, long newestRoster) {
+  private Comparison compareGeneration(VersionVector versions, long newestGeneration) {
     long newer =
         versionsByBroker.values().stream()
             .filter(other -> other.settings().equals(versions.settings()))
             .filter(other -> other.roster() > versions.roster())
             .count();
     return new Comparison(
-        versions.roster() < newestRoster,
+        versions.roster() < newestGeneration,
         isMajority(newer),
         Long.toString(versions.roster()),
-        Long.toString(newestRoster));
+        Long.toString(newestGeneration));
   }
 
   private boolean isMajority(long brokers) {
--- a/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
+++ b/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
@@ -11,9 +11,9 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Many brokers on virtual time, with the network's troubles. */
+/** Clusters of brokers on virtual time, with injected network faults. */
 class ClusterCoordinatorTest {
-  private static final long S = 1_000_000;
+  private static final long SECOND_US = 1_000_000;
 
   private static FleetWorld world(int brokers, double loss) {
     FleetWorld world = new FleetWorld(5, brokers, loss, ClusterSettings.STANDARD);
@@ -25,163 +25,156 @@
   }
 
   @Test
-  void allFindEachOtherAndTheSumIsEven() {
+  void brokersDiscoverEachOtherAndTheirSubsetsBalanceTheLoad() {
     FleetWorld world = world(8, 0);
-    world.playTo(4 * S);
+    world.playTo(4 * SECOND_US);
     assertTrue(world.agree(0));
     assertEquals(8 * 4 * 2, world.load().values().stream().mapToInt(i -> i).sum());
     assertTrue(FleetWorld.unevenness(world.load()) <= 1.2, world.load().toString());
   }
 
-  /** Killed: out of every view within the stated bound; one that left as asked at once. */
+  /** A killed member is removed within the stated bound, one that leaves at once. */
   @Test
-  void theDeadAndThoseWhoLeftAreOutOfTheView() {
+  void deadAndLeavingMembersAreRemovedWithinTheBound() {
     FleetWorld world = world(8, 0);
-    world.playTo(4 * S);
+    world.playTo(4 * SECOND_US);
     world.kill(3);
-    world.playTo(4 * S + 2 * 8 * 200_000 + 160_000 + S + 4 * 200_000);
+    world.playTo(4 * SECOND_US + 2 * 8 * 200_000 + 160_000 + SECOND_US + 4 * 200_000);
     assertTrue(world.agree(0), "a dead one is still held");
     world.leave(4);
     world.playTo(world.nowUs() + 10_000);
     assertTrue(world.agree(0), "one that left is still held");
     world.start(3);
-    world.playTo(world.nowUs() + 3 * S);
+    world.playTo(world.nowUs() + 3 * SECOND_US);
     assertTrue(world.agree(0), "it came back with nothing known");
     assertEquals(7, world.nodes().get(0).fleet().members().size());
   }
 
-  /** A lost word is no death: who is suspected hears of it and gainsays it. */
+  /** A suspect member learns of the suspicion and refutes it. */
   @Test
-  void withATenthOfTheWordsLostNobodyIsTakenForDead() {
+  void tenPercentMessageLossDeclaresNobodyDead() {
     FleetWorld world = world(8, 0.1);
-    world.playTo(5 * S);
+    world.playTo(5 * SECOND_US);
     long before = world.nodes().stream().mapToLong(n -> n.fleet().view().version()).sum();
-    world.playTo(35 * S);
+    world.playTo(35 * SECOND_US);
     assertTrue(world.agree(0));
     assertEquals(before, world.nodes().stream().mapToLong(n -> n.fleet().view().version()).sum());
   }
 
-  /**
-   * One that hears nobody keeps to the stores that it had; both sides agree again after the cut.
-   */
+  /** Both sides agree again after the partition. */
   @Test
-  void oneThatIsCutOffKeepsItsSubsetAndComesBack() {
+  void isolatedBrokerRetainsItsSubsetAndRejoins() {
     FleetWorld world = world(8, 0);
-    world.playTo(4 * S);
-    Set<String> kept = world.nodes().get(2).fleet().kept();
-    Set<String> others = world.nodes().get(5).fleet().kept();
+    world.playTo(4 * SECOND_US);
+    Set<String> subset = world.nodes().get(2).fleet().kept();
+    Set<String> otherSubset = world.nodes().get(5).fleet().kept();
     world.group(2, 1);
-    world.playTo(9 * S);
+    world.playTo(9 * SECOND_US);
     assertTrue(world.nodes().get(2).fleet().view().alone());
-    assertEquals(kept, world.nodes().get(2).fleet().kept());
+    assertEquals(subset, world.nodes().get(2).fleet().kept());
     assertEquals(7, world.nodes().get(5).fleet().members().size());
     world.group(2, 0);
-    world.playTo(13 * S);
+    world.playTo(13 * SECOND_US);
     assertTrue(world.agree(0));
-    assertEquals(others, world.nodes().get(5).fleet().kept(), "the subsets are what they were");
+    assertEquals(
+        otherSubset, world.nodes().get(5).fleet().kept(), "the subsets are what they were");
   }
 
-  /** All cut from each other: together they take no more turns than before. */
+  /** All brokers are isolated from each other. */
   @Test
-  void brokersThatHearNobodyTakeNoMoreTurnsTogether() {
+  void isolatedBrokersTogetherMakeNoMoreHealthChecks() {
     FleetWorld world = world(8, 0);
-    world.playTo(4 * S);
+    world.playTo(4 * SECOND_US);
     for (int i = 0; i < 8; i++) {
       world.group(i, i);
     }
-    world.playTo(10 * S);
-    for (long at = 10 * S; at < 30 * S; at += S / 10) {
+    world.playTo(10 * SECOND_US);
+    for (long at = 10 * SECOND_US; at < 30 * SECOND_US; at += SECOND_US / 10) {
       world.nodes().forEach(node -> world.at(world.nowUs(), () -> node.wantProbe("s1-1")));
       world.playTo(at);
     }
-    assertTrue(world.mostProbesInASecond(10 * S) <= 2, world.probes().toString());
+    assertTrue(world.mostProbesInASecond(10 * SECOND_US) <= 2, world.probes().toString());
     assertFalse(world.probes().isEmpty());
   }
 
-  /**
-   * The one in turn is dead and not known to be: the next in the row does it, and all are told what
-   * came of it.
-   */
+  /** The leader of the epoch is dead and not known to be; the next in the order takes over. */
   @Test
-  void aSilentOneIsStoodInForAndTheReportReachesAll() {
+  void unresponsiveLeaderIsReplacedAndTheReportReachesAll() {
     FleetWorld world = world(8, 0);
-    world.playTo(4 * S);
+    world.playTo(4 * SECOND_US);
     world.kill(6);
     for (int i = 0; i < 160; i++) {
       world.nodes().forEach(node -> world.at(world.nowUs(), () -> node.wantProbe("s1-1")));
-      world.playTo(world.nowUs() + S / 10);
+      world.playTo(world.nowUs() + SECOND_US / 10);
     }
-    long seconds = world.probes().stream().map(p -> p.atUs() / (2 * S)).distinct().count();
+    long seconds = world.probes().stream().map(p -> p.atUs() / (2 * SECOND_US)).distinct().count();
     assertTrue(seconds >= 7, "turns of 2 s in 16 s that were taken: " + seconds);
-    assertTrue(world.mostProbesInASecond(4 * S) <= 2, world.probes().toString());
+    assertTrue(world.mostProbesInASecond(4 * SECOND_US) <= 2, world.probes().toString());
     world.nodes().stream()
         .filter(FleetWorld.Node::isUp)
         .forEach(n -> assertTrue(n.told() >= 10, n.name + " " + n.told()));
   }
 
-  /**
-   * A store that does not answer one broker is stood in for there; told by two, everywhere; and it
-   * comes back.
-   */
+  /** Failures that one broker observes count for itself, those that two observe for all. */
   @Test
-  void aStoreThatFailsIsStoodInFor() {
+  void failingEndpointIsSubstitutedUntilItRecovers() {
     FleetWorld world = world(8, 0);
-    world.playTo(4 * S);
-    String bad = "s0-0";
-    List<FleetWorld.Node> who =
-        world.nodes().stream().filter(n -> n.fleet().kept().contains(bad)).toList();
-    assertTrue(who.size() >= 4, who.size() + " keep to it");
-    FleetWorld.Node first = who.get(0);
+    world.playTo(4 * SECOND_US);
+    String failing = "s0-0";
+    List<FleetWorld.Node> users =
+        world.nodes().stream().filter(n -> n.fleet().kept().contains(failing)).toList();
+    assertTrue(users.size() >= 4, users.size() + " keep to it");
+    FleetWorld.Node firstUser = users.get(0);
     for (int i = 0; i < 3; i++) {
-      first.saw(bad, false);
+      firstUser.saw(failing, false);
     }
-    assertEquals(all("s0-"), in(first, "s0-"));
-    world.playTo(6 * S);
-    assertEquals(2, in(who.get(2), "s0-").size(), "one broker's word alone may be its own link");
+    assertEquals(endpointsOfCell("s0-"), subsetOfCell(firstUser, "s0-"));
+    world.playTo(6 * SECOND_US);
+    assertEquals(
+        2, subsetOfCell(users.get(2), "s0-").size(), "one broker's word alone may be its own link");
     for (int i = 0; i < 3; i++) {
-      who.get(1).saw(bad, false);
+      users.get(1).saw(failing, false);
     }
-    world.playTo(8 * S);
-    assertEquals(all("s0-"), in(who.get(2), "s0-"));
-    who.get(0).saw(bad, true);
-    who.get(1).saw(bad, true);
-    world.playTo(11 * S);
-    assertEquals(2, in(first, "s0-").size());
-    assertEquals(2, in(who.get(2), "s0-").size());
+    world.playTo(8 * SECOND_US);
+    assertEquals(endpointsOfCell("s0-"), subsetOfCell(users.get(2), "s0-"));
+    users.get(0).saw(failing, true);
+    users.get(1).saw(failing, true);
+    world.playTo(11 * SECOND_US);
+    assertEquals(2, subsetOfCell(firstUser, "s0-").size());
+    assertEquals(2, subsetOfCell(users.get(2), "s0-").size());
   }
 
-  private static Set<String> all(String cell) {
+  private static Set<String> endpointsOfCell(String cell) {
     return new TreeSet<>(Set.of(cell + "0", cell + "1", cell + "2"));
   }
 
-  private static Set<String> in(FleetWorld.Node node, String cell) {
-    Set<String> in = new TreeSet<>(node.fleet().kept());
-    in.removeIf(store -> !store.startsWith(cell));
-    return in;
+  private static Set<String> subsetOfCell(FleetWorld.Node node, String cell) {
+    Set<String> subsetOfCell = new TreeSet<>(node.fleet().kept());
+    subsetOfCell.removeIf(store -> !store.startsWith(cell));
+    return subsetOfCell;
   }
 
-  /** One seed, one course of events. */
   @Test
-  void theSameSeedPlaysTheSame() {
-    FleetWorld one = world(6, 0.2);
-    FleetWorld other = world(6, 0.2);
-    one.playTo(6 * S);
-    other.playTo(6 * S);
-    assertEquals(one.words(), other.words());
-    assertEquals(one.load(), other.load());
+  void sameSeedGivesTheSameCourse() {
+    FleetWorld first = world(6, 0.2);
+    FleetWorld second = world(6, 0.2);
+    first.playTo(6 * SECOND_US);
+    second.playTo(6 * SECOND_US);
+    assertEquals(first.words(), second.words());
+    assertEquals(first.load(), second.load());
   }
 
   @Test
-  void timesThatCanNotHoldAreTurnedDown() {
+  void inconsistentTimesAreRejected() {
     assertThrows(
         IllegalArgumentException.class,
-        () -> new MembershipProtocolSettings(200_000, 150_000, 2, S, 30 * S, 10));
+        () -> new MembershipProtocolSettings(200_000, 150_000, 2, SECOND_US, 30 * SECOND_US, 10));
     assertThrows(
         IllegalArgumentException.class,
-        () -> new MembershipProtocolSettings(200_000, 80_000, 2, 100_000, 30 * S, 10));
-    assertThrows(IllegalArgumentException.class, () -> new DutyRotation(S, 2 * S));
+        () -> new MembershipProtocolSettings(200_000, 80_000, 2, 100_000, 30 * SECOND_US, 10));
+    assertThrows(IllegalArgumentException.class, () -> new DutyRotation(SECOND_US, 2 * SECOND_US));
     assertThrows(
         IllegalArgumentException.class,
-        () -> new DutyRotation(S, S / 2).dueUs("t", 0, List.of("a"), "b", false));
+        () -> new DutyRotation(SECOND_US, SECOND_US / 2).dueUs("t", 0, List.of("a"), "b", false));
   }
 }
--- a/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
+++ b/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
@@ -22,14 +22,13 @@
         "s", startedMs, author, number, seenUs, List.of((float) number), failed);
   }
 
-  /** In any order, any number of times: the same is held. */
   @Property(tries = 300)
-  void heardInAnyOrderTheSameIsHeld(@ForAll long seed) {
+  void mergeOrderAndDuplicatesDoNotCount(@ForAll long seed) {
     Random random = new Random(seed);
-    List<EndpointObservation> told = new ArrayList<>();
+    List<EndpointObservation> received = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       long number = random.nextInt(8);
-      told.add(
+      received.add(
           signal(
               "n" + random.nextInt(6),
               random.nextInt(2),
@@ -37,36 +36,37 @@
               900_000 + number * 1000 + random.nextInt(3),
               0));
     }
-    ObservationTable one = new ObservationTable(10, 500_000);
-    told.forEach(s -> one.merge(s, NOW));
-    List<EndpointObservation> again = new ArrayList<>(told);
-    again.addAll(told.subList(0, 10));
-    Collections.shuffle(again, random);
+    ObservationTable first = new ObservationTable(10, 500_000);
+    received.forEach(observation -> first.merge(observation, NOW));
+    List<EndpointObservation> shuffled = new ArrayList<>(received);
+    shuffled.addAll(received.subList(0, 10));
+    Collections.shuffle(shuffled, random);
     ObservationTable other = new ObservationTable(10, 500_000);
-    again.forEach(s -> other.merge(s, NOW));
-    assertEquals(new HashSet<>(one.all()), new HashSet<>(other.all()));
-    assertTrue(one.all().size() <= ObservationTable.MAX_AUTHORS);
+    shuffled.forEach(observation -> other.merge(observation, NOW));
+    assertEquals(new HashSet<>(first.all()), new HashSet<>(other.all()));
+    assertTrue(first.all().size() <= ObservationTable.MAX_AUTHORS);
   }
 
   @Test
-  void whatIsOfAnEarlierLifeStaleOrKnownIsNoNews() {
+  void outdatedAndDuplicateObservationsAreDropped() {
     ObservationTable signals = new ObservationTable(10, 500_000);
     assertTrue(signals.merge(signal("n1", 5, 1, 900_000, 0), NOW));
     assertFalse(signals.merge(signal("n1", 5, 1, 900_000, 0), NOW));
-    assertFalse(signals.merge(signal("n2", 4, 9, 950_000, 0), NOW)); // of the life before
+    assertFalse(signals.merge(signal("n2", 4, 9, 950_000, 0), NOW)); // of an earlier incarnation
     assertFalse(signals.merge(signal("n2", 5, 1, 400_000, 0), NOW)); // stale
     assertTrue(
         signals.merge(
-            signal("n2", 6, 1, 960_000, 3), NOW)); // of a later one: the first says nothing now
+            signal("n2", 6, 1, 960_000, 3),
+            NOW)); // of a later incarnation, which replaces the first
     assertEquals(List.of("n2"), signals.all().stream().map(EndpointObservation::author).toList());
     assertEquals(1, signals.countFailing("s", 3));
     signals.expire(NOW + 500_000);
     assertEquals(0, signals.countObservers("s"));
   }
 
-  /** A clock that is ahead would make its word outlive all others. */
+  /** Else an observation of a broker whose clock is ahead would outlive all others. */
   @Test
-  void whatComesFromTheFutureCountsAsSeenNow() {
+  void observationsFromTheFutureCountAsMadeNow() {
     ObservationTable signals = new ObservationTable(10, 500_000);
     assertTrue(signals.merge(signal("ahead", 0, 1, 9_000_000, 0), NOW));
     assertTrue(signals.merge(signal("n1", 0, 1, NOW + 1, 0), NOW + 1));
@@ -76,7 +76,7 @@
   }
 
   @Test
-  void beyondTheBoundNoFurtherStoreIsKept() {
+  void fullTableRejectsFurtherEndpoints() {
     ObservationTable signals = new ObservationTable(1, 500_000);
     assertTrue(signals.merge(signal("n1", 0, 1, NOW, 0), NOW));
     assertFalse(
@@ -87,7 +87,7 @@
   }
 
   @Test
-  void theReportOfAnotherIsFoundAndNotTheOwn() {
+  void latestReportExcludesTheBrokersOwn() {
     ObservationTable signals = new ObservationTable(10, 500_000);
     signals.merge(signal("self", 0, 7, 990_000, 0), NOW);
     signals.merge(signal("n1", 0, 3, 980_000, 0), NOW);
--- a/src/test/java/dunlinhitch/cluster/SubsettingTest.java
+++ b/src/test/java/dunlinhitch/cluster/SubsettingTest.java
@@ -18,28 +18,25 @@
 class SubsettingTest {
   private final Subsetting subsets = new Subsetting(SubsetSettings.STANDARD);
 
-  private static List<Subsetting.MemberView> brokers(int many) {
+  private static List<Subsetting.MemberView> brokers(int count) {
     List<Subsetting.MemberView> brokers = new ArrayList<>();
-    for (int i = 0; i < many; i++) {
+    for (int i = 0; i < count; i++) {
       brokers.add(new Subsetting.MemberView("n" + i, i % 2 == 0 ? "a" : "b"));
     }
     return brokers;
   }
 
-  private static List<Subsetting.Store> stores(int many) {
+  private static List<Subsetting.Store> stores(int count) {
     List<Subsetting.Store> stores = new ArrayList<>();
-    for (int i = 0; i < many; i++) {
+    for (int i = 0; i < count; i++) {
       stores.add(new Subsetting.Store("s" + i, i % 2 == 0 ? "a" : "b"));
     }
     return stores;
   }
 
-  /**
-   * Whatever the order in which the names were heard, all find the same; nobody is short, and no
-   * store over its bound.
-   */
+  /** The order of the arguments does not count; subsets are complete and loads bounded. */
   @Property(tries = 300)
-  void allFindTheSameAndNoStoreIsOverItsBound(
+  void assignmentIsDeterministicAndBounded(
       @ForAll @IntRange(min = 1, max = 40) int brokers,
       @ForAll @IntRange(min = 1, max = 8) int stores,
       @ForAll long seed) {
@@ -56,16 +53,13 @@
           assertEquals(stores, order.stream().distinct().count());
           order.subList(0, size).forEach(store -> load.merge(store, 1, Integer::sum));
         });
-    int most = SubsetSettings.STANDARD.most(brokers, stores);
-    assertTrue(load.values().stream().allMatch(l -> l <= most), load + " over " + most);
+    int maxLoad = SubsetSettings.STANDARD.most(brokers, stores);
+    assertTrue(load.values().stream().allMatch(l -> l <= maxLoad), load + " over " + maxLoad);
   }
 
-  /**
-   * One broker of its own zone's stores, where there is room: a hundred brokers of two zones at
-   * four stores of two.
-   */
+  /** A hundred brokers of two zones, four endpoints of two. */
   @Test
-  void theFirstIsOfTheOwnZone() {
+  void firstEndpointIsOfTheBrokersOwnZone() {
     Map<String, List<String>> chosen = subsets.of("c", brokers(100), stores(4));
     long own =
         chosen.entrySet().stream()
@@ -78,11 +72,9 @@
     assertTrue(own >= 95, own + " of 100 begin in their own zone");
   }
 
-  /**
-   * The order of the cells' brokers differs from cell to cell: nobody is the last one everywhere.
-   */
+  /** No broker is the last to choose everywhere. */
   @Test
-  void theLastOneIsAnotherInEachCell() {
+  void brokerOrderDiffersFromCellToCell() {
     long last =
         java.util.stream.IntStream.range(0, 20)
             .mapToObj(
@@ -97,18 +89,18 @@
   }
 
   @Test
-  void theSizeGoesByFleetAndCell() {
-    SubsetSettings rule = SubsetSettings.STANDARD;
-    assertEquals(3, rule.size(1, 3)); // the only broker takes all
-    assertEquals(3, rule.size(2, 3));
-    assertEquals(2, rule.size(8, 3));
-    assertEquals(8, rule.size(2, 10));
-    assertEquals(2, rule.size(100, 10));
-    assertEquals(1, rule.size(100, 1));
-    assertEquals(0, rule.size(100, 0));
-    assertEquals(6, rule.most(8, 3)); // 16 at 3 stores
-    assertEquals(80, rule.most(100, 3)); // 200 at 3 stores
-    assertEquals(5, rule.most(6, 3)); // 12 at 3 stores: 4 would leave no room
+  void sizeDependsOnClusterAndCell() {
+    SubsetSettings settings = SubsetSettings.STANDARD;
+    assertEquals(3, settings.size(1, 3)); // the only broker uses all endpoints
+    assertEquals(3, settings.size(2, 3));
+    assertEquals(2, settings.size(8, 3));
+    assertEquals(8, settings.size(2, 10));
+    assertEquals(2, settings.size(100, 10));
+    assertEquals(1, settings.size(100, 1));
+    assertEquals(0, settings.size(100, 0));
+    assertEquals(6, settings.most(8, 3)); // 16 assignments to 3 endpoints
+    assertEquals(80, settings.most(100, 3)); // 200 assignments to 3 endpoints
+    assertEquals(5, settings.most(6, 3)); // 12 assignments to 3 endpoints: 4 would leave none spare
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(0, 1.5, 0.2));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(2, 0.5, 0.2));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(2, 1.5, Double.NaN));
