--- a/src/main/java/dunlinhitch/cluster/Convergence.java
+++ b/src/main/java/dunlinhitch/cluster/Convergence.java
@@ -16,7 +16,8 @@
   /** Members with another digest that are tracked at most. */
   private static final int MAX_DIVERGED = 32;
 
-  private static final long NOT_CONVERGED = -1;
+  /** In place of the time since when the cluster has converged. */
+  static final long NOT_CONVERGED = -1;
 
   private final Set<String> matching = new HashSet<>();
 
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -99,7 +99,7 @@
     return digest;
   }
 
-  /** The digest as other brokers may be told it: 0 where anti-entropy is off. */
+  /** The digest for messages: 0 where anti-entropy is off. */
   long announcedDigest() {
     return settings.isAntiEntropyEnabled() ? digest : 0;
   }
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -112,7 +112,7 @@
         ++lastSnapshotNumber,
         views,
         members.digest(),
-        isolated ? -1 : convergence.convergedSinceUs(),
+        isolated ? Convergence.NOT_CONVERGED : convergence.convergedSinceUs(),
         convergence.divergedMembers(),
         isolated,
         members.displacedBy());
--- a/src/main/java/dunlinhitch/cluster/ObservationTable.java
+++ b/src/main/java/dunlinhitch/cluster/ObservationTable.java
@@ -17,8 +17,8 @@
  */
 public final class ObservationTable {
   /**
-   * Observations of one endpoint: its load is one figure, but a failing endpoint is told from a
-   * failing network path only by several observers.
+   * Observations of one endpoint: its load is one figure, but a failing endpoint is distinguished
+   * from a failing network path only by several observers.
    */
   static final int MAX_AUTHORS = 3;
 
