--- /dev/null
+++ b/src/main/java/dunlinhitch/discovery/dnssd/BrowsedInstances.java
@@ -0,0 +1,122 @@
+package dunlinhitch.discovery.dnssd;
+
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+import org.xbill.DNS.Name;
+import org.xbill.DNS.PTRRecord;
+import org.xbill.DNS.Record;
+import org.xbill.DNS.Type;
+
+/**
+ * The instances that the PTR records of the browsed names list, and those among them whose claims
+ * are to be computed anew. Owned by {@link Records}.
+ */
+final class BrowsedInstances {
+  private final RecordCache cache;
+  private final int maxInstances;
+  private final Consumer<AnswerFault> faults;
+  private final Map<Name, ServiceInstance> instances = new LinkedHashMap<>();
+  private final Set<ServiceInstance> changed = new LinkedHashSet<>();
+
+  BrowsedInstances(RecordCache cache, int maxInstances, Consumer<AnswerFault> faults) {
+    this.cache = cache;
+    this.maxInstances = maxInstances;
+    this.faults = faults;
+  }
+
+  /** All listed instances, in the order in which they were first listed. */
+  Collection<ServiceInstance> all() {
+    return instances.values();
+  }
+
+  /** Marks the claims of these instances to be computed anew. */
+  void markChanged(Collection<ServiceInstance> affected) {
+    changed.addAll(affected);
+  }
+
+  /** The instances whose claims are to be computed anew; they are no longer marked afterwards. */
+  List<ServiceInstance> drainChanged() {
+    List<ServiceInstance> drained = List.copyOf(changed);
+    changed.clear();
+    return drained;
+  }
+
+  /**
+   * A PTR set was replaced: adds what it lists and removes what it no longer does. Only an
+   * authoritative answer withdraws the claims of a removed instance.
+   */
+  void onPointers(RecordSet pointers, boolean authoritative) {
+    Name browsedName = pointers.key.name();
+    Set<Name> listed = new HashSet<>();
+    for (Record record : pointers.records) {
+      Name name = ((PTRRecord) record).getTarget();
+      if (add(browsedName, name)) {
+        listed.add(name);
+      }
+    }
+    for (ServiceInstance instance : List.copyOf(instances.values())) {
+      if (!listed.contains(instance.name)) {
+        removePointer(browsedName, instance, authoritative);
+      }
+    }
+  }
+
+  /** A PTR record lists the instance; false where the limit of instances has been reached. */
+  boolean add(Name browsedName, Name name) {
+    if (!instances.containsKey(name) && instances.size() >= maxInstances) {
+      faults.accept(AnswerFault.INSTANCE_LIMIT);
+      return false;
+    }
+    ServiceInstance instance = instances.computeIfAbsent(name, ServiceInstance::new);
+    instance.browsedNames.add(browsedName);
+    instance.withdrawn = false;
+    if (instance.srv == null) {
+      instance.srv = cache.acquire(instance, new Question(name, Type.SRV));
+      instance.txt = cache.acquire(instance, new Question(name, Type.TXT));
+      changed.add(instance);
+    }
+    return true;
+  }
+
+  /** A server pushed that a PTR record is removed. */
+  void onPointerRemoved(Name browsedName, Name name) {
+    ServiceInstance instance = instances.get(name);
+    if (instance != null) {
+      removePointer(browsedName, instance, true);
+    }
+  }
+
+  private void removePointer(Name browsedName, ServiceInstance instance, boolean authoritative) {
+    if (instance.browsedNames.remove(browsedName) && instance.browsedNames.isEmpty()) {
+      remove(instance, authoritative);
+    }
+  }
+
+  /**
+   * Removes an instance that no browsed name lists. Without authority its claims are not withdrawn:
+   * they are no longer refreshed, and expire.
+   */
+  private void remove(ServiceInstance instance, boolean authoritative) {
+    cache.release(instance, instance.srv);
+    cache.release(instance, instance.txt);
+    instance.ipv4Addresses.values().forEach(set -> cache.release(instance, set));
+    instance.ipv6Addresses.values().forEach(set -> cache.release(instance, set));
+    instance.ipv4Addresses.clear();
+    instance.ipv6Addresses.clear();
+    instance.srv = null;
+    instance.txt = null;
+    instance.withdrawn = authoritative;
+    instances.remove(instance.name);
+    if (authoritative) {
+      changed.add(instance);
+    } else {
+      changed.remove(instance);
+    }
+  }
+}
--- a/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
@@ -11,50 +11,94 @@
 import org.xbill.DNS.WireParseException;
 
 /**
- * Messages of DNS Stateful Operations (RFC 8490) and of DNS Push Notifications on them (RFC 8765),
- * which dnsjava does not know. A message is a head of 12 bytes with opcode 6 and all counts 0, then
- * type-length-value records; names in it are not compressed.
+ * Codec of DNS Stateful Operations (RFC 8490) and of DNS Push Notifications on them (RFC 8765),
+ * which dnsjava does not support. A message is a header of 12 bytes with opcode 6 and all counts 0,
+ * followed by type-length-value (TLV) fields; names in it are not compressed.
  */
 public final class Dso {
+  /** Opcode of every DSO message. */
   public static final int OPCODE = 6;
+
+  /** TLV type of a keep-alive. */
   public static final int KEEPALIVE = 0x0001;
+
+  /** TLV type by which a server asks the client to disconnect for some time. */
   public static final int RETRY_DELAY = 0x0002;
+
+  /** TLV type of a subscription. */
   public static final int SUBSCRIBE = 0x0040;
+
+  /** TLV type of pushed changes. */
   public static final int PUSH = 0x0041;
+
+  /** TLV type that ends a subscription. */
   public static final int UNSUBSCRIBE = 0x0042;
 
-  /** TTLs with a meaning of their own (RFC 8765 section 6.3.1). */
-  static final long REMOVE_ONE = 0xFFFF_FFFFL;
+  /** TTL that marks the removal of one record (RFC 8765 section 6.3.1). */
+  static final long REMOVE_RECORD_TTL = 0xFFFF_FFFFL;
+
+  /** TTL that marks the removal of a record set or name (RFC 8765 section 6.3.1). */
+  static final long REMOVE_SET_TTL = 0xFFFF_FFFEL;
+
+  /** The largest TTL that is one; the values up to the two marks are reserved. */
+  static final int MAX_TTL = Integer.MAX_VALUE;
+
+  private static final int HEADER_BYTES = 12;
+
+  /** Type, class, TTL and data length of a record. */
+  private static final int FIXED_RECORD_BYTES = 10;
+
+  private static final int RESPONSE_FLAG = 0x8000;
+  private static final int OPCODE_SHIFT = 11;
 
-  static final long REMOVE_ALL = 0xFFFF_FFFEL;
-  static final int MOST_TTL = Integer.MAX_VALUE;
-  private static final int HEAD = 12;
-  private static final int FIXED_OF_RECORD = 10;
+  /** Opcode and response code are four bits wide. */
+  private static final int NIBBLE = 0xf;
 
   private Dso() {}
 
-  /** One TLV. */
+  /**
+   * One TLV field.
+   *
+   * @param type type of the field
+   * @param data its value; not copied
+   */
+  @SuppressWarnings("ArrayRecordComponent") // TLVs are never compared, and are read once.
   public record Tlv(int type, byte[] data) {}
 
-  /** {@code id} 0: one that wants no response. */
+  /**
+   * Header of a message.
+   *
+   * @param id message id; 0 for a unidirectional message, which has no response
+   * @param response true for a response, false for a request
+   * @param rcode response code
+   */
   public record Head(int id, boolean response, int rcode) {}
 
-  /** A message, its first TLV being what it is about. */
+  /**
+   * A message.
+   *
+   * @param head its header
+   * @param tlvs its fields; the first is the primary TLV, which says what the message is about
+   */
   public record DsoMessage(Head head, List<Tlv> tlvs) {}
 
   /**
-   * A change that a server pushes: {@code record} added, or removed; a null record: the whole set,
-   * or with type 255 the whole name.
+   * A change that a server pushes.
+   *
+   * @param removed true for a removal, false for an addition
+   * @param key name and type; type 255 stands for all types of the name
+   * @param record the record, or null where the complete set or name is removed
    */
   public record PushChange(boolean removed, Question key, Record record) {}
 
-  /** With the two bytes of length before it that TCP wants. */
+  /** Encodes a message with the length prefix of a DNS message on TCP. */
   public static Buffer write(Head head, Tlv... tlvs) {
+    int flags = (head.response() ? RESPONSE_FLAG : 0) | OPCODE << OPCODE_SHIFT | head.rcode();
     Buffer body =
         Buffer.buffer()
             .appendUnsignedShort(head.id())
-            .appendUnsignedShort((head.response() ? 0x8000 : 0) | OPCODE << 11 | head.rcode())
-            .appendLong(0);
+            .appendUnsignedShort(flags)
+            .appendLong(0); // the four counts
     for (Tlv tlv : tlvs) {
       body.appendUnsignedShort(tlv.type())
           .appendUnsignedShort(tlv.data().length)
@@ -63,13 +107,13 @@
     return Buffer.buffer().appendUnsignedShort(body.length()).appendBuffer(body);
   }
 
-  /** Throws where it is no such message. */
+  /** Decodes a message without its length prefix; throws where it is not a DSO message. */
   public static DsoMessage read(byte[] bytes) throws IOException {
     DNSInput in = new DNSInput(bytes);
     int id = in.readU16();
     int flags = in.readU16();
-    if ((flags >> 11 & 0xf) != OPCODE
-        || bytes.length < HEAD
+    if ((flags >> OPCODE_SHIFT & NIBBLE) != OPCODE
+        || bytes.length < HEADER_BYTES
         || in.readU32() != 0
         || in.readU32() != 0) {
       throw new WireParseException("no message of stateful operations");
@@ -79,98 +123,110 @@
       int type = in.readU16();
       tlvs.add(new Tlv(type, in.readByteArray(in.readU16())));
     }
-    return new DsoMessage(new Head(id, (flags & 0x8000) != 0, flags & 0xf), tlvs);
+    Head head = new Head(id, (flags & RESPONSE_FLAG) != 0, flags & NIBBLE);
+    return new DsoMessage(head, tlvs);
   }
 
-  public static Tlv keepAlive(long idleMs, long intervalMs) {
-    return new Tlv(
-        KEEPALIVE,
-        Buffer.buffer().appendUnsignedInt(idleMs).appendUnsignedInt(intervalMs).getBytes());
+  /** A keep-alive with the inactivity timeout and the keep-alive interval, in milliseconds. */
+  public static Tlv keepAlive(long inactivityTimeoutMs, long intervalMs) {
+    Buffer data =
+        Buffer.buffer().appendUnsignedInt(inactivityTimeoutMs).appendUnsignedInt(intervalMs);
+    return new Tlv(KEEPALIVE, data.getBytes());
   }
 
-  public static Tlv retryDelay(long ms) {
-    return new Tlv(RETRY_DELAY, Buffer.buffer().appendUnsignedInt(ms).getBytes());
+  /** The keep-alive interval of a {@link #KEEPALIVE}, in milliseconds. */
+  static long readKeepaliveIntervalMs(Tlv tlv) throws IOException {
+    DNSInput in = new DNSInput(tlv.data());
+    in.readU32(); // the inactivity timeout
+    return in.readU32();
   }
 
-  /** Numbers of 32 bits that a TLV begins with. */
-  public static long[] numbers(Tlv tlv, int count) throws IOException {
-    DNSInput in = new DNSInput(tlv.data());
-    long[] numbers = new long[count];
-    for (int i = 0; i < count; i++) {
-      numbers[i] = in.readU32();
-    }
-    return numbers;
+  /** Asks the client to disconnect and to stay disconnected for that long, in milliseconds. */
+  public static Tlv retryDelay(long delayMs) {
+    return new Tlv(RETRY_DELAY, Buffer.buffer().appendUnsignedInt(delayMs).getBytes());
   }
 
+  /** The delay of a {@link #RETRY_DELAY}, in milliseconds. */
+  static long readRetryDelayMs(Tlv tlv) throws IOException {
+    return new DNSInput(tlv.data()).readU32();
+  }
+
+  /** Subscribes to the records of a name and type. */
   public static Tlv subscribe(Question key) {
-    return new Tlv(
-        SUBSCRIBE,
+    Buffer data =
         Buffer.buffer()
             .appendBytes(key.name().toWire())
             .appendUnsignedShort(key.type())
-            .appendUnsignedShort(DClass.IN)
-            .getBytes());
-  }
-
-  /** The id of the message that subscribed. */
-  public static Tlv unsubscribe(int id) {
-    return new Tlv(UNSUBSCRIBE, Buffer.buffer().appendUnsignedShort(id).getBytes());
+            .appendUnsignedShort(DClass.IN);
+    return new Tlv(SUBSCRIBE, data.getBytes());
   }
 
+  /** Name and type of a {@link #SUBSCRIBE}. */
   public static Question subscribed(Tlv tlv) throws IOException {
     DNSInput in = new DNSInput(tlv.data());
     return new Question(new Name(in), in.readU16());
   }
 
+  /** Ends the subscription that the message with this id requested. */
+  public static Tlv unsubscribe(int id) {
+    return new Tlv(UNSUBSCRIBE, Buffer.buffer().appendUnsignedShort(id).getBytes());
+  }
+
+  /** Encodes changes. */
   public static Tlv push(List<PushChange> changes) {
     Buffer out = Buffer.buffer();
     for (PushChange change : changes) {
       byte[] data = change.record() == null ? new byte[0] : change.record().rdataToWireCanonical();
-      long ttl =
-          !change.removed()
-              ? change.record().getTTL()
-              : change.record() == null ? REMOVE_ALL : REMOVE_ONE;
       out.appendBytes(change.key().name().toWire())
           .appendUnsignedShort(change.key().type())
           .appendUnsignedShort(DClass.IN)
-          .appendUnsignedInt(ttl)
+          .appendUnsignedInt(ttl(change))
           .appendUnsignedShort(data.length)
           .appendBytes(data);
     }
     return new Tlv(PUSH, out.getBytes());
   }
 
-  /** The changes of a PUSH; of a class other than IN none. */
-  public static List<PushChange> pushed(Tlv tlv) throws IOException {
+  private static long ttl(PushChange change) {
+    if (!change.removed()) {
+      return change.record().getTTL();
+    }
+    return change.record() == null ? REMOVE_SET_TTL : REMOVE_RECORD_TTL;
+  }
+
+  /** The changes of a {@link #PUSH}; those of another class than IN and ANY are skipped. */
+  static List<PushChange> readPush(Tlv tlv) throws IOException {
     DNSInput in = new DNSInput(tlv.data());
     List<PushChange> changes = new ArrayList<>();
     while (in.remaining() > 0) {
       Name name = new Name(in);
-      if (in.remaining() < FIXED_OF_RECORD) {
+      if (in.remaining() < FIXED_RECORD_BYTES) {
         throw new WireParseException("a record that is cut off");
       }
-      int type = in.readU16();
-      int dclass = in.readU16();
+      Question key = new Question(name, in.readU16());
+      int dnsClass = in.readU16();
       long ttl = in.readU32();
       byte[] data = in.readByteArray(in.readU16());
-      if (dclass != DClass.IN && dclass != DClass.ANY) {
-        continue;
-      }
-      Question key = new Question(name, type);
-      if (ttl == REMOVE_ALL) {
-        changes.add(new PushChange(true, key, null));
-      } else if (ttl == REMOVE_ONE || ttl <= MOST_TTL) {
-        boolean removed = ttl == REMOVE_ONE;
-        Record record =
-            Record.newRecord(name, type, DClass.IN, removed ? 0 : ttl, data.length, data);
-        if (record == null) {
-          throw new WireParseException("a record whose data can not be read");
-        }
-        changes.add(new PushChange(removed, key, record));
-      } else {
-        throw new WireParseException("a TTL without a meaning");
+      if (dnsClass == DClass.IN || dnsClass == DClass.ANY) {
+        changes.add(change(key, ttl, data));
       }
     }
     return changes;
   }
+
+  private static PushChange change(Question key, long ttl, byte[] data) throws IOException {
+    if (ttl == REMOVE_SET_TTL) {
+      return new PushChange(true, key, null);
+    }
+    boolean removed = ttl == REMOVE_RECORD_TTL;
+    if (!removed && ttl > MAX_TTL) {
+      throw new WireParseException("a TTL without a meaning");
+    }
+    Record record =
+        Record.newRecord(key.name(), key.type(), DClass.IN, removed ? 0 : ttl, data.length, data);
+    if (record == null) {
+      throw new WireParseException("a record whose data can not be read");
+    }
+    return new PushChange(removed, key, record);
+  }
 }
--- a/src/main/java/dunlinhitch/discovery/dnssd/Names.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Names.java
@@ -8,56 +8,68 @@
 import org.xbill.DNS.TextParseException;
 
 /**
- * Names of RFC 6763: an instance's first label is any UTF-8 text, dots and blanks among it (section
- * 4.3).
+ * Domain names of DNS-SD (RFC 6763): the first label of an instance name is any UTF-8 text, with
+ * dots and spaces (section 4.3).
  */
 public final class Names {
+  /** Labels of a service type, such as {@code _http._tcp}. */
+  private static final int SERVICE_TYPE_LABELS = 2;
+
+  /** The ASCII control character behind the printable ones. */
+  private static final int ASCII_DELETE = 127;
+
   private Names() {}
 
   /**
-   * Reads a name as people write it: {@code \.} and {@code \DDD} are escapes, what is no ASCII is
-   * UTF-8. Absolute.
+   * Parses an absolute name in presentation form: {@code \.} and {@code \DDD} are escapes, other
+   * characters are encoded as UTF-8. Throws an IllegalArgumentException where it is none.
    */
   public static Name parse(String text) {
     StringBuilder ascii = new StringBuilder();
-    for (byte b : text.getBytes(StandardCharsets.UTF_8)) {
+    for (byte octet : text.getBytes(StandardCharsets.UTF_8)) {
+      boolean printable = octet > ' ' && octet < ASCII_DELETE;
       ascii.append(
-          b > ' ' && b < 127
-              ? String.valueOf((char) b)
-              : String.format(Locale.ROOT, "\\%03d", b & 0xff));
+          printable
+              ? String.valueOf((char) octet)
+              : String.format(Locale.ROOT, "\\%03d", octet & 0xff));
     }
     try {
       return Name.fromString(ascii.toString(), Name.root);
-    } catch (TextParseException e) {
-      throw new IllegalArgumentException("no domain name: " + text + ": " + e.getMessage(), e);
+    } catch (TextParseException exception) {
+      throw new IllegalArgumentException(
+          "no domain name: " + text + ": " + exception.getMessage(), exception);
     }
   }
 
-  /** The name of a service type's subtype (RFC 6763 section 7.1). */
+  /** The name to browse for a subtype of a service (RFC 6763 section 7.1). */
   public static Name subtype(String subtype, Name service) {
     return parse((subtype.startsWith("_") ? "" : "_") + subtype + "._sub." + service);
   }
 
-  /** The domain of a service: what is behind its two labels. */
+  /** The domain of a service name: what follows the service type. */
   public static Name domain(Name service) {
-    return service.labels() > 3 ? new Name(service, 2) : service;
+    // The root counts as a label.
+    return service.labels() > SERVICE_TYPE_LABELS + 1
+        ? new Name(service, SERVICE_TYPE_LABELS)
+        : service;
   }
 
-  /** The instance part of a name as a person reads it; what is no UTF-8 stays escaped. */
-  public static String instance(Name name) {
+  /** The instance label of a name as text; it stays escaped where it is not UTF-8. */
+  public static String instanceLabel(Name name) {
     byte[] label = name.getLabel(0);
+    int length = label[0];
     try {
       return StandardCharsets.UTF_8
           .newDecoder()
-          .decode(ByteBuffer.wrap(label, 1, label[0]))
+          .decode(ByteBuffer.wrap(label, 1, length))
           .toString();
-    } catch (CharacterCodingException e) {
+    } catch (CharacterCodingException exception) {
       return name.getLabelString(0);
     }
   }
 
-  /** One spelling for all cases of a name. */
-  static String key(Name name) {
+  /** The same text for all spellings of a name that differ in case only. */
+  static String canonicalText(Name name) {
     return name.canonicalize().toString();
   }
 }
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
@@ -17,242 +17,296 @@
 import java.util.random.RandomGenerator;
 
 /**
- * What a client of DNS Push Notifications says and when (RFC 8765, RFC 8490): when to connect, what
- * to subscribe to, when to give a sign of life, how long to stay away. No I/O and no clock: events
- * in, {@link Action}s out; times are microseconds.
+ * State machine of a client of DNS Push Notifications (RFC 8765) on a DSO session (RFC 8490): when
+ * to connect, what to subscribe to, when to send keepalives and how long to stay disconnected. No
+ * I/O and no clock: events in, {@link Action}s out. Not thread-safe; times are microseconds.
  */
 final class PushSession {
-  /**
-   * Of subscriptions that wait for their response, so that a newcomer's thousands do not go out at
-   * once.
-   */
-  static final int MOST_ASKED = 256;
-
-  private static final long CONNECT_US = 5_000_000;
-  private static final long FIRST_PAUSE_US = 500_000;
-  private static final long LONGEST_PAUSE_US = 60_000_000;
-
-  /**
-   * RFC 8490 section 6.2: the standard, until the server says otherwise, and the least that it may
-   * say.
-   */
-  private static final long KEEPALIVE_US = 15_000_000;
-
-  private static final long LEAST_KEEPALIVE_US = 10_000_000;
-  private static final long MOST_KEEPALIVE_US = 3_600_000_000L;
-
-  /** What the edge is to do. */
+  /** Subscriptions that may await their response, so that a new session does not send a burst. */
+  static final int MAX_PENDING_SUBSCRIPTIONS = 256;
+
+  private static final long CONNECT_TIMEOUT_US = 5_000_000;
+  private static final JitteredBackoff RECONNECT = new JitteredBackoff(500_000, 60_000_000, 0.5, 1);
+
+  /** Keep-alive interval until the server sets one (RFC 8490 section 6.2). */
+  private static final long DEFAULT_KEEPALIVE_US = 15_000_000;
+
+  /** The shortest keep-alive interval that a server may set (RFC 8490 section 6.2). */
+  private static final long MIN_KEEPALIVE_US = 10_000_000;
+
+  private static final long MAX_KEEPALIVE_US = 3_600_000_000L;
+
+  /** The longest retry delay that is obeyed; a longer one is shortened to it. */
+  private static final long MAX_RETRY_DELAY_US = 3_600_000_000L;
+
+  /** Up to this share is added to a retry delay, so that clients do not return together. */
+  private static final int RETRY_DELAY_JITTER_DIVISOR = 10;
+
+  private static final long US_PER_MS = 1000;
+  private static final int NOERROR = 0;
+
+  /** Response code for a request of an unknown type (RFC 8490 section 5.3). */
+  private static final int DSOTYPENI = 11;
+
+  /** Message id of a unidirectional message, to which there is no response. */
+  private static final int UNIDIRECTIONAL = 0;
+
+  private static final int MAX_MESSAGE_ID = 0xffff;
+
+  /** What the owner of the session is to do. */
   sealed interface Action {}
 
-  record Connect(long dueUs) implements Action {}
+  /** Connect, within the time limit. */
+  record Connect(long deadlineUs) implements Action {}
 
+  /** Send a message that is framed already. */
   record Send(Buffer bytes) implements Action {}
 
-  record Close(String why) implements Action {}
+  /** Close the connection. */
+  record Close(String reason) implements Action {}
 
-  /** A set is followed from now on, or no longer. */
-  record Followed(Question key, boolean follows) implements Action {}
+  /** The server has accepted a subscription, or one has ended. */
+  record SubscriptionChanged(Question key, boolean subscribed) implements Action {}
 
-  record Pushed(List<PushChange> changes) implements Action {}
+  /** The server has pushed changes. */
+  record ChangesReceived(List<PushChange> changes) implements Action {}
 
   private enum Phase {
-    AWAY,
+    DISCONNECTED,
     CONNECTING,
     UP
   }
 
   private final RandomGenerator random;
-  private Phase phase = Phase.AWAY;
-  private long dueUs;
-  private long pauseUs = FIRST_PAUSE_US;
-  private long keepAliveUs = KEEPALIVE_US;
-  private long heardUs;
-  private long sentUs;
-  private int lastId;
-  private boolean answered;
+  private Phase phase = Phase.DISCONNECTED;
+  private long reconnectUs;
+
+  /** Failures since the server last accepted a session. */
+  private int failures;
+
+  private long keepaliveIntervalUs = DEFAULT_KEEPALIVE_US;
+  private long lastReceivedUs;
+  private long lastSentUs;
+  private int lastMessageId;
 
-  /** Subscriptions that wait for a response, by message id. */
-  private final Map<Integer, Question> asked = new HashMap<>();
+  /** True once the server has answered the first keep-alive: it speaks DSO. */
+  private boolean established;
 
-  /** Subscriptions that hold, and their ids. */
-  private final Map<Question, Integer> held = new LinkedHashMap<>();
+  /** Subscriptions that await their response, by message id. */
+  private final Map<Integer, Question> pendingSubscriptions = new HashMap<>();
 
-  /** What the server will not have followed. */
-  private final Set<Question> refused = new HashSet<>();
+  /** Accepted subscriptions and the ids of the messages that requested them. */
+  private final Map<Question, Integer> subscriptions = new LinkedHashMap<>();
+
+  /** Subscriptions that the server has rejected in this session. */
+  private final Set<Question> rejectedSubscriptions = new HashSet<>();
 
   PushSession(RandomGenerator random, long nowUs) {
     this.random = random;
-    dueUs = nowUs;
+    reconnectUs = nowUs;
   }
 
-  /** When {@link #passed} is wanted. */
+  /** When to call {@link #onTimer}. */
   long nextUs() {
     return switch (phase) {
-      case AWAY -> dueUs;
+      case DISCONNECTED -> reconnectUs;
       case CONNECTING -> TimingWheel.NEVER;
-      case UP -> Math.min(sentUs + keepAliveUs, heardUs + 2 * keepAliveUs);
+      case UP -> Math.min(keepaliveDueUs(), inactivityTimeoutUs());
     };
   }
 
+  private long keepaliveDueUs() {
+    return lastSentUs + keepaliveIntervalUs;
+  }
+
+  /** When the session counts as dead: after two intervals without a message from the server. */
+  private long inactivityTimeoutUs() {
+    return lastReceivedUs + 2 * keepaliveIntervalUs;
+  }
+
+  /** True while there is a connection. */
   boolean isUp() {
     return phase == Phase.UP;
   }
 
-  List<Action> passed(long now) {
+  /** Time has passed. */
+  List<Action> onTimer(long nowUs) {
     List<Action> actions = new ArrayList<>();
-    if (phase == Phase.AWAY && now >= dueUs) {
+    if (phase == Phase.DISCONNECTED && nowUs >= reconnectUs) {
       phase = Phase.CONNECTING;
-      actions.add(new Connect(now + CONNECT_US));
-    } else if (phase == Phase.UP && now >= heardUs + 2 * keepAliveUs) {
+      actions.add(new Connect(nowUs + CONNECT_TIMEOUT_US));
+    } else if (phase == Phase.UP && nowUs >= inactivityTimeoutUs()) {
       actions.add(new Close("nothing came for twice the keep-alive"));
-      away(now, actions, nextPause());
-    } else if (phase == Phase.UP && now >= sentUs + keepAliveUs) {
-      send(now, actions, nextId(), Dso.keepAlive(KEEPALIVE_US / 1000, keepAliveUs / 1000));
+      disconnect(nowUs, actions, nextBackoffUs());
+    } else if (phase == Phase.UP && nowUs >= keepaliveDueUs()) {
+      sendKeepalive(nowUs, actions);
     }
     return actions;
   }
 
-  List<Action> connected(long now) {
+  /** The connection is established. */
+  List<Action> onConnected(long nowUs) {
     phase = Phase.UP;
-    answered = false;
-    heardUs = now;
-    keepAliveUs = KEEPALIVE_US;
+    established = false;
+    lastReceivedUs = nowUs;
+    keepaliveIntervalUs = DEFAULT_KEEPALIVE_US;
     List<Action> actions = new ArrayList<>();
-    send(now, actions, nextId(), Dso.keepAlive(KEEPALIVE_US / 1000, KEEPALIVE_US / 1000));
+    sendKeepalive(nowUs, actions);
     return actions;
   }
 
-  /** The connection was not made, or has ended. */
-  List<Action> lost(long now) {
+  /** No connection was established, or it has ended. */
+  List<Action> onConnectionLost(long nowUs) {
     List<Action> actions = new ArrayList<>();
-    if (phase != Phase.AWAY) {
-      away(now, actions, nextPause());
+    if (phase != Phase.DISCONNECTED) {
+      disconnect(nowUs, actions, nextBackoffUs());
     }
     return actions;
   }
 
-  /**
-   * What the records want to have followed: it subscribes to what is new and leaves what is not
-   * wanted any more.
-   */
-  List<Action> wanted(long now, Set<Question> wanted) {
+  /** Subscribes to the keys that are new, and unsubscribes from those that are absent. */
+  List<Action> updateSubscriptions(long nowUs, Set<Question> keys) {
     List<Action> actions = new ArrayList<>();
-    if (phase != Phase.UP || !answered) {
+    if (phase != Phase.UP || !established) {
       return actions;
     }
-    for (Question key : wanted) {
-      if (asked.size() >= MOST_ASKED) {
+    for (Question key : keys) {
+      if (pendingSubscriptions.size() >= MAX_PENDING_SUBSCRIPTIONS) {
         break;
       }
-      if (!held.containsKey(key) && !refused.contains(key) && !asked.containsValue(key)) {
-        int id = nextId();
-        asked.put(id, key);
-        send(now, actions, id, Dso.subscribe(key));
+      if (isNew(key)) {
+        int id = nextMessageId();
+        pendingSubscriptions.put(id, key);
+        send(nowUs, actions, id, Dso.subscribe(key));
       }
     }
-    List<Question> over = held.keySet().stream().filter(key -> !wanted.contains(key)).toList();
-    for (Question key : over) { // a message without an id: it wants no response
-      send(now, actions, 0, Dso.unsubscribe(held.remove(key)));
+    List<Question> obsolete =
+        subscriptions.keySet().stream().filter(key -> !keys.contains(key)).toList();
+    for (Question key : obsolete) {
+      send(nowUs, actions, UNIDIRECTIONAL, Dso.unsubscribe(subscriptions.remove(key)));
     }
     return actions;
   }
 
-  /** A whole message came. One that can not be read ends the session (RFC 8490 section 5.2). */
-  List<Action> received(long now, byte[] bytes) {
+  private boolean isNew(Question key) {
+    return !subscriptions.containsKey(key)
+        && !rejectedSubscriptions.contains(key)
+        && !pendingSubscriptions.containsValue(key);
+  }
+
+  /** A complete message came. A malformed one ends the session (RFC 8490 section 5.2). */
+  List<Action> onMessage(long nowUs, byte[] bytes) {
     List<Action> actions = new ArrayList<>();
     if (phase != Phase.UP) {
       return actions;
     }
-    heardUs = now;
+    lastReceivedUs = nowUs;
     try {
       DsoMessage message = Dso.read(bytes);
       if (message.head().response()) {
-        response(message, actions);
+        onResponse(message, actions);
       } else {
-        request(now, message, actions);
+        onRequest(nowUs, message, actions);
       }
-    } catch (IOException | RuntimeException e) {
-      actions.add(new Close("a message that can not be read: " + e.getMessage()));
-      away(now, actions, nextPause());
+    } catch (IOException | RuntimeException exception) {
+      // dnsjava throws unchecked exceptions too where the data of a record is malformed.
+      actions.add(new Close("a message that can not be read: " + exception.getMessage()));
+      disconnect(nowUs, actions, nextBackoffUs());
     }
     return actions;
   }
 
-  private void response(DsoMessage message, List<Action> actions) throws IOException {
-    Question key = asked.remove(message.head().id());
+  private void onResponse(DsoMessage message, List<Action> actions) throws IOException {
+    int rcode = message.head().rcode();
+    Question key = pendingSubscriptions.remove(message.head().id());
     if (key != null) {
-      if (message.head().rcode() == 0) {
-        held.put(key, message.head().id());
-        actions.add(new Followed(key, true));
-      } else {
-        refused.add(key);
-      }
-    } else if (message.head().rcode()
-        == 0) { // the keep-alive that began the session, or a later one
-      answered = true;
-      pauseUs = FIRST_PAUSE_US;
-      for (Tlv tlv : message.tlvs()) {
-        if (tlv.type() == Dso.KEEPALIVE) {
-          takeKeepAlive(tlv);
-        }
-      }
+      onSubscribeResponse(key, message.head(), actions);
+      return;
+    }
+    if (rcode != NOERROR) {
+      throw new IOException("the server speaks no stateful operations: response code " + rcode);
+    }
+    onKeepaliveResponse(message);
+  }
+
+  private void onSubscribeResponse(Question key, Head head, List<Action> actions) {
+    if (head.rcode() == NOERROR) {
+      subscriptions.put(key, head.id());
+      actions.add(new SubscriptionChanged(key, true));
     } else {
-      throw new IOException(
-          "the server speaks no stateful operations: response code " + message.head().rcode());
+      rejectedSubscriptions.add(key);
+    }
+  }
+
+  private void onKeepaliveResponse(DsoMessage message) throws IOException {
+    established = true;
+    failures = 0;
+    for (Tlv tlv : message.tlvs()) {
+      if (tlv.type() == Dso.KEEPALIVE) {
+        applyKeepalive(tlv);
+      }
     }
   }
 
-  private void takeKeepAlive(Tlv tlv) throws IOException {
-    long us = Dso.numbers(tlv, 2)[1] * 1000;
-    if (us < LEAST_KEEPALIVE_US) {
+  private void applyKeepalive(Tlv tlv) throws IOException {
+    long intervalUs = Dso.readKeepaliveIntervalMs(tlv) * US_PER_MS;
+    if (intervalUs < MIN_KEEPALIVE_US) {
       throw new IOException("a keep-alive interval below 10 s");
     }
-    keepAliveUs = Math.min(us, MOST_KEEPALIVE_US);
+    keepaliveIntervalUs = Math.min(intervalUs, MAX_KEEPALIVE_US);
   }
 
-  private void request(long now, DsoMessage message, List<Action> actions) throws IOException {
+  private void onRequest(long nowUs, DsoMessage message, List<Action> actions) throws IOException {
     if (message.tlvs().isEmpty()) {
       throw new IOException("a request about nothing");
     }
-    Tlv first = message.tlvs().get(0);
-    switch (first.type()) {
-      case Dso.PUSH -> actions.add(new Pushed(Dso.pushed(first)));
-      case Dso.KEEPALIVE -> takeKeepAlive(first);
-      case Dso.RETRY_DELAY -> {
-        long delayUs = Math.min(LONGEST_PAUSE_US * 60, Dso.numbers(first, 1)[0] * 1000);
-        actions.add(new Close("the server asked to stay away"));
-        away(now, actions, delayUs + (long) (delayUs * random.nextDouble() / 10));
-      }
-      default -> {
-        if (message.head().id() != 0) { // DSOTYPENI (RFC 8490 section 5.3)
-          actions.add(new Send(Dso.write(new Head(message.head().id(), true, 11))));
-        }
-      }
+    Tlv primary = message.tlvs().get(0);
+    switch (primary.type()) {
+      case Dso.PUSH -> actions.add(new ChangesReceived(Dso.readPush(primary)));
+      case Dso.KEEPALIVE -> applyKeepalive(primary);
+      case Dso.RETRY_DELAY -> onRetryDelay(nowUs, primary, actions);
+      default -> rejectUnknownType(message.head(), actions);
+    }
+  }
+
+  private void onRetryDelay(long nowUs, Tlv tlv, List<Action> actions) throws IOException {
+    long delayUs = Math.min(MAX_RETRY_DELAY_US, Dso.readRetryDelayMs(tlv) * US_PER_MS);
+    actions.add(new Close("the server asked to stay away"));
+    long jitterUs = (long) (delayUs * random.nextDouble() / RETRY_DELAY_JITTER_DIVISOR);
+    disconnect(nowUs, actions, delayUs + jitterUs);
+  }
+
+  private static void rejectUnknownType(Head request, List<Action> actions) {
+    if (request.id() != UNIDIRECTIONAL) {
+      actions.add(new Send(Dso.write(new Head(request.id(), true, DSOTYPENI))));
     }
   }
 
-  private long nextPause() {
-    long pause = pauseUs;
-    pauseUs = Math.min(LONGEST_PAUSE_US, 2 * pauseUs);
-    return (long) (pause * (0.5 + random.nextDouble()));
+  private long nextBackoffUs() {
+    return RECONNECT.delayUs(failures++, random);
+  }
+
+  private void disconnect(long nowUs, List<Action> actions, long delayUs) {
+    phase = Phase.DISCONNECTED;
+    reconnectUs = nowUs + delayUs;
+    subscriptions.keySet().forEach(key -> actions.add(new SubscriptionChanged(key, false)));
+    subscriptions.clear();
+    pendingSubscriptions.clear();
+    rejectedSubscriptions.clear();
   }
 
-  private void away(long now, List<Action> actions, long pause) {
-    phase = Phase.AWAY;
-    dueUs = now + pause;
-    held.keySet().forEach(key -> actions.add(new Followed(key, false)));
-    held.clear();
-    asked.clear();
-    refused.clear();
+  private int nextMessageId() {
+    lastMessageId = lastMessageId % MAX_MESSAGE_ID + 1;
+    return lastMessageId;
   }
 
-  private int nextId() {
-    lastId = lastId % 0xffff + 1;
-    return lastId;
+  private void sendKeepalive(long nowUs, List<Action> actions) {
+    Tlv tlv = Dso.keepAlive(DEFAULT_KEEPALIVE_US / US_PER_MS, keepaliveIntervalUs / US_PER_MS);
+    send(nowUs, actions, nextMessageId(), tlv);
   }
 
-  private void send(long now, List<Action> actions, int id, Tlv tlv) {
-    sentUs = now;
-    actions.add(new Send(Dso.write(new Head(id, false, 0), tlv)));
+  private void send(long nowUs, List<Action> actions, int id, Tlv tlv) {
+    lastSentUs = nowUs;
+    actions.add(new Send(Dso.write(new Head(id, false, NOERROR), tlv)));
   }
 }
--- a/src/main/java/dunlinhitch/discovery/dnssd/Question.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Question.java
@@ -5,8 +5,14 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Type;
 
-/** A name and a type of record, of class IN. */
+/**
+ * A DNS question of class IN, which is also the key of a record set.
+ *
+ * @param name owner name of the records
+ * @param type type of the records, as in {@link Type}
+ */
 public record Question(Name name, int type) {
+  /** The question as dnsjava takes it: a record without data. */
   Record record() {
     return Record.newRecord(name, type, DClass.IN);
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordRegistrar.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordRegistrar.java
@@ -2,6 +2,7 @@
 
 import dunlinhitch.core.MicroClock;
 import dunlinhitch.endpoints.TimingWheel;
+import io.vertx.core.AsyncResult;
 import io.vertx.core.Future;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
@@ -13,20 +14,38 @@
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
 import java.util.random.RandomGenerator;
+import org.xbill.DNS.Message;
 import org.xbill.DNS.Name;
 import org.xbill.DNS.Rcode;
 import org.xbill.DNS.TSIG;
 
 /**
- * Announces the broker itself to clients that look for it, by signed updates of a zone. On the
- * event loop.
+ * Registers the broker itself in a zone, for clients that discover it by DNS-SD, by signed dynamic
+ * updates. All methods are called on the event loop.
  */
 public final class RecordRegistrar {
-  private static final long ANSWER_US = 2_000_000;
+  private static final long UPDATE_TIMEOUT_US = 2_000_000;
+  private static final long US_PER_SECOND = 1_000_000;
+  private static final long NO_TIMER = -1;
+
+  /** Name, algorithm and secret. */
+  private static final int KEY_FILE_FIELDS = 3;
 
   /**
-   * {@code key} null: updates are not signed. {@code host} and {@code port} are where clients reach
-   * the broker.
+   * Settings of the registration.
+   *
+   * @param server address of the DNS server
+   * @param serverPort port of the DNS server
+   * @param zone zone that is updated
+   * @param service name of the service type that the broker is an instance of
+   * @param instance label of the instance
+   * @param target host label of the broker, below the zone
+   * @param host IP address at which clients reach the broker
+   * @param port port at which clients reach the broker
+   * @param txt strings of the TXT record
+   * @param ttlUs TTL of the records in microseconds
+   * @param leaseUs requested lease in microseconds
+   * @param key key that signs the updates, or null
    */
   public record Settings(
       String server,
@@ -47,122 +66,120 @@
   private final LongSupplier clock;
   private final Consumer<String> log;
   private final Resolver resolver;
-  private final RegistrationStateMachine plan;
-  private final Promise<Void> left = Promise.promise();
-  private long timer = -1;
+  private final RegistrationStateMachine registration;
+  private final Promise<Void> withdrawn = Promise.promise();
+  private long timerId = NO_TIMER;
   private boolean closed;
 
+  /** Nothing is registered before {@link #ready}. */
   public RecordRegistrar(Vertx vertx, Settings settings, LongSupplier clock, Consumer<String> log) {
     this.vertx = vertx;
     this.settings = settings;
     this.clock = clock;
     this.log = log;
-    SecureRandom random = new SecureRandom();
+    SecureRandom messageIds = new SecureRandom();
     resolver =
-        new Resolver(vertx, settings.server(), settings.serverPort(), clock, random::nextInt);
-    Name instance =
-        Names.parse(
-            settings.instance().replace("\\", "\\\\").replace(".", "\\.")
-                + "."
-                + settings.service());
-    Name target = Names.parse(settings.target() + "." + settings.zone());
-    plan =
+        new Resolver(vertx, settings.server(), settings.serverPort(), clock, messageIds::nextInt);
+    registration =
         new RegistrationStateMachine(
-            new RegistrationStateMachine.Content(
-                settings.zone(),
-                settings.service(),
-                instance,
-                target,
-                settings.host(),
-                settings.port(),
-                settings.txt(),
-                settings.ttlUs() / 1_000_000,
-                settings.leaseUs() / 1_000_000),
-            RandomGenerator.of("L64X128MixRandom"));
+            registrationOf(settings), RandomGenerator.of("L64X128MixRandom"));
+  }
+
+  private static ServiceRegistration registrationOf(Settings settings) {
+    String instanceLabel = settings.instance().replace("\\", "\\\\").replace(".", "\\.");
+    return new ServiceRegistration(
+        new ServiceRegistration.OwnerNames(
+            settings.zone(),
+            settings.service(),
+            Names.parse(instanceLabel + "." + settings.service()),
+            Names.parse(settings.target() + "." + settings.zone())),
+        settings.host(),
+        settings.port(),
+        settings.txt(),
+        settings.ttlUs() / US_PER_SECOND,
+        settings.leaseUs() / US_PER_SECOND);
   }
 
   /**
-   * A key file: one line of name, algorithm (such as hmac-sha256) and secret in Base64; only its
-   * owner may read it.
+   * Reads a key file: one line with name, algorithm (such as hmac-sha256) and Base64 secret,
+   * separated by white space.
    */
   public static TSIG key(Path file) throws IOException {
-    String[] words = Files.readString(file).trim().split("\\s+");
-    if (words.length != 3) {
+    String[] fields = Files.readString(file).trim().split("\\s+", -1);
+    if (fields.length != KEY_FILE_FIELDS) {
       throw new IOException(file + " does not hold NAME ALGORITHM SECRET");
     }
     try {
-      return new TSIG(TSIG.algorithmToName(words[1]), words[0], words[2]);
-    } catch (IllegalArgumentException e) {
-      throw new IOException(file + ": " + e.getMessage(), e);
+      return new TSIG(TSIG.algorithmToName(fields[1]), fields[0], fields[2]);
+    } catch (IllegalArgumentException exception) {
+      throw new IOException(file + ": " + exception.getMessage(), exception);
     }
   }
 
+  /** The broker serves: registers it, and refreshes the registration from then on. */
   public void ready() {
-    plan.ready(clock.getAsLong());
-    pump();
+    registration.onReady(clock.getAsLong());
+    advance();
   }
 
-  /** Withdraws at once; over when the server said yes. It is tried until {@link #close}. */
+  /**
+   * Withdraws the registration at once, with retries until {@link #close}. The future succeeds when
+   * the server has accepted it, and on close.
+   */
   public Future<Void> withdraw() {
-    plan.ending(clock.getAsLong());
-    pump();
-    return left.future();
-  }
-
-  public boolean isHeld() {
-    return plan.isHeld();
+    registration.onShutdown(clock.getAsLong());
+    advance();
+    return withdrawn.future();
   }
 
+  /** Ends all updates; what is registered then stays until its lease ends. */
   public void close() {
     closed = true;
     resolver.close();
-    if (timer >= 0) {
-      vertx.cancelTimer(timer);
+    if (timerId != NO_TIMER) {
+      vertx.cancelTimer(timerId);
     }
-    left.tryComplete();
+    withdrawn.tryComplete();
   }
 
-  private void pump() {
+  /** Sends the update that is due and sets the timer for the next one. */
+  private void advance() {
     if (closed) {
       return;
     }
-    if (timer >= 0) {
-      vertx.cancelTimer(timer);
-      timer = -1;
+    if (timerId != NO_TIMER) {
+      vertx.cancelTimer(timerId);
+      timerId = NO_TIMER;
     }
-    long now = clock.getAsLong();
-    RegistrationStateMachine.Step step = plan.due(now);
-    if (step != null) {
-      boolean withdrawal = step.withdrawal();
+    long nowUs = clock.getAsLong();
+    RegistrationStateMachine.PendingUpdate pending = registration.startUpdate(nowUs);
+    if (pending != null) {
       resolver
-          .update(step.update(), settings.key(), now + ANSWER_US)
-          .onComplete(
-              done -> {
-                boolean took = done.succeeded() && done.result().getRcode() == Rcode.NOERROR;
-                if (took) {
-                  plan.done(clock.getAsLong(), done.result(), withdrawal);
-                } else {
-                  plan.failed(clock.getAsLong(), withdrawal);
-                  log.accept(
-                      "announcement "
-                          + (withdrawal ? "not withdrawn: " : "not taken: ")
-                          + (done.failed()
-                              ? done.cause().getMessage()
-                              : Rcode.string(done.result().getRcode())));
-                }
-                pump();
-              });
+          .update(pending.update(), settings.key(), nowUs + UPDATE_TIMEOUT_US)
+          .onComplete(result -> onUpdateResult(result, pending.withdrawal()));
+    }
+    if (registration.isWithdrawn()) {
+      withdrawn.tryComplete();
+    } else if (registration.nextUs() != TimingWheel.NEVER) {
+      long delayMs = MicroClock.timerMs(clock.getAsLong(), registration.nextUs());
+      timerId = vertx.setTimer(delayMs, id -> onTimer());
     }
-    if (plan.isLeft()) {
-      left.tryComplete();
-    } else if (plan.nextUs() != TimingWheel.NEVER) {
-      timer =
-          vertx.setTimer(
-              MicroClock.timerMs(clock.getAsLong(), plan.nextUs()),
-              t -> {
-                timer = -1;
-                pump();
-              });
+  }
+
+  private void onTimer() {
+    timerId = NO_TIMER;
+    advance();
+  }
+
+  private void onUpdateResult(AsyncResult<Message> result, boolean withdrawal) {
+    if (result.succeeded() && result.result().getRcode() == Rcode.NOERROR) {
+      registration.onAccepted(result.result(), withdrawal);
+    } else {
+      registration.onFailed(clock.getAsLong(), withdrawal);
+      String reason =
+          result.failed() ? result.cause().getMessage() : Rcode.string(result.result().getRcode());
+      log.accept("announcement " + (withdrawal ? "not withdrawn: " : "not taken: ") + reason);
     }
+    advance();
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordSet.java
@@ -0,0 +1,46 @@
+package dunlinhitch.discovery.dnssd;
+
+import dunlinhitch.endpoints.TimingWheel;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Set;
+import org.xbill.DNS.Record;
+
+/**
+ * All records of one name and type, with their lifetime and the state of the query for them. Owned
+ * and modified by {@link RecordCache} only.
+ */
+final class RecordSet {
+  final Question key;
+  List<Record> records = List.of();
+
+  /** True once an answer, possibly a negative one, has been received. */
+  boolean answered;
+
+  /** True while a query is in flight. */
+  boolean querying;
+
+  /** Failed queries since the last usable answer. */
+  int failures;
+
+  long ttlUs;
+  long expiresUs;
+
+  /** True while a push session is subscribed to the set: it then neither expires nor refreshes. */
+  boolean subscribed;
+
+  /** Next refresh or retry. */
+  TimingWheel.Handle<RecordSet> timer;
+
+  /** Instances whose claims depend on the set; a set without any is evicted, except a PTR set. */
+  final Set<ServiceInstance> dependents = new LinkedHashSet<>();
+
+  RecordSet(Question key) {
+    this.key = key;
+  }
+
+  /** True where the answer was that there is no such record. */
+  boolean isNegative() {
+    return answered && records.isEmpty();
+  }
+}
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordsProbe.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordsProbe.java
@@ -2,6 +2,7 @@
 
 import dunlinhitch.discovery.EndpointListReader;
 import dunlinhitch.endpoints.EndpointClaim;
+import java.io.IOException;
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -15,97 +16,109 @@
 import org.xbill.DNS.Type;
 
 /**
- * Records without sockets, for measurements: every question is answered at once, from a table, by a
- * server that pushes.
+ * Drives {@link Records} without sockets, for measurements: a table takes the place of the server,
+ * which responds at once and pushes changes.
  */
 public final class RecordsProbe {
   private static final Name SERVICE = Names.parse("_calendar._tcp.rooms.example.org.");
+  private static final Question POINTERS = new Question(SERVICE, Type.PTR);
+  private static final Records.Bounds BOUNDS = new Records.Bounds(50_000, 1_000);
+
+  /** Arbitrary time at which a refresh is measured. */
+  private static final long REFRESH_US = 1_000_000;
+
   private final Records records;
-  private final Map<Question, List<Record>> table = new LinkedHashMap<>();
+  private final Map<Question, List<Record>> zone = new LinkedHashMap<>();
   private final List<Record> pointers = new ArrayList<>();
-  private long bytes;
+  private long responseBytes;
 
+  /** The seed decides the jitter of the refreshes. */
   public RecordsProbe(EndpointListReader reader, long seed) {
     records =
         new Records(
-            List.of(SERVICE),
-            new TxtReader(reader),
-            new Records.Bounds(50_000, 1_000),
-            new SplittableRandom(seed),
-            0);
+            List.of(SERVICE), new TxtRecordParser(reader), BOUNDS, new SplittableRandom(seed), 0);
   }
 
   /**
-   * The records of these stores come in, and are followed from then on; the claims that they make.
+   * Discovers the endpoints that these records describe and subscribes to their records; returns
+   * the claims in the order in which they were made.
    */
-  public List<EndpointClaim> fill(long now, List<List<Record>> stores) throws Exception {
-    stores.forEach(
-        store ->
-            store.forEach(
-                record -> {
-                  if (record.getType() == Type.PTR) {
-                    pointers.add(record);
-                  } else {
-                    List<Record> set =
-                        table.computeIfAbsent(
-                            new Question(record.getName(), record.getType()),
-                            k -> new ArrayList<>());
-                    if (!set.contains(record)) {
-                      set.add(record);
-                    }
-                  }
-                }));
+  public List<EndpointClaim> fill(long nowUs, List<List<Record>> endpointRecords) throws Exception {
+    endpointRecords.forEach(described -> described.forEach(this::addToZone));
     List<EndpointClaim> claims = new ArrayList<>();
-    // an answer over TCP holds some two thousand pointers: the first comes as an answer, the rest
-    // as pushes do
-    answer(now, claims);
-    pointers.forEach(pointer -> records.added(now, pointer));
-    for (boolean more = true; more; ) {
-      int before = claims.size();
-      answer(now, claims);
-      more = claims.size() > before;
-    }
-    List.copyOf(records.wanted()).forEach(key -> records.followed(now, key, true));
-    records.news(now);
+    // A response over TCP holds some two thousand pointers: the first comes in a response, the
+    // others are pushed.
+    respondToAll(nowUs, claims);
+    pointers.forEach(pointer -> records.onRecordAdded(nowUs, pointer));
+    int claimsBefore;
+    do {
+      claimsBefore = claims.size();
+      respondToAll(nowUs, claims);
+    } while (claims.size() > claimsBefore);
+    List.copyOf(records.subscriptionKeys())
+        .forEach(key -> records.onSubscriptionChanged(nowUs, key, true));
+    records.drainClaims(nowUs);
     return claims;
   }
 
-  private void answer(long now, List<EndpointClaim> claims) throws Exception {
-    for (List<Question> due = records.due(now); !due.isEmpty(); due = records.due(now)) {
-      for (Question question : due) {
-        Message query = Message.newQuery(question.record());
-        query.getHeader().setFlag(Flags.QR);
-        query.getHeader().setFlag(Flags.AA);
-        List<Record> set =
-            question.type() == Type.PTR
-                ? pointers.subList(0, Math.min(1, pointers.size()))
-                : table.getOrDefault(question, List.of());
-        set.forEach(record -> query.addRecord(record, Section.ANSWER));
-        byte[] wire = query.toWire(65_535);
-        bytes += wire.length;
-        records.answered(now, question, new Message(wire));
+  private void addToZone(Record record) {
+    if (record.getType() == Type.PTR) {
+      pointers.add(record);
+      return;
+    }
+    Question key = new Question(record.getName(), record.getType());
+    List<Record> set = zone.computeIfAbsent(key, absent -> new ArrayList<>());
+    if (!set.contains(record)) {
+      set.add(record);
+    }
+  }
+
+  private void respondToAll(long nowUs, List<EndpointClaim> claims) throws IOException {
+    List<Question> queries = records.startQueries(nowUs);
+    while (!queries.isEmpty()) {
+      for (Question question : queries) {
+        respond(nowUs, question);
       }
-      claims.addAll(records.news(now).claims());
+      claims.addAll(records.drainClaims(nowUs).claims());
+      queries = records.startQueries(nowUs);
     }
   }
 
-  /** The pointer of that store is pushed away, or back; what follows for the roster. */
-  public List<EndpointClaim> flip(long now, int store, boolean back) throws Exception {
-    Record pointer = pointers.get(store);
+  private void respond(long nowUs, Question question) throws IOException {
+    Message response = Message.newQuery(question.record());
+    response.getHeader().setFlag(Flags.QR);
+    response.getHeader().setFlag(Flags.AA);
+    List<Record> answer =
+        question.type() == Type.PTR
+            ? pointers.subList(0, Math.min(1, pointers.size()))
+            : zone.getOrDefault(question, List.of());
+    answer.forEach(record -> response.addRecord(record, Section.ANSWER));
+    byte[] wire = response.toWire(DnsTcpFraming.MAX_MESSAGE_BYTES);
+    responseBytes += wire.length;
+    records.onResponse(nowUs, question, new Message(wire));
+  }
+
+  /**
+   * Pushes the removal of the pointer to one endpoint, or its addition ({@code back}); returns the
+   * claims that follow.
+   */
+  public List<EndpointClaim> flip(long nowUs, int index, boolean back) throws Exception {
+    Record pointer = pointers.get(index);
     if (back) {
-      records.added(now, pointer);
+      records.onRecordAdded(nowUs, pointer);
     } else {
-      records.removed(now, new Question(SERVICE, Type.PTR), pointer);
+      records.onRecordRemoved(nowUs, POINTERS, pointer);
     }
-    List<EndpointClaim> claims = new ArrayList<>(records.news(now).claims());
-    answer(now, claims);
+    List<EndpointClaim> claims = new ArrayList<>(records.drainClaims(nowUs).claims());
+    respondToAll(nowUs, claims);
     return claims;
   }
 
-  /** Everything is asked for and answered once more; the bytes of the answers. */
-  public static long refresh(List<List<Record>> stores, long seed) throws Exception {
-    RecordsProbe probe = new RecordsProbe(new EndpointListReader(List.of("a"), e -> {}), seed);
-    probe.fill(1_000_000, stores);
-    return probe.bytes;
+  /** Queries all records of these endpoints once; returns the bytes of the responses. */
+  public static long refresh(List<List<Record>> endpointRecords, long seed) throws Exception {
+    EndpointListReader reader = new EndpointListReader(List.of("a"), event -> {});
+    RecordsProbe measured = new RecordsProbe(reader, seed);
+    measured.fill(REFRESH_US, endpointRecords);
+    return measured.responseBytes;
   }
 }
--- a/src/main/java/dunlinhitch/discovery/dnssd/RegistrationStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RegistrationStateMachine.java
@@ -1,195 +1,117 @@
 package dunlinhitch.discovery.dnssd;
 
 import dunlinhitch.endpoints.TimingWheel;
-import java.net.InetAddress;
-import java.net.UnknownHostException;
-import java.util.List;
 import java.util.random.RandomGenerator;
-import org.xbill.DNS.AAAARecord;
-import org.xbill.DNS.ARecord;
-import org.xbill.DNS.DClass;
-import org.xbill.DNS.DNSInput;
-import org.xbill.DNS.EDNSOption;
-import org.xbill.DNS.GenericEDNSOption;
 import org.xbill.DNS.Message;
-import org.xbill.DNS.Name;
-import org.xbill.DNS.OPTRecord;
-import org.xbill.DNS.PTRRecord;
-import org.xbill.DNS.SRVRecord;
-import org.xbill.DNS.Section;
-import org.xbill.DNS.TXTRecord;
-import org.xbill.DNS.Type;
 import org.xbill.DNS.Update;
 
 /**
- * When the broker's own records are registered, refreshed and withdrawn, and by which update (RFC
- * 2136, with the lease of RFC 9664). No I/O and no clock; times are microseconds.
+ * State machine of the broker's registration: when its records are registered, refreshed and
+ * withdrawn. One update is in flight at a time, except that a withdrawal does not wait. No I/O and
+ * no clock; not thread-safe; times are microseconds.
  */
 final class RegistrationStateMachine {
-  private static final int LEASE_OPTION = 2;
-  private static final double REFRESH_AT = 0.8;
-  private static final long FIRST_PAUSE_US = 500_000;
-  private static final long LONGEST_PAUSE_US = 60_000_000;
-  private static final long LEAST_LEASE_S = 5;
-
-  /** What is announced; {@code host} is an IP address, {@code target} the name that gets it. */
-  record Content(
-      Name zone,
-      Name service,
-      Name instance,
-      Name target,
-      String host,
-      int port,
-      List<String> txt,
-      long ttlS,
-      long leaseS) {}
-
-  /** An update that is due, and whether it takes the records back. */
-  record Step(Update update, boolean withdrawal) {}
+  /** Share of the lease after which the registration is refreshed. */
+  private static final double REFRESH_FRACTION = 0.8;
+
+  /** A refresh is earlier by up to this share, so that brokers do not refresh together. */
+  private static final int REFRESH_JITTER_DIVISOR = 10;
+
+  private static final JitteredBackoff RETRY = new JitteredBackoff(500_000, 60_000_000, 0.75, 0.5);
+  private static final long US_PER_SECOND = 1_000_000;
+
+  /** An update to send, and whether it withdraws the records. */
+  record PendingUpdate(Update update, boolean withdrawal) {}
 
   private enum Phase {
-    OFF,
-    WANTED,
-    ASKED,
-    HELD,
-    LEAVING,
-    LEFT
+    /** The broker does not serve yet. */
+    IDLE,
+    /** The first registration is due. */
+    PENDING,
+    /** A registration or refresh is in flight or awaits its retry. */
+    REGISTERING,
+    REGISTERED,
+    /** The withdrawal is in flight or awaits its retry. */
+    WITHDRAWING,
+    WITHDRAWN
   }
 
-  private final Content content;
+  private final RegistrationUpdates updates;
   private final RandomGenerator random;
-  private Phase phase = Phase.OFF;
+  private Phase phase = Phase.IDLE;
   private long dueUs = TimingWheel.NEVER;
-  private long pauseUs = FIRST_PAUSE_US;
-  private long askedUs;
+  private int failures;
 
-  RegistrationStateMachine(Content content, RandomGenerator random) {
-    this.content = content;
+  /** When the registration in flight was sent: its lease counts from then. */
+  private long sentUs;
+
+  RegistrationStateMachine(ServiceRegistration registration, RandomGenerator random) {
+    updates = new RegistrationUpdates(registration);
     this.random = random;
   }
 
-  /** The broker serves: it is to be found from now on. */
-  void ready(long now) {
-    if (phase == Phase.OFF) {
-      phase = Phase.WANTED;
-      dueUs = now;
+  /** The broker serves: its records are to be registered. */
+  void onReady(long nowUs) {
+    if (phase == Phase.IDLE) {
+      phase = Phase.PENDING;
+      dueUs = nowUs;
     }
   }
 
-  /** The broker is to end: its records go first. What is under way is overtaken. */
-  void ending(long now) {
-    boolean told = phase != Phase.OFF && phase != Phase.LEFT;
-    phase = told ? Phase.LEAVING : Phase.LEFT;
-    pauseUs = FIRST_PAUSE_US;
-    dueUs = told ? now : TimingWheel.NEVER;
+  /** The broker is shutting down: its records are withdrawn, whatever update is in flight. */
+  void onShutdown(long nowUs) {
+    boolean mayBeRegistered = phase != Phase.IDLE && phase != Phase.WITHDRAWN;
+    phase = mayBeRegistered ? Phase.WITHDRAWING : Phase.WITHDRAWN;
+    failures = 0;
+    dueUs = mayBeRegistered ? nowUs : TimingWheel.NEVER;
   }
 
+  /** When to call {@link #startUpdate}. */
   long nextUs() {
     return dueUs;
   }
 
-  boolean isHeld() {
-    return phase == Phase.HELD;
+  /** True while the server has the records and no refresh is in flight. */
+  boolean isRegistered() {
+    return phase == Phase.REGISTERED;
   }
 
-  boolean isLeft() {
-    return phase == Phase.LEFT;
+  /** True once the server has withdrawn the records, or where they were never registered. */
+  boolean isWithdrawn() {
+    return phase == Phase.WITHDRAWN;
   }
 
-  /** The update that is due now, or null. It is owed one {@link #done} or {@link #failed}. */
-  Step due(long now) {
-    if (now < dueUs) {
+  /** The update to send now, or null; it ends with one {@link #onAccepted} or {@link #onFailed}. */
+  PendingUpdate startUpdate(long nowUs) {
+    if (nowUs < dueUs) {
       return null;
     }
     dueUs = TimingWheel.NEVER;
-    if (phase == Phase.LEAVING) {
-      return new Step(withdrawal(), true);
+    if (phase == Phase.WITHDRAWING) {
+      return new PendingUpdate(updates.withdraw(), true);
     }
-    phase = Phase.ASKED;
-    askedUs = now;
-    return new Step(registration(), false);
+    phase = Phase.REGISTERING;
+    sentUs = nowUs;
+    return new PendingUpdate(updates.register(), false);
   }
 
-  /** The server took it, for so long. */
-  void done(long now, Message answer, boolean withdrawal) {
-    pauseUs = FIRST_PAUSE_US;
+  /** The server has accepted an update; a refresh is due before the granted lease ends. */
+  void onAccepted(Message response, boolean withdrawal) {
+    failures = 0;
     if (withdrawal) {
-      phase = Phase.LEFT;
-    } else if (phase == Phase.ASKED) {
-      phase = Phase.HELD;
-      dueUs =
-          askedUs
-              + (long) (lease(answer) * 1_000_000 * REFRESH_AT * (1 - random.nextDouble() / 10));
-    }
-  }
-
-  void failed(long now, boolean withdrawal) {
-    if (phase == (withdrawal ? Phase.LEAVING : Phase.ASKED)) {
-      dueUs = now + (long) (pauseUs * (0.75 + random.nextDouble() / 2));
-      pauseUs = Math.min(LONGEST_PAUSE_US, 2 * pauseUs);
-    }
-  }
-
-  private long lease(Message answer) {
-    OPTRecord opt = answer.getOPT();
-    if (opt != null) {
-      for (EDNSOption option : opt.getOptions(LEASE_OPTION)) {
-        try {
-          byte[] wire = option.toWire();
-          DNSInput in = new DNSInput(wire);
-          in.readU16();
-          in.readU16();
-          return Math.max(LEAST_LEASE_S, in.readU32());
-        } catch (org.xbill.DNS.WireParseException e) {
-          return content.leaseS(); // an option that is cut off grants what was asked for
-        }
-      }
+      phase = Phase.WITHDRAWN;
+    } else if (phase == Phase.REGISTERING) {
+      phase = Phase.REGISTERED;
+      long leaseUs = updates.grantedLeaseS(response) * US_PER_SECOND;
+      double jitter = 1 - random.nextDouble() / REFRESH_JITTER_DIVISOR;
+      dueUs = sentUs + (long) (leaseUs * REFRESH_FRACTION * jitter);
     }
-    return content.leaseS();
   }
 
-  private Update registration() {
-    Update update = new Update(content.zone());
-    update.delete(content.instance(), Type.SRV);
-    update.delete(content.instance(), Type.TXT);
-    update.add(new PTRRecord(content.service(), DClass.IN, content.ttlS(), content.instance()));
-    update.add(
-        new SRVRecord(
-            content.instance(), DClass.IN, content.ttlS(), 0, 0, content.port(), content.target()));
-    update.add(
-        new TXTRecord(
-            content.instance(),
-            DClass.IN,
-            content.ttlS(),
-            content.txt().isEmpty() ? List.of("") : content.txt()));
-    try {
-      InetAddress address = InetAddress.getByName(content.host());
-      update.delete(content.target(), address.getAddress().length == 4 ? Type.A : Type.AAAA);
-      update.add(
-          address.getAddress().length == 4
-              ? new ARecord(content.target(), DClass.IN, content.ttlS(), address)
-              : new AAAARecord(content.target(), DClass.IN, content.ttlS(), address));
-    } catch (UnknownHostException e) {
-      throw new IllegalArgumentException("no IP address: " + content.host(), e);
+  /** The server has rejected an update, or did not respond: it is retried with backoff. */
+  void onFailed(long nowUs, boolean withdrawal) {
+    if (phase == (withdrawal ? Phase.WITHDRAWING : Phase.REGISTERING)) {
+      dueUs = nowUs + RETRY.delayUs(failures++, random);
     }
-    byte[] seconds = {
-      (byte) (content.leaseS() >> 24),
-      (byte) (content.leaseS() >> 16),
-      (byte) (content.leaseS() >> 8),
-      (byte) content.leaseS()
-    };
-    update.addRecord(
-        new OPTRecord(
-            Resolver.PAYLOAD, 0, 0, 0, List.of(new GenericEDNSOption(LEASE_OPTION, seconds))),
-        Section.ADDITIONAL);
-    return update;
-  }
-
-  private Update withdrawal() {
-    Update update = new Update(content.zone());
-    update.delete(new PTRRecord(content.service(), DClass.IN, 0, content.instance()));
-    update.delete(content.instance());
-    update.delete(content.target());
-    return update;
   }
 }
--- a/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
@@ -2,13 +2,16 @@
 
 import dunlinhitch.core.MicroClock;
 import io.vertx.core.Future;
+import io.vertx.core.Handler;
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
+import io.vertx.core.datagram.DatagramPacket;
 import io.vertx.core.datagram.DatagramSocket;
 import io.vertx.core.net.ConnectOptions;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetClientOptions;
+import io.vertx.core.net.NetSocket;
 import java.io.IOException;
 import java.util.function.IntSupplier;
 import java.util.function.LongSupplier;
@@ -23,192 +26,258 @@
 import org.xbill.DNS.TSIGRecord;
 
 /**
- * Asks one server (RFC 1035): over UDP with EDNS0 (RFC 6891), each question from a port of its own
- * and with an id of its own (RFC 5452), and over TCP (RFC 7766) where the answer was truncated.
- * What does not belong to the question is passed over and counted; the wait goes on. On the event
- * loop.
+ * Sends queries and updates to one server (RFC 1035): queries over UDP with EDNS(0) (RFC 6891),
+ * each from its own port and with its own id (RFC 5452), and over TCP (RFC 7766) where the response
+ * was truncated; updates over TCP. Packets that do not match the query are counted and ignored. On
+ * the event loop.
  */
 final class Resolver {
   /** Fits an unfragmented packet on any usual path (DNS flag day 2020). */
-  static final int PAYLOAD = 1232;
+  static final int UDP_PAYLOAD_BYTES = 1232;
 
-  static final int MOST_TCP_BYTES = 65_535;
-  private static final int HEAD = 12;
+  private static final int HEADER_BYTES = 12;
+
+  /** The QR bit of the third header byte. */
+  private static final int RESPONSE_BIT = 0x80;
+
+  private static final int MAX_MESSAGE_ID = 0xffff;
   private final Vertx vertx;
   private final String host;
   private final int port;
   private final LongSupplier clock;
-  private final IntSupplier ids;
-  private final NetClient tcp;
-  private long strays;
-  private long bytesIn;
+  private final IntSupplier messageIds;
+  private final NetClient tcpClient;
+  private long unexpectedResponses;
 
-  /** {@code ids} gives numbers that nobody can guess; 16 bits of them are used. */
-  Resolver(Vertx vertx, String host, int port, LongSupplier clock, IntSupplier ids) {
+  /** The lower 16 bits of {@code messageIds} are used, and must not be predictable. */
+  Resolver(Vertx vertx, String host, int port, LongSupplier clock, IntSupplier messageIds) {
     this.vertx = vertx;
     this.host = host;
     this.port = port;
     this.clock = clock;
-    this.ids = ids;
-    tcp = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
+    this.messageIds = messageIds;
+    tcpClient = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
   }
 
-  /** Packets that did not belong to what was asked: another id, another sender, no message. */
-  long strays() {
-    return strays;
+  /** Packets that matched no query so far: another id or sender, or no DNS message. */
+  long unexpectedResponses() {
+    return unexpectedResponses;
   }
 
-  long bytesIn() {
-    return bytesIn;
+  /** Queries the server; fails where no complete response has come by {@code deadlineUs}. */
+  Future<Message> query(Question question, long deadlineUs) {
+    return query(question, deadlineUs, true)
+        .compose(
+            response ->
+                mayLackEdns(response)
+                    ? query(question, deadlineUs, false)
+                    : Future.succeededFuture(response));
   }
 
-  /** Fails where no whole answer is there by {@code dueUs}, whatever the reason. */
-  Future<Message> ask(Question question, long dueUs) {
-    return ask(question, dueUs, true)
-        .compose(
-            answer -> {
-              boolean old = answer.getRcode() == Rcode.FORMERR || answer.getRcode() == Rcode.NOTIMP;
-              return old
-                  ? ask(question, dueUs, false)
-                  : Future.succeededFuture(answer); // it may know no EDNS
-            });
+  /** True for the response codes of a server that does not know EDNS(0) (RFC 6891 section 7). */
+  private static boolean mayLackEdns(Message response) {
+    return response.getRcode() == Rcode.FORMERR || response.getRcode() == Rcode.NOTIMP;
   }
 
-  private Future<Message> ask(Question question, long dueUs, boolean edns) {
+  private Future<Message> query(Question question, long deadlineUs, boolean edns) {
     Message query = Message.newQuery(question.record());
-    query.getHeader().setID(ids.getAsInt() & 0xffff);
+    query.getHeader().setID(nextMessageId());
     query.getHeader().unsetFlag(Flags.RD);
     if (edns) {
-      query.addRecord(new OPTRecord(PAYLOAD, 0, 0), Section.ADDITIONAL);
+      query.addRecord(new OPTRecord(UDP_PAYLOAD_BYTES, 0, 0), Section.ADDITIONAL);
     }
     byte[] wire = query.toWire();
-    return udp(query, wire, dueUs)
+    return exchangeUdp(query, wire, deadlineUs)
         .compose(
-            answer ->
-                answer.getHeader().getFlag(Flags.TC)
-                    ? tcp(query, wire, dueUs, null, null)
-                    : Future.succeededFuture(answer));
+            response ->
+                response.getHeader().getFlag(Flags.TC)
+                    ? exchangeTcp(query, wire, deadlineUs, null)
+                    : Future.succeededFuture(response));
+  }
+
+  private int nextMessageId() {
+    return messageIds.getAsInt() & MAX_MESSAGE_ID;
   }
 
   /**
-   * Sends an update (RFC 2136), signed where {@code key} is not null (RFC 8945); fails unless its
-   * answer is signed by it too.
+   * Sends a dynamic update (RFC 2136), signed where {@code key} is not null (RFC 8945); then it
+   * fails unless the response is signed with the key too.
    */
-  Future<Message> update(Message update, TSIG key, long dueUs) {
-    update.getHeader().setID(ids.getAsInt() & 0xffff);
+  Future<Message> update(Message update, TSIG key, long deadlineUs) {
+    update.getHeader().setID(nextMessageId());
     if (key == null) {
-      return tcp(update, update.toWire(MOST_TCP_BYTES), dueUs, null, null);
+      byte[] wire = update.toWire(DnsTcpFraming.MAX_MESSAGE_BYTES);
+      return exchangeTcp(update, wire, deadlineUs, null);
     }
-    update.setTSIG(
-        key); // signs as it is written, behind EDNS's record, for the signature must come last
-    byte[] wire = update.toWire(MOST_TCP_BYTES);
+    // dnsjava signs when it encodes: the TSIG record must be the last, behind the OPT record.
+    update.setTSIG(key);
+    byte[] wire = update.toWire(DnsTcpFraming.MAX_MESSAGE_BYTES);
     try {
-      return tcp(update, wire, dueUs, key, new Message(wire).getTSIG());
-    } catch (IOException e) {
-      return Future.failedFuture(e);
+      Signature signature = new Signature(key, new Message(wire).getTSIG());
+      return exchangeTcp(update, wire, deadlineUs, signature);
+    } catch (IOException exception) {
+      return Future.failedFuture(exception);
     }
   }
 
-  private Future<Message> udp(Message query, byte[] wire, long dueUs) {
-    Promise<Message> answer = Promise.promise();
+  /** Closes the TCP client. */
+  void close() {
+    tcpClient.close();
+  }
+
+  // ---- UDP
+
+  private Future<Message> exchangeUdp(Message query, byte[] wire, long deadlineUs) {
+    Promise<Message> response = Promise.promise();
     DatagramSocket socket = vertx.createDatagramSocket();
-    long timer =
-        vertx.setTimer(
-            MicroClock.timerMs(clock.getAsLong(), dueUs), t -> answer.tryFail("no answer in time"));
-    answer
+    long timer = failAt(deadlineUs, response);
+    response
         .future()
         .onComplete(
             done -> {
               vertx.cancelTimer(timer);
               socket.close();
             });
-    socket.exceptionHandler(answer::tryFail);
-    socket.handler(
-        packet -> {
-          bytesIn += packet.data().length();
-          boolean theirs =
-              packet.sender().port() == port && packet.sender().hostAddress().equals(host);
-          Message message = theirs ? read(query, packet.data().getBytes()) : null;
-          if (message == null) {
-            strays++;
-          } else {
-            answer.tryComplete(message);
-          }
-        });
+    socket.exceptionHandler(response::tryFail);
+    socket.handler(packet -> onPacket(query, packet, response));
     socket
-        .listen(0, host.contains(":") ? "::" : host.startsWith("127.") ? "127.0.0.1" : "0.0.0.0")
+        .listen(0, localAddress())
         .compose(bound -> bound.send(Buffer.buffer(wire), port, host))
-        .onFailure(answer::tryFail);
-    return answer.future();
-  }
-
-  private Future<Message> tcp(Message query, byte[] wire, long dueUs, TSIG key, TSIGRecord signed) {
-    Promise<Message> answer = Promise.promise();
-    long now = clock.getAsLong();
-    long timer =
-        vertx.setTimer(MicroClock.timerMs(now, dueUs), t -> answer.tryFail("no answer in time"));
-    tcp.connect(
-            new ConnectOptions()
-                .setHost(host)
-                .setPort(port)
-                .setTimeout((int) MicroClock.timerMs(now, dueUs)))
-        .onFailure(answer::tryFail)
+        .onFailure(response::tryFail);
+    return response.future();
+  }
+
+  private long failAt(long deadlineUs, Promise<Message> response) {
+    return vertx.setTimer(
+        MicroClock.timerMs(clock.getAsLong(), deadlineUs),
+        id -> response.tryFail("no answer in time"));
+  }
+
+  private String localAddress() {
+    if (host.contains(":")) {
+      return "::";
+    }
+    return host.startsWith("127.") ? "127.0.0.1" : "0.0.0.0";
+  }
+
+  private void onPacket(Message query, DatagramPacket packet, Promise<Message> response) {
+    boolean fromServer =
+        packet.sender().port() == port && packet.sender().hostAddress().equals(host);
+    Message message = fromServer ? parseResponse(query, packet.data().getBytes()) : null;
+    if (message == null) {
+      unexpectedResponses++;
+    } else {
+      response.tryComplete(message);
+    }
+  }
+
+  // ---- TCP
+
+  /** The key of a signed request and the request's TSIG record, which the response's covers. */
+  private record Signature(TSIG key, TSIGRecord request) {}
+
+  /** {@code signature} is null for a request that is not signed. */
+  private Future<Message> exchangeTcp(
+      Message request, byte[] wire, long deadlineUs, Signature signature) {
+    Promise<Message> response = Promise.promise();
+    long timer = failAt(deadlineUs, response);
+    ConnectOptions options =
+        new ConnectOptions()
+            .setHost(host)
+            .setPort(port)
+            .setTimeout((int) MicroClock.timerMs(clock.getAsLong(), deadlineUs));
+    tcpClient
+        .connect(options)
+        .onFailure(response::tryFail)
         .onSuccess(
             socket -> {
-              answer.future().onComplete(done -> socket.close());
-              Buffer[] rest = {Buffer.buffer()};
-              socket.handler(
-                  bytes -> {
-                    bytesIn += bytes.length();
-                    rest[0].appendBuffer(bytes);
-                    if (rest[0].length() >= 2
-                        && rest[0].length() >= 2 + rest[0].getUnsignedShort(0)) {
-                      byte[] whole = rest[0].getBytes(2, 2 + rest[0].getUnsignedShort(0));
-                      Message message = read(query, whole);
-                      if (message == null
-                          || (key != null && key.verify(message, whole, signed) != Rcode.NOERROR)) {
-                        strays++;
-                        answer.tryFail("the answer over TCP does not belong to the question");
-                      } else {
-                        answer.tryComplete(message);
-                      }
-                    } else if (rest[0].length() > MOST_TCP_BYTES + 2) {
-                      answer.tryFail("more than a message");
-                    }
-                  });
-              socket.exceptionHandler(answer::tryFail);
-              socket.closeHandler(v -> answer.tryFail("the connection ended before the answer"));
-              socket.write(Buffer.buffer().appendUnsignedShort(wire.length).appendBytes(wire));
+              response.future().onComplete(done -> socket.close());
+              sendTcp(socket, wire, new TcpResponseHandler(request, signature, response));
             });
-    return answer.future().onComplete(done -> vertx.cancelTimer(timer));
+    return response.future().onComplete(done -> vertx.cancelTimer(timer));
+  }
+
+  private static void sendTcp(NetSocket socket, byte[] wire, TcpResponseHandler handler) {
+    socket.handler(handler);
+    socket.exceptionHandler(handler.response::tryFail);
+    socket.closeHandler(
+        closed -> handler.response.tryFail("the connection ended before the answer"));
+    socket.write(DnsTcpFraming.frame(wire));
+  }
+
+  /** Collects the bytes of one response. */
+  private final class TcpResponseHandler implements Handler<Buffer> {
+    private final Message request;
+    private final Signature signature;
+    private final Promise<Message> response;
+    private final Buffer received = Buffer.buffer();
+
+    TcpResponseHandler(Message request, Signature signature, Promise<Message> response) {
+      this.request = request;
+      this.signature = signature;
+      this.response = response;
+    }
+
+    @Override
+    public void handle(Buffer bytes) {
+      received.appendBuffer(bytes);
+      if (!DnsTcpFraming.hasMessage(received, 0)) {
+        return;
+      }
+      byte[] wire = DnsTcpFraming.message(received, 0);
+      Message message = parseResponse(request, wire);
+      if (message == null || !isAuthentic(message, wire)) {
+        unexpectedResponses++;
+        response.tryFail("the answer over TCP does not belong to the question");
+      } else {
+        response.tryComplete(message);
+      }
+    }
+
+    private boolean isAuthentic(Message message, byte[] wire) {
+      return signature == null
+          || signature.key().verify(message, wire, signature.request()) == Rcode.NOERROR;
+    }
   }
 
-  /** The message if it answers this query, else null. */
-  static Message read(Message query, byte[] bytes) {
-    if (bytes.length < HEAD
-        || ((bytes[0] & 0xff) << 8 | (bytes[1] & 0xff)) != query.getHeader().getID()
-        || (bytes[2] & 0x80) == 0) {
+  // ---- matching of responses
+
+  /** The message if it responds to this query, else null. */
+  static Message parseResponse(Message query, byte[] bytes) {
+    if (bytes.length < HEADER_BYTES
+        || messageId(bytes) != query.getHeader().getID()
+        || (bytes[2] & RESPONSE_BIT) == 0) {
       return null;
     }
     try {
       Message message = new Message(bytes);
-      Record asked = query.getQuestion();
-      Record repeated = message.getQuestion();
-      boolean same =
-          message.getHeader().getOpcode() == query.getHeader().getOpcode()
-              && (repeated == null
-                  ? message.getHeader().getOpcode() == Opcode.UPDATE
-                      || (message.getRcode() != Rcode.NOERROR
-                          && message.getRcode() != Rcode.NXDOMAIN)
-                  : repeated.getName().equals(asked.getName())
-                      && repeated.getType() == asked.getType());
-      return same ? message : null;
-    } catch (IOException | RuntimeException e) { // cut off, or no message at all
+      return isResponseTo(query, message) ? message : null;
+    } catch (IOException | RuntimeException exception) {
+      // Malformed: dnsjava throws unchecked exceptions too for some of it.
       return null;
     }
   }
 
-  void close() {
-    tcp.close();
+  private static int messageId(byte[] bytes) {
+    return (bytes[0] & 0xff) << 8 | (bytes[1] & 0xff);
+  }
+
+  private static boolean isResponseTo(Message query, Message message) {
+    if (message.getHeader().getOpcode() != query.getHeader().getOpcode()) {
+      return false;
+    }
+    Record repeated = message.getQuestion();
+    if (repeated == null) {
+      return mayOmitQuestion(message);
+    }
+    Record question = query.getQuestion();
+    return repeated.getName().equals(question.getName())
+        && repeated.getType() == question.getType();
+  }
+
+  /** Responses to updates and error responses need not repeat the question. */
+  private static boolean mayOmitQuestion(Message message) {
+    return message.getHeader().getOpcode() == Opcode.UPDATE
+        || (message.getRcode() != Rcode.NOERROR && message.getRcode() != Rcode.NXDOMAIN);
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceInstance.java
@@ -0,0 +1,53 @@
+package dunlinhitch.discovery.dnssd;
+
+import dunlinhitch.endpoints.EndpointClaim;
+import java.util.HashSet;
+import java.util.LinkedHashMap;
+import java.util.Map;
+import java.util.Set;
+import org.xbill.DNS.Name;
+
+/**
+ * One instance of the service (RFC 6763 section 4): the record sets that describe it and the claims
+ * that were last made of them. Owned by {@link Records}; compared by identity.
+ */
+final class ServiceInstance {
+  final Name name;
+
+  /** The browsed names whose PTR sets list the instance. */
+  final Set<Name> browsedNames = new HashSet<>();
+
+  /** Null once the instance is no longer listed. */
+  RecordSet srv;
+
+  RecordSet txt;
+  final Map<Name, RecordSet> ipv4Addresses = new LinkedHashMap<>();
+  final Map<Name, RecordSet> ipv6Addresses = new LinkedHashMap<>();
+
+  /** The claims that were last emitted, by claim key. */
+  Map<String, EndpointClaim> claims = new LinkedHashMap<>();
+
+  /**
+   * True where an authoritative answer or a push has removed it: its claims are withdrawn. False
+   * for an instance that is only missing from a non-authoritative answer.
+   */
+  boolean withdrawn;
+
+  /** Why the records make no usable endpoint; empty where they do. */
+  String fault = "";
+
+  ServiceInstance(Name name) {
+    this.name = name;
+  }
+
+  /** True once both the SRV and the TXT set have been answered. */
+  boolean isDescribed() {
+    return srv != null && srv.answered && txt.answered;
+  }
+
+  /** The address set of a host: its IPv4 one, unless that is known to be empty. */
+  RecordSet addressesOf(Name host) {
+    RecordSet ipv4 = ipv4Addresses.get(host);
+    return ipv4.isNegative() ? ipv6Addresses.get(host) : ipv4;
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/discovery/dnssd/AbstractRecordsTest.java
@@ -0,0 +1,96 @@
+package dunlinhitch.discovery.dnssd;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinhitch.discovery.EndpointListReader;
+import dunlinhitch.endpoints.EndpointClaim;
+import dunlinhitch.experiments.dns.Zone;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import org.xbill.DNS.Message;
+import org.xbill.DNS.Name;
+import org.xbill.DNS.Record;
+import org.xbill.DNS.Section;
+
+/** Records that a zone responds to, without sockets, and the claims that have come of them. */
+abstract class AbstractRecordsTest {
+  static final String SERVICE = "_calendar._tcp.example.org.";
+  static final long US_PER_SECOND = 1_000_000;
+
+  /** Instances, and queries in flight. */
+  private static final Records.Bounds BOUNDS = new Records.Bounds(3, 2);
+
+  final Zone zone = new Zone("example.org.");
+  final List<Question> queries = new ArrayList<>();
+  final TreeMap<String, EndpointClaim> claims = new TreeMap<>();
+  long nowUs = 1_000 * US_PER_SECOND;
+  boolean snapshotReceived;
+  final Records records = browse(Names.parse(SERVICE));
+
+  final Records browse(Name... browsedNames) {
+    return new Records(
+        List.of(browsedNames),
+        new TxtRecordParser(new EndpointListReader(List.of("a"), event -> {})),
+        BOUNDS,
+        new SplittableRandom(3),
+        nowUs);
+  }
+
+  /** Pointer, SRV, TXT and address record of one endpoint. */
+  static List<Record> endpoint(String instance, int port, String... moreAttributes) {
+    List<String> attributes = new ArrayList<>(List.of("id=" + instance, "cell=1", "zone=a"));
+    attributes.addAll(List.of(moreAttributes));
+    return Zone.store(SERVICE, instance, "127.0.0.1", port, 100, attributes.toArray(String[]::new));
+  }
+
+  final void applyClaims(Records source) {
+    Records.ClaimUpdate update = source.drainClaims(nowUs);
+    snapshotReceived |= update.snapshot();
+    for (EndpointClaim claim : update.claims()) {
+      if (claim.entry() == null) {
+        claims.remove(claim.key());
+      } else {
+        claims.put(claim.key(), claim);
+      }
+    }
+  }
+
+  /** The zone responds to every query that is due, until there is none. */
+  final void respondToAll(Records source) {
+    List<Question> due = source.startQueries(nowUs);
+    while (!due.isEmpty()) {
+      assertTrue(due.size() <= BOUNDS.asking(), "no more at once than the bounds say");
+      assertEquals(
+          due.size(), new HashSet<>(due).size(), "one question in flight for each name and type");
+      for (Question question : due) {
+        queries.add(question);
+        Message response = zoneResponse(question);
+        response.removeAllRecords(Section.ADDITIONAL);
+        source.onResponse(nowUs, question, response);
+      }
+      applyClaims(source);
+      due = source.startQueries(nowUs);
+    }
+  }
+
+  /** Every query that is due fails, until there is none. */
+  final void failAll(Records source) {
+    List<Question> due = source.startQueries(nowUs);
+    while (!due.isEmpty()) {
+      due.forEach(question -> source.onFailure(nowUs, question));
+      due = source.startQueries(nowUs);
+    }
+  }
+
+  final Message zoneResponse(Question question) {
+    return zone.answer(Message.newQuery(question.record()));
+  }
+
+  final List<Integer> claimedPorts() {
+    return claims.values().stream().map(claim -> claim.entry().port()).sorted().toList();
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/discovery/dnssd/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of DNS-based service discovery, without sockets; the server tests cover the sockets. */
+package dunlinhitch.discovery.dnssd;
