--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordRegistrar.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordRegistrar.java
@@ -102,7 +102,8 @@
 
   /**
    * Reads a key file: one line with name, algorithm (such as hmac-sha256) and Base64 secret,
-   * separated by white space.
+   * separated by white space. The operator makes the file readable by its owner only; that is not
+   * checked here.
    */
   public static TSIG key(Path file) throws IOException {
     String[] fields = Files.readString(file).trim().split("\\s+", -1);
--- a/src/main/java/dunlinhitch/discovery/dnssd/Records.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Records.java
@@ -136,26 +136,14 @@
     }
     ResponseRecords found = new ResponseRecords(response);
     List<Record> answer = found.resolve(question);
-    if (answer == null) {
-      count(AnswerFault.UNRESOLVED_ALIAS);
-      cache.retryLater(set);
-      return;
-    }
-    int rcode = response.getRcode();
-    if (rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN) {
-      cache.retryLater(set);
-      return;
-    }
-    boolean authoritative = response.getHeader().getFlag(Flags.AA);
-    boolean negative = rcode == Rcode.NXDOMAIN || answer.isEmpty();
-    if (negative && !authoritative) {
-      count(AnswerFault.NOT_AUTHORITATIVE);
+    if (!isAcceptable(response, answer)) {
       cache.retryLater(set);
       return;
     }
+    boolean authoritative = isAuthoritative(response);
     set.failures = 0;
-    if (negative) {
-      store(set, List.of(), ResponseRecords.negativeTtlUs(response), true);
+    if (isNegative(response, answer)) {
+      store(set, List.of(), ResponseRecords.negativeTtlUs(response), authoritative);
     } else {
       store(set, answer, ResponseRecords.ttlUs(answer), authoritative);
     }
@@ -164,6 +152,31 @@
     }
   }
 
+  /** True where the answer may replace the cached records; the fault is counted otherwise. */
+  private boolean isAcceptable(Message response, List<Record> answer) {
+    if (answer == null) {
+      count(AnswerFault.UNRESOLVED_ALIAS);
+      return false;
+    }
+    int rcode = response.getRcode();
+    if (rcode != Rcode.NOERROR && rcode != Rcode.NXDOMAIN) {
+      return false;
+    }
+    if (isNegative(response, answer) && !isAuthoritative(response)) {
+      count(AnswerFault.NOT_AUTHORITATIVE);
+      return false;
+    }
+    return true;
+  }
+
+  private static boolean isNegative(Message response, List<Record> answer) {
+    return response.getRcode() == Rcode.NXDOMAIN || answer.isEmpty();
+  }
+
+  private static boolean isAuthoritative(Message response) {
+    return response.getHeader().getFlag(Flags.AA);
+  }
+
   /** Stores the other sets of an authoritative response, which saves the queries for them. */
   private void storeAdditional(RecordSet answered, ResponseRecords found) {
     for (Map.Entry<Question, List<Record>> additional : found.byKey().entrySet()) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/ZoneSerialPoller.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ZoneSerialPoller.java
@@ -15,7 +15,7 @@
   enum Result {
     /** The serial is the one of the last response, or none came. */
     UNCHANGED,
-    /** The first serial: what changed before it can not be told. */
+    /** The first serial: whether the zone changed before it is unknown. */
     FIRST,
     /** The zone has changed since the last response. */
     CHANGED
