--- a/src/main/java/dunlinhitch/cli/RecordsCommand.java
+++ b/src/main/java/dunlinhitch/cli/RecordsCommand.java
@@ -8,7 +8,6 @@
 import dunlinhitch.discovery.EndpointListReader;
 import dunlinhitch.discovery.dnssd.DnsDiscoverySource;
 import dunlinhitch.discovery.dnssd.Records;
-import dunlinhitch.endpoints.Endpoint;
 import dunlinhitch.endpoints.EndpointChange;
 import dunlinhitch.endpoints.EndpointRegistry;
 import dunlinhitch.endpoints.EndpointRegistrySettings;
@@ -19,9 +18,7 @@
 import io.vertx.core.VertxOptions;
 import java.nio.file.Path;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.List;
-import java.util.Locale;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
@@ -29,15 +26,18 @@
 import picocli.CommandLine.Option;
 
 /**
- * What the records of servers mean to a broker: the same reader and the same membership, without a
- * broker.
+ * Shows which endpoints a broker would take from DNS records, by the same reader and endpoint
+ * registry. Sources and registry are used on one event loop; {@link #call} waits for it.
  */
 @Command(
     name = "records",
     description = "Shows what the records of a service mean to the broker, and why a store is out.",
     mixinStandardHelpOptions = true)
 final class RecordsCommand implements Callable<Integer> {
-  private static final long SETTLED_MS = 50;
+  /** After the last source has answered, contradictions are settled within this. */
+  private static final long SETTLE_MS = 50;
+
+  private static final long MICROS_PER_MILLI = 1000;
 
   @Option(
       names = "--server",
@@ -64,22 +64,22 @@
   private int cells;
 
   @Option(names = "--push", description = "HOST:PORT of a push server")
-  private String push;
+  private String pushServer;
 
   @Option(names = "--push-trust", description = "PEM file of who may vouch for it")
-  private Path pushTrust;
+  private Path pushTrustFile;
 
   @Option(
       names = "--soa-every-ms",
       defaultValue = "0",
       description = "with --watch: asks for the zone's serial so often")
-  private long soaEveryMs;
+  private long soaIntervalMs;
 
   @Option(
       names = "--within",
       defaultValue = "3",
       description = "seconds that the servers may take (default: ${DEFAULT-VALUE})")
-  private int withinS;
+  private int timeoutS;
 
   @Option(
       names = "--watch",
@@ -89,169 +89,120 @@
   private final MicroClock clock = new MicroClock();
   private final List<DnsDiscoverySource> sources = new ArrayList<>();
   private final CountDownLatch settled = new CountDownLatch(1);
-  private EndpointRegistry membership;
-  private int whole;
-  private int silent;
+  private EndpointRegistry registry;
+  private int completeLists;
+  private int unavailableSources;
   private Vertx vertx;
 
   @Override
   public Integer call() throws InterruptedException {
-    Product.DnsService asked =
-        new Product.DnsService(
-            "records",
-            servers.stream().map(text -> Address.parse("--server", text)).toList(),
-            service,
-            subtypes,
-            1,
-            null,
-            soaEveryMs * 1000,
-            push == null ? null : Address.parse("--push", push),
-            pushTrust,
-            null,
-            Records.Bounds.STANDARD.instances());
-    if (cells < 1 || withinS < 1) {
+    Product.DnsService requested = requestedService();
+    if (cells < 1 || timeoutS < 1) {
       throw new Config.ConfigException("--cells and --within are 1 or more");
     }
-    membership = new EndpointRegistry(EndpointRegistrySettings.of(cells, 1), clock.getAsLong());
+    registry = new EndpointRegistry(EndpointRegistrySettings.of(cells, 1), clock.getAsLong());
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-    vertx
-        .getOrCreateContext()
-        .runOnContext(
-            v -> {
-              for (Address server : asked.servers()) {
-                DnsDiscoverySource source =
-                    new DnsDiscoverySource(
-                        vertx,
-                        DnsSources.settings(asked, server),
-                        new EndpointListReader(zones, event -> {}),
-                        this::take,
-                        line -> {
-                          if (watch) {
-                            System.out.println(line);
-                          }
-                        },
-                        clock,
-                        0);
-                sources.add(source);
-              }
-              sources.forEach(DnsDiscoverySource::start);
-            });
-    boolean all = settled.await(withinS, TimeUnit.SECONDS);
-    CountDownLatch printed = new CountDownLatch(1);
-    boolean[] any = {false};
-    vertx.runOnContext(
-        v -> {
-          any[0] = sources.stream().anyMatch(DnsDiscoverySource::answered);
-          System.out.print(table());
-          printed.countDown();
-        });
-    printed.await();
-    if (!any[0]) {
+    vertx.getOrCreateContext().runOnContext(v -> startSources(requested));
+    boolean allSettled = settled.await(timeoutS, TimeUnit.SECONDS);
+    if (!printTable()) {
       vertx.close();
       throw new Config.ConfigException(
           "no answer from "
               + String.join(", ", servers)
               + " within "
-              + withinS
+              + timeoutS
               + " s; is it a DNS server for that domain?");
     }
     if (watch) {
       new CountDownLatch(1).await();
     }
     vertx.close();
-    return all
-            && membership.rows().stream()
-                .allMatch(
-                    r -> r.status() == EndpointStatus.LIVE || r.status() == EndpointStatus.DRAINING)
-        ? 0
-        : 1;
+    return allSettled && allUsable() ? 0 : 1;
   }
 
-  private void take(Event event) {
-    long now = clock.getAsLong();
-    if (event instanceof Event.SourceRegistered e) {
-      membership.named(e.source(), e.rank(), false);
-    } else if (event instanceof Event.SourceUpdated e) {
-      print(membership.said(now, e.source(), e.whole(), e.claims()));
-      whole += e.whole() ? 1 : 0;
-    } else if (event instanceof Event.SourceUnavailable e) {
-      print(membership.silent(now, e.source()));
-      silent++;
-    }
-    if (whole + silent >= servers.size()) {
-      vertx.setTimer(SETTLED_MS, t -> settled.countDown());
-    }
-    if (membership.nextUs() != TimingWheel.NEVER) {
-      vertx.setTimer(
-          MicroClock.timerMs(now, membership.nextUs()),
-          t -> print(membership.passed(clock.getAsLong())));
+  private Product.DnsService requestedService() {
+    return new Product.DnsService(
+        "records",
+        servers.stream().map(text -> Address.parse("--server", text)).toList(),
+        service,
+        subtypes,
+        1,
+        null,
+        soaIntervalMs * MICROS_PER_MILLI,
+        pushServer == null ? null : Address.parse("--push", pushServer),
+        pushTrustFile,
+        null,
+        Records.Bounds.STANDARD.instances());
+  }
+
+  private void startSources(Product.DnsService requested) {
+    for (Address server : requested.servers()) {
+      sources.add(
+          new DnsDiscoverySource(
+              vertx,
+              DnsSources.sourceSettings(requested, server),
+              new EndpointListReader(zones, event -> {}),
+              this::onEvent,
+              this::log,
+              clock,
+              0));
     }
+    sources.forEach(DnsDiscoverySource::start);
   }
 
-  private void print(List<EndpointChange> changes) {
+  private void log(String line) {
     if (watch) {
-      for (EndpointChange c : changes) {
-        System.out.println(
-            java.time.Instant.ofEpochMilli(clock.getAsLong() / 1000)
-                + " "
-                + c.entry().name()
-                + " "
-                + word(c.status())
-                + ": "
-                + c.reason().words());
-      }
+      System.out.println(line);
     }
   }
 
-  private static String word(EndpointStatus status) {
-    return status.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+  /** Prints the table on the event loop; returns whether any server answered. */
+  private boolean printTable() throws InterruptedException {
+    CountDownLatch printed = new CountDownLatch(1);
+    boolean[] anyAnswered = {false};
+    vertx.runOnContext(
+        v -> {
+          anyAnswered[0] = sources.stream().anyMatch(DnsDiscoverySource::answered);
+          System.out.print(
+              RecordsTable.format(registry, sources, servers.size() > 1, clock.getAsLong()));
+          printed.countDown();
+        });
+    printed.await();
+    return anyAnswered[0];
+  }
+
+  private boolean allUsable() {
+    return registry.rows().stream()
+        .allMatch(
+            row -> row.status() == EndpointStatus.LIVE || row.status() == EndpointStatus.DRAINING);
   }
 
-  private String table() {
-    StringBuilder out =
-        new StringBuilder(
-            String.format(
-                "%-20s %-24s %5s %-9s %8s  %-12s %s%n",
-                "store", "address", "cell", "says", "left", "status", "why"));
-    long now = clock.getAsLong();
-    membership.rows().stream()
-        .sorted(Comparator.comparing(EndpointRegistry.Row::store))
-        .forEach(
-            row -> {
-              Endpoint e = row.entry();
-              String left =
-                  row.untilUs() == TimingWheel.NEVER
-                      ? "followed"
-                      : row.untilUs() <= now ? "over" : (row.untilUs() - now) / 1_000_000 + " s";
-              out.append(
-                  String.format(
-                      "%-20s %-24s %5s %-9s %8s  %-12s %s%s%n",
-                      row.store(),
-                      e == null ? "" : e.host() + ":" + e.port(),
-                      e == null ? "" : e.cell(),
-                      e == null ? "" : e.state().name().toLowerCase(Locale.ROOT),
-                      left,
-                      word(row.status()),
-                      row.reason().words(),
-                      servers.size() > 1 ? " [" + row.source() + "]" : ""));
-            });
-    for (DnsDiscoverySource source : sources) {
-      for (Records.Shown shown : source.shown()) {
-        if (!shown.trouble().isEmpty()) {
-          out.append("instance \"")
-              .append(shown.instance())
-              .append("\" is of no use: ")
-              .append(shown.trouble())
-              .append('\n');
-        }
+  private void onEvent(Event event) {
+    long nowUs = clock.getAsLong();
+    if (event instanceof Event.SourceRegistered registered) {
+      registry.named(registered.source(), registered.rank(), false);
+    } else if (event instanceof Event.SourceUpdated update) {
+      print(registry.said(nowUs, update.source(), update.whole(), update.claims()));
+      completeLists += update.whole() ? 1 : 0;
+    } else if (event instanceof Event.SourceUnavailable unavailable) {
+      print(registry.silent(nowUs, unavailable.source()));
+      unavailableSources++;
+    }
+    if (completeLists + unavailableSources >= servers.size()) {
+      vertx.setTimer(SETTLE_MS, timer -> settled.countDown());
+    }
+    if (registry.nextUs() != TimingWheel.NEVER) {
+      vertx.setTimer(
+          MicroClock.timerMs(nowUs, registry.nextUs()),
+          timer -> print(registry.passed(clock.getAsLong())));
+    }
+  }
+
+  private void print(List<EndpointChange> changes) {
+    if (watch) {
+      for (EndpointChange change : changes) {
+        System.out.println(RecordsTable.formatChange(change, clock.getAsLong()));
       }
-      out.append(source.name())
-          .append(
-              source.answered()
-                  ? source.pushes() ? ": answers and pushes" : ": answers"
-                  : ": does not answer")
-          .append('\n');
     }
-    return out.toString();
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/cli/RecordsTable.java
@@ -0,0 +1,98 @@
+package dunlinhitch.cli;
+
+import dunlinhitch.discovery.dnssd.DnsDiscoverySource;
+import dunlinhitch.discovery.dnssd.Records;
+import dunlinhitch.endpoints.Endpoint;
+import dunlinhitch.endpoints.EndpointChange;
+import dunlinhitch.endpoints.EndpointRegistry;
+import dunlinhitch.endpoints.EndpointStatus;
+import dunlinhitch.endpoints.TimingWheel;
+import java.time.Instant;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Locale;
+
+/** Formats what {@link RecordsCommand} prints. */
+final class RecordsTable {
+  private static final String HEADER_FORMAT = "%-20s %-24s %5s %-9s %8s  %-12s %s%n";
+  private static final String ROW_FORMAT = "%-20s %-24s %5s %-9s %8s  %-12s %s%s%n";
+  private static final long MICROS_PER_MILLI = 1000;
+  private static final long MICROS_PER_SECOND = 1_000_000;
+
+  private RecordsTable() {}
+
+  /** Returns a line for each endpoint, each unusable instance and each source. */
+  static String format(
+      EndpointRegistry registry,
+      List<DnsDiscoverySource> sources,
+      boolean namesSource,
+      long nowUs) {
+    StringBuilder out =
+        new StringBuilder(
+            String.format(
+                HEADER_FORMAT, "store", "address", "cell", "says", "left", "status", "why"));
+    registry.rows().stream()
+        .sorted(Comparator.comparing(EndpointRegistry.Row::store))
+        .forEach(row -> out.append(formatRow(row, namesSource, nowUs)));
+    for (DnsDiscoverySource source : sources) {
+      appendSource(out, source);
+    }
+    return out.toString();
+  }
+
+  private static String formatRow(EndpointRegistry.Row row, boolean namesSource, long nowUs) {
+    Endpoint endpoint = row.entry();
+    return String.format(
+        ROW_FORMAT,
+        row.store(),
+        endpoint == null ? "" : endpoint.host() + ":" + endpoint.port(),
+        endpoint == null ? "" : endpoint.cell(),
+        endpoint == null ? "" : endpoint.state().name().toLowerCase(Locale.ROOT),
+        remainingTime(row.untilUs(), nowUs),
+        label(row.status()),
+        row.reason().words(),
+        namesSource ? " [" + row.source() + "]" : "");
+  }
+
+  private static String remainingTime(long untilUs, long nowUs) {
+    if (untilUs == TimingWheel.NEVER) {
+      return "followed";
+    }
+    return untilUs <= nowUs ? "over" : (untilUs - nowUs) / MICROS_PER_SECOND + " s";
+  }
+
+  private static void appendSource(StringBuilder out, DnsDiscoverySource source) {
+    for (Records.Shown instance : source.shown()) {
+      if (!instance.trouble().isEmpty()) {
+        out.append("instance \"")
+            .append(instance.instance())
+            .append("\" is of no use: ")
+            .append(instance.trouble())
+            .append('\n');
+      }
+    }
+    out.append(source.name()).append(answerState(source)).append('\n');
+  }
+
+  private static String answerState(DnsDiscoverySource source) {
+    if (!source.answered()) {
+      return ": does not answer";
+    }
+    return source.pushes() ? ": answers and pushes" : ": answers";
+  }
+
+  /** Returns the line for a change that was seen at {@code nowUs}, Unix time. */
+  static String formatChange(EndpointChange change, long nowUs) {
+    return Instant.ofEpochMilli(nowUs / MICROS_PER_MILLI)
+        + " "
+        + change.entry().name()
+        + " "
+        + label(change.status())
+        + ": "
+        + change.reason().words();
+  }
+
+  private static String label(EndpointStatus status) {
+    return status.name().toLowerCase(Locale.ROOT).replace('_', ' ');
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/server/BackendTransportFactory.java
@@ -0,0 +1,62 @@
+package dunlinhitch.server;
+
+import dunlinhitch.backend.BackendTransport;
+import dunlinhitch.backend.LoadReportParser;
+import dunlinhitch.backend.flight.FlightStores;
+import dunlinhitch.backend.frames.FrameTransport;
+import dunlinhitch.core.Event;
+import dunlinhitch.core.Reducer;
+import dunlinhitch.endpoints.Endpoint;
+import java.util.function.Consumer;
+
+/** Opens the transport that an endpoint speaks. Runs on the event loop. */
+final class BackendTransportFactory {
+  private final BrokerRuntime runtime;
+  private final Reducer reducer;
+  private final Consumer<Event> events;
+  private final LoadReportParser loadReportParser;
+  private final FrameTransport.Shared frames;
+
+  /** Null until an endpoint speaks Arrow Flight: no class of Arrow is loaded before that. */
+  private FlightStores flightStores;
+
+  BackendTransportFactory(
+      BrokerRuntime runtime, Reducer reducer, DescriptorBudget budget, Consumer<Event> events) {
+    this.runtime = runtime;
+    this.reducer = reducer;
+    this.events = events;
+    loadReportParser = new LoadReportParser(() -> reducer.settings().reportFields());
+    frames =
+        new FrameTransport.Shared(
+            runtime.vertx(),
+            () -> reducer.settings().limits(),
+            budget::backendConnections,
+            loadReportParser,
+            runtime.clock(),
+            events);
+  }
+
+  BackendTransport open(Endpoint endpoint) {
+    if (endpoint.wire() == Endpoint.Protocol.FRAMES) {
+      return new FrameTransport(frames, endpoint);
+    }
+    if (flightStores == null) {
+      flightStores =
+          new FlightStores(
+              runtime.vertx(),
+              runtime.context(),
+              () -> reducer.settings().limits(),
+              loadReportParser,
+              runtime.clock(),
+              events);
+    }
+    return flightStores.open(endpoint);
+  }
+
+  /** Releases what the transports share; the transports themselves must be closed. */
+  void close() {
+    if (flightStores != null) {
+      flightStores.close();
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/server/BrokerRuntime.java
@@ -0,0 +1,19 @@
+package dunlinhitch.server;
+
+import dunlinhitch.config.Config;
+import dunlinhitch.core.MicroClock;
+import io.vertx.core.Context;
+import io.vertx.core.Vertx;
+import java.util.function.Consumer;
+
+/**
+ * What the parts of one broker share.
+ *
+ * @param vertx owner of the event loop, timers and sockets
+ * @param context the event loop on which the broker runs
+ * @param config the configuration as it was at start
+ * @param clock microseconds since an arbitrary origin
+ * @param log receives one line at a time for the operators
+ */
+record BrokerRuntime(
+    Vertx vertx, Context context, Config config, MicroClock clock, Consumer<String> log) {}
--- /dev/null
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -0,0 +1,154 @@
+package dunlinhitch.server;
+
+import dunlinhitch.cluster.ClusterSettings;
+import dunlinhitch.cluster.Member;
+import dunlinhitch.cluster.MembershipProtocol;
+import dunlinhitch.cluster.MembershipProtocolSettings;
+import dunlinhitch.cluster.SubsetSettings;
+import dunlinhitch.cluster.gossip.AddressBook;
+import dunlinhitch.cluster.gossip.GossipSocket;
+import dunlinhitch.cluster.versions.SettingsDigest;
+import dunlinhitch.cluster.versions.VersionSkewSettings;
+import dunlinhitch.cluster.versions.VersionVector;
+import dunlinhitch.config.Config;
+import dunlinhitch.config.GossipAddresses;
+import dunlinhitch.config.Product;
+import dunlinhitch.core.ClusterIdentity;
+import dunlinhitch.core.Effect;
+import dunlinhitch.core.Event;
+import dunlinhitch.core.MicroClock;
+import io.vertx.core.Future;
+import io.vertx.core.Vertx;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/**
+ * This broker's part in its cluster, where the product's settings file has a {@code [fleet]}
+ * section: its identity, from which the reducer runs the membership protocol, and the gossip
+ * socket. Runs on the event loop.
+ */
+final class ClusterGossip {
+  /** An ack may take this part of a protocol period; then other members send indirect probes. */
+  private static final int ACK_TIMEOUT_DIVISOR = 3;
+
+  /** How long a failed member is remembered at the least. */
+  private static final long MINIMUM_RETENTION_US = 30_000_000;
+
+  /** The same, in suspicion timeouts. */
+  private static final int RETENTION_SUSPICION_TIMEOUTS = 10;
+
+  /**
+   * Part of a duty rotation period that each broker waits for the one before it in the rotation.
+   */
+  private static final double DUTY_TIMEOUT_PART = 0.4;
+
+  /** The platform's protocol forbids longer datagrams. */
+  private static final int PLATFORM_DATAGRAM_BYTES = 256;
+
+  private final Vertx vertx;
+  private final Product.Fleet fleet;
+  private final ClusterIdentity identity;
+  private final AddressBook addressBook;
+
+  /** Null until the broker listens. */
+  private GossipSocket socket;
+
+  ClusterGossip(Vertx vertx, Config config, MicroClock clock) {
+    this.vertx = vertx;
+    fleet = config.product().fleet();
+    addressBook = addressBook(fleet, config.talk(), config.name());
+    long startMs = System.currentTimeMillis();
+    List<String> zones = config.settings().zones();
+    int zoneIndex = config.settings().zone();
+    Member self =
+        new Member(
+            config.name(),
+            zoneIndex < zones.size() ? Integer.toString(zoneIndex) : "",
+            fleet.advertise().host(),
+            fleet.advertise().port(),
+            startMs,
+            Member.Status.ALIVE);
+    identity =
+        new ClusterIdentity(
+            self,
+            fleet.peers().stream()
+                .map(peer -> new MembershipProtocol.Seed(peer.host(), peer.port()))
+                .toList(),
+            clusterSettings(fleet, addressBook),
+            startMs * 1000 - clock.getAsLong(),
+            new VersionSkewSettings(
+                fleet.behindUs(), VersionSkewSettings.STANDARD.againUs(), fleet.shutOutUs()),
+            new VersionVector(
+                BuildVersion.TEXT, SettingsDigest.of(config.settings()), config.writtenMs(), 0));
+  }
+
+  /**
+   * Returns the addresses of the members. Where the platform's configuration lists them, only those
+   * are members. This broker is added under its own address, whatever address others have for it:
+   * otherwise it would take itself for a different member of its name.
+   */
+  static AddressBook addressBook(Product.Fleet fleet, GossipAddresses platform, String self) {
+    boolean platformListens = platform != null && platform.listen() != null;
+    List<AddressBook.Known> members = new ArrayList<>();
+    if (platformListens
+        && platform.listen().equals(fleet.listen())
+        && !platform.peers().isEmpty()) {
+      platform
+          .peers()
+          .forEach(
+              peer ->
+                  members.add(
+                      new AddressBook.Known(peer.name(), peer.at().host(), peer.at().port())));
+      members.add(new AddressBook.Known(self, fleet.advertise().host(), fleet.advertise().port()));
+    }
+    return new AddressBook(
+        platformListens ? PLATFORM_DATAGRAM_BYTES : GossipSocket.STANDARD_BYTES, members);
+  }
+
+  /** Returns the cluster's settings; messages are limited to what the socket can send. */
+  static ClusterSettings clusterSettings(Product.Fleet fleet, AddressBook addressBook) {
+    ClusterSettings standard = ClusterSettings.STANDARD;
+    MembershipProtocolSettings protocol =
+        new MembershipProtocolSettings(
+                fleet.lookUs(),
+                fleet.lookUs() / ACK_TIMEOUT_DIVISOR,
+                standard.view().helpers(),
+                fleet.suspectUs(),
+                Math.max(MINIMUM_RETENTION_US, RETENTION_SUSPICION_TIMEOUTS * fleet.suspectUs()),
+                standard.view().mostPeers())
+            .withWords(addressBook.mostBytes())
+            .withAddresses(!addressBook.isTold());
+    return new ClusterSettings(
+        new SubsetSettings(fleet.least(), standard.subsets().spread(), fleet.slack()),
+        protocol,
+        fleet.turnUs(),
+        (long) (DUTY_TIMEOUT_PART * fleet.turnUs()),
+        standard.staleUs(),
+        standard.mostStores());
+  }
+
+  /** Returns the identity from which the reducer runs the membership protocol. */
+  ClusterIdentity identity() {
+    return identity;
+  }
+
+  /** Listens for gossip; the result is the port. */
+  Future<Integer> listen(Consumer<Event> events) {
+    socket = new GossipSocket(vertx, addressBook, events);
+    return socket.listen(fleet.listen().host(), fleet.listen().port());
+  }
+
+  /**
+   * Sends a message; one that is sent before the socket listens is lost, as any datagram may be.
+   */
+  void send(Effect.SendGossip gossip) {
+    if (socket != null) {
+      socket.tell(gossip);
+    }
+  }
+
+  Future<Void> close() {
+    return socket == null ? Future.succeededFuture() : socket.close();
+  }
+}
--- a/src/main/java/dunlinhitch/server/DnsSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -24,59 +24,67 @@
 import org.xbill.DNS.Name;
 
 /**
- * What the product's own file asks for around the records of stores: a source for each server and
- * service, the last known state on disk, and the broker's own announcement. Only made where there
- * is such a file.
+ * DNS service discovery as the product's settings file describes it: a source for each server and
+ * service, the last known state on disk, and the registration of this broker in DNS. Created only
+ * where there is such a file, so that a broker without it loads no class of DNS.
+ *
+ * <p>Runs on the event loop; the state is written on a worker thread.
  */
 public final class DnsSources {
-  private static final long SAVE_EVERY_MS = 1_000;
+  private static final long SAVE_INTERVAL_MS = 1_000;
 
-  /** A state that has not changed is written again after so long, for its ages. */
-  private static final long SAVE_UNCHANGED_US = 30_000_000;
+  /** An unchanged state is written again after so long, so that the ages in it stay correct. */
+  private static final long MAXIMUM_SAVE_AGE_US = 30_000_000;
+
+  private static final long MICROS_PER_SECOND = 1_000_000;
 
   private final Vertx vertx;
   private final Consumer<Event> events;
   private final LongSupplier clock;
   private final Consumer<String> log;
-  private final Supplier<EndpointRegistry> membership;
+  private final Supplier<EndpointRegistry> endpointRegistry;
   private final List<DnsDiscoverySource> sources = new ArrayList<>();
   private final EndpointListFile file;
-  private final RecordRegistrar announcer;
+  private final RecordRegistrar registrar;
   private boolean restored;
-  private boolean saving;
-  private boolean said;
+  private boolean saveInProgress;
+  private boolean saveFailureLogged;
   private long savedVersion = -1;
   private long savedUs;
 
   DnsSources(
-      Vertx vertx,
-      Config config,
+      BrokerRuntime runtime,
       EndpointListReader reader,
       Consumer<Event> events,
-      LongSupplier clock,
-      Consumer<String> log,
-      Supplier<EndpointRegistry> membership) {
-    this.vertx = vertx;
+      Supplier<EndpointRegistry> endpointRegistry) {
+    vertx = runtime.vertx();
+    clock = runtime.clock();
+    log = runtime.log();
     this.events = events;
-    this.clock = clock;
-    this.log = log;
-    this.membership = membership;
+    this.endpointRegistry = endpointRegistry;
+    Config config = runtime.config();
     Product product = config.product();
     for (Product.DnsService service : product.dnsSd()) {
       for (Address server : service.servers()) {
         sources.add(
             new DnsDiscoverySource(
-                vertx, settings(service, server), reader, events, log, clock, config.seed()));
+                vertx, sourceSettings(service, server), reader, events, log, clock, config.seed()));
       }
     }
     file = product.stateDir() == null ? null : new EndpointListFile(product.stateDir());
-    announcer =
+    registrar =
         product.announcement() == null
             ? null
-            : new RecordRegistrar(vertx, announcement(product.announcement()), clock, log);
+            : new RecordRegistrar(vertx, registrarSettings(product.announcement()), clock, log);
   }
 
-  public static DnsDiscoverySource.Settings settings(Product.DnsService service, Address server) {
+  /**
+   * Returns the settings of the source that follows one service at one server.
+   *
+   * @throws Config.ConfigException where a name in the settings file is not a DNS name
+   */
+  public static DnsDiscoverySource.Settings sourceSettings(
+      Product.DnsService service, Address server) {
     try {
       Name name = Names.parse(service.service());
       List<Name> browsed =
@@ -104,60 +112,63 @@
           service.soaEveryUs(),
           push,
           new Records.Bounds(service.instances(), Records.Bounds.STANDARD.asking()));
-    } catch (IllegalArgumentException e) {
-      throw new Config.ConfigException("[dns_sd " + service.name() + "]: " + e.getMessage());
+    } catch (IllegalArgumentException exception) {
+      throw new Config.ConfigException(
+          "[dns_sd " + service.name() + "]: " + exception.getMessage());
     }
   }
 
-  private static RecordRegistrar.Settings announcement(Product.Announcement a) {
+  private static RecordRegistrar.Settings registrarSettings(Product.Announcement registration) {
     try {
       return new RecordRegistrar.Settings(
-          a.server().host(),
-          a.server().port(),
-          Names.parse(a.zone()),
-          Names.parse(a.service()),
-          a.instance(),
-          a.target(),
-          a.address().host(),
-          a.address().port(),
-          a.txt(),
-          a.ttlUs(),
-          a.leaseUs(),
-          a.key() == null ? null : RecordRegistrar.key(a.key()));
-    } catch (IOException | IllegalArgumentException e) {
-      throw new Config.ConfigException("[announce]: " + e.getMessage());
+          registration.server().host(),
+          registration.server().port(),
+          Names.parse(registration.zone()),
+          Names.parse(registration.service()),
+          registration.instance(),
+          registration.target(),
+          registration.address().host(),
+          registration.address().port(),
+          registration.txt(),
+          registration.ttlUs(),
+          registration.leaseUs(),
+          registration.key() == null ? null : RecordRegistrar.key(registration.key()));
+    } catch (IOException | IllegalArgumentException exception) {
+      throw new Config.ConfigException("[announce]: " + exception.getMessage());
     }
   }
 
+  /** Returns the sources, in the order of the settings file. */
   List<? extends DiscoverySource> sources() {
     return sources;
   }
 
-  /** True where stores are known from before this process began. */
+  /** Returns whether endpoints were restored from the state on disk. */
   boolean restored() {
     return restored;
   }
 
+  /** Restores the last known state and saves it periodically from then on. */
   void start() {
     if (file == null) {
       return;
     }
-    long now = clock.getAsLong();
+    long nowUs = clock.getAsLong();
     try {
-      EndpointListFile.Kept kept = file.read(now);
-      if (kept != null) {
-        restore(kept, now);
+      EndpointListFile.Kept saved = file.read(nowUs);
+      if (saved != null) {
+        restore(saved, nowUs);
       }
-    } catch (IOException e) {
-      log.accept(e.getMessage());
+    } catch (IOException exception) {
+      log.accept(exception.getMessage());
     }
-    vertx.setPeriodic(SAVE_EVERY_MS, t -> save());
+    vertx.setPeriodic(SAVE_INTERVAL_MS, t -> save());
   }
 
-  /** Old words of the sources that are still used; how old they are, they bring along. */
-  private void restore(EndpointListFile.Kept kept, long now) {
+  /** Passes on the saved claims of the sources that are still configured, with their ages. */
+  private void restore(EndpointListFile.Kept saved, long nowUs) {
     for (DnsDiscoverySource source : sources) {
-      List<EndpointClaim> claims = kept.bySource().getOrDefault(source.name(), List.of());
+      List<EndpointClaim> claims = saved.bySource().getOrDefault(source.name(), List.of());
       if (!claims.isEmpty()) {
         restored = true;
         source.restored(claims.stream().map(EndpointClaim::key).toList());
@@ -167,22 +178,23 @@
                 + ": "
                 + claims.size()
                 + " claims from "
-                + Math.max(0, (now - kept.savedUs()) / 1_000_000)
+                + Math.max(0, (nowUs - saved.savedUs()) / MICROS_PER_SECOND)
                 + " s ago hold until it speaks");
       }
     }
   }
 
   private Future<Void> save() {
-    EndpointRegistry now = membership.get();
+    EndpointRegistry registry = endpointRegistry.get();
     long nowUs = clock.getAsLong();
-    if (saving || (now.version() == savedVersion && nowUs < savedUs + SAVE_UNCHANGED_US)) {
+    if (saveInProgress
+        || (registry.version() == savedVersion && nowUs < savedUs + MAXIMUM_SAVE_AGE_US)) {
       return Future.succeededFuture();
     }
-    saving = true;
-    savedVersion = now.version();
+    saveInProgress = true;
+    savedVersion = registry.version();
     savedUs = nowUs;
-    List<EndpointRegistry.Row> rows = now.rows();
+    List<EndpointRegistry.Row> rows = registry.rows();
     return vertx
         .<Void>executeBlocking(
             () -> {
@@ -191,32 +203,33 @@
             })
         .onComplete(
             done -> {
-              saving = false;
-              if (done.failed() && !said) {
+              saveInProgress = false;
+              if (done.failed() && !saveFailureLogged) {
                 log.accept("the last known state can not be kept: " + done.cause());
               }
-              said = done.failed();
+              saveFailureLogged = done.failed();
             })
         .otherwiseEmpty();
   }
 
-  /** The broker serves: it may be found. */
-  void ready() {
-    if (announcer != null) {
-      announcer.ready();
+  /** Registers this broker in DNS, where that is configured: it accepts clients. */
+  void register() {
+    if (registrar != null) {
+      registrar.ready();
     }
   }
 
-  /** The broker is asked to end: first of all it must not be found any more. */
-  void ending() {
-    if (announcer != null) {
-      announcer.withdraw();
+  /** Withdraws the registration: the first step of a shutdown. */
+  void deregister() {
+    if (registrar != null) {
+      registrar.withdraw();
     }
   }
 
+  /** Ends the registration and saves the last known state; the result is when it is written. */
   Future<Void> close() {
-    if (announcer != null) {
-      announcer.close();
+    if (registrar != null) {
+      registrar.close();
     }
     return file == null ? Future.succeededFuture() : save();
   }
--- /dev/null
+++ b/src/main/java/dunlinhitch/server/EndpointSources.java
@@ -0,0 +1,119 @@
+package dunlinhitch.server;
+
+import dunlinhitch.config.Config;
+import dunlinhitch.config.Product;
+import dunlinhitch.core.Effect;
+import dunlinhitch.core.Event;
+import dunlinhitch.core.Reducer;
+import dunlinhitch.discovery.DiscoverySource;
+import dunlinhitch.discovery.DiscoveryWatch;
+import dunlinhitch.discovery.EndpointListReader;
+import io.vertx.core.Future;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.function.Consumer;
+
+/**
+ * All sources of endpoints that the configuration names: the endpoint list that was known before
+ * the start, the watch of the platform's discovery service, and DNS service discovery where it is
+ * on. Runs on the event loop.
+ */
+final class EndpointSources {
+  private final List<DiscoverySource> sources;
+
+  /** Null unless the product's own settings file is there: no class of DNS is loaded without it. */
+  private final DnsSources dnsSources;
+
+  /** An empty list does not count: readiness on it would reject every query. */
+  private final boolean hasInitialList;
+
+  /** Creates the sources and passes on the endpoint list from before the start, if there is one. */
+  EndpointSources(BrokerRuntime runtime, Reducer reducer, Consumer<Event> events) {
+    Config config = runtime.config();
+    EndpointListReader reader = new EndpointListReader(config.settings().zones(), events);
+    Event.EndpointsUpdated initial =
+        config.known().get("instances") == null ? null : reader.read(config.known(), true);
+    hasInitialList = initial != null && !initial.stores().isEmpty();
+    if (initial != null) {
+      events.accept(initial);
+    }
+    List<DiscoverySource> all = new ArrayList<>();
+    if (config.product().discovery()) {
+      all.add(
+          new DiscoveryWatch(
+              runtime.vertx(),
+              reducer::settings,
+              config.seed(),
+              config.known().getLong("generation", 0),
+              reader,
+              events,
+              runtime.clock()));
+    }
+    dnsSources =
+        hasProductFile(config)
+            ? new DnsSources(runtime, reader, events, reducer::membership)
+            : null;
+    if (dnsSources != null) {
+      all.addAll(dnsSources.sources());
+    }
+    sources = List.copyOf(all);
+  }
+
+  /** {@link Product#NONE} is the one instance that stands for an absent file; equal ones do not. */
+  @SuppressWarnings("ReferenceEquality")
+  private static boolean hasProductFile(Config config) {
+    return config.product() != Product.NONE;
+  }
+
+  /** Starts all sources. */
+  void start() {
+    sources.forEach(DiscoverySource::start);
+    if (dnsSources != null) {
+      dnsSources.start();
+    }
+  }
+
+  /** Announces that this broker accepts clients, where it is registered in DNS. */
+  void register() {
+    if (dnsSources != null) {
+      dnsSources.register();
+    }
+  }
+
+  /** Withdraws that registration, so that no new client finds this broker. */
+  void deregister() {
+    if (dnsSources != null) {
+      dnsSources.deregister();
+    }
+  }
+
+  /** Requests the complete endpoint list of each source again. */
+  void resync() {
+    sources.forEach(DiscoverySource::resync);
+  }
+
+  /** Follows the discovery service at its new address. */
+  void changeAddress(Effect.ChangeDiscoveryAddress change) {
+    sources.forEach(source -> source.follow(change.host(), change.port()));
+  }
+
+  /** Returns whether a source has sent its list since the start. */
+  boolean anyAnswered() {
+    return sources.stream().anyMatch(DiscoverySource::answered);
+  }
+
+  /** Returns whether endpoints are known from before the start. */
+  boolean hasInitialEndpoints() {
+    return hasInitialList || (dnsSources != null && dnsSources.restored());
+  }
+
+  /** Saves the last known state where it is persisted; the result is when that is done. */
+  Future<Void> close() {
+    return dnsSources == null ? Future.succeededFuture() : dnsSources.close();
+  }
+
+  /** Stops all sources; {@link #close} still saves what they had. */
+  void stop() {
+    sources.forEach(DiscoverySource::stop);
+  }
+}
--- a/src/main/java/dunlinhitch/server/HangupSignals.java
+++ b/src/main/java/dunlinhitch/server/HangupSignals.java
@@ -1,32 +1,37 @@
 package dunlinhitch.server;
 
 /**
- * SIGHUP, heeded from the first moment of a process on: a JVM that does not heed it ends on it.
- * What comes while there is nothing yet that could read the configuration again is kept, and then
- * heeded once, for the file may have been replaced after the start had read it.
+ * Handler of SIGHUP, to be installed as the first step of a process because the signal's default is
+ * to end the JVM. Signals that arrive before there is a task for them are remembered and run it
+ * once, because the configuration file may have been replaced after the start had read it.
+ *
+ * <p>Thread-safe; the task runs on the thread of the signal or of {@link #setTask}.
  */
 public final class HangupSignals {
-  private Runnable readAgain;
-  private boolean kept;
+  private Runnable task;
+  private boolean pending;
 
-  /** Heeds the signal from now on; false where it never will, see {@link ProcessSignals#on}. */
-  public boolean heed() {
-    return ProcessSignals.on("HUP", this::came);
+  /**
+   * Installs the handler; returns false where it will never run, see {@link ProcessSignals#handle}.
+   */
+  public boolean install() {
+    return ProcessSignals.handle("HUP", this::onSignal);
   }
 
-  synchronized void came() {
-    if (readAgain == null) {
-      kept = true;
+  /** Runs the task, or remembers the signal until there is one. */
+  synchronized void onSignal() {
+    if (task == null) {
+      pending = true;
     } else {
-      readAgain.run();
+      task.run();
     }
   }
 
-  /** What is to be run on each from now on, and at once if one was kept. */
-  public synchronized void to(Runnable task) {
-    readAgain = task;
-    if (kept) {
-      kept = false;
+  /** Sets the task of each later signal and runs it at once if one has arrived before. */
+  public synchronized void setTask(Runnable newTask) {
+    task = newTask;
+    if (pending) {
+      pending = false;
       task.run();
     }
   }
--- a/src/main/java/dunlinhitch/server/ProcessSignals.java
+++ b/src/main/java/dunlinhitch/server/ProcessSignals.java
@@ -3,18 +3,21 @@
 import java.lang.reflect.Proxy;
 
 /**
- * Signals that the JDK has no public interface for; {@code sun.misc.Signal} is open to all but not
- * to be named without a warning. A JVM that does not heed SIGHUP ends on it.
+ * Handlers of operating system signals. The JDK has no public interface for them; its internal
+ * {@code sun.misc.Signal} is accessible, but the compiler warns where it is named, hence the
+ * reflection.
  */
 final class ProcessSignals {
   private ProcessSignals() {}
 
   /**
-   * Runs the task, on a thread of the JVM's, whenever the process gets the signal of that name.
-   * False where it never will: whoever started the process had it ignored (nohup does so for
-   * SIGHUP), and then the JVM leaves SIGHUP, SIGINT and SIGTERM ignored whatever is asked of it.
+   * Runs the task, on a thread of the JVM, whenever the process receives the signal.
+   *
+   * @param name the signal without its prefix, such as {@code HUP}
+   * @return false where the task will never run because the process was started with the signal
+   *     ignored, as nohup does for SIGHUP: the JVM then keeps SIGHUP, SIGINT and SIGTERM ignored
    */
-  static boolean on(String name, Runnable task) {
+  static boolean handle(String name, Runnable task) {
     try {
       Class<?> signal = Class.forName("sun.misc.Signal");
       Class<?> handler = Class.forName("sun.misc.SignalHandler");
@@ -32,13 +35,13 @@
                     case "equals" -> self == arguments[0];
                     default -> name;
                   });
-      Object before =
+      Object previousHandler =
           signal
               .getMethod("handle", signal, handler)
               .invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
-      return !handler.getField("SIG_IGN").get(null).equals(before);
-    } catch (ReflectiveOperationException e) {
-      throw new IllegalStateException("no signal " + name + " on this JVM", e);
+      return !handler.getField("SIG_IGN").get(null).equals(previousHandler);
+    } catch (ReflectiveOperationException exception) {
+      throw new IllegalStateException("no signal " + name + " on this JVM", exception);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/server/ReducerFactory.java
@@ -0,0 +1,51 @@
+package dunlinhitch.server;
+
+import dunlinhitch.balancer.settings.ShardLayout;
+import dunlinhitch.config.Config;
+import dunlinhitch.config.Product;
+import dunlinhitch.core.ClusterIdentity;
+import dunlinhitch.core.Reducer;
+import dunlinhitch.endpoints.EndpointRegistrySettings;
+import dunlinhitch.twophase.TwoPhaseSettings;
+import java.util.List;
+
+/** Creates the reducer of a broker from its configuration. */
+final class ReducerFactory {
+  private ReducerFactory() {}
+
+  /**
+   * Creates a reducer.
+   *
+   * @param identity this broker's identity in its cluster, or null where it has none
+   * @param startUs the time of the first turn at the earliest, in microseconds
+   */
+  static Reducer create(Config config, ClusterIdentity identity, long startUs) {
+    return new Reducer(
+        config.settings(),
+        registrySettings(config),
+        twoPhaseSettings(config),
+        identity,
+        config.seed(),
+        startUs);
+  }
+
+  /** Returns null where the product's settings file does not set the times: defaults apply then. */
+  private static EndpointRegistrySettings registrySettings(Config config) {
+    Product.MembershipTimes times = config.product().membership();
+    if (times == null) {
+      return null;
+    }
+    ShardLayout layout = config.settings().layout();
+    return EndpointRegistrySettings.of(layout.cells(), layout.inARow())
+        .withTimes(
+            times.lingerUs(),
+            times.staleForUs(),
+            times.holdUs(),
+            times.holdMostUs(),
+            times.calmUs());
+  }
+
+  private static List<TwoPhaseSettings> twoPhaseSettings(Config config) {
+    return config.product().phases().isEmpty() ? List.of() : TwoPhaseSettingsFactory.create(config);
+  }
+}
--- a/src/main/java/dunlinhitch/server/ReducerLoop.java
+++ b/src/main/java/dunlinhitch/server/ReducerLoop.java
@@ -12,31 +12,34 @@
 import java.util.function.LongSupplier;
 
 /**
- * Gathers what the edges report into turns of the reducer and carries out the effects, all on the
- * one event loop. Turns are at least a tick apart: what comes in meanwhile shares one, and so its
- * sends share calls.
+ * Event loop of the reducer: collects events into turns and passes the effects of each turn to a
+ * handler. Turns are at least a tick apart; events that arrive in between share a turn, so that
+ * their requests can share calls to backends.
+ *
+ * <p>Not thread-safe: all methods are called on the Vert.x event loop of {@code context}.
  */
 final class ReducerLoop implements Consumer<Event> {
+  private static final long NO_TIMER = -1;
+
   private final Vertx vertx;
   private final Context context;
   private final Reducer reducer;
   private final LongSupplier clock;
   private final LongSupplier tickUs;
-  private final Consumer<Throwable> faults;
-  private Consumer<Effect> edges = effect -> {};
-  private List<Event> gathered = new ArrayList<>();
+  private final Consumer<Throwable> faultHandler;
+  private Consumer<Effect> effectHandler = effect -> {};
+  private List<Event> pendingEvents = new ArrayList<>();
   private long lastTurnUs;
-  private long wakeUs = Long.MAX_VALUE;
+  private long nextTurnUs = Long.MAX_VALUE;
 
   /**
-   * When the next turn was asked for, or is due if that is later. A turn that begins after it found
-   * the loop without processor time or busy meanwhile: what it reads may have waited unread since
-   * then.
+   * When the next turn was requested, or is due if that is later. If it begins after that, the loop
+   * was busy or without processor time meanwhile, and its events may have waited unread since then.
    */
-  private long sinceUs;
+  private long turnRequestedUs;
 
-  private long timer = -1;
-  private boolean ended;
+  private long timer = NO_TIMER;
+  private boolean shutdownCompleted;
 
   ReducerLoop(
       Vertx vertx,
@@ -44,86 +47,86 @@
       Reducer reducer,
       LongSupplier clock,
       LongSupplier tickUs,
-      Consumer<Throwable> faults) {
+      Consumer<Throwable> faultHandler) {
     this.vertx = vertx;
     this.context = context;
     this.reducer = reducer;
     this.clock = clock;
     this.tickUs = tickUs;
-    this.faults = faults;
+    this.faultHandler = faultHandler;
   }
 
-  /** Where effects go; before this they go nowhere. */
-  void edges(Consumer<Effect> to) {
-    edges = to;
-    wake(clock.getAsLong());
+  /** Sets the handler of effects and schedules a turn; effects before that are dropped. */
+  void setEffectHandler(Consumer<Effect> handler) {
+    effectHandler = handler;
+    scheduleTurn(clock.getAsLong());
   }
 
   @Override
   public void accept(Event event) {
-    gathered.add(event);
-    wake(lastTurnUs + tickUs.getAsLong());
+    pendingEvents.add(event);
+    scheduleTurn(lastTurnUs + tickUs.getAsLong());
   }
 
-  /** Sees to it that a turn begins at that time at the latest. */
-  private void wake(long dueUs) {
-    if (dueUs >= wakeUs) {
+  /** Schedules a turn no later than {@code dueUs}. */
+  private void scheduleTurn(long dueUs) {
+    if (dueUs >= nextTurnUs) {
       return;
     }
-    wakeUs = dueUs;
-    if (timer >= 0) {
+    nextTurnUs = dueUs;
+    if (timer != NO_TIMER) {
       vertx.cancelTimer(timer);
-      timer = -1;
+      timer = NO_TIMER;
     }
-    long now = clock.getAsLong();
-    sinceUs = Math.max(dueUs, now);
-    if (dueUs <= now) {
-      context.runOnContext(v -> turn(dueUs));
+    long nowUs = clock.getAsLong();
+    turnRequestedUs = Math.max(dueUs, nowUs);
+    if (dueUs <= nowUs) {
+      context.runOnContext(v -> runTurn(dueUs));
     } else {
-      timer = vertx.setTimer(MicroClock.timerMs(now, dueUs), t -> turn(dueUs));
+      timer = vertx.setTimer(MicroClock.timerMs(nowUs, dueUs), t -> runTurn(dueUs));
     }
   }
 
-  private void turn(long dueUs) {
-    if (dueUs != wakeUs) {
-      return; // an earlier one was asked for since
+  private void runTurn(long dueUs) {
+    if (dueUs != nextTurnUs) {
+      return; // superseded by an earlier turn
     }
-    wakeUs = Long.MAX_VALUE;
-    timer = -1;
+    nextTurnUs = Long.MAX_VALUE;
+    timer = NO_TIMER;
     lastTurnUs = clock.getAsLong();
-    List<Event> events = gathered;
-    gathered = new ArrayList<>();
-    List<Effect> effects;
-    try {
-      effects = reducer.turn(lastTurnUs, Math.min(sinceUs, lastTurnUs), events);
-    } catch (
-        RuntimeException e) { // the turns that follow still end what is open when its time is over
-      faults.accept(e);
-      effects = List.of(new Effect.ScheduleWakeUp(lastTurnUs + tickUs.getAsLong()));
+    List<Event> events = pendingEvents;
+    pendingEvents = new ArrayList<>();
+    for (Effect effect : reduce(events)) {
+      dispatch(effect);
     }
-    for (Effect effect : effects) {
-      carryOut(effect);
+  }
+
+  /** A fault in one turn must not end the loop: later turns time out what this one left open. */
+  private List<Effect> reduce(List<Event> events) {
+    try {
+      return reducer.turn(lastTurnUs, Math.min(turnRequestedUs, lastTurnUs), events);
+    } catch (RuntimeException fault) {
+      faultHandler.accept(fault);
+      return List.of(new Effect.ScheduleWakeUp(lastTurnUs + tickUs.getAsLong()));
     }
   }
 
-  /** A fault at one edge must not keep the other effects of the turn from being carried out. */
-  private void carryOut(Effect effect) {
-    if (effect instanceof Effect.ScheduleWakeUp e) {
-      if (!ended) { // else nothing is due any more: no timer is to keep this alive
-        wake(Math.max(e.dueUs(), lastTurnUs + tickUs.getAsLong()));
+  /** A fault in one handler must not keep the other effects of the turn from being handled. */
+  private void dispatch(Effect effect) {
+    if (effect instanceof Effect.ScheduleWakeUp wakeUp) {
+      if (!shutdownCompleted) { // afterwards no timer may keep the process alive
+        scheduleTurn(Math.max(wakeUp.dueUs(), lastTurnUs + tickUs.getAsLong()));
       }
       return;
     }
-    ended |=
-        effect
-            instanceof
-            Effect
-                .ShutdownCompleted; // events still have their turn: a front may read on until it is
-    // closed
+    if (effect instanceof Effect.ShutdownCompleted) {
+      // Events still get their turns: a frontend may read until it is closed.
+      shutdownCompleted = true;
+    }
     try {
-      edges.accept(effect);
-    } catch (RuntimeException e) {
-      faults.accept(e);
+      effectHandler.accept(effect);
+    } catch (RuntimeException fault) {
+      faultHandler.accept(fault);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/server/TwoPhaseSettingsFactory.java
@@ -0,0 +1,69 @@
+package dunlinhitch.server;
+
+import dunlinhitch.balancer.settings.Idempotency;
+import dunlinhitch.balancer.settings.QueryClass;
+import dunlinhitch.config.Config;
+import dunlinhitch.config.Product;
+import dunlinhitch.twophase.TwoPhaseSettings;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * Translates the {@code [phases]} sections of the product's settings file. Only idempotent classes
+ * may use two phases, because the first pass is requested beside the full one.
+ */
+final class TwoPhaseSettingsFactory {
+  private TwoPhaseSettingsFactory() {}
+
+  /**
+   * Returns the settings of each section, in the order of the file.
+   *
+   * @throws Config.ConfigException where a section names a class that does not exist or that cannot
+   *     use two phases
+   */
+  static List<TwoPhaseSettings> create(Config config) {
+    List<QueryClass> classes = config.settings().classes();
+    List<TwoPhaseSettings> settings = new ArrayList<>();
+    for (Product.Phase phase : config.product().phases()) {
+      requireSupported(find(classes, phase.queryClass()));
+      settings.add(
+          new TwoPhaseSettings(
+              phase.queryClass(),
+              phase.share(),
+              phase.least(),
+              phase.trial(),
+              phase.audit(),
+              phase.margin(),
+              phase.closeUs()));
+    }
+    return settings;
+  }
+
+  private static QueryClass find(List<QueryClass> classes, String name) {
+    return classes.stream()
+        .filter(queryClass -> queryClass.name().equals(name))
+        .findFirst()
+        .orElseThrow(
+            () ->
+                failure(
+                    name,
+                    "the settings have no such class; there is "
+                        + classes.stream().map(QueryClass::name).toList()));
+  }
+
+  private static void requireSupported(QueryClass queryClass) {
+    if (queryClass.repeat() != Idempotency.FREE) {
+      throw failure(
+          queryClass.name(), "the class is not safe to repeat, and only such go in two phases");
+    }
+    if (queryClass.followUp() > 0) {
+      throw failure(
+          queryClass.name(),
+          "the class has a second step, which ranks full answers, and so can not go in two phases");
+    }
+  }
+
+  private static Config.ConfigException failure(String queryClass, String reason) {
+    return new Config.ConfigException("[phases " + queryClass + "]: " + reason);
+  }
+}
--- a/src/main/java/dunlinhitch/server/WarmUp.java
+++ b/src/main/java/dunlinhitch/server/WarmUp.java
@@ -2,7 +2,6 @@
 
 import com.eclipsesource.json.Json;
 import com.eclipsesource.json.JsonArray;
-import com.eclipsesource.json.JsonObject;
 import dunlinhitch.balancer.settings.Settings;
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Config.Address;
@@ -14,57 +13,56 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
-import io.vertx.core.net.NetServer;
 import io.vertx.core.net.NetSocket;
-import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
 
 /**
- * A broker that serves itself made-up queries over both of its wires before the real one takes any:
- * all that serving needs is loaded and compiled then. A broker that was ready without it refused a
- * fifth of the queries of its first seconds on part of a core. The build archives the classes from
- * one, too.
+ * Warm-up of the hot paths: a temporary broker serves made-up queries over both of its wires before
+ * the real one accepts clients, so that everything that serving needs is loaded and compiled.
+ * Without it, a broker on part of a core rejected a fifth of the queries of its first seconds. The
+ * build also records in a warm-up which classes it archives.
+ *
+ * <p>Runs on the event loop.
  */
 public final class WarmUp {
   private static final int CLIENTS = 12;
-  private static final int MOST_PARTS = 6;
+  private static final int QUERIES_PER_CONNECTION = 2;
+  private static final int MAXIMUM_PARTS = 6;
 
-  /** Clients wait meanwhile. */
-  private static final long LONGEST_US = 3_000_000;
+  /** Clients of the real broker wait no longer than this. */
+  private static final long MAXIMUM_DURATION_US = 3_000_000;
 
-  private static final long LEAST_US = 500_000;
+  private static final long MINIMUM_DURATION_US = 500_000;
 
-  /** What was asked last has its answer by then, or never: a start waits for neither. */
-  private static final long ANSWER_US = 1_000_000;
+  /** How long the responses to the last queries are waited for. */
+  private static final long RESPONSE_TIMEOUT_US = 1_000_000;
 
   /**
-   * The text of a part ends a line, so that a call is a line for each part and an empty one behind
-   * it.
+   * Text of each part. It ends a line, so that a call has a line for each part and an empty one
+   * after it, which {@link WarmUpBackend} skips.
    */
-  private static final String TEXT = "\n";
+  private static final String PREDICATE = "\n";
 
-  /** As in service: replicas to choose from, and now and then a part that is sent again. */
-  private static final int STORES_A_CELL = 2;
+  private static final int PART_COST_US = 1000;
 
-  private static final int TURNED_AWAY = 20;
-  private static final int FAILED = 33;
-  private static final int PRICE_US = 1000;
   private final Vertx vertx;
   private final Context context;
   private final Settings settings;
   private final String host;
   private final String body;
   private final MicroClock clock = new MicroClock();
-  private final long dueUs;
-  private final int toServe;
-  private int asked;
-  private int replies;
-  private int served;
+  private final long deadlineUs;
+  private final int requiredResponses;
+  private int sentQueries;
+  private int successfulResponses;
 
   /**
-   * {@code host}: where it listens, on ports of its own and for its time only; {@code endUs}: when,
-   * by the system's clock, it is better cut short.
+   * Creates a warm-up.
+   *
+   * @param host the address to listen on, on temporary ports of its own
+   * @param queries ends once so many queries were answered in full
+   * @param endUs when to cut it short, in microseconds of the system's clock
    */
   public WarmUp(
       Vertx vertx, Context context, Settings settings, String host, int queries, long endUs) {
@@ -72,202 +70,145 @@
     this.context = context;
     this.settings = settings;
     this.host = host;
-    toServe = queries;
-    long now = clock.getAsLong();
-    dueUs = Math.max(now + LEAST_US, Math.min(now + LONGEST_US, endUs));
+    requiredResponses = queries;
+    long nowUs = clock.getAsLong();
+    deadlineUs =
+        Math.max(nowUs + MINIMUM_DURATION_US, Math.min(nowUs + MAXIMUM_DURATION_US, endUs));
     body = body(settings.layout().shards());
   }
 
   private static String body(int shards) {
-    int parts = Math.max(1, Math.min(MOST_PARTS, shards));
+    int parts = Math.max(1, Math.min(MAXIMUM_PARTS, shards));
     JsonArray ranges = new JsonArray();
     for (int shard = 0; shard < parts; shard++) {
       ranges.add(
-          Json.object().add("range", shard).add("portion", 1.0 / parts).add("price", PRICE_US));
+          Json.object().add("range", shard).add("portion", 1.0 / parts).add("price", PART_COST_US));
     }
-    return Json.object().add("ranges", ranges).add("predicate", TEXT).toString();
+    return Json.object().add("ranges", ranges).add("predicate", PREDICATE).toString();
   }
 
   /**
-   * Over when all is asked and the broker has ended; the result is how many queries were served.
-   * Without a descriptor left the broker can not accept those whose connections hold them, so what
-   * is not answered is not waited for.
+   * Runs the warm-up; the result is how many queries were answered in full, and comes once the
+   * temporary broker has ended. It never fails and never waits for long: without a free descriptor
+   * the broker cannot accept the connections of its own clients, which then get no response.
    */
   public Future<Integer> run() {
-    NetServer peers = vertx.createNetServer();
-    NetClient clients = vertx.createNetClient();
-    return peers
-        .connectHandler(
-            socket -> {
-              expected(socket);
-              socket.handler(new Peer(socket, peers)::read);
-            })
-        .listen(0, host)
+    WarmUpBackend backend = new WarmUpBackend(vertx, settings, host);
+    NetClient client = vertx.createNetClient();
+    return backend
+        .listen()
         .compose(
-            bound -> {
-              Address any = new Address(host, 0);
-              Broker broker =
-                  new Broker(
-                      vertx,
-                      context,
-                      new Config(
-                          "rehearsal",
-                          any,
-                          null,
-                          new Address(host, bound.actualPort()),
-                          1,
-                          Json.object(),
-                          Config.SOCKETS,
-                          settings,
-                          Product.NONE,
-                          null,
-                          0),
-                      line -> {});
-              return broker
-                  .start()
-                  .compose(
-                      port -> {
-                        List<Future<Void>> asked = new ArrayList<>();
-                        for (int i = 0; i < CLIENTS; i++) {
-                          asked.add(ask(clients, port));
-                        }
-                        Promise<Void> over = Promise.promise();
-                        long last =
-                            vertx.setTimer(
-                                MicroClock.timerMs(clock.getAsLong(), dueUs + ANSWER_US),
-                                t -> over.tryComplete());
-                        Future.join(asked).onComplete(all -> over.tryComplete());
-                        return over.future().onComplete(v -> vertx.cancelTimer(last));
-                      })
-                  .eventually(clients::close)
-                  .eventually(broker::close)
-                  .eventually(bound::close);
-            })
+            backendPort ->
+                serve(new Broker(vertx, context, config(backendPort), line -> {}), client)
+                    .eventually(backend::close))
         .otherwiseEmpty()
-        .map(v -> served);
+        .map(v -> successfulResponses);
   }
 
-  /** Asks two queries a connection, for clients are new all the time, until none is left to ask. */
-  private Future<Void> ask(NetClient clients, int port) {
-    return clients
+  private Config config(int discoveryPort) {
+    return new Config(
+        "rehearsal",
+        new Address(host, 0),
+        null,
+        new Address(host, discoveryPort),
+        1,
+        Json.object(),
+        Config.SOCKETS,
+        settings,
+        Product.NONE,
+        null,
+        0);
+  }
+
+  private Future<Void> serve(Broker broker, NetClient client) {
+    return broker
+        .start()
+        .compose(port -> runClients(client, port))
+        .eventually(client::close)
+        .eventually(broker::close);
+  }
+
+  private Future<Void> runClients(NetClient client, int port) {
+    List<Future<Void>> connections = new ArrayList<>();
+    for (int i = 0; i < CLIENTS; i++) {
+      connections.add(sendQueries(client, port));
+    }
+    Promise<Void> completed = Promise.promise();
+    long timeoutMs = MicroClock.timerMs(clock.getAsLong(), deadlineUs + RESPONSE_TIMEOUT_US);
+    long timer = vertx.setTimer(timeoutMs, id -> completed.tryComplete());
+    Future.join(connections).onComplete(all -> completed.tryComplete());
+    return completed.future().onComplete(v -> vertx.cancelTimer(timer));
+  }
+
+  /** Sends a few queries on each connection, since clients connect anew all the time. */
+  private Future<Void> sendQueries(NetClient client, int port) {
+    return client
         .connect(port, host)
-        .compose(
-            socket -> {
-              int[] answers = {0};
-              expected(socket);
-              Promise<Void> closed = Promise.promise();
-              socket.closeHandler(v -> closed.tryComplete());
-              socket.handler(
-                  answer -> {
-                    served += answer.toString().startsWith("HTTP/1.1 200") ? 1 : 0;
-                    if (++answers[0] < 2 && mayAsk()) {
-                      next(socket);
-                    } else {
-                      socket.close();
-                    }
-                  });
-              next(socket);
-              return closed
-                  .future()
-                  .compose(v -> mayAsk() ? ask(clients, port) : Future.succeededFuture());
-            });
+        .compose(socket -> new ClientConnection(socket).run())
+        .compose(v -> needsMoreQueries() ? sendQueries(client, port) : Future.succeededFuture());
   }
 
   /**
-   * All connections end when the rehearsal does, many by a reset. Without a handler Vert.x writes
-   * each as an error to the log, and the first line loads what words lines: processor time that a
-   * broker is short of just then.
+   * Ignores the exceptions of a connection. All connections end with the warm-up, many by a reset,
+   * and without a handler Vert.x logs each: to load the logger's classes takes processor time that
+   * a starting broker is short of.
    */
-  private static void expected(NetSocket socket) {
-    socket.exceptionHandler(e -> {});
+  static void ignoreExceptions(NetSocket socket) {
+    socket.exceptionHandler(exception -> {});
   }
 
   /**
-   * What is refused does not count: uncompiled, a broker on part of a core is too late for most of
-   * the first.
+   * Rejected queries do not count: before its code is compiled, a broker on part of a core is too
+   * late for most of them.
    */
-  private boolean mayAsk() {
-    return served < toServe && clock.getAsLong() < dueUs;
+  private boolean needsMoreQueries() {
+    return successfulResponses < requiredResponses && clock.getAsLong() < deadlineUs;
   }
 
-  private void next(NetSocket socket) {
-    String id = "rehearsal-" + ++asked;
-    String path = settings.classes().get(asked % settings.classes().size()).name();
-    socket.write(
-        "POST /"
-            + path
-            + " HTTP/1.1\r\nHost: self\r\nX-Trace-Id: "
-            + id
-            + "\r\nIdempotency-Key: "
-            + id
-            + "\r\nX-Expires-In: 1.000\r\nContent-Length: "
-            + body.length()
-            + "\r\n\r\n"
-            + body);
+  private String nextQuery() {
+    sentQueries++;
+    String id = "rehearsal-" + sentQueries;
+    String path = settings.classes().get(sentQueries % settings.classes().size()).name();
+    return "POST /"
+        + path
+        + " HTTP/1.1\r\nHost: self\r\nX-Trace-Id: "
+        + id
+        + "\r\nIdempotency-Key: "
+        + id
+        + "\r\nX-Expires-In: 1.000\r\nContent-Length: "
+        + body.length()
+        + "\r\n\r\n"
+        + body;
   }
 
-  /**
-   * Discovery and all stores in one: what asks by HTTP gets the list, each part of a call its
-   * reply.
-   */
-  private final class Peer {
-    private static final int HEAD = 5;
+  /** One connection of a client, closed after its last response. */
+  private final class ClientConnection {
     private final NetSocket socket;
-    private final NetServer server;
-    private Buffer rest = Buffer.buffer();
+    private final Promise<Void> closed = Promise.promise();
+    private int responses;
 
-    Peer(NetSocket socket, NetServer server) {
+    ClientConnection(NetSocket socket) {
       this.socket = socket;
-      this.server = server;
     }
 
-    void read(Buffer bytes) {
-      rest.appendBuffer(bytes);
-      if (rest.getByte(0) == 'G') {
-        String list = list();
-        socket.write(
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
-                + Integer.toHexString(list.length())
-                + "\r\n"
-                + list
-                + "\r\n");
-        return;
-      }
-      while (rest.length() >= HEAD && rest.length() >= HEAD - 1 + rest.getIntLE(0)) {
-        int end = HEAD - 1 + rest.getIntLE(0);
-        if (rest.getByte(HEAD - 1) == 'm') {
-          rest.getString(HEAD, end).lines().filter(line -> !line.isEmpty()).forEach(this::reply);
-        }
-        rest = rest.getBuffer(end, rest.length());
-      }
+    Future<Void> run() {
+      ignoreExceptions(socket);
+      socket.closeHandler(v -> closed.tryComplete());
+      socket.handler(this::onResponse);
+      socket.write(nextQuery());
+      return closed.future();
     }
 
-    private void reply(String line) {
-      String end = ++replies % TURNED_AWAY == 0 ? "later" : replies % FAILED == 0 ? "bad" : "good";
-      byte[] text =
-          ("q"
-                  + line.substring(0, line.indexOf(' '))
-                  + " "
-                  + end
-                  + " 1 latency_ms=1,queue=0\nvalue")
-              .getBytes(StandardCharsets.UTF_8);
-      socket.write(Buffer.buffer().appendUnsignedIntLE(text.length).appendBytes(text));
-    }
-
-    private String list() {
-      JsonArray stores = new JsonArray();
-      for (int store = 0; store < STORES_A_CELL * settings.layout().cells(); store++) {
-        int cell = store % settings.layout().cells();
-        stores.add(
-            new JsonObject()
-                .add("instanceId", "s" + store)
-                .add("hostPort", host + ":" + server.actualPort())
-                .add("zone", settings.zones().isEmpty() ? "" : settings.zones().get(0))
-                .add("cell", cell)
-                .add("lifecycle", "ready"));
+    private void onResponse(Buffer response) {
+      if (response.toString().startsWith("HTTP/1.1 200")) {
+        successfulResponses++;
+      }
+      responses++;
+      if (responses < QUERIES_PER_CONNECTION && needsMoreQueries()) {
+        socket.write(nextQuery());
+      } else {
+        socket.close();
       }
-      return new JsonObject().add("generation", 1).add("reset", true).add("instances", stores)
-          + "\n";
     }
   }
 }
--- a/src/test/java/dunlinhitch/cli/MainTest.java
+++ b/src/test/java/dunlinhitch/cli/MainTest.java
@@ -199,7 +199,7 @@
               "dunlinhitch.scoring",
               "dunlinhitch.cluster.gossip",
               "dunlinhitch.core.Cluster",
-              "dunlinhitch.server.ClusterLink",
+              "dunlinhitch.server.ClusterGossip",
               "com.google.")) {
         assertFalse(
             lines.stream().anyMatch(l -> l.contains(off)),
--- a/src/test/java/dunlinhitch/server/ClusterLinkTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -36,7 +36,7 @@
  * The platform's own addresses for words between brokers: read, and used only where {@code [fleet]}
  * asks for them.
  */
-class ClusterLinkTest {
+class ClusterGossipTest {
   @TempDir private Path dir;
 
   private ConfigFile file(String keys, boolean allowed, String own) throws IOException {
@@ -135,8 +135,8 @@
               .toCompletableFuture()
               .get(5, TimeUnit.SECONDS);
       int own = Rig.freeWordPort();
-      ClusterLink link =
-          new ClusterLink(
+      ClusterGossip clusterGossip =
+          new ClusterGossip(
               vertx,
               read(
                   LISTEN.replace("7400", Integer.toString(own))
@@ -146,8 +146,12 @@
                   "[fleet]\n"),
               new MicroClock());
       BlockingQueue<Event> events = new LinkedBlockingQueue<>();
-      link.listen(events::add).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-      Member self = link.place().self();
+      clusterGossip
+          .listen(events::add)
+          .toCompletionStage()
+          .toCompletableFuture()
+          .get(5, TimeUnit.SECONDS);
+      Member self = clusterGossip.identity().self();
       other.tell(
           new Effect.SendGossip(
               "127.0.0.1",
@@ -202,11 +206,15 @@
                   + port
                   + "\"},",
               "[fleet]\n");
-      ClusterLink link = new ClusterLink(vertx, config, new MicroClock());
-      assertEquals(7411, link.place().self().port());
-      assertEquals(List.of(new MembershipProtocol.Seed("127.0.0.1", port)), link.place().seeds());
-      assertEquals(256, link.place().settings().view().wordBytes());
-      assertFalse(link.place().settings().view().addresses(), "others may be told other addresses");
+      ClusterGossip clusterGossip = new ClusterGossip(vertx, config, new MicroClock());
+      assertEquals(7411, clusterGossip.identity().self().port());
+      assertEquals(
+          List.of(new MembershipProtocol.Seed("127.0.0.1", port)),
+          clusterGossip.identity().seeds());
+      assertEquals(256, clusterGossip.identity().settings().view().wordBytes());
+      assertFalse(
+          clusterGossip.identity().settings().view().addresses(),
+          "others may be told other addresses");
       List<Member> peers = new ArrayList<>();
       for (int i = 0; i < 12; i++) {
         peers.add(
@@ -218,17 +226,21 @@
                 1_796_000_000_000L,
                 Member.Status.ALIVE));
       }
-      link.listen(event -> {}).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-      link.tell(
+      clusterGossip
+          .listen(event -> {})
+          .toCompletionStage()
+          .toCompletableFuture()
+          .get(5, TimeUnit.SECONDS);
+      clusterGossip.send(
           new Effect.SendGossip(
               "127.0.0.1",
               port,
               new GossipMessage(
                   GossipMessage.Kind.JOIN,
-                  link.place().self(),
+                  clusterGossip.identity().self(),
                   1,
                   "",
-                  link.place().versions(),
+                  clusterGossip.identity().versions(),
                   peers,
                   List.of())));
       for (int i = 0; i < 2; i++) {
--- a/src/test/java/dunlinhitch/server/HangupSignalsTest.java
+++ b/src/test/java/dunlinhitch/server/HangupSignalsTest.java
@@ -9,14 +9,14 @@
   /** Whatever came before there was a task is one run of it; from then on each is one. */
   @Test
   void hangUpsAreKeptUntilThereIsATask() {
-    HangupSignals hangUps = new HangupSignals();
+    HangupSignals signals = new HangupSignals();
     int[] runs = {0};
-    hangUps.came();
-    hangUps.came();
-    hangUps.to(() -> runs[0]++);
+    signals.onSignal();
+    signals.onSignal();
+    signals.setTask(() -> runs[0]++);
     assertEquals(1, runs[0]);
-    hangUps.came();
-    hangUps.came();
+    signals.onSignal();
+    signals.onSignal();
     assertEquals(3, runs[0]);
   }
 }
--- a/src/test/java/dunlinhitch/server/ReducerLoopTest.java
+++ b/src/test/java/dunlinhitch/server/ReducerLoopTest.java
@@ -34,7 +34,7 @@
           Reducer reducer = new Reducer(Stage.settings(1), 1, clock.getAsLong());
           ReducerLoop loop =
               new ReducerLoop(vertx, context, reducer, clock, () -> 5_000, faults::add);
-          loop.edges(
+          loop.setEffectHandler(
               effect -> {
                 if (effect instanceof Effect.SendResponse reply) {
                   replies.add(reply.exchange());
@@ -83,7 +83,7 @@
                   clock,
                   () -> 5_000,
                   effects::add);
-          loop[0].edges(effects::add);
+          loop[0].setEffectHandler(effects::add);
           loop[0].accept(new Event.ShutdownRequested());
         });
     Object effect = effects.poll(5, TimeUnit.SECONDS);
--- a/src/test/java/dunlinhitch/server/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -66,12 +66,12 @@
       Runnable reload = () -> stage.broker.reload(() -> config(stage, Stage.twoSteps(40), 2));
       stage.vertx.runOnContext(
           v -> {
-            stage.broker.rereadBy(
+            stage.broker.setConfigurationReader(
                 () -> {
                   waitFor(later, slow ? 1 : 0);
                   return config(stage, Stage.settings(40), 1);
                 });
-            stage.broker.readAgain();
+            stage.broker.reloadIfChanged();
             if (slow) { // on a context of its own, for whose reading none but the broker lets this
               // one end first
               new Thread(() -> stage.vertx.runOnContext(w -> reload.run())).start();
