--- a/src/main/java/dunlinhitch/cli/ConfigOptions.java
+++ b/src/main/java/dunlinhitch/cli/ConfigOptions.java
@@ -18,6 +18,7 @@
 
   @Option(
       names = "--conf",
+      paramLabel = "<own>",
       defaultValue = PRODUCT_FILE,
       description = "the product's own settings (default: ${DEFAULT-VALUE}, if it is there)")
   private Path productFile;
--- a/src/main/java/dunlinhitch/cli/Main.java
+++ b/src/main/java/dunlinhitch/cli/Main.java
@@ -65,16 +65,17 @@
   static CommandLine commandLine() {
     CommandLine line = new CommandLine(new Main());
     CommandLine formerWarmUp = new CommandLine(new WarmUpCommand());
+    formerWarmUp.setCommandName(WarmUpCommand.FORMER_NAME);
     formerWarmUp.getCommandSpec().usageMessage().hidden(true);
     line.addSubcommand(WarmUpCommand.FORMER_NAME, formerWarmUp);
-    return reportFailures(line);
+    return FailureHandlers.install(line);
   }
 
   /** Adds the experiments where they are asked for: nothing else may load a class of them. */
   private static CommandLine commandLine(String[] arguments) {
     CommandLine line = commandLine();
     if (arguments.length > 0 && namesExperiments(arguments[0])) {
-      line.addSubcommand(arguments[0], reportFailures(new CommandLine(experiments())));
+      line.addSubcommand(arguments[0], FailureHandlers.install(new CommandLine(experiments())));
     }
     return line;
   }
@@ -91,12 +92,8 @@
     }
   }
 
-  private static CommandLine reportFailures(CommandLine line) {
-    return line.setParameterExceptionHandler((failure, arguments) -> report(failure))
-        .setExecutionExceptionHandler((failure, command, parsed) -> report(failure));
-  }
-
-  private static int report(Exception failure) {
+  /** Writes the first line of the failure to standard error and returns the exit code. */
+  static int report(Exception failure) {
     System.err.println(
         "dunlinhitch: " + String.valueOf(failure.getMessage()).lines().findFirst().orElse(""));
     return FAILURE;
--- a/src/main/java/dunlinhitch/cli/RecordsCommand.java
+++ b/src/main/java/dunlinhitch/cli/RecordsCommand.java
@@ -63,20 +63,25 @@
       description = "cells of the layout (default: ${DEFAULT-VALUE})")
   private int cells;
 
-  @Option(names = "--push", description = "HOST:PORT of a push server")
+  @Option(names = "--push", paramLabel = "<push>", description = "HOST:PORT of a push server")
   private String pushServer;
 
-  @Option(names = "--push-trust", description = "PEM file of who may vouch for it")
+  @Option(
+      names = "--push-trust",
+      paramLabel = "<pushTrust>",
+      description = "PEM file of who may vouch for it")
   private Path pushTrustFile;
 
   @Option(
       names = "--soa-every-ms",
+      paramLabel = "<soaEveryMs>",
       defaultValue = "0",
       description = "with --watch: asks for the zone's serial so often")
   private long soaIntervalMs;
 
   @Option(
       names = "--within",
+      paramLabel = "<withinS>",
       defaultValue = "3",
       description = "seconds that the servers may take (default: ${DEFAULT-VALUE})")
   private int timeoutS;
--- a/src/main/java/dunlinhitch/cli/RecordsTable.java
+++ b/src/main/java/dunlinhitch/cli/RecordsTable.java
@@ -14,8 +14,6 @@
 
 /** Formats what {@link RecordsCommand} prints. */
 final class RecordsTable {
-  private static final String HEADER_FORMAT = "%-20s %-24s %5s %-9s %8s  %-12s %s%n";
-  private static final String ROW_FORMAT = "%-20s %-24s %5s %-9s %8s  %-12s %s%s%n";
   private static final long MICROS_PER_MILLI = 1000;
   private static final long MICROS_PER_SECOND = 1_000_000;
 
@@ -30,7 +28,8 @@
     StringBuilder out =
         new StringBuilder(
             String.format(
-                HEADER_FORMAT, "store", "address", "cell", "says", "left", "status", "why"));
+                "%-20s %-24s %5s %-9s %8s  %-12s %s%n",
+                "store", "address", "cell", "says", "left", "status", "why"));
     registry.rows().stream()
         .sorted(Comparator.comparing(EndpointRegistry.Row::store))
         .forEach(row -> out.append(formatRow(row, namesSource, nowUs)));
@@ -43,7 +42,7 @@
   private static String formatRow(EndpointRegistry.Row row, boolean namesSource, long nowUs) {
     Endpoint endpoint = row.entry();
     return String.format(
-        ROW_FORMAT,
+        "%-20s %-24s %5s %-9s %8s  %-12s %s%s%n",
         row.store(),
         endpoint == null ? "" : endpoint.host() + ":" + endpoint.port(),
         endpoint == null ? "" : endpoint.cell(),
--- a/src/main/java/dunlinhitch/server/ClusterGossip.java
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -35,7 +35,7 @@
   /** How long a failed member is remembered at the least. */
   private static final long MINIMUM_RETENTION_US = 30_000_000;
 
-  /** The same, in suspicion timeouts. */
+  /** The same, as a multiple of the suspicion timeout. */
   private static final int RETENTION_SUSPICION_TIMEOUTS = 10;
 
   /**
@@ -46,6 +46,8 @@
   /** The platform's protocol forbids longer datagrams. */
   private static final int PLATFORM_DATAGRAM_BYTES = 256;
 
+  private static final long MICROS_PER_MILLI = 1000;
+
   private final Vertx vertx;
   private final Product.Fleet fleet;
   private final ClusterIdentity identity;
@@ -76,7 +78,7 @@
                 .map(peer -> new MembershipProtocol.Seed(peer.host(), peer.port()))
                 .toList(),
             clusterSettings(fleet, addressBook),
-            startMs * 1000 - clock.getAsLong(),
+            startMs * MICROS_PER_MILLI - clock.getAsLong(),
             new VersionSkewSettings(
                 fleet.behindUs(), VersionSkewSettings.STANDARD.againUs(), fleet.shutOutUs()),
             new VersionVector(
--- a/src/main/java/dunlinhitch/server/EndpointSources.java
+++ b/src/main/java/dunlinhitch/server/EndpointSources.java
@@ -59,7 +59,9 @@
     sources = List.copyOf(all);
   }
 
-  /** {@link Product#NONE} is the one instance that stands for an absent file; equal ones do not. */
+  /**
+   * An absent file is the one instance {@link Product#NONE}; one that was read may be equal to it.
+   */
   @SuppressWarnings("ReferenceEquality")
   private static boolean hasProductFile(Config config) {
     return config.product() != Product.NONE;
@@ -107,13 +109,13 @@
     return hasInitialList || (dnsSources != null && dnsSources.restored());
   }
 
-  /** Saves the last known state where it is persisted; the result is when that is done. */
-  Future<Void> close() {
-    return dnsSources == null ? Future.succeededFuture() : dnsSources.close();
-  }
-
   /** Stops all sources; {@link #close} still saves what they had. */
   void stop() {
     sources.forEach(DiscoverySource::stop);
   }
+
+  /** Saves the last known state where it is persisted; the result is when that is done. */
+  Future<Void> close() {
+    return dnsSources == null ? Future.succeededFuture() : dnsSources.close();
+  }
 }
