--- /dev/null
+++ b/src/test/java/dunlinhitch/cli/SighupTest.java
@@ -0,0 +1,148 @@
+package dunlinhitch.cli;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinhitch.experiments.fakes.Discovery;
+import io.vertx.core.Vertx;
+import java.io.OutputStream;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.io.TempDir;
+
+/** Reloading of the configuration by a process that serves, on SIGHUP. */
+class SighupTest {
+  @TempDir private Path dir;
+
+  /**
+   * Starts a process with SIGHUP ignored, by the command that {@code before} begins, and returns
+   * its output up to a line that begins with {@code until}.
+   */
+  private static List<String> startIgnoringSighup(
+      Path file, String before, String until, boolean sendsSignal) throws Exception {
+    Process broker =
+        new ProcessBuilder(
+                "/bin/sh",
+                "-c",
+                "trap '' HUP; exec " + before + " \"$0\" \"$@\"",
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-cp",
+                System.getProperty("java.class.path"),
+                "dunlinhitch.cli.Main",
+                "serve",
+                "--config",
+                file.toString())
+            .redirectErrorStream(true)
+            .start();
+    try (var reader = broker.inputReader()) {
+      List<String> lines = ServeProcess.read(reader, "n1 listens");
+      if (sendsSignal) {
+        ServeProcess.sendSighup(broker);
+        lines.addAll(ServeProcess.read(reader, until));
+      }
+      return lines;
+    } finally {
+      broker.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+    }
+  }
+
+  /**
+   * A JVM keeps SIGHUP ignored if it was at its start, as by nohup. The command in the deploy file
+   * undoes that; without it the broker reports that it will not reload, since it would otherwise
+   * follow a discovery service that has moved and use endpoints that were withdrawn.
+   */
+  @Test
+  void reloadsOnSighupWhenStartedByNohup() throws Exception {
+    String run =
+        Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+            .filter(line -> line.startsWith("run = "))
+            .findFirst()
+            .orElseThrow();
+    String before = run.substring(run.indexOf("exec ") + 5, run.indexOf("java "));
+    Vertx vertx = Vertx.vertx();
+    try (Discovery discovery = new Discovery(vertx)) {
+      discovery.list();
+      Path file = dir.resolve("config.json");
+      Files.writeString(file, ServeProcess.config(discovery));
+      List<String> lines = startIgnoringSighup(file, before, "the configuration was taken", true);
+      assertTrue(
+          lines.stream().noneMatch(line -> line.startsWith("SIGHUP is ignored")), lines.toString());
+      lines = startIgnoringSighup(file, "", "", false);
+      assertTrue(
+          lines.stream().anyMatch(line -> line.startsWith("SIGHUP is ignored")), lines.toString());
+    } finally {
+      vertx.close();
+    }
+  }
+
+  /**
+   * On SIGHUP the file takes precedence over the environment. Endpoint lists of the new address are
+   * numbered anew, so its complete list comes first. A file that cannot be read changes nothing.
+   */
+  @Test
+  void sighupMovesDiscoveryToTheAddressInTheFile() throws Exception {
+    Vertx vertx = Vertx.vertx();
+    try (Discovery old = new Discovery(vertx);
+        Discovery moved = new Discovery(vertx)) {
+      for (int generation = 0; generation < 3; generation++) {
+        old.list();
+      }
+      moved.list();
+      Path file = dir.resolve("config.json");
+      Files.writeString(file, ServeProcess.config(moved));
+      Process broker = ServeProcess.start(file, old);
+      try (var reader = broker.inputReader()) {
+        ServeProcess.read(reader, "n1 listens");
+        assertEquals("/registry/instances?follow=1&since=0", old.asked.poll(5, TimeUnit.SECONDS));
+        String complete = Files.readString(file);
+        Files.writeString(file, complete.substring(0, 60));
+        ServeProcess.sendSighup(broker);
+        ServeProcess.read(reader, "the configuration stays as it was");
+        Files.writeString(file, complete);
+        ServeProcess.sendSighup(broker);
+        assertEquals("/registry/instances", moved.asked.poll(5, TimeUnit.SECONDS));
+        assertEquals("/registry/instances?follow=1&since=1", moved.asked.poll(5, TimeUnit.SECONDS));
+        broker.toHandle().destroy();
+        List<String> lines = ServeProcess.read(reader, "faults");
+        assertTrue(lines.contains("discovery_moved 1") && lines.contains("bad_configurations 1"));
+      }
+      assertTrue(broker.waitFor(10, TimeUnit.SECONDS));
+      assertEquals(0, broker.exitValue());
+    } finally {
+      vertx.close();
+    }
+  }
+
+  /**
+   * SIGHUP arrives while the start has opened the file and read nothing: the process survives, and
+   * reads the file again once it has started.
+   */
+  @Test
+  void sighupDuringStartReloadsOnceStarted() throws Exception {
+    Vertx vertx = Vertx.vertx();
+    Path pipe = dir.resolve("config.json");
+    Process broker = ServeProcess.startOnPipe(pipe);
+    try (Discovery old = new Discovery(vertx);
+        Discovery moved = new Discovery(vertx)) {
+      old.list();
+      moved.list();
+      try (OutputStream first = ServeProcess.openWhenRead(pipe, broker)) {
+        Files.delete(pipe); // the next reading has a pipe of its own
+        assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
+        ServeProcess.sendSighup(broker);
+        first.write(ServeProcess.config(old).getBytes(StandardCharsets.UTF_8));
+      }
+      try (OutputStream second = ServeProcess.openWhenRead(pipe, broker)) {
+        second.write(ServeProcess.config(moved).getBytes(StandardCharsets.UTF_8));
+      }
+      assertEquals("/registry/instances", moved.asked.poll(10, TimeUnit.SECONDS));
+    } finally {
+      broker.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
+      vertx.close();
+    }
+  }
+}
--- a/src/test/java/dunlinhitch/server/AdminTest.java
+++ b/src/test/java/dunlinhitch/server/AdminTest.java
@@ -10,6 +10,7 @@
 import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
@@ -17,14 +18,16 @@
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What operators ask and are told, over loopback. */
+/** Requests of operators to the admin server, over loopback. */
 class AdminTest {
   private final Stage stage;
   @TempDir private Path dir;
@@ -38,9 +41,9 @@
     stage.close();
   }
 
-  /** One call on a connection of its own; the whole answer. */
+  /** Sends one request on a connection of its own and returns the complete response. */
   private String call(String line) throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", stage.adminPort)) {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort)) {
       socket
           .getOutputStream()
           .write((line + " HTTP/1.1\r\nHost: ops\r\n\r\n").getBytes(StandardCharsets.UTF_8));
@@ -52,7 +55,7 @@
     return Integer.parseInt(answer.substring(9, 12));
   }
 
-  private long figure(String name) throws IOException {
+  private long metric(String name) throws IOException {
     return call("GET /metrics")
         .lines()
         .filter(line -> line.startsWith("router_" + name + " "))
@@ -61,9 +64,9 @@
         .orElseThrow();
   }
 
-  /** Both wires end in the same figures: they are the reducer's, not a front's. */
+  /** The metrics are those of the reducer, not of a frontend. */
   @Test
-  void requestsOfBothWiresEndInOneFigureEach() throws Exception {
+  void countsRequestsOfBothProtocolsInTheSameMetrics() throws Exception {
     FrameStore frames = new FrameStore(stage.vertx, "f");
     FlightStore flight = new FlightStore("g");
     stage.list(frames, flight);
@@ -90,68 +93,75 @@
             .get(5, TimeUnit.SECONDS)
             .end());
     String free = "{category=\"free-search\"}";
-    assertEquals(4, figure("passed" + free));
-    assertEquals(0, figure("dropped" + free));
-    assertEquals(1, figure("dropped{category=\"slot-booking\"}"));
-    assertEquals(0, figure("bad_gateway" + free));
-    assertEquals(8, figure("upstream_tries"));
-    assertEquals(0, figure("in_progress"));
-    assertEquals(2, figure("known_calendar_stores"));
-    assertEquals(0, figure("skipped_calendar_stores"));
+    assertEquals(4, metric("passed" + free));
+    assertEquals(0, metric("dropped" + free));
+    assertEquals(1, metric("dropped{category=\"slot-booking\"}"));
+    assertEquals(0, metric("bad_gateway" + free));
+    assertEquals(8, metric("upstream_tries"));
+    assertEquals(0, metric("in_progress"));
+    assertEquals(2, metric("known_calendar_stores"));
+    assertEquals(0, metric("skipped_calendar_stores"));
     arrow.close();
     flight.close();
   }
 
-  private void disable(String id, boolean out, int status) throws IOException {
+  private void disable(String id, boolean disabled, int status) throws IOException {
     assertEquals(
         status,
-        status(call("POST /calendar-stores/" + (out ? "disable" : "enable") + "?host=" + id)));
+        status(call("POST /calendar-stores/" + (disabled ? "disable" : "enable") + "?host=" + id)));
+  }
+
+  private long disabledEndpointCount() throws IOException {
+    try (Stream<Path> files = Files.list(dir.resolve("stores-out"))) {
+      return files.count();
+    }
   }
 
   /**
-   * The same on both wires: out from the yes on, also where the list names the store anew; asked
-   * twice it is out once; one call brings it back, and it is used again soon.
+   * The same for both backend protocols: an endpoint is disabled from the response on, also where a
+   * new endpoint list names it; disabling it twice is the same as once; it is used again soon after
+   * it was enabled.
    */
   @Test
-  void aStoreThatIsOutGetsNothingUntilItIsCalledBack() throws Exception {
+  void disabledEndpointReceivesNothingUntilEnabled() throws Exception {
     stage.scratch = dir;
     FrameStore frames = new FrameStore(stage.vertx, "s/1 é");
     FlightStore flight = new FlightStore("g");
     stage.list(frames, flight);
     stage.start(Stage.settings(100), null);
     Client http = Client.http(stage.httpPort);
-    for (Store out : List.of(frames, flight)) {
-      String id = URLEncoder.encode(out.name, StandardCharsets.UTF_8);
+    for (Store disabled : List.of(frames, flight)) {
+      String id = URLEncoder.encode(disabled.name, StandardCharsets.UTF_8);
       disable(id, true, 200);
       disable(id, true, 200);
-      assertEquals(1, Files.list(dir.resolve("stores-out")).count());
-      assertEquals(1, figure("skipped_calendar_stores"));
+      assertEquals(1, disabledEndpointCount());
+      assertEquals(1, metric("skipped_calendar_stores"));
       stage.list(frames, flight);
-      out.seen.clear();
-      out.probes.clear();
+      disabled.seen.clear();
+      disabled.probes.clear();
       for (int i = 0; i < 10; i++) {
         assertEquals(
             "whole",
             http.ask(
                     "free-search",
-                    Map.of("X-Trace-Id", out.name.charAt(0) + "q" + i, "X-Expires-In", "1.0"),
+                    Map.of("X-Trace-Id", disabled.name.charAt(0) + "q" + i, "X-Expires-In", "1.0"),
                     Client.body(0, 1))
                 .get(5, TimeUnit.SECONDS)
                 .end());
       }
-      assertEquals(0, out.seen.size() + out.probes.size());
+      assertEquals(0, disabled.seen.size() + disabled.probes.size());
       disable(id, false, 200);
       disable(id, false, 200);
-      assertEquals(0, Files.list(dir.resolve("stores-out")).count());
+      assertEquals(0, disabledEndpointCount());
       long endMs = System.currentTimeMillis() + 5_000;
-      for (int i = 0; out.seen.isEmpty() && System.currentTimeMillis() < endMs; i++) {
+      for (int i = 0; disabled.seen.isEmpty() && System.currentTimeMillis() < endMs; i++) {
         http.ask(
                 "free-search",
-                Map.of("X-Trace-Id", out.name.charAt(0) + "b" + i, "X-Expires-In", "1.0"),
+                Map.of("X-Trace-Id", disabled.name.charAt(0) + "b" + i, "X-Expires-In", "1.0"),
                 Client.body(0, 1))
             .get(5, TimeUnit.SECONDS);
       }
-      assertTrue(out.seen.size() > 0, out.name + " is not used again");
+      assertTrue(disabled.seen.size() > 0, disabled.name + " is not used again");
     }
     disable("nobody", true, 404);
     disable("nobody", false, 404);
@@ -161,38 +171,40 @@
   }
 
   /**
-   * Two processes share the folder: what one was asked holds at the other, and at one that is
-   * started later.
+   * Processes share the folder: what one was asked applies at the other, and at one that starts
+   * later.
    */
   @Test
-  void anotherProcessOfTheBrokerTakesTheBan() throws Exception {
-    List<String> told = new CopyOnWriteArrayList<>();
-    DisabledEndpointFolder one =
-        new DisabledEndpointFolder(stage.vertx, dir, (out, back) -> told.add("one " + out + back));
-    DisabledEndpointFolder two =
-        new DisabledEndpointFolder(stage.vertx, dir, (out, back) -> told.add("two " + out + back));
-    one.start(true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-    two.start(true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+  void otherProcessesFollowDisabledEndpoints() throws Exception {
+    List<String> notifications = new CopyOnWriteArrayList<>();
+    DisabledEndpointFolder first =
+        new DisabledEndpointFolder(
+            stage.vertx, dir, (disabled, back) -> notifications.add("one " + disabled + back));
+    DisabledEndpointFolder second =
+        new DisabledEndpointFolder(
+            stage.vertx, dir, (disabled, back) -> notifications.add("two " + disabled + back));
+    first.start(true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+    second.start(true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     for (String id : List.of("a", "../b c")) {
-      one.keep(id, true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-      untilTold(told, "two [" + id + "][]");
+      first.keep(id, true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+      awaitNotification(notifications, "two [" + id + "][]");
     }
-    DisabledEndpointFolder later =
+    DisabledEndpointFolder restarted =
         new DisabledEndpointFolder(
-            stage.vertx, dir, (out, back) -> told.add("later " + out.size()));
-    later.start(false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-    untilTold(told, "later 2");
-    two.keep("a", false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
-    untilTold(told, "one [][a]");
-    assertEquals(4, told.size(), "own changes are no news: " + told);
+            stage.vertx, dir, (disabled, back) -> notifications.add("later " + disabled.size()));
+    restarted.start(false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+    awaitNotification(notifications, "later 2");
+    second.keep("a", false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+    awaitNotification(notifications, "one [][a]");
+    assertEquals(4, notifications.size(), "own changes are no news: " + notifications);
   }
 
   /**
-   * A folder that can not be written must not keep the broker from serving; the call is owed a no,
-   * for the ban is not kept.
+   * A folder that cannot be written must not keep the broker from serving; the operator's request
+   * fails, because the change would be lost at a restart.
    */
   @Test
-  void aBanThatCanNotBeKeptIsNoYes() throws Exception {
+  void reportsAnErrorWhenDisablingCannotBePersisted() throws Exception {
     stage.scratch = Files.createFile(dir.resolve("no-folder"));
     FrameStore store = new FrameStore(stage.vertx, "s");
     stage.list(store);
@@ -206,36 +218,33 @@
     disable("s", true, 500);
   }
 
-  private static void untilTold(List<String> told, String what) {
+  private static void awaitNotification(List<String> notifications, String expected) {
     long endMs = System.currentTimeMillis() + 5_000;
-    while (!told.contains(what) && System.currentTimeMillis() < endMs) {
+    while (!notifications.contains(expected) && System.currentTimeMillis() < endMs) {
       Thread.onSpinWait();
     }
-    assertTrue(told.contains(what), () -> what + " is not in " + told);
+    assertTrue(notifications.contains(expected), () -> expected + " is not in " + notifications);
   }
 
   @Test
-  void wrongCallsAreOwedANo() throws Exception {
+  void rejectsInvalidAdminRequests() throws Exception {
     stage.start(Stage.settings(100), null);
     assertEquals(404, status(call("GET /nothing")));
     assertEquals(405, status(call("POST /ready")));
     assertEquals(405, status(call("DELETE /metrics")));
     String answer =
         call("GET /ready"); // the watch was answered long before the broker listened for clients
-    assertTrue(answer.toLowerCase().contains("connection: close"), answer);
+    assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
   }
 
-  /**
-   * More callers than may be held say nothing or half a call; the next one is answered all the
-   * same.
-   */
+  /** More callers than may be connected send nothing or half a request; the next is answered. */
   @Test
-  void silentAndHalfCallersHoldUpNobody() throws Exception {
+  void idleAndIncompleteCallersDoNotBlockOthers() throws Exception {
     stage.start(Stage.settings(100), null);
-    List<Socket> quiet = new ArrayList<>();
+    List<Socket> idleCallers = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
-      Socket socket = new Socket("127.0.0.1", stage.adminPort);
-      quiet.add(socket);
+      Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort);
+      idleCallers.add(socket);
       if (i % 2 == 0) {
         socket
             .getOutputStream()
@@ -243,7 +252,7 @@
       }
     }
     assertEquals(200, status(call("GET /metrics")));
-    for (Socket socket : quiet) {
+    for (Socket socket : idleCallers) {
       socket.close();
     }
   }
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -18,6 +18,7 @@
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
 import dunlinhitch.experiments.testbed.Rig;
+import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.datagram.DatagramSocket;
 import java.io.IOException;
@@ -33,8 +34,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The platform's own addresses for words between brokers: read, and used only where {@code [fleet]}
- * asks for them.
+ * The platform's addresses for gossip between brokers: read always, used only where the product's
+ * settings file has a {@code [fleet]} section.
  */
 class ClusterGossipTest {
   @TempDir private Path dir;
@@ -60,7 +61,7 @@
   private static final String LISTEN = "\"peer_listen\":\"127.0.0.1:7400\",";
 
   @Test
-  void theirFormMayBeAnyThatNamesAddresses() throws IOException {
+  void readsPeersInAnyFormThatNamesAddresses() throws IOException {
     Address one = new Address("10.0.0.1", 7400);
     Address two = new Address("10.0.0.2", 7401);
     for (String form :
@@ -82,12 +83,9 @@
         "nothing is switched on by them");
   }
 
-  /**
-   * What can not be used is a line and no failed start; with a {@code [fleet]} that counts on it
-   * the broker goes alone.
-   */
+  /** Unusable addresses are logged and fail no start; the broker then runs without a cluster. */
   @Test
-  void whatCanNotBeUsedLeavesItOff() throws IOException {
+  void unusablePeerAddressesDisableGossip() throws IOException {
     for (String bad :
         List.of(
             "\"peers\":[\"10.0.0.1:7400\"],",
@@ -113,27 +111,26 @@
         Config.ConfigException.class, () -> read(LISTEN, "[fleet]\nlisten 127.0.0.1:7400\n"));
   }
 
-  /** Others come and go between two readings of the file. */
+  /** Peers may be added and removed between two readings of the file. */
   @Test
-  void aFileWithOtherPeersIsTaken() throws IOException {
+  void reloadAcceptsOtherPeers() throws IOException {
     ConfigFile file = file(LISTEN + "\"peers\":{\"n1\":\"10.0.0.1:7400\"},", true, "[fleet]\n");
     assertEquals(7400, file.read().product().fleet().listen().port());
     read(LISTEN + "\"peers\":{\"n2\":\"10.0.0.2:7400\"},", "[fleet]\n");
     assertEquals(7400, file.again().product().fleet().listen().port());
   }
 
-  /** Others may be told another address of this broker: it is no other one of its name to it. */
+  private static <T> T await(Future<T> future) throws Exception {
+    return future.toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+  }
+
+  /** Peers may have another address of this broker: it does not take itself for a namesake. */
   @Test
-  void itIsWhereItSaysThatItIs() throws Exception {
+  void advertisesItsOwnAddressWhateverPeersWereGiven() throws Exception {
     Vertx vertx = Vertx.vertx();
     try {
       GossipSocket other = new GossipSocket(vertx, new AddressBook(256, List.of()), event -> {});
-      int port =
-          other
-              .listen("127.0.0.1", 0)
-              .toCompletionStage()
-              .toCompletableFuture()
-              .get(5, TimeUnit.SECONDS);
+      int port = await(other.listen("127.0.0.1", 0));
       int own = Rig.freeWordPort();
       ClusterGossip clusterGossip =
           new ClusterGossip(
@@ -146,11 +143,7 @@
                   "[fleet]\n"),
               new MicroClock());
       BlockingQueue<Event> events = new LinkedBlockingQueue<>();
-      clusterGossip
-          .listen(events::add)
-          .toCompletionStage()
-          .toCompletableFuture()
-          .get(5, TimeUnit.SECONDS);
+      await(clusterGossip.listen(events::add));
       Member self = clusterGossip.identity().self();
       other.tell(
           new Effect.SendGossip(
@@ -171,33 +164,38 @@
                           self.incarnation(),
                           Member.Status.ALIVE)),
                   List.of())));
-      GossipMessage heard = ((Event.GossipReceived) events.poll(5, TimeUnit.SECONDS)).word();
-      assertEquals(List.of(self), heard.peers());
-      assertEquals(port, heard.from().port());
+      GossipMessage received = ((Event.GossipReceived) events.poll(5, TimeUnit.SECONDS)).word();
+      assertEquals(List.of(self), received.peers());
+      assertEquals(port, received.from().port());
     } finally {
-      vertx.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+      await(vertx.close());
+    }
+  }
+
+  private static List<Member> membersWithLongNames(int count) {
+    List<Member> members = new ArrayList<>();
+    for (int i = 0; i < count; i++) {
+      members.add(
+          new Member(
+              "broker-of-a-long-name-" + i,
+              "0",
+              "10.0.0." + i,
+              7400,
+              1_796_000_000_000L,
+              Member.Status.ALIVE));
     }
+    return members;
   }
 
-  /**
-   * From the file to the wire: seeds and place by the platform's keys, and no datagram over its 256
-   * bytes.
-   */
+  /** Seeds and identity follow the platform's file, and no datagram exceeds its 256 bytes. */
   @Test
-  void thePlatformsAddressesAndBoundHold() throws Exception {
+  void usesThePlatformsAddressesAndDatagramLimit() throws Exception {
     Vertx vertx = Vertx.vertx();
     try {
       BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
       DatagramSocket other =
           vertx.createDatagramSocket().handler(packet -> sizes.add(packet.data().length()));
-      int port =
-          other
-              .listen(0, "127.0.0.1")
-              .toCompletionStage()
-              .toCompletableFuture()
-              .get(5, TimeUnit.SECONDS)
-              .localAddress()
-              .port();
+      int port = await(other.listen(0, "127.0.0.1")).localAddress().port();
       int own = Rig.freeWordPort();
       Config config =
           read(
@@ -215,22 +213,8 @@
       assertFalse(
           clusterGossip.identity().settings().view().addresses(),
           "others may be told other addresses");
-      List<Member> peers = new ArrayList<>();
-      for (int i = 0; i < 12; i++) {
-        peers.add(
-            new Member(
-                "broker-of-a-long-name-" + i,
-                "0",
-                "10.0.0." + i,
-                7400,
-                1_796_000_000_000L,
-                Member.Status.ALIVE));
-      }
-      clusterGossip
-          .listen(event -> {})
-          .toCompletionStage()
-          .toCompletableFuture()
-          .get(5, TimeUnit.SECONDS);
+      List<Member> peers = membersWithLongNames(12);
+      await(clusterGossip.listen(event -> {}));
       clusterGossip.send(
           new Effect.SendGossip(
               "127.0.0.1",
@@ -248,7 +232,7 @@
         assertTrue(size != null && size <= 256, "a datagram of " + size);
       }
     } finally {
-      vertx.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+      await(vertx.close());
     }
   }
 }
--- a/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
@@ -14,15 +14,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/**
- * Several processes of the program, and faults between them; what is waited for is waited for, not
- * timed.
- */
+/** Several broker processes with injected faults; every wait is for a condition, not for a time. */
 class ClusterTestBedTest {
   private static final int WAIT_S = 40;
   @TempDir private Path dir;
 
-  private static void even(Rig rig) {
+  private static void assertEvenLoad(Rig rig) {
     int brokers = (int) rig.nodes().stream().filter(Rig.Node::isUp).count();
     Map<String, Integer> load = rig.load(Rig.Node::isUp);
     assertTrue(
@@ -31,46 +28,53 @@
         load.toString());
   }
 
+  private static void partitionAndHeal(Rig rig) throws Exception {
+    List<Rig.Node> nodes = rig.nodes();
+    List<String> cached = nodes.get(3).kept();
+    Links.Rule cut =
+        rig.links.add(
+            (from, to) ->
+                from.startsWith("n") && to.startsWith("n") && from.equals("n3") != to.equals("n3"),
+            Links.Harm.LOST,
+            0,
+            1);
+    Rig.await("the others go on without n3", WAIT_S, () -> Rig.agree(nodes.subList(0, 3)));
+    assertEquals(cached, nodes.get(3).kept(), "one that hears nobody keeps to what it had");
+    rig.links.remove(cut);
+    Rig.await("n3 is back", WAIT_S, () -> Rig.agree(nodes));
+  }
+
+  private static void killAndRestart(Rig rig) throws Exception {
+    List<Rig.Node> nodes = rig.nodes();
+    nodes.get(1).kill();
+    List<Rig.Node> survivors = List.of(nodes.get(0), nodes.get(2), nodes.get(3));
+    Rig.await("the others go on without n1", WAIT_S, () -> Rig.agree(survivors));
+    assertEvenLoad(rig);
+    rig.start(List.of(nodes.get(1)));
+    Rig.await("n1 is back", WAIT_S, () -> Rig.agree(nodes));
+    assertEvenLoad(rig);
+  }
+
   /**
-   * One broker cut from the others, one killed and back, one whose words are late, a store that
-   * falls silent to one broker: no query is lost, none gets a value that no store made, and after
-   * each the brokers agree again and no store has more than its share of them.
+   * One broker is partitioned from the others, one is killed and restarted, and one endpoint falls
+   * silent to one broker. No query is lost, no value is invented, and after each fault the brokers
+   * converge again with an even load of the endpoints.
    */
   @Test
-  void throughCutsKillsAndSilenceNoQueryIsLost() throws Exception {
+  void partitionsKillsAndSilenceLoseNoQuery() throws Exception {
     try (Rig rig = new Rig(dir, 3, 4, 2, 3, "")) {
       List<Rig.Node> nodes = rig.nodes();
       rig.start(nodes);
       Rig.await("all agree", WAIT_S, () -> Rig.agree(nodes));
-      even(rig);
+      assertEvenLoad(rig);
       RigClients clients = new RigClients(rig, 100);
       clients.start();
 
-      List<String> kept = nodes.get(3).kept();
-      Links.Rule cut =
-          rig.links.add(
-              (from, to) ->
-                  from.startsWith("n")
-                      && to.startsWith("n")
-                      && from.equals("n3") != to.equals("n3"),
-              Links.Harm.LOST,
-              0,
-              1);
-      Rig.await("the others go on without n3", WAIT_S, () -> Rig.agree(nodes.subList(0, 3)));
-      assertEquals(kept, nodes.get(3).kept(), "one that hears nobody keeps to what it had");
-      rig.links.remove(cut);
-      Rig.await("n3 is back", WAIT_S, () -> Rig.agree(nodes));
+      partitionAndHeal(rig);
+      killAndRestart(rig);
 
-      nodes.get(1).kill();
-      List<Rig.Node> left = List.of(nodes.get(0), nodes.get(2), nodes.get(3));
-      Rig.await("the others go on without n1", WAIT_S, () -> Rig.agree(left));
-      even(rig);
-      rig.start(List.of(nodes.get(1)));
-      Rig.await("n1 is back", WAIT_S, () -> Rig.agree(nodes));
-      even(rig);
-
-      String silent = nodes.get(0).kept().get(0);
-      rig.links.add((from, to) -> from.equals(silent) && to.equals("n0"), Links.Harm.LOST, 0, 1);
+      String endpoint = nodes.get(0).kept().get(0);
+      rig.links.add((from, to) -> from.equals(endpoint) && to.equals("n0"), Links.Harm.LOST, 0, 1);
       int ended = clients.ended();
       Rig.await(
           "a hundred queries more came to an end", WAIT_S, () -> clients.ended() >= ended + 100);
@@ -92,17 +96,17 @@
     }
   }
 
-  private static boolean said(Rig.Node node, String begin) {
+  private static boolean logged(Rig.Node node, String begin) {
     return node.lines().stream().anyMatch(line -> line.startsWith(begin));
   }
 
   /**
-   * One broker is cut from its discovery while a store begins to drain: it is seen, asks again in
-   * vain, is shut out and takes no query; the others go on without it. With the link back it has
-   * the list, and all count on it again. No query is lost meanwhile.
+   * One broker is cut from discovery while an endpoint starts draining: it detects that it is
+   * behind, fences itself and admits no query, and the others go on without it. With the connection
+   * back it gets the list and rejoins. No query is lost meanwhile.
    */
   @Test
-  void aBrokerCutFromDiscoveryIsShutOutAndLetInAgain() throws Exception {
+  void brokerCutFromDiscoveryIsFencedAndRejoins() throws Exception {
     try (Rig rig = new Rig(dir, 4, 4, 2, 3, "behind 500ms\nshut_out 2s\n")) {
       List<Rig.Node> nodes = rig.nodes();
       Rig.Node cut = nodes.get(3);
@@ -120,17 +124,18 @@
       Rig.await(
           "n3 knows that it is behind",
           WAIT_S,
-          () -> said(cut, "this broker is behind: it acts on roster 1, and 2 is newest"));
-      Rig.await("n3 is shut out by itself", WAIT_S, () -> said(cut, "this broker is shut out: "));
+          () -> logged(cut, "this broker is behind: it acts on roster 1, and 2 is newest"));
+      Rig.await("n3 is shut out by itself", WAIT_S, () -> logged(cut, "this broker is shut out: "));
       Rig.await("the others go on without n3", WAIT_S, () -> Rig.agree(nodes.subList(0, 3)));
       assertTrue(
-          said(nodes.get(0), "broker n3 is behind: ")
-              && said(nodes.get(0), "broker n3 is shut out: "));
+          logged(nodes.get(0), "broker n3 is behind: ")
+              && logged(nodes.get(0), "broker n3 is shut out: "));
       Rig.await(
           "n3 has turned a query away", WAIT_S, () -> clients.ended(RigClients.End.REFUSED) > 0);
       rig.links.remove(rule);
       rig.resetSilent(cut);
-      Rig.await("n3 has the list", WAIT_S, () -> said(cut, "this broker has caught up: roster 2"));
+      Rig.await(
+          "n3 has the list", WAIT_S, () -> logged(cut, "this broker has caught up: roster 2"));
       Rig.await("all count on n3 again", WAIT_S, () -> Rig.agree(nodes));
       assertTrue(
           nodes.stream().noneMatch(node -> node.kept().contains("s0-2")),
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -28,36 +28,36 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A client that leaves while its part waits for a connection that comes up late: the whole way,
- * from its socket to the store's.
+ * A client that disconnects while its part waits for a slow connection to a backend, from the
+ * client's socket to the backend's.
  */
 class DepartedClientTest {
   /**
-   * A store that takes connections when the script does; until then its queue of them is full, and
-   * a new one stays pending.
+   * A backend that accepts connections only when the test does: its backlog is full before that,
+   * and a new connection stays pending.
    */
   private static final class LateStore extends Store implements AutoCloseable {
-    private final ServerSocket listening = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
-    private final List<Socket> ahead = List.of(filler(), filler());
+    private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
+    private final List<Socket> queued = List.of(filler(), filler());
 
     LateStore() throws Exception {
       super("s-0");
     }
 
     private Socket filler() throws Exception {
-      return new Socket(InetAddress.getLoopbackAddress(), listening.getLocalPort());
+      return new Socket(InetAddress.getLoopbackAddress(), listener.getLocalPort());
     }
 
     Socket accept() throws Exception {
-      for (int i = 0; i < ahead.size(); i++) {
-        listening.accept().close();
+      for (int i = 0; i < queued.size(); i++) {
+        listener.accept().close();
       }
-      return listening.accept();
+      return listener.accept();
     }
 
     @Override
     public int port() {
-      return listening.getLocalPort();
+      return listener.getLocalPort();
     }
 
     @Override
@@ -67,19 +67,17 @@
 
     @Override
     public void close() throws IOException {
-      listening.close();
-      for (Socket socket : ahead) {
+      listener.close();
+      for (Socket socket : queued) {
         socket.close();
       }
     }
   }
 
-  /**
-   * Times so long that a connection which the system tries again after seconds is still waited for.
-   */
-  private static Settings patient(boolean mayCancel) {
-    Settings s = Stage.settings(300);
-    Limits l = s.limits();
+  /** Deadlines so long that a connection is waited for that the system retries after seconds. */
+  private static Settings longDeadlines(boolean mayCancel) {
+    Settings settings = Stage.settings(300);
+    Limits limits = settings.limits();
     QueryClass kind =
         new QueryClass(
             "free-search",
@@ -96,37 +94,37 @@
             1,
             1);
     return new Settings(
-        s.brokers(),
-        s.zones(),
-        s.zone(),
-        s.tickUs(),
+        settings.brokers(),
+        settings.zones(),
+        settings.zone(),
+        settings.tickUs(),
         List.of(kind),
-        s.tenants(),
-        s.overQuotaWeight(),
-        s.layout(),
+        settings.tenants(),
+        settings.overQuotaWeight(),
+        settings.layout(),
         new Limits(
-            l.maxAttempts(),
-            l.maxInFlight(),
+            limits.maxAttempts(),
+            limits.maxInFlight(),
             mayCancel,
             false,
-            l.parallelAttempts(),
-            l.retryAfter(),
-            l.maxRetryAfterUs(),
+            limits.parallelAttempts(),
+            limits.retryAfter(),
+            limits.maxRetryAfterUs(),
             20_000_000,
-            l.streamsPerConnection(),
-            l.connectionIdleUs()),
-        s.rules(),
-        s.prices(),
-        s.mustPollServerList(),
-        s.reportsInAnswers(),
-        s.reportsInHealthChecks(),
-        s.reportFields(),
-        s.marksRepeats());
+            limits.streamsPerConnection(),
+            limits.connectionIdleUs()),
+        settings.rules(),
+        settings.prices(),
+        settings.mustPollServerList(),
+        settings.reportsInAnswers(),
+        settings.reportsInHealthChecks(),
+        settings.reportFields(),
+        settings.marksRepeats());
   }
 
-  private static void until(BooleanSupplier holds) {
+  private static void await(BooleanSupplier condition) {
     long end = System.nanoTime() + 10_000_000_000L;
-    while (!holds.getAsBoolean()) {
+    while (!condition.getAsBoolean()) {
       assertTrue(System.nanoTime() < end, "it never came to be");
       Thread.onSpinWait();
     }
@@ -139,26 +137,26 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void itsPartDoesNotLeaveWhenTheConnectionIsUp(boolean mayCancel) throws Exception {
+  void partOfADepartedClientIsNotSentOnceConnected(boolean mayCancel) throws Exception {
     Stage stage = new Stage();
     try (LateStore store = new LateStore()) {
       stage.list(store);
-      stage.start(patient(mayCancel), null);
+      stage.start(longDeadlines(mayCancel), null);
       Client client = Client.http(stage.httpPort);
-      until(() -> stage.count("roster_news") > 0);
-      CompletableFuture<Got> left = ask(client, "q1");
-      until(() -> stage.count("attempts_sent") == 1);
-      left.cancel(true);
-      until(() -> stage.count("client_left") == 1);
-      CompletableFuture<Got> stays = ask(client, "q2");
-      until(() -> stage.count("attempts_sent") == 2);
-      try (Socket taken = store.accept()) {
-        taken.setSoTimeout(10_000);
-        DataInputStream in = new DataInputStream(taken.getInputStream());
+      await(() -> stage.count("roster_news") > 0);
+      CompletableFuture<Got> departed = ask(client, "q1");
+      await(() -> stage.count("attempts_sent") == 1);
+      departed.cancel(true);
+      await(() -> stage.count("client_left") == 1);
+      CompletableFuture<Got> remaining = ask(client, "q2");
+      await(() -> stage.count("attempts_sent") == 2);
+      try (Socket accepted = store.accept()) {
+        accepted.setSoTimeout(10_000);
+        DataInputStream in = new DataInputStream(accepted.getInputStream());
         byte[] frame = in.readNBytes(Integer.reverseBytes(in.readInt()));
         assertEquals("mq2.0 ", new String(frame, 0, 6, StandardCharsets.US_ASCII));
-        taken.getOutputStream().write(FrameStore.frame('q', "q2.0 good 1 -\nv").getBytes());
-        assertEquals("whole", stays.get(10, TimeUnit.SECONDS).end());
+        accepted.getOutputStream().write(FrameStore.frame('q', "q2.0 good 1 -\nv").getBytes());
+        assertEquals("whole", remaining.get(10, TimeUnit.SECONDS).end());
         assertEquals(1, stage.count("attempts_written"));
       }
       client.close();
@@ -167,36 +165,33 @@
     }
   }
 
-  /**
-   * While the loop is behind a client asks and leaves: both are read before the turn that would
-   * send for it.
-   */
+  /** Request and disconnect arrive while the loop is blocked: one turn of the reducer gets both. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aRequestThatIsReadTogetherWithItsClientsEndIsNotSent(boolean reset) throws Exception {
+  void requestReadTogetherWithItsClientsDisconnectIsNotSent(boolean reset) throws Exception {
     Stage stage = new Stage();
     FrameStore store = new FrameStore(stage.vertx, "s-0");
     try {
       stage.list(store);
-      stage.start(patient(true), null);
-      until(() -> stage.count("roster_news") > 0);
-      CountDownLatch behind = new CountDownLatch(1);
-      CountDownLatch goOn = new CountDownLatch(1);
-      try (Socket socket = new Socket("127.0.0.1", stage.httpPort)) {
+      stage.start(longDeadlines(true), null);
+      await(() -> stage.count("roster_news") > 0);
+      CountDownLatch blocked = new CountDownLatch(1);
+      CountDownLatch resume = new CountDownLatch(1);
+      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
         Client.http(stage.httpPort)
             .ask("none", Map.of(), "")
             .get(10, TimeUnit.SECONDS); // so both connections are made
         stage.vertx.runOnContext(
             v -> {
-              behind.countDown();
+              blocked.countDown();
               try {
-                goOn.await();
+                resume.await();
                 Thread.sleep(20); // the next turn is due at once
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
             });
-        behind.await();
+        blocked.await();
         String body = Client.body(0);
         socket
             .getOutputStream()
@@ -208,8 +203,8 @@
                     .getBytes(StandardCharsets.UTF_8));
         socket.setSoLinger(reset, 0);
       }
-      goOn.countDown();
-      until(() -> stage.count("client_left") == 1);
+      resume.countDown();
+      await(() -> stage.count("client_left") == 1);
       assertEquals(0, stage.count("attempts_sent"));
       assertEquals(1, stage.count("queries_taken"));
     } finally {
--- a/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
+++ b/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
@@ -37,8 +37,8 @@
 import org.xbill.DNS.Type;
 
 /**
- * A whole broker whose stores announce themselves, on both store wires, with name servers that
- * misbehave.
+ * A complete broker whose backends register in DNS, over both backend protocols, with name servers
+ * that misbehave.
  */
 class DnsDiscoveryTest {
   private static final String SERVICE = "_calendar._tcp.rooms.example.org.";
@@ -70,17 +70,17 @@
   }
 
   private List<Record> records(Store store, int cell, String... more) {
-    List<String> words =
+    List<String> textValues =
         new ArrayList<>(
             List.of("id=" + store.name, "cell=" + cell, "zone=a", "protocol=" + store.protocol()));
-    words.addAll(List.of(more));
+    textValues.addAll(List.of(more));
     return Zone.store(
         SERVICE,
         "Store " + store.name + " (hall)",
         "127.0.0.1",
         store.port(),
         120,
-        words.toArray(String[]::new));
+        textValues.toArray(String[]::new));
   }
 
   private void announce(Store store, int cell) {
@@ -108,7 +108,7 @@
             null,
             4096));
     client = Client.http(stage.httpPort);
-    until(
+    await(
         () ->
             stage
                 .broker
@@ -116,13 +116,13 @@
                 .lines()
                 .anyMatch(l -> l.startsWith("roster_news") && !l.endsWith(" 0")));
     if (push) {
-      until(() -> responder.subscriptions() >= 6);
+      await(() -> responder.subscriptions() >= 6);
     }
   }
 
-  private static void until(BooleanSupplier holds) {
+  private static void await(BooleanSupplier condition) {
     long end = System.nanoTime() + 10_000_000_000L;
-    while (!holds.getAsBoolean()) {
+    while (!condition.getAsBoolean()) {
       assertTrue(System.nanoTime() < end, "it never came to be");
       Thread.onSpinWait();
     }
@@ -149,20 +149,20 @@
 
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aWithdrawnStoreGetsNothingMoreAndComesBackAsItWas(Wire wire) throws Exception {
+  void withdrawnEndpointReceivesNothingAndResumesUnchanged(Wire wire) throws Exception {
     prepare(wire);
     start(true, 0);
     assertEquals("whole", ask(0, 1, 2, 3).end());
     assertTrue(one.seen.size() > 0 && two.seen.size() > 0, "both are known");
     zone.remove(pointer(one));
-    until(() -> stage.count("members_withdrawn") == 1);
+    await(() -> stage.count("members_withdrawn") == 1);
     one.seen.clear();
     for (int i = 0; i < 5; i++) {
       assertEquals("whole", ask(0, 1, 2, 3).end());
     }
     assertEquals(0, one.seen.size(), "nothing new");
     zone.add(pointer(one));
-    until(
+    await(
         () -> {
           try {
             return ask(0, 1, 2, 3).end().equals("whole") && one.seen.size() > 0;
@@ -173,17 +173,15 @@
     assertEquals(0, stage.count("members_gone"), "back before it was gone");
   }
 
-  /**
-   * What waits for a connection when the store is withdrawn never leaves: another store answers it.
-   */
+  /** A part that waits for a connection to a withdrawn endpoint is never sent there. */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void whatWaitsForAConnectionGoesElsewhere(Wire wire) throws Exception {
+  void partWaitingForAConnectionMovesToAnotherEndpoint(Wire wire) throws Exception {
     prepare(wire);
     start(true, 0);
     zone.remove(pointer(one));
     zone.remove(pointer(two));
-    until(() -> stage.count("members_withdrawn") == 2);
+    await(() -> stage.count("members_withdrawn") == 2);
     one.seen.clear();
     two.seen.clear();
     var open =
@@ -191,7 +189,7 @@
             "free-search",
             Map.of("X-Trace-Id", "open", "X-Expires-In", "1.000"),
             Client.body(0, 1));
-    until(() -> stage.count("queries_taken") == 1);
+    await(() -> stage.count("queries_taken") == 1);
     zone.add(pointer(two));
     Got got = open.get(5, TimeUnit.SECONDS);
     assertTrue(List.of("whole", "refused").contains(got.end()), got.toString());
@@ -199,13 +197,13 @@
   }
 
   @Test
-  void theSerialIsWatchedWhereThereIsNoPush() throws Exception {
+  void followsTheZoneSerialWithoutPush() throws Exception {
     prepare(Wire.FRAMES);
     start(false, 100_000);
     assertEquals("whole", ask(0, 1, 2, 3).end());
-    until(() -> responder.asked.stream().anyMatch(q -> q.type() == Type.SOA));
+    await(() -> responder.asked.stream().anyMatch(q -> q.type() == Type.SOA));
     zone.remove(pointer(one)); // its records hold for 120 s, but the serial has changed
-    until(() -> stage.count("members_withdrawn") == 1);
+    await(() -> stage.count("members_withdrawn") == 1);
   }
 
   @ParameterizedTest
@@ -222,53 +220,50 @@
         "REFUSED",
         "NOISE"
       })
-  void silenceAndForgeryAreNoWithdrawal(Fault fault) throws Exception {
+  void lostAndForgedAnswersWithdrawNothing(Fault fault) throws Exception {
     prepare(Wire.FRAMES);
     start(false, 50_000);
     assertEquals("whole", ask(0, 1, 2, 3).end());
     responder.script = q -> q.type() == Type.SOA ? Fault.NONE : fault;
     responder.asked.clear();
     zone.empty(); // nobody can tell it now
-    until(() -> responder.asked.stream().filter(q -> q.type() == Type.PTR).count() >= 2);
+    await(() -> responder.asked.stream().filter(q -> q.type() == Type.PTR).count() >= 2);
     one.seen.clear();
     two.seen.clear();
     assertEquals("whole", ask(0, 1, 2, 3).end());
     assertEquals(4, one.seen.size() + two.seen.size());
     assertEquals(0, stage.count("members_withdrawn"));
     responder.script = q -> Fault.NONE; // now the same empty zone is said with authority
-    until(() -> stage.count("members_withdrawn") == 2);
+    await(() -> stage.count("members_withdrawn") == 2);
   }
 
   @ParameterizedTest
   @EnumSource(
       value = Fault.class,
       names = {"NONE", "DOUBLED", "TRUNCATED"})
-  void whatIsOddButWholeServes(Fault fault) throws Exception {
+  void servesFromUnusualButCompleteAnswers(Fault fault) throws Exception {
     prepare(Wire.FRAMES);
     responder.script = q -> fault;
     start(false, 0);
-    until(() -> stage.count("roster_news") >= 1);
+    await(() -> stage.count("roster_news") >= 1);
     assertEquals("whole", ask(0, 1, 2, 3).end());
   }
 
   @Test
-  void aCutSessionChangesNothingAndIsMadeAgain() throws Exception {
+  void interruptedPushSessionIsReestablished() throws Exception {
     prepare(Wire.FRAMES);
     start(true, 0);
     responder.cutSessions(true);
-    until(() -> stage.count("push_ended") >= 1);
+    await(() -> stage.count("push_ended") >= 1);
     assertEquals("whole", ask(0, 1, 2, 3).end());
-    until(() -> responder.subscriptions() >= 6);
+    await(() -> responder.subscriptions() >= 6);
     zone.remove(pointer(two));
-    until(() -> stage.count("members_withdrawn") == 1);
+    await(() -> stage.count("members_withdrawn") == 1);
   }
 
-  /**
-   * Noise by the thousand in push sessions ends no broker; the answers' own noise is among the
-   * faults above.
-   */
+  /** Malformed push messages; malformed answers are among the faults above. */
   @Test
-  void brokenMessagesByTheThousandEndNoBroker() throws Exception {
+  void survivesThousandsOfMalformedPushMessages() throws Exception {
     prepare(Wire.FRAMES);
     start(true, 0);
     Random random = new Random(11);
@@ -282,17 +277,15 @@
       }
       responder.pushRaw(Buffer.buffer().appendUnsignedShort(noise.length).appendBytes(noise));
     }
-    until(() -> stage.count("push_ended") >= 1);
+    await(() -> stage.count("push_ended") >= 1);
     assertEquals("whole", ask(0, 1, 2, 3).end());
     assertEquals(0, stage.count("faults"));
     assertEquals(0, stage.count("members_withdrawn"));
   }
 
-  /**
-   * Two records for one id that contradict each other: nothing goes there until one is taken back.
-   */
+  /** Two contradicting records for one id: nothing is sent to it until one is withdrawn. */
   @Test
-  void whatIsDisputedGetsNothingUntilItIsSettled() throws Exception {
+  void disputedEndpointReceivesNothingUntilSettled() throws Exception {
     prepare(Wire.FRAMES);
     start(true, 0);
     List<Record> other =
@@ -306,14 +299,14 @@
             "cell=0",
             "zone=a");
     zone.change(List.of(), other);
-    until(() -> stage.count("members_disputed") == 1);
+    await(() -> stage.count("members_disputed") == 1);
     one.seen.clear();
     for (int i = 0; i < 3; i++) {
       assertEquals("whole", ask(0, 1, 2, 3).end());
     }
     assertEquals(0, one.seen.size());
     zone.remove(Zone.pointer(SERVICE, "Impostor", 120));
-    until(
+    await(
         () -> {
           try {
             return ask(0, 1).end().equals("whole") && one.seen.size() > 0;
@@ -323,32 +316,34 @@
         });
   }
 
+  private Product.DnsService serviceWithoutPush() {
+    return new Product.DnsService(
+        "main",
+        List.of(new Address("127.0.0.1", responder.port())),
+        SERVICE,
+        List.of(),
+        1,
+        null,
+        0,
+        null,
+        null,
+        null,
+        4096);
+  }
+
   @Test
-  void aRestartWithItsServersDownServesFromTheFile() throws Exception {
+  void restartWithDnsDownServesFromTheSavedState() throws Exception {
     prepare(Wire.FRAMES);
     stage.stateDir = folder.resolve("state");
     start(false, 0);
     assertEquals("whole", ask(0, 1, 2, 3).end());
-    until(() -> Files.exists(folder.resolve("state/roster.state")));
+    await(() -> Files.exists(folder.resolve("state/roster.state")));
     stage.stop().get(10, TimeUnit.SECONDS);
     client.close();
     responder.script = q -> Fault.LOST;
     Stage again = new Stage();
     again.stateDir = stage.stateDir;
-    again.start(
-        Stage.settings(300),
-        new Product.DnsService(
-            "main",
-            List.of(new Address("127.0.0.1", responder.port())),
-            SERVICE,
-            List.of(),
-            1,
-            null,
-            0,
-            null,
-            null,
-            null,
-            4096));
+    again.start(Stage.settings(300), serviceWithoutPush());
     client = Client.http(again.httpPort);
     assertEquals("whole", ask(0, 1, 2, 3).end());
     assertTrue(
@@ -361,31 +356,18 @@
     Files.write(file, bytes);
     Stage third = new Stage();
     third.stateDir = stage.stateDir;
-    third.start(
-        Stage.settings(300),
-        new Product.DnsService(
-            "main",
-            List.of(new Address("127.0.0.1", responder.port())),
-            SERVICE,
-            List.of(),
-            1,
-            null,
-            0,
-            null,
-            null,
-            null,
-            4096));
+    third.start(Stage.settings(300), serviceWithoutPush());
     assertEquals(1, third.log.stream().filter(line -> line.contains("set aside")).count());
     assertTrue(Files.exists(folder.resolve("state/roster.state.damaged")));
     third.close();
   }
 
   /**
-   * The broker's own records: there when it is ready, gone first thing when it is to end, and only
-   * signed ones are taken.
+   * The broker's own records: present once it is ready, removed as the first step of a shutdown;
+   * the server accepts only signed updates.
    */
   @Test
-  void theBrokerAnnouncesItselfAndLeavesFirst() throws Exception {
+  void registersItselfAndDeregistersFirst() throws Exception {
     prepare(Wire.FRAMES);
     zone.updatesBy(new TSIG(TSIG.HMAC_SHA256, "broker.", "c2VjcmV0IHNlY3JldCBzZWNyZXQ="), 60);
     Path key =
@@ -405,12 +387,12 @@
             key);
     start(false, 0);
     Name service = Names.parse("_broker._tcp.rooms.example.org.");
-    until(() -> !zone.get(new Question(service, Type.PTR)).isEmpty());
+    await(() -> !zone.get(new Question(service, Type.PTR)).isEmpty());
     Name instance = Names.parse("n0\\032east\\.wing._broker._tcp.rooms.example.org.");
     assertEquals(
         1, zone.get(new Question(instance, Type.SRV)).size(), "blanks and dots are part of a name");
-    stage.stop();
-    until(
+    var unused = stage.stop(); // only the deregistration, its first step, is awaited
+    await(
         () ->
             zone.get(new Question(service, Type.PTR)).isEmpty()
                 && zone.all(instance, Type.ANY).isEmpty());
--- a/src/test/java/dunlinhitch/server/HangupSignalsTest.java
+++ b/src/test/java/dunlinhitch/server/HangupSignalsTest.java
@@ -6,9 +6,9 @@
 
 /** Hangup signals that arrive before and after there is a task for them. */
 class HangupSignalsTest {
-  /** Whatever came before there was a task is one run of it; from then on each is one. */
+  /** All signals before there is a task are one run of it; each later signal is one. */
   @Test
-  void hangUpsAreKeptUntilThereIsATask() {
+  void signalsBeforeThereIsATaskRunItOnce() {
     HangupSignals signals = new HangupSignals();
     int[] runs = {0};
     signals.onSignal();
--- a/src/test/java/dunlinhitch/server/NoDelayTest.java
+++ b/src/test/java/dunlinhitch/server/NoDelayTest.java
@@ -8,6 +8,7 @@
 import io.vertx.core.internal.VertxInternal;
 import java.lang.reflect.Field;
 import java.lang.reflect.Method;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.net.StandardSocketOptions;
@@ -25,12 +26,9 @@
  * over unread bytes.
  */
 class NoDelayTest {
-  /**
-   * What the system says of each socket that the loop has, by the port at its broker's or its
-   * peer's end.
-   */
-  private static Map<Integer, Boolean> asked(Stage stage) throws Exception {
-    CompletableFuture<Map<Integer, Boolean>> said = new CompletableFuture<>();
+  /** Reads TCP_NODELAY of each socket of the event loop, by its local and its remote port. */
+  private static Map<Integer, Boolean> noDelayByPort(Stage stage) throws Exception {
+    CompletableFuture<Map<Integer, Boolean>> result = new CompletableFuture<>();
     Object loop = ((VertxInternal) stage.vertx).nettyEventLoopGroup().iterator().next();
     Field handler =
         Class.forName("io.netty.channel.SingleThreadIoEventLoop").getDeclaredField("ioHandler");
@@ -55,16 +53,16 @@
                     Boolean::logicalAnd);
               }
             }
-            said.complete(all);
+            result.complete(all);
           } catch (ReflectiveOperationException | java.io.IOException e) {
-            said.completeExceptionally(e);
+            result.completeExceptionally(e);
           }
         });
-    return said.get(10, TimeUnit.SECONDS);
+    return result.get(10, TimeUnit.SECONDS);
   }
 
   @Test
-  void noSocketOfTheBrokerHoldsSmallWritesBack() throws Exception {
+  void everySocketOfTheBrokerHasTcpNoDelay() throws Exception {
     Stage stage = new Stage();
     FrameStore store = new FrameStore(stage.vertx, "s-0");
     try {
@@ -76,10 +74,10 @@
             .ask("free-search", Map.of("X-Trace-Id", "q", "X-Expires-In", "1"), Client.body(0))
             .get(10, TimeUnit.SECONDS);
       }
-      try (Socket operator = new Socket("127.0.0.1", stage.adminPort)) {
-        Map<Integer, Boolean> all = asked(stage);
-        while (!all.containsKey(operator.getPort())) { // it is let in on a thread of its own
-          all = asked(stage);
+      try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort)) {
+        Map<Integer, Boolean> all = noDelayByPort(stage);
+        while (!all.containsKey(operator.getPort())) { // accepted on another thread
+          all = noDelayByPort(stage);
         }
         for (Map.Entry<String, Integer> port :
             Map.of(
@@ -92,7 +90,7 @@
                     "discovery",
                     stage.discovery.port())
                 .entrySet()) {
-          assertEquals(Boolean.TRUE, all.get(port.getValue()), port.getKey());
+          assertEquals(true, all.get(port.getValue()), port.getKey());
         }
       }
     } finally {
--- a/src/test/java/dunlinhitch/server/OwnTransport.java
+++ b/src/test/java/dunlinhitch/server/OwnTransport.java
@@ -3,7 +3,7 @@
 import io.vertx.core.impl.transports.NioTransport;
 import io.vertx.core.transport.Transport;
 
-/** A transport whose channels a test makes. */
+/** A transport for tests that create the channels themselves. */
 public abstract class OwnTransport extends NioTransport implements Transport {
   @Override
   public String name() {
--- a/src/test/java/dunlinhitch/server/ReducerLoopTest.java
+++ b/src/test/java/dunlinhitch/server/ReducerLoopTest.java
@@ -19,11 +19,11 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Turns on an event loop. */
+/** Turns of the reducer on an event loop. */
 class ReducerLoopTest {
-  /** One client's answer that can not be written must not take the others' with it. */
+  /** A response that cannot be written must not stop those to other clients. */
   @Test
-  void aFaultAtAnEdgeLeavesTheOtherEffectsAlone() throws Exception {
+  void faultInAHandlerDoesNotStopTheOtherEffects() throws Exception {
     Vertx vertx = Vertx.vertx();
     Context context = vertx.getOrCreateContext();
     MicroClock clock = new MicroClock();
@@ -62,12 +62,9 @@
     vertx.close();
   }
 
-  /**
-   * Seen on a bench day: a request that was read whole after the reducer had finished never had a
-   * turn, and so no answer.
-   */
+  /** A request that was read after the reducer had finished once had no turn, and no response. */
   @Test
-  void whatIsReadAfterTheReducerHasFinishedIsTurnedAway() throws Exception {
+  void queriesAfterShutdownCompletedAreRejected() throws Exception {
     Vertx vertx = Vertx.vertx();
     Context context = vertx.getOrCreateContext();
     MicroClock clock = new MicroClock();
--- a/src/test/java/dunlinhitch/server/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The configuration is read again, by SIGHUP or for this broker saw that it is behind. */
+/** Reloads of the configuration, on SIGHUP or because other brokers have a newer one. */
 class ReloadTest {
-  private static final String TAKEN = "the configuration was taken: classes ";
+  private static final String APPLIED = "the configuration was taken: classes ";
 
   private static Config config(Stage stage, Settings settings, long writtenMs) {
     Address any = new Address("127.0.0.1", 0);
@@ -43,24 +43,21 @@
     }
   }
 
-  /**
-   * The file is read again because others are ahead, and SIGHUP comes before that is taken: what
-   * was read last holds.
-   */
+  /** SIGHUP arrives before a reload, started because others have a newer file, is applied. */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
-  void whatWasReadLastHolds(boolean slow) throws Exception {
+  void lastReadConfigurationApplies(boolean slow) throws Exception {
     Stage stage = new Stage();
     try {
       stage.list();
       stage.start(Stage.settings(40), null);
-      CompletableFuture<Void> both = new CompletableFuture<>();
-      CountDownLatch later = new CountDownLatch(1);
+      CompletableFuture<Void> bothApplied = new CompletableFuture<>();
+      CountDownLatch anyLogged = new CountDownLatch(1);
       stage.onLog =
           line -> {
-            later.countDown();
-            if (stage.log.stream().filter(one -> one.startsWith(TAKEN)).count() == 2) {
-              both.complete(null);
+            anyLogged.countDown();
+            if (stage.log.stream().filter(one -> one.startsWith(APPLIED)).count() == 2) {
+              bothApplied.complete(null);
             }
           };
       Runnable reload = () -> stage.broker.reload(() -> config(stage, Stage.twoSteps(40), 2));
@@ -68,7 +65,7 @@
           v -> {
             stage.broker.setConfigurationReader(
                 () -> {
-                  waitFor(later, slow ? 1 : 0);
+                  waitFor(anyLogged, slow ? 1 : 0);
                   return config(stage, Stage.settings(40), 1);
                 });
             stage.broker.reloadIfChanged();
@@ -79,11 +76,12 @@
               reload.run();
             }
           });
-      both.get(10, TimeUnit.SECONDS);
+      bothApplied.get(10, TimeUnit.SECONDS);
       assertEquals(
           List.of(
-              TAKEN + "[free-search, slot-booking]", TAKEN + "[free-search, slot-booking, report]"),
-          stage.log.stream().filter(one -> one.startsWith(TAKEN)).toList());
+              APPLIED + "[free-search, slot-booking]",
+              APPLIED + "[free-search, slot-booking, report]"),
+          stage.log.stream().filter(one -> one.startsWith(APPLIED)).toList());
     } finally {
       stage.close();
     }
--- a/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
+++ b/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The same checks of the rules for every pairing of client wire and store wire, and for a mixed
- * fleet.
+ * The rules of serving, checked for every pair of client protocol and backend protocol, and for
+ * backends of both protocols.
  */
 class RulesOnBothPathsTest {
   enum Path {
@@ -47,7 +47,7 @@
     }
 
     Store store(Stage stage, int number) throws Exception {
-      boolean flight = name().endsWith("FLIGHT") || name().endsWith("MIXED") && number == 0;
+      boolean flight = name().endsWith("FLIGHT") || (name().endsWith("MIXED") && number == 0);
       return flight ? new FlightStore("s-" + number) : new FrameStore(stage.vertx, "s-" + number);
     }
   }
@@ -58,12 +58,12 @@
   private Client client;
   private int asked;
 
-  private void begin(Path path, int held) throws Exception {
+  private void begin(Path path, int maximumInFlight) throws Exception {
     stage = new Stage();
     one = path.store(stage, 0);
     two = path.store(stage, 1);
     stage.list(one, two);
-    stage.start(Stage.twoSteps(held), null);
+    stage.start(Stage.twoSteps(maximumInFlight), null);
     client = path.client(stage);
     assertNotNull(stage.discovery.asked.poll(5, TimeUnit.SECONDS));
   }
@@ -102,7 +102,7 @@
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aWholeAnswerHoldsWhatTheStoresGave(Path path) throws Exception {
+  void completeAnswerHoldsTheBackendsValues(Path path) throws Exception {
     begin(path, 300);
     Got got = wait(ask("free-search", 0, 1, 2, 3, 4, 5));
     assertEquals("whole", got.end());
@@ -121,7 +121,7 @@
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aStreamCutHalfwayKeepsWhatCameWholeAndAsksForTheRestAgain(Path path) throws Exception {
+  void interruptedStreamRetriesOnlyTheMissingParts(Path path) throws Exception {
     begin(path, 300);
     AtomicInteger taken = new AtomicInteger();
     one.script = part -> taken.incrementAndGet() == 2 ? Do.CUT : Do.GOOD;
@@ -142,7 +142,7 @@
    */
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aSpoiltAnswerIsAFailureAndNeverPassedOn(Path path) throws Exception {
+  void malformedAnswerIsAFailureAndNeverForwarded(Path path) throws Exception {
     begin(path, 300);
     for (Do how : List.of(Do.NO_TEXT, Do.NO_PART, Do.NO_END)) {
       AtomicInteger taken = new AtomicInteger();
@@ -158,7 +158,7 @@
   /** What comes beside a good answer spoils neither it nor what follows. */
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aSecondCopyOrABadReportLeavesTheAnswerGood(Path path) throws Exception {
+  void duplicateOrBadLoadReportDoesNotFailTheAnswer(Path path) throws Exception {
     begin(path, 300);
     for (Do how : List.of(Do.TWICE, Do.NO_REPORT)) {
       script(part -> how);
@@ -173,7 +173,7 @@
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aPartialAnswerKeepsTheFloorAndIsNotMarkedWhole(Path path) throws Exception {
+  void partialAnswerReachesTheMinimumAndIsNotMarkedComplete(Path path) throws Exception {
     begin(path, 300);
     script(part -> part.shard() == 3 ? Do.NOTHING : Do.GOOD);
     Got got = wait(ask("free-search", 0, 1, 2, 3));
@@ -186,7 +186,7 @@
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aKeyedPartIsRepeatedWithItsKeyAndOneAtATime(Path path) throws Exception {
+  void partWithIdempotencyKeyIsRetriedWithItOneAtATime(Path path) throws Exception {
     begin(path, 300);
     AtomicInteger taken = new AtomicInteger();
     script(part -> taken.incrementAndGet() == 1 ? Do.BAD : Do.GOOD);
@@ -208,10 +208,10 @@
    */
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aKeyThatComesAgainWhileTheFirstIsOutIsAQueryOfItsOwn(Path path) throws Exception {
+  void repeatedIdempotencyKeyInFlightIsASeparateQuery(Path path) throws Exception {
     begin(path, 300);
     script(part -> part.id().startsWith("q1.") ? Do.NOTHING : Do.GOOD);
-    askUnder("same", "q1");
+    var unused = askUnder("same", "q1"); // never answered
     while (one.seen.isEmpty() && two.seen.isEmpty()) {
       Thread.onSpinWait();
     }
@@ -225,7 +225,7 @@
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void whatIsTurnedAwayIsAskedElsewhere(Path path) throws Exception {
+  void rejectedPartIsRetriedAtAnotherEndpoint(Path path) throws Exception {
     begin(path, 300);
     one.script = part -> Do.LATER;
     assertEquals("whole", wait(ask("slot-booking", 1)).end());
@@ -235,7 +235,7 @@
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aDrainingStoreGetsNothingNew(Path path) throws Exception {
+  void drainingEndpointReceivesNothingNew(Path path) throws Exception {
     begin(path, 300);
     assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).end());
     stage.discovery.change(Discovery.entry(one, "a", 0, "draining"));
@@ -254,19 +254,19 @@
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void theFinalAnswerComesBeforeTheClientsTimeIsUp(Path path) throws Exception {
+  void finalAnswerPrecedesTheClientsDeadline(Path path) throws Exception {
     begin(path, 300);
     script(part -> Do.NOTHING);
     long from = System.nanoTime();
     Got got = wait(ask("slot-booking", 2));
-    long tookMs = (System.nanoTime() - from) / 1_000_000;
+    long elapsedMs = (System.nanoTime() - from) / 1_000_000;
     assertEquals("late", got.end());
-    assertTrue(tookMs >= 800 && tookMs < 1_500, "after ms: " + tookMs);
+    assertTrue(elapsedMs >= 800 && elapsedMs < 1_500, "after ms: " + elapsedMs);
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void whenTheClientLeavesTheStoreIsTold(Path path) throws Exception {
+  void clientDisconnectCancelsTheAttempt(Path path) throws Exception {
     begin(path, 300);
     script(part -> Do.NOTHING);
     CompletableFuture<Got> answer = ask("slot-booking", 2);
@@ -276,34 +276,34 @@
       part = part == null ? two.seen.poll(10, TimeUnit.MILLISECONDS) : part;
     }
     answer.cancel(true);
-    String told = null;
-    while (told == null) {
-      told = one.givenUp.poll(10, TimeUnit.MILLISECONDS);
-      told = told == null ? two.givenUp.poll(10, TimeUnit.MILLISECONDS) : told;
+    String cancelled = null;
+    while (cancelled == null) {
+      cancelled = one.givenUp.poll(10, TimeUnit.MILLISECONDS);
+      cancelled = cancelled == null ? two.givenUp.poll(10, TimeUnit.MILLISECONDS) : cancelled;
     }
-    assertEquals(part.id(), told);
+    assertEquals(part.id(), cancelled);
     assertEquals(1, stage.count("client_left"));
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aRefusalIsImmediateAndSaysWhenToComeBack(Path path) throws Exception {
+  void rejectionIsImmediateWithRetryAfter(Path path) throws Exception {
     begin(path, 4);
     script(part -> Do.NOTHING);
-    CompletableFuture<Got> held = ask("slot-booking", 2);
+    CompletableFuture<Got> admitted = ask("slot-booking", 2);
     while (stage.count("queries_taken") < 1) {
       Thread.onSpinWait();
     }
     Got got = wait(ask("free-search", 0, 1, 2));
     assertEquals("refused", got.end());
     assertTrue(Double.parseDouble(got.retryAfter()) > 0);
-    assertFalse(held.isDone());
-    assertEquals("late", wait(held).end());
+    assertFalse(admitted.isDone());
+    assertEquals("late", wait(admitted).end());
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void whatIsNoQueryIsTurnedDown(Path path) throws Exception {
+  void malformedQueriesAreRejected(Path path) throws Exception {
     begin(path, 300);
     for (String body :
         List.of(
@@ -340,7 +340,7 @@
    */
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aSecondStepAsksTheBestOfTheFirstAndIsTheAnswer(Path path) throws Exception {
+  void secondStepQueriesTheBestOfTheFirstAndIsTheAnswer(Path path) throws Exception {
     begin(path, 300);
     one.score = part -> part.shard() == 3 ? "much" : "" + 1840277000L * (1 + part.shard());
     two.score = one.score;
@@ -366,27 +366,27 @@
    */
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aSecondStepThatLacksAPartIsNoAnswer(Path path) throws Exception {
+  void incompleteSecondStepIsNoAnswer(Path path) throws Exception {
     begin(path, 300);
     script(part -> part.id().equals("q1.0.r") ? Do.BAD : Do.GOOD);
     Got got = wait(ask("report", 0, 1));
     assertTrue(List.of("refused", "late", "failed").contains(got.end()), got.toString());
-    long tries = secondParts().stream().filter(p -> p.id().equals("q1.0.r")).count();
+    long attempts = secondParts().stream().filter(p -> p.id().equals("q1.0.r")).count();
     assertTrue(
-        tries >= 2 && tries <= 4,
-        "tried again, and no more often than the settings allow: " + tries);
-    AtomicInteger turnedAway = new AtomicInteger();
+        attempts >= 2 && attempts <= 4,
+        "tried again, and no more often than the settings allow: " + attempts);
+    AtomicInteger rejections = new AtomicInteger();
     script(
         part ->
-            part.id().equals("q2.0.r") && turnedAway.getAndIncrement() == 0 ? Do.LATER : Do.GOOD);
+            part.id().equals("q2.0.r") && rejections.getAndIncrement() == 0 ? Do.LATER : Do.GOOD);
     assertEquals(
         "whole", wait(ask("report", 0, 1)).end(), "what is turned away is asked elsewhere");
-    assertEquals(2, turnedAway.get());
+    assertEquals(2, rejections.get());
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void aFirstStepThatLacksAPartIsNeverFollowed(Path path) throws Exception {
+  void incompleteFirstStepHasNoSecondStep(Path path) throws Exception {
     begin(path, 300);
     script(part -> part.shard() == 3 ? Do.NOTHING : Do.GOOD);
     Got got = wait(ask("report", 0, 1, 2, 3));
@@ -400,7 +400,7 @@
    */
   @ParameterizedTest
   @EnumSource(Path.class)
-  void whoAsksIsKnownByNameAndElseServedAsUnnamed(Path path) throws Exception {
+  void unknownTenantsAreServedAsUnnamed(Path path) throws Exception {
     begin(path, 300);
     for (String customer :
         List.of("north", "south", "", "nobody", "N".repeat(4000), "north,south")) {
@@ -417,7 +417,7 @@
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void whatWasTakenBeforeTheEndIsAnswered(Path path) throws Exception {
+  void queriesAdmittedBeforeShutdownAreAnswered(Path path) throws Exception {
     begin(path, 300);
     script(part -> Do.NOTHING);
     CompletableFuture<Got> open = ask("slot-booking", 2);
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -19,15 +19,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a start waits for, and what it does when it is asked to end. */
+/** What a start waits for, and what it does when it is asked to end meanwhile. */
 class StartTest {
   /** A timer of the broker's own loop; the grace with half of the longest deadline is 1.25 s. */
   private static final long GRACE_MS = 1_200;
 
-  private static final int KNOWN_WILL_DO_MS = 1_100;
+  private static final int INITIAL_LIST_ACCEPTED_MS = 1_100;
   @TempDir private Path dir;
 
-  private static Config config(int discovery, String known, Path scratch) {
+  private static Config config(int discovery, String initialList, Path scratch) {
     Address any = new Address("127.0.0.1", 0);
     return new Config(
         "n0",
@@ -35,7 +35,7 @@
         any,
         new Address("127.0.0.1", discovery),
         7,
-        Json.parse(known).asObject(),
+        Json.parse(initialList).asObject(),
         Config.SOCKETS,
         Stage.settings(40),
         Product.NONE,
@@ -43,8 +43,8 @@
         0);
   }
 
-  /** It never listens, and ends long before the time in which it would have let clients go. */
-  private void endsUnheard(boolean started) throws Exception {
+  /** It never listens, and ends long before the grace period of a graceful shutdown is over. */
+  private void endsBeforeListening(boolean started) throws Exception {
     Stage stage = new Stage();
     Config config = config(stage.discovery.port(), "{}", dir);
     CompletableFuture<String> start = new CompletableFuture<>();
@@ -79,48 +79,46 @@
   }
 
   @Test
-  void inTheRehearsal() throws Exception {
-    endsUnheard(false);
+  void stopBeforeStartNeverListens() throws Exception {
+    endsBeforeListening(false);
   }
 
   @Test
-  void whileTheSharedFolderIsRead() throws Exception {
-    endsUnheard(true);
+  void stopWhileTheSharedFolderIsReadNeverListens() throws Exception {
+    endsBeforeListening(true);
   }
 
-  private static int health(int port) throws IOException {
+  private static int readinessStatus(int port) throws IOException {
     return ((HttpURLConnection)
             URI.create("http://127.0.0.1:" + port + "/health/ready").toURL().openConnection())
         .getResponseCode();
   }
 
   /**
-   * What {@code /health/ready} says once a list from before the start would do, for discovery is
-   * down; the broker is that of the stage.
+   * Starts the broker of the stage while discovery is down; returns the status of its readiness
+   * check once an endpoint list from before the start is accepted.
    */
-  private static int withoutDiscovery(Stage stage, int discovery, String known) throws Exception {
+  private static int withoutDiscovery(Stage stage, int discovery, String initialList)
+      throws Exception {
     io.vertx.core.Context context = stage.vertx.getOrCreateContext();
-    CompletableFuture<Void> passed = new CompletableFuture<>();
+    CompletableFuture<Void> elapsed = new CompletableFuture<>();
     CompletableFuture<Integer> port = new CompletableFuture<>();
     context.runOnContext(
         v -> {
           stage.broker =
-              new Broker(stage.vertx, context, config(discovery, known, null), line -> {});
+              new Broker(stage.vertx, context, config(discovery, initialList, null), line -> {});
           stage.vertx.setTimer(
-              KNOWN_WILL_DO_MS, t -> passed.complete(null)); // later only lets it be surer
+              INITIAL_LIST_ACCEPTED_MS, t -> elapsed.complete(null)); // later only lets it be surer
           stage.broker.start().onSuccess(port::complete).onFailure(port::completeExceptionally);
         });
-    passed.get(10, TimeUnit.SECONDS);
+    elapsed.get(10, TimeUnit.SECONDS);
     stage.httpPort = port.get(10, TimeUnit.SECONDS);
-    return health(stage.httpPort);
+    return readinessStatus(stage.httpPort);
   }
 
-  /**
-   * A list of no stores from before the start is none: whoever let clients in by it would refuse
-   * them all.
-   */
+  /** An empty endpoint list from before the start does not count: it would reject every query. */
   @Test
-  void readyIsNotSaidWhileNoStoreIsKnown() throws Exception {
+  void notReadyWhileNoEndpointIsKnown() throws Exception {
     int port;
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
@@ -135,12 +133,12 @@
       assertEquals(503, withoutDiscovery(stage, port, "{\"generation\":3,\"instances\":[]}"));
       try (Discovery discovery = new Discovery(stage.vertx, port)) {
         discovery.list(entry);
-        int said = 503;
-        for (int i = 0; i < 1_000 && said != 200; i++) {
+        int status = 503;
+        for (int i = 0; i < 1_000 && status != 200; i++) {
           Thread.sleep(10);
-          said = health(stage.httpPort);
+          status = readinessStatus(stage.httpPort);
         }
-        assertEquals(200, said, "discovery is back");
+        assertEquals(200, status, "discovery is back");
       }
     } finally {
       store.close();
--- a/src/test/java/dunlinhitch/server/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Queries in two phases on both store wires, with first answers that are late, wrong or missing.
- * Every query tries two phases here.
+ * Queries in two phases over both backend protocols, with summaries that are late, wrong or
+ * missing. Every query attempts two phases here.
  */
 class TwoPhasesTest {
   enum Wire {
@@ -56,9 +56,9 @@
     client = Client.http(stage.httpPort);
   }
 
-  private void first(Function<Seen, First> says) {
-    one.first = says;
-    two.first = says;
+  private void first(Function<Seen, First> summary) {
+    one.first = summary;
+    two.first = summary;
   }
 
   private CompletableFuture<Got> open(int... shards) {
@@ -73,13 +73,13 @@
     return open(shards).get(5, TimeUnit.SECONDS);
   }
 
-  private long fullSeen() {
-    return one.seen.size() + two.seen.size();
+  private long secondPassParts() {
+    return (long) one.seen.size() + two.seen.size();
   }
 
-  private static void until(BooleanSupplier holds) {
+  private static void await(BooleanSupplier condition) {
     long end = System.nanoTime() + 5_000_000_000L;
-    while (!holds.getAsBoolean()) {
+    while (!condition.getAsBoolean()) {
       assertTrue(System.nanoTime() < end, "it never came to be");
       Thread.onSpinWait();
     }
@@ -95,29 +95,29 @@
 
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void blocksWithNothingAreSparedAndTheAnswerIsWhole(Wire wire) throws Exception {
+  void emptyBlocksArePrunedAndTheAnswerIsComplete(Wire wire) throws Exception {
     begin(wire, 0, false);
     Got got = ask(0, 1, 2, 3, 4, 5);
     assertEquals("whole", got.end());
     assertEquals(Set.of(0, 1, 2, 3, 4, 5), got.parts().keySet());
     assertEquals(NONE, got.parts().get(0), "the store's own empty value");
     assertTrue(got.parts().get(1).matches("s-[01]/1/tenors é"));
-    assertEquals(3, fullSeen());
+    assertEquals(3, secondPassParts());
     assertEquals(6, one.firstSeen.size() + two.firstSeen.size());
     assertEquals(3, stage.count("blocks_pruned"));
     got = ask(0, 2, 4);
     assertEquals("whole", got.end(), "all of them empty");
-    assertEquals(3, fullSeen());
+    assertEquals(3, secondPassParts());
     assertEquals(0, stage.count("sends_barred"));
     assertEquals(0, stage.count("faults"));
   }
 
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void oneBlockAndAMixedFleetGoInOnePhase(Wire wire) throws Exception {
+  void oneBlockAndMixedBackendsUseOnePhase(Wire wire) throws Exception {
     begin(wire, 0, true);
     assertEquals("whole", ask(0, 1, 2, 3).end());
-    assertEquals(4, fullSeen(), "a store that knows one phase is never pruned");
+    assertEquals(4, secondPassParts(), "a store that knows one phase is never pruned");
     assertEquals("whole", ask(0).end());
     assertEquals(0, one.firstSeen.size());
     assertEquals(2, stage.count("queries_in_one_phase"));
@@ -129,15 +129,15 @@
    */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aLateFirstPassLeavesEnoughForTheSecond(Wire wire) throws Exception {
+  void lateFirstPassLeavesTimeForTheSecond(Wire wire) throws Exception {
     begin(wire, 0, false);
     first(part -> part.shard() < 2 ? null : new First(0, "v1", NONE));
     long from = System.nanoTime();
     Got got = ask(0, 1, 2, 3);
-    long tookMs = (System.nanoTime() - from) / 1_000_000;
+    long elapsedMs = (System.nanoTime() - from) / 1_000_000;
     assertEquals("whole", got.end());
-    assertTrue(tookMs >= 250 && tookMs < 1_000, "after ms: " + tookMs);
-    assertEquals(2, fullSeen());
+    assertTrue(elapsedMs >= 250 && elapsedMs < 1_000, "after ms: " + elapsedMs);
+    assertEquals(2, secondPassParts());
     assertEquals(1, stage.count("first_passes_late"));
     assertTrue(got.parts().get(0).startsWith("s-"), "what had no first answer is asked in full");
   }
@@ -145,13 +145,13 @@
   /** A store that says it has nothing but has: an audit finds out, and pruning closes. */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aLyingStoreClosesPruning(Wire wire) throws Exception {
+  void wrongSummaryDisablesPruning(Wire wire) throws Exception {
     begin(wire, 1, false);
     Got got = ask(0, 1, 2, 3);
     assertEquals("whole", got.end());
-    assertEquals(4, fullSeen(), "all that would be spared is audited");
+    assertEquals(4, secondPassParts(), "all that would be spared is audited");
     assertTrue(got.parts().get(0).startsWith("s-"), "the full answer counts");
-    until(() -> stage.count("audits_bad") >= 1);
+    await(() -> stage.count("audits_bad") >= 1);
     assertTrue(
         stage.log.stream().anyMatch(line -> line.startsWith("pruning is closed for free-search")));
     one.firstSeen.clear();
@@ -166,12 +166,12 @@
    */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aStoreThatDrainsBetweenThePhasesGetsNoFullWork(Wire wire) throws Exception {
+  void endpointDrainingBetweenPhasesReceivesNoSecondPass(Wire wire) throws Exception {
     begin(wire, 0, false);
     one.firstAfterMs = 200;
     two.firstAfterMs = 200;
     CompletableFuture<Got> open = open(0, 1, 2, 3);
-    until(() -> one.firstSeen.size() + two.firstSeen.size() == 4);
+    await(() -> one.firstSeen.size() + two.firstSeen.size() == 4);
     stage.discovery.change(Discovery.entry(one, "a", 0, "draining"));
     Got got = open.get(5, TimeUnit.SECONDS);
     assertEquals("whole", got.end());
@@ -181,44 +181,44 @@
 
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aClientThatLeavesBetweenThePhasesIsDone(Wire wire) throws Exception {
+  void clientDisconnectBetweenPhasesEndsTheQuery(Wire wire) throws Exception {
     begin(wire, 0, false);
     one.firstAfterMs = 300;
     two.firstAfterMs = 300;
     CompletableFuture<Got> open = open(0, 1, 2, 3);
-    until(() -> one.firstSeen.size() + two.firstSeen.size() == 4);
+    await(() -> one.firstSeen.size() + two.firstSeen.size() == 4);
     open.cancel(true);
-    until(() -> stage.count("client_left") == 1);
+    await(() -> stage.count("client_left") == 1);
     one.firstAfterMs = 1;
     two.firstAfterMs = 1;
     assertEquals("whole", ask(0, 1).end());
-    assertEquals(1, fullSeen(), "only of the second query");
+    assertEquals(1, secondPassParts(), "only of the second query");
     assertEquals(0, stage.count("faults"));
   }
 
   /** Attempts of both phases count together, and never are two out for a part. */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void attemptsOfBothPhasesAreWithinTheMost(Wire wire) throws Exception {
+  void attemptsOfBothPhasesStayWithinTheLimit(Wire wire) throws Exception {
     begin(wire, 0, false);
     one.script = part -> Do.BAD;
     two.script = part -> Do.BAD;
     Got got = ask(1, 3);
     assertTrue(List.of("failed", "late", "refused").contains(got.end()), got.toString());
     for (int shard : new int[] {1, 3}) {
-      long tries =
+      long attempts =
           List.of(one, two).stream()
               .flatMap(s -> java.util.stream.Stream.concat(s.seen.stream(), s.firstSeen.stream()))
               .filter(p -> p.shard() == shard)
               .count();
-      assertTrue(tries <= 4, "attempts for shard " + shard + ": " + tries);
+      assertTrue(attempts <= 4, "attempts for shard " + shard + ": " + attempts);
     }
   }
 
   /** The least share of an answer counts what was spared as well as what came in full. */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aPartialAnswerCountsWhatIsIn(Wire wire) throws Exception {
+  void partialAnswerCountsPrunedBlocks(Wire wire) throws Exception {
     begin(wire, 0, false);
     one.script = part -> part.shard() == 1 ? Do.NOTHING : Do.GOOD;
     two.script = one.script;
@@ -233,7 +233,7 @@
   /** What comes after its block was sent in full is passed over; the full answer counts. */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aFirstAnswerThatComesTooLateChangesNothing(Wire wire) throws Exception {
+  void lateSummaryChangesNothing(Wire wire) throws Exception {
     begin(wire, 0, false);
     one.firstAfterMs = 450;
     two.firstAfterMs = 450;
@@ -244,7 +244,7 @@
     got.parts()
         .forEach(
             (shard, value) -> assertTrue(value.startsWith("s-"), "shard " + shard + ": " + value));
-    assertEquals(4, fullSeen());
+    assertEquals(4, secondPassParts());
     assertEquals(0, stage.count("bad_frames"));
     assertEquals(0, stage.count("blocks_pruned"));
   }
@@ -255,7 +255,7 @@
    */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aStaleSummaryNeverSparesABlock(Wire wire) throws Exception {
+  void staleSummaryNeverPrunesABlock(Wire wire) throws Exception {
     begin(wire, 0, false);
     assertEquals(NONE, ask(0, 2, 4).parts().get(2));
     first(
@@ -273,12 +273,12 @@
   /** A store that dies between the phases: the full work goes to the other, the answer is whole. */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aStoreThatDiesBetweenThePhasesLosesNothing(Wire wire) throws Exception {
+  void endpointFailingBetweenPhasesLosesNothing(Wire wire) throws Exception {
     begin(wire, 0, false);
     two.firstAfterMs = 150;
     one.firstAfterMs = 150;
     CompletableFuture<Got> open = open(0, 1, 2, 3, 5, 7);
-    until(() -> one.firstSeen.size() + two.firstSeen.size() == 6);
+    await(() -> one.firstSeen.size() + two.firstSeen.size() == 6);
     one.close();
     Got got = open.get(5, TimeUnit.SECONDS);
     assertTrue(List.of("whole", "partial").contains(got.end()), got.toString());
@@ -295,7 +295,7 @@
    */
   @ParameterizedTest
   @EnumSource(Wire.class)
-  void aRetryInTheMiddleIsAQueryOfItsOwn(Wire wire) throws Exception {
+  void clientRetryBetweenPhasesIsASeparateQuery(Wire wire) throws Exception {
     begin(wire, 0, false);
     for (int i = 0; i < 5; i++) { // what a part takes is known then, and admission has no doubts
       assertEquals("whole", ask(0, 1).end());
@@ -307,7 +307,7 @@
     one.firstAfterMs = 100;
     two.firstAfterMs = 100;
     CompletableFuture<Got> before = open(0, 1, 2, 3);
-    until(() -> one.firstSeen.size() + two.firstSeen.size() == 4);
+    await(() -> one.firstSeen.size() + two.firstSeen.size() == 4);
     CompletableFuture<Got> again =
         client.ask(
             "free-search",
@@ -315,7 +315,7 @@
             Client.body(0, 1, 2, 3));
     assertEquals("whole", before.get(5, TimeUnit.SECONDS).end());
     assertEquals("whole", again.get(5, TimeUnit.SECONDS).end());
-    assertEquals(4, fullSeen());
+    assertEquals(4, secondPassParts());
     assertEquals(0, stage.count("sends_barred"));
   }
 }
--- a/src/test/java/dunlinhitch/server/UpgradeTest.java
+++ b/src/test/java/dunlinhitch/server/UpgradeTest.java
@@ -9,15 +9,17 @@
 import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.frontend.http.ClientListener;
 import java.io.IOException;
+import java.net.InetAddress;
 import java.net.InetSocketAddress;
 import java.net.Socket;
 import java.nio.channels.ServerSocketChannel;
 import java.nio.charset.StandardCharsets;
+import java.util.Locale;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Two processes of one broker on one listening socket, the old one asked to end. */
+/** Hot restart: two processes of one broker on one listening socket, the old one shutting down. */
 class UpgradeTest {
   private static Stage stage(ServerSocketChannel listener) throws Exception {
     Stage stage = new Stage(new ClientListener(listener));
@@ -53,20 +55,20 @@
   }
 
   /**
-   * Whatever connects after the old one was asked to end is the new one's; who is connected to the
-   * old one is still served there, and told to leave by that answer. The socket outlives both: it
-   * is not theirs.
+   * Clients that connect after the old process was asked to end are accepted by the new one; those
+   * connected to the old one are served there, and that response closes their connection. The
+   * listening socket stays open, for it belongs to neither.
    */
   @Test
-  void theNewGoesToTheSiblingAndTheConnectedAreServed() throws Exception {
+  void newClientsGoToTheSuccessorAndConnectedOnesAreServed() throws Exception {
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
-      listener.bind(new InetSocketAddress("127.0.0.1", 0));
+      listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
       Stage old = stage(listener);
       assertEquals(port, old.httpPort);
-      try (Socket kept = new Socket("127.0.0.1", port)) {
-        ask(kept, "q0");
-        assertFalse(answer(kept).toLowerCase().contains("connection: close"));
+      try (Socket connected = new Socket(InetAddress.getLoopbackAddress(), port)) {
+        ask(connected, "q0");
+        assertFalse(answer(connected).toLowerCase(Locale.ROOT).contains("connection: close"));
         Stage next = stage(listener);
         CompletableFuture<Void> ended = old.stop();
         old.vertx
@@ -75,19 +77,19 @@
             .toCompletableFuture()
             .get(5, TimeUnit.SECONDS);
         for (int i = 1; i <= 20; i++) {
-          try (Socket fresh = new Socket("127.0.0.1", port)) {
+          try (Socket fresh = new Socket(InetAddress.getLoopbackAddress(), port)) {
             ask(fresh, "q" + i);
             answer(fresh);
           }
         }
         assertEquals(20, next.count("queries_taken"));
-        ask(kept, "q21");
-        assertTrue(answer(kept).toLowerCase().contains("connection: close"));
-        assertEquals(-1, kept.getInputStream().read());
+        ask(connected, "q21");
+        assertTrue(answer(connected).toLowerCase(Locale.ROOT).contains("connection: close"));
+        assertEquals(-1, connected.getInputStream().read());
         assertEquals(2, old.count("queries_taken"));
         ended.get(8, TimeUnit.SECONDS);
         old.close();
-        try (Socket fresh = new Socket("127.0.0.1", port)) {
+        try (Socket fresh = new Socket(InetAddress.getLoopbackAddress(), port)) {
           ask(fresh, "q22");
           answer(fresh);
         }
--- a/src/test/java/dunlinhitch/server/WarmUpTest.java
+++ b/src/test/java/dunlinhitch/server/WarmUpTest.java
@@ -14,9 +14,10 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
+/** Warm-up of a broker that has no descriptor left. */
 class WarmUpTest {
-  /** As where no descriptor is left: the system connects, and nobody accepts. */
-  private static final class Deaf extends OwnTransport {
+  /** As where no descriptor is left: the system connects, and the broker never accepts. */
+  private static final class NonAcceptingTransport extends OwnTransport {
     @Override
     public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
       return () ->
@@ -30,13 +31,13 @@
     }
   }
 
-  /** It is over by its time and that of an answer, so the start goes on. */
+  /** It ends by its own deadline, so that the start goes on. */
   @Test
-  void whatIsNeverAnsweredIsNotWaitedFor() throws Exception {
+  void doesNotWaitForQueriesThatAreNeverAnswered() throws Exception {
     Vertx vertx =
         Vertx.builder()
             .with(new VertxOptions().setEventLoopPoolSize(1))
-            .withTransport(new Deaf())
+            .withTransport(new NonAcceptingTransport())
             .build();
     try {
       Context context = vertx.getOrCreateContext();
