--- a/src/main/java/dunlinhitch/core/AttemptStage.java
+++ b/src/main/java/dunlinhitch/core/AttemptStage.java
@@ -89,7 +89,7 @@
   }
 
   private void block(String subject, String reason) {
-    counters.add(Counter.SENDS_BARRED);
+    counters.add(Counter.SENDS_BLOCKED);
     context.log("barred a send of " + subject + ": " + reason);
   }
 
@@ -137,13 +137,13 @@
   private static Counter counterOf(AttemptOutcome outcome) {
     return switch (outcome) {
       case OK -> Counter.ATTEMPTS_SERVED;
-      case ERROR -> Counter.ATTEMPTS_ERROR;
-      case FULL -> Counter.ATTEMPTS_FULL;
+      case ERROR -> Counter.ATTEMPTS_FAILED;
+      case FULL -> Counter.ATTEMPTS_REJECTED;
       case TIMEOUT -> Counter.ATTEMPTS_TIMED_OUT;
       case CONNECT_FAILED -> Counter.ATTEMPTS_NOT_CONNECTED;
       case RESET -> Counter.ATTEMPTS_RESET;
-      case CANCELLED -> Counter.ATTEMPTS_GIVEN_UP;
-      case MOOT -> Counter.SENDS_BARRED;
+      case CANCELLED -> Counter.ATTEMPTS_CANCELLED;
+      case MOOT -> Counter.SENDS_BLOCKED;
     };
   }
 
--- a/src/main/java/dunlinhitch/core/BalancerActionHandler.java
+++ b/src/main/java/dunlinhitch/core/BalancerActionHandler.java
@@ -47,7 +47,7 @@
       return;
     }
     if (!query.isAnswerable()) {
-      state.counters().add(Counter.ANSWERS_BARRED);
+      state.counters().add(Counter.RESPONSES_BLOCKED);
       completion.fail(query);
       return;
     }
@@ -70,7 +70,7 @@
         query.allParts().stream().anyMatch(part -> part.earliestExecutionUs >= 0);
     if (mayHaveExecuted && query.request.kind().repeat() == Idempotency.SINGLE_SHOT) {
       // a rejection would tell the client that a retry is harmless
-      state.counters().add(Counter.ANSWERS_BARRED);
+      state.counters().add(Counter.RESPONSES_BLOCKED);
       completion.fail(query);
       return;
     }
--- a/src/main/java/dunlinhitch/core/ClusterIdentity.java
+++ b/src/main/java/dunlinhitch/core/ClusterIdentity.java
@@ -8,15 +8,15 @@
 import java.util.List;
 
 /**
- * This broker's place among others.
+ * This broker as a member of a cluster.
  *
- * @param self as the others are to know it
- * @param seeds where others may be heard
- * @param settings what holds for all
- * @param dayOffsetUs what the day's clock is ahead of the loop's, in microseconds, as measured at
- *     the start
- * @param audit when a broker is a straggler
- * @param versions what it acts on at its start
+ * @param self the member as others are to know it
+ * @param seeds addresses at which other members may be found
+ * @param settings settings that all members share
+ * @param dayOffsetUs by how much the wall clock is ahead of the broker's clock, in microseconds, as
+ *     measured at the start
+ * @param audit when a member's versions count as out of date
+ * @param versions the versions that this broker acts on at its start
  */
 public record ClusterIdentity(
     Member self,
@@ -25,6 +25,7 @@
     long dayOffsetUs,
     VersionSkewSettings audit,
     VersionVector versions) {
+  /** Copies the list. */
   public ClusterIdentity {
     seeds = List.copyOf(seeds);
   }
--- a/src/main/java/dunlinhitch/core/ClusterStage.java
+++ b/src/main/java/dunlinhitch/core/ClusterStage.java
@@ -168,7 +168,7 @@
   /** True where this broker sends the health check; else the result of another is deferred. */
   boolean mayCheck(TrackedEndpoint endpoint) {
     boolean own = coordinator.mayHealthCheck(wallClockUs(), endpoint.name());
-    counters.add(own ? Counter.PROBES_IN_TURN : Counter.PROBES_LEFT_TO_OTHERS);
+    counters.add(own ? Counter.HEALTH_CHECKS_OWN : Counter.HEALTH_CHECKS_DELEGATED);
     return own;
   }
 
@@ -215,7 +215,7 @@
     public void probe(String name) {
       TrackedEndpoint endpoint = registry.endpointsByName.get(name);
       if (endpoint != null) {
-        counters.add(Counter.PROBES_IN_TURN);
+        counters.add(Counter.HEALTH_CHECKS_OWN);
         healthChecks.send(endpoint);
       }
     }
--- a/src/main/java/dunlinhitch/core/ConfigurationStage.java
+++ b/src/main/java/dunlinhitch/core/ConfigurationStage.java
@@ -56,7 +56,7 @@
 
   /** The whole configuration takes effect at once; open queries keep the class they came under. */
   private void onReloaded(Event.ConfigurationReloaded event) {
-    counters.add(Counter.CONFIGURATIONS_TAKEN);
+    counters.add(Counter.CONFIGURATIONS_LOADED);
     context.setSettings(event.settings());
     addClasses();
     settingsListener.accept(event.settings());
--- a/src/main/java/dunlinhitch/core/Counters.java
+++ b/src/main/java/dunlinhitch/core/Counters.java
@@ -1,29 +1,37 @@
 package dunlinhitch.core;
 
-import java.util.Locale;
-
-/** How often each thing has happened since the start. */
+/**
+ * How often each condition was met since the start. Written on the reducer's thread; not
+ * thread-safe.
+ */
 public final class Counters {
   private final long[] counts = new long[Counter.values().length];
 
-  void add(Counter what, long times) {
-    counts[what.ordinal()] += times;
+  void add(Counter counter, long times) {
+    counts[index(counter)] += times;
+  }
+
+  void add(Counter counter) {
+    add(counter, 1);
   }
 
-  void add(Counter what) {
-    add(what, 1);
+  /** The present value of a counter. */
+  public long get(Counter counter) {
+    return counts[index(counter)];
   }
 
-  public long get(Counter what) {
-    return counts[what.ordinal()];
+  // an array by ordinal keeps counting free of boxing; ordinals are neither stored nor sent
+  @SuppressWarnings("EnumOrdinal")
+  private static int index(Counter counter) {
+    return counter.ordinal();
   }
 
-  /** A line for each, {@code name value}. */
+  /** All counters, one line each: {@code label value}. */
   public String lines() {
-    StringBuilder out = new StringBuilder();
-    for (Counter what : Counter.values()) {
-      out.append(what.name().toLowerCase(Locale.ROOT)).append(' ').append(get(what)).append('\n');
+    StringBuilder lines = new StringBuilder();
+    for (Counter counter : Counter.values()) {
+      lines.append(counter.label()).append(' ').append(get(counter)).append('\n');
     }
-    return out.toString();
+    return lines.toString();
   }
 }
--- a/src/main/java/dunlinhitch/core/DiscoveryFreshness.java
+++ b/src/main/java/dunlinhitch/core/DiscoveryFreshness.java
@@ -76,7 +76,7 @@
     }
     staleAtUs = TimingWheel.NEVER;
     stale = true;
-    counters.add(Counter.ROSTER_IN_DOUBT);
+    counters.add(Counter.ENDPOINT_LIST_STALE);
     context.log(
         "discovery has not been heard for "
             + NOTIFICATION_LIMIT_US / 1_000_000
--- a/src/main/java/dunlinhitch/core/EndpointStage.java
+++ b/src/main/java/dunlinhitch/core/EndpointStage.java
@@ -96,7 +96,7 @@
   }
 
   private void onEndpointsUpdated(Event.EndpointsUpdated event) {
-    counters.add(Counter.ROSTER_NEWS);
+    counters.add(Counter.ENDPOINT_UPDATES);
     long nowUs = context.nowUs();
     List<EndpointClaim> claims =
         event.stores().stream()
@@ -109,7 +109,7 @@
   }
 
   private void onSourceUpdated(Event.SourceUpdated event) {
-    counters.add(Counter.ROSTER_NEWS);
+    counters.add(Counter.ENDPOINT_UPDATES);
     long rejectedBefore = endpointRegistry.refused();
     List<EndpointChange> changes =
         endpointRegistry.said(context.nowUs(), event.source(), event.whole(), event.claims());
@@ -245,13 +245,13 @@
 
   private static Counter counterOf(EndpointStatus status) {
     return switch (status) {
-      case ANNOUNCED -> Counter.MEMBERS_HELD_BACK;
+      case ANNOUNCED -> Counter.ENDPOINTS_HELD_BACK;
       case LIVE, DRAINING -> null;
-      case STALE -> Counter.MEMBERS_STALE;
-      case DISPUTED -> Counter.MEMBERS_DISPUTED;
-      case STANDING_IN -> Counter.MEMBERS_STANDING_IN;
-      case WITHDRAWN -> Counter.MEMBERS_WITHDRAWN;
-      case GONE -> Counter.MEMBERS_GONE;
+      case STALE -> Counter.ENDPOINTS_STALE;
+      case DISPUTED -> Counter.ENDPOINTS_DISPUTED;
+      case STANDING_IN -> Counter.ENDPOINTS_STANDING_IN;
+      case WITHDRAWN -> Counter.ENDPOINTS_WITHDRAWN;
+      case GONE -> Counter.ENDPOINTS_REMOVED;
     };
   }
 }
--- a/src/main/java/dunlinhitch/core/Event.java
+++ b/src/main/java/dunlinhitch/core/Event.java
@@ -56,7 +56,7 @@
    * @param score ranks the part among those of its query for a second step; NaN where the endpoint
    *     gave no number
    */
-  // arrays: a report is read only, and copying each would cost the hot path
+  // an array, for copies or boxed values would cost the hot path; nobody writes to a report
   @SuppressWarnings("ArrayRecordComponent")
   record AttemptCompleted(
       long attempt, AttemptOutcome outcome, float[] report, String value, double score)
@@ -84,7 +84,7 @@
    * @param version the version of the shard's data
    * @param emptyValue the value of a part without any record
    */
-  // arrays: a report is read only, and copying each would cost the hot path
+  // an array, for copies or boxed values would cost the hot path; nobody writes to a report
   @SuppressWarnings("ArrayRecordComponent")
   record FirstPassCompleted(
       long attempt, long cameUs, float[] report, long records, String version, String emptyValue)
@@ -100,7 +100,7 @@
    * @param outcome how it ended
    * @param report the load report that came with it, empty for none
    */
-  // arrays: a report is read only, and copying each would cost the hot path
+  // an array, for copies or boxed values would cost the hot path; nobody writes to a report
   @SuppressWarnings("ArrayRecordComponent")
   record HealthCheckCompleted(long probe, AttemptOutcome outcome, float[] report)
       implements Event {}
--- a/src/main/java/dunlinhitch/core/HealthCheckStage.java
+++ b/src/main/java/dunlinhitch/core/HealthCheckStage.java
@@ -52,7 +52,7 @@
         context.nowUs() + context.settings().limits().connectTimeoutUs(),
         TimerQueue.Kind.HEALTH_CHECK,
         check.id());
-    counters.add(Counter.PROBES_SENT);
+    counters.add(Counter.HEALTH_CHECKS_SENT);
     context.emit(new Effect.SendHealthCheck(endpoint.number, check.id()));
   }
 
--- a/src/main/java/dunlinhitch/core/QueryCompletion.java
+++ b/src/main/java/dunlinhitch/core/QueryCompletion.java
@@ -29,16 +29,17 @@
 
   /** Answers a query with the values received so far. */
   void serve(InFlightQuery query, QueryResponse.Served response) {
-    respond(query, response, response.whole() ? Counter.ANSWERED_WHOLE : Counter.ANSWERED_PARTLY);
+    respond(
+        query, response, response.whole() ? Counter.RESPONSES_COMPLETE : Counter.RESPONSES_PARTIAL);
   }
 
   /** Rejects a query of which no part can have been executed, or which may be repeated. */
   void reject(InFlightQuery query, long retryAfterUs) {
-    respond(query, new QueryResponse.Rejected(retryAfterUs), Counter.REFUSED);
+    respond(query, new QueryResponse.Rejected(retryAfterUs), Counter.QUERIES_REJECTED);
   }
 
   void expire(InFlightQuery query) {
-    respond(query, new QueryResponse.DeadlineExceeded(), Counter.OUT_OF_TIME);
+    respond(query, new QueryResponse.DeadlineExceeded(), Counter.DEADLINES_EXCEEDED);
   }
 
   /** Fails a query; within two ticks of its deadline that is reported as the deadline exceeded. */
@@ -46,7 +47,7 @@
     if (context.nowUs() >= query.request.deadlineUs() - 2 * context.settings().tickUs()) {
       expire(query);
     } else {
-      respond(query, new QueryResponse.Failed(), Counter.FAILED);
+      respond(query, new QueryResponse.Failed(), Counter.QUERIES_FAILED);
     }
   }
 
--- a/src/main/java/dunlinhitch/core/QueryRequest.java
+++ b/src/main/java/dunlinhitch/core/QueryRequest.java
@@ -4,11 +4,17 @@
 import java.util.List;
 
 /**
- * What a client asks, whichever front it came by. {@code key} is empty where the class carries
- * none; {@code text} is what each part has to carry; {@code kind} is the class itself, for its
- * place in the settings may shift, and {@code tenant} is for the same reason a name, empty where
- * the settings know none such; {@code showPruned}: the answer is to say what was spared; {@code
- * deadlineUs} is when the client stops waiting.
+ * A client's request, whichever frontend read it.
+ *
+ * @param id the client's identifier of the query
+ * @param key the idempotency key, empty where the class has none
+ * @param kind the class itself, for its index in the settings may change
+ * @param tenant the tenant's name for the same reason; empty where the settings know none such
+ * @param deadlineUs when the client stops waiting, in microseconds
+ * @param repeat whether the client marked it as a repeat
+ * @param parts the parts, one for each shard
+ * @param text what each part carries
+ * @param showPruned whether the response is to name pruned shards
  */
 public record QueryRequest(
     String id,
@@ -20,13 +26,21 @@
     List<PartRequest> parts,
     String text,
     boolean showPruned) {
-  /** One part: its shard, its share of the whole and, where above 0, a guess at its work. */
+  /**
+   * One part of a query.
+   *
+   * @param shard the shard
+   * @param weight its share of the complete response
+   * @param hintUs an estimate of its work in microseconds, 0 for none
+   */
   public record PartRequest(int shard, double weight, long hintUs) {}
 
+  /** Copies the list. */
   public QueryRequest {
     parts = List.copyOf(parts);
   }
 
+  /** A request without a tenant, whose response does not name pruned shards. */
   public QueryRequest(
       String id,
       String key,
@@ -38,13 +52,13 @@
     this(id, key, kind, "", deadlineUs, repeat, parts, text, false);
   }
 
-  /** The same with the earlier of two deadlines. */
+  /** The same request with the earlier of its own deadline and another. */
   public QueryRequest dueBy(long otherUs) {
     return new QueryRequest(
         id, key, kind, tenant, Math.min(deadlineUs, otherUs), repeat, parts, text, showPruned);
   }
 
-  /** The same under what its class has become since it was read. */
+  /** The same request under what its class has become since it was read. */
   public QueryRequest under(QueryClass now) {
     return new QueryRequest(id, key, now, tenant, deadlineUs, repeat, parts, text, showPruned);
   }
--- a/src/main/java/dunlinhitch/core/QueryResponse.java
+++ b/src/main/java/dunlinhitch/core/QueryResponse.java
@@ -2,33 +2,42 @@
 
 import java.util.List;
 
-/** The one final answer of a query, before any front words it. */
+/** The one final response of a query, before a frontend encodes it. */
 public sealed interface QueryResponse {
-  /** A part that is in: its shard and the value as the store gave it. */
+  /** The value of one shard, as the endpoint gave it. */
   record PartValue(int shard, String value) {}
 
   /**
-   * Served, marked whole or not; {@code pruned}: shards whose store said first that they have
-   * nothing, null where nobody asked.
+   * The query was served.
+   *
+   * @param whole whether the response is complete
+   * @param parts the values received
+   * @param pruned shards without a record by their first pass, null where the client did not ask
    */
   record Served(boolean whole, List<PartValue> parts, List<Integer> pruned)
       implements QueryResponse {
+    /** Copies the lists. */
     public Served {
       parts = List.copyOf(parts);
       pruned = pruned == null ? null : List.copyOf(pruned);
     }
 
+    /** A response that does not name pruned shards. */
     public Served(boolean whole, List<PartValue> parts) {
       this(whole, parts, null);
     }
   }
 
-  /** Trying again is harmless, best after {@code retryAfterUs} (0: no advice). */
+  /**
+   * The query was rejected: a retry is harmless.
+   *
+   * @param retryAfterUs the delay advised before a retry, in microseconds; 0 for none
+   */
   record Rejected(long retryAfterUs) implements QueryResponse {}
 
-  /** Given up, with no promise about its effect. */
+  /** The query was given up, with no promise about its effect. */
   record Failed() implements QueryResponse {}
 
-  /** Given up because the client's time is as good as over. */
+  /** The query was given up because its deadline is over, or is about to be. */
   record DeadlineExceeded() implements QueryResponse {}
 }
--- a/src/main/java/dunlinhitch/core/QueryStage.java
+++ b/src/main/java/dunlinhitch/core/QueryStage.java
@@ -56,7 +56,7 @@
             .ask()
             .dueBy(lifecycle.drainDeadlineUs())
             .under(queryClass < 0 ? event.ask().kind() : settings.classes().get(queryClass));
-    counters.add(Counter.QUERIES_TAKEN);
+    counters.add(Counter.QUERIES_RECEIVED);
     int tenant = context.tenantIndex(request.tenant());
     boolean unknownTenant = !settings.tenants().isEmpty() && tenant < 0;
     counters.add(Counter.TENANTS_UNKNOWN, unknownTenant ? 1 : 0);
@@ -102,7 +102,7 @@
       query.parts.add(part);
       registry.parts.put(part.number, part);
     }
-    counters.add(Counter.PARTS_TAKEN, query.parts.size());
+    counters.add(Counter.PARTS_ADMITTED, query.parts.size());
     timers.schedule(request.deadlineUs(), TimerQueue.Kind.QUERY, query.number);
     return query;
   }
@@ -138,7 +138,7 @@
   private void onClientDisconnected(Event.ClientDisconnected event) {
     InFlightQuery query = registry.queriesByExchange.get(event.exchange());
     if (query != null) {
-      counters.add(Counter.CLIENT_LEFT);
+      counters.add(Counter.CLIENTS_DISCONNECTED);
       completion.close(query);
       balancer.deliver(new BalancerEvent.ClientDisconnected(query.number));
     }
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -154,7 +154,7 @@
         open(),
         listed,
         skipped,
-        counters.get(Counter.CONFIGURATIONS_TAKEN),
+        counters.get(Counter.CONFIGURATIONS_LOADED),
         counters.get(Counter.BAD_CONFIGURATIONS));
   }
 
@@ -302,7 +302,7 @@
 
   private void handleCluster(Event.ClusterEvent event) {
     if (event instanceof Event.GossipReceived) {
-      state.counters().add(Counter.PEER_WORDS_HEARD);
+      state.counters().add(Counter.GOSSIP_RECEIVED);
       if (lifecycle.isStopping()) {
         return;
       }
--- a/src/main/java/dunlinhitch/core/RequestBatcher.java
+++ b/src/main/java/dunlinhitch/core/RequestBatcher.java
@@ -66,7 +66,7 @@
     for (int from = 0; from < attempts.size(); from += batchSize) {
       int to = Math.min(attempts.size(), from + batchSize);
       context.emit(new Effect.SendRequest(endpoint, attempts.subList(from, to)));
-      counters.add(Counter.CALLS_SENT);
+      counters.add(Counter.REQUESTS_SENT);
     }
   }
 }
--- a/src/main/java/dunlinhitch/core/SecondStepStage.java
+++ b/src/main/java/dunlinhitch/core/SecondStepStage.java
@@ -60,7 +60,7 @@
   /** Scores that are no number come last; among equals the order of the query holds. */
   private List<InFlightPart> selectHighestScores(List<InFlightPart> served, QueryClass queryClass) {
     long unranked = served.stream().filter(part -> Double.isNaN(part.score)).count();
-    counters.add(Counter.BAD_SCORES, unranked);
+    counters.add(Counter.SCORES_INVALID, unranked);
     List<InFlightPart> ranked = new ArrayList<>(served);
     ranked.sort(Comparator.comparingDouble(SecondStepStage::rank).reversed());
     return ranked.subList(0, Math.min(queryClass.followUp(), ranked.size()));
--- a/src/main/java/dunlinhitch/core/TwoPhaseStage.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseStage.java
@@ -250,7 +250,7 @@
   private void finishAudit(InFlightAttempt attempt, boolean confirmed) {
     String className = attempt.part().query.request.kind().name();
     int shard = attempt.part().request.shard();
-    state.counters().add(confirmed ? Counter.AUDITS_GOOD : Counter.AUDITS_BAD);
+    state.counters().add(confirmed ? Counter.AUDITS_CONFIRMED : Counter.AUDITS_REFUTED);
     if (planner.audited(context.nowUs(), className, shard, confirmed)) {
       context.log(
           "pruning is closed for "
--- a/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
+++ b/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
@@ -119,12 +119,12 @@
     String subject = own ? "this broker" : "broker " + verdict.broker();
     switch (verdict.step()) {
       case SEEN -> {
-        counters.add(Counter.STRAGGLERS_SEEN);
+        counters.add(Counter.VERSION_SKEWS_DETECTED);
         context.log(subject + " is behind: " + describeSkew(verdict));
       }
       case BRING_UP -> context.emit(refreshOf(verdict));
       case SHUT_OUT -> {
-        counters.add(Counter.STRAGGLERS_SHUT_OUT);
+        counters.add(Counter.BROKERS_FENCED);
         String consequence = own ? "; it takes no query until it has that" : "";
         context.log(subject + " is shut out: " + describeSkew(verdict) + consequence);
       }
--- /dev/null
+++ b/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
@@ -0,0 +1,166 @@
+package dunlinhitch.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.ServerListKind;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.core.Effect.SendRequest;
+import dunlinhitch.experiments.fakes.Stage;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.stream.Collectors;
+import org.junit.jupiter.api.Test;
+
+/** Attempts as the reducer batches, cancels, withdraws and limits them. */
+class AttemptLifecycleTest extends ReducerTestSupport {
+  @Test
+  void attemptsOfATurnShareRequestsOfEightPartsAtMost() {
+    listBothEndpoints();
+    turn(queryReceived(1, 0, 18));
+    assertEquals(18, effectsOf(SendRequest.class).stream().mapToInt(c -> c.parts().size()).sum());
+    assertTrue(effectsOf(SendRequest.class).stream().allMatch(c -> c.parts().size() <= 8));
+    assertTrue(
+        effectsOf(SendRequest.class).size() <= 4, "calls: " + effectsOf(SendRequest.class).size());
+  }
+
+  @Test
+  void anAttemptEndsOnceAndALateReplyIsIgnored() {
+    listBothEndpoints();
+    turn(queryReceived(1, 1, 1));
+    long attempt = effectsOf(SendRequest.class).get(0).parts().get(0).attempt();
+    turn(Event.AttemptCompleted.of(attempt, AttemptOutcome.FULL));
+    turn(new Event.AttemptCompleted(attempt, AttemptOutcome.OK, new float[0], "too late"));
+    assertEquals(null, responseTo(1));
+    runFor(20_000);
+    long again = effectsOf(SendRequest.class).get(1).parts().get(0).attempt();
+    turn(new Event.AttemptCompleted(again, AttemptOutcome.OK, new float[0], "v"));
+    assertEquals(
+        new QueryResponse.Served(true, List.of(new QueryResponse.PartValue(0, "v"))),
+        responseTo(1));
+    assertEquals(1, reducer.counters().get(Counter.ATTEMPTS_SERVED));
+  }
+
+  /**
+   * Regression, with fourteen brokers and turns of 1 ms: a part that was late at a far endpoint
+   * reached a near one before the far one knew of the cancellation.
+   */
+  @Test
+  void aCancelledPartIsRetriedOnlyAfterItsCancellationCanHaveArrived() {
+    Reducer quickReducer = new Reducer(Stage.settings(40).withTick(1_000), 7, now);
+    quickReducer.turn(
+        now,
+        List.of(
+            new Event.EndpointsUpdated(
+                ServerListKind.FULL,
+                List.of(
+                    endpoint("a", 0, ServerState.READY), endpoint("b", 1, ServerState.READY)))));
+    quickReducer.turn(now, List.of(queryReceived(1, 0, 4)));
+    Map<Long, Long> cancelledAt = new HashMap<>();
+    int again = 0;
+    for (long end = now + SECOND; now < end; now += 1_000) {
+      for (Effect effect : quickReducer.turn(now, List.of())) {
+        if (effect instanceof Effect.CancelAttempt e) {
+          cancelledAt.put(e.attempt(), now);
+        } else if (effect instanceof SendRequest e && !cancelledAt.isEmpty()) {
+          long last = cancelledAt.values().stream().mapToLong(at -> at).max().orElseThrow();
+          assertTrue(now - last >= 5_000, "sent again after " + (now - last) + " us");
+          again += e.parts().size();
+        }
+      }
+    }
+    assertTrue(again > 0, "nothing was sent again");
+  }
+
+  @Test
+  void anAttemptStartedAndCancelledInOneTurnIsNeverSent() {
+    listBothEndpoints();
+    turn(queryReceived(1, 1, 1), new Event.ClientDisconnected(1));
+    assertEquals(List.of(), effectsOf(SendRequest.class));
+    assertEquals(List.of(), effectsOf(Effect.CancelAttempt.class));
+  }
+
+  /**
+   * Regression: where attempts can not be cancelled, a part that was unsent when its client
+   * disconnected, or its query was answered, was sent all the same. It is withdrawn, and no
+   * endpoint is notified of what was sent.
+   */
+  @Test
+  void unsentAttemptsAreWithdrawnWhereCancellingIsNotAllowed() {
+    Reducer withoutCancelling = reducerWithoutCancelling();
+    effects.addAll(
+        withoutCancelling.turn(
+            now, List.of(queryReceived(1, 1, 4), new Event.ClientDisconnected(1))));
+    assertEquals(List.of(), effectsOf(SendRequest.class));
+    List<Effect.AttemptRequest> sent =
+        attemptsIn(withoutCancelling.turn(now, List.of(queryReceived(2, 1, 4))));
+    assertEquals(4, sent.size());
+    effects.addAll(withoutCancelling.turn(now, List.of(new Event.ClientDisconnected(2))));
+    assertEquals(
+        attemptIds(sent),
+        effectsOf(Effect.WithdrawAttempt.class).stream()
+            .map(Effect.WithdrawAttempt::attempt)
+            .collect(Collectors.toSet()));
+    assertEquals(List.of(), effectsOf(Effect.CancelAttempt.class));
+    effects.clear();
+    Reducer lateReducer = reducerWithoutCancelling();
+    List<Effect.AttemptRequest> attempts =
+        attemptsIn(lateReducer.turn(now, List.of(queryReceived(3, 0, 6))));
+    attempts.stream()
+        .limit(5)
+        .forEach(
+            p ->
+                lateReducer.turn(
+                    now,
+                    List.of(
+                        new Event.AttemptCompleted(
+                            p.attempt(), AttemptOutcome.OK, new float[0], "v"))));
+    for (long end = now + SECOND;
+        now < end && effectsOf(Effect.SendResponse.class).isEmpty();
+        now += 5_000) {
+      effects.addAll(lateReducer.turn(now, List.of()));
+    }
+    assertTrue(responseTo(3) instanceof QueryResponse.Served, "answer: " + responseTo(3));
+    List<Effect.AttemptRequest> again =
+        attemptsIn(effects); // the sixth was sent again once its time was over
+    assertEquals(
+        List.of(again.get(again.size() - 1).attempt()),
+        effectsOf(Effect.WithdrawAttempt.class).stream()
+            .map(Effect.WithdrawAttempt::attempt)
+            .toList());
+  }
+
+  private Reducer reducerWithoutCancelling() {
+    Reducer made =
+        new Reducer(
+            settingsWith(Stage.settings(40), Stage.settings(40).classes(), 4, false), 7, now);
+    made.turn(now, List.of(bothEndpointsListed()));
+    return made;
+  }
+
+  /** A lower limit binds open queries as well as new ones. */
+  @Test
+  void theAttemptLimitIsTheLowestOfTheSettingsThatAQueryMet() {
+    listBothEndpoints();
+    turn(queryReceived(1, 0, 1));
+    turn(
+        new Event.ConfigurationReloaded(
+            settingsWith(reducer.settings().classes(), 1), "127.0.0.1", 9));
+    turn(
+        Event.AttemptCompleted.of(
+            effectsOf(SendRequest.class).get(0).parts().get(0).attempt(), AttemptOutcome.FULL));
+    runFor(SECOND);
+    assertEquals(1, effectsOf(SendRequest.class).size());
+    turn(queryReceived(2, 0, 1));
+    turn(
+        new Event.ConfigurationReloaded(
+            settingsWith(reducer.settings().classes(), 4), "127.0.0.1", 9));
+    turn(
+        Event.AttemptCompleted.of(
+            effectsOf(SendRequest.class).get(1).parts().get(0).attempt(), AttemptOutcome.FULL));
+    runFor(SECOND);
+    assertEquals(2, effectsOf(SendRequest.class).size());
+  }
+}
--- a/src/test/java/dunlinhitch/core/AttemptStageTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptStageTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The last guard of the rules on attempts, whatever the decisions ask for. */
+/** The send guard and the life cycle of attempts, whatever the load balancer asks for. */
 class AttemptStageTest {
   private static final long WINDOW_US = 200_000;
   private final List<Effect> effects = new ArrayList<>();
@@ -58,13 +58,13 @@
   }
 
   private InFlightPart part(Idempotency repeat) {
-    for (int store = 1; store <= 2; store++) {
+    for (int endpoint = 1; endpoint <= 2; endpoint++) {
       registry.endpoints.put(
-          store,
+          endpoint,
           new TrackedEndpoint(
-              store,
+              endpoint,
               new Endpoint(
-                  "s" + store,
+                  "s" + endpoint,
                   "127.0.0.1",
                   1,
                   0,
@@ -95,12 +95,12 @@
     return part;
   }
 
-  /** Sends it at that time, and returns it as it leaves; null where it does not. */
-  private Effect.AttemptRequest send(int store, long atUs) {
+  /** Sends an attempt at that time and returns it as emitted; null where it is blocked. */
+  private Effect.AttemptRequest send(int endpoint, long atUs) {
     now = atUs;
     context.begin(now, now);
     effects.clear();
-    attempts.send(2, store, now + 1_000_000);
+    attempts.send(2, endpoint, now + 1_000_000);
     attempts.flush(false);
     effects.addAll(context.takeEffects());
     return effects.stream()
@@ -115,36 +115,37 @@
   }
 
   /**
-   * The first of two copies that were out together was turned away; the other has run: that was
-   * forgotten with the first's end.
+   * Regression: the first of two attempts in flight was rejected while the other was executed, and
+   * the execution was lost with the end of the first.
    */
   @Test
-  void aCopyThatMayHaveRunIsNotForgottenWithTheFirstThatDidNot() {
+  void aHedgedAttemptThatMayHaveExecutedCountsAfterTheFirstIsRejected() {
     part(Idempotency.SINGLE_SHOT);
     Effect.AttemptRequest first = send(1, now);
     assertEquals(null, send(2, now + 1), "a copy of what may run once only");
     end(first, AttemptOutcome.FULL);
     registry.parts.clear();
     part(Idempotency.GUARDED);
-    long begun = now;
-    first = send(1, begun);
-    Effect.AttemptRequest copy = send(2, begun + 10_000);
+    long startUs = now;
+    first = send(1, startUs);
+    Effect.AttemptRequest hedged = send(2, startUs + 10_000);
     end(first, AttemptOutcome.FULL);
-    end(copy, AttemptOutcome.RESET);
-    assertEquals(null, send(1, begun + 10_000 + WINDOW_US + 1), "outside the window of the copy");
-    assertEquals(begun + 10_000 + WINDOW_US, send(1, begun + 10_000 + WINDOW_US).repeatUntilUs());
+    end(hedged, AttemptOutcome.RESET);
+    assertEquals(null, send(1, startUs + 10_000 + WINDOW_US + 1), "outside the window of the copy");
+    assertEquals(
+        startUs + 10_000 + WINDOW_US, send(1, startUs + 10_000 + WINDOW_US).repeatUntilUs());
   }
 
-  /** It counts from the first that may have run, in whichever order they end. */
+  /** Whichever order the attempts end in. */
   @Test
-  void theWindowCountsFromTheFirstThatMayHaveRun() {
+  void theDeduplicationWindowStartsWithTheFirstAttemptThatMayHaveExecuted() {
     part(Idempotency.GUARDED);
-    long begun = now;
-    Effect.AttemptRequest first = send(1, begun);
+    long startUs = now;
+    Effect.AttemptRequest first = send(1, startUs);
     assertEquals(Long.MAX_VALUE, first.repeatUntilUs(), "it has not been sent before");
-    Effect.AttemptRequest copy = send(2, begun + 10_000);
-    end(copy, AttemptOutcome.ERROR);
+    Effect.AttemptRequest hedged = send(2, startUs + 10_000);
+    end(hedged, AttemptOutcome.ERROR);
     end(first, AttemptOutcome.FULL);
-    assertEquals(begun + 10_000 + WINDOW_US, send(1, begun + 20_000).repeatUntilUs());
+    assertEquals(startUs + 10_000 + WINDOW_US, send(1, startUs + 20_000).repeatUntilUs());
   }
 }
--- a/src/test/java/dunlinhitch/core/ClusterStageTest.java
+++ b/src/test/java/dunlinhitch/core/ClusterStageTest.java
@@ -25,12 +25,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The reducer as one broker of many, on a made clock: what the subset, the turns and the others'
- * words do to what it asks for.
+ * The reducer as a member of a cluster, on a manual clock: subsets, shared health checks, versions.
  */
 class ClusterStageTest {
   private static final long SECOND = 1_000_000;
-  private static final int STORES = 6;
+  private static final int ENDPOINTS = 6;
   private static final Member SELF =
       new Member("n0", "0", "127.0.0.1", 7400, 1, Member.Status.ALIVE);
   private static final VersionVector OWN = new VersionVector("b", "aaaa", 1_000, 0);
@@ -50,56 +49,57 @@
           7,
           now);
   private final List<Effect> effects = new ArrayList<>();
-  private int asked;
+  private int queryCount;
 
   private void turn(Event... events) {
     effects.addAll(reducer.turn(now, List.of(events)));
   }
 
-  private static Endpoint store(int i, ServerState state) {
+  private static Endpoint endpoint(int i, ServerState state) {
     return new Endpoint(
         "s" + i, "127.0.0.1", 7000 + i, 0, 0, state, 1, 0, Endpoint.Protocol.FRAMES);
   }
 
-  private void stores() {
+  private void listAllEndpoints() {
     turn(
         new Event.EndpointsUpdated(
             ServerListKind.FULL,
-            IntStream.range(0, STORES).mapToObj(i -> store(i, ServerState.READY)).toList()));
+            IntStream.range(0, ENDPOINTS).mapToObj(i -> endpoint(i, ServerState.READY)).toList()));
   }
 
-  private static Event.GossipReceived said(
-      int broker, GossipMessage.Kind kind, long number, EndpointObservation... signals) {
+  private static Event.GossipReceived gossipFrom(
+      int broker, GossipMessage.Kind kind, long number, EndpointObservation... observations) {
     Member peer = new Member("n" + broker, "0", "127.0.0.1", 7400 + broker, 1, Member.Status.ALIVE);
     return new Event.GossipReceived(
-        new GossipMessage(kind, peer, number, "", null, List.of(), List.of(signals)));
+        new GossipMessage(kind, peer, number, "", null, List.of(), List.of(observations)));
   }
 
-  /** The stores that queries of the next second go to, each answered at once. */
-  private Set<Integer> used() {
-    Set<Integer> used = new HashSet<>();
+  /** Numbers of the endpoints that the queries of a short time go to, each answered at once. */
+  private Set<Integer> endpointsUsed() {
+    Set<Integer> endpointsUsed = new HashSet<>();
     for (int i = 0; i < 60; i++) {
       now += 10_000;
       List<PartRequest> part = List.of(new PartRequest(0, 1, 0));
-      List<Effect> asks =
+      List<Effect> emitted =
           reducer.turn(
               now,
               List.of(
                   new Event.QueryReceived(
-                      ++asked,
+                      ++queryCount,
                       new QueryRequest(
-                          "q" + asked,
+                          "q" + queryCount,
                           "",
                           reducer.settings().classes().get(0),
                           now + 900_000,
                           false,
                           part,
                           "x"))));
-      effects.addAll(asks);
-      for (Effect effect : asks) {
-        if (effect instanceof SendRequest call) {
-          used.add(call.store());
-          call.parts()
+      effects.addAll(emitted);
+      for (Effect effect : emitted) {
+        if (effect instanceof SendRequest request) {
+          endpointsUsed.add(request.store());
+          request
+              .parts()
               .forEach(
                   p ->
                       turn(
@@ -108,10 +108,10 @@
         }
       }
     }
-    return used;
+    return endpointsUsed;
   }
 
-  private List<Effect.SendGossip> told() {
+  private List<Effect.SendGossip> gossipSent() {
     return effects.stream()
         .filter(Effect.SendGossip.class::isInstance)
         .map(Effect.SendGossip.class::cast)
@@ -119,56 +119,69 @@
   }
 
   /**
-   * Alone it takes all; with others a subset; as the one in it fails to answer, a spare beside it.
+   * Alone it uses all endpoints; with others a subset; when one of the subset is removed, another
+   * takes its place.
    */
   @Test
-  void queriesGoToTheSubsetAndItFollowsTheFleet() {
-    stores();
-    assertEquals(STORES, used().size());
+  void queriesGoToTheSubsetAndItFollowsTheCluster() {
+    listAllEndpoints();
+    assertEquals(ENDPOINTS, endpointsUsed().size());
     for (int broker = 1; broker < 12; broker++) {
-      turn(said(broker, GossipMessage.Kind.GOSSIP, 0));
+      turn(gossipFrom(broker, GossipMessage.Kind.GOSSIP, 0));
     }
-    Set<Integer> subset = used();
+    Set<Integer> subset = endpointsUsed();
     assertEquals(2, subset.size(), "12 brokers at 6 stores keep to 2 each: " + subset);
     assertTrue(
         effects.stream()
             .anyMatch(
                 e -> e instanceof Effect.LogMessage log && log.text().startsWith("fleet of 12: ")));
-    Set<Integer> released = new HashSet<>();
+    Set<Integer> disconnected = new HashSet<>();
     effects.stream()
         .filter(Effect.CloseIdleConnections.class::isInstance)
-        .forEach(e -> released.add(((Effect.CloseIdleConnections) e).store()));
+        .forEach(e -> disconnected.add(((Effect.CloseIdleConnections) e).store()));
     assertTrue(
-        IntStream.rangeClosed(1, STORES).allMatch(s -> subset.contains(s) || released.contains(s)),
-        released.toString());
+        IntStream.rangeClosed(1, ENDPOINTS)
+            .allMatch(s -> subset.contains(s) || disconnected.contains(s)),
+        disconnected.toString());
 
-    int out = subset.iterator().next();
+    int removed = subset.iterator().next();
     turn(
         new Event.EndpointsUpdated(
-            ServerListKind.DELTA, List.of(store(out - 1, ServerState.GONE))));
-    Set<Integer> next = used();
-    assertTrue(!next.contains(out) && next.size() == 2, next + " without " + out);
+            ServerListKind.DELTA, List.of(endpoint(removed - 1, ServerState.GONE))));
+    Set<Integer> endpointsLater = endpointsUsed();
+    assertTrue(
+        !endpointsLater.contains(removed) && endpointsLater.size() == 2,
+        endpointsLater + " without " + removed);
   }
 
-  private Event.GossipReceived acts(int broker, long roster) {
+  private Event.GossipReceived gossipWithListGeneration(int broker, long generation) {
     Member peer = new Member("n" + broker, "0", "127.0.0.1", 7400 + broker, 1, Member.Status.ALIVE);
     return new Event.GossipReceived(
         new GossipMessage(
-            GossipMessage.Kind.GOSSIP, peer, 0, "", OWN.withRoster(roster), List.of(), List.of()));
+            GossipMessage.Kind.GOSSIP,
+            peer,
+            0,
+            "",
+            OWN.withRoster(generation),
+            List.of(),
+            List.of()));
   }
 
   /**
-   * The others hold a later list: it asks its source again, and after ten seconds it takes no query
-   * more, and says why; with the list it serves again. Of another that lags the same is held, and
-   * it is not counted on.
+   * The others have a later endpoint list: the broker refreshes its own, and after ten seconds it
+   * admits no query and logs why; with the list it serves again. Another broker that stays behind
+   * is fenced in the same way and not counted on.
    */
   @Test
-  void aStragglerAsksAgainThenLetsNothingInUntilItHasTheList() {
-    stores();
+  void aBrokerWithAnOldListRefreshesItAndIsFencedUntilItHasTheNewOne() {
+    listAllEndpoints();
     turn(new Event.EndpointListGenerationChanged(4));
     for (int i = 0; i < 150; i++) {
       now += 100_000;
-      turn(acts(1, 5), acts(2, 5), acts(3, 5));
+      turn(
+          gossipWithListGeneration(1, 5),
+          gossipWithListGeneration(2, 5),
+          gossipWithListGeneration(3, 5));
     }
     assertTrue(reducer.fenced());
     assertTrue(
@@ -184,16 +197,22 @@
                                 "this broker is shut out: it acts on roster 4, and 5 is newest")),
         effects.toString());
     long before = reducer.counters().get(Counter.TURNED_AWAY);
-    assertEquals(0, used().size());
+    assertEquals(0, endpointsUsed().size());
     assertEquals(60, reducer.counters().get(Counter.TURNED_AWAY) - before);
     turn(new Event.EndpointListGenerationChanged(5));
     now += 100_000;
     turn();
-    assertTrue(!reducer.fenced() && !used().isEmpty(), "it has the list and serves again");
-    turn(new Event.EndpointListGenerationChanged(6), acts(1, 6), acts(2, 6));
+    assertTrue(!reducer.fenced() && !endpointsUsed().isEmpty(), "it has the list and serves again");
+    turn(
+        new Event.EndpointListGenerationChanged(6),
+        gossipWithListGeneration(1, 6),
+        gossipWithListGeneration(2, 6));
     for (int i = 0; i < 120; i++) {
       now += 100_000;
-      turn(acts(1, 6), acts(2, 6), acts(3, 5));
+      turn(
+          gossipWithListGeneration(1, 6),
+          gossipWithListGeneration(2, 6),
+          gossipWithListGeneration(3, 5));
     }
     assertTrue(
         effects.stream()
@@ -209,58 +228,57 @@
                         && log.text().startsWith("fleet of 3: n0 n1 n2;")));
   }
 
-  /** A word that asks for an answer gets one, and the end is said to all that are known. */
+  /** A ping gets its acknowledgement, and shutdown is announced to all known members. */
   @Test
-  void looksAreAnsweredAndTheEndIsSaid() {
-    stores();
-    turn(said(3, GossipMessage.Kind.PING, 77));
-    Effect.SendGossip answer = told().get(told().size() - 1);
-    assertEquals(7403, answer.port());
-    assertEquals(GossipMessage.Kind.ACK, answer.word().kind());
-    assertEquals(77, answer.word().number());
+  void pingsAreAcknowledgedAndShutdownIsAnnounced() {
+    listAllEndpoints();
+    turn(gossipFrom(3, GossipMessage.Kind.PING, 77));
+    Effect.SendGossip acknowledgement = gossipSent().get(gossipSent().size() - 1);
+    assertEquals(7403, acknowledgement.port());
+    assertEquals(GossipMessage.Kind.ACK, acknowledgement.word().kind());
+    assertEquals(77, acknowledgement.word().number());
     turn(new Event.ShutdownRequested());
-    Effect.SendGossip last = told().get(told().size() - 1);
-    assertEquals(GossipMessage.Kind.LEAVE, last.word().kind());
-    assertEquals(Member.Status.LEFT, last.word().from().status());
+    Effect.SendGossip leave = gossipSent().get(gossipSent().size() - 1);
+    assertEquals(GossipMessage.Kind.LEAVE, leave.word().kind());
+    assertEquals(Member.Status.LEFT, leave.word().from().status());
     assertTrue(effects.get(effects.size() - 1) instanceof Effect.ShutdownCompleted);
   }
 
   /**
-   * What the decisions want probed is another's turn now and then: with twelve brokers that probe
-   * nothing themselves most wait for a word, and what it brings is theirs; no store is probed twice
-   * in a turn of 2 s.
+   * With twelve brokers of which the others check nothing themselves, most health checks wait for
+   * the observation of another broker, which ends them; no endpoint is checked twice in a period of
+   * 2 s.
    */
   @Test
-  void probesWaitForTheirTurn() {
-    stores();
+  void healthChecksAreSharedAmongBrokers() {
+    listAllEndpoints();
     for (int broker = 1; broker < 12; broker++) {
-      turn(said(broker, GossipMessage.Kind.GOSSIP, 0));
+      turn(gossipFrom(broker, GossipMessage.Kind.GOSSIP, 0));
     }
-    List<Long> probedAt = new ArrayList<>();
-    for (int i = 0;
-        i < 600;
-        i++) { // 6 s of searches that nobody answers: the decisions look around
+    List<Long> checkedAt = new ArrayList<>();
+    // 6 s of queries that nobody answers: the load balancer asks for health checks
+    for (int i = 0; i < 600; i++) {
       now += 10_000;
-      List<Effect> asks =
+      List<Effect> emitted =
           reducer.turn(
               now,
               List.of(
                   new Event.QueryReceived(
-                      ++asked,
+                      ++queryCount,
                       new QueryRequest(
-                          "q" + asked,
+                          "q" + queryCount,
                           "",
                           reducer.settings().classes().get(0),
                           now + 900_000,
                           false,
                           List.of(new PartRequest(0, 1, 0)),
                           "x"))));
-      asks.stream()
+      emitted.stream()
           .filter(Effect.SendHealthCheck.class::isInstance)
-          .forEach(p -> probedAt.add(now));
+          .forEach(p -> checkedAt.add(now));
       if (i % 100 == 0) {
         turn(
-            said(
+            gossipFrom(
                 1 + i / 100,
                 GossipMessage.Kind.GOSSIP,
                 0,
@@ -268,13 +286,14 @@
       }
     }
     long wanted =
-        reducer.counters().get(Counter.PROBES_IN_TURN)
-            + reducer.counters().get(Counter.PROBES_LEFT_TO_OTHERS);
+        reducer.counters().get(Counter.HEALTH_CHECKS_OWN)
+            + reducer.counters().get(Counter.HEALTH_CHECKS_DELEGATED);
     assertTrue(wanted > 0, "no probe was wanted");
-    assertEquals(probedAt.size(), reducer.counters().get(Counter.PROBES_SENT));
+    assertEquals(checkedAt.size(), reducer.counters().get(Counter.HEALTH_CHECKS_SENT));
+    assertTrue(
+        checkedAt.size() <= 3 * ENDPOINTS,
+        checkedAt.size() + " probes of " + ENDPOINTS + " stores in three turns");
     assertTrue(
-        probedAt.size() <= 3 * STORES,
-        probedAt.size() + " probes of " + STORES + " stores in three turns");
-    assertTrue(reducer.counters().get(Counter.PROBES_LEFT_TO_OTHERS) > 0, "all turns were its own");
+        reducer.counters().get(Counter.HEALTH_CHECKS_DELEGATED) > 0, "all turns were its own");
   }
 }
--- /dev/null
+++ b/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
@@ -0,0 +1,181 @@
+package dunlinhitch.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.settings.Idempotency;
+import dunlinhitch.balancer.settings.QueryClass;
+import dunlinhitch.core.Effect.SendRequest;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Reloaded configurations and the address of discovery. */
+class ConfigurationStageTest extends ReducerTestSupport {
+  /**
+   * The class in front of it is removed and its name stands for other rules: an open query is still
+   * answered in part, as its class allowed when it was admitted, and a new one is not. Guards
+   * against indexes of a list that has shifted.
+   */
+  @Test
+  void anOpenQueryKeepsTheClassThatItWasAdmittedUnder() {
+    listBothEndpoints();
+    QueryClass first = reducer.settings().classes().get(0);
+    turn(queryReceived(1, 0, 10));
+    QueryClass strict =
+        new QueryClass(
+            first.name(),
+            first.latencyObjectiveUs(),
+            0,
+            first.deadlineUs(),
+            Idempotency.SINGLE_SHOT,
+            0.1,
+            0,
+            3,
+            false,
+            0,
+            1,
+            1,
+            0.9);
+    QueryClass added =
+        new QueryClass(
+            "hall-search",
+            first.latencyObjectiveUs(),
+            0,
+            first.deadlineUs(),
+            Idempotency.FREE,
+            0.1,
+            0,
+            3,
+            false,
+            0,
+            0.7,
+            1,
+            0.9);
+    turn(new Event.ConfigurationReloaded(settingsWith(List.of(added, strict), 2), "127.0.0.1", 9));
+    assertEquals(
+        new Effect.ChangeDiscoveryAddress("127.0.0.1", 9),
+        effectsOf(Effect.ChangeDiscoveryAddress.class).get(0));
+    turn(queryReceived(2, 1, 10));
+    assertEquals("free-search", reducer.settings().classes().get(1).name());
+    effectsOf(SendRequest.class).stream()
+        .flatMap(call -> call.parts().stream())
+        .filter(p -> p.shard() < 8)
+        .forEach(
+            p ->
+                turn(
+                    new Event.AttemptCompleted(p.attempt(), AttemptOutcome.OK, new float[0], "v")));
+    runFor(SECOND);
+    assertTrue(
+        responseTo(1) instanceof QueryResponse.Served s && !s.whole() && s.parts().size() == 8,
+        "answer: " + responseTo(1));
+    assertTrue(
+        responseTo(2) instanceof QueryResponse.DeadlineExceeded
+            || responseTo(2) instanceof QueryResponse.Failed,
+        "answer: " + responseTo(2));
+    assertEquals(
+        List.of("free-search", "slot-booking", "hall-search"),
+        reducer.figures().classes().stream().map(BrokerStatus.OfClass::name).toList());
+    assertEquals(1, reducer.figures().loads());
+    assertEquals(0, reducer.counters().get(Counter.FAULTS));
+  }
+
+  /** Read under a class that is removed before the query is handled: nothing of it was executed. */
+  @Test
+  void aQueryOfARemovedClassIsRejected() {
+    listBothEndpoints();
+    Event queryReadBefore = queryReceived(1, 1, 1);
+    turn(
+        new Event.ConfigurationReloaded(
+            settingsWith(reducer.settings().classes().subList(0, 1), 4), "127.0.0.1", 9),
+        queryReadBefore);
+    assertTrue(responseTo(1) instanceof QueryResponse.Rejected, "answer: " + responseTo(1));
+  }
+
+  private static QueryClass withIdempotency(
+      QueryClass queryClass, Idempotency repeat, long windowUs) {
+    return new QueryClass(
+        queryClass.name(),
+        queryClass.latencyObjectiveUs(),
+        0,
+        queryClass.deadlineUs(),
+        repeat,
+        queryClass.lateWeight(),
+        windowUs,
+        queryClass.priorityWeight(),
+        false,
+        0,
+        queryClass.floor(),
+        queryClass.need(),
+        queryClass.partialWeight());
+  }
+
+  /**
+   * Regression: read under a class without idempotency keys, handled under one with them, its parts
+   * and their repeats were sent without a key.
+   */
+  @Test
+  void aQueryReadWithoutAKeyIsRejectedUnderAnIdempotentClass() {
+    listBothEndpoints();
+    Event queryReadBefore = queryReceived(1, 0, 1);
+    QueryClass idempotent =
+        withIdempotency(reducer.settings().classes().get(0), Idempotency.GUARDED, SECOND);
+    turn(
+        new Event.ConfigurationReloaded(settingsWith(List.of(idempotent), 4), "127.0.0.1", 9),
+        queryReadBefore);
+    assertEquals(List.of(), effectsOf(SendRequest.class));
+    assertTrue(responseTo(1) instanceof QueryResponse.Rejected, "answer: " + responseTo(1));
+    turn(queryReceived(2, 0, 1));
+    assertEquals(1, effectsOf(SendRequest.class).size(), "what was read since is taken");
+  }
+
+  /**
+   * The window of its own class counts for an open query, in the load balancer and in the send
+   * guard; the new window is far longer, or there is none.
+   */
+  @ParameterizedTest
+  @CsvSource({"200000, 5000000, 100000, 1", "200000, 5000000, 300000, 0", "5000000, 0, 300000, 1"})
+  void anOpenQueryKeepsTheDeduplicationWindowThatItWasAdmittedUnder(
+      long ownUs, long newUs, long failsAfterUs, int retries) {
+    listBothEndpoints();
+    QueryClass first = reducer.settings().classes().get(0);
+    QueryClass second = reducer.settings().classes().get(1);
+    turn(
+        new Event.ConfigurationReloaded(
+            settingsWith(List.of(first, withIdempotency(second, Idempotency.GUARDED, ownUs)), 4),
+            "127.0.0.1",
+            9),
+        queryReceived(1, 1, 1));
+    long sentUs = now;
+    turn(
+        new Event.ConfigurationReloaded(
+            settingsWith(List.of(withIdempotency(second, Idempotency.GUARDED, newUs), first), 4),
+            "127.0.0.1",
+            9));
+    now += failsAfterUs;
+    turn(Event.AttemptCompleted.of(attemptsIn(effects).get(0).attempt(), AttemptOutcome.ERROR));
+    runFor(100_000);
+    assertEquals(1 + retries, attemptsIn(effects).size());
+    assertEquals(
+        retries == 0 ? Long.MAX_VALUE : sentUs + ownUs,
+        attemptsIn(effects).get(retries).repeatUntilUs());
+    assertEquals(
+        0, reducer.counters().get(Counter.SENDS_BLOCKED) + reducer.counters().get(Counter.FAULTS));
+  }
+
+  /** The start names the address; a reloaded configuration moves it only where it names another. */
+  @Test
+  void discoveryMovesOnlyToANewAddress() {
+    turn(
+        new Event.DiscoveryConfigured("127.0.0.1", 1),
+        new Event.DiscoveryConfigured("127.0.0.1", 1));
+    assertEquals(1, effectsOf(Effect.ChangeDiscoveryAddress.class).size());
+    turn(new Event.DiscoveryConfigured("127.0.0.1", 2));
+    assertEquals(
+        new Effect.ChangeDiscoveryAddress("127.0.0.1", 2),
+        effectsOf(Effect.ChangeDiscoveryAddress.class).get(1));
+    assertEquals(1, reducer.counters().get(Counter.DISCOVERY_MOVED));
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/core/EndpointStageTest.java
@@ -0,0 +1,279 @@
+package dunlinhitch.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.ServerListKind;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.core.Effect.SendRequest;
+import dunlinhitch.endpoints.EndpointClaim;
+import dunlinhitch.experiments.fakes.Stage;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Endpoint lists as the reducer applies them, and the grace periods of draining endpoints. */
+class EndpointStageTest extends ReducerTestSupport {
+  /**
+   * The grace period runs from the moment the notification was written to the broker. Read 300 ms
+   * late, it leaves nothing: no attempt may go to the draining endpoint, though its shard has no
+   * other.
+   */
+  @Test
+  void aDrainReadLateHasLessGracePeriodLeft() {
+    turn(
+        new Event.EndpointsUpdated(
+            ServerListKind.FULL, List.of(endpoint("a", 0, ServerState.READY))));
+    Event drain =
+        new Event.EndpointsUpdated(
+            ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.DRAINING)));
+    List<Effect> lateTurn =
+        reducer.turn(now, now - 300_000, List.of(queryReceived(1, 0, 1), drain));
+    assertEquals(
+        0,
+        attemptsSentTo(lateTurn, 1),
+        "a part went to a store 300 ms after it was told that it drains");
+    Reducer onTime = new Reducer(Stage.settings(40), 7, now);
+    onTime.turn(
+        now,
+        List.of(
+            new Event.EndpointsUpdated(
+                ServerListKind.FULL, List.of(endpoint("a", 0, ServerState.READY)))));
+    assertEquals(
+        1,
+        attemptsSentTo(onTime.turn(now, List.of(queryReceived(1, 0, 1), drain)), 1),
+        "within the grace the last replica serves");
+  }
+
+  @Test
+  void aCompleteListReplacesTheOldOneAndRemovedEndpointsReceiveNothing() {
+    listBothEndpoints();
+    turn(
+        new Event.EndpointsUpdated(
+            ServerListKind.FULL, List.of(endpoint("b", 1, ServerState.READY))));
+    Effect.EndpointChanged last =
+        effectsOf(Effect.EndpointChanged.class)
+            .get(effectsOf(Effect.EndpointChanged.class).size() - 1);
+    assertEquals("a", last.entry().name());
+    assertEquals(ServerState.GONE, last.entry().state());
+    turn(queryReceived(1, 0, 6));
+    assertTrue(effectsOf(SendRequest.class).stream().allMatch(c -> c.store() != last.store()));
+    assertEquals(6, effectsOf(SendRequest.class).stream().mapToInt(c -> c.parts().size()).sum());
+  }
+
+  /**
+   * Withdrawn by its DNS records: nothing new from the same turn on; back within the linger time it
+   * keeps its number.
+   */
+  @Test
+  void aWithdrawnEndpointReceivesNothingNewAndKeepsItsNumberOnReturn() {
+    turn(
+        new Event.SourceRegistered("dns", 1),
+        new Event.SourceUpdated(
+            "dns",
+            true,
+            List.of(
+                new EndpointClaim("one", endpoint("a", 0, ServerState.READY), now, Long.MAX_VALUE),
+                new EndpointClaim(
+                    "two", endpoint("b", 1, ServerState.READY), now, Long.MAX_VALUE))));
+    int number = effectsOf(Effect.EndpointChanged.class).get(0).store();
+    turn(
+        queryReceived(1, 0, 2),
+        new Event.SourceUpdated("dns", false, List.of(EndpointClaim.back("one", now))));
+    int withdrawn = effects.indexOf(effectsOf(Effect.EndpointChanged.class).get(2));
+    assertEquals(
+        ServerState.WITHDRAWN, effectsOf(Effect.EndpointChanged.class).get(2).entry().state());
+    assertTrue(
+        effects.stream()
+            .filter(SendRequest.class::isInstance)
+            .allMatch(e -> effects.indexOf(e) > withdrawn),
+        "the edge knows before it is given what the same turn still sent");
+    effects.clear();
+    for (int i = 2; i < 12; i++) {
+      now += 20_000;
+      turn(queryReceived(i, 0, 1));
+      effectsOf(SendRequest.class)
+          .forEach(
+              call ->
+                  call.parts()
+                      .forEach(
+                          part ->
+                              turn(
+                                  new Event.AttemptCompleted(
+                                      part.attempt(), AttemptOutcome.OK, new float[0], "v"))));
+    }
+    assertEquals(
+        List.of(),
+        effectsOf(SendRequest.class).stream().filter(call -> call.store() == number).toList());
+    assertTrue(!effectsOf(SendRequest.class).isEmpty(), effects.toString());
+    effects.clear();
+    now += 100_000;
+    turn(
+        new Event.SourceUpdated(
+            "dns",
+            false,
+            List.of(
+                new EndpointClaim(
+                    "one", endpoint("a", 0, ServerState.READY), now, Long.MAX_VALUE))));
+    assertEquals(number, effectsOf(Effect.EndpointChanged.class).get(0).store());
+    assertEquals(
+        0, effectsOf(Effect.EndpointChanged.class).get(0).entry().startedUs(), "no cold start");
+    turn(new Event.SourceUpdated("dns", false, List.of(EndpointClaim.back("one", now))));
+    runFor(11 * SECOND);
+    assertEquals(1, reducer.counters().get(Counter.ENDPOINTS_REMOVED));
+    assertEquals(1, reducer.figures().knownStores());
+  }
+
+  /**
+   * Notifications of discovery count as received after 6 s, whether they arrived or not: operators
+   * are notified once, and again on recovery.
+   */
+  @Test
+  void theEndpointListIsReportedStaleAfterSixSecondsWithoutContact() {
+    listBothEndpoints();
+    turn(new Event.DiscoveryUnavailable(now - 2 * SECOND));
+    turn(new Event.DiscoveryRecovered());
+    runFor(5 * SECOND);
+    turn(new Event.DiscoveryUnavailable(now - 2 * SECOND));
+    runFor(4 * SECOND - 5_000);
+    assertEquals(0, reducer.counters().get(Counter.ENDPOINT_LIST_STALE));
+    runFor(10_000);
+    turn(new Event.DiscoveryRecovered(), new Event.DiscoveryUnavailable(now));
+    runFor(SECOND);
+    assertEquals(1, reducer.counters().get(Counter.ENDPOINT_LIST_STALE));
+    assertEquals(
+        2,
+        effectsOf(Effect.LogMessage.class).stream()
+            .filter(line -> line.text().contains("discovery"))
+            .count());
+  }
+
+  /**
+   * Without contact for 2 s the agent may have had the drain since then: no grace period is left of
+   * it, nor of one at the start.
+   */
+  @Test
+  void aDrainInTheFirstListAfterLostContactHasNoGracePeriod() {
+    turn(
+        new Event.EndpointsUpdated(
+            ServerListKind.CACHED, List.of(endpoint("a", 0, ServerState.READY))));
+    Event drain =
+        new Event.EndpointsUpdated(
+            ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.DRAINING)));
+    assertEquals(
+        0,
+        attemptsSentTo(reducer.turn(now, List.of(queryReceived(1, 0, 1), drain)), 1),
+        "told before the start");
+    Reducer withoutContact = new Reducer(Stage.settings(40), 7, now);
+    withoutContact.turn(
+        now,
+        List.of(
+            new Event.EndpointsUpdated(
+                ServerListKind.FULL, List.of(endpoint("a", 0, ServerState.READY)))));
+    withoutContact.turn(now, List.of(new Event.DiscoveryUnavailable(now - 2 * SECOND)));
+    assertEquals(
+        0,
+        attemptsSentTo(
+            withoutContact.turn(
+                now, List.of(new Event.DiscoveryRecovered(), queryReceived(1, 0, 1), drain)),
+            1),
+        "told in the silence");
+  }
+
+  /**
+   * The loss of contact, its end and the drain are read in one late turn: that leaves the drain no
+   * grace period either.
+   */
+  @Test
+  void lostContactCountsThoughItEndsInTheTurnThatReportsIt() {
+    Event drain =
+        new Event.EndpointsUpdated(
+            ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.DRAINING)));
+    turn(
+        new Event.EndpointsUpdated(
+            ServerListKind.FULL, List.of(endpoint("a", 0, ServerState.READY))));
+    List<Effect> lateTurn =
+        reducer.turn(
+            now,
+            List.of(
+                queryReceived(1, 0, 1),
+                new Event.DiscoveryUnavailable(now - 2 * SECOND),
+                new Event.DiscoveryRecovered(),
+                drain));
+    assertEquals(0, attemptsSentTo(lateTurn, 1));
+  }
+
+  /**
+   * Discovery has moved and the new address does not respond while the old one still sends updates:
+   * the first list of the new one may be old.
+   */
+  @Test
+  void updatesOfTheOldAddressDoNotRestoreContactToTheNewOne() {
+    Event drain =
+        new Event.EndpointsUpdated(
+            ServerListKind.FULL, List.of(endpoint("a", 0, ServerState.DRAINING)));
+    turn(
+        new Event.EndpointsUpdated(
+            ServerListKind.FULL, List.of(endpoint("a", 0, ServerState.READY))));
+    turn(new Event.DiscoveryUnavailable(now));
+    turn(
+        new Event.EndpointsUpdated(
+            ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.READY))));
+    runFor(3 * SECOND);
+    List<Effect> afterRecovery =
+        reducer.turn(now, List.of(new Event.DiscoveryRecovered(), queryReceived(1, 0, 1), drain));
+    assertEquals(0, attemptsSentTo(afterRecovery, 1));
+  }
+
+  /**
+   * A pushed drain and a complete list without the endpoint are read in one turn, in either order,
+   * with and without an attempt in flight: no attempt goes there, though its shard has no other.
+   * Back under its id with another start time it warms up anew.
+   */
+  @ParameterizedTest
+  @CsvSource({"true, true", "true, false", "false, true", "false, false"})
+  void anEndpointLeftOutOfACompleteListWhileDrainingIsRemoved(
+      boolean drainFirst, boolean attemptInFlight) {
+    Event ready =
+        new Event.EndpointsUpdated(
+            ServerListKind.FULL, List.of(endpoint("a", 0, ServerState.READY)));
+    Event drain =
+        new Event.EndpointsUpdated(
+            ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.DRAINING)));
+    Event without = new Event.EndpointsUpdated(ServerListKind.FULL, List.of());
+    turn(ready);
+    if (attemptInFlight) {
+      assertEquals(1, attemptsSentTo(reducer.turn(now, List.of(queryReceived(1, 1, 1))), 1));
+    }
+    now += 5_000;
+    List<Effect> after =
+        new ArrayList<>(
+            reducer.turn(
+                now,
+                List.of(
+                    queryReceived(2, 0, 1),
+                    drainFirst ? drain : without,
+                    drainFirst ? without : drain)));
+    for (int i = 3; i < 8; i++, now += 60_000) {
+      after.addAll(reducer.turn(now, List.of(queryReceived(i, 0, 1))));
+    }
+    assertEquals(List.of(), attemptsIn(after));
+    assertEquals(
+        0, reducer.counters().get(Counter.SENDS_BLOCKED), "the decisions know it themselves");
+    turn(
+        new Event.EndpointsUpdated(
+            ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.READY).startedAt(now))));
+    for (int i = 100; i < 160; i++, now += 5_000) {
+      turn(queryReceived(i, 0, 1));
+    }
+    // three times 15 % of a core for 0.3 s, of parts that cost a call's 46 ms at least, and one
+    // more
+    int sent = attemptsIn(effects).size();
+    assertTrue(
+        sent > 0 && sent <= (int) (3 * 0.15 * 300_000 / 46_000) + 1,
+        "sent to a cold store: " + sent);
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/core/OperatorStageTest.java
@@ -0,0 +1,69 @@
+package dunlinhitch.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinhitch.balancer.ServerListKind;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.core.Effect.SendRequest;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Endpoints that an operator has disabled. */
+class OperatorStageTest extends ReducerTestSupport {
+  /** The endpoint leaves the list, returns as ready and still receives nothing. */
+  @Test
+  void aDisabledEndpointStaysDisabledWhateverTheListSays() {
+    listBothEndpoints();
+    turn(
+        new Event.EndpointDisableRequested(1, "a", true),
+        new Event.EndpointDisableRequested(2, "a", true),
+        new Event.EndpointDisableRequested(3, "nobody", true));
+    assertEquals(
+        List.of(
+            new Effect.PersistDisabledEndpoint(1, "a", true),
+            new Effect.PersistDisabledEndpoint(2, "a", true)),
+        effectsOf(Effect.PersistDisabledEndpoint.class));
+    assertEquals(
+        List.of(new Effect.RejectUnknownEndpoint(3)),
+        effectsOf(Effect.RejectUnknownEndpoint.class));
+    turn(
+        new Event.EndpointsUpdated(
+            ServerListKind.FULL, List.of(endpoint("b", 1, ServerState.READY))));
+    turn(
+        new Event.EndpointsUpdated(
+            ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.READY))));
+    int a =
+        effectsOf(Effect.EndpointChanged.class).stream()
+            .filter(c -> c.entry().name().equals("a"))
+            .findFirst()
+            .orElseThrow()
+            .store();
+    assertTrue(
+        effectsOf(Effect.EndpointChanged.class)
+            .get(effectsOf(Effect.EndpointChanged.class).size() - 1)
+            .barred());
+    assertEquals(1, reducer.figures().skippedStores());
+    turn(queryReceived(1, 0, 10));
+    assertTrue(effectsOf(SendRequest.class).stream().noneMatch(call -> call.store() == a));
+    turn(new Event.EndpointDisableRequested(4, "a", false));
+    assertEquals(0, reducer.figures().skippedStores());
+    assertEquals(0, reducer.counters().get(Counter.SENDS_BLOCKED));
+  }
+
+  /**
+   * A part that was to be sent in the turn in which an operator disables its endpoint goes to the
+   * other one. (An endpoint disabled through another process is handled before the queries of its
+   * turn.)
+   */
+  @Test
+  void unsentAttemptsForADisabledEndpointAreWithdrawn() {
+    listBothEndpoints();
+    turn(queryReceived(1, 0, 10), new Event.EndpointDisableRequested(1, "a", true));
+    int a = effectsOf(Effect.EndpointChanged.class).get(0).store();
+    runFor(50_000);
+    assertTrue(effectsOf(SendRequest.class).stream().noneMatch(call -> call.store() == a));
+    assertEquals(
+        10, effectsOf(SendRequest.class).stream().mapToInt(call -> call.parts().size()).sum());
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/core/QueryStageTest.java
@@ -0,0 +1,107 @@
+package dunlinhitch.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.settings.Settings;
+import dunlinhitch.core.Effect.SendRequest;
+import dunlinhitch.core.QueryRequest.PartRequest;
+import dunlinhitch.experiments.fakes.Stage;
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.CsvSource;
+
+/** Deadlines, admission and disconnected clients. */
+class QueryStageTest extends ReducerTestSupport {
+  @Test
+  void anUnansweredQueryEndsAtItsDeadlineAndItsAttemptsAreCancelled() {
+    listBothEndpoints();
+    turn(queryReceived(1, 1, 1));
+    runFor(2 * SECOND);
+    assertTrue(responseTo(1) instanceof QueryResponse.DeadlineExceeded, "answer: " + responseTo(1));
+    assertEquals(
+        effectsOf(SendRequest.class).stream().mapToInt(c -> c.parts().size()).sum(),
+        effectsOf(Effect.CancelAttempt.class).size());
+    assertEquals(0, reducer.open());
+  }
+
+  @Test
+  void queriesBeyondTheInFlightLimitAreRejected() {
+    listBothEndpoints();
+    turn(queryReceived(1, 0, 20), queryReceived(2, 0, 20));
+    assertEquals(new QueryResponse.Rejected(500_000), responseTo(2));
+    assertEquals(null, responseTo(1));
+    turn(queryReceived(1, 1, 1));
+    assertTrue(reducer.counters().get(Counter.TURNED_AWAY) == 2, "the same id while it is open");
+  }
+
+  /**
+   * The state of a query when its client disconnects; each has something that would send in the
+   * same turn or later.
+   */
+  enum DisconnectState {
+    NO_ENDPOINT,
+    REJECTED_BY_ENDPOINT,
+    DEFERRED,
+    FIRST_STEP_CLOSES
+  }
+
+  @ParameterizedTest
+  @CsvSource({
+    "NO_ENDPOINT, true",
+    "REJECTED_BY_ENDPOINT, true",
+    "DEFERRED, true",
+    "FIRST_STEP_CLOSES, true",
+    "NO_ENDPOINT, false",
+    "REJECTED_BY_ENDPOINT, false",
+    "DEFERRED, false",
+    "FIRST_STEP_CLOSES, false"
+  })
+  void nothingIsSentForADisconnectedClient(DisconnectState state, boolean mayCancel) {
+    Settings settings = Stage.twoSteps(40);
+    Reducer reducer = new Reducer(settingsWith(settings, settings.classes(), 4, mayCancel), 7, now);
+    if (state != DisconnectState.NO_ENDPOINT) {
+      reducer.turn(now, List.of(bothEndpointsListed()));
+    }
+    List<Event> requests =
+        new ArrayList<>(
+            List.of(
+                new Event.QueryReceived(
+                    1,
+                    new QueryRequest(
+                        "q1",
+                        "",
+                        settings.classes().get(2),
+                        now + 900_000,
+                        false,
+                        List.of(new PartRequest(0, 0.5, 0), new PartRequest(1, 0.5, 0)),
+                        "x"))));
+    if (state == DisconnectState.DEFERRED) {
+      requests.add(new Event.EndpointDisableRequested(1, "a", true));
+    }
+    List<Effect.AttemptRequest> sent = attemptsIn(reducer.turn(now, requests));
+    now += 5_000;
+    List<Event> last = new ArrayList<>();
+    sent.forEach(
+        p ->
+            last.add(
+                state == DisconnectState.FIRST_STEP_CLOSES
+                    ? new Event.AttemptCompleted(p.attempt(), AttemptOutcome.OK, new float[0], "v")
+                    : Event.AttemptCompleted.of(p.attempt(), AttemptOutcome.FULL)));
+    last.add(new Event.ClientDisconnected(1));
+    List<Effect> after = new ArrayList<>(reducer.turn(now, last));
+    after.addAll(reducer.turn(now, List.of(bothEndpointsListed())));
+    for (long end = now + 2 * SECOND; now < end; now += 5_000) {
+      after.addAll(reducer.turn(now, List.of()));
+    }
+    assertEquals(List.of(), attemptsIn(after));
+    assertEquals(0, reducer.open());
+    assertEquals(0, reducer.counters().get(Counter.FAULTS));
+    assertEquals(
+        state == DisconnectState.FIRST_STEP_CLOSES ? 1 : 0,
+        reducer.counters().get(Counter.SECOND_STEPS));
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
@@ -0,0 +1,86 @@
+package dunlinhitch.core;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.ServerListKind;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.core.Effect.SendRequest;
+import dunlinhitch.core.QueryRequest.PartRequest;
+import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.twophase.TwoPhaseSettings;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Map;
+import java.util.TreeMap;
+import org.junit.jupiter.api.Test;
+
+/** Queries in two phases through the whole reducer. */
+class TwoPhaseStageTest extends ReducerTestSupport {
+  /**
+   * An endpoint that has just started is sent no more than it can take, first passes and full
+   * passes together.
+   */
+  @Test
+  void theBudgetOfAWarmingUpEndpointCountsBothPhases() {
+    Reducer twoPhaseReducer =
+        new Reducer(
+            Stage.settings(300),
+            null,
+            List.of(new TwoPhaseSettings("free-search", 0.3, 2, 1, 0, 0.05, SECOND)),
+            7,
+            now);
+    twoPhaseReducer.turn(
+        now,
+        List.of(
+            new Event.EndpointsUpdated(
+                ServerListKind.FULL,
+                List.of(
+                    endpoint("a", 0, ServerState.READY).startedAt(now).phases(2),
+                    endpoint("b", 1, ServerState.READY).startedAt(now).phases(2)))));
+    Map<Integer, Integer> sent = new TreeMap<>();
+    int[] attemptsByPhase = {0, 0};
+    List<Event> next = new ArrayList<>();
+    long startUs = now;
+    for (int i = 0; now < startUs + 1_500_000; i++) {
+      now += 5_000;
+      if (i % 4 == 0) {
+        QueryRequest request =
+            new QueryRequest(
+                "c" + i,
+                "",
+                twoPhaseReducer.settings().classes().get(0),
+                now + 900_000,
+                false,
+                List.of(new PartRequest(0, 0.5, 0), new PartRequest(1, 0.5, 0)),
+                "x");
+        next.add(new Event.QueryReceived(1_000 + i, request));
+      }
+      List<Event> events = List.copyOf(next);
+      next.clear();
+      for (Effect effect : twoPhaseReducer.turn(now, events)) {
+        if (effect instanceof SendRequest call) {
+          sent.merge(call.store(), call.parts().size(), Integer::sum);
+          for (Effect.AttemptRequest part : call.parts()) {
+            attemptsByPhase[part.first() ? 0 : 1]++;
+            next.add(
+                part.first()
+                    ? new Event.FirstPassCompleted(
+                        part.attempt(), now + 1_000, new float[0], 2, "v", "")
+                    : new Event.AttemptCompleted(
+                        part.attempt(), AttemptOutcome.OK, new float[0], "v"));
+          }
+        }
+      }
+    }
+    // three times 15 % of a core for 1.5 s, of parts that cost a call's 46 ms at least, and one
+    // more
+    int limit = (int) (3 * 0.15 * 1_500_000 / 46_000) + 1;
+    assertTrue(
+        attemptsByPhase[0] > 0 && attemptsByPhase[1] > 0,
+        "both phases were sent: " + attemptsByPhase[0] + ", " + attemptsByPhase[1]);
+    assertTrue(sent.values().stream().allMatch(parts -> parts <= limit), sent + ", most " + limit);
+    assertEquals(0, twoPhaseReducer.counters().get(Counter.FAULTS));
+  }
+}
