--- a/src/main/java/dunlinhitch/core/AttemptStage.java
+++ b/src/main/java/dunlinhitch/core/AttemptStage.java
@@ -41,7 +41,7 @@
     InFlightPart part = registry.parts.get(partNumber);
     if (part == null) {
       block("part " + partNumber, "it is not open");
-      deferMoot(partNumber, 0, endpointNumber, true);
+      deferBlocked(partNumber, 0, endpointNumber, true);
       return;
     }
     TrackedEndpoint endpoint = registry.endpoints.get(endpointNumber);
@@ -49,7 +49,7 @@
     int ordinal = part.attemptsStarted++;
     if (reason != null) {
       block(part.id, reason);
-      deferMoot(partNumber, ordinal, endpointNumber, part.closed);
+      deferBlocked(partNumber, ordinal, endpointNumber, part.closed);
       return;
     }
     InFlightAttempt.Key key = new InFlightAttempt.Key(part.number, ordinal);
@@ -93,7 +93,7 @@
     context.log("barred a send of " + subject + ": " + reason);
   }
 
-  private void deferMoot(int part, int ordinal, int endpoint, boolean closed) {
+  private void deferBlocked(int part, int ordinal, int endpoint, boolean closed) {
     deferredEvents.defer(
         new BalancerEvent.AttemptCompleted(
             part, ordinal, AttemptOutcome.MOOT, endpoint, 0, closed, NO_REPORT));
--- a/src/main/java/dunlinhitch/core/InFlightAttempt.java
+++ b/src/main/java/dunlinhitch/core/InFlightAttempt.java
@@ -18,5 +18,17 @@
    * @param part the part's number when the attempt was started; the part may have another since
    * @param ordinal the place of the attempt among those under that number, from 0
    */
-  record Key(int part, int ordinal) {}
+  record Key(int part, int ordinal) {
+    // written out: the methods that a record generates are linked at their first use, which would
+    // fall into the first query
+    @Override
+    public boolean equals(Object other) {
+      return other instanceof Key key && part == key.part && ordinal == key.ordinal;
+    }
+
+    @Override
+    public int hashCode() {
+      return 31 * part + ordinal;
+    }
+  }
 }
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -189,17 +189,17 @@
   /**
    * Runs one turn that may be late. The grace period of a draining endpoint runs from the moment
    * its notification was written to the broker, so that a notification counts from {@code
-   * heardSinceUs}. Endpoint events are handled first: no attempt of this turn is sent against a
+   * unreadSinceUs}. Endpoint events are handled first: no attempt of this turn is sent against a
    * state that the turn already knows to be out of date.
    *
    * @param nowUs the time of the turn, in microseconds; an earlier time than the last is ignored
-   * @param heardSinceUs since when the events may have waited unread, at most {@code nowUs}
+   * @param unreadSinceUs since when the events may have waited unread, at most {@code nowUs}
    * @param events what happened, in order
    * @return the effects to carry out, in order
    */
-  public List<Effect> turn(long nowUs, long heardSinceUs, List<Event> events) {
+  public List<Effect> turn(long nowUs, long unreadSinceUs, List<Event> events) {
     long turnUs = Math.max(context.nowUs(), nowUs);
-    context.begin(turnUs, Math.min(turnUs, heardSinceUs));
+    context.begin(turnUs, Math.min(turnUs, unreadSinceUs));
     if (lifecycle.isStopped()) {
       return turnAfterShutdown(events);
     }
--- a/src/test/java/dunlinhitch/core/ClusterStageTest.java
+++ b/src/test/java/dunlinhitch/core/ClusterStageTest.java
@@ -55,9 +55,9 @@
     effects.addAll(reducer.turn(now, List.of(events)));
   }
 
-  private static Endpoint endpoint(int i, ServerState state) {
+  private static Endpoint endpoint(int index, ServerState state) {
     return new Endpoint(
-        "s" + i, "127.0.0.1", 7000 + i, 0, 0, state, 1, 0, Endpoint.Protocol.FRAMES);
+        "s" + index, "127.0.0.1", 7000 + index, 0, 0, state, 1, 0, Endpoint.Protocol.FRAMES);
   }
 
   private void listAllEndpoints() {
@@ -111,6 +111,12 @@
     return endpointsUsed;
   }
 
+  private boolean hasLogged(String prefix) {
+    return effects.stream()
+        .anyMatch(
+            effect -> effect instanceof Effect.LogMessage log && log.text().startsWith(prefix));
+  }
+
   private List<Effect.SendGossip> gossipSent() {
     return effects.stream()
         .filter(Effect.SendGossip.class::isInstance)
@@ -131,10 +137,7 @@
     }
     Set<Integer> subset = endpointsUsed();
     assertEquals(2, subset.size(), "12 brokers at 6 stores keep to 2 each: " + subset);
-    assertTrue(
-        effects.stream()
-            .anyMatch(
-                e -> e instanceof Effect.LogMessage log && log.text().startsWith("fleet of 12: ")));
+    assertTrue(hasLogged("fleet of 12: "));
     Set<Integer> disconnected = new HashSet<>();
     effects.stream()
         .filter(Effect.CloseIdleConnections.class::isInstance)
@@ -188,13 +191,7 @@
         effects.stream().filter(Effect.RefreshEndpoints.class::isInstance).count() >= 8,
         "it asked its source again");
     assertTrue(
-        effects.stream()
-            .anyMatch(
-                e ->
-                    e instanceof Effect.LogMessage log
-                        && log.text()
-                            .startsWith(
-                                "this broker is shut out: it acts on roster 4, and 5 is newest")),
+        hasLogged("this broker is shut out: it acts on roster 4, and 5 is newest"),
         effects.toString());
     long before = reducer.counters().get(Counter.TURNED_AWAY);
     assertEquals(0, endpointsUsed().size());
@@ -214,18 +211,8 @@
           gossipWithListGeneration(2, 6),
           gossipWithListGeneration(3, 5));
     }
-    assertTrue(
-        effects.stream()
-            .anyMatch(
-                e ->
-                    e instanceof Effect.LogMessage log
-                        && log.text().startsWith("broker n3 is shut out")));
-    assertTrue(
-        effects.stream()
-            .anyMatch(
-                e ->
-                    e instanceof Effect.LogMessage log
-                        && log.text().startsWith("fleet of 3: n0 n1 n2;")));
+    assertTrue(hasLogged("broker n3 is shut out"));
+    assertTrue(hasLogged("fleet of 3: n0 n1 n2;"));
   }
 
   /** A ping gets its acknowledgement, and shutdown is announced to all known members. */
--- a/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
+++ b/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
@@ -24,36 +24,8 @@
     listBothEndpoints();
     QueryClass first = reducer.settings().classes().get(0);
     turn(queryReceived(1, 0, 10));
-    QueryClass strict =
-        new QueryClass(
-            first.name(),
-            first.latencyObjectiveUs(),
-            0,
-            first.deadlineUs(),
-            Idempotency.SINGLE_SHOT,
-            0.1,
-            0,
-            3,
-            false,
-            0,
-            1,
-            1,
-            0.9);
-    QueryClass added =
-        new QueryClass(
-            "hall-search",
-            first.latencyObjectiveUs(),
-            0,
-            first.deadlineUs(),
-            Idempotency.FREE,
-            0.1,
-            0,
-            3,
-            false,
-            0,
-            0.7,
-            1,
-            0.9);
+    QueryClass strict = searchClass(first.name(), first, Idempotency.SINGLE_SHOT, 1);
+    QueryClass added = searchClass("hall-search", first, Idempotency.FREE, 0.7);
     turn(new Event.ConfigurationReloaded(settingsWith(List.of(added, strict), 2), "127.0.0.1", 9));
     assertEquals(
         new Effect.ChangeDiscoveryAddress("127.0.0.1", 9),
@@ -82,6 +54,25 @@
     assertEquals(0, reducer.counters().get(Counter.FAULTS));
   }
 
+  /** A class with the latency objective and deadline of another. */
+  private static QueryClass searchClass(
+      String name, QueryClass times, Idempotency repeat, double floor) {
+    return new QueryClass(
+        name,
+        times.latencyObjectiveUs(),
+        0,
+        times.deadlineUs(),
+        repeat,
+        0.1,
+        0,
+        3,
+        false,
+        0,
+        floor,
+        1,
+        0.9);
+  }
+
   /** Read under a class that is removed before the query is handled: nothing of it was executed. */
   @Test
   void aQueryOfARemovedClassIsRejected() {
--- a/src/test/java/dunlinhitch/core/EndpointStageTest.java
+++ b/src/test/java/dunlinhitch/core/EndpointStageTest.java
@@ -7,6 +7,7 @@
 import dunlinhitch.balancer.ServerListKind;
 import dunlinhitch.balancer.ServerState;
 import dunlinhitch.core.Effect.SendRequest;
+import dunlinhitch.endpoints.Endpoint;
 import dunlinhitch.endpoints.EndpointClaim;
 import dunlinhitch.experiments.fakes.Stage;
 import java.util.ArrayList;
@@ -64,6 +65,19 @@
     assertEquals(6, effectsOf(SendRequest.class).stream().mapToInt(c -> c.parts().size()).sum());
   }
 
+  private EndpointClaim readyClaim(String instance, String name, int cell) {
+    Endpoint ready = endpoint(name, cell, ServerState.READY);
+    return new EndpointClaim(instance, ready, now, Long.MAX_VALUE);
+  }
+
+  private void serveAllAttempts() {
+    for (SendRequest request : effectsOf(SendRequest.class)) {
+      for (Effect.AttemptRequest attempt : request.parts()) {
+        turn(new Event.AttemptCompleted(attempt.attempt(), AttemptOutcome.OK, new float[0], "v"));
+      }
+    }
+  }
+
   /**
    * Withdrawn by its DNS records: nothing new from the same turn on; back within the linger time it
    * keeps its number.
@@ -73,12 +87,7 @@
     turn(
         new Event.SourceRegistered("dns", 1),
         new Event.SourceUpdated(
-            "dns",
-            true,
-            List.of(
-                new EndpointClaim("one", endpoint("a", 0, ServerState.READY), now, Long.MAX_VALUE),
-                new EndpointClaim(
-                    "two", endpoint("b", 1, ServerState.READY), now, Long.MAX_VALUE))));
+            "dns", true, List.of(readyClaim("one", "a", 0), readyClaim("two", "b", 1))));
     int number = effectsOf(Effect.EndpointChanged.class).get(0).store();
     turn(
         queryReceived(1, 0, 2),
@@ -95,15 +104,7 @@
     for (int i = 2; i < 12; i++) {
       now += 20_000;
       turn(queryReceived(i, 0, 1));
-      effectsOf(SendRequest.class)
-          .forEach(
-              call ->
-                  call.parts()
-                      .forEach(
-                          part ->
-                              turn(
-                                  new Event.AttemptCompleted(
-                                      part.attempt(), AttemptOutcome.OK, new float[0], "v"))));
+      serveAllAttempts();
     }
     assertEquals(
         List.of(),
@@ -111,13 +112,7 @@
     assertTrue(!effectsOf(SendRequest.class).isEmpty(), effects.toString());
     effects.clear();
     now += 100_000;
-    turn(
-        new Event.SourceUpdated(
-            "dns",
-            false,
-            List.of(
-                new EndpointClaim(
-                    "one", endpoint("a", 0, ServerState.READY), now, Long.MAX_VALUE))));
+    turn(new Event.SourceUpdated("dns", false, List.of(readyClaim("one", "a", 0))));
     assertEquals(number, effectsOf(Effect.EndpointChanged.class).get(0).store());
     assertEquals(
         0, effectsOf(Effect.EndpointChanged.class).get(0).entry().startedUs(), "no cold start");
--- a/src/test/java/dunlinhitch/core/OperatorStageTest.java
+++ b/src/test/java/dunlinhitch/core/OperatorStageTest.java
@@ -33,7 +33,7 @@
     turn(
         new Event.EndpointsUpdated(
             ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.READY))));
-    int a =
+    int disabledNumber =
         effectsOf(Effect.EndpointChanged.class).stream()
             .filter(c -> c.entry().name().equals("a"))
             .findFirst()
@@ -45,7 +45,8 @@
             .barred());
     assertEquals(1, reducer.figures().skippedStores());
     turn(queryReceived(1, 0, 10));
-    assertTrue(effectsOf(SendRequest.class).stream().noneMatch(call -> call.store() == a));
+    assertTrue(
+        effectsOf(SendRequest.class).stream().noneMatch(call -> call.store() == disabledNumber));
     turn(new Event.EndpointDisableRequested(4, "a", false));
     assertEquals(0, reducer.figures().skippedStores());
     assertEquals(0, reducer.counters().get(Counter.SENDS_BLOCKED));
@@ -60,9 +61,10 @@
   void unsentAttemptsForADisabledEndpointAreWithdrawn() {
     listBothEndpoints();
     turn(queryReceived(1, 0, 10), new Event.EndpointDisableRequested(1, "a", true));
-    int a = effectsOf(Effect.EndpointChanged.class).get(0).store();
+    int disabledNumber = effectsOf(Effect.EndpointChanged.class).get(0).store();
     runFor(50_000);
-    assertTrue(effectsOf(SendRequest.class).stream().noneMatch(call -> call.store() == a));
+    assertTrue(
+        effectsOf(SendRequest.class).stream().noneMatch(call -> call.store() == disabledNumber));
     assertEquals(
         10, effectsOf(SendRequest.class).stream().mapToInt(call -> call.parts().size()).sum());
   }
--- a/src/test/java/dunlinhitch/core/ReducerTest.java
+++ b/src/test/java/dunlinhitch/core/ReducerTest.java
@@ -43,8 +43,8 @@
   void attemptsOfATurnRespectTheLastEndpointStateOfThatTurn() {
     listBothEndpoints();
     turn(queryReceived(1, 0, 4), new Event.EndpointDisableRequested(1, "a", true));
-    int b = effectsOf(Effect.EndpointChanged.class).get(1).store();
-    long sentBefore = attemptsSentTo(effects, b);
+    int enabledNumber = effectsOf(Effect.EndpointChanged.class).get(1).store();
+    long sentBefore = attemptsSentTo(effects, enabledNumber);
     now += 5_000;
     Event drain =
         new Event.EndpointsUpdated(
@@ -52,7 +52,9 @@
     effects.addAll(reducer.turn(now, now - 300_000, List.of(drain)));
     assertTrue(sentBefore < 4, "nothing was to leave for the store that is out");
     assertEquals(
-        sentBefore, attemptsSentTo(effects, b), "sent 300 ms after the store was told to drain");
+        sentBefore,
+        attemptsSentTo(effects, enabledNumber),
+        "sent 300 ms after the store was told to drain");
     Reducer withoutEndpoints = new Reducer(Stage.settings(40), 7, now);
     withoutEndpoints.turn(now, List.of(queryReceived(2, 0, 2)));
     assertEquals(
--- a/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
+++ b/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
@@ -6,6 +6,7 @@
 import dunlinhitch.balancer.AttemptOutcome;
 import dunlinhitch.balancer.ServerListKind;
 import dunlinhitch.balancer.ServerState;
+import dunlinhitch.balancer.settings.QueryClass;
 import dunlinhitch.core.Effect.SendRequest;
 import dunlinhitch.core.QueryRequest.PartRequest;
 import dunlinhitch.experiments.fakes.Stage;
@@ -46,16 +47,8 @@
     for (int i = 0; now < startUs + 1_500_000; i++) {
       now += 5_000;
       if (i % 4 == 0) {
-        QueryRequest request =
-            new QueryRequest(
-                "c" + i,
-                "",
-                twoPhaseReducer.settings().classes().get(0),
-                now + 900_000,
-                false,
-                List.of(new PartRequest(0, 0.5, 0), new PartRequest(1, 0.5, 0)),
-                "x");
-        next.add(new Event.QueryReceived(1_000 + i, request));
+        QueryClass queryClass = twoPhaseReducer.settings().classes().get(0);
+        next.add(new Event.QueryReceived(1_000 + i, queryOfTwoParts("c" + i, queryClass)));
       }
       List<Event> events = List.copyOf(next);
       next.clear();
@@ -64,12 +57,7 @@
           sent.merge(call.store(), call.parts().size(), Integer::sum);
           for (Effect.AttemptRequest part : call.parts()) {
             attemptsByPhase[part.first() ? 0 : 1]++;
-            next.add(
-                part.first()
-                    ? new Event.FirstPassCompleted(
-                        part.attempt(), now + 1_000, new float[0], 2, "v", "")
-                    : new Event.AttemptCompleted(
-                        part.attempt(), AttemptOutcome.OK, new float[0], "v"));
+            next.add(completionOf(part));
           }
         }
       }
@@ -83,4 +71,21 @@
     assertTrue(sent.values().stream().allMatch(parts -> parts <= limit), sent + ", most " + limit);
     assertEquals(0, twoPhaseReducer.counters().get(Counter.FAULTS));
   }
+
+  private QueryRequest queryOfTwoParts(String id, QueryClass queryClass) {
+    return new QueryRequest(
+        id,
+        "",
+        queryClass,
+        now + 900_000,
+        false,
+        List.of(new PartRequest(0, 0.5, 0), new PartRequest(1, 0.5, 0)),
+        "x");
+  }
+
+  private Event completionOf(Effect.AttemptRequest part) {
+    return part.first()
+        ? new Event.FirstPassCompleted(part.attempt(), now + 1_000, new float[0], 2, "v", "")
+        : new Event.AttemptCompleted(part.attempt(), AttemptOutcome.OK, new float[0], "v");
+  }
 }
