--- a/src/main/java/dunlinhitch/core/ConfigurationStage.java
+++ b/src/main/java/dunlinhitch/core/ConfigurationStage.java
@@ -44,6 +44,11 @@
     addClasses();
   }
 
+  /** The classes for first passes, null where no class uses two phases. */
+  FirstPassClasses firstPassClasses() {
+    return firstPassClasses;
+  }
+
   void handle(Event.ConfigurationEvent event) {
     if (event instanceof Event.ConfigurationReloaded reloaded) {
       onReloaded(reloaded);
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -104,12 +104,11 @@
             ? null
             : new TwoPhaseStage(
                 new TwoPhasePlanner(inTwoPhases, new SplittableRandom(seed)),
-                firstPassClasses,
+                configuration,
                 state,
                 balancer,
                 completion,
-                attempts,
-                configuration::publishSettings);
+                attempts);
     operators = new OperatorStage(state, balancer, attempts, endpoints::nextNumber);
     queries = new QueryStage(completion, balancer, lifecycle, twoPhases, this::fenced, state);
     BalancerActionHandler actions =
--- a/src/main/java/dunlinhitch/core/TwoPhaseStage.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseStage.java
@@ -34,30 +34,29 @@
   private final BalancerGateway balancer;
   private final QueryCompletion completion;
   private final AttemptStage attempts;
-  private final Runnable publishSettings;
+  private final ConfigurationStage configuration;
   private final Map<Integer, TwoPhaseQuery> queries = new HashMap<>();
   private final Map<Integer, TwoPhaseQuery> queriesBySubQuery = new HashMap<>();
 
   /**
    * Creates the stage.
    *
-   * @param publishSettings sends the settings to the load balancer again
+   * @param configuration must have classes for first passes
    */
   TwoPhaseStage(
       TwoPhasePlanner planner,
-      FirstPassClasses firstPassClasses,
+      ConfigurationStage configuration,
       ReducerState state,
       BalancerGateway balancer,
       QueryCompletion completion,
-      AttemptStage attempts,
-      Runnable publishSettings) {
+      AttemptStage attempts) {
     this.planner = planner;
-    this.firstPassClasses = firstPassClasses;
+    this.configuration = configuration;
+    firstPassClasses = configuration.firstPassClasses();
     this.state = state;
     this.balancer = balancer;
     this.completion = completion;
     this.attempts = attempts;
-    this.publishSettings = publishSettings;
     context = state.context();
     firstPassSupport = new FirstPassSupport(context, state.registry());
     modeLog = new TwoPhaseModeLog(context, planner);
@@ -86,7 +85,7 @@
       return false;
     }
     if (firstPassClasses.updateRelativeCost(className, planner.price(className))) {
-      publishSettings.run();
+      configuration.publishSettings();
     }
     start(new TwoPhaseQuery(query, context.nowUs()), plan);
     return true;
