--- a/src/main/java/dunlinhitch/backend/BackendTransport.java
+++ b/src/main/java/dunlinhitch/backend/BackendTransport.java
@@ -5,46 +5,57 @@
 import java.util.List;
 
 /**
- * The way to one store. It reports each part, probe and broken connection as an event; every
- * attempt it was given ends once, and none is reported after it was given up. All calls come from
- * the event loop.
+ * The client transport to one store. It reports each attempt, health check and broken connection as
+ * an event: every attempt that it was given completes exactly once, and none completes after it was
+ * cancelled. All methods are called on the event loop.
  */
 public interface BackendTransport {
   /**
-   * Sends parts as one call; they leave at once or, where a connection is still to come up, then.
+   * Sends the parts of one call together, at once or as soon as a connection is established.
+   *
+   * @param parts not empty, all of the same phase
    */
-  void call(List<AttemptRequest> parts);
+  void send(List<AttemptRequest> parts);
 
-  /** Nobody waits for the attempt any more; false where it is not out here. */
-  boolean giveUp(long attempt);
+  /**
+   * Cancels an attempt whose result is no longer needed and notifies the store where it has the
+   * attempt.
+   *
+   * @return false where the attempt is not in flight on this transport
+   */
+  boolean cancel(long attempt);
 
   /**
-   * Nobody waits for the attempt any more, but the store is not to be told: what has not left ends,
-   * and never leaves; what has goes on.
+   * Withdraws an attempt without notifying the store: one that was not completely sent ends and is
+   * never sent; one that was sent goes on.
    */
   void withdraw(long attempt);
 
-  /** Asks for the store's report. */
-  void probe(long probe);
+  /**
+   * Sends a health check, which also asks for the store's load report.
+   *
+   * @param healthCheck the id under which the result is reported
+   */
+  void sendHealthCheck(long healthCheck);
 
-  /** Closes connections that stand idle. */
-  void release();
+  /** Closes idle connections. */
+  void closeIdleConnections();
 
   /**
-   * The roster's word on the store. Whatever is not ready gets nothing that still waits for a
-   * connection; one that is gone is left when nothing is out to it.
+   * Applies the store's state in the endpoint list. A store that is not ready gets nothing that
+   * still waits for a connection; the connections to a removed one close once nothing is in flight.
    */
-  void state(ServerState state);
+  void updateState(ServerState state);
 
   /**
-   * The operators' word on the store: while it is barred nothing new leaves, whatever waits for a
-   * connection.
+   * Applies the operators' switch: while the store is administratively disabled nothing new is
+   * sent, including what waits for a connection.
    */
-  void barred(boolean out);
+  void setDisabled(boolean disabled);
 
-  /** True where nothing is out and nothing waits. */
-  boolean idle();
+  /** True where nothing is in flight and nothing waits for a connection. */
+  boolean isIdle();
 
-  /** Leaves the store now; what is out ends as a reset. */
+  /** Closes all connections now; what is in flight completes as a reset. */
   void close();
 }
--- a/src/main/java/dunlinhitch/backend/Backends.java
+++ b/src/main/java/dunlinhitch/backend/Backends.java
@@ -3,6 +3,7 @@
 import dunlinhitch.balancer.AttemptOutcome;
 import dunlinhitch.balancer.ServerState;
 import dunlinhitch.core.Effect;
+import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Event;
 import dunlinhitch.endpoints.Endpoint;
 import java.util.ArrayList;
@@ -12,89 +13,109 @@
 import java.util.function.Consumer;
 import java.util.function.Function;
 
-/** The ways to all stores, each by what its roster entry says it speaks. */
+/**
+ * The transports to all stores, each over the protocol that its endpoint states. Executes the
+ * reducer's effects on stores. Not thread-safe; used on the event loop only.
+ */
 public final class Backends {
-  private record Way(Endpoint entry, BackendTransport transport) {}
+  private record Backend(Endpoint endpoint, BackendTransport transport) {}
+
+  private final Map<Integer, Backend> backends = new HashMap<>();
+
+  /** Transports to former addresses, whose attempts in flight may still complete. */
+  private final List<BackendTransport> draining = new ArrayList<>();
 
-  private final Map<Integer, Way> ways = new HashMap<>();
-  private final List<BackendTransport> leaving = new ArrayList<>();
   private final Function<Endpoint, BackendTransport> opener;
   private final Consumer<Event> events;
 
-  /** {@code opener} makes the transport for an entry. */
+  /**
+   * Creates a table without stores.
+   *
+   * @param opener makes the transport for an endpoint
+   * @param events takes the results of attempts and health checks that no transport can take
+   */
   public Backends(Function<Endpoint, BackendTransport> opener, Consumer<Event> events) {
     this.opener = opener;
     this.events = events;
   }
 
-  public void changed(int store, Endpoint entry, boolean barred) {
-    leaving.removeIf(BackendTransport::idle);
-    Way old = ways.get(store);
-    boolean moved = old != null && !old.entry().sameAddress(entry);
-    if (old != null && (moved || entry.state() == ServerState.GONE)) {
-      old.transport().state(ServerState.GONE);
-      leaving.add(old.transport()); // what is out there may still come back, or be given up
-      ways.remove(store);
-      old = null;
+  /**
+   * Applies a new or changed endpoint. A transport to a changed address or a removed store drains.
+   *
+   * @param disabled true where the store is administratively disabled
+   */
+  public void changed(int store, Endpoint endpoint, boolean disabled) {
+    draining.removeIf(BackendTransport::isIdle);
+    boolean removed = endpoint.state() == ServerState.GONE;
+    Backend current = backends.get(store);
+    if (current != null && (removed || !current.endpoint().sameAddress(endpoint))) {
+      current.transport().updateState(ServerState.GONE);
+      draining.add(current.transport());
+      backends.remove(store);
+      current = null;
     }
-    if (entry.state() == ServerState.GONE) {
+    if (removed) {
       return;
     }
-    BackendTransport transport = old == null ? opener.apply(entry) : old.transport();
-    transport.state(entry.state());
-    transport.barred(barred);
-    ways.put(store, new Way(entry, transport));
+    BackendTransport transport = current == null ? opener.apply(endpoint) : current.transport();
+    transport.updateState(endpoint.state());
+    transport.setDisabled(disabled);
+    backends.put(store, new Backend(endpoint, transport));
   }
 
-  public void call(Effect.SendRequest call) {
-    Way way = ways.get(call.store());
-    if (way != null) {
-      way.transport().call(call.parts());
-    } else {
-      call.parts()
-          .forEach(
-              p ->
-                  events.accept(
-                      Event.AttemptCompleted.of(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
+  /** Sends a call; its attempts fail at once where the store is unknown. */
+  public void call(Effect.SendRequest request) {
+    Backend backend = backends.get(request.store());
+    if (backend != null) {
+      backend.transport().send(request.parts());
+      return;
+    }
+    for (AttemptRequest part : request.parts()) {
+      events.accept(Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.CONNECT_FAILED));
     }
   }
 
-  public void giveUp(Effect.CancelAttempt giveUp) {
-    Way way = ways.get(giveUp.store());
-    if (way == null || !way.transport().giveUp(giveUp.attempt())) {
-      leaving.forEach(transport -> transport.giveUp(giveUp.attempt()));
+  /** Cancels an attempt, also one on a draining transport. */
+  public void giveUp(Effect.CancelAttempt cancellation) {
+    Backend backend = backends.get(cancellation.store());
+    if (backend == null || !backend.transport().cancel(cancellation.attempt())) {
+      draining.forEach(transport -> transport.cancel(cancellation.attempt()));
     }
   }
 
-  public void withdraw(Effect.WithdrawAttempt withdraw) {
-    Way way = ways.get(withdraw.store());
-    if (way != null) { // what is being left has nothing any more that has not left
-      way.transport().withdraw(withdraw.attempt());
+  /** Withdraws an attempt that was not sent; a draining transport has none of these. */
+  public void withdraw(Effect.WithdrawAttempt withdrawal) {
+    Backend backend = backends.get(withdrawal.store());
+    if (backend != null) {
+      backend.transport().withdraw(withdrawal.attempt());
     }
   }
 
-  public void probe(Effect.SendHealthCheck probe) {
-    Way way = ways.get(probe.store());
-    if (way != null) {
-      way.transport().probe(probe.probe());
-    } else {
-      events.accept(
-          new Event.HealthCheckCompleted(
-              probe.probe(), AttemptOutcome.CONNECT_FAILED, new float[0]));
+  /** Sends a health check, which fails at once where the store is unknown. */
+  public void probe(Effect.SendHealthCheck healthCheck) {
+    Backend backend = backends.get(healthCheck.store());
+    if (backend != null) {
+      backend.transport().sendHealthCheck(healthCheck.probe());
+      return;
     }
+    events.accept(
+        new Event.HealthCheckCompleted(
+            healthCheck.probe(), AttemptOutcome.CONNECT_FAILED, new float[0]));
   }
 
+  /** Closes the idle connections to a store. */
   public void release(int store) {
-    Way way = ways.get(store);
-    if (way != null) {
-      way.transport().release();
+    Backend backend = backends.get(store);
+    if (backend != null) {
+      backend.transport().closeIdleConnections();
     }
   }
 
+  /** Closes all transports; what is in flight completes as a reset. */
   public void close() {
-    ways.values().forEach(way -> way.transport().close());
-    ways.clear();
-    leaving.forEach(BackendTransport::close);
-    leaving.clear();
+    backends.values().forEach(backend -> backend.transport().close());
+    backends.clear();
+    draining.forEach(BackendTransport::close);
+    draining.clear();
   }
 }
--- a/src/main/java/dunlinhitch/backend/ExactText.java
+++ b/src/main/java/dunlinhitch/backend/ExactText.java
@@ -4,13 +4,13 @@
 import java.nio.charset.CharacterCodingException;
 import java.nio.charset.StandardCharsets;
 
-/** Bytes as text that gives back the same bytes. */
+/** Decodes UTF-8 so that encoding the result gives the same bytes again. */
 public final class ExactText {
   private ExactText() {}
 
   /**
-   * Null where there is no such text: passed on with signs in place of what is no UTF-8, it were
-   * not the store's.
+   * Decodes the bytes, or returns null where they are no UTF-8: with replacement characters the
+   * text would no longer be what the store sent.
    */
   public static String of(byte[] bytes) {
     try {
--- a/src/main/java/dunlinhitch/backend/LoadReportParser.java
+++ b/src/main/java/dunlinhitch/backend/LoadReportParser.java
@@ -6,22 +6,28 @@
 import java.util.function.Supplier;
 
 /**
- * Load reports as stores word them, {@code name=value,name=value} or {@code -}, in the order of the
- * settings.
+ * Parses the load reports of stores, {@code name=value,name=value} or {@code -}, into the values of
+ * the fields that the settings name, in their order. Stateless but for its settings.
  */
 public final class LoadReportParser {
-  private static final float[] NONE = {};
+  private static final float[] NO_REPORT = {};
   private final Supplier<List<LoadReportField>> order;
 
+  /**
+   * Creates a parser.
+   *
+   * @param order the fields of the settings in force; asked for each report
+   */
   public LoadReportParser(Supplier<List<LoadReportField>> order) {
     this.order = order;
   }
 
-  /** Empty where there is no report, or one that lacks a value or holds what is none. */
+  /** The values; empty where there is no report, or one with a missing or malformed value. */
+  @SuppressWarnings("StringSplitter") // trailing empty pairs are dropped on purpose
   public float[] read(String text) {
     List<LoadReportField> wanted = order.get();
     if (wanted.isEmpty() || text.isEmpty() || text.equals("-")) {
-      return NONE;
+      return NO_REPORT;
     }
     List<LoadReportField> fields = new ArrayList<>();
     List<Float> values = new ArrayList<>();
@@ -31,21 +37,21 @@
         fields.add(field(equals < 0 ? pair : pair.substring(0, equals)));
         values.add(Float.parseFloat(pair.substring(equals + 1)));
       } catch (NumberFormatException e) {
-        return NONE;
+        return NO_REPORT;
       }
     }
     float[] report = new float[wanted.size()];
     for (int i = 0; i < report.length; i++) {
-      int at = fields.indexOf(wanted.get(i));
-      if (at < 0 || !Float.isFinite(values.get(at))) {
-        return NONE;
+      int index = fields.indexOf(wanted.get(i));
+      if (index < 0 || !Float.isFinite(values.get(index))) {
+        return NO_REPORT;
       }
-      report[i] = values.get(at);
+      report[i] = values.get(index);
     }
     return report;
   }
 
-  /** Stores use the operators' words, settings the wire's; both are known. */
+  /** Stores may use the names of the operators' protocol or those of the settings. */
   private static LoadReportField field(String name) {
     return switch (name) {
       case "inflight", "outstanding" -> LoadReportField.OUTSTANDING;
--- a/src/main/java/dunlinhitch/backend/RequestText.java
+++ b/src/main/java/dunlinhitch/backend/RequestText.java
@@ -8,55 +8,58 @@
 import java.util.List;
 
 /**
- * What is the same on every store's wire: the text of a call and the words for how a part ended.
+ * The text of a call and of its results, which is the same over every store protocol. Stateless.
  */
 public final class RequestText {
+  private static final long US_PER_MS = 1000;
+
   private RequestText() {}
 
   /**
-   * For each part a line {@code ID SHARD LIST LENGTH} and so many bytes of the query's text. Here
-   * the moment until which the broker waits becomes the milliseconds left.
+   * Encodes a call: for each part a line {@code ID SHARD LIST LENGTH} and so many bytes of the
+   * query's text. The deadline is sent as the milliseconds that are left.
    */
   public static byte[] of(List<AttemptRequest> parts, long nowUs) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     for (AttemptRequest part : parts) {
       byte[] text = part.text().getBytes(StandardCharsets.UTF_8);
-      String list =
+      String options =
           "d="
-              + Math.max(1, (part.dueUs() - nowUs) / 1000)
+              + Math.max(1, (part.dueUs() - nowUs) / US_PER_MS)
               + (part.key().isEmpty() ? "" : ",k=" + part.key())
-              + (part.after() == null ? "" : of(part.after()));
+              + (part.after() == null ? "" : encode(part.after()));
       out.writeBytes(
-          (part.partId() + " " + part.shard() + " " + list + " " + text.length + "\n")
+          (part.partId() + " " + part.shard() + " " + options + " " + text.length + "\n")
               .getBytes(StandardCharsets.UTF_8));
       out.writeBytes(text);
     }
     return out.toByteArray();
   }
 
-  private static String of(FirstStep after) {
+  /** The result of the first pass that the part builds on. */
+  private static String encode(FirstStep firstPass) {
     return ",from="
-        + String.join("+", after.in().stream().map(String::valueOf).toList())
+        + String.join("+", firstPass.in().stream().map(String::valueOf).toList())
         + ",whole="
-        + (after.whole() ? 1 : 0);
+        + (firstPass.whole() ? 1 : 0);
   }
 
   /**
-   * What a store ranks a part by, or NaN where the word is no number: such a part ranks last, and
-   * is as good as any.
+   * Parses the score that ranks a part's result; NaN, which ranks last, where the field is no
+   * finite number.
    */
-  public static double score(String word) {
+  public static double score(String field) {
     try {
-      double score = Double.parseDouble(word);
+      double score = Double.parseDouble(field);
       return Double.isFinite(score) ? score : Double.NaN;
     } catch (NumberFormatException e) {
       return Double.NaN;
     }
   }
 
-  /** How a part ended, or null where the word is none of a store's. */
-  public static AttemptOutcome end(String word) {
-    return switch (word) {
+  /** Parses how a part ended; null where the field is not defined by the protocol. */
+  public static AttemptOutcome end(String field) {
+    return switch (field) {
       case "good" -> AttemptOutcome.OK;
       case "bad" -> AttemptOutcome.ERROR;
       case "later" -> AttemptOutcome.FULL;
--- /dev/null
+++ b/src/main/java/dunlinhitch/backend/flight/FlightActions.java
@@ -0,0 +1,81 @@
+package dunlinhitch.backend.flight;
+
+import java.nio.charset.StandardCharsets;
+import java.util.Iterator;
+import java.util.Optional;
+import java.util.concurrent.RejectedExecutionException;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.apache.arrow.flight.Action;
+import org.apache.arrow.flight.FlightClient;
+import org.apache.arrow.flight.FlightRuntimeException;
+import org.apache.arrow.flight.Result;
+
+/**
+ * Runs DoAction calls to one store on the action threads. Called on the event loop, where also the
+ * results arrive.
+ */
+final class FlightActions {
+  private static final String HEALTH_CHECK = "probe";
+  private static final String CANCEL = "give-up";
+
+  private final FlightStores shared;
+  private final FlightClient client;
+  private final BooleanSupplier isDisabled;
+
+  /**
+   * Creates the actions of one store.
+   *
+   * @param isDisabled asked on the action thread, just before a health check is sent; then it fails
+   */
+  FlightActions(FlightStores shared, FlightClient client, BooleanSupplier isDisabled) {
+    this.shared = shared;
+    this.client = client;
+    this.isDisabled = isDisabled;
+  }
+
+  /** Asks for the load report; the result is empty where that failed. */
+  void checkHealth(long dueUs, Consumer<Optional<String>> onResult) {
+    submit(HEALTH_CHECK, "", dueUs, onResult);
+  }
+
+  /** Notifies the store that the result of a part is no longer needed. */
+  void cancelPart(String partId, long dueUs) {
+    submit(CANCEL, partId, dueUs, result -> {});
+  }
+
+  private void submit(String type, String body, long dueUs, Consumer<Optional<String>> onResult) {
+    try {
+      shared
+          .actions()
+          .execute(
+              () -> {
+                Optional<String> result = run(type, body, dueUs);
+                shared.onLoop(() -> onResult.accept(result));
+              });
+    } catch (RejectedExecutionException e) {
+      onResult.accept(Optional.empty());
+    }
+  }
+
+  /** The first result, or an empty text where there is none; empty where the action failed. */
+  private Optional<String> run(String type, String body, long dueUs) {
+    if (isDisabled.getAsBoolean() && type.equals(HEALTH_CHECK)) {
+      return Optional.empty();
+    }
+    try {
+      Iterator<Result> results =
+          client.doAction(
+              new Action(type, body.getBytes(StandardCharsets.UTF_8)),
+              FlightTransport.timeout(dueUs, shared.nowUs()));
+      String first = null;
+      while (results.hasNext()) { // to the end, which tells whether the action succeeded
+        byte[] bytes = results.next().getBody();
+        first = first == null ? new String(bytes, StandardCharsets.UTF_8) : first;
+      }
+      return Optional.of(first == null ? "" : first);
+    } catch (FlightRuntimeException e) {
+      return Optional.empty(); // the store is unreachable or has no such action
+    }
+  }
+}
--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -23,150 +23,165 @@
 import org.apache.arrow.vector.VectorSchemaRoot;
 
 /**
- * One call to a store, a DoGet with a row for each part. Its stream is read off the loop; rows are
- * handed to it batch by batch. Where the stream ends early, parts whose rows came whole are in, the
- * others may have run.
+ * One call to a store: a DoGet whose stream has a row for each part. The stream is read on a reader
+ * thread, and rows are handed to the event loop batch by batch. Where the stream ends early, parts
+ * whose rows were received are complete and the others may have run.
  */
 final class FlightCall implements Runnable {
   static final List<String> COLUMNS = List.of("id", "end", "score", "report", "value");
 
-  private record Row(String id, String end, double score, String report, String value) {}
+  private static final String CANCEL_REASON = "given up";
+
+  /** One row as received; a text that is no UTF-8 is null. */
+  private record Row(String partId, String end, double score, String report, String value) {}
 
   private final FlightStores shared;
   private final FlightClient client;
-  private final BooleanSupplier barred;
-  private final Consumer<Event.AttemptCompleted> over;
+  private final BooleanSupplier mayNotSend;
+  private final Consumer<Event.AttemptCompleted> onCompleted;
   private final List<AttemptRequest> parts;
   private final long sentUs;
   private final long dueUs;
 
-  /** Parts without their row; only the loop touches it. */
-  private final Map<String, Long> open = new HashMap<>();
+  /** Attempts without their row, by part; used on the event loop only. */
+  private final Map<String, Long> inFlight = new HashMap<>();
 
-  /** Parts that had their row, or were given up; only the loop touches it. */
-  private final Set<String> behind = new HashSet<>();
+  /** Parts that had their row or were cancelled; used on the event loop only. */
+  private final Set<String> ended = new HashSet<>();
 
-  /** Attempts that leave no more if they have not yet; read by the thread that makes the call. */
+  /** Attempts that must not be sent if they were not yet; read by the reader thread. */
   private final Set<Long> stopped = ConcurrentHashMap.newKeySet();
 
   private volatile FlightStream stream;
   private volatile boolean cancelled;
 
+  /**
+   * Creates a call that is not sent yet.
+   *
+   * @param mayNotSend asked on the reader thread, just before the call is sent
+   * @param onCompleted called on the event loop, once for each attempt that was not cancelled
+   */
   FlightCall(
       FlightStores shared,
       FlightClient client,
       List<AttemptRequest> parts,
-      BooleanSupplier barred,
-      Consumer<Event.AttemptCompleted> over) {
+      BooleanSupplier mayNotSend,
+      Consumer<Event.AttemptCompleted> onCompleted) {
     this.shared = shared;
     this.client = client;
-    this.barred = barred;
-    this.over = over;
+    this.mayNotSend = mayNotSend;
+    this.onCompleted = onCompleted;
     this.parts = List.copyOf(parts);
     sentUs = shared.nowUs();
     dueUs = parts.stream().mapToLong(AttemptRequest::dueUs).max().orElseThrow();
-    parts.forEach(p -> open.put(p.partId(), p.attempt()));
+    parts.forEach(part -> inFlight.put(part.partId(), part.attempt()));
   }
 
+  /** When the call was handed over for sending, in microseconds. */
   long sentUs() {
     return sentUs;
   }
 
-  /** Returns the id of the part; the stream goes with its last. */
-  String giveUp(long attempt) {
+  /**
+   * Cancels one attempt, and the stream with the last one. On the event loop.
+   *
+   * @return the id of its part; empty where it ended before
+   */
+  String cancel(long attempt) {
     stop(attempt);
-    String id =
-        open.entrySet().stream()
-            .filter(e -> e.getValue() == attempt)
+    String partId =
+        inFlight.entrySet().stream()
+            .filter(entry -> entry.getValue() == attempt)
             .map(Map.Entry::getKey)
             .findFirst()
             .orElse("");
-    open.remove(id);
-    behind.add(id);
-    if (open.isEmpty()) {
-      cancel();
+    inFlight.remove(partId);
+    ended.add(partId);
+    if (inFlight.isEmpty()) {
+      cancelStream();
     }
-    return id;
+    return partId;
   }
 
-  /** The attempt ends, as one that never ran, if its call has not been made yet. */
+  /** The attempt ends as one that never ran if its call was not sent yet. */
   void stop(long attempt) {
     stopped.add(attempt);
   }
 
-  /** Nothing comes from there any more: what has no row by now may have run. */
-  void lost() {
-    cancel();
-    ended(AttemptOutcome.RESET);
+  /** Ends the call on a connection that is lost: what has no row by now may have run. */
+  void onConnectionLost() {
+    cancelStream();
+    completeAll(AttemptOutcome.RESET);
   }
 
-  private void cancel() {
+  private void cancelStream() {
     cancelled = true;
-    FlightStream read = stream;
-    if (read != null) {
-      read.cancel("given up", null);
+    FlightStream current = stream;
+    if (current != null) {
+      current.cancel(CANCEL_REASON, null);
     }
   }
 
   @Override
   public void run() {
-    long now = shared.nowUs();
-    boolean mayLeave = !cancelled && !barred.getAsBoolean();
-    List<AttemptRequest> leaving =
+    long nowUs = shared.nowUs();
+    boolean maySend = !cancelled && !mayNotSend.getAsBoolean();
+    List<AttemptRequest> sent =
         parts.stream()
-            .filter(p -> mayLeave && p.mayLeave(now) && !stopped.contains(p.attempt()))
+            .filter(part -> maySend && part.mayLeave(nowUs) && !stopped.contains(part.attempt()))
             .toList();
-    if (leaving.size() < parts.size()) {
-      List<AttemptRequest> others = parts.stream().filter(p -> !leaving.contains(p)).toList();
-      shared.onLoop(() -> neverLeft(others));
+    if (sent.size() < parts.size()) {
+      List<AttemptRequest> unsent = parts.stream().filter(part -> !sent.contains(part)).toList();
+      shared.onLoop(() -> failUnsent(unsent));
     }
-    if (leaving.isEmpty()) {
+    if (sent.isEmpty()) {
       return;
     }
     try {
-      FlightStream made =
+      FlightStream opened =
           client.getStream(
-              new Ticket(RequestText.of(leaving, now)), FlightTransport.until(dueUs, now));
-      shared.onLoop(() -> shared.events().accept(new Event.AttemptsWritten(leaving.size())));
-      read(made);
+              new Ticket(RequestText.of(sent, nowUs)), FlightTransport.timeout(dueUs, nowUs));
+      shared.onLoop(() -> shared.events().accept(new Event.AttemptsWritten(sent.size())));
+      readAll(opened);
     } catch (RuntimeException e) {
-      // the stream was cut, cancelled or never began: what has no row by now may have run
+      // Flight and gRPC throw several unrelated types where a stream is cut, cancelled or never
+      // begins; whichever it was, what has no row by now may have run
     }
-    shared.onLoop(() -> ended(AttemptOutcome.RESET));
+    shared.onLoop(() -> completeAll(AttemptOutcome.RESET));
   }
 
-  private void read(FlightStream read) {
+  private void readAll(FlightStream opened) {
     try {
-      stream = read;
+      stream = opened;
       if (cancelled) {
-        read.cancel("given up", null);
+        opened.cancel(CANCEL_REASON, null);
       }
-      while (read.next()) {
-        List<Row> rows = rows(read.getRoot());
-        shared.onLoop(() -> rows.forEach(this::take));
+      while (opened.next()) {
+        List<Row> rows = rows(opened.getRoot());
+        shared.onLoop(() -> rows.forEach(this::onRow));
       }
     } finally {
-      close(read);
+      close(opened);
     }
   }
 
-  private static void close(FlightStream read) {
+  private static void close(FlightStream opened) {
     try {
-      read.close();
+      opened.close();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-    } catch (Exception e) {
+    } catch (Exception e) { // what AutoCloseable declares
       throw new IllegalStateException("a stream could not be closed", e);
     }
   }
 
   private static List<Row> rows(VectorSchemaRoot root) {
     List<Row> rows = new ArrayList<>();
-    for (int i = 0; i < root.getRowCount(); i++) {
+    for (int row = 0; row < root.getRowCount(); row++) {
       List<String> values = new ArrayList<>();
       for (String column : COLUMNS) {
         FieldVector vector = root.getVector(column);
-        byte[] bytes = vector instanceof VarCharVector text ? text.get(i) : null;
+        byte[] bytes = vector instanceof VarCharVector text ? text.get(row) : null;
         values.add(bytes == null ? "" : ExactText.of(bytes));
       }
       rows.add(
@@ -180,42 +195,43 @@
     return rows;
   }
 
-  private void take(Row row) {
+  private void onRow(Row row) {
     AttemptOutcome outcome =
-        row.id() == null || row.end() == null ? null : RequestText.end(row.end());
-    boolean asked = open.containsKey(row.id()) || behind.contains(row.id());
-    if (outcome == null
-        || row.value() == null
-        || !asked) { // nothing that such a stream says can be trusted
+        row.partId() == null || row.end() == null ? null : RequestText.end(row.end());
+    boolean requested = inFlight.containsKey(row.partId()) || ended.contains(row.partId());
+    if (outcome == null || row.value() == null || !requested) {
+      // nothing that follows on such a stream can be trusted
       shared.events().accept(new Event.ConditionCounted(Counter.BAD_FRAMES));
-      cancel();
-      ended(AttemptOutcome.RESET);
+      cancelStream();
+      completeAll(AttemptOutcome.RESET);
       return;
     }
-    Long attempt = open.remove(row.id());
-    if (attempt != null) {
-      behind.add(row.id());
-      over.accept(
-          new Event.AttemptCompleted(
-              attempt,
-              outcome,
-              shared.reports().read(row.report() == null ? "" : row.report()),
-              row.value(),
-              row.score()));
+    Long attempt = inFlight.remove(row.partId());
+    if (attempt == null) {
+      return;
     }
+    ended.add(row.partId());
+    onCompleted.accept(
+        new Event.AttemptCompleted(
+            attempt,
+            outcome,
+            shared.reports().read(row.report() == null ? "" : row.report()),
+            row.value(),
+            row.score()));
   }
 
-  private void neverLeft(List<AttemptRequest> others) {
-    others.stream()
-        .filter(p -> open.remove(p.partId()) != null)
-        .forEach(
-            p ->
-                over.accept(Event.AttemptCompleted.of(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
+  private void failUnsent(List<AttemptRequest> unsent) {
+    for (AttemptRequest part : unsent) {
+      if (inFlight.remove(part.partId()) != null) {
+        onCompleted.accept(
+            Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.CONNECT_FAILED));
+      }
+    }
   }
 
-  private void ended(AttemptOutcome outcome) {
-    List<Long> lost = List.copyOf(open.values());
-    open.clear();
-    lost.forEach(attempt -> over.accept(Event.AttemptCompleted.of(attempt, outcome)));
+  private void completeAll(AttemptOutcome outcome) {
+    List<Long> attempts = List.copyOf(inFlight.values());
+    inFlight.clear();
+    attempts.forEach(attempt -> onCompleted.accept(Event.AttemptCompleted.of(attempt, outcome)));
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
@@ -0,0 +1,112 @@
+package dunlinhitch.backend.flight;
+
+import dunlinhitch.backend.ExactText;
+import dunlinhitch.backend.RequestText;
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.core.Counter;
+import dunlinhitch.core.Effect.AttemptRequest;
+import dunlinhitch.core.Event;
+import java.util.List;
+import java.util.function.BooleanSupplier;
+import java.util.function.Consumer;
+import org.apache.arrow.flight.FlightClient;
+import org.apache.arrow.flight.FlightDescriptor;
+import org.apache.arrow.flight.FlightInfo;
+import org.apache.arrow.flight.FlightRuntimeException;
+
+/**
+ * One first-pass attempt over Flight: GetFlightInfo of a command that holds the text of a call.
+ * {@code total_records} of the reply is the number of records, {@code app_metadata} is {@code
+ * VERSION REPORT VALUE}, the value being the empty one.
+ *
+ * <p>Runs on a reader thread; {@code onCompleted} and {@code onReply} are called on the event loop.
+ */
+final class FlightFirstPassCall implements Runnable {
+  private static final int METADATA_FIELDS = 3;
+
+  private final FlightStores shared;
+  private final FlightClient client;
+  private final BooleanSupplier mayNotSend;
+  private final Consumer<Event.AttemptCompleted> onCompleted;
+  private final Consumer<Event.FirstPassCompleted> onReply;
+  private final AttemptRequest part;
+  private volatile boolean stopped;
+
+  /**
+   * Creates a call that is not sent yet.
+   *
+   * @param mayNotSend asked on the reader thread, just before the call is sent
+   * @param onCompleted takes every other end than a reply
+   */
+  FlightFirstPassCall(
+      FlightStores shared,
+      FlightClient client,
+      AttemptRequest part,
+      BooleanSupplier mayNotSend,
+      Consumer<Event.AttemptCompleted> onCompleted,
+      Consumer<Event.FirstPassCompleted> onReply) {
+    this.shared = shared;
+    this.client = client;
+    this.part = part;
+    this.mayNotSend = mayNotSend;
+    this.onCompleted = onCompleted;
+    this.onReply = onReply;
+  }
+
+  /** The call is not sent any more if it was not yet. */
+  void stop() {
+    stopped = true;
+  }
+
+  @Override
+  public void run() {
+    long nowUs = shared.nowUs();
+    if (stopped || mayNotSend.getAsBoolean() || !part.mayLeave(nowUs)) {
+      complete(AttemptOutcome.CONNECT_FAILED);
+      return;
+    }
+    try {
+      FlightInfo info =
+          client.getInfo(
+              FlightDescriptor.command(RequestText.of(List.of(part), nowUs)),
+              FlightTransport.timeout(part.dueUs(), nowUs));
+      shared.onLoop(() -> shared.events().accept(new Event.AttemptsWritten(1)));
+      handle(info);
+    } catch (FlightRuntimeException e) {
+      complete(outcomeOf(e));
+    }
+  }
+
+  private void handle(FlightInfo info) {
+    String metadata = info.getAppMetadata() == null ? null : ExactText.of(info.getAppMetadata());
+    String[] fields = metadata == null ? new String[0] : metadata.split(" ", METADATA_FIELDS);
+    if (fields.length != METADATA_FIELDS || info.getRecords() < 0) {
+      shared.onLoop(() -> shared.events().accept(new Event.ConditionCounted(Counter.BAD_FRAMES)));
+      complete(AttemptOutcome.RESET);
+      return;
+    }
+    long receivedUs = shared.nowUs();
+    shared.onLoop(
+        () ->
+            onReply.accept(
+                new Event.FirstPassCompleted(
+                    part.attempt(),
+                    receivedUs,
+                    shared.reports().read(fields[1]),
+                    info.getRecords(),
+                    fields[0],
+                    fields[2])));
+  }
+
+  private static AttemptOutcome outcomeOf(FlightRuntimeException failure) {
+    return switch (failure.status().code()) {
+      case UNAVAILABLE, CANCELLED, TIMED_OUT -> AttemptOutcome.RESET;
+      case RESOURCE_EXHAUSTED -> AttemptOutcome.FULL;
+      default -> AttemptOutcome.ERROR;
+    };
+  }
+
+  private void complete(AttemptOutcome outcome) {
+    shared.onLoop(() -> onCompleted.accept(Event.AttemptCompleted.of(part.attempt(), outcome)));
+  }
+}
--- a/src/main/java/dunlinhitch/backend/flight/FlightStores.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightStores.java
@@ -22,33 +22,20 @@
 import org.apache.arrow.memory.RootAllocator;
 
 /**
- * What all Flight transports share: bounded threads that read streams, bounded buffers, and the way
- * to the loop.
+ * What all Flight transports share: bounded threads for blocking calls, bounded buffers, and the
+ * hand-over of results to the event loop. Opens the transports. Thread-safe but for {@link #close},
+ * which the event loop calls once.
  */
 public final class FlightStores {
-  static final int MOST_MESSAGE_BYTES = 256 * 1024;
+  /** Threads that read streams: also the bound of concurrent calls to all stores. */
+  private static final int READER_THREADS = 64;
 
-  /** Attempts that may be out to one store. */
-  static final int MOST_OUT = 256;
-
-  /** Of the time after which a store closes an idle connection. */
-  static final double IDLE_SHARE = 0.8;
-
-  /** A wait of so long without a word is more than a busy store's. */
-  static final long SILENT_US = 1_000_000;
-
-  /**
-   * As on frames: of the connect time, quiet for the first part a channel is asked, and answers
-   * within the second.
-   */
-  static final int QUIET_PART = 3;
-
-  static final int ANSWER_PART = 2;
-  private static final int READERS = 64;
-  private static final int ACTORS = 2;
-  private static final int MOST_ACTIONS = 512;
+  private static final int ACTION_THREADS = 2;
+  private static final int MAX_QUEUED_ACTIONS = 512;
+  private static final int IDLE_THREAD_SECONDS = 10;
   private static final long BUFFER_BYTES = 32L << 20;
   private static final int STACK_BYTES = 256 * 1024;
+
   private final Vertx vertx;
   private final Context context;
   private final Supplier<Limits> limits;
@@ -58,19 +45,35 @@
   private final BufferAllocator allocator = new RootAllocator(BUFFER_BYTES);
   private final ExecutorService readers =
       new ThreadPoolExecutor(
-          0, READERS, 10, TimeUnit.SECONDS, new SynchronousQueue<>(), threads("flight-reader"));
+          0,
+          READER_THREADS,
+          IDLE_THREAD_SECONDS,
+          TimeUnit.SECONDS,
+          new SynchronousQueue<>(),
+          threadFactory("flight-reader"));
   private final ThreadPoolExecutor actions =
       new ThreadPoolExecutor(
-          ACTORS,
-          ACTORS,
-          10,
+          ACTION_THREADS,
+          ACTION_THREADS,
+          IDLE_THREAD_SECONDS,
           TimeUnit.SECONDS,
-          new LinkedBlockingQueue<>(MOST_ACTIONS),
-          threads("flight-action"));
+          new LinkedBlockingQueue<>(MAX_QUEUED_ACTIONS),
+          threadFactory("flight-action"));
   private final ThreadPoolExecutor callbacks =
       new ThreadPoolExecutor(
-          1, 1, 10, TimeUnit.SECONDS, new LinkedBlockingQueue<>(), threads("flight-callback"));
+          1,
+          1,
+          IDLE_THREAD_SECONDS,
+          TimeUnit.SECONDS,
+          new LinkedBlockingQueue<>(),
+          threadFactory("flight-callback"));
 
+  /**
+   * Creates what is shared; threads start on demand.
+   *
+   * @param context the event loop on which events are reported
+   * @param clock microseconds; called from any thread
+   */
   public FlightStores(
       Vertx vertx,
       Context context,
@@ -88,7 +91,7 @@
     callbacks.allowCoreThreadTimeOut(true);
   }
 
-  private static ThreadFactory threads(String name) {
+  private static ThreadFactory threadFactory(String name) {
     return task -> {
       Thread thread = new Thread(null, task, name, STACK_BYTES);
       thread.setDaemon(true);
@@ -96,18 +99,19 @@
     };
   }
 
-  public BackendTransport open(Endpoint entry) {
-    return new FlightTransport(this, entry);
+  /** Opens the transport to a store; it connects on demand. */
+  public BackendTransport open(Endpoint endpoint) {
+    return new FlightTransport(this, endpoint);
   }
 
-  /** Ends the threads; the transports are closed before. */
+  /** Ends the threads. The transports must have been closed before. */
   public void close() {
     callbacks.execute(
         () -> {
           try {
             allocator.close();
           } catch (IllegalStateException e) {
-            // a client that is still being closed holds a part of it; the process is at its end
+            // a client that is still closing has buffers of it; the process ends anyway
           }
         });
     readers.shutdown();
@@ -115,8 +119,8 @@
     callbacks.shutdown();
   }
 
-  /** Closing a client waits for its streams, so it is done off the loop. */
-  void closeLater(FlightClient client) {
+  /** Closes a client off the event loop, as that waits for its streams. */
+  void closeAsync(FlightClient client) {
     try {
       actions.execute(
           () -> {
@@ -125,19 +129,20 @@
             } catch (InterruptedException e) {
               Thread.currentThread().interrupt();
             } catch (IllegalStateException e) {
-              // a stream that is still being read holds a buffer; it is freed when that reader ends
+              // the buffer of a stream that is still being read is freed when its reader ends
             }
           });
     } catch (RejectedExecutionException e) {
-      // its channel is shut already; only an empty allocator is left
+      // its channel is shut down already; only an empty allocator is left
     }
   }
 
+  /** Runs the task on the event loop, or never if that has ended. */
   void onLoop(Runnable task) {
     try {
-      context.runOnContext(v -> task.run());
+      context.runOnContext(ignored -> task.run());
     } catch (RejectedExecutionException e) {
-      // the loop has ended, and nobody waits for this any more
+      // the event loop has ended, so nothing waits for the result
     }
   }
 
@@ -165,14 +170,17 @@
     return allocator;
   }
 
+  /** Threads for calls; rejects a task when all are busy. */
   ExecutorService readers() {
     return readers;
   }
 
+  /** Threads for actions; rejects a task when the queue is full. */
   ExecutorService actions() {
     return actions;
   }
 
+  /** The thread on which channels report changes of their state. */
   ExecutorService callbacks() {
     return callbacks;
   }
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -1,6 +1,7 @@
 package dunlinhitch.backend.flight;
 
 import dunlinhitch.backend.BackendTransport;
+import dunlinhitch.backend.PendingCalls;
 import dunlinhitch.balancer.AttemptOutcome;
 import dunlinhitch.balancer.ServerState;
 import dunlinhitch.core.Counter;
@@ -12,403 +13,383 @@
 import io.grpc.ManagedChannel;
 import io.grpc.netty.NettyChannelBuilder;
 import java.net.InetSocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.HashMap;
-import java.util.Iterator;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.concurrent.RejectedExecutionException;
 import java.util.concurrent.TimeUnit;
-import java.util.function.Consumer;
-import org.apache.arrow.flight.Action;
 import org.apache.arrow.flight.CallOption;
 import org.apache.arrow.flight.CallOptions;
-import org.apache.arrow.flight.CallStatus;
 import org.apache.arrow.flight.FlightClient;
 import org.apache.arrow.flight.FlightGrpcUtils;
-import org.apache.arrow.flight.FlightRuntimeException;
-import org.apache.arrow.flight.Result;
 
 /**
- * The way to a store that speaks Arrow Flight: a DoGet for each call, on one channel. No call is
- * made before the channel is up, so that what waited for it is proved not to have run; what is out
- * when it breaks may have.
+ * Transport to a store that speaks Arrow Flight: a DoGet for each call, on one channel. No call is
+ * made before the channel is connected, so that what waited for it provably did not run; what is in
+ * flight when the channel breaks may have run.
+ *
+ * <p>Used on the event loop, but for the check just before a call is made, which the reader threads
+ * ask.
  */
-public final class FlightTransport implements BackendTransport {
-  public static final String PROBE = "probe";
-  public static final String GIVE_UP = "give-up";
+final class FlightTransport implements BackendTransport {
+  private static final int MAX_MESSAGE_BYTES = 256 * 1024;
+
+  /** Attempts that may be in flight to one store. */
+  private static final int MAX_IN_FLIGHT = 256;
+
+  /** The share of the store's idle timeout after which this side closes an idle connection. */
+  private static final double IDLE_SHARE = 0.8;
+
+  /** A cancelled attempt without any reply for so long points to a dead host, not to a busy one. */
+  private static final long UNRESPONSIVE_US = 1_000_000;
+
+  /** The reply to a health check from a store that takes itself for unhealthy. */
+  private static final String UNHEALTHY = "bad";
+
+  private static final float[] NO_REPORT = {};
+
   private final FlightStores shared;
   private final ManagedChannel channel;
   private final FlightClient client;
-  private final Map<Long, FlightCall> out = new HashMap<>();
+  private final FlightActions actions;
+  private final FlightLivenessCheck livenessCheck;
+
+  /** The call of each attempt in flight, but for first passes. */
+  private final Map<Long, FlightCall> calls = new HashMap<>();
+
+  /** First passes in flight, by attempt. */
+  private final Map<Long, FlightFirstPassCall> firstPassCalls = new HashMap<>();
 
-  /** First passes that are waited for. */
-  private final Map<Long, FlightFirst> firsts = new HashMap<>();
+  /** Calls that wait for the channel to be connected. */
+  private final PendingCalls pendingCalls = new PendingCalls();
 
-  private final List<List<AttemptRequest>> waiting = new ArrayList<>();
+  /** Read also by reader threads. */
   private volatile ServerState state = ServerState.READY;
+
+  /** Read also by reader and action threads. */
+  private volatile boolean disabled;
+
+  /** Counts attempts to connect, so that a late timer or callback of an earlier one is ignored. */
   private long connectRound;
 
-  /** When the store last said anything of a part. */
-  private long heardUs;
+  /** When the store last replied anything about a part, in microseconds. */
+  private long lastReplyUs;
 
-  private boolean watched;
   private boolean closed;
 
-  /** Read by the threads that make the calls, just before. */
-  private volatile boolean barred;
-
-  FlightTransport(FlightStores shared, Endpoint entry) {
+  FlightTransport(FlightStores shared, Endpoint endpoint) {
     this.shared = shared;
+    channel = buildChannel(shared, endpoint);
+    client = FlightGrpcUtils.createFlightClientWithSharedChannel(shared.allocator(), channel);
+    actions = new FlightActions(shared, client, () -> disabled);
+    livenessCheck = new FlightLivenessCheck(shared, actions, new LivenessTarget());
+  }
+
+  private static ManagedChannel buildChannel(FlightStores shared, Endpoint endpoint) {
     NettyChannelBuilder builder =
-        NettyChannelBuilder.forAddress(new InetSocketAddress(entry.host(), entry.port()))
+        NettyChannelBuilder.forAddress(new InetSocketAddress(endpoint.host(), endpoint.port()))
             .usePlaintext()
-            .maxInboundMessageSize(FlightStores.MOST_MESSAGE_BYTES)
+            .maxInboundMessageSize(MAX_MESSAGE_BYTES)
             .executor(shared.callbacks())
             .disableRetry();
     if (shared.limits().connectionIdleUs() > 0) {
       builder.idleTimeout(
-          (long) (FlightStores.IDLE_SHARE * shared.limits().connectionIdleUs()),
-          TimeUnit.MICROSECONDS);
+          (long) (IDLE_SHARE * shared.limits().connectionIdleUs()), TimeUnit.MICROSECONDS);
     }
-    channel = builder.build();
-    client = FlightGrpcUtils.createFlightClientWithSharedChannel(shared.allocator(), channel);
+    return builder.build();
   }
 
   @Override
-  public void call(List<AttemptRequest> parts) {
-    boolean up = channel.getState(false) == ConnectivityState.READY;
-    boolean mayNot =
-        closed
-            || barred
-            || state == ServerState.GONE
-            || state == ServerState.WITHDRAWN
-            || (state == ServerState.DRAINING && !up)
-            || out.size() + firsts.size() + parts.size() > FlightStores.MOST_OUT;
-    if (mayNot) {
-      parts.forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED));
-    } else if (up) {
-      begin(parts);
-    } else {
-      waiting.add(new ArrayList<>(parts));
-      if (waiting.size() == 1) {
-        connect();
-      }
+  public void send(List<AttemptRequest> parts) {
+    boolean connected = channel.getState(false) == ConnectivityState.READY;
+    if (!accepts(parts, connected)) {
+      fail(parts);
+      return;
+    }
+    if (connected) {
+      start(parts);
+      return;
+    }
+    pendingCalls.add(parts);
+    if (pendingCalls.size() == 1) {
+      connect();
     }
   }
 
-  /** Brings the channel up for what waits; if it is not up in time, nothing that waited has run. */
+  private boolean accepts(List<AttemptRequest> parts, boolean connected) {
+    return !closed
+        && !disabled
+        && state != ServerState.GONE
+        && state != ServerState.WITHDRAWN
+        && (state != ServerState.DRAINING || connected)
+        && calls.size() + firstPassCalls.size() + parts.size() <= MAX_IN_FLIGHT;
+  }
+
+  /** Connects for the pending calls; if that takes too long, none of them has run. */
   private void connect() {
     long round = ++connectRound;
     shared.events().accept(new Event.ConditionCounted(Counter.CONNECTIONS_OPENED));
     channel.resetConnectBackoff();
-    long now = shared.nowUs();
+    long nowUs = shared.nowUs();
     shared
         .vertx()
         .setTimer(
-            MicroClock.timerMs(now, now + shared.limits().connectTimeoutUs()),
-            t -> {
+            MicroClock.timerMs(nowUs, nowUs + shared.limits().connectTimeoutUs()),
+            timer -> {
               if (round == connectRound) {
-                dropWaiting();
+                failPending();
               }
             });
-    follow(round, channel.getState(true), true);
+    onChannelState(round, channel.getState(true), true);
   }
 
-  private void follow(long round, ConnectivityState seen, boolean first) {
-    if (round != connectRound || waiting.isEmpty()) {
+  private void onChannelState(long round, ConnectivityState current, boolean initial) {
+    if (round != connectRound || pendingCalls.isEmpty()) {
       return;
     }
-    if (seen == ConnectivityState.READY) {
-      List<List<AttemptRequest>> calls = List.copyOf(waiting);
-      waiting.clear();
-      calls.forEach(this::begin);
-    } else if (seen == ConnectivityState.SHUTDOWN
-        || (seen == ConnectivityState.TRANSIENT_FAILURE && !first)) {
-      dropWaiting();
-    } else {
-      channel.notifyWhenStateChanged(
-          seen, () -> shared.onLoop(() -> follow(round, channel.getState(true), false)));
+    if (current == ConnectivityState.READY) {
+      pendingCalls.drain().forEach(this::start);
+      return;
+    }
+    // an initial failure is that of an earlier attempt to connect
+    if (current == ConnectivityState.SHUTDOWN
+        || (current == ConnectivityState.TRANSIENT_FAILURE && !initial)) {
+      failPending();
+      return;
     }
+    channel.notifyWhenStateChanged(
+        current, () -> shared.onLoop(() -> onChannelState(round, channel.getState(true), false)));
   }
 
-  private void begin(List<AttemptRequest> parts) {
+  private void start(List<AttemptRequest> parts) {
     if (parts.get(0).first()) {
-      parts.forEach(this::beginFirst);
+      parts.forEach(this::startFirstPass);
       return;
     }
-    FlightCall call = new FlightCall(shared, client, parts, this::mayNot, this::over);
-    parts.forEach(p -> out.put(p.attempt(), call));
-    watch();
+    FlightCall call = new FlightCall(shared, client, parts, this::mayNotSend, this::complete);
+    parts.forEach(part -> calls.put(part.attempt(), call));
+    livenessCheck.schedule();
     try {
       shared.readers().execute(call);
-    } catch (
-        RejectedExecutionException e) { // as many streams as may be read at once: it never left
-      parts.forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED));
+    } catch (RejectedExecutionException e) {
+      fail(parts); // all reader threads are busy, so the call was not sent
+    }
+  }
+
+  private void startFirstPass(AttemptRequest part) {
+    FlightFirstPassCall call =
+        new FlightFirstPassCall(
+            shared,
+            client,
+            part,
+            this::mayNotSend,
+            this::onFirstPassCompleted,
+            this::onFirstPassReply);
+    firstPassCalls.put(part.attempt(), call);
+    try {
+      shared.readers().execute(call);
+    } catch (RejectedExecutionException e) {
+      complete(part.attempt(), AttemptOutcome.CONNECT_FAILED);
     }
   }
 
   /**
-   * Asked by the threads that make the calls, just before: a channel that is down again would keep
-   * a call until it is up.
+   * Asked by the reader threads just before a call: gRPC would queue a call on a channel that has
+   * disconnected again until it is connected.
    */
-  private boolean mayNot() {
-    return barred
+  private boolean mayNotSend() {
+    return disabled
         || state == ServerState.WITHDRAWN
         || state == ServerState.GONE
         || channel.getState(false) != ConnectivityState.READY;
   }
 
-  /** The word whether there is anything. */
-  private void beginFirst(AttemptRequest part) {
-    FlightFirst first =
-        new FlightFirst(
-            shared,
-            client,
-            part,
-            this::mayNot,
-            end -> {
-              if (firsts.containsKey(end.attempt())) {
-                over(end);
-              }
-            },
-            came -> {
-              if (firsts.remove(came.attempt()) != null) { // else it was given up
-                heardUs = shared.nowUs();
-                shared.events().accept(came);
-                leaveWhenIdle();
-              }
-            });
-    firsts.put(part.attempt(), first);
-    try {
-      shared.readers().execute(first);
-    } catch (RejectedExecutionException e) {
-      over(part.attempt(), AttemptOutcome.CONNECT_FAILED);
+  private void onFirstPassCompleted(Event.AttemptCompleted completion) {
+    boolean cancelled = !firstPassCalls.containsKey(completion.attempt());
+    if (!cancelled) {
+      complete(completion);
+    }
+  }
+
+  private void onFirstPassReply(Event.FirstPassCompleted reply) {
+    boolean cancelled = firstPassCalls.remove(reply.attempt()) == null;
+    if (!cancelled) {
+      lastReplyUs = shared.nowUs();
+      shared.events().accept(reply);
+      closeIfDrained();
     }
   }
 
-  private void over(long attempt, AttemptOutcome outcome) {
-    over(Event.AttemptCompleted.of(attempt, outcome));
+  private void fail(List<AttemptRequest> parts) {
+    parts.forEach(part -> complete(part.attempt(), AttemptOutcome.CONNECT_FAILED));
   }
 
-  private void over(Event.AttemptCompleted end) {
-    out.remove(end.attempt());
-    firsts.remove(end.attempt());
-    if (end.outcome() == AttemptOutcome.OK
-        || end.outcome() == AttemptOutcome.ERROR
-        || end.outcome() == AttemptOutcome.FULL) {
-      heardUs = shared.nowUs();
+  private void complete(long attempt, AttemptOutcome outcome) {
+    complete(Event.AttemptCompleted.of(attempt, outcome));
+  }
+
+  private void complete(Event.AttemptCompleted completion) {
+    calls.remove(completion.attempt());
+    firstPassCalls.remove(completion.attempt());
+    if (isReply(completion.outcome())) {
+      lastReplyUs = shared.nowUs();
     }
-    shared.events().accept(end);
-    leaveWhenIdle();
+    shared.events().accept(completion);
+    closeIfDrained();
+  }
+
+  private static boolean isReply(AttemptOutcome outcome) {
+    return outcome == AttemptOutcome.OK
+        || outcome == AttemptOutcome.ERROR
+        || outcome == AttemptOutcome.FULL;
   }
 
   @Override
-  public boolean giveUp(long attempt) {
-    for (List<AttemptRequest> parts : waiting) {
-      if (parts.removeIf(p -> p.attempt() == attempt)) {
-        waiting.removeIf(List::isEmpty);
-        return true;
-      }
+  public boolean cancel(long attempt) {
+    if (pendingCalls.remove(attempt)) {
+      return true;
     }
-    FlightFirst first = firsts.remove(attempt);
-    if (first != null) {
-      first.stop();
-      leaveWhenIdle();
-      return true; // it ends by its own deadline; a read costs little
+    FlightFirstPassCall firstPass = firstPassCalls.remove(attempt);
+    if (firstPass != null) {
+      firstPass.stop(); // one that was sent ends by its deadline; it costs the store little
+      closeIfDrained();
+      return true;
     }
-    FlightCall call = out.remove(attempt);
+    FlightCall call = calls.remove(attempt);
     if (call == null) {
       return false;
     }
-    act(GIVE_UP, call.giveUp(attempt), actDueUs(), text -> {});
-    if (heardUs <= call.sentUs() && shared.nowUs() - call.sentUs() > FlightStores.SILENT_US) {
-      channel
-          .enterIdle(); // as on frames: what is new goes over a fresh connection, which fails soon
-      // or comes up
+    actions.cancelPart(call.cancel(attempt), actionDueUs());
+    if (lastReplyUs <= call.sentUs() && shared.nowUs() - call.sentUs() > UNRESPONSIVE_US) {
+      channel.enterIdle(); // new calls use a fresh connection, which fails soon or is established
     }
-    leaveWhenIdle();
+    closeIfDrained();
     return true;
   }
 
   @Override
   public void withdraw(long attempt) {
-    for (List<AttemptRequest> parts : waiting) {
-      if (parts.removeIf(p -> p.attempt() == attempt)) {
-        waiting.removeIf(List::isEmpty);
-        over(attempt, AttemptOutcome.MOOT);
-        return;
-      }
-    }
-    if (out.containsKey(attempt)) {
-      out.get(attempt).stop(attempt);
-    } else if (firsts.containsKey(attempt)) {
-      firsts.get(attempt).stop();
+    if (pendingCalls.remove(attempt)) {
+      complete(attempt, AttemptOutcome.MOOT);
+    } else if (calls.containsKey(attempt)) {
+      calls.get(attempt).stop(attempt);
+    } else if (firstPassCalls.containsKey(attempt)) {
+      firstPassCalls.get(attempt).stop();
     }
   }
 
   @Override
-  public void probe(long probe) {
-    act(
-        PROBE,
-        "",
-        actDueUs(),
-        text -> {
-          boolean failed = text == null;
-          boolean bad = !failed && text.equals("bad");
-          shared
-              .events()
-              .accept(
-                  new Event.HealthCheckCompleted(
-                      probe,
-                      failed
-                          ? AttemptOutcome.CONNECT_FAILED
-                          : bad ? AttemptOutcome.ERROR : AttemptOutcome.OK,
-                      failed || bad ? new float[0] : shared.reports().read(text)));
-        });
-  }
-
-  private long actDueUs() {
-    return shared.nowUs() + shared.limits().connectTimeoutUs();
+  public void sendHealthCheck(long healthCheck) {
+    actions.checkHealth(
+        actionDueUs(), report -> shared.events().accept(healthCheckCompleted(healthCheck, report)));
   }
 
-  /**
-   * As on frames: a channel that is quiet is asked, and what is out there is lost if it says
-   * nothing.
-   */
-  private void watch() {
-    if (watched
-        || closed
-        || out.isEmpty()
-        || barred
-        || state != ServerState.READY
-        || !shared.limits().mayHealthCheck()) {
-      return;
+  private Event healthCheckCompleted(long healthCheck, Optional<String> report) {
+    if (report.isEmpty()) {
+      return new Event.HealthCheckCompleted(healthCheck, AttemptOutcome.CONNECT_FAILED, NO_REPORT);
     }
-    long quietUs = shared.limits().connectTimeoutUs() / FlightStores.QUIET_PART;
-    long sinceUs =
-        Math.max(heardUs, out.values().stream().mapToLong(FlightCall::sentUs).min().orElseThrow());
-    long askedUs = shared.nowUs();
-    watched = true;
-    if (askedUs < sinceUs + quietUs) {
-      shared
-          .vertx()
-          .setTimer(
-              MicroClock.timerMs(askedUs, sinceUs + quietUs),
-              t -> {
-                watched = false;
-                watch();
-              });
-      return;
+    if (report.get().equals(UNHEALTHY)) {
+      return new Event.HealthCheckCompleted(healthCheck, AttemptOutcome.ERROR, NO_REPORT);
     }
-    shared.events().accept(new Event.ConditionCounted(Counter.CONNECTIONS_CHECKED));
-    act(
-        PROBE,
-        "",
-        askedUs + shared.limits().connectTimeoutUs() / FlightStores.ANSWER_PART,
-        text -> {
-          watched = false;
-          if (text != null) {
-            heardUs = shared.nowUs();
-          } else if (heardUs < askedUs && !closed && !barred) {
-            shared.events().accept(new Event.ConditionCounted(Counter.CONNECTIONS_SILENT));
-            channel.enterIdle(); // what is new goes over a fresh connection
-            Set.copyOf(out.values()).forEach(FlightCall::lost);
-          }
-          watch();
-        });
+    return new Event.HealthCheckCompleted(
+        healthCheck, AttemptOutcome.OK, shared.reports().read(report.get()));
   }
 
-  /**
-   * One action, off the loop; {@code done} gets its first result back on it, or null where it
-   * failed.
-   */
-  private void act(String type, String body, long dueUs, Consumer<String> done) {
-    try {
-      shared
-          .actions()
-          .execute(
-              () -> {
-                String text = null;
-                try {
-                  if (barred && type.equals(PROBE)) {
-                    throw CallStatus.CANCELLED.toRuntimeException();
-                  }
-                  Iterator<Result> results =
-                      client.doAction(
-                          new Action(type, body.getBytes(StandardCharsets.UTF_8)),
-                          until(dueUs, shared.nowUs()));
-                  while (results.hasNext()) {
-                    byte[] bytes = results.next().getBody();
-                    text = text == null ? new String(bytes, StandardCharsets.UTF_8) : text;
-                  }
-                  text = text == null ? "" : text;
-                } catch (FlightRuntimeException e) {
-                  text = null; // the store can not be reached, or knows no such action
-                }
-                String said = text;
-                shared.onLoop(() -> done.accept(said));
-              });
-    } catch (RejectedExecutionException e) {
-      done.accept(null);
-    }
+  private long actionDueUs() {
+    return shared.nowUs() + shared.limits().connectTimeoutUs();
   }
 
-  /** Where a deadline leaves for gRPC it becomes the time left. */
-  static CallOption until(long dueUs, long nowUs) {
+  /** The call option for a deadline: gRPC takes the time that is left. */
+  static CallOption timeout(long dueUs, long nowUs) {
     return CallOptions.timeout(Math.max(1, dueUs - nowUs), TimeUnit.MICROSECONDS);
   }
 
   @Override
-  public void release() {
-    if (idle()) {
+  public void closeIdleConnections() {
+    if (isIdle()) {
       channel.enterIdle();
     }
   }
 
   @Override
-  public void state(ServerState told) {
-    state = told;
-    if (told != ServerState.READY) {
-      dropWaiting();
+  public void updateState(ServerState newState) {
+    state = newState;
+    if (newState != ServerState.READY) {
+      failPending();
     }
-    leaveWhenIdle();
+    closeIfDrained();
   }
 
   @Override
-  public void barred(boolean out) {
-    barred = out;
-    if (out) {
-      dropWaiting();
+  public void setDisabled(boolean disabled) {
+    this.disabled = disabled;
+    if (disabled) {
+      failPending();
     }
   }
 
-  private void dropWaiting() {
-    List<List<AttemptRequest>> calls = List.copyOf(waiting);
-    waiting.clear();
-    calls.forEach(parts -> parts.forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
+  private void failPending() {
+    pendingCalls.drain().forEach(this::fail);
   }
 
-  private void leaveWhenIdle() {
-    if (state == ServerState.GONE && idle()) {
+  private void closeIfDrained() {
+    if (state == ServerState.GONE && isIdle()) {
       close();
     }
   }
 
   @Override
-  public boolean idle() {
-    return out.isEmpty() && firsts.isEmpty() && waiting.isEmpty();
+  public boolean isIdle() {
+    return calls.isEmpty() && firstPassCalls.isEmpty() && pendingCalls.isEmpty();
   }
 
   @Override
   public void close() {
     if (!closed) {
       closed = true;
-      dropWaiting();
-      channel.shutdownNow(); // ends what is out as a reset
-      shared.closeLater(client);
+      failPending();
+      channel.shutdownNow(); // what is in flight ends as a reset
+      shared.closeAsync(client);
+    }
+  }
+
+  /** What the liveness check sees and does on this transport. */
+  private final class LivenessTarget implements FlightLivenessCheck.Target {
+    @Override
+    public boolean needsLivenessCheck() {
+      return !closed
+          && !calls.isEmpty()
+          && !disabled
+          && state == ServerState.READY
+          && shared.limits().mayHealthCheck();
+    }
+
+    @Override
+    public boolean isActive() {
+      return !closed && !disabled;
+    }
+
+    @Override
+    public long oldestSentUs() {
+      return calls.values().stream().mapToLong(FlightCall::sentUs).min().orElseThrow();
+    }
+
+    @Override
+    public long lastReplyUs() {
+      return lastReplyUs;
+    }
+
+    @Override
+    public void onAlive() {
+      lastReplyUs = shared.nowUs();
+    }
+
+    @Override
+    public void onUnresponsive() {
+      channel.enterIdle(); // new calls use a fresh connection
+      Set.copyOf(calls.values()).forEach(FlightCall::onConnectionLost);
     }
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/backend/frames/Frame.java
@@ -0,0 +1,32 @@
+package dunlinhitch.backend.frames;
+
+import io.vertx.core.buffer.Buffer;
+import java.nio.charset.StandardCharsets;
+
+/**
+ * One frame of the stores' protocol: four bytes of length, least significant first, the type and
+ * the payload. The length counts the type and the payload.
+ *
+ * @param type one of {@link FrameType} where the frame is valid
+ * @param payload what follows the type
+ */
+record Frame(char type, Buffer payload) {
+  /** Bytes of the length field. */
+  static final int LENGTH_BYTES = 4;
+
+  /** No frame of a store is longer: one that announces more is malformed. */
+  static final int MAX_BYTES = 256 * 1024;
+
+  /** Encodes a frame with a binary payload. */
+  static Buffer encode(char type, byte[] payload) {
+    return Buffer.buffer(LENGTH_BYTES + 1 + payload.length)
+        .appendUnsignedIntLE(1 + payload.length)
+        .appendByte((byte) type)
+        .appendBytes(payload);
+  }
+
+  /** Encodes a frame with a UTF-8 payload. */
+  static Buffer encode(char type, String payload) {
+    return encode(type, payload.getBytes(StandardCharsets.UTF_8));
+  }
+}
--- a/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -1,555 +1,378 @@
 package dunlinhitch.backend.frames;
 
+import dunlinhitch.backend.PendingCalls;
 import dunlinhitch.backend.RequestText;
+import dunlinhitch.backend.frames.InFlightAttempts.InFlightAttempt;
 import dunlinhitch.balancer.AttemptOutcome;
-import dunlinhitch.core.Counter;
 import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Event;
-import dunlinhitch.core.MicroClock;
 import io.netty.channel.ChannelHandlerContext;
 import io.vertx.core.Future;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.internal.net.NetSocketInternal;
 import io.vertx.core.net.NetSocket;
-import java.util.ArrayDeque;
-import java.util.ArrayList;
-import java.util.Deque;
-import java.util.Iterator;
-import java.util.LinkedHashMap;
-import java.util.LinkedHashSet;
 import java.util.List;
-import java.util.Map;
 import java.util.Set;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
 /**
- * One connection to a store and what is out on it. Replies name a part, not an attempt: a part that
- * was given up here and might still be answered is not sent here again, so that each reply belongs
- * to one attempt.
+ * One connection to a store: its life from connecting to closed, and the writing of calls. One call
+ * at a time is on its way into the socket. Calls behind it, and calls that wait for the connection
+ * to be established, can still be withdrawn and are checked again before they are written.
  *
- * <p>One call at a time is on its way into the socket: what waits behind it, as what waits for the
- * connection to come up, can still be taken back, and is looked at again when its bytes are
- * written.
+ * <p>Not thread-safe; its transport owns it on the event loop.
  */
 final class FrameConnection {
-  private static final int MOST_ABANDONED = 256;
-
-  /** Replies whose second copy is known as such. */
-  private static final int MOST_ANSWERED = 64;
-
-  /** A frame that has begun is whole so soon after: it holds up all that is behind it. */
-  private static final long FRAME_US = 400_000;
-
   private static final int WRITE_QUEUE_BYTES = 512 * 1024;
 
-  /** A wait of so long without a word is more than a busy store's. */
-  private static final long SILENT_US = 1_000_000;
-
-  /**
-   * One that was quiet and is asked answers within this part of the time in which a connection
-   * comes up.
-   */
-  private static final int ANSWER_PART = 2;
-
-  /** A part that is out; {@code write} is done once its frame's last byte has left. */
-  private record Out(long attempt, String partId, long sentUs, Future<Void> write, boolean first) {
-    boolean neverLeft() {
-      return !write.succeeded();
-    }
-  }
+  /** A cancelled attempt without any reply for so long points to a dead host, not to a busy one. */
+  private static final long UNRESPONSIVE_US = 1_000_000;
 
   private final FrameTransport.Shared shared;
-
-  /** False where the store is to get nothing new, not even a check. */
-  private final BooleanSupplier mayCheck;
-
   private final Consumer<FrameConnection> onClosed;
 
-  /** Called once, when the descriptor is free again. */
-  private final Runnable released;
+  /** Called once, when the file descriptor is free again. */
+  private final Runnable onDescriptorReleased;
 
-  private final Map<String, Out> out = new LinkedHashMap<>();
-  private final Set<String> abandoned = new LinkedHashSet<>();
-  private final Set<String> answered = new LinkedHashSet<>();
-  private final List<List<AttemptRequest>> waiting = new ArrayList<>();
-  private final List<Long> waitingProbes = new ArrayList<>();
-  private final Deque<Long> probes = new ArrayDeque<>();
-  private final Frames frames = new Frames();
-  private NetSocket socket;
+  private final PendingCalls pendingCalls = new PendingCalls();
+  private final InFlightAttempts inFlight = new InFlightAttempts();
+  private final PendingHealthChecks healthChecks = new PendingHealthChecks();
+  private final ReplyReader replyReader;
+  private final LivenessCheck livenessCheck;
 
-  /** Done once the call that was written last has left whole. */
-  private Future<Void> lastCall = Future.succeededFuture();
+  /** Null until the connection is established. */
+  private NetSocket socket;
 
-  /** Checks that are not the decisions' own come back with this. */
-  private static final long CHECK = -1;
+  /** Completes once the call that was written last was completely handed to the kernel. */
+  private Future<Void> lastWrite = Future.succeededFuture();
 
-  private boolean watched;
   private boolean closed;
-  private boolean leaving;
-  private boolean silent;
 
-  /**
-   * Counts the frames that were within when a read ended; that one is waited for until its time.
-   */
-  private long frameRound;
+  /** True once the connection takes no new calls and closes as soon as it is idle. */
+  private boolean draining;
 
-  private long awaitedRound = -1;
-  private boolean within;
-  private long usedUs;
-  private long heardUs;
+  /** True after a cancelled attempt had no reply for too long, until something is received. */
+  private boolean unresponsive;
 
+  private long lastUsedUs;
+  private long lastReceivedUs;
+
+  /**
+   * Creates a connection that is not connected yet.
+   *
+   * @param mayCheck false where the store is to get nothing new, not even a liveness check
+   * @param onClosed called once, when the connection takes and reports nothing any more
+   * @param onDescriptorReleased called once, when the file descriptor is free again
+   */
   FrameConnection(
       FrameTransport.Shared shared,
       BooleanSupplier mayCheck,
       Consumer<FrameConnection> onClosed,
-      Runnable released) {
-    this.mayCheck = mayCheck;
+      Runnable onDescriptorReleased) {
     this.shared = shared;
     this.onClosed = onClosed;
-    this.released = released;
-    usedUs = now();
-    heardUs = usedUs;
+    this.onDescriptorReleased = onDescriptorReleased;
+    replyReader = new ReplyReader(shared, inFlight, healthChecks, () -> closed, this::close);
+    livenessCheck = new LivenessCheck(shared, mayCheck, new LivenessTarget());
+    lastUsedUs = nowUs();
+    lastReceivedUs = lastUsedUs;
   }
 
-  private long now() {
+  private long nowUs() {
     return shared.clock.getAsLong();
   }
 
+  /** Connects; what was sent before waits until the connection is established. */
   void connect(String host, int port) {
     shared
         .connect(host, port)
         .onComplete(
-            made -> {
-              if (made.failed()) {
-                released.run();
-                closed();
+            result -> {
+              if (result.failed()) {
+                onDescriptorReleased.run();
+                onClosed();
                 return;
               }
-              channel(made.result()).channel().closeFuture().addListener(f -> released.run());
-              if (closed) {
-                channel(made.result()).close();
-              } else {
-                opened(made.result());
-              }
+              onConnected(result.result());
             });
   }
 
+  @SuppressWarnings(
+      "FutureReturnValueIgnored") // the close is reported by the channel's closeFuture
+  private void onConnected(NetSocket connected) {
+    ChannelHandlerContext context = channelContext(connected);
+    context.channel().closeFuture().addListener(future -> onDescriptorReleased.run());
+    if (closed) {
+      context.close();
+      return;
+    }
+    socket = connected;
+    lastReceivedUs = nowUs();
+    connected.setWriteQueueMaxSize(WRITE_QUEUE_BYTES);
+    connected.handler(this::onReceived);
+    connected.exceptionHandler(error -> {}); // the close that follows reports the failure
+    connected.closeHandler(ignored -> onClosed());
+    writePending();
+    healthChecks.drainUnsent().forEach(this::sendHealthCheck);
+    closeIfDrained();
+  }
+
   /**
-   * Where what it is asked passes Vert.x's own handler by, which would put a close behind all that
-   * is to be written.
+   * The Netty context of a socket. A close through it is not queued behind what is still to be
+   * written, as one through Vert.x is.
    */
-  private static ChannelHandlerContext channel(NetSocket socket) {
+  private static ChannelHandlerContext channelContext(NetSocket socket) {
     return ((NetSocketInternal) socket).channelHandlerContext();
   }
 
-  private void opened(NetSocket made) {
-    socket = made;
-    heardUs = now();
-    made.setWriteQueueMaxSize(WRITE_QUEUE_BYTES);
-    made.handler(this::read);
-    made.exceptionHandler(e -> {}); // the close that follows says all there is to say
-    made.closeHandler(v -> closed());
-    writeNext();
-    List<Long> checks = List.copyOf(waitingProbes);
-    waitingProbes.clear();
-    checks.forEach(this::probe);
-    leaveWhenIdle();
-  }
-
   boolean isOpen() {
     return socket != null && !closed;
   }
 
   boolean isIdle() {
-    return out.isEmpty() && waiting.isEmpty() && probes.isEmpty() && waitingProbes.isEmpty();
+    return inFlight.isEmpty() && pendingCalls.isEmpty() && healthChecks.isEmpty();
   }
 
-  /** True while a frame of a part has not left whole. */
+  /** True while a call is not completely handed to the kernel. */
   boolean isWriting() {
-    return !lastCall.isComplete();
+    return !lastWrite.isComplete();
   }
 
-  /** True where so many more parts may go; closes a connection that the store is about to close. */
-  boolean takes(int parts, Set<String> ids) {
-    if (isIdle() && now() - usedUs >= shared.idleAfterUs()) {
+  /**
+   * True where a call of so many parts may be sent here. Closes a connection that was idle for so
+   * long that the store is about to close it.
+   */
+  boolean accepts(int parts, Set<String> partIds) {
+    if (isIdle() && nowUs() - lastUsedUs >= shared.idleTimeoutUs()) {
       close();
     }
-    int waitingParts = waiting.stream().mapToInt(List::size).sum();
     return !closed
-        && !leaving
-        && !silent
-        && out.size() + waitingParts + parts <= shared.limits().streamsPerConnection()
-        && (socket == null || !socket.writeQueueFull())
-        && ids.stream().noneMatch(id -> abandoned.contains(id) || out.containsKey(id));
+        && !draining
+        && !unresponsive
+        && hasCapacity(parts)
+        && partIds.stream().noneMatch(inFlight::mayStillAnswer);
+  }
+
+  private boolean hasCapacity(int parts) {
+    int attempts = inFlight.size() + pendingCalls.attemptCount() + parts;
+    return attempts <= shared.limits().streamsPerConnection()
+        && (socket == null || !socket.writeQueueFull());
   }
 
   /**
-   * Where no descriptor is left a connection may have failed before it is called first: nothing
-   * would look at what waits for it.
+   * Sends a call as soon as the connection is established and the calls ahead are written. Where no
+   * file descriptor was left the connection may have failed before its first call: such a call
+   * fails at once.
    */
-  void call(List<AttemptRequest> parts) {
-    usedUs = now();
-    waiting.add(new ArrayList<>(parts));
+  void send(List<AttemptRequest> parts) {
+    lastUsedUs = nowUs();
+    pendingCalls.add(parts);
     if (closed) {
-      dropWaiting();
+      failPending();
     } else if (socket != null) {
-      writeNext();
+      writePending();
     }
   }
 
-  /**
-   * What has waited may not leave any more: its time is over, or that in which it may be repeated.
-   */
-  private void writeNext() {
-    while (!closed && !waiting.isEmpty() && !isWriting()) {
-      long now = now();
-      List<AttemptRequest> call = waiting.remove(0);
-      List<AttemptRequest> parts = call.stream().filter(p -> p.mayLeave(now)).toList();
+  /** Writes pending calls, without the parts whose deadline passed while they waited. */
+  private void writePending() {
+    while (!closed && !pendingCalls.isEmpty() && !isWriting()) {
+      long nowUs = nowUs();
+      List<AttemptRequest> call = pendingCalls.removeFirst();
+      List<AttemptRequest> parts = call.stream().filter(part -> part.mayLeave(nowUs)).toList();
       call.stream()
-          .filter(p -> !p.mayLeave(now))
-          .forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED));
+          .filter(part -> !part.mayLeave(nowUs))
+          .forEach(part -> complete(part.attempt(), AttemptOutcome.CONNECT_FAILED));
       if (!parts.isEmpty()) {
-        write(parts, now);
+        write(parts, nowUs);
       }
     }
-    leaveWhenIdle();
+    closeIfDrained();
   }
 
-  private void write(List<AttemptRequest> parts, long now) {
-    usedUs = now;
-    Future<Void> write =
-        socket.write(Frames.frame(parts.get(0).first() ? 's' : 'm', RequestText.of(parts, now)));
-    lastCall = write;
-    parts.forEach(
-        p -> out.put(p.partId(), new Out(p.attempt(), p.partId(), now, write, p.first())));
-    boolean atOnce = write.isComplete();
+  private void write(List<AttemptRequest> parts, long nowUs) {
+    lastUsedUs = nowUs;
+    char type = parts.get(0).first() ? FrameType.FIRST_PASS_CALL : FrameType.CALL;
+    Future<Void> write = socket.write(Frame.encode(type, RequestText.of(parts, nowUs)));
+    lastWrite = write;
+    for (AttemptRequest part : parts) {
+      inFlight.add(new InFlightAttempt(part.attempt(), part.partId(), nowUs, write, part.first()));
+    }
+    boolean writtenAtOnce = write.isComplete();
     write.onSuccess(
-        v -> {
+        ignored -> {
           shared.events.accept(new Event.AttemptsWritten(parts.size()));
-          if (!atOnce) {
-            writeNext();
+          if (!writtenAtOnce) {
+            writePending();
           }
         });
-    watch();
-  }
-
-  /**
-   * Guards against a connection that stays open while nothing crosses it any more: a store with
-   * much to do is as quiet, but answers a check beside its queue.
-   */
-  private void watch() {
-    if (watched || closed || out.isEmpty() || !mayCheck.getAsBoolean()) {
-      return;
-    }
-    long dueUs =
-        Math.max(heardUs, out.values().iterator().next().sentUs())
-            + shared.quiet.longestUs(shared.limits().connectTimeoutUs());
-    if (now() >= dueUs) {
-      check();
-      return;
-    }
-    watched = true;
-    at(
-        dueUs,
-        () -> {
-          watched = false;
-          watch();
-        });
+    livenessCheck.schedule();
   }
 
-  private void check() {
-    watched = true;
-    long askedUs = now();
-    shared.events.accept(new Event.ConditionCounted(Counter.CONNECTIONS_CHECKED));
-    probes.add(CHECK);
-    socket.write(Frames.frame('o', ""));
-    at(
-        askedUs + shared.limits().connectTimeoutUs() / ANSWER_PART,
-        () ->
-            at(
-                now(),
-                () -> { // what came meanwhile is read first
-                  watched = false;
-                  if (heardUs >= askedUs) {
-                    watch();
-                    return;
-                  }
-                  if (closed) {
-                    return;
-                  }
-                  shared.events.accept(new Event.ConditionCounted(Counter.CONNECTIONS_SILENT));
-                  close();
-                }));
-  }
-
-  private void at(long dueUs, Runnable task) {
-    shared.vertx.setTimer(MicroClock.timerMs(now(), dueUs), t -> task.run());
-  }
-
-  void probe(long id) {
-    usedUs = now();
+  /** Sends a health check, which fails at once on a closed connection. */
+  void sendHealthCheck(long healthCheck) {
+    lastUsedUs = nowUs();
     if (closed) {
-      shared.events.accept(
-          new Event.HealthCheckCompleted(id, AttemptOutcome.CONNECT_FAILED, new float[0]));
+      completeHealthCheck(healthCheck, AttemptOutcome.CONNECT_FAILED);
       return;
     }
     if (socket == null) {
-      waitingProbes.add(id);
+      healthChecks.addUnsent(healthCheck);
       return;
     }
-    probes.add(id);
-    socket.write(Frames.frame('p', ""));
+    healthChecks.addSent(healthCheck);
+    socket.write(Frame.encode(FrameType.HEALTH_CHECK, ""));
   }
 
-  private boolean takeBack(long attempt) {
-    boolean waited =
-        waiting.stream().anyMatch(parts -> parts.removeIf(p -> p.attempt() == attempt));
-    waiting.removeIf(List::isEmpty);
-    leaveWhenIdle();
-    return waited;
+  private boolean removePending(long attempt) {
+    boolean removed = pendingCalls.remove(attempt);
+    closeIfDrained();
+    return removed;
   }
 
-  private Out outFor(long attempt) {
-    return out.values().stream().filter(o -> o.attempt() == attempt).findFirst().orElse(null);
-  }
-
-  /** The attempt ends if its call has not left whole; what the store has of it stands. */
+  /** Withdraws an attempt unless its call was completely sent; the store is not notified. */
   void withdraw(long attempt) {
-    if (takeBack(attempt)) {
-      over(attempt, AttemptOutcome.MOOT);
+    if (removePending(attempt)) {
+      complete(attempt, AttemptOutcome.MOOT);
       return;
     }
-    Out taken = outFor(attempt);
-    if (taken != null && taken.neverLeft()) {
+    InFlightAttempt withdrawn = inFlight.find(attempt);
+    if (withdrawn != null && withdrawn.isIncomplete()) {
       close();
     }
   }
 
-  /** False where the attempt is not here. */
-  boolean giveUp(long attempt) {
-    if (takeBack(attempt)) {
+  /**
+   * Cancels an attempt and notifies the store.
+   *
+   * @return false where the attempt is not on this connection
+   */
+  boolean cancel(long attempt) {
+    if (removePending(attempt)) {
       return true;
     }
-    Out given = outFor(attempt);
-    if (given == null) {
+    InFlightAttempt cancelled = inFlight.find(attempt);
+    if (cancelled == null) {
       return false;
     }
-    out.remove(given.partId());
-    if (given.neverLeft()) { // behind it a word that it is given up would come after what it is to
-      // prevent
-      close();
+    inFlight.remove(cancelled);
+    if (cancelled.isIncomplete()) {
+      close(); // a notification would arrive behind the very call that it is to prevent
       return true;
     }
-    remember(abandoned, given.partId(), MOST_ABANDONED);
-    socket.write(Frames.frame('n', given.partId()));
-    // a machine that vanished leaves its connections open and silent: what is new goes over a fresh
-    // one,
-    // which fails soon and proves that nothing ran, or comes up
-    silent |= heardUs <= given.sentUs() && now() - given.sentUs() > SILENT_US;
-    if (silent || leaving) {
-      closeWhenIdle();
+    inFlight.rememberCancelled(cancelled.partId());
+    socket.write(Frame.encode(FrameType.CANCEL, cancelled.partId()));
+    // the connections of a dead host stay open: new calls need a fresh one, which fails soon and
+    // so proves that nothing ran, or is established
+    unresponsive |=
+        lastReceivedUs <= cancelled.sentUs() && nowUs() - cancelled.sentUs() > UNRESPONSIVE_US;
+    if (unresponsive || draining) {
+      drain();
     }
     return true;
   }
 
-  /** The oldest goes: it is of a query that is long over. */
-  private static void remember(Set<String> ids, String id, int most) {
-    ids.add(id);
-    if (ids.size() > most) {
-      Iterator<String> oldest = ids.iterator();
-      oldest.next();
-      oldest.remove();
+  /** Fails all calls that were not written: the store is to get nothing new. */
+  void failPending() {
+    for (List<AttemptRequest> parts : pendingCalls.drain()) {
+      parts.forEach(part -> complete(part.attempt(), AttemptOutcome.CONNECT_FAILED));
     }
   }
 
-  /** Ends what has not left: the store is to get nothing new. */
-  void dropWaiting() {
-    List<List<AttemptRequest>> calls = List.copyOf(waiting);
-    waiting.clear();
-    calls.forEach(parts -> parts.forEach(p -> over(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
-  }
-
-  private void leaveWhenIdle() {
-    if (leaving) {
-      closeWhenIdle();
+  private void closeIfDrained() {
+    if (draining) {
+      drain();
     }
   }
 
-  /** Takes nothing more and goes when nothing is out. */
-  void closeWhenIdle() {
-    leaving = true;
+  /** Takes no new calls from now on and closes once nothing is in flight. */
+  void drain() {
+    draining = true;
     if (isIdle()) {
       close();
     }
   }
 
   /**
-   * At once, whatever is still to be written: a call that has not left whole is reported as one
-   * that never ran, and an orderly close would first write it. What it drops beside calls says no
-   * more than the close itself: that nobody waits.
+   * Closes at once and drops what is still to be written: a call that was not completely written is
+   * reported as one that never ran, and an orderly close would first write it. Cancellations that
+   * are dropped with it are implied by the close itself.
    */
+  @SuppressWarnings("FutureReturnValueIgnored") // the channel's closeFuture reports the close
   void close() {
     if (socket != null) {
-      channel(socket).close();
+      channelContext(socket).close();
     }
-    closed();
+    onClosed();
   }
 
-  private void closed() {
+  private void onClosed() {
     if (closed) {
       return;
     }
     closed = true;
     onClosed.accept(this);
-    dropWaiting();
-    List<Out> lost = List.copyOf(out.values());
-    out.clear();
-    lost.forEach(
-        o ->
-            over(
-                o.attempt(), o.neverLeft() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET));
+    failPending();
+    for (InFlightAttempt lost : inFlight.drain()) {
+      complete(
+          lost.attempt(),
+          lost.isIncomplete() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET);
+    }
     AttemptOutcome outcome = socket == null ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.RESET;
-    probes.addAll(waitingProbes);
-    waitingProbes.clear();
-    probes.removeIf(id -> id == CHECK);
-    probes.forEach(
-        id -> shared.events.accept(new Event.HealthCheckCompleted(id, outcome, new float[0])));
-    probes.clear();
+    healthChecks.drain().forEach(healthCheck -> completeHealthCheck(healthCheck, outcome));
   }
 
-  private void over(long attempt, AttemptOutcome outcome) {
+  private void complete(long attempt, AttemptOutcome outcome) {
     shared.events.accept(Event.AttemptCompleted.of(attempt, outcome));
   }
 
-  /**
-   * What is no frame ends the connection: nothing after it can be trusted, what came whole before
-   * it can.
-   */
-  private void read(Buffer bytes) {
-    if (closed) {
-      return;
-    }
-    heardUs = now();
-    usedUs = heardUs;
-    silent = false;
-    try {
-      frames.read(
-          bytes,
-          frame -> {
-            frameRound++;
-            take(frame);
-          });
-      awaitFrame();
-    } catch (Frames.MalformedException e) {
-      spoilt();
-    }
-    leaveWhenIdle();
+  private void completeHealthCheck(long healthCheck, AttemptOutcome outcome) {
+    shared.events.accept(new Event.HealthCheckCompleted(healthCheck, outcome, new float[0]));
   }
 
-  private void spoilt() {
-    shared.events.accept(new Event.ConditionCounted(Counter.BAD_FRAMES));
-    close();
-  }
-
-  /** A line or value that never ends would keep what is out here until its time is over. */
-  private void awaitFrame() {
-    if (!frames.within()) {
-      within = false;
+  private void onReceived(Buffer bytes) {
+    if (closed) {
       return;
     }
-    if (within && frameRound == awaitedRound) {
-      return;
+    lastReceivedUs = nowUs();
+    lastUsedUs = lastReceivedUs;
+    unresponsive = false;
+    replyReader.read(bytes, lastReceivedUs);
+    closeIfDrained();
+  }
+
+  /** What the liveness check sees and does on this connection. */
+  private final class LivenessTarget implements LivenessCheck.Target {
+    @Override
+    public boolean isClosed() {
+      return closed;
     }
-    within = true;
-    awaitedRound = frameRound;
-    long mine = frameRound;
-    shared.vertx.setTimer(
-        MicroClock.timerMs(heardUs, heardUs + FRAME_US),
-        t -> {
-          if (!closed && within && frameRound == mine) {
-            spoilt();
-          }
-        });
-  }
 
-  private static AttemptOutcome outcome(String end) throws Frames.MalformedException {
-    AttemptOutcome outcome = RequestText.end(end);
-    if (outcome == null) {
-      throw new Frames.MalformedException("an end of the name " + end);
+    @Override
+    public boolean hasInFlightAttempts() {
+      return !inFlight.isEmpty();
     }
-    return outcome;
-  }
 
-  /** The part that this reply ends, or null where nobody waits for it any more. */
-  private Out answered(String id, boolean first) throws Frames.MalformedException {
-    Out ended = out.get(id);
-    if (ended != null && ended.first() != first) {
-      throw new Frames.MalformedException("a reply of the other phase");
+    @Override
+    public long oldestSentUs() {
+      return inFlight.oldestSentUs();
     }
-    out.remove(id);
-    if (ended != null) {
-      shared.quiet.replied(heardUs - ended.sentUs());
+
+    @Override
+    public long lastReceivedUs() {
+      return lastReceivedUs;
     }
-    if (ended != null
-        || abandoned.remove(id)) { // one that was given up has its one reply behind it now
-      remember(answered, id, MOST_ANSWERED);
-    } else if (!answered.contains(
-        id)) { // a second copy is only too much; this is somebody's lost reply
-      throw new Frames.MalformedException("a reply that nobody waits for");
+
+    @Override
+    public void sendLivenessCheck() {
+      healthChecks.addLivenessCheck();
+      socket.write(Frame.encode(FrameType.LIVENESS_CHECK, ""));
     }
-    return ended;
-  }
 
-  private void take(Frames.Frame frame) throws Frames.MalformedException {
-    switch (frame.letter()) {
-      case 'q' -> {
-        Frames.PartReply reply = Frames.partReply(frame.rest());
-        AttemptOutcome outcome = outcome(reply.end());
-        Out ended = answered(reply.id(), false);
-        if (ended != null) {
-          shared.events.accept(
-              new Event.AttemptCompleted(
-                  ended.attempt(),
-                  outcome,
-                  shared.reports.read(reply.report()),
-                  reply.value(),
-                  reply.score()));
-        }
-      }
-      case 't' -> {
-        Frames.FirstReply reply = Frames.firstReply(frame.rest());
-        AttemptOutcome outcome = outcome(reply.end());
-        Out ended = answered(reply.id(), true);
-        if (ended != null) {
-          float[] report = shared.reports.read(reply.report());
-          shared.events.accept(
-              outcome != AttemptOutcome.OK
-                  ? new Event.AttemptCompleted(ended.attempt(), outcome, report, "")
-                  : new Event.FirstPassCompleted(
-                      ended.attempt(),
-                      heardUs,
-                      report,
-                      reply.records(),
-                      reply.version(),
-                      reply.emptyValue()));
-        }
-      }
-      case 'o', 'p' -> {
-        Long id = probes.poll();
-        if (id != null && id != CHECK) {
-          String text = frame.rest().toString();
-          boolean bad = text.equals("bad");
-          shared.events.accept(
-              new Event.HealthCheckCompleted(
-                  id,
-                  bad ? AttemptOutcome.ERROR : AttemptOutcome.OK,
-                  bad ? new float[0] : shared.reports.read(text)));
-        }
-      }
-      case 'r' ->
-          throw new Frames.MalformedException("the store could not use a frame: " + frame.rest());
-      default -> throw new Frames.MalformedException("a frame of letter " + (int) frame.letter());
+    @Override
+    public void close() {
+      FrameConnection.this.close();
     }
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
@@ -0,0 +1,54 @@
+package dunlinhitch.backend.frames;
+
+import io.vertx.core.buffer.Buffer;
+
+/**
+ * Cuts the bytes received on one connection into frames. A connection owns one; not thread-safe.
+ */
+final class FrameDecoder {
+  /** Takes each frame as soon as it is complete. */
+  interface Handler {
+    /** Handles one frame; throws where it makes the connection unusable. */
+    void handle(Frame frame) throws MalformedFrameException;
+  }
+
+  /** Bytes of a frame whose end was not received yet. */
+  private Buffer incomplete = Buffer.buffer();
+
+  /**
+   * Adds received bytes and passes on each frame as soon as it is complete, so that frames ahead of
+   * a malformed one are handled.
+   */
+  void read(Buffer bytes, Handler handler) throws MalformedFrameException {
+    Buffer all = incomplete.length() == 0 ? bytes : incomplete.appendBuffer(bytes);
+    int consumed = 0;
+    while (all.length() - consumed >= Frame.LENGTH_BYTES) {
+      long length = all.getUnsignedIntLE(consumed);
+      if (length < 1 || length > Frame.MAX_BYTES) {
+        throw new MalformedFrameException("a frame of " + length + " bytes");
+      }
+      if (all.length() - consumed - Frame.LENGTH_BYTES < length) {
+        break;
+      }
+      int start = consumed + Frame.LENGTH_BYTES;
+      consumed = start + (int) length;
+      handler.handle(new Frame((char) all.getByte(start), all.slice(start + 1, consumed)));
+    }
+    keepIncomplete(all, consumed);
+  }
+
+  /** Avoids a copy of an incomplete frame for each piece that is appended to it. */
+  @SuppressWarnings("ReferenceEquality") // asks whether this very buffer was appended to
+  private void keepIncomplete(Buffer all, int consumed) {
+    if (consumed > 0) {
+      incomplete = all.getBuffer(consumed, all.length());
+    } else if (all != incomplete) {
+      incomplete = Buffer.buffer().appendBuffer(all);
+    }
+  }
+
+  /** True where the start of a frame was received but not its end. */
+  boolean hasIncompleteFrame() {
+    return incomplete.length() > 0;
+  }
+}
--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -26,41 +26,55 @@
 import java.util.stream.Collectors;
 
 /**
- * The way to a store that speaks frames: a few connections, opened at need, each with many parts
- * out at once.
+ * Transport to a store that speaks frames: a few connections, opened on demand, each with many
+ * attempts in flight at once. Used on the event loop only.
  */
 public final class FrameTransport implements BackendTransport {
   /**
-   * Of the time after which a store closes an idle connection: ours goes first, so that no send
-   * crosses.
+   * The share of the store's idle timeout after which this side closes an idle connection, so that
+   * no call crosses the store's close.
    */
   private static final double IDLE_SHARE = 0.8;
 
-  private static final int MOST_CONNECTIONS = 8;
+  /** No idle timeout is set; far below the overflow of a time that it is added to. */
+  private static final long NO_IDLE_TIMEOUT_US = Long.MAX_VALUE / 4;
+
+  /** Connections to one store. */
+  private static final int MAX_CONNECTIONS = 8;
+
+  private static final float[] NO_REPORT = {};
 
   /** What all frame transports of a broker share. */
   public static final class Shared {
     final Vertx vertx;
-    private final NetClient client;
-    private final Supplier<Limits> limits;
-    private final IntSupplier mostConnections;
-    private int connections;
-    final Quiet quiet = new Quiet();
+    final LivenessCheckDelay livenessCheckDelay = new LivenessCheckDelay();
     final LoadReportParser reports;
     final LongSupplier clock;
     final Consumer<Event> events;
+    private final NetClient client;
+    private final Supplier<Limits> limits;
+    private final IntSupplier maxConnections;
+
+    /** Connections to all stores that have a file descriptor. */
+    private int connections;
 
-    /** {@code mostConnections}: to all stores together. */
+    /**
+     * Creates what is shared.
+     *
+     * @param maxConnections how many connections may be open to all stores together
+     * @param clock microseconds
+     * @param events called on the event loop
+     */
     public Shared(
         Vertx vertx,
         Supplier<Limits> limits,
-        IntSupplier mostConnections,
+        IntSupplier maxConnections,
         LoadReportParser reports,
         LongSupplier clock,
         Consumer<Event> events) {
       this.vertx = vertx;
       this.limits = limits;
-      this.mostConnections = mostConnections;
+      this.maxConnections = maxConnections;
       this.reports = reports;
       this.clock = clock;
       this.events = events;
@@ -71,153 +85,172 @@
       return limits.get();
     }
 
-    /** Connects by the time that the settings allow from now. */
+    /** Connects within the connect timeout of the settings, if there is one. */
     Future<NetSocket> connect(String host, int port) {
-      ConnectOptions to = new ConnectOptions().setHost(host).setPort(port);
-      long now = clock.getAsLong();
-      return client.connect(
-          limits().connectTimeoutUs() <= 0
-              ? to
-              : to.setTimeout((int) MicroClock.timerMs(now, now + limits().connectTimeoutUs())));
+      ConnectOptions options = new ConnectOptions().setHost(host).setPort(port);
+      long nowUs = clock.getAsLong();
+      long timeoutUs = limits().connectTimeoutUs();
+      if (timeoutUs > 0) {
+        options.setTimeout((int) MicroClock.timerMs(nowUs, nowUs + timeoutUs));
+      }
+      return client.connect(options);
     }
 
-    long idleAfterUs() {
+    /** After how many microseconds without use a connection is closed rather than used again. */
+    long idleTimeoutUs() {
       return limits().connectionIdleUs() <= 0
-          ? Long.MAX_VALUE / 4
+          ? NO_IDLE_TIMEOUT_US
           : (long) (IDLE_SHARE * limits().connectionIdleUs());
     }
+
+    private boolean hasFreeConnection() {
+      return connections < maxConnections.getAsInt();
+    }
   }
 
   private final Shared shared;
-  private final Endpoint entry;
+  private final Endpoint endpoint;
   private final List<FrameConnection> connections = new ArrayList<>();
   private ServerState state = ServerState.READY;
-  private boolean barred;
+  private boolean disabled;
 
-  public FrameTransport(Shared shared, Endpoint entry) {
+  /** Creates a transport without connections; the endpoint gives the address. */
+  public FrameTransport(Shared shared, Endpoint endpoint) {
     this.shared = shared;
-    this.entry = entry;
+    this.endpoint = endpoint;
   }
 
   @Override
-  public void call(List<AttemptRequest> parts) {
-    Set<String> ids = parts.stream().map(AttemptRequest::partId).collect(Collectors.toSet());
-    FrameConnection best = null;
-    if (state != ServerState.GONE && state != ServerState.WITHDRAWN && !barred) {
-      for (FrameConnection c : List.copyOf(connections)) {
-        // one that is still to come up, or to write, would take the call past the word that the
-        // store drains
-        boolean fits =
-            c.takes(parts.size(), ids)
-                && (state == ServerState.READY || (c.isOpen() && !c.isWriting()));
-        if (fits && (best == null || (c.isOpen() && !best.isOpen()))) {
-          best = c;
-        }
-      }
-      if (best == null && mayOpen()) {
-        best = open();
+  public void send(List<AttemptRequest> parts) {
+    FrameConnection connection = acceptsCalls() ? connectionForCall(parts) : null;
+    if (connection == null) {
+      for (AttemptRequest part : parts) {
+        shared.events.accept(
+            Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.CONNECT_FAILED));
       }
-    }
-    if (best == null) {
-      parts.forEach(
-          p ->
-              shared.events.accept(
-                  Event.AttemptCompleted.of(p.attempt(), AttemptOutcome.CONNECT_FAILED)));
       return;
     }
-    best.call(parts);
+    connection.send(parts);
+  }
+
+  private boolean acceptsCalls() {
+    return state != ServerState.GONE && state != ServerState.WITHDRAWN && !disabled;
+  }
+
+  /** An established connection where there is one, else a connecting or a new one; or null. */
+  private FrameConnection connectionForCall(List<AttemptRequest> parts) {
+    Set<String> partIds = parts.stream().map(AttemptRequest::partId).collect(Collectors.toSet());
+    FrameConnection best = null;
+    for (FrameConnection candidate : List.copyOf(connections)) {
+      boolean suitable =
+          candidate.accepts(parts.size(), partIds) && writesBeforeStateChange(candidate);
+      if (suitable && (best == null || (candidate.isOpen() && !best.isOpen()))) {
+        best = candidate;
+      }
+    }
+    return best == null && mayOpen() ? open() : best;
+  }
+
+  /**
+   * False where the call would wait although the store is already draining: it would be sent after
+   * this broker learnt that.
+   */
+  private boolean writesBeforeStateChange(FrameConnection connection) {
+    return state == ServerState.READY || (connection.isOpen() && !connection.isWriting());
   }
 
   @Override
-  public boolean giveUp(long attempt) {
+  public boolean cancel(long attempt) {
     boolean found = false;
-    for (FrameConnection c : List.copyOf(connections)) {
-      found |= c.giveUp(attempt);
+    for (FrameConnection connection : List.copyOf(connections)) {
+      found |= connection.cancel(attempt);
     }
     return found;
   }
 
   @Override
   public void withdraw(long attempt) {
-    List.copyOf(connections).forEach(c -> c.withdraw(attempt));
+    List.copyOf(connections).forEach(connection -> connection.withdraw(attempt));
   }
 
   @Override
-  public void probe(long probe) {
-    FrameConnection best = null;
-    for (FrameConnection c :
-        barred
-            ? List.<FrameConnection>of()
-            : List.copyOf(connections)) { // one that stood idle for long closes on being asked
-      if (c.takes(0, Set.of()) && (best == null || c.isOpen())) {
-        best = c;
-      }
-    }
-    if (best == null && mayOpen()) {
-      best = open();
-    }
-    if (best == null) {
+  public void sendHealthCheck(long healthCheck) {
+    FrameConnection connection = disabled ? null : connectionForHealthCheck();
+    if (connection == null) {
       shared.events.accept(
-          new Event.HealthCheckCompleted(probe, AttemptOutcome.CONNECT_FAILED, new float[0]));
+          new Event.HealthCheckCompleted(healthCheck, AttemptOutcome.CONNECT_FAILED, NO_REPORT));
       return;
     }
-    best.probe(probe);
+    connection.sendHealthCheck(healthCheck);
+  }
+
+  private FrameConnection connectionForHealthCheck() {
+    FrameConnection best = null;
+    // over a copy: accepts() closes a connection that was idle for too long
+    for (FrameConnection candidate : List.copyOf(connections)) {
+      if (candidate.accepts(0, Set.of()) && (best == null || candidate.isOpen())) {
+        best = candidate;
+      }
+    }
+    return best == null && mayOpen() ? open() : best;
   }
 
   private boolean mayOpen() {
     return state == ServerState.READY
-        && !barred
-        && connections.size() < MOST_CONNECTIONS
-        && shared.connections < shared.mostConnections.getAsInt();
+        && !disabled
+        && connections.size() < MAX_CONNECTIONS
+        && shared.hasFreeConnection();
   }
 
-  private boolean mayCheck() {
+  private boolean mayCheckLiveness() {
     return state == ServerState.READY
-        && !barred
+        && !disabled
         && shared.limits().mayHealthCheck()
         && shared.limits().connectTimeoutUs() > 0;
   }
 
   private FrameConnection open() {
     shared.events.accept(new Event.ConditionCounted(Counter.CONNECTIONS_OPENED));
-    FrameConnection made =
+    FrameConnection opened =
         new FrameConnection(
-            shared, this::mayCheck, connections::remove, () -> shared.connections--);
+            shared, this::mayCheckLiveness, connections::remove, () -> shared.connections--);
     shared.connections++;
-    connections.add(made);
-    made.connect(entry.host(), entry.port());
-    return made;
+    connections.add(opened);
+    opened.connect(endpoint.host(), endpoint.port());
+    return opened;
   }
 
   @Override
-  public void release() {
+  public void closeIdleConnections() {
     List.copyOf(connections).stream()
         .filter(FrameConnection::isIdle)
         .forEach(FrameConnection::close);
   }
 
   @Override
-  public void state(ServerState told) {
-    state = told;
-    if (told != ServerState.READY) {
-      List.copyOf(connections).forEach(FrameConnection::dropWaiting);
+  public void updateState(ServerState newState) {
+    state = newState;
+    if (newState != ServerState.READY) {
+      List.copyOf(connections).forEach(FrameConnection::failPending);
       closeWriting();
     }
-    if (told == ServerState.GONE) {
-      List.copyOf(connections).forEach(FrameConnection::closeWhenIdle);
+    if (newState == ServerState.GONE) {
+      List.copyOf(connections).forEach(FrameConnection::drain);
     }
   }
 
   @Override
-  public void barred(boolean out) {
-    barred = out;
-    if (out) {
-      List.copyOf(connections).stream().filter(c -> !c.isOpen()).forEach(FrameConnection::close);
+  public void setDisabled(boolean disabled) {
+    this.disabled = disabled;
+    if (disabled) {
+      List.copyOf(connections).stream()
+          .filter(connection -> !connection.isOpen())
+          .forEach(FrameConnection::close);
       closeWriting();
     }
   }
 
-  /** What is not whole in the kernel's hands by now would reach the store later. */
+  /** Closes connections with a half-written call, which would be complete only later. */
   private void closeWriting() {
     List.copyOf(connections).stream()
         .filter(FrameConnection::isWriting)
@@ -225,7 +258,7 @@
   }
 
   @Override
-  public boolean idle() {
+  public boolean isIdle() {
     return connections.stream().allMatch(FrameConnection::isIdle);
   }
 
--- /dev/null
+++ b/src/main/java/dunlinhitch/backend/frames/InFlightAttempts.java
@@ -0,0 +1,118 @@
+package dunlinhitch.backend.frames;
+
+import io.vertx.core.Future;
+import java.util.Iterator;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The attempts in flight on one connection, and which part each reply belongs to. Replies name a
+ * part, not an attempt: a part that was cancelled here and may still be answered must not be sent
+ * here again, so that each reply belongs to one attempt.
+ *
+ * <p>Not thread-safe; its connection owns it on the event loop.
+ */
+final class InFlightAttempts {
+  /** Cancelled parts that are remembered; older ones belong to queries that ended long ago. */
+  private static final int MAX_CANCELLED = 256;
+
+  /** Answered parts that are remembered, so that a duplicate reply is recognised. */
+  private static final int MAX_ANSWERED = 64;
+
+  /**
+   * One attempt that was written to the socket.
+   *
+   * @param write completes once the last byte of the attempt's frame was handed to the kernel
+   */
+  record InFlightAttempt(
+      long attempt, String partId, long sentUs, Future<Void> write, boolean firstPass) {
+    /** True until the complete frame was handed to the kernel: the store cannot have run it. */
+    boolean isIncomplete() {
+      return !write.succeeded();
+    }
+  }
+
+  private final Map<String, InFlightAttempt> byPart = new LinkedHashMap<>();
+  private final Set<String> cancelled = new LinkedHashSet<>();
+  private final Set<String> answered = new LinkedHashSet<>();
+
+  /** Adds an attempt that was written. */
+  void add(InFlightAttempt attempt) {
+    byPart.put(attempt.partId(), attempt);
+  }
+
+  boolean isEmpty() {
+    return byPart.isEmpty();
+  }
+
+  int size() {
+    return byPart.size();
+  }
+
+  /** When the oldest attempt was sent, in microseconds; there must be one. */
+  long oldestSentUs() {
+    return byPart.values().iterator().next().sentUs();
+  }
+
+  /** True where a reply to the part would be ambiguous if the part were sent here now. */
+  boolean mayStillAnswer(String partId) {
+    return cancelled.contains(partId) || byPart.containsKey(partId);
+  }
+
+  /** The attempt of that id, or null. */
+  InFlightAttempt find(long attempt) {
+    return byPart.values().stream()
+        .filter(candidate -> candidate.attempt() == attempt)
+        .findFirst()
+        .orElse(null);
+  }
+
+  /** Removes an attempt whose reply is not expected. */
+  void remove(InFlightAttempt attempt) {
+    byPart.remove(attempt.partId());
+  }
+
+  /** Remembers the part of a removed attempt, whose reply may still arrive. */
+  void rememberCancelled(String partId) {
+    remember(cancelled, partId, MAX_CANCELLED);
+  }
+
+  /**
+   * Matches a reply.
+   *
+   * @return the attempt that the reply ends, or null where it was cancelled or the reply is a
+   *     duplicate
+   */
+  InFlightAttempt onReply(String partId, boolean firstPass) throws MalformedFrameException {
+    InFlightAttempt ended = byPart.get(partId);
+    if (ended != null && ended.firstPass() != firstPass) {
+      throw new MalformedFrameException("a reply of the other phase");
+    }
+    byPart.remove(partId);
+    if (ended != null || cancelled.remove(partId)) {
+      remember(answered, partId, MAX_ANSWERED);
+    } else if (!answered.contains(partId)) { // not a duplicate, so it belongs to another request
+      throw new MalformedFrameException("a reply that nobody waits for");
+    }
+    return ended;
+  }
+
+  /** Removes and returns all attempts, the oldest first. */
+  List<InFlightAttempt> drain() {
+    List<InFlightAttempt> drained = List.copyOf(byPart.values());
+    byPart.clear();
+    return drained;
+  }
+
+  private static void remember(Set<String> partIds, String partId, int limit) {
+    partIds.add(partId);
+    if (partIds.size() > limit) {
+      Iterator<String> oldest = partIds.iterator();
+      oldest.next();
+      oldest.remove();
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheck.java
@@ -0,0 +1,108 @@
+package dunlinhitch.backend.frames;
+
+import dunlinhitch.core.Counter;
+import dunlinhitch.core.Event;
+import dunlinhitch.core.MicroClock;
+import java.util.function.BooleanSupplier;
+
+/**
+ * Detects a connection that stays open although nothing crosses it any more. While attempts are in
+ * flight and nothing is received, the store is asked for a sign of life, which also a busy one
+ * gives at once because it answers beside its queue; without one the connection is closed.
+ *
+ * <p>Not thread-safe; its connection owns it on the event loop.
+ */
+final class LivenessCheck {
+  /** The reply is awaited for the connect timeout divided by this. */
+  private static final int REPLY_TIMEOUT_DIVISOR = 2;
+
+  /** What is checked. */
+  interface Target {
+    boolean isClosed();
+
+    boolean hasInFlightAttempts();
+
+    /** When the oldest attempt in flight was sent, in microseconds; there must be one. */
+    long oldestSentUs();
+
+    /** When bytes were received last, in microseconds. */
+    long lastReceivedUs();
+
+    void sendLivenessCheck();
+
+    void close();
+  }
+
+  private final FrameTransport.Shared shared;
+  private final BooleanSupplier mayCheck;
+  private final Target target;
+
+  /** True while a timer of this check is running. */
+  private boolean scheduled;
+
+  /**
+   * Creates a check that has not started.
+   *
+   * @param mayCheck false where the store is to get nothing new, not even a check
+   */
+  LivenessCheck(FrameTransport.Shared shared, BooleanSupplier mayCheck, Target target) {
+    this.shared = shared;
+    this.mayCheck = mayCheck;
+    this.target = target;
+  }
+
+  /** Starts the check where it is needed and not running yet. */
+  void schedule() {
+    if (scheduled
+        || target.isClosed()
+        || !target.hasInFlightAttempts()
+        || !mayCheck.getAsBoolean()) {
+      return;
+    }
+    long dueUs =
+        Math.max(target.lastReceivedUs(), target.oldestSentUs())
+            + shared.livenessCheckDelay.delayUs(shared.limits().connectTimeoutUs());
+    if (nowUs() >= dueUs) {
+      check();
+      return;
+    }
+    scheduled = true;
+    runAt(
+        dueUs,
+        () -> {
+          scheduled = false;
+          schedule();
+        });
+  }
+
+  private void check() {
+    scheduled = true;
+    long sentUs = nowUs();
+    shared.events.accept(new Event.ConditionCounted(Counter.CONNECTIONS_CHECKED));
+    target.sendLivenessCheck();
+    long replyDueUs = sentUs + shared.limits().connectTimeoutUs() / REPLY_TIMEOUT_DIVISOR;
+    // the second timer lets the loop first read what was received in the meantime
+    runAt(replyDueUs, () -> runAt(nowUs(), () -> onReplyDue(sentUs)));
+  }
+
+  private void onReplyDue(long sentUs) {
+    scheduled = false;
+    if (target.lastReceivedUs() >= sentUs) {
+      schedule();
+      return;
+    }
+    if (target.isClosed()) {
+      return;
+    }
+    shared.events.accept(new Event.ConditionCounted(Counter.CONNECTIONS_SILENT));
+    target.close();
+  }
+
+  private long nowUs() {
+    return shared.clock.getAsLong();
+  }
+
+  private void runAt(long dueUs, Runnable task) {
+    shared.vertx.setTimer(MicroClock.timerMs(nowUs(), dueUs), timer -> task.run());
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/backend/frames/ReplyReader.java
@@ -0,0 +1,166 @@
+package dunlinhitch.backend.frames;
+
+import dunlinhitch.backend.frames.InFlightAttempts.InFlightAttempt;
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.core.Counter;
+import dunlinhitch.core.Event;
+import dunlinhitch.core.MicroClock;
+import io.vertx.core.buffer.Buffer;
+import java.util.OptionalLong;
+import java.util.function.BooleanSupplier;
+
+/**
+ * Turns the bytes received on one connection into events. A malformed frame, or one that stays
+ * incomplete for too long, makes the connection unusable; complete frames ahead of it count.
+ *
+ * <p>Not thread-safe; its connection owns it on the event loop.
+ */
+final class ReplyReader {
+  /** A frame must be complete so soon after its start: it delays all frames behind it. */
+  private static final long FRAME_TIMEOUT_US = 400_000;
+
+  /** The payload of a health check's reply from a store that takes itself for unhealthy. */
+  private static final String UNHEALTHY = "bad";
+
+  private static final float[] NO_REPORT = {};
+
+  private final FrameTransport.Shared shared;
+  private final InFlightAttempts inFlight;
+  private final PendingHealthChecks healthChecks;
+  private final BooleanSupplier isClosed;
+  private final Runnable closeConnection;
+  private final FrameDecoder decoder = new FrameDecoder();
+
+  /** When the bytes that are being read were received. */
+  private long receivedUs;
+
+  /** Complete frames so far; tells an incomplete frame from the next one. */
+  private long completeFrames;
+
+  private boolean awaitsFrameEnd;
+
+  /** The value of {@link #completeFrames} for which the timeout was started last. */
+  private long timeoutStartedAt = -1;
+
+  ReplyReader(
+      FrameTransport.Shared shared,
+      InFlightAttempts inFlight,
+      PendingHealthChecks healthChecks,
+      BooleanSupplier isClosed,
+      Runnable closeConnection) {
+    this.shared = shared;
+    this.inFlight = inFlight;
+    this.healthChecks = healthChecks;
+    this.isClosed = isClosed;
+    this.closeConnection = closeConnection;
+  }
+
+  /** Reads bytes that were received at that time, in microseconds. */
+  void read(Buffer bytes, long nowUs) {
+    receivedUs = nowUs;
+    try {
+      decoder.read(
+          bytes,
+          frame -> {
+            completeFrames++;
+            handle(frame);
+          });
+      awaitFrameEnd();
+    } catch (MalformedFrameException e) {
+      onMalformed();
+    }
+  }
+
+  private void onMalformed() {
+    shared.events.accept(new Event.ConditionCounted(Counter.BAD_FRAMES));
+    closeConnection.run();
+  }
+
+  /** Guards against a frame that never ends, which would block all attempts in flight here. */
+  private void awaitFrameEnd() {
+    if (!decoder.hasIncompleteFrame()) {
+      awaitsFrameEnd = false;
+      return;
+    }
+    if (awaitsFrameEnd && completeFrames == timeoutStartedAt) {
+      return;
+    }
+    awaitsFrameEnd = true;
+    timeoutStartedAt = completeFrames;
+    long framesAhead = completeFrames;
+    shared.vertx.setTimer(
+        MicroClock.timerMs(receivedUs, receivedUs + FRAME_TIMEOUT_US),
+        timer -> {
+          if (!isClosed.getAsBoolean() && awaitsFrameEnd && completeFrames == framesAhead) {
+            onMalformed();
+          }
+        });
+  }
+
+  private void handle(Frame frame) throws MalformedFrameException {
+    switch (frame.type()) {
+      case FrameType.PART_REPLY -> onPartReply(ReplyParser.partReply(frame.payload()));
+      case FrameType.FIRST_PASS_REPLY ->
+          onFirstPassReply(ReplyParser.firstPassReply(frame.payload()));
+      case FrameType.LIVENESS_CHECK, FrameType.HEALTH_CHECK ->
+          onHealthCheckReply(frame.payload().toString());
+      case FrameType.REJECTION ->
+          throw new MalformedFrameException("the store could not use a frame: " + frame.payload());
+      default -> throw new MalformedFrameException("a frame of letter " + (int) frame.type());
+    }
+  }
+
+  private void onPartReply(ReplyParser.PartReply reply) throws MalformedFrameException {
+    InFlightAttempt ended = endAttempt(reply.partId(), false);
+    if (ended == null) {
+      return;
+    }
+    shared.events.accept(
+        new Event.AttemptCompleted(
+            ended.attempt(),
+            reply.outcome(),
+            shared.reports.read(reply.report()),
+            reply.value(),
+            reply.score()));
+  }
+
+  private void onFirstPassReply(ReplyParser.FirstPassReply reply) throws MalformedFrameException {
+    InFlightAttempt ended = endAttempt(reply.partId(), true);
+    if (ended == null) {
+      return;
+    }
+    float[] report = shared.reports.read(reply.report());
+    shared.events.accept(
+        reply.outcome() != AttemptOutcome.OK
+            ? new Event.AttemptCompleted(ended.attempt(), reply.outcome(), report, "")
+            : new Event.FirstPassCompleted(
+                ended.attempt(),
+                receivedUs,
+                report,
+                reply.records(),
+                reply.version(),
+                reply.emptyValue()));
+  }
+
+  private InFlightAttempt endAttempt(String partId, boolean firstPass)
+      throws MalformedFrameException {
+    InFlightAttempt ended = inFlight.onReply(partId, firstPass);
+    if (ended != null) {
+      shared.livenessCheckDelay.onReply(receivedUs - ended.sentUs());
+    }
+    return ended;
+  }
+
+  private void onHealthCheckReply(String report) {
+    OptionalLong healthCheck = healthChecks.onReply();
+    if (healthCheck.isEmpty()) {
+      return;
+    }
+    boolean unhealthy = report.equals(UNHEALTHY);
+    shared.events.accept(
+        new Event.HealthCheckCompleted(
+            healthCheck.getAsLong(),
+            unhealthy ? AttemptOutcome.ERROR : AttemptOutcome.OK,
+            unhealthy ? NO_REPORT : shared.reports.read(report)));
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/backend/package-info.java
@@ -0,0 +1,12 @@
+/**
+ * Connections from this broker to the stores.
+ *
+ * <p>Entry points: {@link dunlinhitch.backend.Backends} executes the effects of the reducer against
+ * the transport of the addressed store; {@link dunlinhitch.backend.BackendTransport} is what each
+ * protocol implements ({@code frames}, {@code flight}).
+ *
+ * <p>This package turns effects into bytes and bytes into events. It decides nothing: which store
+ * gets a request, when an attempt is retried and when it is cancelled is decided by the reducer.
+ * Everything runs on the event loop unless a class says otherwise.
+ */
+package dunlinhitch.backend;
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -30,65 +30,62 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/**
- * The Flight way to one store against a scripted peer: what the rule checks can not see from
- * outside.
- */
+/** The Flight transport to one store against a scripted store, where only its inside shows. */
 class FlightTransportTest {
   private final Vertx vertx = Vertx.vertx();
   private final Context context = vertx.getOrCreateContext();
-  private final MicroClock real = new MicroClock();
-  private volatile long aheadUs;
+  private final MicroClock systemClock = new MicroClock();
+  private volatile long advancedUs;
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
-  /** Threads of that name are held where they ask what time it is: just before they make a call. */
-  private volatile String held = "none";
+  /** Threads of that name block where they read the clock, which they do just before a call. */
+  private volatile String blockedThread = "none";
 
-  private volatile CountDownLatch go = new CountDownLatch(0);
+  private volatile CountDownLatch released = new CountDownLatch(0);
   private final FlightStores stores =
       new FlightStores(
           vertx,
           context,
           FlightTransportTest::limits,
           new LoadReportParser(() -> Stage.settings(100).reportFields()),
-          this::now,
+          this::nowUs,
           events::add);
   private FlightStore store;
 
-  private long now() {
-    if (Thread.currentThread().getName().equals(held)) {
+  private long nowUs() {
+    if (Thread.currentThread().getName().equals(blockedThread)) {
       try {
-        go.await();
+        released.await();
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
-    return real.getAsLong() + aheadUs;
+    return systemClock.getAsLong() + advancedUs;
   }
 
-  /** With time enough for a connection on a busy machine. */
+  /** With a connect timeout that also a busy machine keeps. */
   private static Limits limits() {
-    Limits l = Stage.settings(100).limits();
+    Limits limits = Stage.settings(100).limits();
     return new Limits(
-        l.maxAttempts(),
-        l.maxInFlight(),
-        l.mayCancel(),
-        l.mayHealthCheck(),
-        l.parallelAttempts(),
-        l.retryAfter(),
-        l.maxRetryAfterUs(),
+        limits.maxAttempts(),
+        limits.maxInFlight(),
+        limits.mayCancel(),
+        limits.mayHealthCheck(),
+        limits.parallelAttempts(),
+        limits.retryAfter(),
+        limits.maxRetryAfterUs(),
         1_500_000,
-        l.streamsPerConnection(),
-        l.connectionIdleUs());
+        limits.streamsPerConnection(),
+        limits.connectionIdleUs());
   }
 
   @BeforeEach
-  void begin() throws Exception {
+  void setUp() throws Exception {
     store = new FlightStore("s");
   }
 
   @AfterEach
-  void end() throws Exception {
+  void tearDown() throws Exception {
     store.close();
     vertx.close();
   }
@@ -100,15 +97,15 @@
   }
 
   private void onLoop(Runnable task) {
-    context.runOnContext(v -> task.run());
+    context.runOnContext(ignored -> task.run());
   }
 
   private AttemptRequest part(long attempt, int shard) {
-    return new AttemptRequest(attempt, "q." + shard, shard, "", now() + 60_000_000, "text");
+    return new AttemptRequest(attempt, "q." + shard, shard, "", nowUs() + 60_000_000, "text");
   }
 
-  /** What is reported of written calls comes at a time of its own. */
-  private Event next() throws InterruptedException {
+  /** Skips the reports of written calls, which arrive at any time. */
+  private Event nextEvent() throws InterruptedException {
     Event event = events.poll(5, TimeUnit.SECONDS);
     while (event instanceof Event.AttemptsWritten) {
       event = events.poll(5, TimeUnit.SECONDS);
@@ -116,133 +113,128 @@
     return event;
   }
 
-  private void expect(long attempt, AttemptOutcome outcome) throws InterruptedException {
-    Event event = next();
+  private void expectCompletion(long attempt, AttemptOutcome outcome) throws InterruptedException {
+    Event event = nextEvent();
     while (event instanceof Event.ConditionCounted) {
-      event = next();
+      event = nextEvent();
     }
     assertTrue(event instanceof Event.AttemptCompleted, "came: " + event);
     assertEquals(attempt, ((Event.AttemptCompleted) event).attempt());
     assertEquals(outcome, ((Event.AttemptCompleted) event).outcome());
   }
 
-  /** No call is made before the channel is up, so what waited for it is proved not to have run. */
+  /** No call is made before the channel is connected, so what waited for it has not run. */
   @ParameterizedTest
   @EnumSource(
       value = ServerState.class,
       names = {"GONE", "WITHDRAWN"})
-  void whatNeverGotAConnectionNeverRan(ServerState told) throws Exception {
+  void attemptsWithoutConnectionFailAsNeverRun(ServerState newState) throws Exception {
     int port = store.port();
     BackendTransport transport = open(port);
     onLoop(
         () -> {
-          transport.call(List.of(part(1, 0)));
-          transport.state(told);
-          transport.call(List.of(part(2, 0)));
+          transport.send(List.of(part(1, 0)));
+          transport.updateState(newState);
+          transport.send(List.of(part(2, 0)));
         });
-    expect(1, AttemptOutcome.CONNECT_FAILED);
-    expect(2, AttemptOutcome.CONNECT_FAILED);
+    expectCompletion(1, AttemptOutcome.CONNECT_FAILED);
+    expectCompletion(2, AttemptOutcome.CONNECT_FAILED);
     assertEquals(0, store.seen.size());
     store.close();
-    onLoop(() -> open(port).call(List.of(part(3, 0))));
-    expect(3, AttemptOutcome.CONNECT_FAILED);
+    onLoop(() -> open(port).send(List.of(part(3, 0))));
+    expectCompletion(3, AttemptOutcome.CONNECT_FAILED);
   }
 
-  /** What ends a wait for a call that its thread is just about to make. */
+  /** What makes a call superfluous that its thread is just about to send. */
   enum Stop {
-    GIVEN_UP,
+    CANCELLED,
     GONE,
     TOO_LATE
   }
 
-  /**
-   * A part that nobody waits for any more leaves no more, though its call was handed to a thread.
-   */
+  /** A part that is no longer needed is not sent, although its call was handed to a thread. */
   @ParameterizedTest
   @CsvSource({
-    "GIVEN_UP, false",
-    "GIVEN_UP, true",
+    "CANCELLED, false",
+    "CANCELLED, true",
     "GONE, false",
     "GONE, true",
     "TOO_LATE, false",
     "TOO_LATE, true"
   })
-  void whatIsStoppedJustBeforeItsCallIsMadeNeverLeaves(Stop stop, boolean first) throws Exception {
+  void callStoppedJustBeforeSendingIsNeverSent(Stop stop, boolean first) throws Exception {
     BackendTransport transport = open(store.port());
-    onLoop(() -> transport.call(List.of(part(1, 0))));
-    expect(1, AttemptOutcome.OK);
+    onLoop(() -> transport.send(List.of(part(1, 0))));
+    expectCompletion(1, AttemptOutcome.OK);
     store.seen.clear();
-    go = new CountDownLatch(1);
-    held = "flight-reader";
+    released = new CountDownLatch(1);
+    blockedThread = "flight-reader";
     onLoop(
         () -> {
-          transport.call(
+          transport.send(
               List.of(2L, 3L).stream()
                   .map(
-                      n ->
+                      attempt ->
                           new AttemptRequest(
-                              n,
-                              "q." + n,
+                              attempt,
+                              "q." + attempt,
                               0,
                               "k",
-                              now() + 60_000_000,
-                              now() + 20_000_000,
+                              nowUs() + 60_000_000,
+                              nowUs() + 20_000_000,
                               "text",
                               first,
                               null))
                   .toList());
-          transport.giveUp(2);
-          if (stop == Stop.GIVEN_UP) {
+          transport.cancel(2);
+          if (stop == Stop.CANCELLED) {
             transport.withdraw(3);
           } else if (stop == Stop.GONE) {
-            transport.state(ServerState.GONE);
+            transport.updateState(ServerState.GONE);
           } else {
-            aheadUs = 30_000_000;
+            advancedUs = 30_000_000;
           }
-          go.countDown();
+          released.countDown();
         });
-    expect(3, AttemptOutcome.CONNECT_FAILED);
+    expectCompletion(3, AttemptOutcome.CONNECT_FAILED);
     assertEquals(0, store.seen.size() + store.firstSeen.size());
   }
 
-  /**
-   * As on frames: a busy store answers a check, one from which nothing comes has its parts counted
-   * as lost.
-   */
+  /** A busy store replies to a liveness check; without a reply the attempts in flight are lost. */
   @Test
-  void aQuietChannelIsAskedAndLeftOnlyIfItSaysNothing() throws Exception {
+  void leavesChannelOnlyIfLivenessCheckIsUnanswered() throws Exception {
     BackendTransport transport = open(store.port());
     store.script = part -> part.shard() == 0 ? Do.NOTHING : Do.GOOD;
-    onLoop(() -> transport.call(List.of(part(1, 0))));
+    onLoop(() -> transport.send(List.of(part(1, 0))));
     for (int i = 0; i < 3; i++) {
       assertTrue(store.checks.poll(5, TimeUnit.SECONDS) != null);
     }
     store.mute = true;
-    expect(1, AttemptOutcome.RESET);
+    expectCompletion(1, AttemptOutcome.RESET);
     store.mute = false;
-    onLoop(() -> transport.call(List.of(part(2, 1))));
-    expect(2, AttemptOutcome.OK);
+    onLoop(() -> transport.send(List.of(part(2, 1))));
+    expectCompletion(2, AttemptOutcome.OK);
   }
 
-  /** A machine that vanished leaves its connection open: what is new goes over another. */
+  /** The connection to a dead host stays open: new calls use another one. */
   @Test
-  void aConnectionThatStaysSilentGetsNothingNew() throws Exception {
+  void unresponsiveConnectionGetsNoNewCalls() throws Exception {
     BackendTransport transport = open(store.port());
     store.script = part -> part.shard() == 0 ? Do.NOTHING : Do.GOOD;
-    onLoop(() -> transport.call(List.of(part(1, 0))));
+    onLoop(() -> transport.send(List.of(part(1, 0))));
     assertTrue(store.seen.poll(5, TimeUnit.SECONDS) != null);
-    aheadUs = 1_500_000;
+    advancedUs = 1_500_000;
     events.clear();
-    go = new CountDownLatch(1);
-    held = "flight-action"; // the word of giving up would open the fresh connection as well
+    released = new CountDownLatch(1);
+    blockedThread = "flight-action"; // the cancellation would open the fresh connection as well
     onLoop(
         () -> {
-          transport.giveUp(1);
-          transport.call(List.of(part(2, 1)));
-          go.countDown();
+          transport.cancel(1);
+          transport.send(List.of(part(2, 1)));
+          released.countDown();
         });
-    assertEquals(new Event.ConditionCounted(Counter.CONNECTIONS_OPENED), next());
-    expect(2, AttemptOutcome.OK);
+    assertEquals(new Event.ConditionCounted(Counter.CONNECTIONS_OPENED), nextEvent());
+    expectCompletion(2, AttemptOutcome.OK);
     assertEquals("q.0", store.givenUp.poll(5, TimeUnit.SECONDS));
   }
 }
--- /dev/null
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
@@ -0,0 +1,197 @@
+package dunlinhitch.backend.frames;
+
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.core.Effect.AttemptRequest;
+import dunlinhitch.core.Event;
+import dunlinhitch.experiments.fakes.FrameStore;
+import dunlinhitch.experiments.fakes.Store.Do;
+import java.io.DataInputStream;
+import java.net.InetAddress;
+import java.net.InetSocketAddress;
+import java.net.ServerSocket;
+import java.net.Socket;
+import java.net.SocketException;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+import java.util.concurrent.TimeUnit;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+import org.junit.jupiter.params.provider.ValueSource;
+
+/** Calls that are cancelled, withdrawn or expire before they are completely sent. */
+class FrameTransportWithdrawalTest extends FrameTransportFixture {
+  /** A store that accepts connections and reads nothing until the test does. */
+  private static ServerSocket slowPeer() throws Exception {
+    ServerSocket peer = new ServerSocket();
+    peer.setReceiveBufferSize(4096);
+    peer.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+    return peer;
+  }
+
+  private static final int BIG_TEXT_LENGTH = 16 << 20;
+
+  private AttemptRequest bigPart(long attempt) {
+    return new AttemptRequest(
+        attempt, "big", 0, "", nowUs() + 300_000_500, "x".repeat(BIG_TEXT_LENGTH));
+  }
+
+  /** What makes a call superfluous while it is half written. */
+  enum Stop {
+    DISABLED,
+    CANCELLED,
+    WITHDRAWN_ATTEMPT,
+    DRAINING,
+    WITHDRAWN,
+    GONE,
+    CLOSED;
+
+    void apply(FrameTransport transport) {
+      switch (this) {
+        case DISABLED -> transport.setDisabled(true);
+        case CANCELLED -> transport.cancel(1);
+        case WITHDRAWN_ATTEMPT -> transport.withdraw(1);
+        case CLOSED -> transport.close();
+        default -> transport.updateState(ServerState.valueOf(name()));
+      }
+    }
+  }
+
+  /**
+   * The store's host accepts no more bytes while a call is written, and then the call must not be
+   * sent any more. An orderly close used to write the rest of it as soon as the store read again,
+   * although it had been reported as one that never ran, with the cancellation behind it.
+   */
+  @ParameterizedTest
+  @EnumSource(Stop.class)
+  void halfWrittenCallIsNeverCompleted(Stop stop) throws Exception {
+    try (ServerSocket peer = slowPeer()) {
+      FrameTransport slow = withoutLivenessChecks(peer.getLocalPort(), 3);
+      onLoop(() -> slow.send(List.of(bigPart(1))));
+      try (Socket accepted = peer.accept()) {
+        accepted.setSoTimeout(5_000);
+        assertTrue(accepted.getInputStream().read() >= 0); // the first byte was written
+        onLoop(
+            () -> {
+              stop.apply(slow);
+              // comes after every completion that the stop itself reports
+              completions.add(Event.AttemptCompleted.of(-1, AttemptOutcome.MOOT));
+            });
+        if (stop != Stop.CANCELLED) {
+          assertEquals(
+              Event.AttemptCompleted.of(1, AttemptOutcome.CONNECT_FAILED).outcome(),
+              nextCompletion().outcome());
+        }
+        assertEquals(-1, nextCompletion().attempt());
+        long read = 1;
+        byte[] some = new byte[1 << 16];
+        try {
+          for (int count = accepted.getInputStream().read(some);
+              count >= 0;
+              count = accepted.getInputStream().read(some)) {
+            read += count;
+            assertTrue(read < BIG_TEXT_LENGTH, "the call came whole");
+          }
+        } catch (SocketException e) {
+          // a reset ends it as well
+        }
+      }
+    }
+  }
+
+  /**
+   * A call that waits behind one that the store does not read can still be withdrawn: it is never
+   * sent.
+   */
+  @Test
+  void pendingCallCanBeWithdrawn() throws Exception {
+    try (ServerSocket peer = slowPeer()) {
+      FrameTransport slow = withoutLivenessChecks(peer.getLocalPort(), 3);
+      onLoop(() -> slow.send(List.of(bigPart(1))));
+      try (Socket accepted = peer.accept()) {
+        accepted.setSoTimeout(5_000);
+        assertTrue(accepted.getInputStream().read() >= 0);
+        onLoop(
+            () -> {
+              for (int i = 2; i <= 5; i++) {
+                slow.send(List.of(part(i, i)));
+              }
+              slow.cancel(2);
+              slow.withdraw(3);
+              advancedUs.addAndGet(60_000_000); // the time of those ahead is over
+              slow.send(List.of(part(6, 6)));
+            });
+        assertEquals(3, nextCompletion().attempt());
+        DataInputStream in = new DataInputStream(accepted.getInputStream());
+        in.readNBytes(3);
+        in.skipNBytes(1 + "big 0 d=300000 16777216\n".length() + BIG_TEXT_LENGTH);
+        in.skipNBytes(5);
+        assertEquals("q.6", new String(in.readNBytes(3), StandardCharsets.US_ASCII));
+        assertEquals(4, nextCompletion().attempt());
+        assertEquals(5, nextCompletion().attempt());
+      }
+    }
+  }
+
+  /**
+   * The connection is established only when the parts may not be sent any more: the deadline, or
+   * the time in which a repetition is safe, has passed.
+   */
+  @ParameterizedTest
+  @ValueSource(longs = {60_000_000, 30_000_000})
+  void expiredPartsAreNotSentWhenConnectionIsEstablished(long advanceUs) throws Exception {
+    onLoop(
+        () -> {
+          long nowUs = nowUs();
+          transport.send(
+              List.of(
+                  new AttemptRequest(
+                      1,
+                      "q.1",
+                      1,
+                      "k",
+                      nowUs + 60_000_000,
+                      nowUs + 20_000_000,
+                      "text",
+                      false,
+                      null),
+                  part(2, 2)));
+          advancedUs.set(advanceUs); // before the loop can learn that it is up
+        });
+    assertEquals(1, nextCompletion().attempt());
+    Event.AttemptCompleted second = nextCompletion();
+    assertEquals(
+        advanceUs > 30_000_000 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK,
+        second.outcome());
+    assertEquals(advanceUs > 30_000_000 ? 0 : 1, store.seen.size());
+  }
+
+  /**
+   * Withdrawing does not notify the store: what waits for the connection ends all the same, and
+   * what was sent goes on.
+   */
+  @Test
+  void withdrawnAttemptEndsOnlyIfNotSent() throws Exception {
+    onLoop(
+        () -> {
+          transport.send(List.of(part(1, 0), part(2, 1)));
+          transport.withdraw(1);
+        });
+    Event.AttemptCompleted back = nextCompletion();
+    assertEquals(1, back.attempt());
+    assertEquals(AttemptOutcome.MOOT, back.outcome());
+    assertEquals(AttemptOutcome.OK, nextCompletion().outcome());
+    store.script = part -> Do.NOTHING;
+    onLoop(() -> transport.send(List.of(part(3, 2))));
+    assertEquals(1, store.seen.poll(5, TimeUnit.SECONDS).shard());
+    assertEquals(2, store.seen.poll(5, TimeUnit.SECONDS).shard());
+    onLoop(() -> transport.withdraw(3));
+    store.sockets.get(0).write(FrameStore.frame('q', "q.2 good 1 -\nv"));
+    assertEquals(AttemptOutcome.OK, nextCompletion().outcome());
+    assertTrue(store.givenUp.isEmpty());
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/backend/frames/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the transport for stores that speak frames. */
+package dunlinhitch.backend.frames;
