--- a/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
@@ -11,74 +11,82 @@
 import java.util.Set;
 
 /**
- * How large a datagram may be, and with whom one is exchanged. Where the others' addresses are all
- * told beforehand, one from elsewhere is a stranger's, none goes elsewhere, and a broker is spoken
- * to where it is told to be: an address may be another one for each broker, so what a word says of
- * it counts for less.
+ * How large a datagram may be, and which addresses datagrams are exchanged with. Where the
+ * addresses of all brokers are configured, other addresses are neither accepted nor sent to, and a
+ * configured address takes precedence over the one in a message, as each broker may reach the
+ * others under different addresses. Immutable.
  */
 public final class AddressBook {
-  /** An address that was told; the name of who is there may be empty. */
+  /** A configured address; the name of the broker there may be empty. */
   public record Known(String name, String host, int port) {}
 
   private final int mostBytes;
-  private final Set<Known> places = new HashSet<>();
+  private final Set<Known> addresses = new HashSet<>();
   private final Map<String, Known> byName = new HashMap<>();
 
-  /** {@code known} empty: whoever speaks is heard, and may be spoken to. */
-  public AddressBook(int mostBytes, List<Known> known) {
+  /**
+   * Creates an address book.
+   *
+   * @param mostBytes the largest datagram that may be sent
+   * @param configured the addresses of all brokers; empty where any address is allowed
+   */
+  public AddressBook(int mostBytes, List<Known> configured) {
     this.mostBytes = mostBytes;
-    for (Known one : known) {
-      places.add(place(one.host(), one.port()));
-      if (!one.name().isEmpty()) {
-        byName.put(one.name(), one);
+    for (Known address : configured) {
+      addresses.add(addressOnly(address.host(), address.port()));
+      if (!address.name().isEmpty()) {
+        byName.put(address.name(), address);
       }
     }
   }
 
+  /** The largest datagram that may be sent, in bytes. */
   public int mostBytes() {
     return mostBytes;
   }
 
   /**
-   * True where each broker is told the others' addresses: then two may rightly hold other ones for
-   * the same broker.
+   * True where the addresses are configured: then two brokers may rightly have different addresses
+   * for the same third one.
    */
   public boolean isTold() {
-    return !places.isEmpty();
+    return !addresses.isEmpty();
   }
 
-  boolean covers(String host, int port) {
-    return places.isEmpty() || places.contains(place(host, port));
+  /** True where datagrams may be exchanged with that address. */
+  boolean permits(String host, int port) {
+    return addresses.isEmpty() || addresses.contains(addressOnly(host, port));
   }
 
-  private static Known place(String host, int port) {
-    InetAddress address = NetUtil.createInetAddressFromIpAddressString(host); // looks nothing up
+  private static Known addressOnly(String host, int port) {
+    InetAddress address = NetUtil.createInetAddressFromIpAddressString(host); // never asks DNS
     return new Known("", address == null ? host : address.getHostAddress(), port);
   }
 
-  /** The word with the addresses that hold here; it came from that one. */
-  GossipMessage asSeenHere(GossipMessage word, String host, int port) {
-    return places.isEmpty()
-        ? word
+  /** The message with the addresses that are valid here; it was received from that address. */
+  GossipMessage withLocalAddresses(GossipMessage message, String host, int port) {
+    return addresses.isEmpty()
+        ? message
         : new GossipMessage(
-            word.kind(),
-            at(word.from(), host, port),
-            word.number(),
-            word.about(),
-            word.versions(),
-            word.peers().stream().map(this::asToldHere).toList(),
-            word.signals(),
-            word.digest(),
-            word.buckets(),
-            word.doubts());
+            message.kind(),
+            withAddress(message.from(), host, port),
+            message.number(),
+            message.about(),
+            message.versions(),
+            message.peers().stream().map(this::withConfiguredAddress).toList(),
+            message.signals(),
+            message.digest(),
+            message.buckets(),
+            message.doubts());
   }
 
-  private Member asToldHere(Member peer) {
-    Known told = byName.get(peer.name());
-    return told == null ? peer : at(peer, told.host(), told.port());
+  private Member withConfiguredAddress(Member member) {
+    Known address = byName.get(member.name());
+    return address == null ? member : withAddress(member, address.host(), address.port());
   }
 
-  private static Member at(Member peer, String host, int port) {
-    return new Member(peer.name(), peer.zone(), host, port, peer.incarnation(), peer.status());
+  private static Member withAddress(Member member, String host, int port) {
+    return new Member(
+        member.name(), member.zone(), host, port, member.incarnation(), member.status());
   }
 }
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
@@ -5,253 +5,136 @@
 import dunlinhitch.cluster.GossipMessage;
 import dunlinhitch.cluster.Member;
 import dunlinhitch.cluster.SuspicionReport;
-import dunlinhitch.cluster.gossip.MalformedMessageException.Why;
+import dunlinhitch.cluster.gossip.MalformedMessageException.Reason;
 import dunlinhitch.cluster.versions.VersionVector;
 import java.io.IOException;
 import java.util.ArrayList;
-import java.util.Iterator;
 import java.util.List;
-import java.util.zip.CRC32C;
 
 /**
- * Words between brokers as bytes, made of protobuf's varints without its tags: a version, the kind,
- * who speaks, then one item after the other, a peer, a signal or a doubt, and a checksum at the
- * end. Times go as differences from the speaker's incarnation, which is one too. A word that is
- * larger than a datagram goes as several, each a word by itself.
- *
- * <p>Every field is there in every word of a version, so a change of the form is another version.
- * Bounds: no datagram is larger than it was asked to be, and reading costs no more than the bytes
- * that came.
+ * Decodes one datagram of the {@link WireFormat}. Decoding costs no more than the received bytes
+ * are worth, whatever they are. Each instance decodes one datagram; pure.
  */
 final class GossipDecoder {
-  static final int VERSION = 3;
+  /** The version, the kind and the checksum. */
+  private static final int MIN_BYTES = 2 + WireFormat.CHECKSUM_BYTES;
 
-  /** The first byte of a word of version 1, which was JSON. */
-  static final int JSON = '{';
+  private static final int BYTE_MASK = 0xff;
 
-  /** The first version that was not text. */
-  private static final int LEAST_BINARY = 2;
+  private final CodedInputStream in;
+  private final StringTable strings = new StringTable();
+  private final List<Member> members = new ArrayList<>();
+  private final List<EndpointObservation> observations = new ArrayList<>();
+  private final List<SuspicionReport> suspicions = new ArrayList<>();
 
-  /** Versions to come; what begins with more is no word. */
-  static final int MOST_VERSION = 31;
+  /** The sender's incarnation, to which times in milliseconds are relative. */
+  private long baseMs;
 
-  static final int SUM_BYTES = 4;
-  static final int KIND_BITS = 0x0f;
-  static final int HAS_ABOUT = 0x10;
-  static final int HAS_VERSIONS = 0x20;
-  static final int HAS_DIGEST = 0x40;
-  static final int HAS_BUCKETS = 0x80;
+  /** When the observation read last was made; the next one is relative to it. */
+  private long lastSeenUs;
 
-  /** More than any version sums up by, so that a row of them fits in a count of one byte. */
-  static final int MOST_BUCKETS = 64;
-
-  /**
-   * The low bits of an item's first byte; the others hold a peer's status, or of how many figures a
-   * signal's report is.
-   */
-  static final int ITEM_BITS = 2;
-
-  static final int PEER = 1;
-  static final int SIGNAL = 2;
-  static final int DOUBT = 3;
-  static final int MOST_FIGURES = 63;
-  static final long US_OF_MS = 1000;
-  private static final int LEAST_BYTES = 2 + SUM_BYTES;
-  private static final GossipMessage.Kind[] KINDS = GossipMessage.Kind.values();
-  private static final Member.Status[] STATUSES = Member.Status.values();
-
-  /**
-   * A word as datagrams, none where not even who speaks finds room; {@code leftOut}: items that
-   * found none.
-   */
-  record Datagrams(List<byte[]> all, int leftOut) {}
-
-  private GossipDecoder() {}
-
-  /**
-   * The word in datagrams of so many bytes at the most, and no more than so many of them. The first
-   * is of its kind, the others are NEWS. Each bears the digest, for any of them may be the one that
-   * arrives. Buckets go in the first, which is of their number; where they leave no room for the
-   * versions these wait for the next word. Peers that are held for less than alive go first, for
-   * they must be able to gainsay it; then who doubts them; then signals and peers by turns, each in
-   * the order in which they stand, so that a flood of the ones does not keep out the others.
-   */
-  static Datagrams write(GossipMessage word, int mostBytes, int mostDatagrams) {
-    List<byte[]> all = new ArrayList<>();
-    GossipEncoder writer = new GossipEncoder(mostBytes);
-    if (!writer.head(word) && (word.buckets().isEmpty() || !writer.head(withoutVersions(word)))) {
-      return new Datagrams(all, word.peers().size() + word.signals().size() + word.doubts().size());
-    }
-    GossipMessage more =
-        new GossipMessage(
-            GossipMessage.Kind.GOSSIP,
-            word.from(),
-            0,
-            "",
-            null,
-            List.of(),
-            List.of(),
-            word.digest(),
-            List.of(),
-            List.of());
-    int leftOut = 0;
-    boolean answers = true; // the first one is sent even if nothing rides on it
-    for (Object item : items(word)) {
-      boolean in = writer.add(item);
-      if (!in && (answers || !writer.isBare()) && all.size() + 1 < mostDatagrams) {
-        all.add(writer.end());
-        answers = false;
-        writer = new GossipEncoder(mostBytes);
-        in = writer.head(more) && writer.add(item);
-      }
-      leftOut += in ? 0 : 1;
-    }
-    if (answers || !writer.isBare()) {
-      all.add(writer.end());
-    }
-    return new Datagrams(all, leftOut);
-  }
-
-  private static GossipMessage withoutVersions(GossipMessage word) {
-    return new GossipMessage(
-        word.kind(),
-        word.from(),
-        word.number(),
-        word.about(),
-        null,
-        word.peers(),
-        word.signals(),
-        word.digest(),
-        word.buckets(),
-        word.doubts());
-  }
-
-  private static List<Object> items(GossipMessage word) {
-    List<Object> items = new ArrayList<>();
-    word.peers().stream().filter(peer -> peer.status() != Member.Status.ALIVE).forEach(items::add);
-    items.addAll(word.doubts());
-    Iterator<Member> peers =
-        word.peers().stream().filter(peer -> peer.status() == Member.Status.ALIVE).iterator();
-    Iterator<EndpointObservation> signals = word.signals().iterator();
-    while (peers.hasNext() || signals.hasNext()) {
-      if (signals.hasNext()) {
-        items.add(signals.next());
-      }
-      if (peers.hasNext()) {
-        items.add(peers.next());
-      }
-    }
-    return items;
-  }
-
-  /** The sum over so many of the first bytes. */
-  static int sum(byte[] bytes, int count) {
-    CRC32C sum = new CRC32C();
-    sum.update(bytes, 0, count);
-    return (int) sum.getValue();
-  }
-
-  /** The sum that a datagram bears; two that bear the same are taken for the same one. */
-  static int mark(byte[] bytes) {
-    int at = bytes.length - SUM_BYTES;
-    return (bytes[at] & 0xff) << 24
-        | (bytes[at + 1] & 0xff) << 16
-        | (bytes[at + 2] & 0xff) << 8
-        | (bytes[at + 3] & 0xff);
+  private GossipDecoder(CodedInputStream in) {
+    this.in = in;
   }
 
-  static GossipMessage read(byte[] bytes) throws MalformedMessageException {
-    int version = bytes.length == 0 ? VERSION : bytes[0] & 0xff;
-    if (version == JSON || (version >= LEAST_BINARY && version < VERSION)) {
+  /** Decodes a datagram. */
+  static GossipMessage decode(byte[] datagram) throws MalformedMessageException {
+    checkVersion(datagram.length == 0 ? WireFormat.VERSION : datagram[0] & BYTE_MASK);
+    int checkedLength = datagram.length - WireFormat.CHECKSUM_BYTES;
+    if (datagram.length < MIN_BYTES
+        || WireFormat.readChecksum(datagram)
+            != WireFormat.computeChecksum(datagram, checkedLength)) {
       throw new MalformedMessageException(
-          Why.OLDER, "a word of version " + (version == JSON ? 1 : version));
+          Reason.CORRUPT, datagram.length + " bytes that do not add up to their sum");
     }
-    if (version > VERSION && version <= MOST_VERSION) {
+    try {
+      CodedInputStream body = CodedInputStream.newInstance(datagram, 1, checkedLength - 1);
+      return new GossipDecoder(body).readMessage();
+    } catch (IOException | IllegalArgumentException e) {
       throw new MalformedMessageException(
-          Why.LATER, "a word of version " + version + ", and " + VERSION + " is spoken here");
+          Reason.INVALID, "it says what can not be: " + e.getMessage());
     }
-    if (version != VERSION) {
-      throw new MalformedMessageException(Why.NONSENSE, "it begins with " + version);
+  }
+
+  private static void checkVersion(int version) throws MalformedMessageException {
+    if (version == WireFormat.VERSION) {
+      return;
     }
-    int length = bytes.length - SUM_BYTES;
-    if (bytes.length < LEAST_BYTES || mark(bytes) != sum(bytes, length)) {
+    if (version == WireFormat.JSON_START
+        || (version >= WireFormat.FIRST_BINARY_VERSION && version < WireFormat.VERSION)) {
       throw new MalformedMessageException(
-          Why.CUT, bytes.length + " bytes that do not add up to their sum");
+          Reason.OLDER_VERSION,
+          "a word of version " + (version == WireFormat.JSON_START ? 1 : version));
     }
-    try {
-      CodedInputStream in = CodedInputStream.newInstance(bytes, 1, length - 1);
-      return read(in, new StringTable());
-    } catch (IOException | IllegalArgumentException e) {
+    if (version > WireFormat.VERSION && version <= WireFormat.MAX_VERSION) {
       throw new MalformedMessageException(
-          Why.NONSENSE, "it says what can not be: " + e.getMessage());
+          Reason.NEWER_VERSION,
+          "a word of version " + version + ", and " + WireFormat.VERSION + " is spoken here");
     }
+    throw new MalformedMessageException(Reason.INVALID, "it begins with " + version);
   }
 
-  private static GossipMessage read(CodedInputStream in, StringTable texts) throws IOException {
-    int head = in.readRawByte() & 0xff;
-    Member from = peer(in, texts, in.readRawByte(), 0);
+  private GossipMessage readMessage() throws IOException {
+    int kindAndFlags = in.readRawByte() & BYTE_MASK;
+    Member from = readMember(in.readRawByte());
+    baseMs = from.incarnation();
+    lastSeenUs = baseMs * WireFormat.US_PER_MS;
     long number = in.readUInt64();
-    String about = (head & HAS_ABOUT) == 0 ? "" : texts.read(in);
-    VersionVector versions =
-        (head & HAS_VERSIONS) == 0
-            ? null
-            : new VersionVector(
-                texts.read(in),
-                texts.read(in),
-                from.incarnation() + in.readSInt64(),
-                in.readUInt64());
-    long digest = (head & HAS_DIGEST) == 0 ? 0 : in.readFixed64();
-    List<Long> buckets = (head & HAS_BUCKETS) == 0 ? List.of() : buckets(in);
-    List<Member> peers = new ArrayList<>();
-    List<EndpointObservation> signals = new ArrayList<>();
-    List<SuspicionReport> doubts = new ArrayList<>();
-    long seenUs = from.incarnation() * US_OF_MS;
+    String subject = has(kindAndFlags, WireFormat.HAS_SUBJECT) ? strings.read(in) : "";
+    VersionVector versions = has(kindAndFlags, WireFormat.HAS_VERSIONS) ? readVersions() : null;
+    long digest = has(kindAndFlags, WireFormat.HAS_DIGEST) ? in.readFixed64() : 0;
+    List<Long> buckets = has(kindAndFlags, WireFormat.HAS_BUCKETS) ? readBuckets() : List.of();
     while (!in.isAtEnd()) {
-      int item = in.readRawByte() & 0xff;
-      switch (item & (1 << ITEM_BITS) - 1) {
-        case PEER -> peers.add(peer(in, texts, item >> ITEM_BITS, from.incarnation()));
-        case SIGNAL -> {
-          EndpointObservation signal =
-              signal(in, texts, item >> ITEM_BITS, from.incarnation(), seenUs);
-          seenUs = signal.seenUs();
-          signals.add(signal);
-        }
-        case DOUBT -> doubts.add(doubt(in, texts, item >> ITEM_BITS, from.incarnation()));
-        default -> throw new IOException("an item of kind " + item);
-      }
+      readItem();
     }
     return new GossipMessage(
-        one(KINDS, head & KIND_BITS),
+        WireFormat.kind(kindAndFlags & WireFormat.KIND_MASK),
         from,
         number,
-        about,
+        subject,
         versions,
-        peers,
-        signals,
+        members,
+        observations,
         digest,
         buckets,
-        doubts);
+        suspicions);
+  }
+
+  private static boolean has(int flags, int flag) {
+    return (flags & flag) != 0;
   }
 
-  private static <T> T one(T[] all, int number) throws IOException {
-    if (number < 0 || number >= all.length) {
-      throw new IOException("number " + number + " of " + all.length);
+  private void readItem() throws IOException {
+    int first = in.readRawByte() & BYTE_MASK;
+    int detail = first >> WireFormat.ITEM_TYPE_BITS;
+    switch (first & WireFormat.ITEM_TYPE_MASK) {
+      case WireFormat.MEMBER_ITEM -> members.add(readMember(detail));
+      case WireFormat.OBSERVATION_ITEM -> observations.add(readObservation(detail));
+      case WireFormat.SUSPICION_ITEM -> suspicions.add(readSuspicion(detail));
+      default -> throw new IOException("an item of kind " + first);
     }
-    return all[number];
   }
 
-  private static Member peer(CodedInputStream in, StringTable texts, int status, long sinceMs)
-      throws IOException {
-    String name = texts.read(in);
-    String zone = texts.read(in);
-    String host = texts.read(in);
-    int port = (in.readRawByte() & 0xff) << 8 | (in.readRawByte() & 0xff);
-    return new Member(name, zone, host, port, sinceMs + in.readSInt64(), one(STATUSES, status));
+  /** Reads a member; the sender itself is read while {@link #baseMs} is still 0. */
+  private Member readMember(int status) throws IOException {
+    String name = strings.read(in);
+    String zone = strings.read(in);
+    String host = strings.read(in);
+    int port = ((in.readRawByte() & BYTE_MASK) << 8) | (in.readRawByte() & BYTE_MASK);
+    long incarnation = baseMs + in.readSInt64();
+    return new Member(name, zone, host, port, incarnation, WireFormat.status(status));
+  }
+
+  private VersionVector readVersions() throws IOException {
+    String build = strings.read(in);
+    String settings = strings.read(in);
+    long settingsMs = baseMs + in.readSInt64();
+    return new VersionVector(build, settings, settingsMs, in.readUInt64());
   }
 
-  private static List<Long> buckets(CodedInputStream in) throws IOException {
+  private List<Long> readBuckets() throws IOException {
     int count = in.readRawByte();
-    if (count < 1 || count > MOST_BUCKETS) {
+    if (count < 1 || count > WireFormat.MAX_BUCKETS) {
       throw new IOException(count + " buckets");
     }
     List<Long> buckets = new ArrayList<>(count);
@@ -261,39 +144,39 @@
     return buckets;
   }
 
-  private static SuspicionReport doubt(
-      CodedInputStream in, StringTable texts, int spare, long sinceMs) throws IOException {
-    if (spare != 0) {
+  private SuspicionReport readSuspicion(int unusedBits) throws IOException {
+    if (unusedBits != 0) {
       throw new IOException("a doubt with bits that mean nothing");
     }
-    String name = texts.read(in);
-    String by = texts.read(in);
-    return new SuspicionReport(name, sinceMs + in.readSInt64(), by);
+    String name = strings.read(in);
+    String by = strings.read(in);
+    return new SuspicionReport(name, baseMs + in.readSInt64(), by);
   }
 
-  private static EndpointObservation signal(
-      CodedInputStream in, StringTable texts, int figures, long sinceMs, long seenUs)
-      throws IOException {
-    String store = texts.read(in);
-    String author = texts.read(in);
-    long started = in.readUInt64();
+  private EndpointObservation readObservation(int reportValues) throws IOException {
+    String store = strings.read(in);
+    String author = strings.read(in);
+    long encodedStart = in.readUInt64();
     long number = in.readUInt64();
-    long seen = seenUs + in.readSInt64();
-    List<Float> report = new ArrayList<>(figures);
-    for (int i = 0; i < figures; i++) {
-      float figure = in.readFloat();
-      if (!Float.isFinite(figure)) {
-        throw new IOException("a load report holds " + figure);
+    long seenUs = lastSeenUs + in.readSInt64();
+    List<Float> report = readReport(reportValues);
+    long startedMs =
+        encodedStart == 0 ? 0 : baseMs + CodedInputStream.decodeZigZag64(encodedStart - 1);
+    EndpointObservation observation =
+        new EndpointObservation(store, startedMs, author, number, seenUs, report, in.readUInt32());
+    lastSeenUs = seenUs;
+    return observation;
+  }
+
+  private List<Float> readReport(int count) throws IOException {
+    List<Float> report = new ArrayList<>(count);
+    for (int i = 0; i < count; i++) {
+      float value = in.readFloat();
+      if (!Float.isFinite(value)) {
+        throw new IOException("a load report holds " + value);
       }
-      report.add(figure);
+      report.add(value);
     }
-    return new EndpointObservation(
-        store,
-        started == 0 ? 0 : sinceMs + CodedInputStream.decodeZigZag64(started - 1),
-        author,
-        number,
-        seen,
-        report,
-        in.readUInt32());
+    return report;
   }
 }
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
@@ -1,171 +1,129 @@
 package dunlinhitch.cluster.gossip;
 
-import com.google.protobuf.CodedOutputStream;
 import dunlinhitch.cluster.EndpointObservation;
 import dunlinhitch.cluster.GossipMessage;
 import dunlinhitch.cluster.Member;
-import dunlinhitch.cluster.SuspicionReport;
-import dunlinhitch.cluster.versions.VersionVector;
-import java.io.IOException;
-import java.util.Arrays;
+import java.util.ArrayList;
+import java.util.Iterator;
 import java.util.List;
 
 /**
- * Fills one datagram in the form of {@link GossipDecoder}: what does not fit is as if it had not
- * been tried.
+ * Encodes gossip messages as datagrams. A message that does not fit in one goes as several, each a
+ * valid message by itself. Pure.
  */
 final class GossipEncoder {
-  /** Something of one datagram. */
-  private interface Piece {
-    void write(CodedOutputStream out) throws IOException;
-  }
-
-  /** Without the checksum's bytes. */
-  private final byte[] room;
-
-  private final StringTable texts = new StringTable();
-  private int used;
-  private int headBytes;
-  private long sinceMs;
-  private long seenUs;
+  /**
+   * An encoded message.
+   *
+   * @param all its datagrams; none where not even the header fits
+   * @param omittedItems how many items did not fit
+   */
+  record Datagrams(List<byte[]> all, int omittedItems) {}
 
-  GossipEncoder(int mostBytes) {
-    room = new byte[Math.max(0, mostBytes - GossipDecoder.SUM_BYTES)];
+  /** One item of a message. */
+  private interface Item {
+    /** False where the item does not fit. */
+    boolean addTo(DatagramWriter writer);
   }
 
-  /** False where it finds no room; nothing else may be added then. */
-  boolean head(GossipMessage word) {
-    Member from = word.from();
-    String about = word.about();
-    VersionVector versions = word.versions();
-    sinceMs = from.incarnation();
-    seenUs = sinceMs * GossipDecoder.US_OF_MS;
-    boolean in =
-        put(
-            out -> {
-              out.writeRawByte(GossipDecoder.VERSION);
-              out.writeRawByte(
-                  word.kind().ordinal()
-                      | (about.isEmpty() ? 0 : GossipDecoder.HAS_ABOUT)
-                      | (versions == null ? 0 : GossipDecoder.HAS_VERSIONS)
-                      | (word.digest() == 0 ? 0 : GossipDecoder.HAS_DIGEST)
-                      | (word.buckets().isEmpty() ? 0 : GossipDecoder.HAS_BUCKETS));
-              out.writeRawByte(from.status().ordinal());
-              peer(out, from, 0);
-              out.writeUInt64NoTag(word.number());
-              if (!about.isEmpty()) {
-                texts.write(out, about);
-              }
-              if (versions != null) {
-                texts.write(out, versions.build());
-                texts.write(out, versions.settings());
-                out.writeSInt64NoTag(versions.settingsMs() - sinceMs);
-                out.writeUInt64NoTag(versions.roster());
-              }
-              if (word.digest() != 0) {
-                out.writeFixed64NoTag(word.digest());
-              }
-              buckets(out, word.buckets());
-            });
-    headBytes = used;
-    return in;
-  }
+  private GossipEncoder() {}
 
-  /** A peer, a signal or a doubt; false where it finds no room, or could not be read. */
-  boolean add(Object item) {
-    if (item instanceof Member peer) {
-      return put(
-          out -> {
-            out.writeRawByte(
-                GossipDecoder.PEER | peer.status().ordinal() << GossipDecoder.ITEM_BITS);
-            peer(out, peer, sinceMs);
-          });
+  /**
+   * Encodes a message. The first datagram has its kind, the others are GOSSIP. Each carries the
+   * digest, as any of them may be the one that arrives. Buckets go in the first, which carries
+   * their number; where they leave no space for the versions, these wait for the next message.
+   *
+   * @param maxBytes of each datagram
+   */
+  static Datagrams encode(GossipMessage message, int maxBytes, int maxDatagrams) {
+    List<byte[]> datagrams = new ArrayList<>();
+    DatagramWriter writer = new DatagramWriter(maxBytes);
+    boolean hasHeader =
+        writer.writeHeader(message)
+            || (!message.buckets().isEmpty() && writer.writeHeader(withoutVersions(message)));
+    if (!hasHeader) {
+      return new Datagrams(datagrams, itemCount(message));
     }
-    if (item instanceof SuspicionReport doubt) {
-      return put(
-          out -> {
-            out.writeRawByte(GossipDecoder.DOUBT);
-            texts.write(out, doubt.name());
-            texts.write(out, doubt.by());
-            out.writeSInt64NoTag(doubt.incarnation() - sinceMs);
-          });
+    GossipMessage continuation = continuationOf(message);
+    int omitted = 0;
+    boolean first = true; // the first datagram is sent even without items
+    for (Item item : items(message)) {
+      boolean added = item.addTo(writer);
+      if (!added && (first || writer.hasItems()) && datagrams.size() + 1 < maxDatagrams) {
+        datagrams.add(writer.toDatagram());
+        first = false;
+        writer = new DatagramWriter(maxBytes);
+        added = writer.writeHeader(continuation) && item.addTo(writer);
+      }
+      omitted += added ? 0 : 1;
     }
-    EndpointObservation signal = (EndpointObservation) item;
-    boolean in = put(out -> signal(out, signal));
-    seenUs = in ? signal.seenUs() : seenUs;
-    return in;
+    if (first || writer.hasItems()) {
+      datagrams.add(writer.toDatagram());
+    }
+    return new Datagrams(datagrams, omitted);
   }
 
-  private static void buckets(CodedOutputStream out, List<Long> buckets) throws IOException {
-    if (buckets.size() > GossipDecoder.MOST_BUCKETS) {
-      throw new IOException(buckets.size() + " buckets");
-    }
-    if (!buckets.isEmpty()) {
-      out.writeRawByte(buckets.size());
-    }
-    for (long bucket : buckets) {
-      out.writeFixed64NoTag(bucket);
-    }
+  private static int itemCount(GossipMessage message) {
+    return message.peers().size() + message.signals().size() + message.doubts().size();
   }
 
-  private void peer(CodedOutputStream out, Member peer, long since) throws IOException {
-    texts.write(out, peer.name());
-    texts.write(out, peer.zone());
-    texts.write(out, peer.host());
-    out.writeRawByte(peer.port() >> 8);
-    out.writeRawByte(peer.port());
-    out.writeSInt64NoTag(peer.incarnation() - since);
+  /** The header of every datagram but the first. */
+  private static GossipMessage continuationOf(GossipMessage message) {
+    return new GossipMessage(
+        GossipMessage.Kind.GOSSIP,
+        message.from(),
+        0,
+        "",
+        null,
+        List.of(),
+        List.of(),
+        message.digest(),
+        List.of(),
+        List.of());
   }
 
-  private void signal(CodedOutputStream out, EndpointObservation signal) throws IOException {
-    int figures = signal.report().size();
-    if (figures > GossipDecoder.MOST_FIGURES
-        || !signal.report().stream().allMatch(Float::isFinite)) {
-      throw new IOException("a load report of no use: " + signal.report());
-    }
-    out.writeRawByte(GossipDecoder.SIGNAL | figures << GossipDecoder.ITEM_BITS);
-    texts.write(out, signal.store());
-    texts.write(out, signal.author());
-    out.writeUInt64NoTag(
-        signal.startedMs() == 0
-            ? 0
-            : CodedOutputStream.encodeZigZag64(signal.startedMs() - sinceMs) + 1);
-    out.writeUInt64NoTag(signal.number());
-    out.writeSInt64NoTag(signal.seenUs() - seenUs);
-    for (float figure : signal.report()) {
-      out.writeFloatNoTag(figure);
-    }
-    out.writeUInt32NoTag(signal.failed());
+  private static GossipMessage withoutVersions(GossipMessage message) {
+    return new GossipMessage(
+        message.kind(),
+        message.from(),
+        message.number(),
+        message.about(),
+        null,
+        message.peers(),
+        message.signals(),
+        message.digest(),
+        message.buckets(),
+        message.doubts());
   }
 
-  private boolean put(Piece piece) {
-    int known = texts.size();
-    try {
-      CodedOutputStream out = CodedOutputStream.newInstance(room, used, room.length - used);
-      piece.write(out);
-      if (out.getTotalBytesWritten() <= room.length - used) {
-        used += out.getTotalBytesWritten();
-        return true;
+  /**
+   * The items in the order of their urgency: members that are not taken for alive, for they must be
+   * able to refute that; then the suspicions; then observations and members in turn, so that a
+   * flood of the ones does not displace the others.
+   */
+  private static List<Item> items(GossipMessage message) {
+    List<Item> items = new ArrayList<>();
+    List<Member> alive = new ArrayList<>();
+    for (Member member : message.peers()) {
+      if (member.status() == Member.Status.ALIVE) {
+        alive.add(member);
+      } else {
+        items.add(writer -> writer.addMember(member));
       }
-    } catch (IOException e) {
-      // it finds no room, or is longer than any reader takes: it is left out, and counted where it
-      // is sent
     }
-    texts.cutTo(known);
-    return false;
-  }
-
-  /** True while there is no item in it. */
-  boolean isBare() {
-    return used == headBytes;
-  }
-
-  byte[] end() {
-    byte[] all = Arrays.copyOf(room, used + GossipDecoder.SUM_BYTES);
-    int sum = GossipDecoder.sum(all, used);
-    for (int i = 0; i < GossipDecoder.SUM_BYTES; i++) {
-      all[used + i] = (byte) (sum >>> (8 * (GossipDecoder.SUM_BYTES - 1 - i)));
+    message.doubts().forEach(suspicion -> items.add(writer -> writer.addSuspicion(suspicion)));
+    Iterator<Member> members = alive.iterator();
+    Iterator<EndpointObservation> observations = message.signals().iterator();
+    while (members.hasNext() || observations.hasNext()) {
+      if (observations.hasNext()) {
+        EndpointObservation observation = observations.next();
+        items.add(writer -> writer.addObservation(observation));
+      }
+      if (members.hasNext()) {
+        Member member = members.next();
+        items.add(writer -> writer.addMember(member));
+      }
     }
-    return all;
+    return items;
   }
 }
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
@@ -15,116 +15,124 @@
 import java.util.function.Consumer;
 
 /**
- * Where this broker hears the others and speaks to them: UDP, a word a datagram. What can not be
- * read is counted by its kind and dropped; one that comes twice is taken once, for to answer it
- * twice would cost twice.
+ * Sends and receives gossip messages over UDP. A datagram that cannot be decoded is counted by its
+ * reason and dropped; duplicates are dropped too, as to reply to them would cost twice. Used on the
+ * event loop only.
  */
 public final class GossipSocket {
-  /**
-   * What a datagram holds at the most where the network has no figure of its own: no common link
-   * cuts it up.
-   */
+  /** The largest datagram where none is configured: no common link fragments it. */
   public static final int STANDARD_BYTES = 1_200;
 
   /**
-   * Datagrams of one word. What finds no room then rides on the next word, or is told by another
-   * broker.
+   * Datagrams of one message. Updates that do not fit are disseminated with a later message, or by
+   * another broker.
    */
-  static final int MOST_DATAGRAMS = 3;
+  static final int MAX_DATAGRAMS = 3;
 
-  /** Datagrams that come in a burst and wait for the loop. */
-  private static final int BUFFER_BYTES = 65_536;
+  /** The socket buffer, for bursts that arrive while the event loop is busy. */
+  private static final int RECEIVE_BUFFER_BYTES = 65_536;
 
-  /** A network that doubles does so within moments: some 10 s of words in a fleet of 100. */
-  private static final int REMEMBERED = 128;
+  /**
+   * Checksums that are remembered: some 10 s of messages in a cluster of 100 brokers. A network
+   * that duplicates datagrams does so within moments.
+   */
+  private static final int REMEMBERED_CHECKSUMS = 128;
 
+  /** No checksum, as these are unsigned here. */
   private static final long NONE = -1;
+
   private final DatagramSocket socket;
-  private final AddressBook reach;
+  private final AddressBook addresses;
   private final Consumer<Event> events;
 
-  /** The sums of the datagrams that came last, as unsigned numbers. */
-  private final long[] heard = new long[REMEMBERED];
+  /** The checksums of the datagrams received last, as unsigned numbers; a ring buffer. */
+  private final long[] recentChecksums = new long[REMEMBERED_CHECKSUMS];
 
-  private int next;
+  private int nextSlot;
 
-  public GossipSocket(Vertx vertx, AddressBook reach, Consumer<Event> events) {
-    this.reach = reach;
+  /** Creates a socket that neither receives nor sends until {@link #listen}. */
+  public GossipSocket(Vertx vertx, AddressBook addresses, Consumer<Event> events) {
+    this.addresses = addresses;
     this.events = events;
-    Arrays.fill(heard, NONE);
+    Arrays.fill(recentChecksums, NONE);
     socket =
-        vertx.createDatagramSocket(new DatagramSocketOptions().setReceiveBufferSize(BUFFER_BYTES));
-    socket.handler(this::read);
-    socket.exceptionHandler(e -> count(Counter.PEER_WORDS_UNREAD));
+        vertx.createDatagramSocket(
+            new DatagramSocketOptions().setReceiveBufferSize(RECEIVE_BUFFER_BYTES));
+    socket.handler(this::onDatagram);
+    socket.exceptionHandler(error -> count(Counter.PEER_WORDS_UNREAD));
   }
 
-  /** The result is its port. */
+  /** Binds the socket; the result is the port. */
   public Future<Integer> listen(String host, int port) {
     return socket.listen(port, host).map(bound -> bound.localAddress().port());
   }
 
-  private void read(DatagramPacket packet) {
+  private void onDatagram(DatagramPacket packet) {
     SocketAddress sender = packet.sender();
     byte[] bytes = packet.data().getBytes();
-    if (!reach.covers(sender.hostAddress(), sender.port())) {
+    if (!addresses.permits(sender.hostAddress(), sender.port())) {
       count(Counter.PEER_WORDS_FOREIGN);
     } else if (bytes.length > STANDARD_BYTES) {
       count(Counter.PEER_WORDS_HUGE);
     } else {
       try {
-        GossipMessage word = GossipDecoder.read(bytes);
-        if (isNew(bytes)) {
+        GossipMessage message = GossipDecoder.decode(bytes);
+        if (rememberNew(bytes)) {
           events.accept(
               new Event.GossipReceived(
-                  reach.asSeenHere(word, sender.hostAddress(), sender.port())));
+                  addresses.withLocalAddresses(message, sender.hostAddress(), sender.port())));
         } else {
           count(Counter.PEER_WORDS_DOUBLE);
         }
       } catch (MalformedMessageException e) {
-        count(e.why().count());
+        count(e.reason().counter());
       }
     }
   }
 
-  private boolean isNew(byte[] bytes) {
-    long mark = Integer.toUnsignedLong(GossipDecoder.mark(bytes));
-    if (Arrays.stream(heard).anyMatch(one -> one == mark)) {
+  /** False where the datagram is a duplicate. */
+  private boolean rememberNew(byte[] datagram) {
+    long checksum = Integer.toUnsignedLong(WireFormat.readChecksum(datagram));
+    if (Arrays.stream(recentChecksums).anyMatch(recent -> recent == checksum)) {
       return false;
     }
-    heard[next] = mark;
-    next = (next + 1) % REMEMBERED;
+    recentChecksums[nextSlot] = checksum;
+    nextSlot = (nextSlot + 1) % REMEMBERED_CHECKSUMS;
     return true;
   }
 
-  private void count(Counter what) {
-    events.accept(new Event.ConditionCounted(what));
+  private void count(Counter counter) {
+    events.accept(new Event.ConditionCounted(counter));
   }
 
-  /** A word that is lost is not sent again: the next look tells what it told. */
-  public void tell(Effect.SendGossip told) {
-    GossipDecoder.Datagrams datagrams =
-        GossipDecoder.write(told.word(), reach.mostBytes(), MOST_DATAGRAMS);
+  /** Sends a message. A lost one is not sent again: later ones repeat its updates. */
+  public void tell(Effect.SendGossip effect) {
+    GossipEncoder.Datagrams datagrams =
+        GossipEncoder.encode(effect.word(), addresses.mostBytes(), MAX_DATAGRAMS);
     if (datagrams.all().isEmpty()) {
       count(Counter.PEER_WORDS_UNSENT);
     }
-    for (int i = 0; i < datagrams.leftOut(); i++) {
+    for (int i = 0; i < datagrams.omittedItems(); i++) {
       count(Counter.PEER_NEWS_LEFT_OUT);
     }
-    datagrams.all().forEach(bytes -> send(bytes, told.host(), told.port()));
+    datagrams.all().forEach(bytes -> send(bytes, effect.host(), effect.port()));
   }
 
   /**
-   * The one place that sends: a datagram over the bound ends a run on some platforms, so none
-   * leaves whoever made it.
+   * Sends one datagram, unless it is too large, which some platforms treat as a fatal violation, or
+   * its address is not permitted.
    */
   void send(byte[] bytes, String host, int port) {
-    if (bytes.length > reach.mostBytes() || !reach.covers(host, port)) {
+    if (bytes.length > addresses.mostBytes() || !addresses.permits(host, port)) {
       count(Counter.PEER_WORDS_UNSENT);
       return;
     }
-    socket.send(Buffer.buffer(bytes), port, host).onFailure(e -> count(Counter.PEER_WORDS_UNSENT));
+    socket
+        .send(Buffer.buffer(bytes), port, host)
+        .onFailure(error -> count(Counter.PEER_WORDS_UNSENT));
   }
 
+  /** Closes the socket. */
   public Future<Void> close() {
     return socket.close();
   }
--- a/src/main/java/dunlinhitch/cluster/gossip/MalformedMessageException.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/MalformedMessageException.java
@@ -3,42 +3,42 @@
 import dunlinhitch.core.Counter;
 
 /**
- * A datagram that is no word of this version. Nothing of it is taken: the next look tells again
- * what it told.
+ * A datagram that is no gossip message of this version. Nothing of it is used; the next messages
+ * disseminate the same updates again.
  */
 final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Why, as operators tell the kinds apart. */
-  enum Why {
-    /** Shorter than it was, or changed on its way. */
-    CUT(Counter.PEER_WORDS_CUT),
-    /** Of a later version: that broker was upgraded before this one. */
-    LATER(Counter.PEER_WORDS_LATER),
-    /** Of a version before: that broker is upgraded after this one. */
-    OLDER(Counter.PEER_WORDS_UNREAD),
-    /** No word at all, or one that says what can not be. */
-    NONSENSE(Counter.PEER_WORDS_UNREAD);
-
-    private final Counter count;
-
-    Why(Counter count) {
-      this.count = count;
+  /** Why a datagram was dropped, as operators see it in the counters. */
+  enum Reason {
+    /** Truncated or changed in transit. */
+    CORRUPT(Counter.PEER_WORDS_CUT),
+    /** Of a newer version: its sender was upgraded before this broker. */
+    NEWER_VERSION(Counter.PEER_WORDS_LATER),
+    /** Of an older version: its sender is upgraded after this broker. */
+    OLDER_VERSION(Counter.PEER_WORDS_UNREAD),
+    /** No gossip message at all, or one with an invalid field. */
+    INVALID(Counter.PEER_WORDS_UNREAD);
+
+    private final Counter counter;
+
+    Reason(Counter counter) {
+      this.counter = counter;
     }
 
-    Counter count() {
-      return count;
+    Counter counter() {
+      return counter;
     }
   }
 
-  private final Why why;
+  private final Reason reason;
 
-  MalformedMessageException(Why why, String message) {
+  MalformedMessageException(Reason reason, String message) {
     super(message);
-    this.why = why;
+    this.reason = reason;
   }
 
-  Why why() {
-    return why;
+  Reason reason() {
+    return reason;
   }
 }
--- a/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
@@ -11,36 +11,45 @@
 import java.util.regex.Pattern;
 
 /**
- * The texts of one datagram. One that stood before in it costs a byte; an IPv4 address and a digest
- * in hex go as the bytes that they mean. A datagram is read on its own, so nothing but itself is
- * referred to.
+ * The strings of one datagram. A repeated one is encoded as a reference, mostly of one byte; an
+ * IPv4 address and a hexadecimal digest as the bytes that they stand for. Each datagram has a table
+ * of its own, as it must be decodable alone. Not thread-safe.
  */
 final class StringTable {
+  /** UTF-8 with a length. */
   private static final int PLAIN = 0;
+
   private static final int IPV4 = 1;
+
+  /** Lower-case hexadecimal digits as bytes with a length. */
   private static final int HEX = 2;
-  private static final int BEFORE = 3;
-  private static final int MOST_BYTES = 200;
+
+  /** The form of a reference to the first string of the table; larger forms refer to later ones. */
+  private static final int FIRST_REFERENCE = 3;
+
+  private static final int MAX_BYTES = 200;
+  private static final int IPV4_BYTES = 4;
   private static final Pattern EVEN_HEX = Pattern.compile("([0-9a-f]{2}){3,}");
-  private final List<String> texts = new ArrayList<>();
+  private final List<String> strings = new ArrayList<>();
 
   int size() {
-    return texts.size();
+    return strings.size();
   }
 
-  /** Forgets what came after so many. */
-  void cutTo(int size) {
-    texts.subList(size, texts.size()).clear();
+  /** Removes the strings after the first {@code size}. */
+  void truncate(int size) {
+    strings.subList(size, strings.size()).clear();
   }
 
+  /** Writes a string; throws where no decoder would accept it, or it does not fit. */
   void write(CodedOutputStream out, String text) throws IOException {
-    int before = texts.indexOf(text);
-    if (before >= 0) {
-      out.writeUInt32NoTag(BEFORE + before);
+    int index = strings.indexOf(text);
+    if (index >= 0) {
+      out.writeUInt32NoTag(FIRST_REFERENCE + index);
       return;
     }
     byte[] plain = text.getBytes(StandardCharsets.UTF_8);
-    if (plain.length > MOST_BYTES) {
+    if (plain.length > MAX_BYTES) {
       throw new IOException("a text of " + plain.length + " bytes");
     }
     if (isIpv4(text)) {
@@ -53,31 +62,32 @@
       out.writeUInt32NoTag(PLAIN);
       out.writeByteArrayNoTag(plain);
     }
-    texts.add(text);
+    strings.add(text);
   }
 
-  /** One that reads back as it was written; 127.1 and 010.0.0.1 do not. */
+  /** True where the decoded address is the same text; for 127.1 and 010.0.0.1 it is not. */
   private static boolean isIpv4(String text) {
     return NetUtil.isValidIpV4Address(text)
         && NetUtil.bytesToIpAddress(NetUtil.createByteArrayFromIpAddressString(text)).equals(text);
   }
 
+  /** Reads a string. */
   String read(CodedInputStream in) throws IOException {
     int form = in.readUInt32();
-    if (form >= BEFORE && form - BEFORE < texts.size()) {
-      return texts.get(form - BEFORE);
+    if (form >= FIRST_REFERENCE && form - FIRST_REFERENCE < strings.size()) {
+      return strings.get(form - FIRST_REFERENCE);
     }
     String text =
         switch (form) {
           case PLAIN -> in.readStringRequireUtf8();
-          case IPV4 -> NetUtil.bytesToIpAddress(in.readRawBytes(4));
+          case IPV4 -> NetUtil.bytesToIpAddress(in.readRawBytes(IPV4_BYTES));
           case HEX -> HexFormat.of().formatHex(in.readByteArray());
-          default -> throw new IOException("text " + form + " of " + texts.size());
+          default -> throw new IOException("text " + form + " of " + strings.size());
         };
-    if (text.length() > MOST_BYTES) {
+    if (text.length() > MAX_BYTES) {
       throw new IOException("a text of " + text.length() + " letters");
     }
-    texts.add(text);
+    strings.add(text);
     return text;
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/cluster/gossip/WireFormat.java
@@ -0,0 +1,141 @@
+package dunlinhitch.cluster.gossip;
+
+import dunlinhitch.cluster.GossipMessage;
+import dunlinhitch.cluster.Member;
+import java.io.IOException;
+import java.util.zip.CRC32C;
+
+/**
+ * The encoding of gossip datagrams: protobuf's varints without its tags. A datagram is the version,
+ * the kind with flags, the sender, optional fields as the flags say, then items one after the other
+ * (a member, an endpoint observation or a suspicion), and a checksum. Times are differences from
+ * the sender's incarnation, which is a time too.
+ *
+ * <p>All fields are positional, so every change of the encoding needs a new {@link #VERSION}.
+ */
+final class WireFormat {
+  static final int VERSION = 3;
+
+  /** The first byte of a message of version 1, which was JSON. */
+  static final int JSON_START = '{';
+
+  /** The first version with a binary encoding. */
+  static final int FIRST_BINARY_VERSION = 2;
+
+  /** The highest future version; a larger first byte belongs to no gossip message. */
+  static final int MAX_VERSION = 31;
+
+  /** Bytes of the CRC-32C at the end, most significant first. */
+  static final int CHECKSUM_BYTES = 4;
+
+  /** The bits of the second byte that hold the kind; the others are the flags below. */
+  static final int KIND_MASK = 0x0f;
+
+  static final int HAS_SUBJECT = 0x10;
+  static final int HAS_VERSIONS = 0x20;
+  static final int HAS_DIGEST = 0x40;
+  static final int HAS_BUCKETS = 0x80;
+
+  /** More than any version uses; their count fits in one byte. */
+  static final int MAX_BUCKETS = 64;
+
+  /**
+   * The low bits of an item's first byte, which hold its type. The other bits hold a member's
+   * status or the number of values in an observation's load report.
+   */
+  static final int ITEM_TYPE_BITS = 2;
+
+  static final int ITEM_TYPE_MASK = (1 << ITEM_TYPE_BITS) - 1;
+  static final int MEMBER_ITEM = 1;
+  static final int OBSERVATION_ITEM = 2;
+  static final int SUSPICION_ITEM = 3;
+
+  /** Values that the load report of an observation may have. */
+  static final int MAX_REPORT_VALUES = 63;
+
+  static final long US_PER_MS = 1000;
+
+  private static final int BYTE_BITS = 8;
+  private static final int BYTE_MASK = 0xff;
+
+  /** Kinds by their code on the wire. */
+  private static final GossipMessage.Kind[] KINDS = {
+    GossipMessage.Kind.PING,
+    GossipMessage.Kind.ACK,
+    GossipMessage.Kind.PING_REQUEST,
+    GossipMessage.Kind.JOIN,
+    GossipMessage.Kind.LEAVE,
+    GossipMessage.Kind.GOSSIP
+  };
+
+  /** Member statuses by their code on the wire. */
+  private static final Member.Status[] STATUSES = {
+    Member.Status.ALIVE, Member.Status.SUSPECT, Member.Status.DEAD, Member.Status.LEFT
+  };
+
+  private WireFormat() {}
+
+  /** The code of a kind on the wire; {@link #kind} is its inverse. */
+  static int code(GossipMessage.Kind kind) {
+    return switch (kind) {
+      case PING -> 0;
+      case ACK -> 1;
+      case PING_REQUEST -> 2;
+      case JOIN -> 3;
+      case LEAVE -> 4;
+      case GOSSIP -> 5;
+    };
+  }
+
+  /** The code of a member's status on the wire; {@link #status} is its inverse. */
+  static int code(Member.Status status) {
+    return switch (status) {
+      case ALIVE -> 0;
+      case SUSPECT -> 1;
+      case DEAD -> 2;
+      case LEFT -> 3;
+    };
+  }
+
+  /** The kind of that code. */
+  static GossipMessage.Kind kind(int code) throws IOException {
+    return byCode(KINDS, code);
+  }
+
+  /** The status of that code. */
+  static Member.Status status(int code) throws IOException {
+    return byCode(STATUSES, code);
+  }
+
+  private static <T> T byCode(T[] values, int code) throws IOException {
+    if (code < 0 || code >= values.length) {
+      throw new IOException("number " + code + " of " + values.length);
+    }
+    return values[code];
+  }
+
+  /** The checksum of the first {@code count} bytes. */
+  static int computeChecksum(byte[] bytes, int count) {
+    CRC32C checksum = new CRC32C();
+    checksum.update(bytes, 0, count);
+    return (int) checksum.getValue();
+  }
+
+  /** Writes the checksum of all that is ahead of it into the last bytes. */
+  static void writeChecksum(byte[] datagram) {
+    int start = datagram.length - CHECKSUM_BYTES;
+    int checksum = computeChecksum(datagram, start);
+    for (int i = 0; i < CHECKSUM_BYTES; i++) {
+      datagram[start + i] = (byte) (checksum >>> (BYTE_BITS * (CHECKSUM_BYTES - 1 - i)));
+    }
+  }
+
+  /** The checksum that a datagram carries; two with the same one are taken for duplicates. */
+  static int readChecksum(byte[] datagram) {
+    int checksum = 0;
+    for (int i = datagram.length - CHECKSUM_BYTES; i < datagram.length; i++) {
+      checksum = (checksum << BYTE_BITS) | (datagram[i] & BYTE_MASK);
+    }
+    return checksum;
+  }
+}
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
@@ -15,6 +15,7 @@
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.datagram.DatagramSocket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -25,19 +26,19 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Over sockets: what can not be taken is counted by its kind, and the next word is heard. */
+/** Gossip over real sockets: bad datagrams are counted, and later messages are received. */
 class GossipSocketTest {
-  private static final String HERE = "127.0.0.1";
+  private static final String LOCALHOST = "127.0.0.1";
   private static final Member SELF =
-      new Member("n é", "0", HERE, 7001, 1_796_000_000_000L, Member.Status.ALIVE);
-  private static final GossipMessage WORD =
+      new Member("n é", "0", LOCALHOST, 7001, 1_796_000_000_000L, Member.Status.ALIVE);
+  private static final GossipMessage MESSAGE =
       new GossipMessage(
           GossipMessage.Kind.PING_REQUEST,
           SELF,
           42,
           "n2",
           new VersionVector("b 1", "0a1b", 1_796_000_000_000L, 17),
-          List.of(new Member("n2", "", HERE, 7002, 7, Member.Status.SUSPECT)),
+          List.of(new Member("n2", "", LOCALHOST, 7002, 7, Member.Status.SUSPECT)),
           List.of(
               new EndpointObservation(
                   "s1", 5, "n3", 9, 1_796_000_000_000_001L, List.of(5f, 0.25f), 3)),
@@ -49,14 +50,14 @@
 
   @AfterEach
   void close() throws Exception {
-    get(vertx.close());
+    await(vertx.close());
   }
 
-  private static <T> T get(Future<T> future) throws Exception {
+  private static <T> T await(Future<T> future) throws Exception {
     return future.toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
   }
 
-  private Event next() throws InterruptedException {
+  private Event nextEvent() throws InterruptedException {
     return events.poll(5, TimeUnit.SECONDS);
   }
 
@@ -65,111 +66,114 @@
   }
 
   @Test
-  void whatCanNotBeTakenIsCountedByItsKind() throws Exception {
+  void malformedAndDuplicateDatagramsAreCountedByReason() throws Exception {
     int port =
-        get(new GossipSocket(vertx, new AddressBook(256, List.of()), events::add).listen(HERE, 0));
-    GossipSocket mouth = new GossipSocket(vertx, new AddressBook(256, List.of()), events::add);
-    get(mouth.listen(HERE, 0));
-    byte[] whole = GossipDecoder.write(WORD, 256, 1).all().get(0);
-    byte[] later = whole.clone();
-    later[0]++;
+        await(
+            new GossipSocket(vertx, new AddressBook(256, List.of()), events::add)
+                .listen(LOCALHOST, 0));
+    GossipSocket sender = new GossipSocket(vertx, new AddressBook(256, List.of()), events::add);
+    await(sender.listen(LOCALHOST, 0));
+    byte[] datagram = GossipEncoder.encode(MESSAGE, 256, 1).all().get(0);
+    byte[] newerVersion = datagram.clone();
+    newerVersion[0]++;
     DatagramSocket raw = vertx.createDatagramSocket();
     for (var sent :
         List.of(
-            Map.entry(Counter.PEER_WORDS_UNREAD, "who goes there".getBytes()),
-            Map.entry(Counter.PEER_WORDS_UNREAD, "{\"v\":1}".getBytes()),
-            Map.entry(Counter.PEER_WORDS_CUT, Arrays.copyOf(whole, whole.length / 2)),
-            Map.entry(Counter.PEER_WORDS_LATER, later),
-            Map.entry(Counter.PEER_WORDS_HUGE, Arrays.copyOf(whole, 20_000)))) {
-      get(raw.send(Buffer.buffer(sent.getValue()), port, HERE));
-      assertEquals(new Event.ConditionCounted(sent.getKey()), next());
+            Map.entry(Counter.PEER_WORDS_UNREAD, "who goes there".getBytes(StandardCharsets.UTF_8)),
+            Map.entry(Counter.PEER_WORDS_UNREAD, "{\"v\":1}".getBytes(StandardCharsets.UTF_8)),
+            Map.entry(Counter.PEER_WORDS_CUT, Arrays.copyOf(datagram, datagram.length / 2)),
+            Map.entry(Counter.PEER_WORDS_LATER, newerVersion),
+            Map.entry(Counter.PEER_WORDS_HUGE, Arrays.copyOf(datagram, 20_000)))) {
+      await(raw.send(Buffer.buffer(sent.getValue()), port, LOCALHOST));
+      assertEquals(new Event.ConditionCounted(sent.getKey()), nextEvent());
     }
-    mouth.tell(new Effect.SendGossip(HERE, port, WORD));
-    assertEquals(new Event.GossipReceived(WORD), next());
-    get(raw.send(Buffer.buffer(whole), port, HERE)); // the network brings it again
-    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_DOUBLE), next());
-    for (int i = 0; i < 200; i++) { // the memory of what came is bounded
-      mouth.tell(new Effect.SendGossip(HERE, port, numbered(i)));
-      assertEquals(new Event.GossipReceived(numbered(i)), next());
+    sender.tell(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
+    assertEquals(new Event.GossipReceived(MESSAGE), nextEvent());
+    await(raw.send(Buffer.buffer(datagram), port, LOCALHOST)); // a duplicate
+    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_DOUBLE), nextEvent());
+    for (int i = 0; i < 200; i++) { // only recent datagrams are remembered
+      sender.tell(new Effect.SendGossip(LOCALHOST, port, numbered(i)));
+      assertEquals(new Event.GossipReceived(numbered(i)), nextEvent());
     }
-    mouth.tell(new Effect.SendGossip(HERE, port, WORD));
-    assertEquals(new Event.GossipReceived(WORD), next());
+    sender.tell(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
+    assertEquals(new Event.GossipReceived(MESSAGE), nextEvent());
   }
 
-  /**
-   * However it was made, a datagram over the bound does not leave; a word that is larger leaves as
-   * several.
-   */
+  /** A datagram over the bound is never sent; a larger message is sent as several. */
   @Test
-  void nothingOverTheBoundIsSent() throws Exception {
+  void oversizedDatagramsAreNotSent() throws Exception {
     BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
-    DatagramSocket ear =
-        get(
+    DatagramSocket receiver =
+        await(
             vertx
                 .createDatagramSocket()
                 .handler(packet -> sizes.add(packet.data().length()))
-                .listen(0, HERE));
-    int port = ear.localAddress().port();
-    GossipSocket mouth = new GossipSocket(vertx, new AddressBook(256, List.of()), events::add);
-    get(mouth.listen(HERE, 0));
-    mouth.send(new byte[257], HERE, port);
-    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_UNSENT), next());
-    List<EndpointObservation> signals = new ArrayList<>();
+                .listen(0, LOCALHOST));
+    int port = receiver.localAddress().port();
+    GossipSocket sender = new GossipSocket(vertx, new AddressBook(256, List.of()), events::add);
+    await(sender.listen(LOCALHOST, 0));
+    sender.send(new byte[257], LOCALHOST, port);
+    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_UNSENT), nextEvent());
+    List<EndpointObservation> observations = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      signals.add(
+      observations.add(
           new EndpointObservation(
               "s" + i, 0, "n" + i, i, 1_796_000_000_000_000L, List.of(0.5f, 1f), 0));
     }
-    mouth.tell(
+    sender.tell(
         new Effect.SendGossip(
-            HERE,
+            LOCALHOST,
             port,
-            new GossipMessage(GossipMessage.Kind.ACK, SELF, 7, "", null, List.of(), signals)));
-    for (int i = 0; i < GossipSocket.MOST_DATAGRAMS; i++) {
+            new GossipMessage(GossipMessage.Kind.ACK, SELF, 7, "", null, List.of(), observations)));
+    for (int i = 0; i < GossipSocket.MAX_DATAGRAMS; i++) {
       Integer size = sizes.poll(5, TimeUnit.SECONDS);
       assertTrue(size > 200 && size <= 256, "a datagram of " + size);
     }
-    assertEquals(new Event.ConditionCounted(Counter.PEER_NEWS_LEFT_OUT), next());
+    assertEquals(new Event.ConditionCounted(Counter.PEER_NEWS_LEFT_OUT), nextEvent());
   }
 
   /**
-   * Where all addresses are told, a stranger is not heard nor spoken to, and a broker is where it
-   * is told to be.
+   * Where all addresses are configured, nothing is exchanged with others, and the configured
+   * address of a broker takes precedence.
    */
   @Test
-  void strangersAreCountedAndAddressesAreThoseThatWereTold() throws Exception {
-    GossipSocket mouth = new GossipSocket(vertx, new AddressBook(256, List.of()), events::add);
-    int known = get(mouth.listen(HERE, 0));
-    GossipSocket ear =
+  void unknownAddressesAreRejectedAndConfiguredOnesTakePrecedence() throws Exception {
+    GossipSocket sender = new GossipSocket(vertx, new AddressBook(256, List.of()), events::add);
+    int senderPort = await(sender.listen(LOCALHOST, 0));
+    GossipSocket receiver =
         new GossipSocket(
             vertx,
             new AddressBook(
                 256,
                 List.of(
-                    new AddressBook.Known("", HERE, known), new AddressBook.Known("n2", HERE, 9))),
+                    new AddressBook.Known("", LOCALHOST, senderPort),
+                    new AddressBook.Known("n2", LOCALHOST, 9))),
             events::add);
-    int port = get(ear.listen(HERE, 0));
-    DatagramSocket stranger = get(vertx.createDatagramSocket().listen(0, HERE));
-    get(stranger.send(Buffer.buffer(GossipDecoder.write(WORD, 256, 1).all().get(0)), port, HERE));
-    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_FOREIGN), next());
-    ear.tell(new Effect.SendGossip(HERE, stranger.localAddress().port(), WORD));
-    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_UNSENT), next());
-    mouth.tell(new Effect.SendGossip(HERE, port, WORD));
-    GossipMessage heard = ((Event.GossipReceived) next()).word();
-    assertEquals(known, heard.from().port());
-    assertEquals(List.of(new Member("n2", "", HERE, 9, 7, Member.Status.SUSPECT)), heard.peers());
+    int port = await(receiver.listen(LOCALHOST, 0));
+    DatagramSocket stranger = await(vertx.createDatagramSocket().listen(0, LOCALHOST));
+    await(
+        stranger.send(
+            Buffer.buffer(GossipEncoder.encode(MESSAGE, 256, 1).all().get(0)), port, LOCALHOST));
+    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_FOREIGN), nextEvent());
+    receiver.tell(new Effect.SendGossip(LOCALHOST, stranger.localAddress().port(), MESSAGE));
+    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_UNSENT), nextEvent());
+    sender.tell(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
+    GossipMessage received = ((Event.GossipReceived) nextEvent()).word();
+    assertEquals(senderPort, received.from().port());
+    assertEquals(
+        List.of(new Member("n2", "", LOCALHOST, 9, 7, Member.Status.SUSPECT)), received.peers());
     assertEquals(
-        WORD,
+        MESSAGE,
         new GossipMessage(
-            heard.kind(),
+            received.kind(),
             SELF,
-            heard.number(),
-            heard.about(),
-            heard.versions(),
-            WORD.peers(),
-            heard.signals(),
-            heard.digest(),
-            heard.buckets(),
-            heard.doubts()));
+            received.number(),
+            received.about(),
+            received.versions(),
+            MESSAGE.peers(),
+            received.signals(),
+            received.digest(),
+            received.buckets(),
+            received.doubts()));
   }
 }
--- /dev/null
+++ b/src/test/java/dunlinhitch/cluster/gossip/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the gossip codec and of its UDP socket. */
+package dunlinhitch.cluster.gossip;
