--- a/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
@@ -38,10 +38,7 @@
   static Datagrams encode(GossipMessage message, int maxBytes, int maxDatagrams) {
     List<byte[]> datagrams = new ArrayList<>();
     DatagramWriter writer = new DatagramWriter(maxBytes);
-    boolean hasHeader =
-        writer.writeHeader(message)
-            || (!message.buckets().isEmpty() && writer.writeHeader(withoutVersions(message)));
-    if (!hasHeader) {
+    if (!writeFirstHeader(writer, message)) {
       return new Datagrams(datagrams, itemCount(message));
     }
     GossipMessage continuation = continuationOf(message);
@@ -63,6 +60,11 @@
     return new Datagrams(datagrams, omitted);
   }
 
+  private static boolean writeFirstHeader(DatagramWriter writer, GossipMessage message) {
+    return writer.writeHeader(message)
+        || (!message.buckets().isEmpty() && writer.writeHeader(withoutVersions(message)));
+  }
+
   private static int itemCount(GossipMessage message) {
     return message.peers().size() + message.signals().size() + message.doubts().size();
   }
--- /dev/null
+++ b/src/main/java/dunlinhitch/concurrent/SnapshotReference.java
@@ -0,0 +1,45 @@
+package dunlinhitch.concurrent;
+
+import java.util.concurrent.atomic.AtomicReference;
+
+/**
+ * The latest immutable snapshot that one thread publishes for others, under an increasing version.
+ * After a thread has read a snapshot, no thread reads an older one, and a snapshot that took long
+ * to build does not replace a newer one.
+ *
+ * <p>Thread-safe and lock-free.
+ */
+public final class SnapshotReference<T> {
+  /** A snapshot and its version. */
+  public record Snapshot<T>(long version, T value) {}
+
+  private final AtomicReference<Snapshot<T>> latest;
+
+  /** Creates a reference to the snapshot of version 0. */
+  public SnapshotReference(T initial) {
+    latest = new AtomicReference<>(new Snapshot<>(0, initial));
+  }
+
+  /** The latest snapshot. A decision must read it once and use that one to its end. */
+  public Snapshot<T> latest() {
+    return latest.get();
+  }
+
+  /** Publishes a value under the next version, which is returned. */
+  public long publish(T value) {
+    return latest.updateAndGet(before -> new Snapshot<>(before.version() + 1, value)).version();
+  }
+
+  /** Publishes a value unless there is one of that version or a later one; false then. */
+  public boolean publishIfNewer(long version, T value) {
+    Snapshot<T> candidate = new Snapshot<>(version, value);
+    Snapshot<T> current = latest.get();
+    while (current.version() < version) {
+      if (latest.compareAndSet(current, candidate)) {
+        return true;
+      }
+      current = latest.get();
+    }
+    return false;
+  }
+}
--- a/src/main/java/dunlinhitch/frontend/http/ClientListener.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientListener.java
@@ -1,6 +1,6 @@
 package dunlinhitch.frontend.http;
 
-import dunlinhitch.concurrent.StillOpen;
+import dunlinhitch.concurrent.OpenResourceCounter;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFactory;
 import io.netty.channel.IoHandlerFactory;
@@ -35,7 +35,8 @@
   /** Null: it is made by binding. */
   private final ServerSocketChannel handed;
 
-  private final StillOpen<Accepted> open = new StillOpen<>(Accepted::isGone);
+  private final OpenResourceCounter<Accepted> open =
+      new OpenResourceCounter<>(Accepted::isReleased);
   private volatile int most = Integer.MAX_VALUE;
   private volatile boolean leaving;
   private Accepting accepting;
@@ -140,7 +141,7 @@
      * A closed channel keeps its descriptor until its selector has let go of it, which a loop that
      * is behind does late.
      */
-    boolean isGone() {
+    boolean isReleased() {
       return !javaChannel().isRegistered();
     }
   }
--- /dev/null
+++ b/src/test/java/dunlinhitch/concurrent/HandOffTest.java
@@ -0,0 +1,283 @@
+package dunlinhitch.concurrent;
+
+import static org.junit.jupiter.api.Assertions.assertThrows;
+
+import java.util.Queue;
+import java.util.concurrent.ConcurrentLinkedQueue;
+import java.util.concurrent.atomic.AtomicBoolean;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.jetbrains.lincheck.LincheckAssertionError;
+import org.jetbrains.lincheck.datastructures.IntGen;
+import org.jetbrains.lincheck.datastructures.ModelCheckingOptions;
+import org.jetbrains.lincheck.datastructures.Operation;
+import org.jetbrains.lincheck.datastructures.Param;
+import org.jetbrains.lincheck.datastructures.Validate;
+import org.junit.jupiter.api.Test;
+
+/**
+ * Linearizability of each class under all interleavings of two threads, by Lincheck's model
+ * checker. Beside each class stands an incorrect one with the mistake that is easiest to make,
+ * which the model checker must find.
+ */
+class HandOffTest {
+  private static void check(Class<?> structure) {
+    new ModelCheckingOptions()
+        .threads(2)
+        .actorsPerThread(2)
+        .actorsBefore(0)
+        .actorsAfter(1)
+        .iterations(10)
+        .invocationsPerIteration(100)
+        .check(structure);
+  }
+
+  private static void checkFails(Class<?> structure) {
+    assertThrows(LincheckAssertionError.class, () -> check(structure));
+  }
+
+  /** The operations of {@link SnapshotReference}. */
+  @Param(name = "version", gen = IntGen.class, conf = "1:3")
+  public static class SnapshotReferenceCalls {
+    private final SnapshotReference<Integer> reference = new SnapshotReference<>(0);
+
+    @Operation
+    public long publish(@Param(name = "version") int value) {
+      return reference.publish(value);
+    }
+
+    @Operation
+    public boolean publishIfNewer(@Param(name = "version") int version) {
+      return reference.publishIfNewer(version, -version);
+    }
+
+    @Operation
+    public String latest() {
+      return reference.latest().toString();
+    }
+  }
+
+  @Test
+  void snapshotReferenceIsLinearizable() {
+    check(SnapshotReferenceCalls.class);
+  }
+
+  /** A lost update: two threads read one version and both write the next. */
+  @SuppressWarnings("NonAtomicVolatileUpdate") // the mistake that the model checker must find
+  public static class PublishWithLostUpdate {
+    private volatile long version;
+
+    @Operation
+    public long publish() {
+      version = version + 1;
+      return version;
+    }
+  }
+
+  /** Check-then-set: an older version replaces a newer one. */
+  @Param(name = "version", gen = IntGen.class, conf = "1:3")
+  public static class PublishWithCheckThenSet {
+    private volatile int latest;
+
+    @Operation
+    public boolean publishIfNewer(@Param(name = "version") int version) {
+      if (latest >= version) {
+        return false;
+      }
+      latest = version;
+      return true;
+    }
+
+    @Operation
+    public int latest() {
+      return latest;
+    }
+  }
+
+  @Test
+  void findsLostUpdateAndOlderSnapshot() {
+    checkFails(PublishWithLostUpdate.class);
+    checkFails(PublishWithCheckThenSet.class);
+  }
+
+  /** The operations of {@link PendingResult}. */
+  @Param(name = "result", gen = IntGen.class, conf = "1:3")
+  public static class PendingResultCalls {
+    private final PendingResult<Integer> work = new PendingResult<>();
+
+    @Operation
+    public boolean complete(@Param(name = "result") int result) {
+      return work.complete(result);
+    }
+
+    @Operation
+    public int poll() {
+      return work.poll().orElse(0);
+    }
+
+    @Operation
+    public boolean cancel() {
+      return work.cancel();
+    }
+
+    @Operation
+    public boolean isCancelled() {
+      return work.isCancelled();
+    }
+  }
+
+  @Test
+  void pendingResultIsLinearizable() {
+    check(PendingResultCalls.class);
+  }
+
+  /** Check-then-set: two may consume the result, or one consumes what the other cancelled. */
+  @Param(name = "result", gen = IntGen.class, conf = "1:3")
+  public static class PendingResultWithCheckThenSet {
+    private volatile int result;
+    private volatile boolean cancelled;
+
+    @Operation
+    public void complete(@Param(name = "result") int value) {
+      result = value;
+    }
+
+    @Operation
+    public int poll() {
+      int consumed = cancelled ? 0 : result;
+      result = 0;
+      return consumed;
+    }
+
+    @Operation
+    public boolean cancel() {
+      boolean pending = !cancelled;
+      cancelled = true;
+      return pending;
+    }
+  }
+
+  @Test
+  void findsResultConsumedTwice() {
+    checkFails(PendingResultWithCheckThenSet.class);
+  }
+
+  /** The operations of {@link DeferredStop}. */
+  public static class DeferredStopCalls {
+    private final AtomicBoolean resourceStopped = new AtomicBoolean();
+    private final AtomicInteger calls = new AtomicInteger();
+    private final DeferredStop<AtomicBoolean> deferredStop = new DeferredStop<>(it -> it.set(true));
+
+    @Operation(runOnce = true)
+    public void started() {
+      deferredStop.started(resourceStopped);
+      calls.incrementAndGet();
+    }
+
+    @Operation(runOnce = true)
+    public void stop() {
+      deferredStop.stop();
+      calls.incrementAndGet();
+    }
+
+    @Validate
+    public void isStoppedAfterBothCalls() {
+      if (calls.get() == 2 && !resourceStopped.get()) {
+        throw new IllegalStateException("it goes on");
+      }
+    }
+  }
+
+  @Test
+  void resourceStoppedWhileStartingIsStopped() {
+    check(DeferredStopCalls.class);
+  }
+
+  /** Check-then-set: looks for a stop before the resource is visible to the other thread. */
+  public static class DeferredStopWithCheckThenSet {
+    private final AtomicBoolean resourceStopped = new AtomicBoolean();
+    private final AtomicInteger calls = new AtomicInteger();
+    private volatile AtomicBoolean started;
+    private volatile boolean stopped;
+
+    @Operation(runOnce = true)
+    public void started() {
+      if (stopped) {
+        resourceStopped.set(true);
+      }
+      started = resourceStopped;
+      calls.incrementAndGet();
+    }
+
+    @Operation(runOnce = true)
+    public void stop() {
+      stopped = true;
+      AtomicBoolean it = started;
+      if (it != null) {
+        it.set(true);
+      }
+      calls.incrementAndGet();
+    }
+
+    @Validate
+    public void isStoppedAfterBothCalls() {
+      if (calls.get() == 2 && !resourceStopped.get()) {
+        throw new IllegalStateException("it goes on");
+      }
+    }
+  }
+
+  @Test
+  void findsResourceThatIsNotStopped() {
+    checkFails(DeferredStopWithCheckThenSet.class);
+  }
+
+  /** The operations of {@link OpenResourceCounter}. */
+  public static class OpenResourceCounterCalls {
+    private final OpenResourceCounter<Integer> counter = new OpenResourceCounter<>(it -> true);
+
+    @Operation
+    public void opened() {
+      counter.opened();
+    }
+
+    @Operation
+    public void closed() {
+      counter.closed(1);
+    }
+
+    @Operation
+    public int count() {
+      return counter.count();
+    }
+  }
+
+  @Test
+  void openResourceCounterIsLinearizable() {
+    check(OpenResourceCounterCalls.class);
+  }
+
+  /** Subtracts each released resource where it is found, and two threads may find the same one. */
+  public static class CounterWithDoubleSubtraction {
+    private final AtomicInteger open = new AtomicInteger(1);
+    private final Queue<Integer> closed = new ConcurrentLinkedQueue<>();
+
+    public CounterWithDoubleSubtraction() {
+      closed.add(1);
+    }
+
+    @Operation
+    public int count() {
+      closed.removeIf(
+          it -> {
+            open.decrementAndGet();
+            return true;
+          });
+      return open.get();
+    }
+  }
+
+  @Test
+  void findsResourceSubtractedTwice() {
+    checkFails(CounterWithDoubleSubtraction.class);
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/concurrent/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the hand-off of objects between threads. */
+package dunlinhitch.concurrent;
