--- a/src/main/java/dunlinhitch/frontend/Exchanges.java
+++ b/src/main/java/dunlinhitch/frontend/Exchanges.java
@@ -8,41 +8,48 @@
 import java.util.function.Consumer;
 
 /**
- * Requests that wait for their answer, whichever front took them: a number goes in with the query
- * and the answer comes back under it. All calls come from the event loop.
+ * Queries that wait for their response, over all frontends: each is an exchange with a number,
+ * which the response carries too. Used on the event loop only.
  */
 public final class Exchanges {
   private final Map<Long, Consumer<QueryResponse>> waiting = new HashMap<>();
   private final Consumer<Event> events;
-  private long last;
+  private long lastExchange;
 
+  /** Creates a table without exchanges; {@code events} takes the queries. */
   public Exchanges(Consumer<Event> events) {
     this.events = events;
   }
 
-  /** Hands a query in; {@code writer} gets its one answer unless the client leaves first. */
-  public long open(QueryRequest ask, Consumer<QueryResponse> writer) {
-    long exchange = ++last;
+  /**
+   * Opens an exchange for a query.
+   *
+   * @param writer gets the one response, unless the client disconnects first
+   * @return the number of the exchange
+   */
+  public long open(QueryRequest query, Consumer<QueryResponse> writer) {
+    long exchange = ++lastExchange;
     waiting.put(exchange, writer);
-    events.accept(new Event.QueryReceived(exchange, ask));
+    events.accept(new Event.QueryReceived(exchange, query));
     return exchange;
   }
 
-  /** The client has gone; nothing is said if it was answered before. */
+  /** The client has disconnected; ignored where the exchange is completed. */
   public void left(long exchange) {
     if (waiting.remove(exchange) != null) {
       events.accept(new Event.ClientDisconnected(exchange));
     }
   }
 
-  /** Passes the answer to the front that asked. */
-  public void reply(long exchange, QueryResponse answer) {
+  /** Completes an exchange; ignored where the client has disconnected. */
+  public void reply(long exchange, QueryResponse response) {
     Consumer<QueryResponse> writer = waiting.remove(exchange);
     if (writer != null) {
-      writer.accept(answer);
+      writer.accept(response);
     }
   }
 
+  /** The number of exchanges without a response. */
   public int waiting() {
     return waiting.size();
   }
--- a/src/main/java/dunlinhitch/frontend/Frontend.java
+++ b/src/main/java/dunlinhitch/frontend/Frontend.java
@@ -2,11 +2,14 @@
 
 import io.vertx.core.Future;
 
-/** Where clients connect; the fronts differ in wording only. */
+/** One protocol over which clients send queries. All methods are called on the event loop. */
 public interface Frontend {
   /** Listens on this address only; the result is the port. */
   Future<Integer> listen(String host, int port);
 
-  /** Takes nothing new; what is open is finished, or cut at {@code dueUs}. */
+  /**
+   * Accepts no new queries. Open ones are finished, or aborted at {@code dueUs} (microseconds on
+   * the clock of the broker).
+   */
   Future<Void> close(long dueUs);
 }
--- a/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
+++ b/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
@@ -5,254 +5,296 @@
 import java.util.Map;
 
 /**
- * The end of a front as a state machine over its connections: events in, actions out, no clock,
- * thread or reading of its own. The order that holds: a connection is half-closed behind an answer
- * that said so, or when a last read of what had come found nothing begun; what is read after that
- * is dropped. Resting connections go while the listener is still there, for a client whose request
- * crosses the close comes again. Then the listener lets in whoever waits in its queue and closes,
- * and those whom it let in last are still heard: a query of theirs that is read is refused, never
- * dropped. All of it ends by an absolute deadline.
+ * The graceful shutdown of a frontend as a state machine over its connections: events in, actions
+ * out, without a clock, threads or I/O of its own.
+ *
+ * <p>The order that it guarantees: a connection is half-closed after a response that announced it,
+ * or when a last read of what had arrived found that no request had started; what is read after
+ * that is discarded. Idle connections are closed while the listener is still open, so that a client
+ * whose request crosses the close can connect again. Then the listener accepts the connections in
+ * its queue and closes, and their requests are still read: such a query is refused, never dropped.
+ * All of it ends by an absolute deadline.
+ *
+ * <p>Not thread-safe. All times are in microseconds on one clock.
+ *
+ * @param <C> a connection, compared by its {@code equals}
  */
 public final class GracefulShutdown<C> {
-  /**
-   * Of the whole front; {@code LEAVING}: each answer ends its connection; {@code REFUSING}: nothing
-   * is sent on any more.
-   */
+  /** How far the shutdown of the frontend is. */
   public enum Stage {
+    /** No shutdown was requested. */
     SERVING,
-    LEAVING,
+    /** Queries are served, but each response ends its connection. */
+    DRAINING,
+    /** No query is forwarded any more. */
     REFUSING,
+    /** The shutdown is complete. */
     CLOSED
   }
 
-  /** What becomes of a request that was read whole. */
-  public enum Fate {
-    SEND_ON,
+  /** What happens to a request that was received completely. */
+  public enum Disposition {
+    /** It is served. */
+    FORWARD,
+    /** It gets a response that refuses it. */
     REFUSE,
+    /** It is ignored: it arrived after the half-close. */
     DROP
   }
 
   private enum State {
-    QUIET,
+    IDLE,
     READING,
-    OPEN,
+    AWAITING_RESPONSE,
     HALF_CLOSED
   }
 
-  /** What the front does. */
-  public interface Acts<C> {
+  /** What the frontend does for the state machine. */
+  public interface Actions<C> {
     /**
-     * Reads what has come already; where that is something, {@link #begun} is told before this
-     * returns.
+     * Reads what has arrived; where that is something, {@link #requestStarted} is called before
+     * this returns.
      */
     void readOnce(C connection);
 
-    /** All that was written goes out first; what comes in after is read and discarded. */
+    /** Sends what was written and shuts the output down; what arrives later is discarded. */
     void halfClose(C connection);
 
-    /** A request that has begun and is not whole is told no, and the connection ends. */
+    /** Refuses an incomplete request with a response that ends the connection. */
     void refuse(C connection);
 
-    /** Whoever waits in the queue is let in, then it closes; {@link #listenerClosed} is told. */
+    /** Accepts the queued connections and closes; {@link #listenerClosed} is called after that. */
     void closeListener();
 
-    /** All is over; what is still open is cut. */
+    /** The shutdown is complete; connections that are still open are to be aborted. */
     void closed();
   }
 
-  private static final class Link {
-    private final long madeUs;
-    private State state = State.QUIET;
+  private static final class Entry {
+    private final long acceptedUs;
+    private State state = State.IDLE;
 
-    Link(long madeUs) {
-      this.madeUs = madeUs;
+    Entry(long acceptedUs) {
+      this.acceptedUs = acceptedUs;
     }
   }
 
-  private final Map<C, Link> links = new LinkedHashMap<>();
-  private final Acts<C> acts;
+  private final Map<C, Entry> entries = new LinkedHashMap<>();
+  private final Actions<C> actions;
   private final long crossingUs;
   private Stage stage = Stage.SERVING;
-  private long quietClosedUs = Long.MIN_VALUE / 2;
-  private long dueUs = Long.MAX_VALUE;
-  private long listenerUs = Long.MAX_VALUE;
-  private long lastUs = Long.MAX_VALUE;
+
+  /** When an idle connection was closed last. */
+  private long idleClosedUs = Long.MIN_VALUE / 2;
+
+  private long deadlineUs = Long.MAX_VALUE;
+
+  /** When the listener is to be closed. */
+  private long closeListenerUs = Long.MAX_VALUE;
+
+  /** From when on incomplete requests are refused. */
+  private long refuseIncompleteUs = Long.MAX_VALUE;
+
   private boolean listenerClosed;
 
-  /** What crosses the closing of its connection comes within {@code crossingUs}. */
-  public GracefulShutdown(Acts<C> acts, long crossingUs) {
-    this.acts = acts;
+  /**
+   * Creates a state machine without connections.
+   *
+   * @param crossingUs how long a request may be in transit that crosses the close of its connection
+   */
+  public GracefulShutdown(Actions<C> actions, long crossingUs) {
+    this.actions = actions;
     this.crossingUs = crossingUs;
   }
 
+  /** How far the shutdown is. */
   public Stage stage() {
     return stage;
   }
 
-  /** True where the next answer of any connection is its last. */
-  public boolean isLeaving() {
+  /** True where the next response on any connection is its last. */
+  public boolean isDraining() {
     return stage != Stage.SERVING;
   }
 
-  // ---- connections
+  // ---- events of connections
 
-  public void made(long now, C connection) {
-    links.put(connection, new Link(now));
+  /** A connection was accepted. */
+  public void accepted(long nowUs, C connection) {
+    entries.put(connection, new Entry(nowUs));
   }
 
   /** The first bytes of a request were read. */
-  public void begun(C connection) {
-    Link link = links.get(connection);
-    if (link != null && link.state == State.QUIET) {
-      link.state = State.READING;
+  public void requestStarted(C connection) {
+    Entry entry = entries.get(connection);
+    if (entry != null && entry.state == State.IDLE) {
+      entry.state = State.READING;
     }
   }
 
-  /** A request was read whole. */
-  public Fate taken(C connection) {
-    Link link = links.get(connection);
-    if (link == null || link.state != State.READING) {
-      return Fate.DROP;
+  /** A request was received completely; the result says what to do with it. */
+  public Disposition requestReceived(C connection) {
+    Entry entry = entries.get(connection);
+    if (entry == null || entry.state != State.READING) {
+      return Disposition.DROP;
     }
-    link.state = State.OPEN;
-    return stage == Stage.SERVING || stage == Stage.LEAVING ? Fate.SEND_ON : Fate.REFUSE;
+    entry.state = State.AWAITING_RESPONSE;
+    return stage == Stage.SERVING || stage == Stage.DRAINING
+        ? Disposition.FORWARD
+        : Disposition.REFUSE;
   }
 
-  /** The answer was written; {@code last}: it said that the connection ends. */
-  public void answered(C connection, boolean last) {
-    Link link = links.get(connection);
-    if (link != null && link.state != State.HALF_CLOSED) {
-      if (last) {
-        halfClose(connection, link);
-      } else {
-        link.state = State.QUIET;
-      }
+  /**
+   * A response was written.
+   *
+   * @param last true where it announced that the connection ends
+   */
+  public void responseWritten(C connection, boolean last) {
+    Entry entry = entries.get(connection);
+    if (entry == null || entry.state == State.HALF_CLOSED) {
+      return;
+    }
+    if (last) {
+      halfClose(connection, entry);
+    } else {
+      entry.state = State.IDLE;
     }
   }
 
-  /** It is being closed by something else. */
+  /** The connection is being closed for another reason. */
   public void halfClosed(C connection) {
-    Link link = links.get(connection);
-    if (link != null) {
-      link.state = State.HALF_CLOSED;
+    Entry entry = entries.get(connection);
+    if (entry != null) {
+      entry.state = State.HALF_CLOSED;
     }
   }
 
-  public void gone(C connection) {
-    links.remove(connection);
-    closeIfOver();
+  /** The connection is closed completely. */
+  public void disconnected(C connection) {
+    entries.remove(connection);
+    closeIfDone();
   }
 
   /**
-   * Half-closes one on which nothing has begun, not even in what has come and was not read yet;
-   * true where it did.
+   * Half-closes a connection on which no request has started, not even in what has arrived and was
+   * not read yet.
+   *
+   * @return false where a request has started
    */
-  public boolean closeQuiet(long now, C connection) {
-    Link link = links.get(connection);
-    if (link == null || link.state != State.QUIET) {
+  public boolean closeIfIdle(long nowUs, C connection) {
+    Entry entry = entries.get(connection);
+    if (!isStillAfterRead(connection, entry, State.IDLE)) {
       return false;
     }
-    acts.readOnce(connection);
-    if (link.state != State.QUIET || links.get(connection) != link) {
-      return false;
-    }
-    quietClosedUs = now;
-    halfClose(connection, link);
+    idleClosedUs = nowUs;
+    halfClose(connection, entry);
     return true;
   }
 
   /**
-   * Refuses a request that is not whole, not even with what has come and was not read yet; true
-   * where it did.
+   * Refuses a request that is incomplete, even with what has arrived and was not read yet.
+   *
+   * @return false where there is no incomplete request
    */
-  public boolean refuseUnfinished(C connection) {
-    Link link = links.get(connection);
-    if (link == null || link.state != State.READING) {
+  public boolean refuseIfIncomplete(C connection) {
+    Entry entry = entries.get(connection);
+    if (!isStillAfterRead(connection, entry, State.READING)) {
       return false;
     }
-    acts.readOnce(connection);
-    if (link.state != State.READING || links.get(connection) != link) {
+    entry.state = State.AWAITING_RESPONSE;
+    actions.refuse(connection);
+    return true;
+  }
+
+  /** True where the connection is in that state, also after a read of what has arrived. */
+  private boolean isStillAfterRead(C connection, Entry entry, State expected) {
+    if (entry == null || entry.state != expected) {
       return false;
     }
-    link.state = State.OPEN;
-    acts.refuse(connection);
-    return true;
+    actions.readOnce(connection);
+    return entry.state == expected && entries.get(connection) == entry;
   }
 
-  private void halfClose(C connection, Link link) {
-    link.state = State.HALF_CLOSED;
-    acts.halfClose(connection);
+  private void halfClose(C connection, Entry entry) {
+    entry.state = State.HALF_CLOSED;
+    actions.halfClose(connection);
   }
 
-  // ---- the front
+  // ---- events of the frontend
 
-  /** Each answer ends its connection from now on; {@code closeQuiet}: those that rest end now. */
-  public void leave(long now, boolean closeQuiet) {
+  /**
+   * From now on each response ends its connection.
+   *
+   * @param closeIdle true where idle connections are closed now
+   */
+  public void drain(long nowUs, boolean closeIdle) {
     if (stage == Stage.SERVING) {
-      stage = Stage.LEAVING;
+      stage = Stage.DRAINING;
     }
-    if (closeQuiet && stage == Stage.LEAVING) {
-      closeRested(now);
+    if (closeIdle && stage == Stage.DRAINING) {
+      closeIdleConnections(nowUs);
     }
   }
 
-  /** Nothing is sent on any more, and all is over by {@code dueUs}. */
-  public void refuse(long now, long dueUs) {
+  /** From now on no query is forwarded, and the shutdown is complete by the deadline. */
+  public void refuse(long nowUs, long newDeadlineUs) {
     if (stage == Stage.REFUSING || stage == Stage.CLOSED) {
       return;
     }
     stage = Stage.REFUSING;
-    this.dueUs = dueUs;
-    closeRested(now);
-    listenerUs =
-        Math.min(Math.max(now, quietClosedUs + crossingUs), now + Math.max(0, dueUs - now) / 3);
-    passed(now);
+    deadlineUs = newDeadlineUs;
+    closeIdleConnections(nowUs);
+    long afterCrossingUs = Math.max(nowUs, idleClosedUs + crossingUs);
+    long thirdOfTimeUs = nowUs + Math.max(0, deadlineUs - nowUs) / 3;
+    closeListenerUs = Math.min(afterCrossingUs, thirdOfTimeUs);
+    advance(nowUs);
   }
 
-  /** Those that have just been made have a request under way, most likely. */
-  private void closeRested(long now) {
-    for (Map.Entry<C, Link> entry : List.copyOf(links.entrySet())) {
-      if (now - entry.getValue().madeUs >= crossingUs) {
-        closeQuiet(now, entry.getKey());
+  /** Spares connections that were accepted just now: a request is probably in transit on them. */
+  private void closeIdleConnections(long nowUs) {
+    for (Map.Entry<C, Entry> connection : List.copyOf(entries.entrySet())) {
+      if (nowUs - connection.getValue().acceptedUs >= crossingUs) {
+        closeIfIdle(nowUs, connection.getKey());
       }
     }
   }
 
-  public void listenerClosed(long now) {
+  /** The listener is closed and accepts no more. */
+  public void listenerClosed(long nowUs) {
     listenerClosed = true;
-    lastUs = now + Math.min(crossingUs, Math.max(0, dueUs - now) / 2);
-    closeIfOver();
+    refuseIncompleteUs = nowUs + Math.min(crossingUs, Math.max(0, deadlineUs - nowUs) / 2);
+    closeIfDone();
   }
 
-  /** Time has gone on. */
-  public void passed(long now) {
+  /** Does what is due; to be called every few milliseconds during the shutdown. */
+  public void advance(long nowUs) {
     if (stage != Stage.REFUSING) {
       return;
     }
-    closeRested(now);
-    if (now >= listenerUs) {
-      listenerUs = Long.MAX_VALUE;
-      acts.closeListener();
+    closeIdleConnections(nowUs);
+    if (nowUs >= closeListenerUs) {
+      closeListenerUs = Long.MAX_VALUE;
+      actions.closeListener();
     }
-    if (now >= lastUs || now >= dueUs) {
-      for (C connection : List.copyOf(links.keySet())) {
-        closeQuiet(now, connection);
-        refuseUnfinished(connection);
+    if (nowUs >= refuseIncompleteUs || nowUs >= deadlineUs) {
+      for (C connection : List.copyOf(entries.keySet())) {
+        closeIfIdle(nowUs, connection);
+        refuseIfIncomplete(connection);
       }
     }
-    if (now >= dueUs && stage == Stage.REFUSING) {
+    if (nowUs >= deadlineUs && stage == Stage.REFUSING) {
       close();
     }
   }
 
-  private void closeIfOver() {
-    if (stage == Stage.REFUSING && listenerClosed && links.isEmpty()) {
+  private void closeIfDone() {
+    if (stage == Stage.REFUSING && listenerClosed && entries.isEmpty()) {
       close();
     }
   }
 
   private void close() {
     stage = Stage.CLOSED;
-    acts.closed();
+    actions.closed();
   }
 }
--- a/src/main/java/dunlinhitch/frontend/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -16,106 +16,138 @@
 import java.util.function.UnaryOperator;
 import java.util.regex.Pattern;
 
-/** Reads a query from what every front has of it: a class, headers and a JSON body. */
+/**
+ * Parses a query from what every frontend has of it: a class, headers and a JSON body. Thread-safe
+ * if the supplier of the settings is.
+ */
 public final class QueryReader {
-  /** The largest body that any front takes. */
+  /** The largest body that any frontend accepts. */
   public static final int MOST_BYTES = 64 * 1024;
 
-  /**
-   * Asks that the answer says which shards were spared; the answer's own field is {@link #PRUNED}.
-   */
+  /** Request header: the response shall list the pruned shards, under {@link #PRUNED}. */
   public static final String SHOW_PRUNED = "X-Show-Pruned";
 
+  /** Response header: the pruned shards. */
   public static final String PRUNED = "X-Pruned";
+
+  /** Request header: the id of the query. */
   public static final String TRACE_ID = "X-Trace-Id";
+
+  /** Request header: seconds to the deadline. */
   public static final String EXPIRES_IN = "X-Expires-In";
+
+  /** Request header: the client retries a query. */
   public static final String SECOND_TRY = "X-Second-Try";
+
+  /** Request header: the tenant. */
   public static final String CUSTOMER = "X-Customer";
+
+  /** Request header: the idempotency key. */
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
   /**
-   * Ids and keys travel in lines and lists of the stores' frames: no blank, comma, equals sign or
-   * line end.
+   * Ids and keys, which are fields of the stores' protocol: without blanks, commas, equals signs
+   * and line ends.
    */
-  private static final Pattern WORD = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
+  private static final Pattern TOKEN = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
+
+  private static final Pattern DECIMAL_SECONDS = Pattern.compile("-?[0-9]{1,9}(\\.[0-9]{1,9})?");
+
+  /** How far the sum of the portions may be from 1, as each is rounded. */
+  private static final double PORTION_SUM_TOLERANCE = 0.005;
 
-  private static final Pattern SECONDS = Pattern.compile("-?[0-9]{1,9}(\\.[0-9]{1,9})?");
+  /** The largest portion, as portions are rounded. */
+  private static final double MAX_PORTION = 1.001;
 
-  /** Portions are rounded. */
-  private static final double PORTIONS_SLACK = 0.005;
+  private static final double MAX_PRICE = 1e12;
+  private static final double US_PER_SECOND = 1e6;
+  private static final String FLAG_SET = "1";
 
   private final Supplier<Settings> settings;
 
+  /** Creates a reader that asks for the settings in force with each query. */
   public QueryReader(Supplier<Settings> settings) {
     this.settings = settings;
   }
 
-  /** The class of that name as it is now, or null. */
+  /** The class of that name in the settings in force, or null. */
   public QueryClass classOf(String name) {
     return settings.get().classes().stream()
-        .filter(kind -> kind.name().equals(name))
+        .filter(queryClass -> queryClass.name().equals(name))
         .findFirst()
         .orElse(null);
   }
 
   /**
-   * {@code header} gives a header's value or null; {@code customers} holds every value of {@link
-   * #CUSTOMER} that came; {@code takenUs} is when the request's last byte was read.
+   * Parses a query.
+   *
+   * @param header gives the value of a header, or null
+   * @param customers all values of {@link #CUSTOMER}
+   * @param takenUs when the last byte of the request was received, in microseconds
+   * @throws MalformedQueryException where the request is no valid query
    */
   public QueryRequest read(
-      QueryClass kind,
+      QueryClass queryClass,
       UnaryOperator<String> header,
       Iterable<String> customers,
       String body,
       long takenUs)
       throws MalformedQueryException {
-    String id = word(header, TRACE_ID);
-    String key = kind.repeat() == Idempotency.GUARDED ? word(header, IDEMPOTENCY_KEY) : "";
-    String expires = header.apply(EXPIRES_IN);
-    long leftUs = kind.deadlineUs();
-    if (expires != null) {
-      if (!SECONDS.matcher(expires).matches()) {
-        throw new MalformedQueryException(EXPIRES_IN + " is no number of seconds");
-      }
-      leftUs = Math.min(leftUs, (long) (Double.parseDouble(expires) * 1e6));
-    }
+    String id = token(header, TRACE_ID);
+    String key = queryClass.repeat() == Idempotency.GUARDED ? token(header, IDEMPOTENCY_KEY) : "";
+    long leftUs = timeoutUs(queryClass, header.apply(EXPIRES_IN));
     try {
-      JsonObject o = Json.parse(body).asObject();
-      JsonValue text = o.get("predicate");
+      JsonObject object = Json.parse(body).asObject();
+      JsonValue text = object.get("predicate");
       if (text == null) {
         throw new MalformedQueryException("predicate is missing");
       }
       return new QueryRequest(
           id,
           key,
-          kind,
+          queryClass,
           tenant(customers),
           takenUs + leftUs,
-          "1".equals(header.apply(SECOND_TRY)),
-          parts(o.get("ranges")),
+          FLAG_SET.equals(header.apply(SECOND_TRY)),
+          parts(object.get("ranges")),
           text.asString(),
-          "1".equals(header.apply(SHOW_PRUNED)));
+          FLAG_SET.equals(header.apply(SHOW_PRUNED)));
     } catch (RuntimeException e) {
+      // the JSON library throws several unrelated types for a value of the wrong kind, and a
+      // missing one is a NullPointerException
       throw new MalformedQueryException("the body is no query: " + e.getMessage());
     }
   }
 
+  /** The earlier of the deadline of the class and the one that the client asks for. */
+  private static long timeoutUs(QueryClass queryClass, String expiresIn)
+      throws MalformedQueryException {
+    if (expiresIn == null) {
+      return queryClass.deadlineUs();
+    }
+    if (!DECIMAL_SECONDS.matcher(expiresIn).matches()) {
+      throw new MalformedQueryException(EXPIRES_IN + " is no number of seconds");
+    }
+    return Math.min(
+        queryClass.deadlineUs(), (long) (Double.parseDouble(expiresIn) * US_PER_SECOND));
+  }
+
   /**
-   * The tenant's name where the settings know it, else empty: what names none of them, or two, has
-   * no share of its own and is served as the unnamed one. To turn it down would take from its
-   * client what the rules promise to everybody.
+   * The tenant's name where the settings have it, else empty: a query that names no configured
+   * tenant, or two, has no quota of its own and is served with the unnamed ones. It is not
+   * rejected, as the rules promise service to every client.
    */
   private String tenant(Iterable<String> customers) {
-    String named = "";
+    String result = "";
     for (String name : customers) {
-      boolean known =
+      boolean configured =
           settings.get().tenants().stream().anyMatch(tenant -> tenant.name().equals(name));
-      if (!known || (!named.isEmpty() && !named.equals(name))) {
+      if (!configured || (!result.isEmpty() && !result.equals(name))) {
         return "";
       }
-      named = name;
+      result = name;
     }
-    return named;
+    return result;
   }
 
   private List<QueryRequest.PartRequest> parts(JsonValue ranges) throws MalformedQueryException {
@@ -128,33 +160,38 @@
       throw new MalformedQueryException("more ranges than may be held");
     }
     List<QueryRequest.PartRequest> parts = new ArrayList<>(array.size());
-    Set<Integer> seen = new HashSet<>();
-    double whole = 0;
+    Set<Integer> shardsSoFar = new HashSet<>();
+    double portionSum = 0;
     for (JsonValue value : array) {
-      JsonObject o = value.asObject();
-      int shard = o.get("range").asInt();
-      double portion = o.get("portion").asDouble();
-      double price = o.getDouble("price", 0);
-      if (shard < 0 || (shards > 0 && shard >= shards) || !seen.add(shard)) {
-        throw new MalformedQueryException("range " + shard + " does not exist or is named twice");
-      }
-      if (!(portion >= 0 && portion <= 1.001) || !(price >= 0 && price <= 1e12)) {
-        throw new MalformedQueryException(
-            "portion or price of range " + shard + " is out of range");
-      }
-      parts.add(new QueryRequest.PartRequest(shard, portion, (long) price));
-      whole += portion;
+      QueryRequest.PartRequest part = part(value.asObject(), shards, shardsSoFar);
+      parts.add(part);
+      portionSum += part.weight();
     }
-    if (Math.abs(whole - 1) > PORTIONS_SLACK) {
-      throw new MalformedQueryException("the portions add up to " + whole);
+    if (Math.abs(portionSum - 1) > PORTION_SUM_TOLERANCE) {
+      throw new MalformedQueryException("the portions add up to " + portionSum);
     }
     return parts;
   }
 
-  private static String word(UnaryOperator<String> header, String name)
+  private static QueryRequest.PartRequest part(
+      JsonObject object, int shards, Set<Integer> shardsSoFar) throws MalformedQueryException {
+    int shard = object.get("range").asInt();
+    double portion = object.get("portion").asDouble();
+    double price = object.getDouble("price", 0);
+    boolean exists = shard >= 0 && (shards <= 0 || shard < shards);
+    if (!exists || !shardsSoFar.add(shard)) {
+      throw new MalformedQueryException("range " + shard + " does not exist or is named twice");
+    }
+    if (!(portion >= 0 && portion <= MAX_PORTION) || !(price >= 0 && price <= MAX_PRICE)) {
+      throw new MalformedQueryException("portion or price of range " + shard + " is out of range");
+    }
+    return new QueryRequest.PartRequest(shard, portion, (long) price);
+  }
+
+  private static String token(UnaryOperator<String> header, String name)
       throws MalformedQueryException {
     String value = header.apply(name);
-    if (value == null || !WORD.matcher(value).matches()) {
+    if (value == null || !TOKEN.matcher(value).matches()) {
       throw new MalformedQueryException(name + " is missing or no plain word");
     }
     return value;
--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -28,6 +28,7 @@
 import org.apache.arrow.flight.CallStatus;
 import org.apache.arrow.flight.ErrorFlightMetadata;
 import org.apache.arrow.flight.FlightClient;
+import org.apache.arrow.flight.FlightProducer;
 import org.apache.arrow.flight.FlightRuntimeException;
 import org.apache.arrow.flight.FlightServer;
 import org.apache.arrow.flight.FlightServerMiddleware;
@@ -45,18 +46,29 @@
 import org.apache.arrow.vector.types.pojo.Schema;
 
 /**
- * The Arrow Flight front: a query is a DoGet whose ticket holds the body that the HTTP front takes,
- * with class and identity in headers. What it takes goes the way of every other query; only the
- * wording is its own.
+ * The Arrow Flight frontend: a query is a DoGet whose ticket holds the same body as over HTTP, with
+ * the class and the identity in headers.
+ *
+ * <p>Calls arrive on gRPC's threads and responses are written on the call threads; the exchange of
+ * a query is opened and completed on the event loop.
  */
 public final class FlightFrontend implements Frontend {
+  /** Request header: the class of the query. */
   public static final String CLASS = "X-Qos";
+
+  /** Schema metadata: whether the response is complete. */
   public static final String TOTAL = "total";
+
   private static final String PRUNED = "pruned";
+
+  /** Error metadata: seconds after which a retry may succeed. */
   public static final String RETRY_AFTER = "retry-after";
+
+  private static final double US_PER_SECOND = 1e6;
+  private static final int IDLE_THREAD_SECONDS = 10;
   private static final long BUFFER_BYTES = 32L << 20;
   private static final int THREADS = 2;
-  private static final int MOST_CALLS = 128;
+  private static final int MAX_CALLS_PER_CONNECTION = 128;
   private static final FlightServerMiddleware.Key<ServerHeaderMiddleware> HEADERS =
       FlightServerMiddleware.Key.of("headers");
   private final Vertx vertx;
@@ -66,10 +78,17 @@
   private final Consumer<Event> events;
   private final LongSupplier clock;
   private final BufferAllocator allocator = new RootAllocator(BUFFER_BYTES);
-  private final ThreadPoolExecutor pool =
-      new ThreadPoolExecutor(THREADS, THREADS, 10, TimeUnit.SECONDS, new LinkedBlockingQueue<>());
+  private final ThreadPoolExecutor callThreads =
+      new ThreadPoolExecutor(
+          THREADS, THREADS, IDLE_THREAD_SECONDS, TimeUnit.SECONDS, new LinkedBlockingQueue<>());
   private FlightServer server;
 
+  /**
+   * Creates a frontend that does not listen yet.
+   *
+   * @param context the event loop on which queries are opened
+   * @param clock microseconds; called from any thread
+   */
   public FlightFrontend(
       Vertx vertx,
       Context context,
@@ -87,42 +106,40 @@
 
   @Override
   public Future<Integer> listen(String host, int port) {
-    Consumer<NettyServerBuilder> bounds =
-        builder -> builder.maxConcurrentCallsPerConnection(MOST_CALLS);
+    Consumer<NettyServerBuilder> callLimit =
+        builder -> builder.maxConcurrentCallsPerConnection(MAX_CALLS_PER_CONNECTION);
     server =
         FlightServer.builder(allocator, Location.forGrpcInsecure(host, port), new Producer())
             .middleware(HEADERS, new ServerHeaderMiddleware.Factory())
-            .executor(pool)
+            .executor(callThreads)
             .maxInboundMessageSize(2 * QueryReader.MOST_BYTES)
-            .transportHint("grpc.builderConsumer", bounds)
+            .transportHint("grpc.builderConsumer", callLimit)
             .build();
     return vertx.executeBlocking(
         () -> {
-          int bound = server.start().getPort();
-          warmUp(host, bound);
-          return bound;
+          int boundPort = server.start().getPort();
+          warmUp(host, boundPort);
+          return boundPort;
         });
   }
 
-  /**
-   * Loads both ends of the wire and the vectors, so that the first query does not wait for them.
-   */
-  private void warmUp(String host, int bound) throws InterruptedException {
+  /** Loads the classes of both ends of a call, so that the first query does not wait for them. */
+  private void warmUp(String host, int boundPort) throws InterruptedException {
     try (VectorSchemaRoot root = VectorSchemaRoot.create(schema(true, null), allocator)) {
       fill(root, List.of(new QueryResponse.PartValue(0, "")));
     }
     FlightClient self =
-        FlightClient.builder(allocator, Location.forGrpcInsecure(host, bound)).build();
+        FlightClient.builder(allocator, Location.forGrpcInsecure(host, boundPort)).build();
     try {
       self.doAction(new Action("warm-up")).forEachRemaining(result -> {});
     } catch (FlightRuntimeException e) {
-      // the front has no actions: that it says so is all that was wanted
+      // expected, as the frontend has no actions
     } finally {
       self.close();
     }
   }
 
-  /** Takes no new calls and waits, off the loop, for those that are open. */
+  /** Accepts no new calls and waits, off the event loop, for the open ones. */
   @Override
   public Future<Void> close(long dueUs) {
     return vertx.executeBlocking(
@@ -130,38 +147,41 @@
           server.shutdown();
           server.awaitTermination(Math.max(0, dueUs - clock.getAsLong()), TimeUnit.MICROSECONDS);
           server.close();
-          pool.shutdown();
-          pool.awaitTermination(Math.max(0, dueUs - clock.getAsLong()), TimeUnit.MICROSECONDS);
+          callThreads.shutdown();
+          callThreads.awaitTermination(
+              Math.max(0, dueUs - clock.getAsLong()), TimeUnit.MICROSECONDS);
           allocator.close();
           return null;
         });
   }
 
-  /** Calls come on gRPC's threads; nothing here waits. */
+  /** Called on gRPC's threads; nothing here blocks. */
   private final class Producer extends NoOpFlightProducer {
     @Override
     public void getStream(CallContext call, Ticket ticket, ServerStreamListener listener) {
-      long takenUs = clock.getAsLong();
+      long receivedUs = clock.getAsLong();
       Deadline deadline = io.grpc.Context.current().getDeadline();
       CallHeaders headers = call.getMiddleware(HEADERS).headers();
       try {
-        QueryRequest ask = read(headers, ticket, takenUs);
-        if (deadline != null) { // the earlier of the two binds
-          ask = ask.dueBy(takenUs + Math.max(0, deadline.timeRemaining(TimeUnit.MICROSECONDS)));
+        QueryRequest query = read(headers, ticket, receivedUs);
+        if (deadline != null) { // the earlier of both deadlines applies
+          query =
+              query.dueBy(receivedUs + Math.max(0, deadline.timeRemaining(TimeUnit.MICROSECONDS)));
         }
-        open(ask, listener);
+        open(query, listener);
       } catch (MalformedQueryException e) {
-        context.runOnContext(v -> events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS)));
+        context.runOnContext(
+            ignored -> events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS)));
         listener.error(
             CallStatus.INVALID_ARGUMENT.withDescription(e.getMessage()).toRuntimeException());
       }
     }
 
-    private QueryRequest read(CallHeaders headers, Ticket ticket, long takenUs)
+    private QueryRequest read(CallHeaders headers, Ticket ticket, long receivedUs)
         throws MalformedQueryException {
       String name = headers.get(CLASS);
-      QueryClass kind = name == null ? null : reader.classOf(name);
-      if (kind == null) {
+      QueryClass queryClass = name == null ? null : reader.classOf(name);
+      if (queryClass == null) {
         throw new MalformedQueryException(CLASS + " names no class");
       }
       if (ticket.getBytes().length > QueryReader.MOST_BYTES) {
@@ -169,89 +189,96 @@
       }
       Iterable<String> customers = headers.getAll(QueryReader.CUSTOMER);
       return reader.read(
-          kind,
+          queryClass,
           headers::get,
           customers == null ? List.of() : customers,
           new String(ticket.getBytes(), StandardCharsets.UTF_8),
-          takenUs);
+          receivedUs);
     }
   }
 
-  /** What the loop knows of a call: its exchange, or that its client left before there was one. */
+  /** A call as the event loop sees it: its exchange, or that its client disconnected before. */
   private static final class Call {
     private long exchange;
-    private boolean left;
+    private boolean disconnected;
   }
 
-  private void open(QueryRequest ask, NoOpFlightProducer.ServerStreamListener listener) {
+  private void open(QueryRequest query, FlightProducer.ServerStreamListener listener) {
     Call call = new Call();
     listener.setOnCancelHandler(
         () ->
             context.runOnContext(
-                v -> {
-                  call.left = true;
+                ignored -> {
+                  call.disconnected = true;
                   exchanges.left(call.exchange);
                 }));
     context.runOnContext(
-        v -> {
-          if (!call.left) {
+        ignored -> {
+          if (!call.disconnected) {
             call.exchange =
-                exchanges.open(ask, answer -> pool.execute(() -> write(listener, answer)));
+                exchanges.open(
+                    query, response -> callThreads.execute(() -> write(listener, response)));
           }
         });
   }
 
-  private void write(NoOpFlightProducer.ServerStreamListener listener, QueryResponse answer) {
+  private void write(FlightProducer.ServerStreamListener listener, QueryResponse response) {
     if (listener.isCancelled()) {
       return;
     }
-    if (answer instanceof QueryResponse.Served served) {
-      try (VectorSchemaRoot root =
-          VectorSchemaRoot.create(schema(served.whole(), served.pruned()), allocator)) {
-        fill(root, served.parts());
-        listener.start(root);
-        listener.putNext();
-        listener.completed();
-      } catch (RuntimeException e) { // an answer that can not be written is failed, and says so
-        listener.error(
-            CallStatus.INTERNAL
-                .withDescription("the answer could not be written")
-                .toRuntimeException());
-      }
-    } else if (answer instanceof QueryResponse.Rejected refused) {
-      ErrorFlightMetadata metadata = new ErrorFlightMetadata();
-      if (refused.retryAfterUs() > 0) {
-        metadata.insert(
-            RETRY_AFTER, String.format(Locale.ROOT, "%.3f", refused.retryAfterUs() / 1e6));
-      }
-      listener.error(
-          CallStatus.UNAVAILABLE
-              .withDescription("refused; trying again is harmless")
-              .withMetadata(metadata)
-              .toRuntimeException());
+    if (response instanceof QueryResponse.Served served) {
+      writeServed(listener, served);
+    } else if (response instanceof QueryResponse.Rejected rejected) {
+      listener.error(rejection(rejected));
+    } else if (response instanceof QueryResponse.DeadlineExceeded) {
+      listener.error(CallStatus.TIMED_OUT.withDescription("out of time").toRuntimeException());
     } else {
+      listener.error(CallStatus.INTERNAL.withDescription("failed").toRuntimeException());
+    }
+  }
+
+  private void writeServed(
+      FlightProducer.ServerStreamListener listener, QueryResponse.Served served) {
+    try (VectorSchemaRoot root =
+        VectorSchemaRoot.create(schema(served.whole(), served.pruned()), allocator)) {
+      fill(root, served.parts());
+      listener.start(root);
+      listener.putNext();
+      listener.completed();
+    } catch (RuntimeException e) { // whatever Arrow throws, the client must get an end of the call
       listener.error(
-          (answer instanceof QueryResponse.DeadlineExceeded
-                  ? CallStatus.TIMED_OUT.withDescription("out of time")
-                  : CallStatus.INTERNAL.withDescription("failed"))
+          CallStatus.INTERNAL
+              .withDescription("the answer could not be written")
               .toRuntimeException());
     }
   }
 
-  private static Schema schema(boolean whole, List<Integer> pruned) {
-    Map<String, String> words =
+  private static FlightRuntimeException rejection(QueryResponse.Rejected rejected) {
+    ErrorFlightMetadata metadata = new ErrorFlightMetadata();
+    if (rejected.retryAfterUs() > 0) {
+      metadata.insert(
+          RETRY_AFTER, String.format(Locale.ROOT, "%.3f", rejected.retryAfterUs() / US_PER_SECOND));
+    }
+    return CallStatus.UNAVAILABLE
+        .withDescription("refused; trying again is harmless")
+        .withMetadata(metadata)
+        .toRuntimeException();
+  }
+
+  private static Schema schema(boolean complete, List<Integer> pruned) {
+    Map<String, String> metadata =
         pruned == null
-            ? Map.of(TOTAL, Boolean.toString(whole))
+            ? Map.of(TOTAL, Boolean.toString(complete))
             : Map.of(
                 TOTAL,
-                Boolean.toString(whole),
+                Boolean.toString(complete),
                 PRUNED,
                 String.join(",", pruned.stream().map(String::valueOf).toList()));
     return new Schema(
         List.of(
             Field.notNullable("range", new ArrowType.Int(32, true)),
             Field.notNullable("blob", ArrowType.Utf8.INSTANCE)),
-        words);
+        metadata);
   }
 
   private static void fill(VectorSchemaRoot root, List<QueryResponse.PartValue> parts) {
--- /dev/null
+++ b/src/main/java/dunlinhitch/frontend/http/BodyReader.java
@@ -0,0 +1,67 @@
+package dunlinhitch.frontend.http;
+
+import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpHeaders;
+import io.vertx.core.http.HttpServerRequest;
+import java.util.function.Consumer;
+
+/**
+ * Reads the body of one request, with or without a stated length, and never buffers more than a
+ * bound. Used on the event loop only.
+ */
+final class BodyReader {
+  /** A Content-Length of more digits is over every bound. */
+  private static final String PLAUSIBLE_LENGTH = "[0-9]{1,6}";
+
+  private final int maxBytes;
+  private final Consumer<Buffer> onBody;
+  private final Runnable onTooLarge;
+  private final Buffer body = Buffer.buffer();
+
+  /** True once the body is too large or the client has disconnected within it. */
+  private boolean aborted;
+
+  private BodyReader(int maxBytes, Consumer<Buffer> onBody, Runnable onTooLarge) {
+    this.maxBytes = maxBytes;
+    this.onBody = onBody;
+    this.onTooLarge = onTooLarge;
+  }
+
+  /**
+   * Starts to read. Neither callback is called where the client disconnects within the body.
+   *
+   * @param onBody takes the complete body
+   * @param onTooLarge called once, as soon as the body is known to be over the bound
+   */
+  static void read(
+      HttpServerRequest request, int maxBytes, Consumer<Buffer> onBody, Runnable onTooLarge) {
+    String statedLength = request.getHeader(HttpHeaders.CONTENT_LENGTH);
+    if (statedLength != null
+        && (!statedLength.matches(PLAUSIBLE_LENGTH) || Integer.parseInt(statedLength) > maxBytes)) {
+      onTooLarge.run();
+      return;
+    }
+    BodyReader reader = new BodyReader(maxBytes, onBody, onTooLarge);
+    request.handler(reader::onChunk);
+    request.exceptionHandler(error -> reader.aborted = true);
+    request.endHandler(ignored -> reader.onEnd());
+  }
+
+  private void onChunk(Buffer chunk) {
+    if (aborted) {
+      return;
+    }
+    if (body.length() + chunk.length() > maxBytes) {
+      aborted = true;
+      onTooLarge.run();
+    } else {
+      body.appendBuffer(chunk);
+    }
+  }
+
+  private void onEnd() {
+    if (!aborted) {
+      onBody.accept(body);
+    }
+  }
+}
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -3,7 +3,7 @@
 import dunlinhitch.core.Counter;
 import dunlinhitch.core.Event;
 import dunlinhitch.frontend.GracefulShutdown;
-import dunlinhitch.frontend.GracefulShutdown.Fate;
+import dunlinhitch.frontend.GracefulShutdown.Disposition;
 import io.vertx.core.http.HttpConnection;
 import io.vertx.core.http.HttpServerRequest;
 import java.util.ArrayList;
@@ -19,34 +19,36 @@
 import java.util.function.LongSupplier;
 
 /**
- * The connections that clients hold, and until when each may go on as it does. Guards against those
- * that say nothing or never come to an end: they cost descriptors and memory that clients with a
- * query need. How the front ends is {@link GracefulShutdown}'s, which also says that nothing is
- * closed on which a request has come unread.
+ * The connections of clients and their timeouts. Closes those that send nothing or never complete a
+ * request, as they cost file descriptors and memory that clients with a query need. The shutdown is
+ * the business of {@link GracefulShutdown}, which also guarantees that no connection is closed on
+ * which a request has arrived unread.
+ *
+ * <p>Used on the event loop only.
  */
 final class ClientConnections {
-  /**
-   * A first request must be whole so soon after its connection was made, a later one so soon after
-   * its first byte.
-   */
-  private static final long WHOLE_AFTER_US = 2_500_000;
+  /** From the accept to the end of a first request, or from first to last byte of a later one. */
+  private static final long REQUEST_TIMEOUT_US = 2_500_000;
+
+  private static final long IDLE_TIMEOUT_US = 5_000_000;
 
-  private static final long IDLE_US = 5_000_000;
+  /** The idle timeout while more than a quarter of the allowed connections are open. */
+  private static final long BUSY_IDLE_TIMEOUT_US = 2_000_000;
 
-  /** Where many are held, an idle one goes sooner. */
-  private static final long IDLE_WHEN_MANY_US = 2_000_000;
+  private static final int BUSY_DIVISOR = 4;
 
-  /** A client that takes nothing of its answer for so long gets no more of it. */
-  private static final long WRITE_US = 5_000_000;
+  /** A client that accepts nothing of its response for so long is disconnected. */
+  private static final long WRITE_TIMEOUT_US = 5_000_000;
 
   private static final long LINGER_US = 1_000_000;
+  private static final long US_PER_MS = 1000;
 
-  /** What crosses the closing of its connection comes so soon, if the listener is still there. */
+  /** How long a request may be in transit that crosses the close of its connection. */
   static final long CROSSING_US = 150_000;
 
-  /** What of the end the front itself does. */
+  /** The part of the shutdown that the frontend does itself. */
   interface Host {
-    /** A request of which the head was read is told no, and its connection ends. */
+    /** Refuses a request whose head was read, with a response that ends the connection. */
     void refuse(HttpServerRequest request);
 
     void closeListener();
@@ -54,314 +56,355 @@
     void closed();
   }
 
-  /** {@code HEAD}: some bytes of a request have come; {@code READING}: its head was read. */
   private enum Stage {
-    SILENT,
-    HEAD,
-    READING,
-    OPEN,
+    /** Nothing was received yet. */
+    NEW,
+    /** Some bytes of a request were received. */
+    READING_HEAD,
+    /** The head of a request was read. */
+    READING_BODY,
+    /** A complete request waits for its response. */
+    AWAITING_RESPONSE,
     IDLE
   }
 
-  private static final class Link {
+  private static final class ClientConnection {
     private final HttpConnection connection;
-    private final long madeUs;
+    private final long acceptedUs;
 
-    /** Bytes have come that no request was made of yet. */
-    private final BooleanSupplier holdsAny;
+    /** True where bytes were received that are not part of a request yet. */
+    private final BooleanSupplier hasUnparsedBytes;
 
-    private LingeringClose edge;
-    private Stage stage = Stage.SILENT;
-    private long sinceUs;
-    private boolean first = true;
+    private LingeringClose channel;
+    private Stage stage = Stage.NEW;
+    private long stageSinceUs;
+    private boolean firstRequest = true;
 
-    /** What was read last and is not answered. */
+    /** The request that was read last and has no response yet. */
     private HttpServerRequest request;
 
-    /**
-     * Told where the client of its last query leaves; nothing comes of it once that is answered.
-     */
-    private Runnable left = () -> {};
+    /** Called on disconnect for the last query; has no effect once that is completed. */
+    private Runnable onDisconnect = () -> {};
 
-    /** Its next answer is the last; {@code closing}: that was written. */
-    private boolean last;
+    /** The next response is the last, as the client sent too much. */
+    private boolean flooded;
 
-    private boolean crowded;
+    /** The next response is the last, as no connection could be evicted for this one. */
+    private boolean excess;
+
+    /** The last response is being written. */
     private boolean closing;
 
-    Link(HttpConnection connection, long madeUs, BooleanSupplier holdsAny) {
-      this.holdsAny = holdsAny;
+    ClientConnection(HttpConnection connection, long acceptedUs, BooleanSupplier hasUnparsedBytes) {
+      this.hasUnparsedBytes = hasUnparsedBytes;
       this.connection = connection;
-      this.madeUs = madeUs;
-      sinceUs = madeUs;
+      this.acceptedUs = acceptedUs;
+      stageSinceUs = acceptedUs;
     }
   }
 
-  /** In the order in which they were made. */
-  private final Map<HttpConnection, Link> links = new LinkedHashMap<>();
+  /** Open connections in the order in which they were accepted. */
+  private final Map<HttpConnection, ClientConnection> connections = new LinkedHashMap<>();
 
-  /** No links any more, but each has its descriptor; in the order in which they were closed. */
-  private final Set<Link> lingering = new LinkedHashSet<>();
+  /** Half-closed connections, which still have file descriptors, in the order of their close. */
+  private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
-  private final IntSupplier most;
-  private final int mostOpen;
+  private final IntSupplier maxConnections;
+  private final int maxDescriptors;
   private final LongSupplier clock;
   private final Consumer<Event> events;
-  private final GracefulShutdown<Link> end;
-  private long dueUs = Long.MAX_VALUE;
+  private final GracefulShutdown<ClientConnection> shutdown;
+  private long shutdownDeadlineUs = Long.MAX_VALUE;
 
-  /** {@code mostOpen}: so many descriptors, those of lingering ones included. */
+  /**
+   * Creates a table without connections.
+   *
+   * @param maxDescriptors the bound on open and lingering connections together
+   */
   ClientConnections(
-      IntSupplier most, int mostOpen, LongSupplier clock, Consumer<Event> events, Host host) {
-    this.most = most;
-    this.mostOpen = mostOpen;
+      IntSupplier maxConnections,
+      int maxDescriptors,
+      LongSupplier clock,
+      Consumer<Event> events,
+      Host host) {
+    this.maxConnections = maxConnections;
+    this.maxDescriptors = maxDescriptors;
     this.clock = clock;
     this.events = events;
-    end = new GracefulShutdown<>(new Acts(host), CROSSING_US);
+    shutdown = new GracefulShutdown<>(new ShutdownActions(host), CROSSING_US);
   }
 
   /**
-   * A new connection; beyond what may be held one that has no query open makes room for it, or it
-   * is refused itself.
+   * Adds an accepted connection. Above the bound, one without an open query is evicted for it, or
+   * its own first response will be its last.
    */
-  void made(HttpConnection connection, BooleanSupplier holdsAny) {
-    Link link = new Link(connection, clock.getAsLong(), holdsAny);
-    link.edge =
-        LingeringClose.install(
-            connection,
-            new LingeringClose.Watch() {
-              @Override
-              public void came() {
-                ClientConnections.this.came(link);
-              }
-
-              @Override
-              public void closing() {
-                lingers(link);
-              }
-
-              @Override
-              public void closed() {
-                link.left.run();
-              }
-
-              @Override
-              public long lingerMs() {
-                return (Math.min(LINGER_US, dueUs - clock.getAsLong()) + 999) / 1000;
-              }
-            },
-            clock);
-    connection.closeHandler(v -> gone(link));
-    if (links.size() >= most.getAsInt()) {
-      link.crowded = !makesRoom();
+  void accepted(HttpConnection connection, BooleanSupplier hasUnparsedBytes) {
+    ClientConnection client = new ClientConnection(connection, clock.getAsLong(), hasUnparsedBytes);
+    client.channel = LingeringClose.install(connection, new ChannelListener(client), clock);
+    connection.closeHandler(ignored -> onDisconnected(client));
+    if (connections.size() >= maxConnections.getAsInt()) {
+      client.excess = !evictOne();
       events.accept(new Event.ConditionCounted(Counter.CLIENTS_CROWDED_OUT));
     }
-    links.put(connection, link);
-    end.made(link.madeUs, link);
-    cutLingering();
+    connections.put(connection, client);
+    shutdown.accepted(client.acceptedUs, client);
+    abortLingeringAboveBound();
   }
 
   /**
-   * Whom the loss of its connection costs least: one that never said a thing, else the one idle for
-   * longest, else one half read.
+   * Evicts the connection whose loss costs least: one that never sent anything, else the one that
+   * is idle for longest, else one with an incomplete request.
    */
-  private boolean makesRoom() {
-    List<Link> some = new ArrayList<>(links.values());
-    some.removeIf(link -> link.stage == Stage.OPEN || link.stage == Stage.READING);
-    some.sort(
-        Comparator.comparing(
-                (Link link) -> link.stage == Stage.SILENT ? 0 : link.stage == Stage.IDLE ? 1 : 2)
-            .thenComparingLong(link -> link.sinceUs));
-    long now = clock.getAsLong();
-    return some.stream()
+  private boolean evictOne() {
+    List<ClientConnection> candidates = new ArrayList<>(connections.values());
+    candidates.removeIf(
+        client -> client.stage == Stage.AWAITING_RESPONSE || client.stage == Stage.READING_BODY);
+    candidates.sort(
+        Comparator.comparingInt(ClientConnections::evictionCost)
+            .thenComparingLong(client -> client.stageSinceUs));
+    long nowUs = clock.getAsLong();
+    return candidates.stream()
         .anyMatch(
-            link ->
-                end.closeQuiet(now, link)
-                    || (link.stage == Stage.HEAD && end.refuseUnfinished(link)));
+            client ->
+                shutdown.closeIfIdle(nowUs, client)
+                    || (client.stage == Stage.READING_HEAD && shutdown.refuseIfIncomplete(client)));
+  }
+
+  private static int evictionCost(ClientConnection client) {
+    return switch (client.stage) {
+      case NEW -> 0;
+      case IDLE -> 1;
+      default -> 2;
+    };
   }
 
-  /** Where descriptors are short those that linger go first. */
-  private void cutLingering() {
-    while (!lingering.isEmpty() && links.size() + lingering.size() >= mostOpen) {
-      Link oldest = lingering.iterator().next();
+  private void abortLingeringAboveBound() {
+    while (!lingering.isEmpty() && connections.size() + lingering.size() >= maxDescriptors) {
+      ClientConnection oldest = lingering.iterator().next();
       lingering.remove(oldest);
-      oldest.edge.cut();
+      oldest.channel.abort();
     }
   }
 
-  private void came(Link link) {
-    if (link.stage == Stage.SILENT || link.stage == Stage.IDLE) {
-      to(link, Stage.HEAD);
-      end.begun(link);
+  private void onBytesReceived(ClientConnection client) {
+    if (client.stage == Stage.NEW || client.stage == Stage.IDLE) {
+      enter(client, Stage.READING_HEAD);
+      shutdown.requestStarted(client);
     }
   }
 
-  private void lingers(Link link) {
-    end.halfClosed(link);
-    if (links.remove(link.connection) != null) {
-      lingering.add(link);
-      cutLingering();
+  private void onHalfClose(ClientConnection client) {
+    shutdown.halfClosed(client);
+    if (connections.remove(client.connection) != null) {
+      lingering.add(client);
+      abortLingeringAboveBound();
     }
   }
 
-  private void gone(Link link) {
-    links.remove(link.connection);
-    lingering.remove(link);
-    end.gone(link);
+  private void onDisconnected(ClientConnection client) {
+    connections.remove(client.connection);
+    lingering.remove(client);
+    shutdown.disconnected(client);
   }
 
   /**
-   * The head of a request was read; false: it came behind the last answer, and nothing of it is
-   * begun.
+   * The head of a request was read.
+   *
+   * @return false where it follows the last response and must be ignored
    */
-  boolean asked(HttpServerRequest request) {
-    Link link = links.get(request.connection());
-    if (link == null || link.closing) {
+  boolean headReceived(HttpServerRequest request) {
+    ClientConnection client = connections.get(request.connection());
+    if (client == null || client.closing) {
       return false;
     }
-    if (link.request != null) { // it was read behind one whose answer was ended just now
-      end.answered(link, false);
+    if (client.request != null) { // pipelined, read as the response to the one ahead was ended
+      shutdown.responseWritten(client, false);
     }
-    end.begun(link);
-    link.request = request;
-    long begunUs = link.stage == Stage.HEAD ? link.sinceUs : clock.getAsLong();
-    to(link, Stage.READING);
-    link.sinceUs = begunUs;
+    shutdown.requestStarted(client);
+    client.request = request;
+    long startedUs = client.stage == Stage.READING_HEAD ? client.stageSinceUs : clock.getAsLong();
+    enter(client, Stage.READING_BODY);
+    client.stageSinceUs = startedUs;
     return true;
   }
 
-  /** The request was read whole. */
-  Fate taken(HttpServerRequest request) {
-    Link link = links.get(request.connection());
-    if (link == null || link.closing || link.request != request) {
-      return Fate.DROP;
+  /** The request was received completely; the result says what to do with it. */
+  @SuppressWarnings("ReferenceEquality") // asks for this very request, not for an equal one
+  Disposition requestReceived(HttpServerRequest request) {
+    ClientConnection client = connections.get(request.connection());
+    if (client == null || client.closing || client.request != request) {
+      return Disposition.DROP;
     }
-    to(link, Stage.OPEN);
-    Fate fate = end.taken(link);
-    return fate == Fate.SEND_ON && link.crowded ? Fate.REFUSE : fate;
+    enter(client, Stage.AWAITING_RESPONSE);
+    Disposition disposition = shutdown.requestReceived(client);
+    return disposition == Disposition.FORWARD && client.excess ? Disposition.REFUSE : disposition;
   }
 
-  /**
-   * {@code left}: for the query that was taken last; it is told in the read that finds that the
-   * client has gone.
-   */
-  void onLeft(HttpServerRequest request, Runnable left) {
-    Link link = links.get(request.connection());
-    if (link != null) {
-      link.left = left;
+  /** Sets what is called, for the query received last, in the read that finds a disconnect. */
+  void onDisconnect(HttpServerRequest request, Runnable onDisconnect) {
+    ClientConnection client = connections.get(request.connection());
+    if (client != null) {
+      client.onDisconnect = onDisconnect;
     }
   }
 
-  /** True where the answer that is written next ends its connection. */
-  boolean isLast(HttpConnection connection) {
-    Link link = links.get(connection);
-    return end.isLeaving() || link == null || link.last || link.crowded;
+  /** True where the response that is written next ends its connection. */
+  boolean isLastResponse(HttpConnection connection) {
+    ClientConnection client = connections.get(connection);
+    return shutdown.isDraining() || client == null || client.flooded || client.excess;
   }
 
-  /** The last answer is being written: what comes behind it is not begun. */
+  /** The last response is being written: requests after it are ignored. */
   void closing(HttpConnection connection) {
-    Link link = links.get(connection);
-    if (link != null) {
-      link.closing = true;
+    ClientConnection client = connections.get(connection);
+    if (client != null) {
+      client.closing = true;
     }
   }
 
-  void answered(HttpServerRequest request) {
-    Link link = links.get(request.connection());
-    if (link != null && link.request == request) { // else the next one is being read already
-      link.request = null;
-      boolean begun =
-          !link.closing
-              && link.holdsAny.getAsBoolean(); // the next one, sent without waiting for this answer
-      to(link, begun ? Stage.HEAD : Stage.IDLE);
-      end.answered(link, link.closing);
-      if (begun) {
-        end.begun(link);
-      }
+  /** The response to the request was written. */
+  @SuppressWarnings("ReferenceEquality") // asks for this very request, not for an equal one
+  void responseWritten(HttpServerRequest request) {
+    ClientConnection client = connections.get(request.connection());
+    if (client == null || client.request != request) { // the next request is being read already
+      return;
+    }
+    client.request = null;
+    boolean nextStarted = !client.closing && client.hasUnparsedBytes.getAsBoolean();
+    enter(client, nextStarted ? Stage.READING_HEAD : Stage.IDLE);
+    shutdown.responseWritten(client, client.closing);
+    if (nextStarted) {
+      shutdown.requestStarted(client);
     }
   }
 
-  private void to(Link link, Stage stage) {
-    link.stage = stage;
-    link.sinceUs = clock.getAsLong();
-    link.first &= stage == Stage.HEAD || stage == Stage.READING;
+  private void enter(ClientConnection client, Stage stage) {
+    client.stage = stage;
+    client.stageSinceUs = clock.getAsLong();
+    client.firstRequest &= stage == Stage.READING_HEAD || stage == Stage.READING_BODY;
   }
 
-  private long dueUs(Link link) {
-    return switch (link.stage) {
-      case SILENT -> link.madeUs + WHOLE_AFTER_US;
-      case HEAD, READING -> (link.first ? link.madeUs : link.sinceUs) + WHOLE_AFTER_US;
-      case OPEN -> Long.MAX_VALUE;
-      case IDLE ->
-          link.sinceUs + (4 * links.size() > most.getAsInt() ? IDLE_WHEN_MANY_US : IDLE_US);
+  private long timeoutAtUs(ClientConnection client) {
+    return switch (client.stage) {
+      case NEW -> client.acceptedUs + REQUEST_TIMEOUT_US;
+      case READING_HEAD, READING_BODY -> {
+        long startedUs = client.firstRequest ? client.acceptedUs : client.stageSinceUs;
+        yield startedUs + REQUEST_TIMEOUT_US;
+      }
+      case AWAITING_RESPONSE -> Long.MAX_VALUE;
+      case IDLE -> client.stageSinceUs + idleTimeoutUs();
     };
   }
 
-  void closeOverdue() {
-    long now = clock.getAsLong();
-    for (Link link : List.copyOf(links.values())) {
-      Counter why = link.stage == Stage.IDLE ? Counter.CLIENTS_IDLE : Counter.CLIENTS_SLOW;
-      boolean stalled = link.edge.stalledUs() < now - WRITE_US;
-      if (stalled) {
-        link.edge.cut();
+  private long idleTimeoutUs() {
+    return BUSY_DIVISOR * connections.size() > maxConnections.getAsInt()
+        ? BUSY_IDLE_TIMEOUT_US
+        : IDLE_TIMEOUT_US;
+  }
+
+  /** Closes connections whose timeout has passed; to be called periodically. */
+  void closeTimedOut() {
+    long nowUs = clock.getAsLong();
+    for (ClientConnection client : List.copyOf(connections.values())) {
+      Counter reason = client.stage == Stage.IDLE ? Counter.CLIENTS_IDLE : Counter.CLIENTS_SLOW;
+      boolean writeStalled = client.channel.writeStalledSinceUs() < nowUs - WRITE_TIMEOUT_US;
+      if (writeStalled) {
+        client.channel.abort();
       }
-      if (stalled
-          || (now >= dueUs(link) && (end.closeQuiet(now, link) || end.refuseUnfinished(link)))) {
-        events.accept(new Event.ConditionCounted(why));
+      if (writeStalled || (nowUs >= timeoutAtUs(client) && close(nowUs, client))) {
+        events.accept(new Event.ConditionCounted(reason));
       }
     }
   }
 
-  // ---- the end
+  private boolean close(long nowUs, ClientConnection client) {
+    return shutdown.closeIfIdle(nowUs, client) || shutdown.refuseIfIncomplete(client);
+  }
+
+  // ---- shutdown
 
-  void leave(boolean closeQuiet) {
-    end.leave(clock.getAsLong(), closeQuiet);
+  /** From now on each response is the last of its connection; see {@link GracefulShutdown}. */
+  void drain(boolean closeIdle) {
+    shutdown.drain(clock.getAsLong(), closeIdle);
   }
 
-  void refuse(long due) {
-    dueUs = due;
-    end.refuse(clock.getAsLong(), due);
+  /** From now on queries are refused, and all connections are closed by the deadline. */
+  void refuse(long deadlineUs) {
+    shutdownDeadlineUs = deadlineUs;
+    shutdown.refuse(clock.getAsLong(), deadlineUs);
   }
 
-  void passed() {
-    end.passed(clock.getAsLong());
+  /** Advances the shutdown; to be called every few milliseconds. */
+  void advanceShutdown() {
+    shutdown.advance(clock.getAsLong());
   }
 
+  /** The listener is closed. */
   void listenerClosed() {
-    end.listenerClosed(clock.getAsLong());
+    shutdown.listenerClosed(clock.getAsLong());
   }
 
-  /** Too much came behind a request. */
+  /** The client sent too much behind a request: its next response is the last. */
   void flooded(HttpConnection connection) {
-    Link link = links.get(connection);
-    if (link != null) {
-      link.last = true;
+    ClientConnection client = connections.get(connection);
+    if (client != null) {
+      client.flooded = true;
+    }
+  }
+
+  /** Events of one connection's channel. */
+  private final class ChannelListener implements LingeringClose.Listener {
+    private final ClientConnection client;
+
+    ChannelListener(ClientConnection client) {
+      this.client = client;
+    }
+
+    @Override
+    public void bytesReceived() {
+      onBytesReceived(client);
+    }
+
+    @Override
+    public void halfClosing() {
+      onHalfClose(client);
+    }
+
+    @Override
+    public void closed() {
+      client.onDisconnect.run();
+    }
+
+    @Override
+    public long lingerMs() {
+      long lingerUs = Math.min(LINGER_US, shutdownDeadlineUs - clock.getAsLong());
+      return (lingerUs + US_PER_MS - 1) / US_PER_MS;
     }
   }
 
-  private final class Acts implements GracefulShutdown.Acts<Link> {
+  private final class ShutdownActions implements GracefulShutdown.Actions<ClientConnection> {
     private final Host host;
 
-    Acts(Host host) {
+    ShutdownActions(Host host) {
       this.host = host;
     }
 
     @Override
-    public void readOnce(Link link) {
-      link.edge.readOnce();
+    public void readOnce(ClientConnection client) {
+      client.channel.readOnce();
     }
 
     @Override
-    public void halfClose(Link link) {
-      link.connection.close();
+    public void halfClose(ClientConnection client) {
+      client.connection.close();
     }
 
     @Override
-    public void refuse(Link link) {
-      if (link.request == null) {
-        link.edge.refuse();
+    public void refuse(ClientConnection client) {
+      if (client.request == null) {
+        client.channel.refuse();
       } else {
-        host.refuse(link.request);
+        host.refuse(client.request);
       }
     }
 
@@ -372,7 +415,7 @@
 
     @Override
     public void closed() {
-      List.copyOf(lingering).forEach(link -> link.edge.cut());
+      List.copyOf(lingering).forEach(client -> client.channel.abort());
       host.closed();
     }
   }
--- a/src/main/java/dunlinhitch/frontend/http/ClientListener.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientListener.java
@@ -22,42 +22,48 @@
 import java.util.function.Supplier;
 
 /**
- * The socket that clients connect to. Vert.x comes to it by its transport. It accepts on a thread
- * of its own, so it counts what is open and stops at a bound: a loop that is behind closes nothing,
- * and a process without a descriptor left loses more than connections. It may be a socket that
- * somebody else made and another process of this broker accepts from as well: nothing here binds
- * that one, shuts it down or closes it. The other process goes on with it, and with that channel
- * the JDK closes the descriptors that the log is written to.
+ * The socket that clients connect to, made known to Vert.x as its transport. It accepts on a thread
+ * of its own, so it counts open connections and pauses at a bound: an event loop that is behind
+ * closes nothing, and a process without file descriptors loses more than connections.
+ *
+ * <p>The socket may be inherited, and another process of a hot restart may accept from it too. Such
+ * a socket is never bound, shut down or closed here: the other process goes on with it, and with
+ * the inherited channel the JDK would close the descriptors that the log is written to.
  */
 public final class ClientListener extends NioTransport implements Transport {
-  private static final long LOOK_AFTER_MS = 5;
+  private static final long RETRY_ACCEPT_MS = 5;
 
-  /** Null: it is made by binding. */
-  private final ServerSocketChannel handed;
+  /** Null where the socket is created by binding. */
+  private final ServerSocketChannel inheritedChannel;
 
-  private final OpenResourceCounter<Accepted> open =
-      new OpenResourceCounter<>(Accepted::isReleased);
-  private volatile int most = Integer.MAX_VALUE;
-  private volatile boolean leaving;
-  private Accepting accepting;
-  private boolean lending;
+  private final OpenResourceCounter<AcceptedChannel> open =
+      new OpenResourceCounter<>(AcceptedChannel::isReleased);
+  private volatile int maxOpen = Integer.MAX_VALUE;
+  private volatile boolean stopped;
+  private AcceptingChannel serverChannel;
+  private boolean installing;
 
-  /** {@code handed} null: it is made when it is listened on. */
-  public ClientListener(ServerSocketChannel handed) {
-    this.handed = handed;
+  /**
+   * Creates a listener.
+   *
+   * @param inheritedChannel a listening socket; null where one is to be created when the server
+   *     starts
+   */
+  public ClientListener(ServerSocketChannel inheritedChannel) {
+    this.inheritedChannel = inheritedChannel;
   }
 
-  /** True where another process may accept from it too. */
+  /** True where another process may accept from the same socket. */
   public boolean isShared() {
-    return handed != null;
+    return inheritedChannel != null;
   }
 
-  /** Connections that were accepted and still have their descriptor. */
+  /** Accepted connections that still have their file descriptor. */
   public int open() {
     return open.count();
   }
 
-  /** The one that this process was started with as descriptor 0. */
+  /** The listener on the socket that this process was started with as descriptor 0. */
   public static ClientListener inherited() throws IOException {
     java.nio.channels.Channel channel = System.inheritedChannel();
     if (channel instanceof ServerSocketChannel listener) {
@@ -67,41 +73,47 @@
   }
 
   /**
-   * The server that {@code listen} starts accepts here, from the moment it is registered on, so
-   * many at once.
+   * Makes the server that {@code listen} starts accept from this listener.
+   *
+   * @param maxConnections how many connections may be open before accepting pauses
    */
-  <T> Future<T> lend(int bound, Supplier<Future<T>> listen) {
-    most = bound;
-    lending = true;
-    return listen.get().onComplete(done -> lending = false);
+  <T> Future<T> install(int maxConnections, Supplier<Future<T>> listen) {
+    maxOpen = maxConnections;
+    installing = true;
+    return listen.get().onComplete(done -> installing = false);
   }
 
-  /** Connections that wait are left to the other process from now on. */
+  /** Stops accepting: queued connections are left to the other process. */
   void stopAccepting() {
-    leaving = true;
-    if (accepting != null) {
-      accepting.config().setAutoRead(false);
+    stopped = true;
+    if (serverChannel != null) {
+      serverChannel.config().setAutoRead(false);
     }
   }
 
   /**
-   * Lets in whoever waits in its queue, for to them they are connected, and closes it then; {@code
-   * done} comes from its thread.
+   * Accepts the queued connections, as their clients are connected already, and closes.
+   *
+   * @param done called at the end, on any thread
    */
   void close(Runnable done) {
-    leaving = true;
-    if (accepting == null || handed != null) {
+    stopped = true;
+    if (serverChannel == null || inheritedChannel != null) {
       stopAccepting();
       done.run();
     } else {
-      accepting.eventLoop().execute(() -> accepting.letInAndClose(done));
+      serverChannel.eventLoop().execute(() -> serverChannel.acceptQueuedAndClose(done));
     }
   }
 
   @Override
   public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
-    return lending
-        ? () -> accepting = handed == null ? new Accepting() : new Accepting(handed)
+    return installing
+        ? () ->
+            serverChannel =
+                inheritedChannel == null
+                    ? new AcceptingChannel()
+                    : new AcceptingChannel(inheritedChannel)
         : super.serverChannelFactory(domainSocket);
   }
 
@@ -132,79 +144,84 @@
     return this;
   }
 
-  private static final class Accepted extends NioSocketChannel {
-    Accepted(Channel parent, SocketChannel made) {
-      super(parent, made);
+  private static final class AcceptedChannel extends NioSocketChannel {
+    AcceptedChannel(Channel parent, SocketChannel socket) {
+      super(parent, socket);
     }
 
     /**
-     * A closed channel keeps its descriptor until its selector has let go of it, which a loop that
-     * is behind does late.
+     * True once the file descriptor is free: a closed channel keeps it until the selector has
+     * deregistered it, which an event loop that is behind does late.
      */
     boolean isReleased() {
       return !javaChannel().isRegistered();
     }
   }
 
-  private final class Accepting extends NioServerSocketChannel {
-    private int letIn;
+  private final class AcceptingChannel extends NioServerSocketChannel {
+    private int acceptedCount;
 
-    Accepting() {
-      // it is bound as any other
+    AcceptingChannel() {
+      // bound as any other channel
     }
 
-    Accepting(ServerSocketChannel handed) {
-      super(handed);
+    AcceptingChannel(ServerSocketChannel inheritedChannel) {
+      super(inheritedChannel);
     }
 
     @Override
     protected int doReadMessages(List<Object> accepted) throws Exception {
-      if (open() >= most) {
+      if (open() >= maxOpen) {
         config().setAutoRead(false);
-        eventLoop().schedule(this::goOn, LOOK_AFTER_MS, TimeUnit.MILLISECONDS);
+        scheduleResume();
         return 0;
       }
-      SocketChannel made = javaChannel().accept();
-      if (made == null) {
+      SocketChannel socket = javaChannel().accept();
+      if (socket == null) {
         return 0;
       }
-      Accepted child = new Accepted(this, made);
+      AcceptedChannel child = new AcceptedChannel(this, socket);
       open.opened();
       child.closeFuture().addListener(closed -> open.closed(child));
       accepted.add(child);
-      letIn++;
+      acceptedCount++;
       return 1;
     }
 
-    private void letInAndClose(Runnable done) {
-      int before;
+    @SuppressWarnings("FutureReturnValueIgnored") // the task handles its own failure
+    private void scheduleResume() {
+      eventLoop().schedule(this::resumeAccepting, RETRY_ACCEPT_MS, TimeUnit.MILLISECONDS);
+    }
+
+    private void acceptQueuedAndClose(Runnable done) {
+      int countBefore;
       do {
-        before = letIn;
+        countBefore = acceptedCount;
         unsafe().read();
-      } while (letIn > before);
+      } while (acceptedCount > countBefore);
       close().addListener(closed -> done.run());
     }
 
-    private void goOn() {
-      if (open() < most && !leaving) {
+    private void resumeAccepting() {
+      if (open() < maxOpen && !stopped) {
         config().setAutoRead(true);
-      } else if (!leaving) {
-        eventLoop().schedule(this::goOn, LOOK_AFTER_MS, TimeUnit.MILLISECONDS);
+      } else if (!stopped) {
+        scheduleResume();
       }
     }
 
     @Override
     protected void doBind(SocketAddress address) throws Exception {
-      if (handed == null) {
+      if (inheritedChannel == null) {
         super.doBind(address);
       }
     }
 
     @Override
     protected void doClose() throws Exception {
-      if (handed == null) {
+      if (inheritedChannel == null) {
         super.doClose();
-      } // else it is taken off its selector, and not this process's to close
+      } // an inherited socket is only deregistered, as the other process goes on with it
     }
   }
 }
--- a/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
@@ -8,7 +8,7 @@
 import dunlinhitch.core.QueryResponse;
 import dunlinhitch.frontend.Exchanges;
 import dunlinhitch.frontend.Frontend;
-import dunlinhitch.frontend.GracefulShutdown.Fate;
+import dunlinhitch.frontend.GracefulShutdown.Disposition;
 import dunlinhitch.frontend.MalformedQueryException;
 import dunlinhitch.frontend.QueryReader;
 import io.vertx.core.Context;
@@ -16,6 +16,7 @@
 import io.vertx.core.Promise;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
+import io.vertx.core.http.HttpConnection;
 import io.vertx.core.http.HttpHeaders;
 import io.vertx.core.http.HttpMethod;
 import io.vertx.core.http.HttpServer;
@@ -32,12 +33,23 @@
 import java.util.function.Supplier;
 
 /**
- * The platform's front: HTTP/1.1, a query a POST. It reads and words; what is answered is decided
- * elsewhere.
+ * The HTTP/1.1 frontend, where each query is a POST. It parses requests and writes responses; what
+ * the response is, the reducer decides. Used on the event loop only.
  */
 public final class HttpFrontend implements Frontend {
-  private static final long LOOK_AFTER_MS = 200;
-  private static final long END_LOOK_MS = 10;
+  private static final long TIMEOUT_CHECK_MS = 200;
+  private static final long SHUTDOWN_CHECK_MS = 10;
+  private static final int ACCEPT_BACKLOG = 1024;
+  private static final int OK = 200;
+  private static final int BAD_REQUEST = 400;
+  private static final int NOT_FOUND = 404;
+  private static final int METHOD_NOT_ALLOWED = 405;
+  private static final int CONTENT_TOO_LARGE = 413;
+  private static final int INTERNAL_ERROR = 500;
+  private static final int UNAVAILABLE = 503;
+  private static final int GATEWAY_TIMEOUT = 504;
+  private static final String TEXT = "text/plain";
+  private static final double US_PER_SECOND = 1e6;
   private static final String REFUSED = "refused; trying again is harmless\n";
   private final Vertx vertx;
   private final Exchanges exchanges;
@@ -47,28 +59,37 @@
   private final BooleanSupplier ready;
   private final Supplier<String> stats;
   private final HttpServer server;
-  private final ClientConnections links;
+  private final ClientConnections connections;
 
-  /** Where it accepts, and how many at once; null: as any server. */
+  /** The socket that it accepts from; null where Vert.x creates one. */
   private final ClientListener listener;
 
-  private final int mostOpen;
-  private long lookAfter;
-  private final Promise<Void> over = Promise.promise();
-  private long endTimer = -1;
+  private final int maxDescriptors;
+  private final Promise<Void> shutdownComplete = Promise.promise();
+  private long timeoutTimer;
+  private long shutdownTimer = -1;
 
-  /** {@code mostLinks}: connections that clients may hold at once. */
+  /**
+   * Creates a frontend that does not listen yet.
+   *
+   * @param clock microseconds
+   * @param maxConnections how many connections may be open before idle ones are evicted
+   * @param ready whether this broker is ready for queries
+   * @param stats the text of the statistics page
+   * @param listener the socket that it accepts from; null where Vert.x creates one
+   * @param maxDescriptors how many connections may have file descriptors, closing ones included
+   */
   public HttpFrontend(
       Vertx vertx,
       Exchanges exchanges,
       QueryReader reader,
       Consumer<Event> events,
       LongSupplier clock,
-      IntSupplier mostLinks,
+      IntSupplier maxConnections,
       BooleanSupplier ready,
       Supplier<String> stats,
       ClientListener listener,
-      int mostOpen) {
+      int maxDescriptors) {
     this.vertx = vertx;
     this.exchanges = exchanges;
     this.reader = reader;
@@ -77,81 +98,90 @@
     this.ready = ready;
     this.stats = stats;
     this.listener = listener;
-    this.mostOpen = mostOpen;
-    links = new ClientConnections(mostLinks, mostOpen, clock, events, new End());
+    this.maxDescriptors = maxDescriptors;
+    connections =
+        new ClientConnections(maxConnections, maxDescriptors, clock, events, new ShutdownHost());
+    server = createServer();
+  }
+
+  private HttpServer createServer() {
     HttpServerOptions options =
         new HttpServerOptions()
             .setHttp2ClearTextEnabled(false)
-            .setAcceptBacklog(1024)
+            .setAcceptBacklog(ACCEPT_BACKLOG)
             .setHandle100ContinueAutomatically(true)
             .setPerFrameWebSocketCompressionSupported(false)
             .setPerMessageWebSocketCompressionSupported(false);
-    server = vertx.createHttpServer(options);
-    server.connectionHandler(
-        c -> {
-          StrictDecoder decoder = StrictDecoder.install(c, options);
-          // without a handler Vert.x writes each reset to the log as an error
-          c.exceptionHandler(
-              e ->
-                  events.accept(
-                      new Event.ConditionCounted(
-                          e instanceof IOException ? Counter.CLIENTS_RESET : Counter.FAULTS)));
-          ReadAhead ahead = ReadAhead.install(c, () -> links.flooded(c));
-          links.made(c, () -> ahead.holdsAny() || decoder.holdsAny());
-        });
-    server.invalidRequestHandler(
-        request -> {
-          if (!links.asked(request)) {
-            return;
-          }
-          events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS));
-          HttpServerRequest.DEFAULT_INVALID_REQUEST_HANDLER.handle(request);
-        });
-    server.requestHandler(this::request);
+    return vertx
+        .createHttpServer(options)
+        .connectionHandler(connection -> onConnection(connection, options))
+        .invalidRequestHandler(this::onInvalidRequest)
+        .requestHandler(this::onHead);
+  }
+
+  private void onConnection(HttpConnection connection, HttpServerOptions options) {
+    StrictDecoder decoder = StrictDecoder.install(connection, options);
+    // without a handler Vert.x writes each reset to the log as an error
+    connection.exceptionHandler(
+        error ->
+            events.accept(
+                new Event.ConditionCounted(
+                    error instanceof IOException ? Counter.CLIENTS_RESET : Counter.FAULTS)));
+    ReadAhead readAhead = ReadAhead.install(connection, () -> connections.flooded(connection));
+    connections.accepted(
+        connection, () -> readAhead.hasBufferedBytes() || decoder.hasBufferedBytes());
+  }
+
+  private void onInvalidRequest(HttpServerRequest request) {
+    if (!connections.headReceived(request)) {
+      return;
+    }
+    events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS));
+    HttpServerRequest.DEFAULT_INVALID_REQUEST_HANDLER.handle(request);
   }
 
   @Override
   public Future<Integer> listen(String host, int port) {
-    lookAfter = vertx.setPeriodic(LOOK_AFTER_MS, t -> look());
+    timeoutTimer = vertx.setPeriodic(TIMEOUT_CHECK_MS, timer -> closeTimedOut());
     return (listener == null
             ? server.listen(port, host)
-            : listener.lend(mostOpen, () -> server.listen(port, host)))
+            : listener.install(maxDescriptors, () -> server.listen(port, host)))
         .map(HttpServer::actualPort);
   }
 
-  /** What is overdue ends. */
-  void look() {
-    links.closeOverdue();
+  /** Closes connections whose timeout has passed. */
+  void closeTimedOut() {
+    connections.closeTimedOut();
   }
 
   /**
-   * The process is to end and another one accepts from the same socket: what is new is left to that
-   * one from now on, and each connection ends by its next answer. Those that stand idle may still
-   * be asked on; {@link #drain} ends them.
+   * Begins a hot restart, where another process accepts from the same socket: new connections are
+   * left to that process, and each connection ends with its next response. Idle connections stay
+   * until {@link #drain}.
    */
   public void leaveToSibling() {
-    links.leave(false);
+    connections.drain(false);
     listener.stopAccepting();
   }
 
   /**
-   * The process is to end: new connections are still taken, but each lasts for one answer, and
-   * those that stand idle are closed now. A client whose request crosses that comes again while the
-   * broker still listens; were they closed only with the listener, it could not.
+   * Begins the shutdown: new connections are still accepted, but each ends with its next response,
+   * and idle ones are closed now. A client whose request crosses that close can connect again while
+   * the broker still listens.
    */
   public void drain() {
-    links.leave(true);
+    connections.drain(true);
   }
 
   @Override
   public Future<Void> close(long dueUs) {
-    endTimer = vertx.setPeriodic(END_LOOK_MS, t -> links.passed());
-    links.refuse(dueUs);
-    return over.future();
+    shutdownTimer = vertx.setPeriodic(SHUTDOWN_CHECK_MS, timer -> connections.advanceShutdown());
+    connections.refuse(dueUs);
+    return shutdownComplete.future();
   }
 
-  /** What of the end is not the connections' own. */
-  private final class End implements ClientConnections.Host {
+  /** The part of the shutdown that is not about connections. */
+  private final class ShutdownHost implements ClientConnections.Host {
     @Override
     public void refuse(HttpServerRequest request) {
       HttpFrontend.this.refuse(request);
@@ -161,103 +191,80 @@
     public void closeListener() {
       Context loop = vertx.getOrCreateContext();
       if (listener == null) {
-        loop.runOnContext(v -> links.listenerClosed());
+        loop.runOnContext(ignored -> connections.listenerClosed());
       } else {
-        listener.close(() -> loop.runOnContext(v -> links.listenerClosed()));
+        listener.close(() -> loop.runOnContext(ignored -> connections.listenerClosed()));
       }
     }
 
     @Override
     public void closed() {
-      vertx.cancelTimer(lookAfter);
-      vertx.cancelTimer(endTimer);
-      server.close().onComplete(over);
+      vertx.cancelTimer(timeoutTimer);
+      vertx.cancelTimer(shutdownTimer);
+      server.close().onComplete(shutdownComplete);
     }
   }
 
-  private void request(HttpServerRequest request) {
-    if (!links.asked(request)) {
+  private void onHead(HttpServerRequest request) {
+    if (!connections.headReceived(request)) {
       return;
     }
     String path = request.path() == null ? "" : request.path();
     switch (path) {
-      case "/health/ready" -> page(request, ready.getAsBoolean() ? 200 : 503, "ready\n");
-      case "/health/live" -> page(request, 200, "live\n");
-      case "/stats" -> page(request, 200, stats.get());
-      default -> {
-        int slash = path.indexOf('/', 1);
-        QueryClass kind =
-            path.isEmpty()
-                ? null
-                : reader.classOf(path.substring(1, slash < 0 ? path.length() : slash));
-        if (kind == null) {
-          bad(request, 404, "no such class");
-        } else if (request.method() != HttpMethod.POST) {
-          request.response().putHeader(HttpHeaders.ALLOW, "POST");
-          bad(request, 405, "a query is a POST");
-        } else {
-          readBody(request, kind);
-        }
-      }
+      case "/health/ready" ->
+          respondToPage(request, ready.getAsBoolean() ? OK : UNAVAILABLE, "ready\n");
+      case "/health/live" -> respondToPage(request, OK, "live\n");
+      case "/stats" -> respondToPage(request, OK, stats.get());
+      default -> onQueryHead(request, path);
     }
   }
 
-  private void page(HttpServerRequest request, int status, String text) {
-    if (request.method() != HttpMethod.GET && request.method() != HttpMethod.HEAD) {
-      request.response().putHeader(HttpHeaders.ALLOW, "GET, HEAD");
-      bad(request, 405, "this page is only read");
-      return;
+  private void onQueryHead(HttpServerRequest request, String path) {
+    QueryClass queryClass = queryClassOf(path);
+    if (queryClass == null) {
+      respondBadRequest(request, NOT_FOUND, "no such class");
+    } else if (request.method() != HttpMethod.POST) {
+      request.response().putHeader(HttpHeaders.ALLOW, "POST");
+      respondBadRequest(request, METHOD_NOT_ALLOWED, "a query is a POST");
+    } else {
+      BodyReader.read(
+          request,
+          QueryReader.MOST_BYTES,
+          body -> onQuery(request, queryClass, body),
+          () -> respondBadRequest(request, CONTENT_TOO_LARGE, "the body is over 64 KiB"));
     }
-    links.taken(request);
-    end(request, status, "text/plain", Buffer.buffer(status == 200 ? text : "not " + text), false);
   }
 
-  /**
-   * Where the body is still to come the connection ends too: it may be long, and nobody wants it.
-   */
-  private void bad(HttpServerRequest request, int status, String why) {
-    events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS));
-    end(request, status, "text/plain", Buffer.buffer(why + "\n"), !request.isEnded());
+  /** The class that the first segment of the path names, or null. */
+  private QueryClass queryClassOf(String path) {
+    if (path.isEmpty()) {
+      return null;
+    }
+    int slash = path.indexOf('/', 1);
+    return reader.classOf(path.substring(1, slash < 0 ? path.length() : slash));
   }
 
-  /** Takes a body of 64 KiB at most, whether it states its length or not; more is never kept. */
-  private void readBody(HttpServerRequest request, QueryClass kind) {
-    Buffer body = Buffer.buffer();
-    boolean[] over = {false};
-    Runnable tooLarge =
-        () -> {
-          over[0] = true;
-          bad(request, 413, "the body is over 64 KiB");
-        };
-    String stated = request.getHeader(HttpHeaders.CONTENT_LENGTH);
-    if (stated != null
-        && (!stated.matches("[0-9]{1,6}") || Integer.parseInt(stated) > QueryReader.MOST_BYTES)) {
-      tooLarge.run();
+  private void respondToPage(HttpServerRequest request, int status, String text) {
+    if (request.method() != HttpMethod.GET && request.method() != HttpMethod.HEAD) {
+      request.response().putHeader(HttpHeaders.ALLOW, "GET, HEAD");
+      respondBadRequest(request, METHOD_NOT_ALLOWED, "this page is only read");
       return;
     }
-    request.handler(
-        chunk -> {
-          if (!over[0] && body.length() + chunk.length() > QueryReader.MOST_BYTES) {
-            tooLarge.run();
-          } else if (!over[0]) {
-            body.appendBuffer(chunk);
-          }
-        });
-    request.exceptionHandler(
-        e -> over[0] = true); // the client left within its request: nothing was taken
-    request.endHandler(
-        v -> {
-          if (!over[0]) {
-            taken(request, kind, body);
-          }
-        });
+    connections.requestReceived(request);
+    respond(request, status, TEXT, Buffer.buffer(status == OK ? text : "not " + text), false);
   }
 
-  private void taken(HttpServerRequest request, QueryClass kind, Buffer body) {
-    long takenUs = clock.getAsLong();
-    Fate fate = links.taken(request);
-    if (fate != Fate.SEND_ON) {
-      if (fate == Fate.REFUSE) {
+  /** Ends the connection where the body is still to be received: it may be long. */
+  private void respondBadRequest(HttpServerRequest request, int status, String reason) {
+    events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS));
+    respond(request, status, TEXT, Buffer.buffer(reason + "\n"), !request.isEnded());
+  }
+
+  private void onQuery(HttpServerRequest request, QueryClass queryClass, Buffer body) {
+    long receivedUs = clock.getAsLong();
+    Disposition disposition = connections.requestReceived(request);
+    if (disposition != Disposition.FORWARD) {
+      if (disposition == Disposition.REFUSE) {
         events.accept(new Event.ConditionCounted(Counter.TURNED_AWAY));
         refuse(request);
       }
@@ -267,80 +274,75 @@
       long exchange =
           exchanges.open(
               reader.read(
-                  kind,
+                  queryClass,
                   request::getHeader,
                   request.headers().getAll(QueryReader.CUSTOMER),
                   body.toString(),
-                  takenUs),
-              answer -> write(request, answer));
-      links.onLeft(request, () -> exchanges.left(exchange));
+                  receivedUs),
+              response -> writeResponse(request, response));
+      connections.onDisconnect(request, () -> exchanges.left(exchange));
     } catch (MalformedQueryException e) {
-      bad(request, 400, e.getMessage());
+      respondBadRequest(request, BAD_REQUEST, e.getMessage());
     }
   }
 
-  private void write(HttpServerRequest request, QueryResponse answer) {
-    if (answer instanceof QueryResponse.Served served) {
-      if (served.pruned() != null) {
-        request
-            .response()
-            .putHeader(
-                QueryReader.PRUNED,
-                String.join(",", served.pruned().stream().map(String::valueOf).toList()));
-      }
-      JsonArray parts = new JsonArray();
-      served
-          .parts()
-          .forEach(p -> parts.add(Json.object().add("range", p.shard()).add("blob", p.value())));
-      end(
-          request,
-          200,
-          "application/json",
-          Buffer.buffer(
-              Json.object().add("total", served.whole()).add("answers", parts).toString()),
-          false);
-    } else if (answer instanceof QueryResponse.Rejected refused) {
-      if (refused.retryAfterUs() > 0) {
-        request
-            .response()
-            .putHeader(
-                HttpHeaders.RETRY_AFTER,
-                String.format(Locale.ROOT, "%.3f", refused.retryAfterUs() / 1e6));
-      }
-      end(request, 503, "text/plain", Buffer.buffer(REFUSED), false);
+  private void writeResponse(HttpServerRequest request, QueryResponse response) {
+    if (response instanceof QueryResponse.Served served) {
+      writeServed(request, served);
+    } else if (response instanceof QueryResponse.Rejected rejected) {
+      writeRejected(request, rejected);
+    } else if (response instanceof QueryResponse.DeadlineExceeded) {
+      respond(request, GATEWAY_TIMEOUT, TEXT, Buffer.buffer("out of time\n"), false);
     } else {
-      boolean late = answer instanceof QueryResponse.DeadlineExceeded;
-      end(
-          request,
-          late ? 504 : 500,
-          "text/plain",
-          Buffer.buffer(late ? "out of time\n" : "failed\n"),
-          false);
+      respond(request, INTERNAL_ERROR, TEXT, Buffer.buffer("failed\n"), false);
+    }
+  }
+
+  private void writeServed(HttpServerRequest request, QueryResponse.Served served) {
+    if (served.pruned() != null) {
+      String shards = String.join(",", served.pruned().stream().map(String::valueOf).toList());
+      request.response().putHeader(QueryReader.PRUNED, shards);
+    }
+    JsonArray parts = new JsonArray();
+    served
+        .parts()
+        .forEach(
+            part -> parts.add(Json.object().add("range", part.shard()).add("blob", part.value())));
+    String body = Json.object().add("total", served.whole()).add("answers", parts).toString();
+    respond(request, OK, "application/json", Buffer.buffer(body), false);
+  }
+
+  private void writeRejected(HttpServerRequest request, QueryResponse.Rejected rejected) {
+    if (rejected.retryAfterUs() > 0) {
+      String seconds = String.format(Locale.ROOT, "%.3f", rejected.retryAfterUs() / US_PER_SECOND);
+      request.response().putHeader(HttpHeaders.RETRY_AFTER, seconds);
     }
+    respond(request, UNAVAILABLE, TEXT, Buffer.buffer(REFUSED), false);
   }
 
   private void refuse(HttpServerRequest request) {
-    end(request, 503, "text/plain", Buffer.buffer(REFUSED), true);
+    respond(request, UNAVAILABLE, TEXT, Buffer.buffer(REFUSED), true);
   }
 
-  /** As Vert.x decides whether it closes the connection behind the answer. */
+  /** The same decision that Vert.x takes on whether it closes the connection after the response. */
   private static boolean keepsAlive(HttpServerRequest request) {
-    String said =
+    String connectionOptions =
         String.join(",", request.headers().getAll(HttpHeaders.CONNECTION)).toLowerCase(Locale.ROOT);
-    return !said.contains("close")
-        && (request.version() != HttpVersion.HTTP_1_0 || said.contains("keep-alive"));
+    return !connectionOptions.contains("close")
+        && (request.version() != HttpVersion.HTTP_1_0 || connectionOptions.contains("keep-alive"));
   }
 
-  private void end(HttpServerRequest request, int status, String type, Buffer body, boolean last) {
+  private void respond(
+      HttpServerRequest request, int status, String type, Buffer body, boolean last) {
     HttpServerResponse response = request.response();
     if (response.ended() || response.closed()) {
       return;
     }
     response.setStatusCode(status).putHeader(HttpHeaders.CONTENT_TYPE, type);
-    if (last || !keepsAlive(request) || links.isLast(request.connection())) {
+    if (last || !keepsAlive(request) || connections.isLastResponse(request.connection())) {
       response.putHeader(HttpHeaders.CONNECTION, "close");
-      links.closing(request.connection());
+      connections.closing(request.connection());
     }
-    response.end(body).onComplete(done -> links.answered(request));
+    response.end(body).onComplete(done -> connections.responseWritten(request));
   }
 }
--- a/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
+++ b/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
@@ -16,54 +16,66 @@
 import java.util.function.LongSupplier;
 
 /**
- * Stands first on a client's connection, next to the socket, and turns every close by the broker,
- * whoever asks for it, into a lingering one: what was written goes out, the output is shut down,
- * and what still comes is read and discarded until the client ends or a bound is reached. A close
- * over unread bytes resets the connection, and takes the answer that the client has not read with
- * it; and nothing that comes behind a close may reach the decoder. What the client ends itself is
- * closed by Netty at once.
+ * The first handler of a client's channel, next to the socket. Turns every close by the broker,
+ * whoever requests it, into a lingering one: what was written is sent, the output is shut down, and
+ * what still arrives is read and discarded until the client closes or a bound is reached. A close
+ * with unread bytes would reset the connection and could discard the response before the client has
+ * read it; and nothing that arrives after a close may reach the decoder. A connection that the
+ * client closes is closed by Netty at once.
+ *
+ * <p>Used on the channel's event loop only.
  */
 final class LingeringClose extends ChannelDuplexHandler {
-  private static final String PLACE = "lingeringClose";
-  private static final int MOST_BYTES = 256 * 1024;
-  private static final byte[] REFUSED =
-      ("HTTP/1.1 503 Service Unavailable\r\nconnection: close\r\ncontent-type: text/plain\r\n"
-              + "content-length: 8\r\n\r\nrefused\n")
+  private static final String HANDLER_NAME = "lingeringClose";
+  private static final int MAX_DISCARDED_BYTES = 256 * 1024;
+  private static final byte[] REFUSAL =
+      String.join(
+              "\r\n",
+              "HTTP/1.1 503 Service Unavailable",
+              "connection: close",
+              "content-type: text/plain",
+              "content-length: 8",
+              "",
+              "refused\n")
           .getBytes(StandardCharsets.US_ASCII);
 
-  /** What is told of the connection, and asked for it. */
-  interface Watch {
-    /** Bytes have come; they are passed on after this. */
-    void came();
+  /** Is notified of what happens on the channel. */
+  interface Listener {
+    /** Bytes were received; they are passed on after this. */
+    void bytesReceived();
 
-    /** The broker closes it. */
-    void closing();
+    /** The broker closes the connection. */
+    void halfClosing();
 
-    /** Its socket is closed, whoever did that. */
+    /** The socket is closed, whoever closed it. */
     void closed();
 
-    /** How long it may linger; 0: it does not. */
+    /** How long the connection may linger, in milliseconds; 0 or less: not at all. */
     long lingerMs();
   }
 
-  private final Watch watch;
+  private final Listener listener;
   private final LongSupplier clock;
   private ChannelHandlerContext context;
   private boolean closing;
-  private int discarded;
-  private int unwritten;
-  private long stalledUs = Long.MAX_VALUE;
-  private io.netty.util.concurrent.Future<?> timer;
+  private int discardedBytes;
+  private int pendingWrites;
+  private long writeStalledSinceUs = Long.MAX_VALUE;
+  private io.netty.util.concurrent.Future<?> lingerTimer;
 
-  private LingeringClose(Watch watch, LongSupplier clock) {
-    this.watch = watch;
+  private LingeringClose(Listener listener, LongSupplier clock) {
+    this.listener = listener;
     this.clock = clock;
   }
 
-  static LingeringClose install(HttpConnection connection, Watch watch, LongSupplier clock) {
-    LingeringClose made = new LingeringClose(watch, clock);
-    ((HttpServerConnection) connection).channelHandlerContext().pipeline().addFirst(PLACE, made);
-    return made;
+  /** Adds a handler to the channel of a connection that was just accepted. */
+  static LingeringClose install(HttpConnection connection, Listener listener, LongSupplier clock) {
+    LingeringClose handler = new LingeringClose(listener, clock);
+    ((HttpServerConnection) connection)
+        .channelHandlerContext()
+        .pipeline()
+        .addFirst(HANDLER_NAME, handler);
+    return handler;
   }
 
   @Override
@@ -71,18 +83,15 @@
     context = ctx;
     ctx.channel()
         .closeFuture()
-        .addListener(
-            closed -> watch.closed()); // channelInactive is a task of its own, behind what waits
+        .addListener(closed -> listener.closed()); // before channelInactive, which is a later task
   }
 
-  /**
-   * Since when something has waited to be written and nothing was; Long.MAX_VALUE: nothing waits.
-   */
-  long stalledUs() {
-    return stalledUs;
+  /** Since when writes are pending without progress, in microseconds; MAX_VALUE: none pending. */
+  long writeStalledSinceUs() {
+    return writeStalledSinceUs;
   }
 
-  /** Reads what the socket holds, now: with nothing there it changes nothing. */
+  /** Reads at once what the socket has received, if anything. */
   void readOnce() {
     if (context.channel().unsafe() instanceof AbstractNioChannel.NioUnsafe socket
         && context.channel().isActive()) {
@@ -91,75 +100,80 @@
   }
 
   /**
-   * Tells no to a request of which not even the head is whole, past the encoder: no answer is under
-   * way.
+   * Refuses a request whose head is incomplete and closes. Bypasses the encoder, which has no
+   * response in progress then.
    */
+  @SuppressWarnings("FutureReturnValueIgnored") // a failed write ends in the close that follows
   void refuse() {
-    context.write(Unpooled.wrappedBuffer(REFUSED), context.newPromise());
+    context.write(Unpooled.wrappedBuffer(REFUSAL), context.newPromise());
     close(context, context.newPromise());
   }
 
-  /** Closes it as it is. */
-  void cut() {
+  /** Closes the connection without lingering. */
+  @SuppressWarnings("FutureReturnValueIgnored") // the channel's closeFuture reports the close
+  void abort() {
     context.close();
   }
 
   @Override
   public void write(ChannelHandlerContext ctx, Object message, ChannelPromise promise) {
-    if (unwritten++ == 0) {
-      stalledUs = clock.getAsLong();
+    if (pendingWrites++ == 0) {
+      writeStalledSinceUs = clock.getAsLong();
     }
     ctx.write(message, promise.unvoid())
-        .addListener(done -> stalledUs = --unwritten == 0 ? Long.MAX_VALUE : clock.getAsLong());
+        .addListener(
+            done ->
+                writeStalledSinceUs = --pendingWrites == 0 ? Long.MAX_VALUE : clock.getAsLong());
   }
 
   @Override
+  @SuppressWarnings("FutureReturnValueIgnored") // the promise reports the close
   public void close(ChannelHandlerContext ctx, ChannelPromise promise) {
     if (closing) {
       ctx.channel().closeFuture().addListener(closed -> promise.trySuccess());
       return;
     }
     closing = true;
-    watch.closing();
-    long lingerMs = watch.lingerMs();
+    listener.halfClosing();
+    long lingerMs = listener.lingerMs();
     if (lingerMs <= 0 || !ctx.channel().isActive()) {
       ctx.close(promise);
       return;
     }
     ctx.channel().closeFuture().addListener(closed -> promise.trySuccess());
-    timer = ctx.executor().schedule(this::cut, lingerMs, TimeUnit.MILLISECONDS);
+    lingerTimer = ctx.executor().schedule(this::abort, lingerMs, TimeUnit.MILLISECONDS);
     ctx.writeAndFlush(Unpooled.EMPTY_BUFFER)
         .addListener(
             written -> {
               if (written.isSuccess() && ctx.channel().isActive()) {
                 ((DuplexChannel) ctx.channel())
                     .shutdownOutput()
-                    .addListener(shut -> goOn(shut.isSuccess()));
+                    .addListener(shutdown -> discardInput(shutdown.isSuccess()));
               } else {
-                cut();
+                abort();
               }
             });
   }
 
-  private void goOn(boolean halfClosed) {
+  private void discardInput(boolean halfClosed) {
     if (halfClosed) {
       context.read();
     } else {
-      cut();
+      abort();
     }
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
     if (!closing) {
-      watch.came();
+      listener.bytesReceived();
       ctx.fireChannelRead(message);
       return;
     }
-    discarded += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
+    discardedBytes += message instanceof ByteBuf bytes ? bytes.readableBytes() : 0;
     ReferenceCountUtil.release(message);
-    if (discarded > MOST_BYTES) {
-      cut();
+    if (discardedBytes > MAX_DISCARDED_BYTES) {
+      abort();
     }
   }
 
@@ -168,7 +182,7 @@
     if (!closing) {
       ctx.fireChannelReadComplete();
     } else if (ctx.channel().isActive()) {
-      ctx.read(); // whether Vert.x had paused it or not
+      ctx.read(); // also where Vert.x has paused reading
     }
   }
 
@@ -180,18 +194,18 @@
   }
 
   @Override
-  public void exceptionCaught(ChannelHandlerContext ctx, Throwable e) {
+  public void exceptionCaught(ChannelHandlerContext ctx, Throwable error) {
     if (closing) {
-      cut(); // the client did not want to hear the rest
+      abort(); // the client has reset a connection that was closing anyway
     } else {
-      ctx.fireExceptionCaught(e);
+      ctx.fireExceptionCaught(error);
     }
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    if (timer != null) {
-      timer.cancel(false);
+    if (lingerTimer != null) {
+      lingerTimer.cancel(false);
     }
     ctx.fireChannelInactive();
   }
--- a/src/main/java/dunlinhitch/frontend/http/ParkingSelectStrategy.java
+++ b/src/main/java/dunlinhitch/frontend/http/ParkingSelectStrategy.java
@@ -6,53 +6,57 @@
 import java.util.function.LongSupplier;
 
 /**
- * How a loop waits when its next timer is less than half a millisecond away. Netty rounds that wait
- * to none and asks the selector over and over, without a pause, until the timer is due: processor
- * time that a broker on part of a core needs, and the more the longer one asking takes. Here the
- * thread parks for a moment in place of that. What comes from outside meanwhile waits no longer
- * than the pause, for a parked thread is not woken by its selector.
+ * How an event loop waits when its next timer is less than half a millisecond away. Netty rounds
+ * that wait to zero and polls the selector in a busy loop until the timer is due, which costs
+ * processor time that a broker on part of a core needs. Here the thread parks for a short pause
+ * instead. Incoming I/O waits for at most that pause, as the selector does not wake a parked
+ * thread.
+ *
+ * <p>Each event loop has its own; used on its thread only.
  */
 final class ParkingSelectStrategy implements SelectStrategy {
   /**
-   * A round that took less waited for nothing. Five pauses fill the longest time that Netty would
-   * go round in.
+   * The pause; also, a round of the loop that took less did not wait. Five pauses fill the longest
+   * time for which Netty would poll.
    */
   private static final long PAUSE_NS = 100_000;
 
-  /**
-   * A round of the loop that only read or wrote is as quick: the next one shows whether it goes
-   * round.
-   */
-  private static final int QUICK_ROUNDS = 2;
+  /** A round that did I/O can be as quick as one that polled: only a second one is a sign. */
+  private static final int MIN_QUICK_ROUNDS = 2;
 
-  private final LongSupplier nanos;
+  private final LongSupplier nanoClock;
   private final LongConsumer park;
-  private long beganNs;
-  private int quick;
+  private long roundStartNs;
+  private int quickRounds;
 
-  /** {@code nanos}: the clock; {@code park}: lets the thread rest for so many of them. */
-  ParkingSelectStrategy(LongSupplier nanos, LongConsumer park) {
-    this.nanos = nanos;
+  /**
+   * Creates a strategy for one event loop.
+   *
+   * @param nanoClock nanoseconds
+   * @param park parks the calling thread for so many nanoseconds
+   */
+  ParkingSelectStrategy(LongSupplier nanoClock, LongConsumer park) {
+    this.nanoClock = nanoClock;
     this.park = park;
-    beganNs = nanos.getAsLong() - PAUSE_NS;
+    roundStartNs = nanoClock.getAsLong() - PAUSE_NS;
   }
 
   @Override
   public int calculateStrategy(IntSupplier selectNow, boolean hasTasks) throws Exception {
-    long now = nanos.getAsLong();
-    quick = hasTasks || now - beganNs >= PAUSE_NS ? 0 : quick + 1;
-    beganNs = now;
+    long nowNs = nanoClock.getAsLong();
+    quickRounds = hasTasks || nowNs - roundStartNs >= PAUSE_NS ? 0 : quickRounds + 1;
+    roundStartNs = nowNs;
     if (hasTasks) {
       return selectNow.get();
     }
-    if (quick >= QUICK_ROUNDS) {
+    if (quickRounds >= MIN_QUICK_ROUNDS) {
       int ready = selectNow.get();
       if (ready > 0) {
-        quick = 0;
+        quickRounds = 0;
         return ready;
       }
       park.accept(PAUSE_NS);
-      beganNs = nanos.getAsLong();
+      roundStartNs = nanoClock.getAsLong();
     }
     return SELECT;
   }
--- a/src/main/java/dunlinhitch/frontend/http/ReadAhead.java
+++ b/src/main/java/dunlinhitch/frontend/http/ReadAhead.java
@@ -12,66 +12,72 @@
 import java.util.Deque;
 
 /**
- * Reads on where Vert.x has stopped: a client that sends more behind a request that waits is not
- * read by Vert.x until that is answered, and so nobody saw that the client had left. What comes
- * meanwhile is held here, so much at most; beyond that it is discarded, and the connection ends by
- * its next answer.
+ * Goes on reading where Vert.x has paused: it reads nothing more of a client whose request waits
+ * for its response, and so would not detect a disconnect behind pipelined bytes. What is received
+ * meanwhile is buffered up to a bound; beyond that it is discarded, and the next response ends the
+ * connection.
+ *
+ * <p>Used on the channel's event loop only.
  */
 final class ReadAhead extends ChannelDuplexHandler {
-  private static final String PLACE = "readAhead";
-  private static final int MOST_BYTES = 64 * 1024;
+  private static final String HANDLER_NAME = "readAhead";
+  private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-  /** In one go, as Netty does by itself. */
-  private static final int MOST_READS = 16;
+  /** Reads in one turn of the event loop; Netty's default. */
+  private static final int MAX_READS = 16;
 
-  private final Deque<Object> held = new ArrayDeque<>();
-  private final Runnable flooded;
-  private int bytes;
+  private final Deque<Object> buffered = new ArrayDeque<>();
+  private final Runnable onFlooded;
+  private int bufferedBytes;
   private boolean discarding;
 
-  private ReadAhead(Runnable flooded) {
-    this.flooded = flooded;
+  private ReadAhead(Runnable onFlooded) {
+    this.onFlooded = onFlooded;
   }
 
-  /** Before the decoder, and behind what stands first. {@code flooded}: what came was too much. */
-  static ReadAhead install(HttpConnection connection, Runnable flooded) {
+  /**
+   * Adds a handler in front of the decoder; to be called before {@link LingeringClose#install}.
+   *
+   * @param onFlooded called once, when the client has sent more than is buffered
+   */
+  static ReadAhead install(HttpConnection connection, Runnable onFlooded) {
     ChannelPipeline pipeline =
         ((HttpServerConnection) connection).channelHandlerContext().pipeline();
-    ReadAhead made = new ReadAhead(flooded);
-    pipeline.addFirst(PLACE, made);
-    // a read that fills no buffer is not taken for the last: behind a request that has waited
-    // stands its client's end, and the
-    // turn that would send for it comes before the next look at the socket
+    ReadAhead handler = new ReadAhead(onFlooded);
+    pipeline.addFirst(HANDLER_NAME, handler);
+    // a read that does not fill its buffer must not end the turn: the disconnect of a client may
+    // stand behind its request, and must be read before the request is handled
     pipeline
         .channel()
         .config()
         .setRecvByteBufAllocator(
             new AdaptiveRecvByteBufAllocator()
                 .respectMaybeMoreData(false)
-                .maxMessagesPerRead(MOST_READS));
-    return made;
+                .maxMessagesPerRead(MAX_READS));
+    return handler;
   }
 
-  boolean holdsAny() {
-    return !held.isEmpty();
+  /** True where bytes were received that Vert.x has not read. */
+  boolean hasBufferedBytes() {
+    return !buffered.isEmpty();
   }
 
   @Override
   public void channelRead(ChannelHandlerContext ctx, Object message) {
-    if (!discarding && held.isEmpty() && ctx.channel().config().isAutoRead()) {
+    if (!discarding && buffered.isEmpty() && ctx.channel().config().isAutoRead()) {
       ctx.fireChannelRead(message);
       return;
     }
-    bytes += message instanceof ByteBuf more ? more.readableBytes() : 0;
-    if (discarding || bytes > MOST_BYTES) {
+    bufferedBytes += message instanceof ByteBuf chunk ? chunk.readableBytes() : 0;
+    if (discarding || bufferedBytes > MAX_BUFFERED_BYTES) {
       ReferenceCountUtil.release(message);
-      drop();
+      releaseAll();
       if (!discarding) {
         discarding = true;
-        flooded.run();
+        onFlooded.run();
       }
     } else {
-      held.add(message);
+      buffered.add(message);
     }
   }
 
@@ -83,32 +89,32 @@
     }
   }
 
-  /** Vert.x reads on: it is given what was held first, in a task of its own. */
+  /** Vert.x reads again: it first gets what is buffered, in a task of its own. */
   @Override
   public void read(ChannelHandlerContext ctx) {
-    if (!held.isEmpty()) {
+    if (!buffered.isEmpty()) {
       ctx.executor().execute(() -> deliver(ctx));
     }
     ctx.read();
   }
 
   private void deliver(ChannelHandlerContext ctx) {
-    while (!held.isEmpty() && ctx.channel().config().isAutoRead()) {
-      Object message = held.poll();
-      bytes -= message instanceof ByteBuf more ? more.readableBytes() : 0;
+    while (!buffered.isEmpty() && ctx.channel().config().isAutoRead()) {
+      Object message = buffered.poll();
+      bufferedBytes -= message instanceof ByteBuf chunk ? chunk.readableBytes() : 0;
       ctx.fireChannelRead(message);
       ctx.fireChannelReadComplete();
     }
   }
 
-  private void drop() {
-    held.forEach(ReferenceCountUtil::release);
-    held.clear();
+  private void releaseAll() {
+    buffered.forEach(ReferenceCountUtil::release);
+    buffered.clear();
   }
 
   @Override
   public void channelInactive(ChannelHandlerContext ctx) {
-    drop();
+    releaseAll();
     ctx.fireChannelInactive();
   }
 }
--- a/src/main/java/dunlinhitch/frontend/http/StrictDecoder.java
+++ b/src/main/java/dunlinhitch/frontend/http/StrictDecoder.java
@@ -10,34 +10,34 @@
 import java.util.List;
 
 /**
- * Vert.x's decoder, but for one thing: Netty's drops the length where a request also says that it
- * is chunked, takes a coding it does not know for none, and reads on. What follows such a body may
- * be a request that somebody hid there (RFC 9112, 6.1 and 6.3), so here the message is invalid, and
- * nothing after it is read. Doubled and malformed lengths are invalid to Netty as well.
+ * Vert.x's request decoder with protection against request smuggling. Netty ignores the length of a
+ * request that is also chunked, and treats an unknown transfer coding as none, so what follows such
+ * a body may be a hidden request (RFC 9112, 6.1 and 6.3). Here such a message is invalid, and
+ * nothing after it is read. Repeated and malformed lengths are invalid to Netty already.
  */
 final class StrictDecoder extends VertxHttpRequestDecoder {
-  private static final String PLACE = "httpDecoder";
+  private static final String HANDLER_NAME = "httpDecoder";
 
   private StrictDecoder(HttpServerOptions options) {
     super(options);
   }
 
-  /** Puts a strict decoder in the place of the one that the connection was made with. */
+  /** Replaces the decoder of a connection that was just accepted. */
   static StrictDecoder install(HttpConnection connection, HttpServerOptions options) {
-    StrictDecoder made = new StrictDecoder(options);
+    StrictDecoder decoder = new StrictDecoder(options);
     ((HttpServerConnection) connection)
         .channelHandlerContext()
         .pipeline()
-        .replace(PLACE, PLACE, made);
-    return made;
+        .replace(HANDLER_NAME, HANDLER_NAME, decoder);
+    return decoder;
   }
 
-  /** True with a part of a head. */
-  boolean holdsAny() {
+  /** True where an incomplete head is buffered. */
+  boolean hasBufferedBytes() {
     return actualReadableBytes() > 0;
   }
 
-  /** Netty asks this once the head is read and before it looks for a body. */
+  /** Called by Netty after the head is read and before the body. */
   @Override
   protected boolean isContentAlwaysEmpty(HttpMessage message) {
     List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
--- a/src/test/java/dunlinhitch/frontend/GracefulShutdownTest.java
+++ b/src/test/java/dunlinhitch/frontend/GracefulShutdownTest.java
@@ -4,47 +4,47 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.frontend.GracefulShutdown.Fate;
+import dunlinhitch.frontend.GracefulShutdown.Disposition;
 import dunlinhitch.frontend.GracefulShutdown.Stage;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The end of a front against clients, sockets and a listener that are made up, in many orders. */
+/** The graceful shutdown with simulated clients, sockets and listener, in many orders. */
 class GracefulShutdownTest {
-  private static final long CROSSING = 10;
-  private static final long END = 60;
+  private static final long CROSSING_US = 10;
+  private static final long DEADLINE_US = 60;
 
-  /** What lies in a connection's socket, or was read of it. */
+  /** What of a request is in the socket of a connection, or was read from it. */
   private enum Bytes {
     NONE,
-    HALF,
-    WHOLE
+    INCOMPLETE,
+    COMPLETE
   }
 
   private static final class Client {
     private Bytes unread = Bytes.NONE;
     private Bytes read = Bytes.NONE;
-    private boolean sentOn;
-    private boolean last;
+    private boolean forwarded;
+    private boolean announcedClose;
     private boolean halfClosed;
   }
 
-  /** Checks each action as it comes. */
-  private static final class World implements GracefulShutdown.Acts<Client> {
-    private final GracefulShutdown<Client> end = new GracefulShutdown<>(this, CROSSING);
+  /** A frontend that checks each action of the state machine. */
+  private static final class Frontend implements GracefulShutdown.Actions<Client> {
+    private final GracefulShutdown<Client> shutdown = new GracefulShutdown<>(this, CROSSING_US);
     private final List<Client> clients = new ArrayList<>();
-    private long now;
-    private boolean listens = true;
-    private boolean asked;
-    private boolean over;
-    private int refused;
+    private long nowUs;
+    private boolean listening = true;
+    private boolean listenerCloseRequested;
+    private boolean complete;
+    private int refusals;
 
     Client connect() {
       Client client = new Client();
       clients.add(client);
-      end.made(now, client);
+      shutdown.accepted(nowUs, client);
       return client;
     }
 
@@ -58,32 +58,32 @@
       if (bytes == Bytes.NONE || client.halfClosed) {
         return; // discarded
       }
-      end.begun(client);
+      shutdown.requestStarted(client);
       client.read = bytes;
-      if (bytes == Bytes.WHOLE) {
-        Fate fate = end.taken(client);
+      if (bytes == Bytes.COMPLETE) {
+        Disposition disposition = shutdown.requestReceived(client);
         assertTrue(
-            fate == Fate.REFUSE || fate == Fate.SEND_ON,
+            disposition == Disposition.REFUSE || disposition == Disposition.FORWARD,
             "dropped, though it was read before the half-close");
-        assertEquals(end.stage() == Stage.REFUSING, fate == Fate.REFUSE);
-        client.sentOn = fate == Fate.SEND_ON;
-        if (fate == Fate.REFUSE) {
-          refused++;
-          answer(client, true);
+        assertEquals(shutdown.stage() == Stage.REFUSING, disposition == Disposition.REFUSE);
+        client.forwarded = disposition == Disposition.FORWARD;
+        if (disposition == Disposition.REFUSE) {
+          refusals++;
+          respond(client, true);
         }
       }
     }
 
-    void answer(Client client, boolean last) {
+    void respond(Client client, boolean announcedClose) {
       client.read = Bytes.NONE;
-      client.sentOn = false;
-      client.last = last;
-      end.answered(client, last);
+      client.forwarded = false;
+      client.announcedClose = announcedClose;
+      shutdown.responseWritten(client, announcedClose);
     }
 
-    void leave(Client client) {
+    void disconnect(Client client) {
       clients.remove(client);
-      end.gone(client);
+      shutdown.disconnected(client);
     }
 
     @Override
@@ -95,128 +95,149 @@
     public void halfClose(Client client) {
       assertFalse(client.halfClosed, "twice");
       assertEquals(Bytes.NONE, client.read, "a request that was read gets no answer");
-      assertTrue(client.last || client.unread == Bytes.NONE, "what had come before goes unread");
+      assertTrue(
+          client.announcedClose || client.unread == Bytes.NONE, "what had come before goes unread");
       client.halfClosed = true;
     }
 
     @Override
     public void refuse(Client client) {
-      assertEquals(Bytes.HALF, client.read);
-      refused++;
-      answer(client, true);
+      assertEquals(Bytes.INCOMPLETE, client.read);
+      refusals++;
+      respond(client, true);
     }
 
     @Override
     public void closeListener() {
-      asked = true;
+      listenerCloseRequested = true;
     }
 
     @Override
     public void closed() {
-      assertFalse(over, "twice");
-      over = true;
-      assertTrue(now >= END || clients.isEmpty() && !listens, "cut before its time");
+      assertFalse(complete, "twice");
+      complete = true;
+      assertTrue(nowUs >= DEADLINE_US || (clients.isEmpty() && !listening), "cut before its time");
       assertTrue(
-          clients.stream().noneMatch(client -> client.read != Bytes.NONE && !client.sentOn),
+          clients.stream().noneMatch(client -> client.read != Bytes.NONE && !client.forwarded),
           "half a request is left without an answer");
     }
   }
 
   /**
-   * Any order of what clients, the loop, the end and time do: the checks of the world hold, and all
-   * is over by its time.
+   * Whatever the order of what clients, the event loop, the shutdown and time do, the checks of the
+   * frontend hold and the shutdown is complete by its deadline.
    */
   @Test
-  void inAnyOrderWhatWasReadIsAnsweredAndNothingIsReadBehindTheHalfClose() {
+  void randomOrdersOfEventsKeepTheInvariants() {
     int refusals = 0;
-    for (int walk = 0; walk < 30_000; walk++) {
-      SplittableRandom random = new SplittableRandom(walk);
-      World world = new World();
-      for (int step = 0; step < 40 && !world.over; step++) {
+    for (int seed = 0; seed < 30_000; seed++) {
+      SplittableRandom random = new SplittableRandom(seed);
+      Frontend frontend = new Frontend();
+      for (int step = 0; step < 40 && !frontend.complete; step++) {
         Client client =
-            world.clients.isEmpty()
+            frontend.clients.isEmpty()
                 ? null
-                : world.clients.get(random.nextInt(world.clients.size()));
-        switch (random.nextInt(10)) {
-          case 0 -> {
-            if (world.listens && world.clients.size() < 3) {
-              world.connect();
-            }
-          }
-          case 1, 2 -> {
-            if (client != null && client.read != Bytes.WHOLE && client.unread == Bytes.NONE) {
-              world.send(
-                  client,
-                  client.read == Bytes.HALF || random.nextBoolean() ? Bytes.WHOLE : Bytes.HALF);
-            }
-          }
-          case 3, 4 -> {
-            if (client != null) {
-              world.read(client);
-            }
-          }
-          case 5 -> {
-            if (client != null && client.sentOn) {
-              world.answer(client, world.end.isLeaving() || random.nextInt(3) == 0);
-            }
-          }
-          case 6 -> {
-            if (client != null && (client.halfClosed || random.nextInt(4) == 0)) {
-              world.leave(client);
-            }
-          }
-          case 7 -> world.end.leave(world.now, random.nextBoolean());
-          case 8 -> {
-            if (world.end.stage() == Stage.LEAVING
-                && world.clients.stream().noneMatch(c -> c.sentOn)) {
-              world.end.refuse(world.now, END);
-            }
-          }
-          default -> {
-            world.now += random.nextInt(6);
-            if (world.asked && world.listens) {
-              world.listens = false;
-              world.end.listenerClosed(world.now);
-            }
-            world.end.passed(world.now);
-          }
-        }
+                : frontend.clients.get(random.nextInt(frontend.clients.size()));
+        step(frontend, client, random);
       }
-      world.end.leave(world.now, true);
-      world.clients.stream()
-          .filter(client -> client.sentOn)
-          .forEach(client -> world.answer(client, true));
-      world.end.refuse(world.now, Math.max(END, world.now));
-      world.now = Math.max(END, world.now);
-      world.end.passed(world.now);
-      assertTrue(world.over, "it does not end");
-      refusals += world.refused;
+      finish(frontend);
+      assertTrue(frontend.complete, "it does not end");
+      refusals += frontend.refusals;
     }
     assertTrue(refusals > 1_000, "the walks come to the rare moments: " + refusals);
   }
 
-  /** Those who rest go first, those in the queue are let in, and only they are waited for then. */
+  /** One random event; {@code client} is one of those connected, or null. */
+  private static void step(Frontend frontend, Client client, SplittableRandom random) {
+    switch (random.nextInt(10)) {
+      case 0 -> {
+        if (frontend.listening && frontend.clients.size() < 3) {
+          frontend.connect();
+        }
+      }
+      case 1, 2 -> sendStep(frontend, client, random);
+      case 3, 4 -> {
+        if (client != null) {
+          frontend.read(client);
+        }
+      }
+      case 5 -> {
+        if (client != null && client.forwarded) {
+          frontend.respond(client, frontend.shutdown.isDraining() || random.nextInt(3) == 0);
+        }
+      }
+      case 6 -> disconnectStep(frontend, client, random);
+      case 7 -> frontend.shutdown.drain(frontend.nowUs, random.nextBoolean());
+      case 8 -> refuseStep(frontend);
+      default -> timeStep(frontend, random);
+    }
+  }
+
+  private static void sendStep(Frontend frontend, Client client, SplittableRandom random) {
+    if (client != null && client.read != Bytes.COMPLETE && client.unread == Bytes.NONE) {
+      boolean complete = client.read == Bytes.INCOMPLETE || random.nextBoolean();
+      frontend.send(client, complete ? Bytes.COMPLETE : Bytes.INCOMPLETE);
+    }
+  }
+
+  private static void disconnectStep(Frontend frontend, Client client, SplittableRandom random) {
+    if (client != null && (client.halfClosed || random.nextInt(4) == 0)) {
+      frontend.disconnect(client);
+    }
+  }
+
+  private static void refuseStep(Frontend frontend) {
+    if (frontend.shutdown.stage() == Stage.DRAINING
+        && frontend.clients.stream().noneMatch(other -> other.forwarded)) {
+      frontend.shutdown.refuse(frontend.nowUs, DEADLINE_US);
+    }
+  }
+
+  private static void timeStep(Frontend frontend, SplittableRandom random) {
+    frontend.nowUs += random.nextInt(6);
+    if (frontend.listenerCloseRequested && frontend.listening) {
+      frontend.listening = false;
+      frontend.shutdown.listenerClosed(frontend.nowUs);
+    }
+    frontend.shutdown.advance(frontend.nowUs);
+  }
+
+  /** Responds to all that was forwarded and lets the deadline pass. */
+  private static void finish(Frontend frontend) {
+    frontend.shutdown.drain(frontend.nowUs, true);
+    frontend.clients.stream()
+        .filter(client -> client.forwarded)
+        .forEach(client -> frontend.respond(client, true));
+    frontend.shutdown.refuse(frontend.nowUs, Math.max(DEADLINE_US, frontend.nowUs));
+    frontend.nowUs = Math.max(DEADLINE_US, frontend.nowUs);
+    frontend.shutdown.advance(frontend.nowUs);
+  }
+
+  /**
+   * Idle connections close first, queued ones are accepted, and only their requests are awaited.
+   */
   @Test
-  void theListenerClosesBehindTheRestingAndThoseItLetInLastAreHeard() {
-    World world = new World();
-    Client rests = world.connect();
-    world.now = 20;
-    Client fresh = world.connect();
-    world.end.leave(world.now, true);
-    assertTrue(rests.halfClosed && !fresh.halfClosed, "a new one has its request under way");
-    world.end.refuse(world.now, END);
-    assertFalse(world.asked, "what crosses the close comes again");
-    world.now += CROSSING;
-    world.end.passed(world.now);
-    assertTrue(world.asked && fresh.halfClosed);
-    Client last = world.connect();
-    world.listens = false;
-    world.end.listenerClosed(world.now);
-    world.send(last, Bytes.WHOLE);
-    world.now += CROSSING;
-    world.end.passed(world.now);
-    assertTrue(last.halfClosed && world.refused == 1, "read at the last moment");
-    List.copyOf(world.clients).forEach(world::leave);
-    assertTrue(world.over && world.now < END, "it does not wait for its deadline");
+  void listenerClosesAfterIdleConnectionsAndQueuedRequestsAreRead() {
+    Frontend frontend = new Frontend();
+    Client idle = frontend.connect();
+    frontend.nowUs = 20;
+    Client fresh = frontend.connect();
+    frontend.shutdown.drain(frontend.nowUs, true);
+    assertTrue(idle.halfClosed && !fresh.halfClosed, "a new one has its request under way");
+    frontend.shutdown.refuse(frontend.nowUs, DEADLINE_US);
+    assertFalse(frontend.listenerCloseRequested, "what crosses the close comes again");
+    frontend.nowUs += CROSSING_US;
+    frontend.shutdown.advance(frontend.nowUs);
+    assertTrue(frontend.listenerCloseRequested && fresh.halfClosed);
+    Client announcedClose = frontend.connect();
+    frontend.listening = false;
+    frontend.shutdown.listenerClosed(frontend.nowUs);
+    frontend.send(announcedClose, Bytes.COMPLETE);
+    frontend.nowUs += CROSSING_US;
+    frontend.shutdown.advance(frontend.nowUs);
+    assertTrue(announcedClose.halfClosed && frontend.refusals == 1, "read at the last moment");
+    List.copyOf(frontend.clients).forEach(frontend::disconnect);
+    assertTrue(
+        frontend.complete && frontend.nowUs < DEADLINE_US, "it does not wait for its deadline");
   }
 }
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -9,6 +9,7 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -28,7 +29,7 @@
   private Stage stage;
 
   @BeforeEach
-  void begin() throws Exception {
+  void setUp() throws Exception {
     stage = new Stage();
     stage.sockets = 64;
     stage.discovery.list();
@@ -36,73 +37,70 @@
   }
 
   @AfterEach
-  void end() throws Exception {
+  void tearDown() throws Exception {
     stage.close();
   }
 
-  /** The status of the answer to what is written on a connection of its own. */
+  /** The status of the response to a request on a connection of its own. */
   private int status(String text) throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", stage.httpPort)) {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
       socket.setSoTimeout(5_000);
       socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
       return Integer.parseInt(
           new BufferedReader(new InputStreamReader(socket.getInputStream(), StandardCharsets.UTF_8))
               .readLine()
-              .split(" ")[1]);
+              .split(" ", -1)[1]);
     }
   }
 
-  /** All that is said until the connection ends; fails where it does not. */
+  /** Everything that is received until the connection closes; fails where it does not. */
   private String untilClosed(Socket socket) throws IOException {
     socket.setSoTimeout(5_000);
     return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
   }
 
   /**
-   * Guards against a process without a descriptor left: connections are accepted on a thread of
-   * their own, while the loop that would close what is too many is behind.
+   * Guards against a process without file descriptors: connections are accepted on a thread of
+   * their own, also while the event loop that would close the excess ones is blocked.
    */
   @Test
-  void noMoreIsAcceptedThanTheBoundWhileTheLoopIsBehind() throws Exception {
-    CountDownLatch behind = new CountDownLatch(1);
-    CountDownLatch caught = new CountDownLatch(1);
+  void acceptsNoMoreThanTheBoundWhileLoopIsBlocked() throws Exception {
+    CountDownLatch blocked = new CountDownLatch(1);
+    CountDownLatch released = new CountDownLatch(1);
     stage.vertx.runOnContext(
         v -> {
-          behind.countDown();
+          blocked.countDown();
           try {
-            caught.await();
+            released.await();
           } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
           }
         });
-    behind.await();
+    blocked.await();
     List<Socket> many = new ArrayList<>();
-    int most =
+    int maxOpen =
         stage.sockets
             - stage.sockets / 4
-            - 24; // what is left beside the stores' share and the program's own
+            - 24; // the remainder after the stores' share and the program's own
     for (int i = 0; i < 2 * stage.sockets; i++) {
-      many.add(new Socket("127.0.0.1", stage.httpPort));
+      many.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
     }
     long endMs = System.currentTimeMillis() + 5_000;
-    while (stage.listener.open() < most && System.currentTimeMillis() < endMs) {
+    while (stage.listener.open() < maxOpen && System.currentTimeMillis() < endMs) {
       Thread.onSpinWait();
     }
-    assertEquals(most, stage.listener.open());
-    caught.countDown();
+    assertEquals(maxOpen, stage.listener.open());
+    released.countDown();
     assertEquals(200, status("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"));
-    assertTrue(stage.listener.open() <= most);
+    assertTrue(stage.listener.open() <= maxOpen);
     for (Socket socket : many) {
       socket.close();
     }
   }
 
-  /**
-   * A body framed in two ways may hide a second request: neither is passed on, and nothing more is
-   * read.
-   */
+  /** A body with ambiguous framing may hide a second request: neither is served. */
   @Test
-  void whatHidesBehindABodyFramedInTwoWaysIsNotRead() throws IOException {
+  void requestSmugglingIsRejected() throws IOException {
     String hidden =
         post(
             "/free-search",
@@ -119,7 +117,7 @@
             "Content-Length: -5\r\n",
             "Content-Length: 99999999999999999999\r\n",
             "Content-Length: 0x5\r\n")) {
-      try (Socket socket = new Socket("127.0.0.1", stage.httpPort)) {
+      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
         socket
             .getOutputStream()
             .write(
@@ -132,13 +130,10 @@
     assertEquals(0, stage.count("queries_taken"));
   }
 
-  /**
-   * A tenant that is named twice is one where both are the same, else none; a name as long as a
-   * body is no request.
-   */
+  /** A tenant that is named twice must be the same; a header as long as a body is rejected. */
   @Test
-  void aTenantNamedTwiceIsNobodyUnlessBothAreTheSame() throws Exception {
-    end();
+  void repeatedTenantHeaderIsUnknownUnlessEqual() throws Exception {
+    tearDown();
     stage = new Stage();
     stage.discovery.list();
     stage.start(Stage.twoSteps(300), null);
@@ -159,41 +154,36 @@
     assertEquals(2, stage.count("queries_taken"));
   }
 
-  /**
-   * Silence, a head or a body that never ends: the connection does, within 3 s; what had begun is
-   * told that it is refused.
-   */
+  /** A silent connection, and a head or a body that never ends, are closed within 3 s. */
   @Test
-  void whatNeverEndsIsClosedInTime() throws IOException {
+  void incompleteRequestsTimeOut() throws IOException {
     List<Socket> sockets = new ArrayList<>();
-    for (String begun :
+    for (String start :
         List.of(
             "",
             "POST /free-search HTTP/1.1\r\nX-",
             post("/free-search", "X-Trace-Id: a\r\nContent-Length: 500\r\n", "{"))) {
-      sockets.add(new Socket("127.0.0.1", stage.httpPort));
+      sockets.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
       sockets
           .get(sockets.size() - 1)
           .getOutputStream()
-          .write(begun.getBytes(StandardCharsets.UTF_8));
+          .write(start.getBytes(StandardCharsets.UTF_8));
     }
     long from = System.nanoTime();
     for (Socket socket : sockets) {
       assertEquals(
-          socket == sockets.get(0) ? "" : "HTTP/1.1 503", untilClosed(socket).split(" Service")[0]);
+          socket == sockets.get(0) ? "" : "HTTP/1.1 503",
+          untilClosed(socket).split(" Service", -1)[0]);
       socket.close();
     }
     assertTrue(System.nanoTime() - from < 3_000_000_000L);
   }
 
-  /**
-   * Seen on a day with a lost zone: 84 lines "SEVERE: Connection reset" a broker. A client that
-   * resets its connection is expected: one count, no line.
-   */
+  /** A reset by a client is expected: it is counted, and Vert.x must not log it as an error. */
   @Test
-  void aResetOfAClientIsCountedAndNotLogged() throws Exception {
+  void clientResetIsCountedAndNotLogged() throws Exception {
     List<String> lines = new CopyOnWriteArrayList<>();
-    Handler listening =
+    Handler handler =
         new Handler() {
           @Override
           public void publish(LogRecord line) {
@@ -204,17 +194,17 @@
 
           @Override
           public void flush() {
-            // nothing is kept back
+            // nothing is buffered
           }
 
           @Override
           public void close() {
-            // nothing is held
+            // there is nothing to close
           }
         };
-    Logger.getLogger("").addHandler(listening);
+    Logger.getLogger("").addHandler(handler);
     try {
-      Socket socket = new Socket("127.0.0.1", stage.httpPort);
+      Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort);
       socket
           .getOutputStream()
           .write("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8));
@@ -227,28 +217,28 @@
       assertEquals(List.of(), lines);
       assertEquals(0, stage.count("faults"));
     } finally {
-      Logger.getLogger("").removeHandler(listening);
+      Logger.getLogger("").removeHandler(handler);
     }
   }
 
-  /** Those who say nothing make room for those who ask. */
+  /** Connections that send nothing are evicted for one with a query. */
   @Test
-  void aCrowdThatSaysNothingLeavesRoomForAQuery() throws IOException {
-    List<Socket> crowd = new ArrayList<>();
+  void silentConnectionsAreEvictedForAQuery() throws IOException {
+    List<Socket> silent = new ArrayList<>();
     for (int i = 0; i < 2 * stage.sockets; i++) {
-      crowd.add(new Socket("127.0.0.1", stage.httpPort));
+      silent.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
     }
     assertEquals(200, status("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"));
     assertTrue(stage.count("clients_crowded_out") >= stage.sockets);
-    for (Socket socket : crowd) {
+    for (Socket socket : silent) {
       socket.close();
     }
   }
 
-  /** A body that nobody wants is not waited for. */
+  /** The body of a rejected request is not awaited. */
   @Test
-  void whatIsTurnedDownBeforeItsBodyEndsTheConnection() throws IOException {
-    try (Socket socket = new Socket("127.0.0.1", stage.httpPort)) {
+  void rejectionBeforeBodyEndsConnection() throws IOException {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
       socket
           .getOutputStream()
           .write(
@@ -262,7 +252,7 @@
   }
 
   @Test
-  void badRequestsAreToldWhatTheyAre() throws IOException {
+  void badRequestsGetTheirStatus() throws IOException {
     String id = "X-Trace-Id: a\r\n";
     assertEquals(400, status("nonsense\r\n\r\n"));
     assertEquals(404, status(post("/other", id + "Content-Length: 2\r\n", "{}")));
@@ -294,7 +284,7 @@
   }
 
   @Test
-  void aChunkedBodyIsAsGoodAsOneThatStatesItsLength() throws Exception {
+  void chunkedBodyIsAccepted() throws Exception {
     byte[] body = Client.body(1).getBytes(StandardCharsets.UTF_8);
     String text =
         post(
@@ -306,13 +296,12 @@
   }
 
   /**
-   * A broker that is to end serves those who are connected until its time is near, for the others
-   * may be restarting too; then idle connections are closed, while the client can still open
-   * another.
+   * During the drain connected clients are served, as the other brokers may be restarting too; then
+   * idle connections are closed while clients can still connect again.
    */
   @Test
-  void connectionsAreServedUntilTheEndIsNearAndClosedBeforeTheListener() throws Exception {
-    try (Socket idle = new Socket("127.0.0.1", stage.httpPort)) {
+  void connectionsAreServedDuringDrainAndClosedBeforeListener() throws Exception {
+    try (Socket idle = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
       idle.setSoTimeout(5_000);
       BufferedReader in =
           new BufferedReader(new InputStreamReader(idle.getInputStream(), StandardCharsets.UTF_8));
@@ -349,19 +338,16 @@
         Client.body(1));
   }
 
-  /**
-   * Behind a request that waits Vert.x reads a few more and then nothing: not even that the client
-   * has gone.
-   */
+  /** Behind a waiting request Vert.x soon stops reading, and by itself would miss a disconnect. */
   @Test
-  void aClientThatLeavesBehindALotThatItSentIsSeenToLeave() throws Exception {
+  void disconnectBehindPipelinedRequestsIsDetected() throws Exception {
     for (int more : List.of(1, 40, 2_000)) {
       long left = stage.count("client_left");
       StringBuilder text = new StringBuilder(query("first" + more, 1.0, ""));
       for (int i = 0; i < more; i++) {
         text.append(query("more" + more + "." + i, 1.0, ""));
       }
-      try (Socket socket = new Socket("127.0.0.1", stage.httpPort)) {
+      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
         socket.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
       }
       while (stage.count("client_left") == left
@@ -372,28 +358,26 @@
     }
   }
 
-  /**
-   * Half a head, half a body and silence at the end: what had begun has its answer, all are told
-   * the end, and the broker ends.
-   */
+  /** An incomplete head, an incomplete body and silence do not delay the shutdown. */
   @Test
-  void whoeverHoldsItsRequestBackIsRefusedAtTheEndAndHoldsNothingUp() throws Exception {
+  void incompleteRequestIsRefusedAtShutdownWithoutDelay() throws Exception {
     List<Socket> sockets = new ArrayList<>();
     var ended = stage.stop();
-    for (String begun :
+    for (String start :
         List.of(
             "POST /free-search HTTP/1.1\r\nX-",
             post("/free-search", "X-Trace-Id: a\r\nContent-Length: 500\r\n", "{"),
             "")) {
-      sockets.add(new Socket("127.0.0.1", stage.httpPort));
+      sockets.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
       sockets
           .get(sockets.size() - 1)
           .getOutputStream()
-          .write(begun.getBytes(StandardCharsets.UTF_8));
+          .write(start.getBytes(StandardCharsets.UTF_8));
     }
     for (Socket socket : sockets) {
       assertEquals(
-          socket == sockets.get(2) ? "" : "HTTP/1.1 503", untilClosed(socket).split(" Service")[0]);
+          socket == sockets.get(2) ? "" : "HTTP/1.1 503",
+          untilClosed(socket).split(" Service", -1)[0]);
       assertTrue(!ended.isDone(), "it ends with its clients told");
     }
     ended.get(5, TimeUnit.SECONDS);
@@ -402,12 +386,9 @@
     }
   }
 
-  /**
-   * Discovery that falls silent says nothing of it: the watch is opened again, and the list that is
-   * held stands.
-   */
+  /** A watch without any sign of life is reopened, and the cached list stays valid. */
   @Test
-  void aSilentWatchIsOpenedAgain() throws Exception {
+  void unresponsiveWatchIsReopened() throws Exception {
     stage.discovery.change(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
     assertTrue(stage.discovery.asked.poll(5, TimeUnit.SECONDS) != null);
     assertEquals(
@@ -416,7 +397,7 @@
   }
 
   @Test
-  void theWatchComesBackWithTheListItHad() throws Exception {
+  void watchResumesFromItsRevision() throws Exception {
     String asked = stage.discovery.asked.poll(5, TimeUnit.SECONDS);
     assertEquals("/registry/instances?follow=1&since=0", asked);
     stage.discovery.change(
@@ -432,12 +413,9 @@
     assertTrue(stage.count("roster_lost") >= 1);
   }
 
-  /**
-   * STANDING.md: lists may come indented. They were cut at each line end, and no line of them is a
-   * list.
-   */
+  /** Lists may be indented, so that a line end is no end of a list. */
   @Test
-  void anIndentedListIsRead() throws Exception {
+  void indentedListIsParsed() throws Exception {
     assertEquals(
         "/registry/instances?follow=1&since=0", stage.discovery.asked.poll(5, TimeUnit.SECONDS));
     stage.discovery.indented = true;
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontOnAClockTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -15,6 +15,7 @@
 import io.vertx.core.internal.VertxInternal;
 import java.io.IOException;
 import java.io.InputStream;
+import java.net.InetAddress;
 import java.net.Socket;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -28,20 +29,17 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/**
- * The front alone, on a clock that the test moves: moments in which a timer and a client's bytes
- * cross.
- */
-class HttpFrontOnAClockTest {
-  private final AtomicLong now = new AtomicLong(1);
+/** The frontend alone, on a clock that the test advances: timers that cross received bytes. */
+class HttpFrontendTimingTest {
+  private final AtomicLong nowUs = new AtomicLong(1);
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   private final Exchanges exchanges = new Exchanges(events::add);
   private Vertx vertx;
-  private HttpFrontend front;
+  private HttpFrontend frontend;
   private int port;
 
   @BeforeEach
-  void begin() throws Exception {
+  void setUp() throws Exception {
     ClientListener listener = new ClientListener(null);
     vertx =
         Vertx.builder()
@@ -53,19 +51,19 @@
         new java.util.concurrent.CompletableFuture<>();
     context.runOnContext(
         v -> {
-          front =
+          frontend =
               new HttpFrontend(
                   vertx,
                   exchanges,
                   new QueryReader(() -> Stage.settings(300)),
                   events::add,
-                  now::get,
+                  nowUs::get,
                   () -> 20,
                   () -> true,
                   () -> "",
                   listener,
                   24);
-          front
+          frontend
               .listen("127.0.0.1", 0)
               .onSuccess(bound::complete)
               .onFailure(bound::completeExceptionally);
@@ -74,12 +72,12 @@
   }
 
   @AfterEach
-  void end() throws Exception {
+  void tearDown() throws Exception {
     vertx.close().toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
   private Socket connect() throws IOException {
-    Socket socket = new Socket("127.0.0.1", port);
+    Socket socket = new Socket(InetAddress.getLoopbackAddress(), port);
     socket.setSoTimeout(5_000);
     return socket;
   }
@@ -98,11 +96,8 @@
         + body;
   }
 
-  /**
-   * Up to the end of the headers and what the length says behind it; what else was read already is
-   * lost.
-   */
-  private static String answer(Socket socket) throws IOException {
+  /** Reads the head and a body of the stated length. */
+  private static String readResponse(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
     StringBuilder text = new StringBuilder();
     while (text.indexOf("\r\n\r\n") < 0) {
@@ -116,124 +111,121 @@
             StandardCharsets.UTF_8);
   }
 
-  private interface Step {
+  private interface Action {
     void run() throws Exception;
   }
 
   /**
-   * While the loop stands still the client does something, then time passes and the front looks for
-   * what is overdue, before it reads.
+   * Runs the client's action while the event loop is blocked, then {@code loop} before any read.
    */
-  private void atOnce(Step client, long laterUs, Step loop) throws Exception {
-    CountDownLatch still = new CountDownLatch(1);
+  private void whileLoopIsBlocked(Action client, long advanceUs, Action loop) throws Exception {
+    CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch done = new CountDownLatch(1);
-    CountDownLatch looked = new CountDownLatch(1);
+    CountDownLatch finished = new CountDownLatch(1);
     vertx.runOnContext(
         v -> {
-          still.countDown();
+          blocked.countDown();
           try {
             done.await();
-            now.addAndGet(laterUs);
+            nowUs.addAndGet(advanceUs);
             loop.run();
-          } catch (Exception e) {
-            throw new IllegalStateException(e);
+          } catch (Exception event) {
+            throw new IllegalStateException(event);
           }
-          looked.countDown();
+          finished.countDown();
         });
-    assertTrue(still.await(5, TimeUnit.SECONDS));
+    assertTrue(blocked.await(5, TimeUnit.SECONDS));
     client.run();
     done.countDown();
-    assertTrue(looked.await(5, TimeUnit.SECONDS));
+    assertTrue(finished.await(5, TimeUnit.SECONDS));
   }
 
-  /**
-   * A request that has come in the instant in which its connection was idle for too long, silent
-   * for too long, or drained.
-   */
+  /** A request that arrives just as its connection times out or is drained. */
   @Test
-  void aRequestThatCrossesATimerIsServed() throws Exception {
+  void requestCrossingTimeoutIsServed() throws Exception {
     try (Socket idle = connect();
         Socket silent = connect();
-        Socket rests = connect()) {
-      for (Socket socket : List.of(idle, rests)) {
+        Socket resting = connect()) {
+      for (Socket socket : List.of(idle, resting)) {
         write(socket, "GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n");
-        assertTrue(answer(socket).endsWith("live\n"));
+        assertTrue(readResponse(socket).endsWith("live\n"));
       }
-      atOnce(
+      whileLoopIsBlocked(
           () -> {
             write(idle, post("a"));
             write(silent, post("b"));
           },
           6_000_000,
-          front::look);
+          frontend::closeTimedOut);
       assertTrue(
           events.stream()
               .noneMatch(
-                  e ->
-                      e instanceof Event.ConditionCounted noted
-                          && noted.what() == dunlinhitch.core.Counter.CLIENTS_SLOW));
+                  event ->
+                      event instanceof Event.ConditionCounted counted
+                          && counted.what() == dunlinhitch.core.Counter.CLIENTS_SLOW));
       assertEquals(
-          -1, rests.getInputStream().read(), "it had been idle for as long and was asked nothing");
+          -1,
+          resting.getInputStream().read(),
+          "it had been idle for as long and was asked nothing");
       for (int i = 1; i <= 2; i++) {
         long exchange = i;
         vertx.runOnContext(v -> exchanges.reply(exchange, new QueryResponse.Rejected(0)));
       }
       assertTrue(
-          answer(idle).startsWith("HTTP/1.1 503 ") && answer(silent).startsWith("HTTP/1.1 503 "));
-      atOnce(() -> write(idle, post("c")), 0, front::drain);
+          readResponse(idle).startsWith("HTTP/1.1 503 ")
+              && readResponse(silent).startsWith("HTTP/1.1 503 "));
+      whileLoopIsBlocked(() -> write(idle, post("c")), 0, frontend::drain);
       vertx.runOnContext(v -> exchanges.reply(3, new QueryResponse.Rejected(0)));
-      String last = answer(idle);
+      String last = readResponse(idle);
       assertTrue(last.startsWith("HTTP/1.1 503 ") && last.contains("close"), last);
       assertEquals(-1, idle.getInputStream().read());
     }
   }
 
-  /** It would hold its connection, and what it was to be told, for ever. */
+  /** Such a client would occupy its connection and the response for ever. */
   @Test
-  void aReaderThatNeverTakesItsAnswerIsCut() throws Exception {
+  void clientThatNeverReadsResponseIsDisconnected() throws Exception {
     String large = "x".repeat(32 << 20);
     try (Socket socket = connect()) {
       write(socket, post("a"));
       while (!(events.poll(5, TimeUnit.SECONDS) instanceof Event.QueryReceived)) {
         assertTrue(socket.isConnected());
       }
-      atOnce(
+      whileLoopIsBlocked(
           () -> {},
           0,
           () ->
               exchanges.reply(
                   1,
                   new QueryResponse.Served(true, List.of(new QueryResponse.PartValue(1, large)))));
-      atOnce(() -> {}, 6_000_000, front::look);
-      long got = 0;
+      whileLoopIsBlocked(() -> {}, 6_000_000, frontend::closeTimedOut);
+      long received = 0;
       try {
-        byte[] some = new byte[1 << 16];
-        for (int n = socket.getInputStream().read(some);
+        byte[] buffer = new byte[1 << 16];
+        for (int n = socket.getInputStream().read(buffer);
             n >= 0;
-            n = socket.getInputStream().read(some)) {
-          got += n;
+            n = socket.getInputStream().read(buffer)) {
+          received += n;
         }
       } catch (java.net.SocketException reset) { // as good
       }
-      assertTrue(got < large.length(), "all of it was still there");
+      assertTrue(received < large.length(), "all of it was still there");
     }
   }
 
-  /**
-   * A client goes on writing when its answer has come: it reads the end of it, and nothing is reset
-   * under it.
-   */
+  /** A client that goes on writing after its response reads the end of it without a reset. */
   @Test
-  void anyCloseLingersAndWhatComesBehindItIsNeverTaken() throws Exception {
-    for (String asks :
+  @SuppressWarnings("ThreadPriorityCheck") // lets the frontend close between two writes
+  void everyCloseLingersAndLaterRequestsAreIgnored() throws Exception {
+    for (String request :
         List.of(
             "GET /health/live HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n",
             "GET /health/live HTTP/1.0\r\n\r\n",
             "nonsense\r\n\r\n",
             "POST /other HTTP/1.1\r\nHost: x\r\nContent-Length: 900000\r\n\r\n")) {
       try (Socket socket = connect()) {
-        write(socket, asks);
-        answer(socket);
+        write(socket, request);
+        readResponse(socket);
         assertEquals(-1, socket.getInputStream().read(), "it says that no more comes");
         for (int i = 0; i < 50; i++) {
           write(socket, post("behind"));
@@ -241,103 +233,112 @@
         }
       }
     }
-    assertTrue(events.stream().noneMatch(e -> e instanceof Event.QueryReceived), events.toString());
+    assertTrue(
+        events.stream().noneMatch(event -> event instanceof Event.QueryReceived),
+        events.toString());
   }
 
   /**
-   * Vert.x goes on to the next request in the turn in which an answer is ended: it is served,
-   * unless that answer said that it is the last.
+   * Vert.x handles the next request in the turn in which a response ends: it is served, unless that
+   * response announced the close.
    */
   @Test
-  void whatIsPipelinedIsTakenUnlessItIsBehindTheLastAnswer() throws Exception {
+  void pipelinedRequestIsServedUnlessAfterLastResponse() throws Exception {
     try (Socket socket = connect()) {
       write(socket, post("a") + post("b") + post("c"));
       for (int i = 0; i < 3; i++) {
-        Event.QueryReceived taken = (Event.QueryReceived) events.poll(5, TimeUnit.SECONDS);
-        assertEquals("abc".substring(i, i + 1), taken.ask().id());
-        vertx.runOnContext(v -> exchanges.reply(taken.exchange(), new QueryResponse.Rejected(0)));
-        assertTrue(answer(socket).startsWith("HTTP/1.1 503 "));
+        Event.QueryReceived query = (Event.QueryReceived) events.poll(5, TimeUnit.SECONDS);
+        assertEquals("abc".substring(i, i + 1), query.ask().id());
+        vertx.runOnContext(v -> exchanges.reply(query.exchange(), new QueryResponse.Rejected(0)));
+        assertTrue(readResponse(socket).startsWith("HTTP/1.1 503 "));
       }
     }
-    atOnce(() -> {}, 0, front::drain);
+    whileLoopIsBlocked(() -> {}, 0, frontend::drain);
     try (Socket socket = connect()) {
       write(socket, post("a") + post("b"));
-      Event.QueryReceived taken = (Event.QueryReceived) events.poll(5, TimeUnit.SECONDS);
-      atOnce(() -> {}, 0, () -> exchanges.reply(taken.exchange(), new QueryResponse.Rejected(0)));
-      assertTrue(answer(socket).startsWith("HTTP/1.1 503 "));
+      Event.QueryReceived query = (Event.QueryReceived) events.poll(5, TimeUnit.SECONDS);
+      whileLoopIsBlocked(
+          () -> {}, 0, () -> exchanges.reply(query.exchange(), new QueryResponse.Rejected(0)));
+      assertTrue(readResponse(socket).startsWith("HTTP/1.1 503 "));
       assertEquals(-1, socket.getInputStream().read(), "one answer");
     }
     assertTrue(events.isEmpty(), events.toString());
   }
 
   /**
-   * A part of a request that came behind another has begun when that one is answered: the drain
-   * leaves it, and the rest of it is waited for.
+   * An incomplete request behind another one has started when the response to that one is written:
+   * draining spares the connection and the rest of the request is awaited.
    */
   @Test
-  void whatHasBegunBehindAnAnswerIsNoRest() throws Exception {
+  void connectionWithStartedRequestIsNotIdle() throws Exception {
     try (Socket socket = connect()) {
       String next = post("b");
       write(socket, post("a") + next.substring(0, 30));
-      Event.QueryReceived taken = (Event.QueryReceived) events.poll(5, TimeUnit.SECONDS);
-      atOnce(() -> {}, 0, () -> exchanges.reply(taken.exchange(), new QueryResponse.Rejected(0)));
-      assertTrue(answer(socket).startsWith("HTTP/1.1 503 "));
-      atOnce(() -> {}, 200_000, front::drain);
+      Event.QueryReceived query = (Event.QueryReceived) events.poll(5, TimeUnit.SECONDS);
+      whileLoopIsBlocked(
+          () -> {}, 0, () -> exchanges.reply(query.exchange(), new QueryResponse.Rejected(0)));
+      assertTrue(readResponse(socket).startsWith("HTTP/1.1 503 "));
+      whileLoopIsBlocked(() -> {}, 200_000, frontend::drain);
       write(socket, next.substring(30));
       assertTrue(events.poll(5, TimeUnit.SECONDS) instanceof Event.QueryReceived, "it is closed");
     }
   }
 
   /**
-   * Clients whom the system has connected while the thread that accepts was behind: they are let in
-   * and told, and then the listener closes.
+   * Connections that the system made while the accepting thread was behind are accepted and
+   * refused, and then the listener closes.
    */
   @Test
-  void whoeverWaitsInTheQueueOfTheListenerIsLetInAndTold() throws Exception {
+  void queuedConnectionsAreAcceptedAndRefused() throws Exception {
     EventLoopGroup acceptor = ((VertxInternal) vertx).acceptorEventLoopGroup();
-    CountDownLatch behind = new CountDownLatch(1);
-    CountDownLatch goOn = new CountDownLatch(1);
+    CountDownLatch blocked = new CountDownLatch(1);
+    CountDownLatch released = new CountDownLatch(1);
     CountDownLatch closed = new CountDownLatch(1);
-    CountDownLatch over = new CountDownLatch(1);
+    CountDownLatch complete = new CountDownLatch(1);
     acceptor.execute(
         () -> {
-          behind.countDown();
+          blocked.countDown();
           try {
-            goOn.await();
-          } catch (InterruptedException e) {
+            released.await();
+          } catch (InterruptedException event) {
             Thread.currentThread().interrupt();
           }
         });
-    behind.await();
+    blocked.await();
     List<Socket> queue = new ArrayList<>();
     for (int i = 0; i < 18; i++) { // more than Netty accepts in one go
       queue.add(connect());
       write(queue.get(i), post("q" + i));
     }
-    atOnce(() -> {}, 0, () -> front.close(Long.MAX_VALUE / 2).onComplete(v -> over.countDown()));
+    whileLoopIsBlocked(
+        () -> {},
+        0,
+        () -> frontend.close(Long.MAX_VALUE / 2).onComplete(v -> complete.countDown()));
     acceptor.execute(closed::countDown);
-    atOnce(
+    whileLoopIsBlocked(
         () -> {
-          goOn.countDown();
+          released.countDown();
           closed.await();
         },
         0,
         () -> {});
     for (Socket socket : queue) {
-      assertTrue(answer(socket).startsWith("HTTP/1.1 503 "));
+      assertTrue(readResponse(socket).startsWith("HTTP/1.1 503 "));
       assertEquals(-1, socket.getInputStream().read());
       socket.close();
     }
-    assertTrue(over.await(5, TimeUnit.SECONDS));
-    assertTrue(events.stream().noneMatch(e -> e instanceof Event.QueryReceived), events.toString());
+    assertTrue(complete.await(5, TimeUnit.SECONDS));
+    assertTrue(
+        events.stream().noneMatch(event -> event instanceof Event.QueryReceived),
+        events.toString());
   }
 
   /**
-   * The end of the stream or a reset within a body: nothing is taken. A half-close behind a whole
-   * request: the client has left.
+   * The end of the stream or a reset within a body is no query; a half-close after a complete
+   * request is a disconnect.
    */
   @Test
-  void whoEndsWithinItsRequestAsksNothingAndAHalfCloseIsAnEnd() throws Exception {
+  void disconnectWithinRequestIsNoQueryAndHalfCloseIsDisconnect() throws Exception {
     String chunked =
         post("a")
             .replaceAll("Content-Length: [0-9]+", "Transfer-Encoding: chunked")
@@ -350,33 +351,36 @@
       for (boolean reset : List.of(false, true)) {
         try (Socket socket = connect()) {
           write(socket, part);
-          atOnce(() -> {}, 0, () -> {}); // it is read
+          whileLoopIsBlocked(() -> {}, 0, () -> {}); // it is read
           socket.setSoLinger(reset, 0);
         }
       }
     }
     try (Socket socket = connect()) {
       write(socket, post("b"));
-      Event taken = events.poll(5, TimeUnit.SECONDS);
-      while (taken instanceof Event.ConditionCounted) {
-        taken = events.poll(5, TimeUnit.SECONDS);
+      Event query = events.poll(5, TimeUnit.SECONDS);
+      while (query instanceof Event.ConditionCounted) {
+        query = events.poll(5, TimeUnit.SECONDS);
       }
-      assertEquals("b", ((Event.QueryReceived) taken).ask().id());
+      assertEquals("b", ((Event.QueryReceived) query).ask().id());
       socket.shutdownOutput();
       assertEquals(-1, socket.getInputStream().read());
       assertTrue(events.poll(5, TimeUnit.SECONDS) instanceof Event.ClientDisconnected);
     }
-    assertTrue(events.stream().noneMatch(e -> e instanceof Event.QueryReceived), events.toString());
+    assertTrue(
+        events.stream().noneMatch(event -> event instanceof Event.QueryReceived),
+        events.toString());
   }
 
-  /** Where descriptors are short a connection that only lingers goes, the oldest first. */
+  /** Where file descriptors are short, the oldest lingering connection is aborted. */
   @Test
-  void theOldestThatLingersMakesRoom() throws Exception {
+  @SuppressWarnings("ThreadPriorityCheck") // lets the reset arrive between two writes
+  void oldestLingeringConnectionIsEvicted() throws Exception {
     List<Socket> lingering = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
       lingering.add(connect());
       write(lingering.get(i), "GET /health/live HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n");
-      answer(lingering.get(i));
+      readResponse(lingering.get(i));
       assertEquals(-1, lingering.get(i).getInputStream().read());
     }
     org.junit.jupiter.api.Assertions.assertThrows(
@@ -392,14 +396,14 @@
     }
   }
 
-  /** Who takes nothing of its answer holds the end of the front up to its time, and no longer. */
+  /** A client that reads nothing of its response delays the shutdown until the deadline only. */
   @Test
-  void theFrontIsOverAtItsTimeThoughAClientReadsNothing() throws Exception {
-    CountDownLatch over = new CountDownLatch(1);
+  void shutdownCompletesAtDeadlineDespiteClientThatReadsNothing() throws Exception {
+    CountDownLatch complete = new CountDownLatch(1);
     try (Socket socket = connect()) {
       write(socket, post("a"));
       assertTrue(events.poll(5, TimeUnit.SECONDS) instanceof Event.QueryReceived);
-      atOnce(
+      whileLoopIsBlocked(
           () -> {},
           0,
           () ->
@@ -407,28 +411,32 @@
                   1,
                   new QueryResponse.Served(
                       true, List.of(new QueryResponse.PartValue(1, "x".repeat(32 << 20))))));
-      atOnce(
-          () -> {}, 0, () -> front.close(now.get() + 1_000_000).onComplete(v -> over.countDown()));
-      while (over.getCount() > 0) {
+      whileLoopIsBlocked(
+          () -> {},
+          0,
+          () -> frontend.close(nowUs.get() + 1_000_000).onComplete(v -> complete.countDown()));
+      while (complete.getCount() > 0) {
         try (Socket next =
-            new Socket("127.0.0.1", port)) { // it is let in or refused, but the listener closes
+            new Socket(
+                InetAddress.getLoopbackAddress(),
+                port)) { // it is let in or refused, but the listener closes
           assertTrue(next.isConnected());
         } catch (java.net.ConnectException closed) {
           break;
         }
       }
-      assertEquals(1, over.getCount(), "nothing holds it up");
-      atOnce(() -> {}, 1_000_000, () -> {});
-      assertTrue(over.await(5, TimeUnit.SECONDS));
+      assertEquals(1, complete.getCount(), "nothing holds it up");
+      whileLoopIsBlocked(() -> {}, 1_000_000, () -> {});
+      assertTrue(complete.await(5, TimeUnit.SECONDS));
     }
   }
 
-  /** More than any client has to say: it is not read for ever. */
+  /** After a close only so many bytes are read and discarded. */
   @Test
-  void whatIsDiscardedIsBounded() throws Exception {
+  void discardedBytesAreBounded() throws Exception {
     try (Socket socket = connect()) {
       write(socket, "nonsense\r\n\r\n");
-      answer(socket);
+      readResponse(socket);
       org.junit.jupiter.api.Assertions.assertThrows(
           IOException.class,
           () -> {
--- a/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
@@ -16,32 +16,30 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
+/** When an event loop parks in place of polling its selector. */
 class ParkingSelectStrategyTest {
   private static final int TIMERS = 50;
 
-  /**
-   * Five pauses, and a few rounds that find out that they are wanted; a loop that goes round makes
-   * hundreds.
-   */
-  private static final int ROUNDS_A_TIMER = 16;
+  /** Five pauses and a few quick rounds before each; a polling loop takes hundreds. */
+  private static final int MAX_ROUNDS_PER_TIMER = 16;
 
-  private long now;
+  private long nowNs;
   private final List<Long> parked = new ArrayList<>();
   private final ParkingSelectStrategy strategy =
       new ParkingSelectStrategy(
-          () -> now,
+          () -> nowNs,
           ns -> {
             parked.add(ns);
-            now += ns;
+            nowNs += ns;
           });
 
   private int round(int ready, boolean tasks) throws Exception {
-    now += 2_000;
+    nowNs += 2_000;
     return strategy.calculateStrategy(() -> ready, tasks);
   }
 
   @Test
-  void aLoopThatGoesRoundForNothingParks() throws Exception {
+  void busyLoopParks() throws Exception {
     for (int i = 0; i < 4; i++) {
       assertEquals(SelectStrategy.SELECT, round(0, false));
     }
@@ -49,37 +47,34 @@
   }
 
   @Test
-  void whatIsReadyOrHasTasksNeverWaits() throws Exception {
+  void readyChannelsAndTasksNeverPark() throws Exception {
     for (int i = 0; i < 20; i++) {
       assertEquals(
           i % 2 == 0 ? SelectStrategy.SELECT : 3, i % 2 == 0 ? round(0, false) : round(3, true));
     }
     assertEquals(
-        SelectStrategy.SELECT, round(0, false)); // the second quick one is the first that asks
+        SelectStrategy.SELECT, round(0, false)); // the second quick round is the first that polls
     assertEquals(7, round(7, false));
     assertEquals(List.of(), parked);
   }
 
   @Test
-  void aRoundThatWaitedIsNoneOfThose() throws Exception {
+  void roundsThatWaitedDoNotPark() throws Exception {
     for (int i = 0; i < 10; i++) {
-      now += 1_000_000;
+      nowNs += 1_000_000;
       assertEquals(SelectStrategy.SELECT, round(0, false));
     }
     assertEquals(List.of(), parked);
   }
 
-  /**
-   * Fails where Netty's own strategy stands: some 400 µs before each of these timers it asks the
-   * selector without a pause.
-   */
+  /** Netty's own strategy fails this: it polls for some 400 µs before each of these timers. */
   @Test
-  void theBrokersLoopDoesNotGoRoundBeforeATimer() throws Exception {
+  void eventLoopDoesNotPollBeforeATimer() throws Exception {
     AtomicInteger rounds = new AtomicInteger();
-    var made = new ClientListener(null).ioHandlerFactory();
+    var factory = new ClientListener(null).ioHandlerFactory();
     var group =
         new MultiThreadIoEventLoopGroup(
-            1, executor -> new Counted(made.newHandler(executor), rounds));
+            1, executor -> new CountingHandler(factory.newHandler(executor), rounds));
     try {
       IoEventLoop loop = group.next();
       loop.submit(() -> {}).get();
@@ -88,13 +83,14 @@
         loop.schedule(() -> {}, 1_400, TimeUnit.MICROSECONDS).get();
       }
       assertTrue(
-          rounds.get() <= TIMERS * ROUNDS_A_TIMER, rounds + " rounds for " + TIMERS + " timers");
+          rounds.get() <= TIMERS * MAX_ROUNDS_PER_TIMER,
+          rounds + " rounds for " + TIMERS + " timers");
     } finally {
       group.shutdownGracefully(0, 5, TimeUnit.SECONDS).sync();
     }
   }
 
-  private record Counted(IoHandler inner, AtomicInteger rounds) implements IoHandler {
+  private record CountingHandler(IoHandler inner, AtomicInteger rounds) implements IoHandler {
     @Override
     public int run(IoHandlerContext context) {
       rounds.incrementAndGet();
--- /dev/null
+++ b/src/test/java/dunlinhitch/frontend/http/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the HTTP frontend and of its client connections. */
+package dunlinhitch.frontend.http;
--- /dev/null
+++ b/src/test/java/dunlinhitch/frontend/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of what all frontends share. */
+package dunlinhitch.frontend;
