--- a/src/main/java/dunlinhitch/backend/LoadReportParser.java
+++ b/src/main/java/dunlinhitch/backend/LoadReportParser.java
@@ -16,7 +16,7 @@
   /**
    * Creates a parser.
    *
-   * @param order the fields of the settings in force; asked for each report
+   * @param order the fields of the settings in force; read for each report
    */
   public LoadReportParser(Supplier<List<LoadReportField>> order) {
     this.order = order;
--- a/src/main/java/dunlinhitch/backend/flight/FlightActions.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightActions.java
@@ -26,7 +26,8 @@
   /**
    * Creates the actions of one store.
    *
-   * @param isDisabled asked on the action thread, just before a health check is sent; then it fails
+   * @param isDisabled evaluated on the action thread, just before a health check is sent; then it
+   *     fails
    */
   FlightActions(FlightStores shared, FlightClient client, BooleanSupplier isDisabled) {
     this.shared = shared;
--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -58,7 +58,7 @@
   /**
    * Creates a call that is not sent yet.
    *
-   * @param mayNotSend asked on the reader thread, just before the call is sent
+   * @param mayNotSend evaluated on the reader thread, just before the call is sent
    * @param onCompleted called on the event loop, once for each attempt that was not cancelled
    */
   FlightCall(
--- a/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
@@ -35,7 +35,7 @@
   /**
    * Creates a call that is not sent yet.
    *
-   * @param mayNotSend asked on the reader thread, just before the call is sent
+   * @param mayNotSend evaluated on the reader thread, just before the call is sent
    * @param onCompleted takes every other end than a reply
    */
   FlightFirstPassCall(
--- a/src/main/java/dunlinhitch/backend/flight/FlightLivenessCheck.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightLivenessCheck.java
@@ -7,11 +7,11 @@
 
 /**
  * Detects a channel that stays open although nothing crosses it any more: while attempts are in
- * flight and the store sends nothing, it is asked for a sign of life. Not thread-safe; its
- * transport owns it on the event loop.
+ * flight and the store sends nothing, it is sent a health check. Not thread-safe; its transport
+ * owns it on the event loop.
  */
 final class FlightLivenessCheck {
-  /** The store is asked after the connect timeout divided by this. */
+  /** The check is sent after the connect timeout divided by this. */
   private static final int DELAY_DIVISOR = 3;
 
   /** The reply is awaited for the connect timeout divided by this. */
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -26,9 +26,9 @@
 import org.apache.arrow.flight.FlightGrpcUtils;
 
 /**
- * Transport to a store that speaks Arrow Flight: a DoGet for each call, on one channel. No call is
- * made before the channel is connected, so that what waited for it provably did not run; what is in
- * flight when the channel breaks may have run.
+ * Transport to a store over Arrow Flight: a DoGet for each call, on one channel. No call is made
+ * before the channel is connected, so that a pending call provably did not run; what is in flight
+ * when the channel breaks may have run.
  *
  * <p>Used on the event loop, but for the check just before a call is made, which the reader threads
  * ask.
--- a/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
@@ -34,12 +34,12 @@
       consumed = start + (int) length;
       handler.handle(new Frame((char) all.getByte(start), all.slice(start + 1, consumed)));
     }
-    keepIncomplete(all, consumed);
+    retainIncomplete(all, consumed);
   }
 
   /** Avoids a copy of an incomplete frame for each piece that is appended to it. */
   @SuppressWarnings("ReferenceEquality") // asks whether this very buffer was appended to
-  private void keepIncomplete(Buffer all, int consumed) {
+  private void retainIncomplete(Buffer all, int consumed) {
     if (consumed > 0) {
       incomplete = all.getBuffer(consumed, all.length());
     } else if (all != incomplete) {
--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -26,7 +26,7 @@
 import java.util.stream.Collectors;
 
 /**
- * Transport to a store that speaks frames: a few connections, opened on demand, each with many
+ * Transport to a store over the frame protocol: a few connections, opened on demand, each with many
  * attempts in flight at once. Used on the event loop only.
  */
 public final class FrameTransport implements BackendTransport {
--- a/src/main/java/dunlinhitch/backend/frames/LivenessCheck.java
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheck.java
@@ -7,8 +7,8 @@
 
 /**
  * Detects a connection that stays open although nothing crosses it any more. While attempts are in
- * flight and nothing is received, the store is asked for a sign of life, which also a busy one
- * gives at once because it answers beside its queue; without one the connection is closed.
+ * flight and nothing is received, the store is sent a liveness check, to which also a busy one
+ * replies at once, beside its queue; without a reply the connection is closed.
  *
  * <p>Not thread-safe; its connection owns it on the event loop.
  */
--- a/src/main/java/dunlinhitch/backend/package-info.java
+++ b/src/main/java/dunlinhitch/backend/package-info.java
@@ -7,6 +7,6 @@
  *
  * <p>This package turns effects into bytes and bytes into events. It decides nothing: which store
  * gets a request, when an attempt is retried and when it is cancelled is decided by the reducer.
- * Everything runs on the event loop unless a class says otherwise.
+ * Everything runs on the event loop unless a class states otherwise.
  */
 package dunlinhitch.backend;
--- a/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
@@ -31,7 +31,7 @@
   private long baseMs;
 
   /** When the observation written last was made; the next one is relative to it. */
-  private long lastSeenUs;
+  private long lastObservedUs;
 
   /** Creates a writer of a datagram of at most so many bytes. */
   DatagramWriter(int maxBytes) {
@@ -41,7 +41,7 @@
   /** Writes the header; false where it does not fit, and then no items may be added. */
   boolean writeHeader(GossipMessage message) {
     baseMs = message.from().incarnation();
-    lastSeenUs = baseMs * WireFormat.US_PER_MS;
+    lastObservedUs = baseMs * WireFormat.US_PER_MS;
     boolean written = append(out -> writeHeader(out, message));
     headerLength = length;
     return written;
@@ -124,7 +124,7 @@
   boolean addObservation(EndpointObservation observation) {
     boolean added = append(out -> writeObservation(out, observation));
     if (added) {
-      lastSeenUs = observation.seenUs();
+      lastObservedUs = observation.seenUs();
     }
     return added;
   }
@@ -144,7 +144,7 @@
             ? 0
             : CodedOutputStream.encodeZigZag64(observation.startedMs() - baseMs) + 1);
     out.writeUInt64NoTag(observation.number());
-    out.writeSInt64NoTag(observation.seenUs() - lastSeenUs);
+    out.writeSInt64NoTag(observation.seenUs() - lastObservedUs);
     for (float value : observation.report()) {
       out.writeFloatNoTag(value);
     }
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
@@ -31,7 +31,7 @@
   private long baseMs;
 
   /** When the observation read last was made; the next one is relative to it. */
-  private long lastSeenUs;
+  private long lastObservedUs;
 
   private GossipDecoder(CodedInputStream in) {
     this.in = in;
@@ -78,7 +78,7 @@
     int kindAndFlags = in.readRawByte() & BYTE_MASK;
     Member from = readMember(in.readRawByte());
     baseMs = from.incarnation();
-    lastSeenUs = baseMs * WireFormat.US_PER_MS;
+    lastObservedUs = baseMs * WireFormat.US_PER_MS;
     long number = in.readUInt64();
     String subject = has(kindAndFlags, WireFormat.HAS_SUBJECT) ? strings.read(in) : "";
     VersionVector versions = has(kindAndFlags, WireFormat.HAS_VERSIONS) ? readVersions() : null;
@@ -158,13 +158,14 @@
     String author = strings.read(in);
     long encodedStart = in.readUInt64();
     long number = in.readUInt64();
-    long seenUs = lastSeenUs + in.readSInt64();
+    long observedUs = lastObservedUs + in.readSInt64();
     List<Float> report = readReport(reportValues);
     long startedMs =
         encodedStart == 0 ? 0 : baseMs + CodedInputStream.decodeZigZag64(encodedStart - 1);
     EndpointObservation observation =
-        new EndpointObservation(store, startedMs, author, number, seenUs, report, in.readUInt32());
-    lastSeenUs = seenUs;
+        new EndpointObservation(
+            store, startedMs, author, number, observedUs, report, in.readUInt32());
+    lastObservedUs = observedUs;
     return observation;
   }
 
--- a/src/main/java/dunlinhitch/cluster/gossip/WireFormat.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/WireFormat.java
@@ -7,9 +7,9 @@
 
 /**
  * The encoding of gossip datagrams: protobuf's varints without its tags. A datagram is the version,
- * the kind with flags, the sender, optional fields as the flags say, then items one after the other
- * (a member, an endpoint observation or a suspicion), and a checksum. Times are differences from
- * the sender's incarnation, which is a time too.
+ * the kind with flags, the sender, optional fields as the flags state, then items one after the
+ * other (a member, an endpoint observation or a suspicion), and a checksum. Times are differences
+ * from the sender's incarnation, which is a time too.
  *
  * <p>All fields are positional, so every change of the encoding needs a new {@link #VERSION}.
  */
--- a/src/main/java/dunlinhitch/concurrent/OpenResourceCounter.java
+++ b/src/main/java/dunlinhitch/concurrent/OpenResourceCounter.java
@@ -19,7 +19,7 @@
   /**
    * Creates a counter at 0.
    *
-   * @param isReleased asked of closed resources; once true it must stay true
+   * @param isReleased evaluated for closed resources; once true it must stay true
    */
   public OpenResourceCounter(Predicate<? super T> isReleased) {
     this.isReleased = isReleased;
--- a/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
+++ b/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
@@ -81,7 +81,7 @@
 
   private final Map<C, Entry> entries = new LinkedHashMap<>();
   private final Actions<C> actions;
-  private final long crossingUs;
+  private final long requestTransitUs;
   private Stage stage = Stage.SERVING;
 
   /** When an idle connection was closed last. */
@@ -100,11 +100,12 @@
   /**
    * Creates a state machine without connections.
    *
-   * @param crossingUs how long a request may be in transit that crosses the close of its connection
+   * @param requestTransitUs how long a request may be in transit that crosses the close of its
+   *     connection
    */
-  public GracefulShutdown(Actions<C> actions, long crossingUs) {
+  public GracefulShutdown(Actions<C> actions, long requestTransitUs) {
     this.actions = actions;
-    this.crossingUs = crossingUs;
+    this.requestTransitUs = requestTransitUs;
   }
 
   /** How far the shutdown is. */
@@ -244,16 +245,16 @@
     stage = Stage.REFUSING;
     deadlineUs = newDeadlineUs;
     closeIdleConnections(nowUs);
-    long afterCrossingUs = Math.max(nowUs, idleClosedUs + crossingUs);
+    long afterTransitUs = Math.max(nowUs, idleClosedUs + requestTransitUs);
     long thirdOfTimeUs = nowUs + Math.max(0, deadlineUs - nowUs) / 3;
-    closeListenerUs = Math.min(afterCrossingUs, thirdOfTimeUs);
+    closeListenerUs = Math.min(afterTransitUs, thirdOfTimeUs);
     advance(nowUs);
   }
 
   /** Spares connections that were accepted just now: a request is probably in transit on them. */
   private void closeIdleConnections(long nowUs) {
     for (Map.Entry<C, Entry> connection : List.copyOf(entries.entrySet())) {
-      if (nowUs - connection.getValue().acceptedUs >= crossingUs) {
+      if (nowUs - connection.getValue().acceptedUs >= requestTransitUs) {
         closeIfIdle(nowUs, connection.getKey());
       }
     }
@@ -262,7 +263,7 @@
   /** The listener is closed and accepts no more. */
   public void listenerClosed(long nowUs) {
     listenerClosed = true;
-    refuseIncompleteUs = nowUs + Math.min(crossingUs, Math.max(0, deadlineUs - nowUs) / 2);
+    refuseIncompleteUs = nowUs + Math.min(requestTransitUs, Math.max(0, deadlineUs - nowUs) / 2);
     closeIfDone();
   }
 
--- a/src/main/java/dunlinhitch/frontend/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -22,7 +22,7 @@
  */
 public final class QueryReader {
   /** The largest body that any frontend accepts. */
-  public static final int MOST_BYTES = 64 * 1024;
+  public static final int MAX_BODY_BYTES = 64 * 1024;
 
   /** Request header: the response shall list the pruned shards, under {@link #PRUNED}. */
   public static final String SHOW_PRUNED = "X-Show-Pruned";
@@ -37,7 +37,7 @@
   public static final String EXPIRES_IN = "X-Expires-In";
 
   /** Request header: the client retries a query. */
-  public static final String SECOND_TRY = "X-Second-Try";
+  public static final String CLIENT_RETRY = "X-Second-Try";
 
   /** Request header: the tenant. */
   public static final String CUSTOMER = "X-Customer";
@@ -65,7 +65,7 @@
 
   private final Supplier<Settings> settings;
 
-  /** Creates a reader that asks for the settings in force with each query. */
+  /** Creates a reader that reads the settings in force for each query. */
   public QueryReader(Supplier<Settings> settings) {
     this.settings = settings;
   }
@@ -83,7 +83,7 @@
    *
    * @param header gives the value of a header, or null
    * @param customers all values of {@link #CUSTOMER}
-   * @param takenUs when the last byte of the request was received, in microseconds
+   * @param receivedUs when the last byte of the request was received, in microseconds
    * @throws MalformedQueryException where the request is no valid query
    */
   public QueryRequest read(
@@ -91,7 +91,7 @@
       UnaryOperator<String> header,
       Iterable<String> customers,
       String body,
-      long takenUs)
+      long receivedUs)
       throws MalformedQueryException {
     String id = token(header, TRACE_ID);
     String key = queryClass.repeat() == Idempotency.GUARDED ? token(header, IDEMPOTENCY_KEY) : "";
@@ -107,8 +107,8 @@
           key,
           queryClass,
           tenant(customers),
-          takenUs + leftUs,
-          FLAG_SET.equals(header.apply(SECOND_TRY)),
+          receivedUs + leftUs,
+          FLAG_SET.equals(header.apply(CLIENT_RETRY)),
           parts(object.get("ranges")),
           text.asString(),
           FLAG_SET.equals(header.apply(SHOW_PRUNED)));
@@ -119,7 +119,7 @@
     }
   }
 
-  /** The earlier of the deadline of the class and the one that the client asks for. */
+  /** The earlier of the deadline of the class and the one that the client requests. */
   private static long timeoutUs(QueryClass queryClass, String expiresIn)
       throws MalformedQueryException {
     if (expiresIn == null) {
--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -112,7 +112,7 @@
         FlightServer.builder(allocator, Location.forGrpcInsecure(host, port), new Producer())
             .middleware(HEADERS, new ServerHeaderMiddleware.Factory())
             .executor(callThreads)
-            .maxInboundMessageSize(2 * QueryReader.MOST_BYTES)
+            .maxInboundMessageSize(2 * QueryReader.MAX_BODY_BYTES)
             .transportHint("grpc.builderConsumer", callLimit)
             .build();
     return vertx.executeBlocking(
@@ -184,7 +184,7 @@
       if (queryClass == null) {
         throw new MalformedQueryException(CLASS + " names no class");
       }
-      if (ticket.getBytes().length > QueryReader.MOST_BYTES) {
+      if (ticket.getBytes().length > QueryReader.MAX_BODY_BYTES) {
         throw new MalformedQueryException("the ticket is over 64 KiB");
       }
       Iterable<String> customers = headers.getAll(QueryReader.CUSTOMER);
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -44,7 +44,7 @@
   private static final long US_PER_MS = 1000;
 
   /** How long a request may be in transit that crosses the close of its connection. */
-  static final long CROSSING_US = 150_000;
+  static final long REQUEST_TRANSIT_US = 150_000;
 
   /** The part of the shutdown that the frontend does itself. */
   interface Host {
@@ -131,7 +131,7 @@
     this.maxDescriptors = maxDescriptors;
     this.clock = clock;
     this.events = events;
-    shutdown = new GracefulShutdown<>(new ShutdownActions(host), CROSSING_US);
+    shutdown = new GracefulShutdown<>(new ShutdownActions(host), REQUEST_TRANSIT_US);
   }
 
   /**
--- a/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
@@ -223,13 +223,13 @@
     QueryClass queryClass = queryClassOf(path);
     if (queryClass == null) {
       respondBadRequest(request, NOT_FOUND, "no such class");
-    } else if (request.method() != HttpMethod.POST) {
+    } else if (!request.method().equals(HttpMethod.POST)) {
       request.response().putHeader(HttpHeaders.ALLOW, "POST");
       respondBadRequest(request, METHOD_NOT_ALLOWED, "a query is a POST");
     } else {
       BodyReader.read(
           request,
-          QueryReader.MOST_BYTES,
+          QueryReader.MAX_BODY_BYTES,
           body -> onQuery(request, queryClass, body),
           () -> respondBadRequest(request, CONTENT_TOO_LARGE, "the body is over 64 KiB"));
     }
@@ -245,7 +245,7 @@
   }
 
   private void respondToPage(HttpServerRequest request, int status, String text) {
-    if (request.method() != HttpMethod.GET && request.method() != HttpMethod.HEAD) {
+    if (!request.method().equals(HttpMethod.GET) && !request.method().equals(HttpMethod.HEAD)) {
       request.response().putHeader(HttpHeaders.ALLOW, "GET, HEAD");
       respondBadRequest(request, METHOD_NOT_ALLOWED, "this page is only read");
       return;
--- a/src/test/java/dunlinhitch/frontend/GracefulShutdownTest.java
+++ b/src/test/java/dunlinhitch/frontend/GracefulShutdownTest.java
@@ -13,7 +13,7 @@
 
 /** The graceful shutdown with simulated clients, sockets and listener, in many orders. */
 class GracefulShutdownTest {
-  private static final long CROSSING_US = 10;
+  private static final long REQUEST_TRANSIT_US = 10;
   private static final long DEADLINE_US = 60;
 
   /** What of a request is in the socket of a connection, or was read from it. */
@@ -33,7 +33,8 @@
 
   /** A frontend that checks each action of the state machine. */
   private static final class Frontend implements GracefulShutdown.Actions<Client> {
-    private final GracefulShutdown<Client> shutdown = new GracefulShutdown<>(this, CROSSING_US);
+    private final GracefulShutdown<Client> shutdown =
+        new GracefulShutdown<>(this, REQUEST_TRANSIT_US);
     private final List<Client> clients = new ArrayList<>();
     private long nowUs;
     private boolean listening = true;
@@ -150,22 +151,14 @@
   /** One random event; {@code client} is one of those connected, or null. */
   private static void step(Frontend frontend, Client client, SplittableRandom random) {
     switch (random.nextInt(10)) {
-      case 0 -> {
-        if (frontend.listening && frontend.clients.size() < 3) {
-          frontend.connect();
-        }
-      }
+      case 0 -> connectStep(frontend);
       case 1, 2 -> sendStep(frontend, client, random);
       case 3, 4 -> {
         if (client != null) {
           frontend.read(client);
         }
       }
-      case 5 -> {
-        if (client != null && client.forwarded) {
-          frontend.respond(client, frontend.shutdown.isDraining() || random.nextInt(3) == 0);
-        }
-      }
+      case 5 -> respondStep(frontend, client, random);
       case 6 -> disconnectStep(frontend, client, random);
       case 7 -> frontend.shutdown.drain(frontend.nowUs, random.nextBoolean());
       case 8 -> refuseStep(frontend);
@@ -173,6 +166,18 @@
     }
   }
 
+  private static void connectStep(Frontend frontend) {
+    if (frontend.listening && frontend.clients.size() < 3) {
+      frontend.connect();
+    }
+  }
+
+  private static void respondStep(Frontend frontend, Client client, SplittableRandom random) {
+    if (client != null && client.forwarded) {
+      frontend.respond(client, frontend.shutdown.isDraining() || random.nextInt(3) == 0);
+    }
+  }
+
   private static void sendStep(Frontend frontend, Client client, SplittableRandom random) {
     if (client != null && client.read != Bytes.COMPLETE && client.unread == Bytes.NONE) {
       boolean complete = client.read == Bytes.INCOMPLETE || random.nextBoolean();
@@ -226,14 +231,14 @@
     assertTrue(idle.halfClosed && !fresh.halfClosed, "a new one has its request under way");
     frontend.shutdown.refuse(frontend.nowUs, DEADLINE_US);
     assertFalse(frontend.listenerCloseRequested, "what crosses the close comes again");
-    frontend.nowUs += CROSSING_US;
+    frontend.nowUs += REQUEST_TRANSIT_US;
     frontend.shutdown.advance(frontend.nowUs);
     assertTrue(frontend.listenerCloseRequested && fresh.halfClosed);
     Client announcedClose = frontend.connect();
     frontend.listening = false;
     frontend.shutdown.listenerClosed(frontend.nowUs);
     frontend.send(announcedClose, Bytes.COMPLETE);
-    frontend.nowUs += CROSSING_US;
+    frontend.nowUs += REQUEST_TRANSIT_US;
     frontend.shutdown.advance(frontend.nowUs);
     assertTrue(announcedClose.halfClosed && frontend.refusals == 1, "read at the last moment");
     List.copyOf(frontend.clients).forEach(frontend::disconnect);
