--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/BalancerTimers.java
@@ -0,0 +1,33 @@
+package dunlinhitch.balancer;
+
+/**
+ * The timer tokens of the load balancer.
+ *
+ * <p>Stateless.
+ */
+final class BalancerTimers {
+  /** Periodic maintenance. */
+  static final long SWEEP = 1;
+
+  /** Poll of the server list. */
+  static final long POLL_SERVER_LIST = 2;
+
+  /** The first token of a query; below are those of the balancer itself. */
+  private static final long FIRST_QUERY_TOKEN = 4;
+
+  private BalancerTimers() {}
+
+  /** Schedules a timer that concerns one query only: under load there are many of both. */
+  static void scheduleQuery(BalancerContext context, Query query, long dueUs) {
+    context.actions().scheduleTimer(FIRST_QUERY_TOKEN * (1 + (long) query.id), dueUs);
+  }
+
+  static boolean isQueryToken(long token) {
+    return token >= FIRST_QUERY_TOKEN;
+  }
+
+  /** The id of the query that a query's token stands for. */
+  static int queryId(long token) {
+    return (int) (token / FIRST_QUERY_TOKEN - 1);
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/ClassStatistics.java
@@ -0,0 +1,66 @@
+package dunlinhitch.balancer;
+
+import dunlinhitch.balancer.settings.QueryClass;
+import java.util.List;
+
+/**
+ * A query class and what was measured of its parts. Identified by the name of the class: its index
+ * may change with the settings.
+ *
+ * <p>Not thread-safe; {@link ServiceTimes} owns it.
+ */
+final class ClassStatistics {
+  private QueryClass queryClass;
+
+  /** Latencies of answered parts, in microseconds. */
+  final SampleWindow latencies;
+
+  /** Service time of a part, 0 before any was measured. */
+  double serviceTimeUs;
+
+  /** When {@link #serviceTimeUs} was last updated. */
+  long serviceTimeUpdatedUs;
+
+  /** The longest time that a client gave a query of this class. */
+  long longestTimeoutUs;
+
+  private ClassStatistics(QueryClass queryClass, SampleWindow latencies) {
+    this.queryClass = queryClass;
+    this.latencies = latencies;
+  }
+
+  /** The class as the settings in force define it. */
+  QueryClass queryClass() {
+    return queryClass;
+  }
+
+  /** One for each class in its order: the statistics of that name where there are any, else new. */
+  static List<ClassStatistics> carryOver(
+      List<ClassStatistics> previous,
+      List<QueryClass> classes,
+      int windowSize,
+      double initialLatencyShare) {
+    List<ClassStatistics> carried =
+        classes.stream()
+            .map(queryClass -> find(previous, queryClass, windowSize, initialLatencyShare))
+            .toList();
+    for (int i = 0; i < carried.size(); i++) {
+      carried.get(i).queryClass = classes.get(i);
+    }
+    return carried;
+  }
+
+  private static ClassStatistics find(
+      List<ClassStatistics> previous,
+      QueryClass queryClass,
+      int windowSize,
+      double initialLatencyShare) {
+    for (ClassStatistics statistics : previous) {
+      if (statistics.queryClass.name().equals(queryClass.name())) {
+        return statistics;
+      }
+    }
+    double initialLatencyUs = queryClass.latencyObjectiveUs() * initialLatencyShare;
+    return new ClassStatistics(queryClass, new SampleWindow(windowSize, initialLatencyUs));
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/Hedging.java
@@ -0,0 +1,115 @@
+package dunlinhitch.balancer;
+
+import java.util.Optional;
+
+/**
+ * Decides what is done about a part whose attempt is late: a spare part in its place, a hedged
+ * attempt, or a move to another server.
+ *
+ * <p>Not thread-safe; the load balancer owns it.
+ */
+final class Hedging {
+  /** Maintenance intervals until a late part is examined again: under overload many are late. */
+  private static final long RECHECK_SWEEPS = 4;
+
+  /** A hedged attempt goes only to a server with at most so many mean service times of work. */
+  private static final double MAX_WORK_AT_TARGET = 2;
+
+  /** Latency quantile after which an attempt is late. */
+  private static final double LATE_QUANTILE = 0.9;
+
+  /** The same where little time is left. */
+  private static final double URGENT_LATE_QUANTILE = 0.5;
+
+  /** Little time is left when it is less than so many median latencies. */
+  private static final double URGENT_MEDIANS = 1.5;
+
+  private final BalancerContext context;
+  private final Estimators estimators;
+  private final ReplicaSelection selection;
+  private final AttemptSender attempts;
+
+  Hedging(
+      BalancerContext context,
+      Estimators estimators,
+      ReplicaSelection selection,
+      AttemptSender attempts) {
+    this.context = context;
+    this.estimators = estimators;
+    this.selection = selection;
+    this.attempts = attempts;
+  }
+
+  /** Repeats an open request of a part, or helps its only attempt if that is late. */
+  void examine(Part part) {
+    if (part.requested) {
+      attempts.request(part);
+    }
+    if (part.settled || part.inFlight.size() != 1 || context.nowUs() < part.nextHedgeUs) {
+      return;
+    }
+    Attempt attempt = part.inFlight.get(0);
+    if (attempt.cancelled || context.nowUs() - attempt.sentUs < lateAfterUs(part)) {
+      return;
+    }
+    part.nextHedgeUs = context.nowUs() + RECHECK_SWEEPS * context.sweepIntervalUs();
+    if (!sendSpare(part.query)) {
+      hedge(attempt);
+    }
+  }
+
+  private void hedge(Attempt attempt) {
+    Part part = attempt.part;
+    double leftUs = estimators.deadlines.planUs(part.query) - context.nowUs();
+    Server target = selection.select(part);
+    if (target == null || !isWorthwhile(attempt, target, leftUs)) {
+      return;
+    }
+    if (attempts.mayHedge(part)) {
+      attempts.send(part);
+    } else if (shouldMove(attempt, leftUs)) {
+      attempts.cancel(attempt); // its retry follows when the cancelled attempt ends
+    }
+  }
+
+  /** A hedged attempt must be able to save the part, and not at the cost of queued parts. */
+  private boolean isWorthwhile(Attempt attempt, Server target, double leftUs) {
+    Part part = attempt.part;
+    double maxWorkUs = MAX_WORK_AT_TARGET * estimators.serviceTimes.meanUs();
+    return selection.score(target, part) <= selection.score(attempt.server, part)
+        && estimators.latencies.latencyUs(target, part) <= leftUs
+        && estimators.outstandingWork.atUs(target) <= maxWorkUs;
+  }
+
+  private boolean shouldMove(Attempt attempt, double leftUs) {
+    return estimators.latencies.isUnresponsive(attempt)
+        && context.nowUs() - attempt.sentUs > leftUs
+        && attempts.mayRetry(attempt.part)
+        && attempts.isWithinHedgeBudget()
+        && !context.settings().limits().parallelAttempts()
+        && context.settings().limits().mayCancel();
+  }
+
+  /** When an attempt counts as late: beyond most of its class, or sooner near the deadline. */
+  private double lateAfterUs(Part part) {
+    SampleWindow latencies = part.query.statistics.latencies;
+    long leftUs = estimators.deadlines.planUs(part.query) - context.nowUs();
+    boolean urgent = leftUs < URGENT_MEDIANS * latencies.quantile(URGENT_LATE_QUANTILE);
+    return latencies.quantile(urgent ? URGENT_LATE_QUANTILE : LATE_QUANTILE);
+  }
+
+  /** Requests a part of the present step that was left out, if any: no retry is spent on it. */
+  private boolean sendSpare(Query query) {
+    if (query.deferredUntilUs > 0) {
+      return false;
+    }
+    Optional<Part> spare =
+        query.parts.stream().filter(part -> isSpare(part, query.step)).findFirst();
+    spare.ifPresent(attempts::request);
+    return spare.isPresent();
+  }
+
+  private static boolean isSpare(Part part, int step) {
+    return part.attemptCount == 0 && !part.requested && !part.settled && part.step == step;
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/LoadReports.java
@@ -0,0 +1,87 @@
+package dunlinhitch.balancer;
+
+import dunlinhitch.balancer.settings.LoadReportField;
+import java.util.List;
+
+/**
+ * The load that other brokers have at each server, after the servers' load reports.
+ *
+ * <p>Not thread-safe; the load balancer owns it.
+ */
+final class LoadReports {
+  /** Weight of the newest report of a server: load that lasts counts more. */
+  private static final double REPORT_WEIGHT = 0.4;
+
+  /** Weight of the newest report in the mean over all servers. */
+  private static final double MEAN_WEIGHT = 0.02;
+
+  /** Most that one value may say, in parts: a report may be wrong. */
+  private static final double MAX_VALUE = 200;
+
+  /** Shortest latency objectives after which the mean over all servers decays e-fold. */
+  private static final double MEAN_OBJECTIVES = 4.0;
+
+  private final BalancerContext context;
+  private final DecayingValue meanLoad = new DecayingValue();
+
+  LoadReports(BalancerContext context) {
+    this.context = context;
+  }
+
+  /** Mean load of others over all reports, in parts. */
+  double meanLoad() {
+    return meanLoad.at(context.nowUs(), MEAN_OBJECTIVES * context.shortestObjectiveUs());
+  }
+
+  /** When the newest report of any server came in. */
+  long lastReportUs() {
+    return meanLoad.updatedUs();
+  }
+
+  /**
+   * Load of others at a server, in parts. An old report says little: with age it gives way to
+   * {@code fallback}.
+   */
+  double loadOfOthers(Server server, double fallback) {
+    return fallback
+        + (server.reportedLoad - fallback)
+            * context.decaySince(server.reportedUs, (double) context.shortestObjectiveUs());
+  }
+
+  /** Takes a report, less what this broker itself has in flight; an empty one is none. */
+  void onReport(Server server, float[] report) {
+    List<LoadReportField> fields = context.settings().reportFields();
+    boolean hasOutstanding = fields.contains(LoadReportField.OUTSTANDING);
+    double load = 0;
+    boolean usable = false;
+    for (int i = 0; i < Math.min(report.length, fields.size()); i++) {
+      LoadReportField field = fields.get(i);
+      double value = Double.isFinite(report[i]) ? Math.max(0, Math.min(MAX_VALUE, report[i])) : 0;
+      double ownLoad =
+          field == LoadReportField.OUTSTANDING
+              ? server.inFlight.size()
+              : server.inFlight.size() / 2.0;
+      if (field == LoadReportField.OUTSTANDING
+          || (field == LoadReportField.BACKLOG && !hasOutstanding)) {
+        load += Math.max(0, value - ownLoad);
+        usable = true;
+      } else if (field == LoadReportField.UTILIZATION && !hasOutstanding) {
+        load += Math.min(1, value);
+        usable = true;
+      }
+    }
+    if (usable) {
+      update(server, load);
+    }
+  }
+
+  private void update(Server server, double load) {
+    long nowUs = context.nowUs();
+    long objectiveUs = context.shortestObjectiveUs();
+    meanLoad.blend(load, MEAN_WEIGHT, nowUs, MEAN_OBJECTIVES * objectiveUs);
+    double previousWeight =
+        (1 - REPORT_WEIGHT) * context.decaySince(server.reportedUs, (double) objectiveUs);
+    server.reportedLoad += (1 - previousWeight) * (load - server.reportedLoad);
+    server.reportedUs = nowUs;
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/Part.java
@@ -0,0 +1,64 @@
+package dunlinhitch.balancer;
+
+import dunlinhitch.balancer.BalancerEvent.PartArrived;
+import java.util.ArrayList;
+import java.util.List;
+
+/**
+ * One part of a query: the request to one shard.
+ *
+ * <p>Not thread-safe; {@link QueryRegistry} owns it.
+ */
+final class Part {
+  final int id;
+  final Query query;
+  final int shard;
+  final double weight;
+
+  /** The client's hint of the work, 0 for none. */
+  final long hintUs;
+
+  /** The step of the query that the part belongs to, 1 or 2. */
+  final int step;
+
+  final List<Attempt> inFlight = new ArrayList<>();
+  final List<Server> attemptedServers = new ArrayList<>();
+  int attemptCount;
+
+  /** When the first attempt was sent that may have had an effect, -1 for none. */
+  long mayHaveRunUs = -1;
+
+  boolean answered;
+
+  /** No further attempt is to be made. */
+  boolean settled;
+
+  /** An attempt is wanted as soon as a server may take it. */
+  boolean requested;
+
+  /** The next time that a late attempt of this part is examined. */
+  long nextHedgeUs;
+
+  Part(Query query, PartArrived event) {
+    this.id = event.id();
+    this.query = query;
+    this.shard = event.shard();
+    this.weight = Double.isFinite(event.weight()) ? Math.max(0, event.weight()) : 0;
+    this.hintUs = event.hintUs();
+    this.step = query.step;
+  }
+
+  boolean isInFlightAt(Server server) {
+    return inFlight.stream().anyMatch(attempt -> attempt.server == server);
+  }
+
+  /** The attempt of that number while it is in flight, else null. */
+  Attempt attempt(int number) {
+    for (Attempt attempt : inFlight) {
+      if (attempt.number == number) {
+        return attempt;
+      }
+    }
+    return null;
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/Query.java
@@ -0,0 +1,83 @@
+package dunlinhitch.balancer;
+
+import dunlinhitch.balancer.BalancerEvent.QueryArrived;
+import dunlinhitch.balancer.settings.QueryClass;
+import java.util.ArrayList;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * One query in flight. Times are points on the balancer's clock in microseconds.
+ *
+ * <p>Not thread-safe; {@link QueryRegistry} owns it.
+ */
+final class Query {
+  final int id;
+  final long number;
+  final ClassStatistics statistics;
+
+  /** The class as it was when the query arrived. */
+  final QueryClass queryClass;
+
+  /** Attempts for each part, as the settings were when the query arrived. */
+  final int maxAttempts;
+
+  final int tenant;
+
+  /** The client has asked this before. */
+  final boolean retriedByClient;
+
+  final long arrivedUs;
+
+  /** When the client stops waiting. */
+  final long deadlineUs;
+
+  /** When the latency objective is missed. */
+  long objectiveUs;
+
+  final List<Part> parts = new ArrayList<>();
+
+  /** Parts that the present step has. */
+  int expectedParts;
+
+  int step = 1;
+  boolean firstStepComplete;
+
+  /** Weight of the answered parts of the present step. */
+  double answeredWeight;
+
+  /** Servers whose health checks the query waits for before its admission. */
+  final Set<Server> awaitedHealthChecks = new LinkedHashSet<>();
+
+  /** Until when the parts wait for health checks or the canary part, 0 for not at all. */
+  long deferredUntilUs;
+
+  boolean canarySent;
+
+  /** A part has been answered, so the query brings down no server. */
+  boolean anyPartAnswered;
+
+  /** Servers that reset an attempt of this query, and when. */
+  final Map<Server, Long> resetsUs = new LinkedHashMap<>();
+
+  /** Share of its time that the query may wait for servers, 0 before it is computed. */
+  double waitTolerance;
+
+  boolean ended;
+
+  Query(QueryArrived event, ClassStatistics statistics, int maxAttempts, long arrivedUs) {
+    id = event.id();
+    number = event.number();
+    tenant = event.tenant();
+    retriedByClient = event.repeat();
+    deadlineUs = event.deadlineUs();
+    expectedParts = Math.max(1, event.parts());
+    this.arrivedUs = arrivedUs;
+    this.statistics = statistics;
+    this.maxAttempts = maxAttempts;
+    queryClass = statistics.queryClass();
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
@@ -0,0 +1,127 @@
+package dunlinhitch.balancer;
+
+import dunlinhitch.balancer.BalancerEvent.ServerDisabled;
+import dunlinhitch.balancer.BalancerEvent.ServerListUpdated;
+import java.util.Collection;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * Applies updates of the server list and the operators' decisions to disable or enable a server.
+ *
+ * <p>Not thread-safe; the load balancer owns it.
+ */
+final class ServerListUpdates {
+  /** A server that is enabled again gets its first part within this time. */
+  private static final double TRIAL_DELAY_US = 2e6;
+
+  /** The first backoff after a failed poll, as a part of the time within which polls are due. */
+  private static final long BACKOFF_FRACTION = 40;
+
+  /** Failures in a row after which the backoff is not doubled any further. */
+  private static final long MAX_DOUBLINGS = 4;
+
+  private static final long MAX_BACKOFF_US = 60_000_000L;
+
+  private final BalancerContext context;
+  private final Estimators estimators;
+  private long failedPolls;
+
+  ServerListUpdates(BalancerContext context, Estimators estimators) {
+    this.context = context;
+    this.estimators = estimators;
+  }
+
+  /** Applies a successful update. */
+  void apply(ServerListUpdated event) {
+    failedPolls = 0;
+    Set<Integer> listed = new HashSet<>();
+    for (ServerEntry entry : event.servers()) {
+      listed.add(entry.id());
+      apply(entry);
+    }
+    boolean replaces = event.kind() != ServerListKind.DELTA;
+    Collection<Server> replaced = replaces ? context.servers().values() : List.of();
+    for (Server server : replaced) {
+      if (!listed.contains(server.id)) {
+        setState(server, ServerState.GONE);
+      }
+    }
+    context.servers().removeFinished();
+  }
+
+  /** Schedules the next poll after a failed one, with exponential backoff. */
+  void onPollFailed() {
+    if (!context.settings().mustPollServerList()) {
+      return;
+    }
+    long firstUs =
+        Math.max(
+            context.settings().tickUs(),
+            context.settings().rules().pollWithinUs() / BACKOFF_FRACTION);
+    long backoffUs = firstUs << Math.min(failedPolls, MAX_DOUBLINGS);
+    failedPolls++;
+    long dueUs = context.nowUs() + Math.min(backoffUs, MAX_BACKOFF_US);
+    context.actions().scheduleTimer(BalancerTimers.POLL_SERVER_LIST, dueUs);
+  }
+
+  /**
+   * Disables or enables a server. An enabled one is taken for one that has just started, and gets a
+   * part soon: nothing that was learned of it still holds, and the operator who enabled it waits to
+   * see it serve.
+   */
+  void onDisabled(ServerDisabled event) {
+    boolean changed = context.servers().setDisabled(event.server(), event.out());
+    Server server = context.servers().get(event.server());
+    if (!changed || event.out() || server == null) {
+      return;
+    }
+    server.resetAsStarted(context.nowUs());
+    estimators.slowStart.begin(server);
+    long delayUs = (long) (context.random().nextDouble() * TRIAL_DELAY_US);
+    server.trialDueUs = context.nowUs() + delayUs;
+  }
+
+  private void apply(ServerEntry entry) {
+    Server server = context.servers().get(entry.id());
+    if (server == null && entry.state() == ServerState.GONE) {
+      return;
+    }
+    if (server == null) {
+      double initialPenaltyUs = meanWorkOfNeighbours(entry.cell());
+      server = context.servers().add(entry.id(), entry.cell());
+      estimators.penalties.set(server, initialPenaltyUs);
+    }
+    if (entry.startedUs() > server.startedUs) {
+      estimators.slowStart.begin(server);
+    }
+    server.startedUs = Math.max(entry.startedUs(), server.enabledUs);
+    server.zone = entry.zone();
+    context.servers().move(server, entry.cell());
+    setState(server, entry.state());
+  }
+
+  /** A new server starts at the mean of those it shares shards with. */
+  private double meanWorkOfNeighbours(int cell) {
+    return context.servers().sharingShards(cell, context.settings().layout()).stream()
+        .filter(server -> server.state == ServerState.READY)
+        .mapToDouble(
+            server -> estimators.penalties.penaltyUs(server) + Math.max(0, server.outstandingUs))
+        .average()
+        .orElse(0);
+  }
+
+  private void setState(Server server, ServerState state) {
+    boolean readinessChanges =
+        server.state != state && (server.state == ServerState.READY || state == ServerState.READY);
+    if (readinessChanges) { // a server that was not ready before has no grace period
+      server.stateChangedUs = context.nowUs();
+    }
+    server.state = state;
+    if (state == ServerState.GONE) {
+      server.stateChangedUs = Long.MIN_VALUE / 2;
+      context.servers().markRemoved(server);
+    }
+  }
+}
--- a/src/main/java/dunlinhitch/balancer/ServerTable.java
+++ b/src/main/java/dunlinhitch/balancer/ServerTable.java
@@ -1,10 +1,10 @@
 package dunlinhitch.balancer;
 
-import dunlinhitch.balancer.State.Server;
 import dunlinhitch.balancer.settings.ShardLayout;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.LinkedHashMap;
 import java.util.LinkedHashSet;
 import java.util.List;
@@ -12,15 +12,20 @@
 import java.util.Set;
 
 /**
- * The servers by id and by cell, kept up change by change: no change costs more where there are
- * more of them. No decisions.
+ * The servers by id and by cell, updated change by change: the cost of a change does not grow with
+ * the number of servers. It makes no decisions.
+ *
+ * <p>Not thread-safe; the load balancer owns it.
  */
 final class ServerTable {
   private final Map<Integer, Server> byId = new LinkedHashMap<>();
   private final Map<Integer, List<Server>> byCell = new HashMap<>();
 
-  /** Gone, with attempts still out. */
-  private final Set<Server> leaving = new LinkedHashSet<>();
+  /** Servers that have left the list, until their last attempt has ended. */
+  private final Set<Server> removed = new LinkedHashSet<>();
+
+  /** Ids disabled by an operator, whatever the list says. */
+  private final Set<Integer> disabled = new HashSet<>();
 
   Server get(int id) {
     return byId.get(id);
@@ -34,60 +39,70 @@
     return byId.values();
   }
 
-  List<Server> inCell(int cell) {
+  private List<Server> inCell(int cell) {
     return byCell.getOrDefault(cell, List.of());
   }
 
-  /** Those that hold a shard. */
-  List<Server> holders(int shard, ShardLayout layout) {
-    List<Server> found = new ArrayList<>();
+  /** The servers that hold a shard. */
+  List<Server> replicasOf(int shard, ShardLayout layout) {
+    List<Server> replicas = new ArrayList<>();
     for (int j = 0; j < layout.inARow(); j++) {
-      found.addAll(inCell(Math.floorMod(shard + j, layout.cells())));
+      replicas.addAll(inCell(Math.floorMod(shard + j, layout.cells())));
     }
-    return found;
+    return replicas;
   }
 
-  /** Those in cells less than {@code reach} away, either way round. */
-  List<Server> near(int cell, int reach, int cells) {
-    Set<Integer> seen = new LinkedHashSet<>();
-    for (int away = 1 - reach; away < reach; away++) {
-      seen.add(Math.floorMod(cell + away, cells));
+  /** The servers that hold a shard which the cell holds too. */
+  List<Server> sharingShards(int cell, ShardLayout layout) {
+    Set<Integer> cells = new LinkedHashSet<>();
+    for (int offset = 1 - layout.inARow(); offset < layout.inARow(); offset++) {
+      cells.add(Math.floorMod(cell + offset, layout.cells()));
     }
-    List<Server> near = new ArrayList<>();
-    seen.forEach(at -> near.addAll(inCell(at)));
-    return near;
+    List<Server> sharing = new ArrayList<>();
+    cells.forEach(other -> sharing.addAll(inCell(other)));
+    return sharing;
   }
 
   Server add(int id, int cell) {
-    Server s = new Server(id);
-    s.cell = cell;
-    byId.put(id, s);
-    byCell.computeIfAbsent(cell, c -> new ArrayList<>()).add(s);
-    return s;
+    Server server = new Server(id);
+    server.cell = cell;
+    byId.put(id, server);
+    byCell.computeIfAbsent(cell, key -> new ArrayList<>()).add(server);
+    return server;
   }
 
-  void move(Server s, int cell) {
-    if (s.cell != cell) {
-      byCell.get(s.cell).remove(s);
-      s.cell = cell;
-      byCell.computeIfAbsent(cell, c -> new ArrayList<>()).add(s);
+  void move(Server server, int cell) {
+    if (server.cell != cell) {
+      byCell.get(server.cell).remove(server);
+      server.cell = cell;
+      byCell.computeIfAbsent(cell, key -> new ArrayList<>()).add(server);
     }
   }
 
-  void gone(Server s) {
-    leaving.add(s);
+  /** Disables or enables an id; true where that changes anything. */
+  boolean setDisabled(int id, boolean disable) {
+    return disable ? disabled.add(id) : disabled.remove(id);
+  }
+
+  boolean isDisabled(int id) {
+    return disabled.contains(id);
+  }
+
+  /** Marks a server for {@link #removeFinished}. */
+  void markRemoved(Server server) {
+    removed.add(server);
   }
 
-  /** Leaves out those that are gone and have nothing out. */
-  void forget() {
-    leaving.removeIf(
-        s -> {
-          boolean over = s.state == ServerState.GONE && s.out.isEmpty();
-          if (over) {
-            byId.remove(s.id);
-            byCell.get(s.cell).remove(s);
+  /** Forgets the removed servers that have no attempt in flight and have not come back. */
+  void removeFinished() {
+    removed.removeIf(
+        server -> {
+          boolean finished = server.state == ServerState.GONE && server.inFlight.isEmpty();
+          if (finished) {
+            byId.remove(server.id);
+            byCell.get(server.cell).remove(server);
           }
-          return over || s.state != ServerState.GONE;
+          return finished || server.state != ServerState.GONE;
         });
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/balancer/SlopeEstimate.java
@@ -0,0 +1,23 @@
+package dunlinhitch.balancer;
+
+/**
+ * The slope of one quantity over another through the origin, by exponentially weighted least
+ * squares.
+ *
+ * <p>Not thread-safe; the load balancer owns it.
+ */
+final class SlopeEstimate {
+  private double meanProduct;
+  private double meanSquare;
+
+  /** Adds a pair; {@code weight} is the share of the newest pair in the means. */
+  void add(double input, double output, double weight) {
+    meanProduct += weight * (input * output - meanProduct);
+    meanSquare += weight * (input * input - meanSquare);
+  }
+
+  /** The slope, drawn to a prior that weighs as much as a pair whose input has that square. */
+  double slope(double prior, double priorSquare) {
+    return (prior * priorSquare + meanProduct) / (priorSquare + meanSquare);
+  }
+}
--- a/src/test/java/dunlinhitch/balancer/ColdRampTest.java
+++ b/src/test/java/dunlinhitch/balancer/ColdRampTest.java
@@ -174,16 +174,16 @@
    */
   @Test
   void bucketsOfUnevenPhasesLetThroughTheirSumInEachPeriod() {
-    State.Bucket[] buckets = new State.Bucket[100];
+    TokenBucket[] buckets = new TokenBucket[100];
     for (int i = 0; i < buckets.length; i++) {
-      buckets[i] = new State.Bucket();
-      buckets[i].begin((i + 1) / 100.0, 0);
+      buckets[i] = new TokenBucket();
+      buckets[i].reset((i + 1) / 100.0, 0);
     }
     for (int window = 0; window < 40; window++) { // 0.05 of a call a window for each
       int let = 0;
       for (long at = 1; at <= 50; at++) {
-        for (State.Bucket b : buckets) {
-          if (b.affords(1_000, 1, 25, 50L * window + at)) {
+        for (TokenBucket b : buckets) {
+          if (b.canAfford(1_000, 1, 25, 50L * window + at)) {
             b.spend(1_000);
             let++;
           }
