--- a/src/main/java/dunlinhitch/balancer/AttemptOutcome.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptOutcome.java
@@ -1,14 +1,22 @@
 package dunlinhitch.balancer;
 
-/** How an attempt or probe ended. */
+/** How an attempt or a health check ended. */
 public enum AttemptOutcome {
+  /** Answered. */
   OK,
+  /** Answered with an error. */
   ERROR,
+  /** Rejected by a server at its capacity, before any work. */
   FULL,
+  /** Not answered in time; it may have had an effect. */
   TIMEOUT,
+  /** No connection could be opened. */
   CONNECT_FAILED,
+  /** The connection was lost before the answer. */
   RESET,
+  /** Cancelled by this broker. */
   CANCELLED,
+  /** Superseded: its part was over before the attempt was sent. */
   MOOT;
 
   /** True where the outcome proves that the attempt had no effect. */
--- a/src/main/java/dunlinhitch/balancer/BalancerActions.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerActions.java
@@ -2,34 +2,38 @@
 
 import dunlinhitch.balancer.BalancerEvent.TimerFired;
 
-/** What the module may ask of the front node. */
+/**
+ * What the load balancer has its broker do. Called from within {@link LoadBalancer#on} only, on the
+ * caller's thread; an implementation must not call the load balancer back. Times are microseconds
+ * on the clock of the events.
+ */
 public interface BalancerActions {
-  /** Starts the part's next attempt, which ends by itself when {@code dueUs} is reached. */
+  /** Sends the part's next attempt, which times out by itself at {@code dueUs}. */
   void send(int part, int server, long dueUs);
 
   /**
-   * Answers the query from the parts that are in; the first of two answers where a second step
-   * follows.
+   * Answers the query from the parts that have arrived; the first of two answers where a second
+   * step follows.
    */
   void answer(int query, boolean complete);
 
-  /** Final: refused, safe to ask again after {@code retryAfterUs} (0: no advice). */
+  /** Final: rejects the query, which is safe to retry after {@code retryAfterUs} (0: no advice). */
   void reject(int query, long retryAfterUs);
 
-  /** Final: given up, with no promise. */
+  /** Final: fails the query, which may have had an effect. */
   void fail(int query);
 
-  /** Stops waiting for one attempt. */
+  /** Cancels one attempt; its {@link BalancerEvent.AttemptCompleted} still follows. */
   void cancel(int part, int attempt);
 
-  /** Shuts the idle connections to a server, so that the next send opens a new one. */
+  /** Closes the idle connections to a server, so that the next send opens a new one. */
   void closeIdleConnections(int server);
 
-  /** Checks a server. */
+  /** Sends a health check to a server. */
   void sendHealthCheck(int server);
 
   /**
-   * Asks for an {@link TimerFired} with this token at that time or soon after; never within this
+   * Asks for a {@link TimerFired} with this token at that time or soon after; never within this
    * event.
    */
   void scheduleTimer(long token, long dueUs);
@@ -37,6 +41,6 @@
   /** Asks for changes of the server list from now on. */
   void subscribeToServerList();
 
-  /** Leaves a line for the operators. */
+  /** Writes a line to the operators' log. */
   void log(String text);
 }
--- a/src/main/java/dunlinhitch/balancer/BalancerEvent.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerEvent.java
@@ -3,14 +3,21 @@
 import dunlinhitch.balancer.settings.Settings;
 import java.util.List;
 
-/** Something that happened, as the load balancer is told. */
+/** Something that happened and that the load balancer handles. Times are in microseconds. */
 public sealed interface BalancerEvent {
-  /** The aggregator begins; the first event, once. */
+  /** The broker has started; the first event, once. */
   record Started() implements BalancerEvent {}
 
   /**
-   * A query was taken; its parts follow at the same time. {@code deadlineUs}: when its client stops
-   * waiting. {@code hintUs} 0: no hint.
+   * A query arrived; its parts follow at the same time.
+   *
+   * @param number ties the parts to the query
+   * @param queryClass index of its class in the settings
+   * @param tenant index of its tenant in the settings, below 0 for none
+   * @param parts how many parts follow
+   * @param deadlineUs when its client stops waiting
+   * @param hintUs the client's hint of the work of all parts, 0 for none
+   * @param repeat the client has asked this before
    */
   record QueryArrived(
       int id,
@@ -23,7 +30,12 @@
       boolean repeat)
       implements BalancerEvent {}
 
-  /** One part of the query with that number. */
+  /**
+   * One part of the query with that number.
+   *
+   * @param weight share of the query's answer, 0 to 1
+   * @param hintUs the client's hint of the part's work, 0 for none
+   */
   record PartArrived(int id, long number, int shard, double weight, long hintUs)
       implements BalancerEvent {}
 
@@ -31,7 +43,13 @@
   record AttemptStarted(int part, int attempt, int server, long elapsedUs)
       implements BalancerEvent {}
 
-  /** An attempt ended; {@code settled}: its part is done. An empty {@code report} is none. */
+  /**
+   * An attempt ended.
+   *
+   * @param attempt number of the attempt among those of its part, from 0
+   * @param settled the part needs no further attempt
+   * @param report the server's load report, empty for none
+   */
   record AttemptCompleted(
       int part,
       int attempt,
@@ -42,32 +60,38 @@
       float[] report)
       implements BalancerEvent {}
 
-  /** A probe came back. */
+  /**
+   * A health check ended.
+   *
+   * @param report the server's load report, empty for none
+   */
   record HealthCheckCompleted(int server, AttemptOutcome outcome, long elapsedUs, float[] report)
       implements BalancerEvent {}
 
-  /** News of the server list. */
+  /** The server list has changed, or could not be read. */
   record ServerListUpdated(ServerListKind kind, List<ServerEntry> servers)
       implements BalancerEvent {}
 
   /**
-   * A server is taken out by hand, or may serve again: it is new and cold then. Its id stays the
-   * same meanwhile.
+   * An operator has disabled or enabled a server, which keeps its id. An enabled one is in slow
+   * start.
+   *
+   * @param out true for disabled
    */
   record ServerDisabled(int server, boolean out) implements BalancerEvent {}
 
   /**
-   * Other settings hold from now on; queries that are open keep their class. Zones and layout are
-   * the same.
+   * Other settings are in force from now on; queries in flight keep their class. Zones and layout
+   * must be the same as before.
    */
   record SettingsChanged(Settings settings) implements BalancerEvent {}
 
-  /** An alarm set earlier is due. */
+  /** A timer scheduled with this token is due. */
   record TimerFired(long token) implements BalancerEvent {}
 
-  /** Bytes from another aggregator. */
+  /** A message of another broker arrived; the load balancer ignores it. */
   record PeerMessageReceived(int sender, byte[] content) implements BalancerEvent {}
 
-  /** The client of a query has gone; the query and its parts are over. */
+  /** The client of a query has disconnected; the query and its parts are over. */
   record ClientDisconnected(int query) implements BalancerEvent {}
 }
--- a/src/main/java/dunlinhitch/balancer/ServerEntry.java
+++ b/src/main/java/dunlinhitch/balancer/ServerEntry.java
@@ -1,5 +1,11 @@
 package dunlinhitch.balancer;
 
-/** One line of the server list; {@code startedUs} 0: a long time ago. */
+/**
+ * One server of the server list.
+ *
+ * @param cell the group of servers that hold the same shards
+ * @param size capacity relative to other servers
+ * @param startedUs when its process started in microseconds, 0 for a long time ago
+ */
 public record ServerEntry(
     int id, int zone, int cell, ServerState state, double size, long startedUs) {}
--- a/src/main/java/dunlinhitch/balancer/ServerListKind.java
+++ b/src/main/java/dunlinhitch/balancer/ServerListKind.java
@@ -1,12 +1,13 @@
 package dunlinhitch.balancer;
 
-/**
- * DELTA changes a list, FULL and CACHED replace it (CACHED may be old), FAILED says a request
- * failed.
- */
+/** What an update of the server list contains. */
 public enum ServerListKind {
+  /** The entries that changed. */
   DELTA,
+  /** The whole list, which replaces the former one. */
   FULL,
+  /** Like {@link #FULL}, but from a cache that may be stale. */
   CACHED,
+  /** Nothing: the list could not be read. */
   FAILED
 }
--- a/src/main/java/dunlinhitch/balancer/ServerState.java
+++ b/src/main/java/dunlinhitch/balancer/ServerState.java
@@ -1,13 +1,16 @@
 package dunlinhitch.balancer;
 
-/**
- * State of a server in the list. WITHDRAWN: it gets nothing new from this moment on, not even as
- * the last of its shard, and what was learnt of it is kept, for it may come back as the same
- * process.
- */
+/** State of a server in the server list. */
 public enum ServerState {
+  /** Takes parts. */
   READY,
+  /** Takes parts only where its shard has no other server, and only within the grace period. */
   DRAINING,
+  /** Removed from the list; forgotten once its last attempt has ended. */
   GONE,
+  /**
+   * Takes nothing new from this moment on, not even as the last of its shard. What was learned of
+   * it is kept, for it may come back as the same process.
+   */
   WITHDRAWN
 }
--- a/src/main/java/dunlinhitch/balancer/settings/Idempotency.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Idempotency.java
@@ -1,10 +1,11 @@
 package dunlinhitch.balancer.settings;
 
-/**
- * What may be done again: FREE anything, GUARDED within a window, SINGLE_SHOT only what never ran.
- */
+/** Which attempts of a query class are safe to repeat. */
 public enum Idempotency {
+  /** Any: the query is idempotent. */
   FREE,
+  /** Any within the window in which servers recognize a duplicate. */
   GUARDED,
+  /** Only attempts that certainly had no effect. */
   SINGLE_SHOT
 }
--- a/src/main/java/dunlinhitch/balancer/settings/Limits.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Limits.java
@@ -3,7 +3,18 @@
 import static dunlinhitch.balancer.settings.SettingsValidation.atLeastZero;
 import static dunlinhitch.balancer.settings.SettingsValidation.positive;
 
-/** What the site allows. */
+/**
+ * What the deployment allows.
+ *
+ * @param maxAttempts attempts for each part, the first included
+ * @param maxInFlight queries in flight at one broker
+ * @param mayCancel attempts can be cancelled
+ * @param mayHealthCheck servers can be sent health checks
+ * @param parallelAttempts a part may have several attempts in flight
+ * @param retryAfter a rejection may say when to retry
+ * @param maxRetryAfterUs longest delay that clients heed
+ * @param connectionIdleUs how long a connection may stay unused
+ */
 public record Limits(
     int maxAttempts,
     int maxInFlight,
@@ -15,6 +26,7 @@
     long connectTimeoutUs,
     int streamsPerConnection,
     long connectionIdleUs) {
+  /** Checks the ranges. */
   public Limits {
     positive("limits.maxAttempts", maxAttempts);
     positive("limits.mostHeld", maxInFlight);
--- a/src/main/java/dunlinhitch/balancer/settings/LoadReportField.java
+++ b/src/main/java/dunlinhitch/balancer/settings/LoadReportField.java
@@ -1,12 +1,19 @@
 package dunlinhitch.balancer.settings;
 
-/** Values a load report may hold, in the order of {@link Settings#reportFields}. */
+/** Values that a load report may contain, in the order of {@link Settings#reportFields}. */
 public enum LoadReportField {
+  /** Parts that the server has accepted and not answered. */
   OUTSTANDING,
+  /** Parts that wait in its queue. */
   BACKLOG,
+  /** Busy share of its capacity, 0 to 1. */
   UTILIZATION,
+  /** Recent latency in milliseconds; not used. */
   RECENT_MS,
+  /** Answers a second; not used. */
   THROUGHPUT,
+  /** Errors; not used. */
   ERRORS,
+  /** Any other value; not used. */
   OTHER
 }
--- a/src/main/java/dunlinhitch/balancer/settings/Prices.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Prices.java
@@ -1,4 +1,11 @@
 package dunlinhitch.balancer.settings;
 
-/** Points taken off, as told. */
+/**
+ * What the deployment charges for side effects of decisions, in points of its score.
+ *
+ * @param crossZone for a request to another zone
+ * @param probe for a health check
+ * @param waste for work that nobody uses
+ * @param lateFail for a failure that comes late
+ */
 public record Prices(double crossZone, double probe, double waste, double lateFail) {}
--- a/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
+++ b/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
@@ -5,7 +5,19 @@
 import static dunlinhitch.balancer.settings.SettingsValidation.ratio;
 
 /**
- * One class of query; fractions are 0 to 1, {@code followUp} the parts of a second step (0: none).
+ * One class of queries. Shares and weights of answers are from 0 to 1.
+ *
+ * @param latencyObjectiveUs time within which an answer has its full weight
+ * @param latencyObjectiveStretch time added to the objective for each unit of the query's work
+ * @param deadlineUs time after which clients give up
+ * @param repeat which attempts are safe to repeat
+ * @param lateWeight weight of an answer after the objective
+ * @param dedupWindowUs time within which servers recognize a duplicate attempt
+ * @param priorityWeight weight of a query of this class against others
+ * @param followUp parts of a second step, 0 for a class without
+ * @param floor least weight of the parts that a partial answer may have
+ * @param need weight of the parts that a complete answer must have
+ * @param partialWeight weight of a partial answer
  */
 public record QueryClass(
     String name,
@@ -21,6 +33,7 @@
     double floor,
     double need,
     double partialWeight) {
+  /** Checks the ranges. */
   public QueryClass {
     positive("classes.aimUs", (double) latencyObjectiveUs);
     positive("classes.deadlineUs", (double) deadlineUs);
--- a/src/main/java/dunlinhitch/balancer/settings/Settings.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Settings.java
@@ -5,7 +5,22 @@
 
 import java.util.List;
 
-/** All an aggregator is told at its start. */
+/**
+ * All settings of one load balancer.
+ *
+ * @param brokers how many brokers share the servers
+ * @param zones names of the zones
+ * @param zone index of the broker's own zone
+ * @param tickUs longest time between two events that the broker handles
+ * @param classes the query classes; at least one
+ * @param tenants the tenants, in the order of their indexes in events
+ * @param overQuotaWeight weight of a query beyond its tenant's quota, 0 to 1
+ * @param mustPollServerList the server list comes only where it is asked for
+ * @param reportsInAnswers answers contain load reports
+ * @param reportsInHealthChecks results of health checks contain load reports
+ * @param reportFields what the values of a load report are, in their order
+ * @param marksRepeats clients mark queries that they ask again
+ */
 public record Settings(
     int brokers,
     List<String> zones,
@@ -23,6 +38,7 @@
     boolean reportsInHealthChecks,
     List<LoadReportField> reportFields,
     boolean marksRepeats) {
+  /** Checks the ranges and copies the lists. */
   public Settings {
     positive("aggregators", brokers);
     positive("tickUs", (double) tickUs);
@@ -36,56 +52,28 @@
     reportFields = List.copyOf(reportFields);
   }
 
-  /** The same with other classes. */
+  /** These settings with other classes. */
   public Settings withClasses(List<QueryClass> others) {
-    return new Settings(
-        brokers,
-        zones,
-        zone,
-        tickUs,
-        others,
-        tenants,
-        overQuotaWeight,
-        layout,
-        limits,
-        rules,
-        prices,
-        mustPollServerList,
-        reportsInAnswers,
-        reportsInHealthChecks,
-        reportFields,
-        marksRepeats);
+    return copy(brokers, tickUs, others);
   }
 
-  /** The same with turns so far apart. */
+  /** These settings with another tick, in microseconds. */
   public Settings withTick(long us) {
-    return new Settings(
-        brokers,
-        zones,
-        zone,
-        us,
-        classes,
-        tenants,
-        overQuotaWeight,
-        layout,
-        limits,
-        rules,
-        prices,
-        mustPollServerList,
-        reportsInAnswers,
-        reportsInHealthChecks,
-        reportFields,
-        marksRepeats);
+    return copy(brokers, us, classes);
+  }
+
+  /** These settings among so many brokers, which share what all may do together. */
+  public Settings amongBrokers(int count) {
+    return copy(count, tickUs, classes);
   }
 
-  /** The same among so many that share what all may do together. */
-  public Settings amongBrokers(int many) {
+  private Settings copy(int newBrokers, long newTickUs, List<QueryClass> newClasses) {
     return new Settings(
-        many,
+        newBrokers,
         zones,
         zone,
-        tickUs,
-        classes,
+        newTickUs,
+        newClasses,
         tenants,
         overQuotaWeight,
         layout,
--- a/src/main/java/dunlinhitch/balancer/settings/ShardLayout.java
+++ b/src/main/java/dunlinhitch/balancer/settings/ShardLayout.java
@@ -3,9 +3,17 @@
 import static dunlinhitch.balancer.settings.SettingsValidation.atLeastZero;
 import static dunlinhitch.balancer.settings.SettingsValidation.positive;
 
-/** Shard s is held by the cells (s + j) mod cells, j from 0 to inARow - 1. */
+/**
+ * Which servers hold which shard: shard s is held by the cells (s + j) mod cells, j from 0 to
+ * inARow - 1.
+ *
+ * @param inARow consecutive cells that hold a shard
+ * @param partsPerCall parts that one call to a server can contain
+ * @param callOverheadUs work of a call itself
+ */
 public record ShardLayout(
     int cells, int inARow, int shards, int partsPerCall, long callOverheadUs) {
+  /** Checks the ranges. */
   public ShardLayout {
     positive("layout.cells", cells);
     positive("layout.inARow", inARow);
--- a/src/main/java/dunlinhitch/balancer/settings/Tenant.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Tenant.java
@@ -4,10 +4,13 @@
 import static dunlinhitch.balancer.settings.SettingsValidation.ratio;
 
 /**
- * A customer's part of the service: its name, its queries a second over all aggregators, and its
- * fraction.
+ * One tenant of the service.
+ *
+ * @param quotaPerS queries a second over all brokers
+ * @param share its part of all queries, 0 to 1
  */
 public record Tenant(String name, double quotaPerS, double share) {
+  /** Checks the ranges. */
   public Tenant {
     atLeastZero("tenants.quotaPerS", quotaPerS);
     ratio("tenants.share", share);
