--- /dev/null
+++ b/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
@@ -0,0 +1,89 @@
+package dunlinhitch.balancer;
+
+import static dunlinhitch.balancer.BalancerHarness.CLIENT_TIMEOUT_US;
+import static org.junit.jupiter.api.Assertions.assertEquals;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.List;
+import org.junit.jupiter.api.Test;
+
+/** Health checks ahead of admission. */
+class HealthChecksTest {
+  private static long healthChecksOfSparseQueries(double price) {
+    SettingsBuilder settings = new SettingsBuilder();
+    settings.healthChecks = true;
+    settings.healthCheckPrice = price;
+    BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
+    for (int i = 0; i < 50; i++) { // two parts in 2 s: the reports are stale each time
+      balancer.query(0, CLIENT_TIMEOUT_US, 0, 1);
+      balancer.advance(100_000);
+      for (BalancerHarness.SentAttempt sent : List.copyOf(balancer.sends)) {
+        balancer.complete(sent, AttemptOutcome.OK, 0);
+      }
+      balancer.sends.clear();
+      for (int server = 1; server <= 2; server++) {
+        balancer.handle(
+            new BalancerEvent.HealthCheckCompleted(
+                server, AttemptOutcome.OK, 2_000, new float[] {0}));
+      }
+      balancer.advance(1_900_000);
+    }
+    return balancer.actions.stream().filter(action -> action.startsWith("healthCheck")).count();
+  }
+
+  @Test
+  void aBrokerWithoutRecentReportsChecksServersBeforeItSends() {
+    SettingsBuilder settings = new SettingsBuilder();
+    settings.healthChecks = true;
+    BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
+    balancer.answerQueries(20);
+    balancer.handle(
+        new BalancerEvent.HealthCheckCompleted(1, AttemptOutcome.OK, 2_000, new float[] {0}));
+    balancer.handle(
+        new BalancerEvent.HealthCheckCompleted(2, AttemptOutcome.OK, 2_000, new float[] {0}));
+    balancer.advance(20_000_000);
+    balancer.query(0, CLIENT_TIMEOUT_US, 0);
+    assertTrue(
+        !balancer.actions.isEmpty()
+            && balancer.actions.stream().allMatch(action -> action.startsWith("healthCheck")),
+        "done: " + balancer.actions);
+    assertTrue(balancer.sends.isEmpty(), "the query is deferred");
+    balancer.handle(
+        new BalancerEvent.HealthCheckCompleted(1, AttemptOutcome.OK, 2_000, new float[] {9}));
+    balancer.handle(
+        new BalancerEvent.HealthCheckCompleted(2, AttemptOutcome.OK, 2_000, new float[] {0}));
+    assertEquals(
+        List.of(2), balancer.sends.stream().map(BalancerHarness.SentAttempt::server).toList());
+    balancer.query(0, CLIENT_TIMEOUT_US, 0);
+    assertEquals(2, balancer.sends.size(), "recent reports are enough for the next query");
+  }
+
+  @Test
+  void unansweredHealthChecksDeferAQueryOnlyBriefly() {
+    SettingsBuilder settings = new SettingsBuilder();
+    settings.healthChecks = true;
+    BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
+    balancer.answerQueries(20);
+    balancer.handle(
+        new BalancerEvent.HealthCheckCompleted(1, AttemptOutcome.OK, 2_000, new float[] {0}));
+    balancer.handle(
+        new BalancerEvent.HealthCheckCompleted(2, AttemptOutcome.OK, 2_000, new float[] {0}));
+    balancer.advance(20_000_000);
+    balancer.query(0, CLIENT_TIMEOUT_US, 0);
+    assertTrue(balancer.sends.isEmpty());
+    balancer.advance(50_000);
+    assertEquals(1, balancer.sends.size());
+  }
+
+  /**
+   * Each broker alone sends little, so each sends health checks: what all spend together depends on
+   * the price of a health check.
+   */
+  @Test
+  void expensiveHealthChecksAreSentLessOften() {
+    long atUsualPrice = healthChecksOfSparseQueries(0.012);
+    long atHighPrice = healthChecksOfSparseQueries(0.08);
+    assertTrue(atUsualPrice >= 15, "health checks at the usual price: " + atUsualPrice);
+    assertTrue(atHighPrice <= 5, "health checks at seven times the price: " + atHighPrice);
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/balancer/IdleConnectionsTest.java
@@ -0,0 +1,52 @@
+package dunlinhitch.balancer;
+
+import static dunlinhitch.balancer.BalancerHarness.CLIENT_TIMEOUT_US;
+import static org.junit.jupiter.api.Assertions.assertFalse;
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import org.junit.jupiter.api.Test;
+
+/** Connections that were dropped without notice. */
+class IdleConnectionsTest {
+  /** Queries at intervals, each to one server; {@code lost}: none is answered. */
+  private static void sendQueriesApart(
+      BalancerHarness balancer, int count, long intervalUs, boolean lost) {
+    for (int i = 0; i < count; i++) {
+      balancer.advance(intervalUs);
+      balancer.query(0, CLIENT_TIMEOUT_US, 0);
+      BalancerHarness.SentAttempt sent = balancer.lastSent();
+      boolean closed = balancer.actions.contains("closeIdle " + sent.server());
+      balancer.advance(50_000);
+      balancer.complete(sent, lost && !closed ? AttemptOutcome.TIMEOUT : AttemptOutcome.OK);
+    }
+  }
+
+  @Test
+  void idleConnectionsThatLosePartsAreClosedBeforeASend() {
+    SettingsBuilder settings = new SettingsBuilder();
+    settings.parallelAttempts = false;
+    settings.maxAttempts = 1;
+    BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
+    sendQueriesApart(balancer, 12, 3_000_000, true);
+    assertTrue(
+        balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
+        "closed: " + balancer.actions);
+  }
+
+  @Test
+  void connectionsInUseAreNotClosedWhateverIsLost() {
+    SettingsBuilder settings = new SettingsBuilder();
+    settings.parallelAttempts = false;
+    settings.maxAttempts = 1;
+    BalancerHarness balancer = new BalancerHarness(settings.build());
+    balancer.replaceServers(ServerEntries.ready(1, 0));
+    sendQueriesApart(balancer, 30, 100_000, true);
+    assertFalse(
+        balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
+        "not closed: " + balancer.actions);
+    sendQueriesApart(balancer, 20, 3_000_000, false);
+    assertFalse(
+        balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
+        "not closed: " + balancer.actions);
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
@@ -0,0 +1,184 @@
+package dunlinhitch.balancer;
+
+import static org.junit.jupiter.api.Assertions.assertTrue;
+
+import java.util.ArrayList;
+import java.util.List;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.params.ParameterizedTest;
+import org.junit.jupiter.params.provider.EnumSource;
+
+/**
+ * A warming server fails by the sum of what all brokers send it, and none of them knows of the
+ * others' sends.
+ */
+class SlowStartSimulationTest {
+  private static final double[] EVEN_SHARES = {0.5, 0.5};
+  private static final SlowStartSite SMALL_BUDGET =
+      new SlowStartSite(
+          new SlowStartSite.Workload(new double[] {120_000, 90_000}, EVEN_SHARES, 0.6, 0, 0.45),
+          new SlowStartSite.Rule(2, 0.15, 1_000_000));
+  private static final SlowStartSite EXPENSIVE_CALLS =
+      new SlowStartSite(
+          new SlowStartSite.Workload(new double[] {84_000, 67_000}, EVEN_SHARES, 0.4, 46_000, 0.3),
+          new SlowStartSite.Rule(3, 0.15, 1_500_000));
+  private static final SlowStartSite HIGH_LOAD =
+      new SlowStartSite(
+          new SlowStartSite.Workload(new double[] {120_000, 90_000}, EVEN_SHARES, 0.6, 0, 0.8),
+          new SlowStartSite.Rule(2, 0.15, 1_000_000));
+  private static final SlowStartSite RARE_AND_EXPENSIVE =
+      new SlowStartSite(
+          new SlowStartSite.Workload(
+              new double[] {400_000, 50_000}, new double[] {0.15, 0.85}, 0.6, 0, 0.8),
+          new SlowStartSite.Rule(2, 0.15, 1_000_000));
+
+  @Test
+  void whatAllBrokersSendAWarmingServerStaysWithinItsBudgetInEachScenario() {
+    for (SlowStartScenario scenario : SlowStartScenario.values()) {
+      for (int brokers : List.of(3, 20, 30, 100)) {
+        SlowStartSimulation simulation =
+            new SlowStartSimulation(scenario, brokers, brokers, SMALL_BUDGET).run();
+        String where = scenario + " of " + brokers + " brokers: ";
+        assertTrue(
+            simulation.load().worst() <= 1,
+            where + simulation.load().worst() + " of what the rule allows");
+        assertTrue(
+            simulation.load().leastWarm() > 0.3,
+            where + "a warm server was sent " + simulation.load().leastWarm() + " of the mean");
+      }
+    }
+  }
+
+  /**
+   * At such load warming servers get more before all brokers are notified; what notified brokers
+   * send stays within the budget.
+   */
+  @Test
+  void atHighLoadNotifiedBrokersStayWithinTheBudget() {
+    for (SlowStartScenario scenario : SlowStartScenario.values()) {
+      for (int brokers : List.of(3, 30)) {
+        SlowStartSimulation simulation =
+            new SlowStartSimulation(scenario, brokers, 1, HIGH_LOAD).run();
+        assertTrue(
+            simulation.load().worstByNotified() <= 1,
+            scenario + " of " + brokers + " brokers: " + simulation.load().worstByNotified());
+      }
+    }
+  }
+
+  /**
+   * A class that is rare and several times as expensive as the mean has not been measured yet,
+   * least of all after a restart.
+   */
+  @Test
+  void classesNotYetMeasuredStayWithinTheBudget() {
+    for (SlowStartScenario scenario :
+        List.of(SlowStartScenario.BROKERS_KILLED, SlowStartScenario.ROLLING_RESTART)) {
+      for (int seed = 1; seed <= 3; seed++) {
+        SlowStartSimulation simulation =
+            new SlowStartSimulation(scenario, 30, seed, RARE_AND_EXPENSIVE).run();
+        assertTrue(
+            simulation.load().worstByNotified() <= 1,
+            scenario + ", seed " + seed + ": " + simulation.load().worstByNotified());
+      }
+    }
+  }
+
+  /**
+   * Where a call costs more than a part, warming servers are used from the start too, though each
+   * broker's share is small.
+   */
+  @Test
+  void aHundredBrokersDoNotLeaveWarmingServersIdle() {
+    SlowStartSimulation simulation =
+        new SlowStartSimulation(SlowStartScenario.HALF_START, 100, 1, EXPENSIVE_CALLS).run();
+    assertTrue(
+        simulation.load().worst() <= 1 && simulation.load().used() > 0.17,
+        "worst " + simulation.load().worst() + ", used " + simulation.load().used());
+    assertTrue(simulation.answeredShare() > 0.9, "answered: " + simulation.answeredShare());
+  }
+
+  /**
+   * Parts have a tenth of the mean work: for that no more of them may be admitted in a server's
+   * first moment.
+   */
+  @Test
+  void aHundredBrokersDoNotAllSendCheapPartsAtOnce() {
+    double sent = sendsOfAHundredBrokers(0, 10_000, 1);
+    // The rule's multiple of the capacity at the end of that second, in calls.
+    double allowed = 2 * 0.28 / 0.01;
+    assertTrue(sent > 5 && sent <= allowed + 2 * Math.sqrt(allowed) + 2, "sent: " + sent);
+  }
+
+  /** Parts above the mean do not wait at all brokers until that much more budget has flowed in. */
+  @Test
+  void aHundredBrokersSendExpensivePartsAtTheirRateFromTheStart() {
+    double sent = sendsOfAHundredBrokers(80_000, 0, 4);
+    double allowed = 2 * 0.52 * 4 / 0.1;
+    assertTrue(sent >= 3 && sent <= allowed, "sent: " + sent);
+  }
+
+  private static int sendsOfAHundredBrokers(long callUs, long hintUs, int seconds) {
+    int sent = 0;
+    for (int seed = 0; seed < 100; seed++) {
+      SettingsBuilder settings = new SettingsBuilder();
+      settings.brokers = 100;
+      settings.callOverheadUs = callUs;
+      BalancerHarness balancer = new BalancerHarness(settings.build(), seed);
+      balancer.replaceServers(ServerEntries.started(1, 0, balancer.nowUs));
+      for (int i = 0; i < 10 * seconds; i++) {
+        balancer.handle(
+            new BalancerEvent.QueryArrived(i, i, 0, 0, 1, balancer.nowUs + 3_000_000, 0, false));
+        balancer.handle(new BalancerEvent.PartArrived(1_000 + i, i, 0, 1, hintUs));
+        balancer.advance(100_000);
+      }
+      sent += balancer.sends.size();
+    }
+    return sent;
+  }
+
+  /**
+   * A part is paid for when it is sent, whatever its outcome: a server may have begun what was
+   * reset or timed out, and what it rejected has cost it a call. Two processes that are one broker
+   * have half each.
+   */
+  @ParameterizedTest
+  @EnumSource(
+      value = AttemptOutcome.class,
+      names = {"CONNECT_FAILED", "RESET", "TIMEOUT", "ERROR", "FULL", "MOOT"})
+  void theOutcomeOfAnAttemptRefundsNothing(AttemptOutcome outcome) {
+    for (int processes : List.of(1, 2)) {
+      List<BalancerHarness> all = new ArrayList<>();
+      for (int i = 0; i < processes; i++) {
+        all.add(new BalancerHarness(new SettingsBuilder().build().amongBrokers(processes), i));
+        all.get(i).replaceServers(ServerEntries.started(1, 0, all.get(i).nowUs));
+      }
+      List<Long> sentAt = new ArrayList<>();
+      for (int i = 0; i < 400; i++) {
+        BalancerHarness balancer = all.get(i % processes);
+        all.forEach(harness -> harness.advance(10_000));
+        balancer.query(0, 3_000_000, 0);
+        for (BalancerHarness harness : all) {
+          while (!harness.sends.isEmpty()) { // an immediate retry ends alike
+            BalancerHarness.SentAttempt sent = harness.sends.remove(0);
+            sentAt.add(sent.atUs());
+            harness.complete(sent, outcome);
+          }
+        }
+      }
+      int most = 0;
+      for (long from : sentAt) {
+        most =
+            (int)
+                Math.max(
+                    most,
+                    sentAt.stream().filter(at -> at >= from && at < from + 1_000_000).count());
+      }
+      // At the end of the four seconds, in parts of a tenth of a second.
+      double allowed = 2 * (0.2 + 0.8 * 0.35) / 0.1;
+      assertTrue(
+          most >= 3 && most <= allowed + 2,
+          processes + ": " + most + " in a second, of " + allowed);
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/balancer/VirtualClock.java
@@ -0,0 +1,41 @@
+package dunlinhitch.balancer;
+
+import java.util.PriorityQueue;
+
+/** A discrete-event clock for tests: runs scheduled actions in the order of their times. */
+final class VirtualClock {
+  private record ScheduledAction(long atUs, long sequence, Runnable action)
+      implements Comparable<ScheduledAction> {
+    @Override
+    public int compareTo(ScheduledAction other) {
+      return atUs != other.atUs
+          ? Long.compare(atUs, other.atUs)
+          : Long.compare(sequence, other.sequence);
+    }
+  }
+
+  private final PriorityQueue<ScheduledAction> queue = new PriorityQueue<>();
+  private long nowUs;
+  private long scheduled;
+
+  long nowUs() {
+    return nowUs;
+  }
+
+  /**
+   * Schedules an action, at once where the time is past; of equal times the first one runs first.
+   */
+  void schedule(long atUs, Runnable action) {
+    queue.add(new ScheduledAction(Math.max(atUs, nowUs), scheduled, action));
+    scheduled++;
+  }
+
+  /** Runs actions up to the first at or after that time. */
+  void runUntil(long endUs) {
+    while (nowUs < endUs && !queue.isEmpty()) {
+      ScheduledAction next = queue.remove();
+      nowUs = next.atUs;
+      next.action.run();
+    }
+  }
+}
--- /dev/null
+++ b/src/test/java/dunlinhitch/balancer/package-info.java
@@ -0,0 +1,2 @@
+/** Tests of the load balancer: one class for each decision or estimate, on a virtual clock. */
+package dunlinhitch.balancer;
