--- a/src/main/java/dunlinhitch/balancer/CanaryPart.java
+++ b/src/main/java/dunlinhitch/balancer/CanaryPart.java
@@ -14,8 +14,11 @@
   /** The delay as a share of the part's service time. */
   private static final double DELAY_SERVICE_TIME_SHARE = 0.7;
 
-  /** Longest delay as a share of the query's time, and dearest call as a share of a part. */
-  private static final double MAX_SHARE = 0.1;
+  /** Longest delay as a share of the query's time. */
+  private static final double MAX_DELAY_SHARE = 0.1;
+
+  /** Largest overhead of a call as a share of the part's service time. */
+  private static final double MAX_CALL_SHARE = 0.1;
 
   /** Share of the servers that a query must be able to reach to count as wide. */
   private static final double MIN_SERVER_SHARE = 0.18;
@@ -52,10 +55,11 @@
     double leftUs = estimators.deadlines.planUs(query) - context.nowUs();
     double delayShare = DELAY_SERVICE_TIME_SHARE * typicalUs / leftUs;
     // The canary part takes a call of its own.
-    boolean callIsExpensive = context.settings().layout().callOverheadUs() > MAX_SHARE * typicalUs;
+    boolean callIsExpensive =
+        context.settings().layout().callOverheadUs() > MAX_CALL_SHARE * typicalUs;
     return !query.canarySent
         && query.expectedParts >= minParts(query)
-        && delayShare < MAX_SHARE
+        && delayShare < MAX_DELAY_SHARE
         && !callIsExpensive;
   }
 
@@ -77,7 +81,8 @@
     double leftUs = estimators.deadlines.planUs(query) - context.nowUs();
     double delayUs =
         Math.min(
-            MAX_SHARE * leftUs, DELAY_SERVICE_TIME_SHARE * estimators.serviceTimes.ofPartUs(part));
+            MAX_DELAY_SHARE * leftUs,
+            DELAY_SERVICE_TIME_SHARE * estimators.serviceTimes.ofPartUs(part));
     query.deferredUntilUs = context.nowUs() + (long) delayUs;
     BalancerTimers.scheduleQuery(context, query, query.deferredUntilUs);
   }
--- a/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
+++ b/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
@@ -22,7 +22,7 @@
   /** Quantile of a zone's excess latencies that is taken for the network's. */
   private static final double NETWORK_QUANTILE = 0.25;
 
-  /** Excess latencies kept for each zone. */
+  /** Excess latencies in the sliding window of each zone. */
   private static final int NETWORK_WINDOW_SIZE = 16;
 
   /** Shortest latency objectives after which a network latency decays e-fold. */
--- a/src/main/java/dunlinhitch/balancer/LoadReports.java
+++ b/src/main/java/dunlinhitch/balancer/LoadReports.java
@@ -21,6 +21,9 @@
   /** Shortest latency objectives after which the mean over all servers decays e-fold. */
   private static final double MEAN_OBJECTIVES = 4.0;
 
+  /** Share of this broker's parts in flight that a server's backlog is taken to contain. */
+  private static final double OWN_BACKLOG_SHARE = 0.5;
+
   private final BalancerContext context;
   private final DecayingValue meanLoad = new DecayingValue();
 
@@ -60,7 +63,7 @@
       double ownLoad =
           field == LoadReportField.OUTSTANDING
               ? server.inFlight.size()
-              : server.inFlight.size() / 2.0;
+              : server.inFlight.size() * OWN_BACKLOG_SHARE;
       if (field == LoadReportField.OUTSTANDING
           || (field == LoadReportField.BACKLOG && !hasOutstanding)) {
         load += Math.max(0, value - ownLoad);
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -19,9 +19,18 @@
   /** Most that is reserved for a second step, as a share of the latency objective. */
   private static final double MAX_SECOND_STEP_SHARE = 0.3;
 
-  /** Quantile of part latencies that a timeout is twice of where nothing can be cancelled. */
+  /** Quantile of part latencies that sets the timeout where nothing can be cancelled. */
   private static final double TIMEOUT_QUANTILE = 0.95;
 
+  /** The timeout over that quantile. */
+  private static final double TIMEOUT_FACTOR = 2;
+
+  /** Service times that must be left for a retry of a rejected query to be in time. */
+  private static final double RETRY_SERVICE_TIMES = 2;
+
+  /** A client is asked to wait for this part of the time that a retry can still spare. */
+  private static final long RETRY_AFTER_FRACTION = 4;
+
   private final BalancerContext context;
   private final ServiceTimes serviceTimes;
 
@@ -96,7 +105,7 @@
       long lastUs = queryClass.floor() < queryClass.need() ? planUs(query) : query.deadlineUs;
       return Math.max(nowUs + 1, lastUs);
     }
-    double lateUs = 2 * query.statistics.latencies.quantile(TIMEOUT_QUANTILE);
+    double lateUs = TIMEOUT_FACTOR * query.statistics.latencies.quantile(TIMEOUT_QUANTILE);
     return context.settings().limits().parallelAttempts()
         ? endUs
         : Math.min(endUs, nowUs + (long) lateUs);
@@ -108,8 +117,8 @@
    */
   long retryAfterUs(Query query) {
     long maxUs = context.settings().limits().maxRetryAfterUs();
-    double workUs = 2 * serviceTimes.typicalUs(query.statistics);
+    double workUs = RETRY_SERVICE_TIMES * serviceTimes.typicalUs(query.statistics);
     long slackUs = (long) (query.objectiveUs - context.nowUs() - workUs);
-    return slackUs > 0 ? Math.min(maxUs, Math.max(1, slackUs / 4)) : maxUs;
+    return slackUs > 0 ? Math.min(maxUs, Math.max(1, slackUs / RETRY_AFTER_FRACTION)) : maxUs;
   }
 }
--- a/src/main/java/dunlinhitch/balancer/Server.java
+++ b/src/main/java/dunlinhitch/balancer/Server.java
@@ -11,7 +11,10 @@
 final class Server {
   final int id;
   int zone;
+
+  /** The group of servers that hold the same shards. */
   int cell;
+
   ServerState state = ServerState.GONE;
 
   /** When the state last changed from or to {@link ServerState#READY}. */
--- a/src/main/java/dunlinhitch/balancer/ServerState.java
+++ b/src/main/java/dunlinhitch/balancer/ServerState.java
@@ -10,7 +10,7 @@
   GONE,
   /**
    * Takes nothing new from this moment on, not even as the last of its shard. What was learned of
-   * it is kept, for it may come back as the same process.
+   * it is retained, for it may come back as the same process.
    */
   WITHDRAWN
 }
--- a/src/main/java/dunlinhitch/balancer/ServiceTimes.java
+++ b/src/main/java/dunlinhitch/balancer/ServiceTimes.java
@@ -18,7 +18,7 @@
   /** Shortest latency objectives in which an estimate may grow e-fold at the most. */
   private static final double GROWTH_OBJECTIVES = 32;
 
-  /** Latencies kept for each class. */
+  /** Latencies in the sliding window of each class. */
   private static final int WINDOW_SIZE = 64;
 
   /** Latencies of a class before its service time is estimated. */
--- a/src/main/java/dunlinhitch/balancer/WaitTolerance.java
+++ b/src/main/java/dunlinhitch/balancer/WaitTolerance.java
@@ -19,7 +19,7 @@
   /** How far the priority weight per work moves that share. */
   private static final double MAX_FACTOR = 1.4;
 
-  /** Value of a query that its client asks again: part of its time is gone. */
+  /** Value of a query that its client asks again: part of its time is spent. */
   private static final double RETRIED_FACTOR = 0.6;
 
   /** Weight of the newest query in the mean priority weight per work. */
