--- a/src/main/java/dunlinhitch/balancer/BalancerEvent.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerEvent.java
@@ -50,6 +50,7 @@
    * @param settled the part needs no further attempt
    * @param report the server's load report, empty for none
    */
+  @SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
   record AttemptCompleted(
       int part,
       int attempt,
@@ -65,6 +66,7 @@
    *
    * @param report the server's load report, empty for none
    */
+  @SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
   record HealthCheckCompleted(int server, AttemptOutcome outcome, long elapsedUs, float[] report)
       implements BalancerEvent {}
 
@@ -90,6 +92,7 @@
   record TimerFired(long token) implements BalancerEvent {}
 
   /** A message of another broker arrived; the load balancer ignores it. */
+  @SuppressWarnings("ArrayRecordComponent") // handed over once and never compared
   record PeerMessageReceived(int sender, byte[] content) implements BalancerEvent {}
 
   /** The client of a query has disconnected; the query and its parts are over. */
--- a/src/main/java/dunlinhitch/cluster/versions/SettingsDigest.java
+++ b/src/main/java/dunlinhitch/cluster/versions/SettingsDigest.java
@@ -6,8 +6,8 @@
 import java.util.HexFormat;
 
 /**
- * A short digest of parsed settings: equal records have equal digests, however the file that they
- * were read from was formatted.
+ * A short digest of parsed settings: equal settings have equal digests, however the file that they
+ * were read from was formatted. Brokers of different builds compare it.
  */
 public final class SettingsDigest {
   private static final int DIGEST_BYTES = 6;
@@ -15,13 +15,13 @@
   private SettingsDigest() {}
 
   /**
-   * The first 48 bits of the SHA-256 of the record's text, which contains all of its components.
+   * The first 48 bits of the SHA-256 of the settings' canonical text, which contains all of them.
    */
-  public static String of(Record settings) {
+  public static String of(String canonicalSettings) {
     try {
       byte[] hash =
           MessageDigest.getInstance("SHA-256")
-              .digest(settings.toString().getBytes(StandardCharsets.UTF_8));
+              .digest(canonicalSettings.getBytes(StandardCharsets.UTF_8));
       return HexFormat.of().formatHex(hash, 0, DIGEST_BYTES);
     } catch (NoSuchAlgorithmException e) {
       throw new IllegalStateException("every Java has SHA-256", e);
--- a/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
+++ b/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
@@ -1,5 +1,6 @@
 package dunlinhitch.core;
 
+import dunlinhitch.balancer.settings.CanonicalSettings;
 import dunlinhitch.balancer.settings.Settings;
 import dunlinhitch.cluster.ClusterCoordinator;
 import dunlinhitch.cluster.ClusterSnapshot;
@@ -68,7 +69,7 @@
   }
 
   void onSettingsReloaded(Settings settings) {
-    String digest = SettingsDigest.of(settings);
+    String digest = SettingsDigest.of(CanonicalSettings.of(settings));
     publishVersions(
         digest.equals(versions.settings())
             ? versions
--- a/src/main/java/dunlinhitch/experiments/answerkeys/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/package-info.java
@@ -1,4 +1,2 @@
-/**
- * A simulated cluster whose brokers share answer keys, on virtual time.
- */
+/** A simulated cluster whose brokers share answer keys, on virtual time. */
 package dunlinhitch.experiments.answerkeys;
--- a/src/main/java/dunlinhitch/experiments/simulation/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/package-info.java
@@ -1,4 +1,2 @@
-/**
- * Simulated days: the core on virtual time, with seeded faults, and checkers of every rule.
- */
+/** Simulated days: the core on virtual time, with seeded faults, and checkers of every rule. */
 package dunlinhitch.experiments.simulation;
--- a/src/main/java/dunlinhitch/scoring/shipped/package-info.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/package-info.java
@@ -1,4 +1,5 @@
 /**
- * Scorers that come with the broker. They know the scorer interface and the JDK only, as any other plug-in does.
+ * Scorers that come with the broker. They know the scorer interface and the JDK only, as any other
+ * plug-in does.
  */
 package dunlinhitch.scoring.shipped;
--- a/src/main/java/dunlinhitch/server/ClusterGossip.java
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -1,5 +1,6 @@
 package dunlinhitch.server;
 
+import dunlinhitch.balancer.settings.CanonicalSettings;
 import dunlinhitch.cluster.ClusterSettings;
 import dunlinhitch.cluster.Member;
 import dunlinhitch.cluster.MembershipProtocol;
@@ -82,7 +83,10 @@
             new VersionSkewSettings(
                 fleet.behindUs(), VersionSkewSettings.STANDARD.againUs(), fleet.shutOutUs()),
             new VersionVector(
-                BuildVersion.TEXT, SettingsDigest.of(config.settings()), config.writtenMs(), 0));
+                BuildVersion.TEXT,
+                SettingsDigest.of(CanonicalSettings.of(config.settings())),
+                config.writtenMs(),
+                0));
   }
 
   /**
--- a/src/main/java/dunlinhitch/simulator/ReplyEncoder.java
+++ b/src/main/java/dunlinhitch/simulator/ReplyEncoder.java
@@ -4,7 +4,6 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
-import java.util.Arrays;
 
 /**
  * Encodes the balancer's actions into one reply frame, in the order of the calls, each for the
@@ -54,7 +53,8 @@
     buffer.putInt(FRAME_LENGTH_OFFSET, buffer.position());
     buffer.putInt(RECORD_COUNT_OFFSET, records);
     buffer.putInt(SEQUENCE_OFFSET, sequence);
-    byte[] frame = Arrays.copyOf(buffer.array(), buffer.position());
+    byte[] frame = new byte[buffer.position()];
+    buffer.get(0, frame);
     buffer.position(FRAME_HEADER_BYTES);
     records = 0;
     return frame;
--- a/src/test/java/dunlinhitch/PackagesTest.java
+++ b/src/test/java/dunlinhitch/PackagesTest.java
@@ -63,9 +63,9 @@
       if (room == null) {
         continue; // wiring, commands and experiments may import any
       }
-      Matcher m = IMPORT.matcher(Files.readString(file));
-      while (m.find()) {
-        String name = m.group(1);
+      Matcher matcher = IMPORT.matcher(Files.readString(file));
+      while (matcher.find()) {
+        String name = matcher.group(1);
         if (name.startsWith("dunlinhitch.")) {
           String imported = roomOf(name.substring("dunlinhitch.".length()).replace('.', '/'));
           if (imported == null || !ALLOWED.get(room).contains(imported)) {
@@ -109,10 +109,11 @@
     Map<String, String> wrong = new TreeMap<>();
     for (String part : List.of("scoring/api", "scoring/shipped")) {
       for (Path file : sources(ROOT.resolve(part))) {
-        Matcher m = IMPORT.matcher(Files.readString(file));
-        while (m.find()) {
-          if (!m.group(1).startsWith("java.") && !m.group(1).equals("dunlinhitch.scoring.api")) {
-            wrong.put(file.toString(), m.group(1));
+        Matcher matcher = IMPORT.matcher(Files.readString(file));
+        while (matcher.find()) {
+          if (!matcher.group(1).startsWith("java.")
+              && !matcher.group(1).equals("dunlinhitch.scoring.api")) {
+            wrong.put(file.toString(), matcher.group(1));
           }
         }
       }
@@ -156,7 +157,7 @@
             "experiments/simulation",
             "experiments/modelchecker")) {
       for (Path file : sources(ROOT.resolve(part))) {
-        Matcher m = clock.matcher(Files.readString(file));
+        Matcher matcher = clock.matcher(Files.readString(file));
         boolean mayLook =
             file.startsWith(ROOT.resolve("scoring/host"))
                 || file.endsWith("MicroClock.java")
@@ -164,8 +165,8 @@
                 || file.endsWith(
                     "ExploreCommand.java"); // threads of plug-ins, the edge's own clock, progress
         // lines
-        if (!mayLook && m.find()) {
-          wrong.put(file.toString(), m.group());
+        if (!mayLook && matcher.find()) {
+          wrong.put(file.toString(), matcher.group());
         }
       }
     }
--- a/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
@@ -341,7 +341,7 @@
           acts.addAll(keys.failed(now, flight, 1));
         }
         case 4 -> {
-          long gone = 1 + random.nextInt((int) query + 1);
+          long gone = 1L + random.nextInt((int) query + 1);
           waits.remove(gone);
           leads.values().remove(gone);
           acts.addAll(keys.left(now, gone));
@@ -360,7 +360,7 @@
         default -> {
           if (!asked.isEmpty()) {
             Act.AskHome home = asked.get(random.nextInt(asked.size()));
-            Said said = Said.values()[random.nextInt(3)];
+            Said said = List.of(Said.values()).get(random.nextInt(3));
             acts.addAll(
                 keys.homeSaid(
                     now,
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
@@ -375,6 +375,7 @@
       return queryClass;
     }
 
+    @SuppressWarnings("ReferenceEquality") // this very call, not an equal one
     boolean hasAbandoned(Call call) {
       return call.incarnation != incarnation || inFlight.get(call.part) != call;
     }
--- a/src/test/java/dunlinhitch/balancer/SlowStartSite.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSite.java
@@ -11,6 +11,7 @@
    * @param callUs work of a call
    * @param load share of the capacity of all servers
    */
+  @SuppressWarnings("ArrayRecordComponent") // never changed and never compared
   record Workload(double[] workUs, double[] classShares, double spread, long callUs, double load) {
     /** Mean work of a part over all classes. */
     double meanWorkUs() {
--- a/src/test/java/dunlinhitch/experiments/measurements/FloorsCommandTest.java
+++ b/src/test/java/dunlinhitch/experiments/measurements/FloorsCommandTest.java
@@ -8,6 +8,7 @@
 import com.eclipsesource.json.Json;
 import java.io.ByteArrayOutputStream;
 import java.io.PrintStream;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -62,17 +63,22 @@
     Path file = dir.resolve("r.json");
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     Files.writeString(file, ("{'days':[{" + ROW + "}]}").replace('\'', '"'));
-    assertFalse(FloorsCommand.print(List.of(file), new PrintStream(out, true)));
+    assertFalse(
+        FloorsCommand.print(List.of(file), new PrintStream(out, true, StandardCharsets.UTF_8)));
     assertTrue(
-        out.toString().lines().findFirst().orElseThrow().contains("tenant t"), out.toString());
+        out.toString(StandardCharsets.UTF_8).lines().findFirst().orElseThrow().contains("tenant t"),
+        out.toString(StandardCharsets.UTF_8));
     Files.writeString(file, Files.readString(file).replace("0.1,0.2", "0.2,0.2"));
-    assertTrue(FloorsCommand.print(List.of(file), new PrintStream(out, true)));
+    assertTrue(
+        FloorsCommand.print(List.of(file), new PrintStream(out, true, StandardCharsets.UTF_8)));
     for (String bad : List.of("{", "[]", "{}", "{\"days\":[1]}")) {
       Files.writeString(file, bad);
       assertTrue(
           assertThrows(
                   IllegalArgumentException.class,
-                  () -> FloorsCommand.print(List.of(file), new PrintStream(out, true)))
+                  () ->
+                      FloorsCommand.print(
+                          List.of(file), new PrintStream(out, true, StandardCharsets.UTF_8)))
               .getMessage()
               .contains("is no report"));
     }
--- a/src/test/java/dunlinhitch/experiments/simulation/StoriesTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/StoriesTest.java
@@ -7,6 +7,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import java.io.IOException;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.List;
@@ -69,7 +70,7 @@
                 "--seed",
                 "7")
             .start();
-    String said = new String(other.getInputStream().readAllBytes());
+    String said = new String(other.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
     assertEquals(0, other.waitFor(), said);
     assertTrue(said.contains("digest " + one.digest().substring(0, 16)), said);
   }
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -15,6 +15,7 @@
 import java.net.URI;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
+import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
@@ -49,6 +50,7 @@
     Config config = config(stage.discovery.port(), "{}", dir);
     CompletableFuture<String> start = new CompletableFuture<>();
     CompletableFuture<String> first = new CompletableFuture<>();
+    CountDownLatch stopRequested = new CountDownLatch(1);
     io.vertx.core.Context context = stage.vertx.getOrCreateContext();
     Runnable starts =
         () ->
@@ -63,10 +65,13 @@
           v -> {
             stage.broker = new Broker(stage.vertx, context, config, line -> {});
             if (started) {
+              // tasks of one context run in order: the folder is read after the stop
+              stage.vertx.executeBlocking(() -> stopRequested.await(10, TimeUnit.SECONDS));
               starts.run(); // reads the shared folder first, off the loop
             }
             stage.vertx.setTimer(GRACE_MS, t -> first.complete("the grace"));
             stage.broker.stop().onComplete(done -> first.complete("the end"));
+            stopRequested.countDown();
             if (!started) {
               starts.run();
             }
