--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
@@ -377,7 +377,7 @@
 
     @SuppressWarnings("ReferenceEquality") // this very call, not an equal one
     boolean hasAbandoned(Call call) {
-      return call.incarnation != incarnation || inFlight.get(call.part) != call;
+      return call.incarnation != incarnation || !call.equals(inFlight.get(call.part));
     }
 
     void complete(Call call, AttemptOutcome outcome, float... report) {
