--- a/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
+++ b/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
@@ -84,7 +84,7 @@
    *
    * @return completes when the change is stored
    */
-  public Future<Void> keep(String id, boolean disabled) {
+  public Future<Void> persist(String id, boolean disabled) {
     if (folder == null) {
       return Future.succeededFuture();
     }
--- a/src/main/java/dunlinhitch/admin/MetricsText.java
+++ b/src/main/java/dunlinhitch/admin/MetricsText.java
@@ -20,21 +20,27 @@
   static String of(BrokerStatus status) {
     MetricsText text = new MetricsText();
     text.appendByClass("passed", "Requests served.", status, OfClass::served);
-    text.appendByClass("dropped", "Requests refused.", status, OfClass::refused);
+    text.appendByClass("dropped", "Requests refused.", status, OfClass::rejected);
     text.appendByClass("bad_gateway", "Requests failed.", status, OfClass::failed);
     text.append(
-        "upstream_tries", COUNTER, "Attempts written whole to calendar stores.", status.tries());
-    text.append("in_progress", GAUGE, "Requests taken but not yet ended.", status.inProgress());
+        "upstream_tries",
+        COUNTER,
+        "Attempts written whole to calendar stores.",
+        status.attemptsWritten());
+    text.append("in_progress", GAUGE, "Requests taken but not yet ended.", status.openQueries());
     text.append(
-        "known_calendar_stores", GAUGE, "Calendar stores on the list.", status.knownStores());
+        "known_calendar_stores", GAUGE, "Calendar stores on the list.", status.listedEndpoints());
     text.append(
         "skipped_calendar_stores",
         GAUGE,
         "Calendar stores on the list that get nothing new.",
-        status.skippedStores());
-    text.append("loads", COUNTER, "Configurations taken on SIGHUP.", status.loads());
+        status.skippedEndpoints());
+    text.append("loads", COUNTER, "Configurations taken on SIGHUP.", status.configurationLoads());
     text.append(
-        "load_errors", COUNTER, "Configurations turned down on SIGHUP.", status.loadErrors());
+        "load_errors",
+        COUNTER,
+        "Configurations turned down on SIGHUP.",
+        status.configurationLoadErrors());
     return text.out.toString();
   }
 
--- a/src/main/java/dunlinhitch/answerkeys/RuleLives.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleLives.java
@@ -142,9 +142,9 @@
 
   /** Another broker's word, or what this one had said before it was started anew. */
   public ReplicatedMap.MergeResult heard(long nowUs, ReplicatedEntry<Life, Evidence> told) {
-    ReplicatedMap.MergeResult took = facts.take(nowUs, told);
+    ReplicatedMap.MergeResult took = facts.merge(nowUs, told);
     if (took == ReplicatedMap.MergeResult.NEWS
-        && told.author().equals(self)
+        && told.origin().equals(self)
         && own.containsKey(told.key())) {
       own.put(
           told.key(),
@@ -180,7 +180,7 @@
         say(nowUs, life);
       }
     }
-    facts.forget(nowUs);
+    facts.expire(nowUs);
     settle();
   }
 
@@ -209,8 +209,8 @@
 
   private void say(long nowUs, Life life) {
     ReplicatedEntry<Life, Evidence> before = facts.of(life, self);
-    long at = before == null ? nowUs : Math.max(nowUs, before.atUs() + 1);
-    facts.take(nowUs, new ReplicatedEntry<>(life, self, at, own.get(life)));
+    long at = before == null ? nowUs : Math.max(nowUs, before.timestampUs() + 1);
+    facts.merge(nowUs, new ReplicatedEntry<>(life, self, at, own.get(life)));
     saidUs.put(life, nowUs);
     unsaid.remove(life);
     if (!own.get(life).withdrawn().isEmpty()) {
--- a/src/main/java/dunlinhitch/backend/Backends.java
+++ b/src/main/java/dunlinhitch/backend/Backends.java
@@ -44,7 +44,7 @@
    *
    * @param disabled true where the store is administratively disabled
    */
-  public void changed(int store, Endpoint endpoint, boolean disabled) {
+  public void endpointChanged(int store, Endpoint endpoint, boolean disabled) {
     draining.removeIf(BackendTransport::isIdle);
     boolean removed = endpoint.state() == ServerState.GONE;
     Backend current = backends.get(store);
@@ -64,8 +64,8 @@
   }
 
   /** Sends a call; its attempts fail at once where the store is unknown. */
-  public void call(Effect.SendRequest request) {
-    Backend backend = backends.get(request.store());
+  public void send(Effect.SendRequest request) {
+    Backend backend = backends.get(request.endpoint());
     if (backend != null) {
       backend.transport().send(request.parts());
       return;
@@ -76,8 +76,8 @@
   }
 
   /** Cancels an attempt, also one on a draining transport. */
-  public void giveUp(Effect.CancelAttempt cancellation) {
-    Backend backend = backends.get(cancellation.store());
+  public void cancel(Effect.CancelAttempt cancellation) {
+    Backend backend = backends.get(cancellation.endpoint());
     if (backend == null || !backend.transport().cancel(cancellation.attempt())) {
       draining.forEach(transport -> transport.cancel(cancellation.attempt()));
     }
@@ -85,26 +85,26 @@
 
   /** Withdraws an attempt that was not sent; a draining transport has none of these. */
   public void withdraw(Effect.WithdrawAttempt withdrawal) {
-    Backend backend = backends.get(withdrawal.store());
+    Backend backend = backends.get(withdrawal.endpoint());
     if (backend != null) {
       backend.transport().withdraw(withdrawal.attempt());
     }
   }
 
   /** Sends a health check, which fails at once where the store is unknown. */
-  public void probe(Effect.SendHealthCheck healthCheck) {
-    Backend backend = backends.get(healthCheck.store());
+  public void sendHealthCheck(Effect.SendHealthCheck healthCheck) {
+    Backend backend = backends.get(healthCheck.endpoint());
     if (backend != null) {
-      backend.transport().sendHealthCheck(healthCheck.probe());
+      backend.transport().sendHealthCheck(healthCheck.healthCheck());
       return;
     }
     events.accept(
         new Event.HealthCheckCompleted(
-            healthCheck.probe(), AttemptOutcome.CONNECT_FAILED, new float[0]));
+            healthCheck.healthCheck(), AttemptOutcome.CONNECT_FAILED, new float[0]));
   }
 
   /** Closes the idle connections to a store. */
-  public void release(int store) {
+  public void closeIdleConnections(int store) {
     Backend backend = backends.get(store);
     if (backend != null) {
       backend.transport().closeIdleConnections();
--- a/src/main/java/dunlinhitch/backend/LoadReportParser.java
+++ b/src/main/java/dunlinhitch/backend/LoadReportParser.java
@@ -24,7 +24,7 @@
 
   /** The values; empty where there is no report, or one with a missing or malformed value. */
   @SuppressWarnings("StringSplitter") // trailing empty pairs are dropped on purpose
-  public float[] read(String text) {
+  public float[] parse(String text) {
     List<LoadReportField> wanted = order.get();
     if (wanted.isEmpty() || text.isEmpty() || text.equals("-")) {
       return NO_REPORT;
--- a/src/main/java/dunlinhitch/backend/RequestText.java
+++ b/src/main/java/dunlinhitch/backend/RequestText.java
@@ -27,7 +27,7 @@
           "d="
               + Math.max(1, (part.dueUs() - nowUs) / US_PER_MS)
               + (part.key().isEmpty() ? "" : ",k=" + part.key())
-              + (part.after() == null ? "" : encode(part.after()));
+              + (part.firstStep() == null ? "" : encode(part.firstStep()));
       out.writeBytes(
           (part.partId() + " " + part.shard() + " " + options + " " + text.length + "\n")
               .getBytes(StandardCharsets.UTF_8));
@@ -39,9 +39,9 @@
   /** The result of the first pass that the part builds on. */
   private static String encode(FirstStep firstPass) {
     return ",from="
-        + String.join("+", firstPass.in().stream().map(String::valueOf).toList())
+        + String.join("+", firstPass.shards().stream().map(String::valueOf).toList())
         + ",whole="
-        + (firstPass.whole() ? 1 : 0);
+        + (firstPass.complete() ? 1 : 0);
   }
 
   /**
--- a/src/main/java/dunlinhitch/backend/flight/FlightActions.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightActions.java
@@ -19,7 +19,7 @@
   private static final String HEALTH_CHECK = "probe";
   private static final String CANCEL = "give-up";
 
-  private final FlightStores shared;
+  private final FlightTransports shared;
   private final FlightClient client;
   private final BooleanSupplier isDisabled;
 
@@ -29,7 +29,7 @@
    * @param isDisabled evaluated on the action thread, just before a health check is sent; then it
    *     fails
    */
-  FlightActions(FlightStores shared, FlightClient client, BooleanSupplier isDisabled) {
+  FlightActions(FlightTransports shared, FlightClient client, BooleanSupplier isDisabled) {
     this.shared = shared;
     this.client = client;
     this.isDisabled = isDisabled;
--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -35,7 +35,7 @@
   /** One row as received; a text that is no UTF-8 is null. */
   private record Row(String partId, String end, double score, String report, String value) {}
 
-  private final FlightStores shared;
+  private final FlightTransports shared;
   private final FlightClient client;
   private final BooleanSupplier mayNotSend;
   private final Consumer<Event.AttemptCompleted> onCompleted;
@@ -62,7 +62,7 @@
    * @param onCompleted called on the event loop, once for each attempt that was not cancelled
    */
   FlightCall(
-      FlightStores shared,
+      FlightTransports shared,
       FlightClient client,
       List<AttemptRequest> parts,
       BooleanSupplier mayNotSend,
@@ -128,7 +128,7 @@
     boolean maySend = !cancelled && !mayNotSend.getAsBoolean();
     List<AttemptRequest> sent =
         parts.stream()
-            .filter(part -> maySend && part.mayLeave(nowUs) && !stopped.contains(part.attempt()))
+            .filter(part -> maySend && part.maySendAt(nowUs) && !stopped.contains(part.attempt()))
             .toList();
     if (sent.size() < parts.size()) {
       List<AttemptRequest> unsent = parts.stream().filter(part -> !sent.contains(part)).toList();
@@ -215,7 +215,7 @@
         new Event.AttemptCompleted(
             attempt,
             outcome,
-            shared.reports().read(row.report() == null ? "" : row.report()),
+            shared.reports().parse(row.report() == null ? "" : row.report()),
             row.value(),
             row.score()));
   }
--- a/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
@@ -24,7 +24,7 @@
 final class FlightFirstPassCall implements Runnable {
   private static final int METADATA_FIELDS = 3;
 
-  private final FlightStores shared;
+  private final FlightTransports shared;
   private final FlightClient client;
   private final BooleanSupplier mayNotSend;
   private final Consumer<Event.AttemptCompleted> onCompleted;
@@ -39,7 +39,7 @@
    * @param onCompleted takes every other end than a reply
    */
   FlightFirstPassCall(
-      FlightStores shared,
+      FlightTransports shared,
       FlightClient client,
       AttemptRequest part,
       BooleanSupplier mayNotSend,
@@ -61,7 +61,7 @@
   @Override
   public void run() {
     long nowUs = shared.nowUs();
-    if (stopped || mayNotSend.getAsBoolean() || !part.mayLeave(nowUs)) {
+    if (stopped || mayNotSend.getAsBoolean() || !part.maySendAt(nowUs)) {
       complete(AttemptOutcome.CONNECT_FAILED);
       return;
     }
@@ -92,7 +92,7 @@
                 new Event.FirstPassCompleted(
                     part.attempt(),
                     receivedUs,
-                    shared.reports().read(fields[1]),
+                    shared.reports().parse(fields[1]),
                     info.getRecords(),
                     fields[0],
                     fields[2])));
--- a/src/main/java/dunlinhitch/backend/flight/FlightLivenessCheck.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightLivenessCheck.java
@@ -36,14 +36,14 @@
     void onUnresponsive();
   }
 
-  private final FlightStores shared;
+  private final FlightTransports shared;
   private final FlightActions actions;
   private final Target target;
 
   /** True while a timer or a check is running. */
   private boolean scheduled;
 
-  FlightLivenessCheck(FlightStores shared, FlightActions actions, Target target) {
+  FlightLivenessCheck(FlightTransports shared, FlightActions actions, Target target) {
     this.shared = shared;
     this.actions = actions;
     this.target = target;
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -50,7 +50,7 @@
 
   private static final float[] NO_REPORT = {};
 
-  private final FlightStores shared;
+  private final FlightTransports shared;
   private final ManagedChannel channel;
   private final FlightClient client;
   private final FlightActions actions;
@@ -79,7 +79,7 @@
 
   private boolean closed;
 
-  FlightTransport(FlightStores shared, Endpoint endpoint) {
+  FlightTransport(FlightTransports shared, Endpoint endpoint) {
     this.shared = shared;
     channel = buildChannel(shared, endpoint);
     client = FlightGrpcUtils.createFlightClientWithSharedChannel(shared.allocator(), channel);
@@ -87,7 +87,7 @@
     livenessCheck = new FlightLivenessCheck(shared, actions, new LivenessTarget());
   }
 
-  private static ManagedChannel buildChannel(FlightStores shared, Endpoint endpoint) {
+  private static ManagedChannel buildChannel(FlightTransports shared, Endpoint endpoint) {
     NettyChannelBuilder builder =
         NettyChannelBuilder.forAddress(new InetSocketAddress(endpoint.host(), endpoint.port()))
             .usePlaintext()
@@ -164,7 +164,7 @@
   }
 
   private void start(List<AttemptRequest> parts) {
-    if (parts.get(0).first()) {
+    if (parts.get(0).firstPass()) {
       parts.forEach(this::startFirstPass);
       return;
     }
@@ -294,7 +294,7 @@
       return new Event.HealthCheckCompleted(healthCheck, AttemptOutcome.ERROR, NO_REPORT);
     }
     return new Event.HealthCheckCompleted(
-        healthCheck, AttemptOutcome.OK, shared.reports().read(report.get()));
+        healthCheck, AttemptOutcome.OK, shared.reports().parse(report.get()));
   }
 
   private long actionDueUs() {
--- a/src/main/java/dunlinhitch/backend/flight/FlightStores.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransports.java
@@ -26,7 +26,7 @@
  * hand-over of results to the event loop. Opens the transports. Thread-safe but for {@link #close},
  * which the event loop calls once.
  */
-public final class FlightStores {
+public final class FlightTransports {
   /** Threads that read streams: also the bound of concurrent calls to all stores. */
   private static final int READER_THREADS = 64;
 
@@ -74,7 +74,7 @@
    * @param context the event loop on which events are reported
    * @param clock microseconds; called from any thread
    */
-  public FlightStores(
+  public FlightTransports(
       Vertx vertx,
       Context context,
       Supplier<Limits> limits,
--- a/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -180,9 +180,9 @@
     while (!closed && !pendingCalls.isEmpty() && !isWriting()) {
       long nowUs = nowUs();
       List<AttemptRequest> call = pendingCalls.removeFirst();
-      List<AttemptRequest> parts = call.stream().filter(part -> part.mayLeave(nowUs)).toList();
+      List<AttemptRequest> parts = call.stream().filter(part -> part.maySendAt(nowUs)).toList();
       call.stream()
-          .filter(part -> !part.mayLeave(nowUs))
+          .filter(part -> !part.maySendAt(nowUs))
           .forEach(part -> complete(part.attempt(), AttemptOutcome.CONNECT_FAILED));
       if (!parts.isEmpty()) {
         write(parts, nowUs);
@@ -193,11 +193,12 @@
 
   private void write(List<AttemptRequest> parts, long nowUs) {
     lastUsedUs = nowUs;
-    char type = parts.get(0).first() ? FrameType.FIRST_PASS_CALL : FrameType.CALL;
+    char type = parts.get(0).firstPass() ? FrameType.FIRST_PASS_CALL : FrameType.CALL;
     Future<Void> write = socket.write(Frame.encode(type, RequestText.of(parts, nowUs)));
     lastWrite = write;
     for (AttemptRequest part : parts) {
-      inFlight.add(new InFlightAttempt(part.attempt(), part.partId(), nowUs, write, part.first()));
+      inFlight.add(
+          new InFlightAttempt(part.attempt(), part.partId(), nowUs, write, part.firstPass()));
     }
     boolean writtenAtOnce = write.isComplete();
     write.onSuccess(
--- a/src/main/java/dunlinhitch/backend/frames/ReplyReader.java
+++ b/src/main/java/dunlinhitch/backend/frames/ReplyReader.java
@@ -119,7 +119,7 @@
         new Event.AttemptCompleted(
             ended.attempt(),
             reply.outcome(),
-            shared.reports.read(reply.report()),
+            shared.reports.parse(reply.report()),
             reply.value(),
             reply.score()));
   }
@@ -129,7 +129,7 @@
     if (ended == null) {
       return;
     }
-    float[] report = shared.reports.read(reply.report());
+    float[] report = shared.reports.parse(reply.report());
     shared.events.accept(
         reply.outcome() != AttemptOutcome.OK
             ? new Event.AttemptCompleted(ended.attempt(), reply.outcome(), report, "")
@@ -161,6 +161,6 @@
         new Event.HealthCheckCompleted(
             healthCheck.getAsLong(),
             unhealthy ? AttemptOutcome.ERROR : AttemptOutcome.OK,
-            unhealthy ? NO_REPORT : shared.reports.read(report)));
+            unhealthy ? NO_REPORT : shared.reports.parse(report)));
   }
 }
--- a/src/main/java/dunlinhitch/balancer/AttemptOutcome.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptOutcome.java
@@ -20,7 +20,7 @@
   MOOT;
 
   /** True where the outcome proves that the attempt had no effect. */
-  public boolean neverRan() {
+  public boolean neverExecuted() {
     return this == FULL || this == CONNECT_FAILED || this == MOOT;
   }
 }
--- a/src/main/java/dunlinhitch/balancer/AttemptSender.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptSender.java
@@ -95,7 +95,7 @@
   private boolean isRepeatSafe(Part part) {
     QueryClass queryClass = part.query.queryClass;
     boolean mayHaveRun = part.mayHaveRunUs >= 0;
-    return switch (queryClass.repeat()) {
+    return switch (queryClass.idempotency()) {
       case FREE -> true;
       case GUARDED ->
           !mayHaveRun
--- a/src/main/java/dunlinhitch/balancer/BalancerEvent.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerEvent.java
@@ -17,7 +17,7 @@
    * @param parts how many parts follow
    * @param deadlineUs when its client stops waiting
    * @param hintUs the client's hint of the work of all parts, 0 for none
-   * @param repeat the client has asked this before
+   * @param retriedByClient the client has asked this before
    */
   record QueryArrived(
       int id,
@@ -27,7 +27,7 @@
       int parts,
       long deadlineUs,
       long hintUs,
-      boolean repeat)
+      boolean retriedByClient)
       implements BalancerEvent {}
 
   /**
@@ -80,9 +80,9 @@
    * An operator has disabled or enabled a server, which keeps its id. An enabled one is in slow
    * start.
    *
-   * @param out true for disabled
+   * @param disabled true for disabled
    */
-  record ServerDisabled(int server, boolean out) implements BalancerEvent {}
+  record ServerDisabled(int server, boolean disabled) implements BalancerEvent {}
 
   /**
    * Other settings are in force from now on; queries in flight keep their class. Zones and layout
--- a/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
+++ b/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
@@ -31,8 +31,8 @@
 
   void onPartSent() {
     double earned =
-        Math.min(1, REFERENCE_PRICE / context.settings().prices().probe())
-            * (CHECKS_PER_PART + incompleteRate * context.settings().layout().inARow());
+        Math.min(1, REFERENCE_PRICE / context.settings().prices().healthCheck())
+            * (CHECKS_PER_PART + incompleteRate * context.settings().layout().replicationFactor());
     credit = Math.min(credit + earned, context.servers().size());
   }
 
--- a/src/main/java/dunlinhitch/balancer/LoadBalancer.java
+++ b/src/main/java/dunlinhitch/balancer/LoadBalancer.java
@@ -168,7 +168,7 @@
     if (outcome == AttemptOutcome.MOOT && attempt.number > 0) {
       retryBudget.refund(attempt.sentUs);
     }
-    if (outcome.neverRan() && part.inFlight.isEmpty() && part.mayHaveRunUs == attempt.sentUs) {
+    if (outcome.neverExecuted() && part.inFlight.isEmpty() && part.mayHaveRunUs == attempt.sentUs) {
       part.mayHaveRunUs = -1;
     }
   }
--- a/src/main/java/dunlinhitch/balancer/Query.java
+++ b/src/main/java/dunlinhitch/balancer/Query.java
@@ -72,7 +72,7 @@
     id = event.id();
     number = event.number();
     tenant = event.tenant();
-    retriedByClient = event.repeat();
+    retriedByClient = event.retriedByClient();
     deadlineUs = event.deadlineUs();
     expectedParts = Math.max(1, event.parts());
     this.arrivedUs = arrivedUs;
--- a/src/main/java/dunlinhitch/balancer/QueryCompletion.java
+++ b/src/main/java/dunlinhitch/balancer/QueryCompletion.java
@@ -58,7 +58,7 @@
       return;
     }
     healthCheckBudget.onQueryCompleted(false);
-    if (query.queryClass.repeat() == Idempotency.FREE || !mayHaveRun(query)) {
+    if (query.queryClass.idempotency() == Idempotency.FREE || !mayHaveRun(query)) {
       boolean advise = context.settings().limits().retryAfter();
       context.actions().reject(query.id, advise ? estimators.deadlines.retryAfterUs(query) : 0);
     } else {
@@ -119,7 +119,7 @@
       return true;
     }
     return attempts.hasAttemptsLeft(part)
-        && (part.query.queryClass.repeat() != Idempotency.SINGLE_SHOT || part.mayHaveRunUs < 0)
+        && (part.query.queryClass.idempotency() != Idempotency.SINGLE_SHOT || part.mayHaveRunUs < 0)
         && leftUs > UNATTAINABLE_SHARE * estimators.serviceTimes.ofPartUs(part);
   }
 
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -59,7 +59,8 @@
   private long spentUs(QueryArrived event, ClassStatistics statistics) {
     long timeoutUs = event.deadlineUs() - context.nowUs();
     statistics.longestTimeoutUs = Math.max(statistics.longestTimeoutUs, timeoutUs);
-    boolean cut = event.repeat() && timeoutUs < CUT_TIMEOUT_SHARE * statistics.longestTimeoutUs;
+    boolean cut =
+        event.retriedByClient() && timeoutUs < CUT_TIMEOUT_SHARE * statistics.longestTimeoutUs;
     return cut ? Math.max(0, statistics.queryClass().deadlineUs() - timeoutUs) : 0;
   }
 
@@ -101,7 +102,8 @@
     long nowUs = context.nowUs();
     long endUs = Math.max(nowUs + 1, giveUpUs(query));
     QueryClass queryClass = query.queryClass;
-    if (context.settings().limits().mayCancel() || queryClass.repeat() == Idempotency.SINGLE_SHOT) {
+    if (context.settings().limits().mayCancel()
+        || queryClass.idempotency() == Idempotency.SINGLE_SHOT) {
       long lastUs = queryClass.floor() < queryClass.need() ? planUs(query) : query.deadlineUs;
       return Math.max(nowUs + 1, lastUs);
     }
--- a/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
+++ b/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
@@ -72,9 +72,9 @@
    * see it serve.
    */
   void onDisabled(ServerDisabled event) {
-    boolean changed = context.servers().setDisabled(event.server(), event.out());
+    boolean changed = context.servers().setDisabled(event.server(), event.disabled());
     Server server = context.servers().get(event.server());
-    if (!changed || event.out() || server == null) {
+    if (!changed || event.disabled() || server == null) {
       return;
     }
     server.resetAsStarted(context.nowUs());
--- a/src/main/java/dunlinhitch/balancer/ServerTable.java
+++ b/src/main/java/dunlinhitch/balancer/ServerTable.java
@@ -46,7 +46,7 @@
   /** The servers that hold a shard. */
   List<Server> replicasOf(int shard, ShardLayout layout) {
     List<Server> replicas = new ArrayList<>();
-    for (int j = 0; j < layout.inARow(); j++) {
+    for (int j = 0; j < layout.replicationFactor(); j++) {
       replicas.addAll(inCell(Math.floorMod(shard + j, layout.cells())));
     }
     return replicas;
@@ -55,7 +55,9 @@
   /** The servers that hold a shard which the cell holds too. */
   List<Server> sharingShards(int cell, ShardLayout layout) {
     Set<Integer> cells = new LinkedHashSet<>();
-    for (int offset = 1 - layout.inARow(); offset < layout.inARow(); offset++) {
+    for (int offset = 1 - layout.replicationFactor();
+        offset < layout.replicationFactor();
+        offset++) {
       cells.add(Math.floorMod(cell + offset, layout.cells()));
     }
     List<Server> sharing = new ArrayList<>();
--- a/src/main/java/dunlinhitch/balancer/SlowStart.java
+++ b/src/main/java/dunlinhitch/balancer/SlowStart.java
@@ -71,7 +71,8 @@
       return true;
     }
     double rate = rate(server);
-    double burst = rate * rules.fallUs() / 2; // as much again flows in within that time
+    double burst =
+        rate * rules.overloadToleranceUs() / 2; // as much again flows in within that time
     return server.slowStartBucket.canAfford(cost(part), rate, burst, context.nowUs());
   }
 
--- a/src/main/java/dunlinhitch/balancer/settings/CanonicalSettings.java
+++ b/src/main/java/dunlinhitch/balancer/settings/CanonicalSettings.java
@@ -32,7 +32,7 @@
         .add("reportsInAnswers", settings.reportsInAnswers())
         .add("reportsInProbes", settings.reportsInHealthChecks())
         .add("reportFields", settings.reportFields())
-        .add("marksRepeats", settings.marksRepeats())
+        .add("marksRepeats", settings.clientsMarkRetries())
         .text();
   }
 
@@ -42,7 +42,7 @@
         .add("aimUs", queryClass.latencyObjectiveUs())
         .add("aimStretch", queryClass.latencyObjectiveStretch())
         .add("deadlineUs", queryClass.deadlineUs())
-        .add("repeat", queryClass.repeat())
+        .add("repeat", queryClass.idempotency())
         .add("lateWorth", queryClass.lateWeight())
         .add("dedupWindowUs", queryClass.dedupWindowUs())
         .add("worth", queryClass.priorityWeight())
@@ -65,7 +65,7 @@
   private static String layout(ShardLayout layout) {
     return new Group("Layout")
         .add("cells", layout.cells())
-        .add("inARow", layout.inARow())
+        .add("inARow", layout.replicationFactor())
         .add("shards", layout.shards())
         .add("partsPerCall", layout.partsPerCall())
         .add("callOverheadUs", layout.callOverheadUs())
@@ -97,7 +97,7 @@
         .add("coldFrom", rules.initialCapacityShare())
         .add("warmAfterUs", rules.slowStartDurationUs())
         .add("overloadFactor", rules.overloadFactor())
-        .add("fallUs", rules.fallUs())
+        .add("fallUs", rules.overloadToleranceUs())
         .add("drainGraceUs", rules.drainGraceUs())
         .text();
   }
@@ -105,7 +105,7 @@
   private static String prices(Prices prices) {
     return new Group("Prices")
         .add("crossZone", prices.crossZone())
-        .add("probe", prices.probe())
+        .add("probe", prices.healthCheck())
         .add("waste", prices.waste())
         .add("lateFail", prices.lateFail())
         .text();
--- a/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
+++ b/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
@@ -10,7 +10,7 @@
  * @param latencyObjectiveUs time within which an answer has its full weight
  * @param latencyObjectiveStretch time added to the objective for each unit of the query's work
  * @param deadlineUs time after which clients give up
- * @param repeat which attempts are safe to repeat
+ * @param idempotency which attempts are safe to repeat
  * @param lateWeight weight of an answer after the objective
  * @param dedupWindowUs time within which servers recognize a duplicate attempt
  * @param priorityWeight weight of a query of this class against others
@@ -24,7 +24,7 @@
     long latencyObjectiveUs,
     double latencyObjectiveStretch,
     long deadlineUs,
-    Idempotency repeat,
+    Idempotency idempotency,
     double lateWeight,
     long dedupWindowUs,
     double priorityWeight,
--- a/src/main/java/dunlinhitch/balancer/settings/Rules.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Rules.java
@@ -14,7 +14,7 @@
  * @param initialCapacityShare share of its capacity that a server has when it starts
  * @param slowStartDurationUs time until a server that has started has all its capacity
  * @param overloadFactor multiple of its capacity at which a warming server fails, 0 for never
- * @param fallUs time for which it must be overloaded to fail
+ * @param overloadToleranceUs time for which it must be overloaded to fail
  * @param drainGraceUs time for which a draining server still takes parts
  */
 public record Rules(
@@ -26,7 +26,7 @@
     double initialCapacityShare,
     long slowStartDurationUs,
     double overloadFactor,
-    long fallUs,
+    long overloadToleranceUs,
     long drainGraceUs) {
   /** Checks the ranges. */
   public Rules {
@@ -37,7 +37,7 @@
     ratio("rules.coldFrom", initialCapacityShare);
     atLeastZero("rules.warmAfterUs", (double) slowStartDurationUs);
     atLeastZero("rules.overloadFactor", overloadFactor);
-    atLeastZero("rules.fallUs", (double) fallUs);
+    atLeastZero("rules.fallUs", (double) overloadToleranceUs);
     atLeastZero("rules.drainGraceUs", (double) drainGraceUs);
     if (Double.isNaN(retryRatio) || retryRatio > 1e6) {
       throw new IllegalArgumentException("rules.repeatRatio is out of range: " + retryRatio);
--- a/src/main/java/dunlinhitch/balancer/settings/Settings.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Settings.java
@@ -19,7 +19,7 @@
  * @param reportsInAnswers answers contain load reports
  * @param reportsInHealthChecks results of health checks contain load reports
  * @param reportFields what the values of a load report are, in their order
- * @param marksRepeats clients mark queries that they ask again
+ * @param clientsMarkRetries clients mark queries that they ask again
  */
 public record Settings(
     int brokers,
@@ -37,7 +37,7 @@
     boolean reportsInAnswers,
     boolean reportsInHealthChecks,
     List<LoadReportField> reportFields,
-    boolean marksRepeats) {
+    boolean clientsMarkRetries) {
   /** Checks the ranges and copies the lists. */
   public Settings {
     positive("aggregators", brokers);
@@ -84,6 +84,6 @@
         reportsInAnswers,
         reportsInHealthChecks,
         reportFields,
-        marksRepeats);
+        clientsMarkRetries);
   }
 }
--- a/src/main/java/dunlinhitch/cli/BrokerProcess.java
+++ b/src/main/java/dunlinhitch/cli/BrokerProcess.java
@@ -68,7 +68,7 @@
       return;
     }
     broker
-        .openDesk()
+        .listenForAdmin()
         .compose(adminPort -> warmUp().run())
         .compose(responses -> broker.start())
         .onComplete(this::onStarted);
@@ -78,8 +78,8 @@
   private boolean createBroker() {
     try {
       broker = new Broker(vertx, context, config, System.out::println, listener);
-      broker.setConfigurationReader(file::again);
-      hangupSignals.setTask(() -> context.runOnContext(v -> broker.reload(file::again)));
+      broker.setConfigurationReader(file::reload);
+      hangupSignals.setTask(() -> context.runOnContext(v -> broker.reload(file::reload)));
       return true;
     } catch (RuntimeException | LinkageError failure) {
       startFailure = failure;
--- a/src/main/java/dunlinhitch/cli/CheckCommand.java
+++ b/src/main/java/dunlinhitch/cli/CheckCommand.java
@@ -26,7 +26,7 @@
             + config.listen().host()
             + ":"
             + config.listen().port());
-    System.out.print(config.product().described());
+    System.out.print(config.product().description());
     return 0;
   }
 }
--- a/src/main/java/dunlinhitch/cli/RecordsCommand.java
+++ b/src/main/java/dunlinhitch/cli/RecordsCommand.java
@@ -7,7 +7,7 @@
 import dunlinhitch.core.MicroClock;
 import dunlinhitch.discovery.EndpointListReader;
 import dunlinhitch.discovery.dnssd.DnsDiscoverySource;
-import dunlinhitch.discovery.dnssd.Records;
+import dunlinhitch.discovery.dnssd.ServiceRecords;
 import dunlinhitch.endpoints.EndpointChange;
 import dunlinhitch.endpoints.EndpointRegistry;
 import dunlinhitch.endpoints.EndpointRegistrySettings;
@@ -137,7 +137,7 @@
         pushServer == null ? null : Address.parse("--push", pushServer),
         pushTrustFile,
         null,
-        Records.Bounds.STANDARD.instances());
+        ServiceRecords.Limits.STANDARD.instances());
   }
 
   private void startSources(Product.DnsService requested) {
@@ -167,7 +167,7 @@
     boolean[] anyAnswered = {false};
     vertx.runOnContext(
         v -> {
-          anyAnswered[0] = sources.stream().anyMatch(DnsDiscoverySource::answered);
+          anyAnswered[0] = sources.stream().anyMatch(DnsDiscoverySource::hasAnswered);
           System.out.print(
               RecordsTable.format(registry, sources, servers.size() > 1, clock.getAsLong()));
           printed.countDown();
@@ -185,12 +185,12 @@
   private void onEvent(Event event) {
     long nowUs = clock.getAsLong();
     if (event instanceof Event.SourceRegistered registered) {
-      registry.named(registered.source(), registered.rank(), false);
+      registry.registerSource(registered.source(), registered.rank(), false);
     } else if (event instanceof Event.SourceUpdated update) {
-      print(registry.said(nowUs, update.source(), update.whole(), update.claims()));
-      completeLists += update.whole() ? 1 : 0;
+      print(registry.update(nowUs, update.source(), update.complete(), update.claims()));
+      completeLists += update.complete() ? 1 : 0;
     } else if (event instanceof Event.SourceUnavailable unavailable) {
-      print(registry.silent(nowUs, unavailable.source()));
+      print(registry.sourceUnavailable(nowUs, unavailable.source()));
       unavailableSources++;
     }
     if (completeLists + unavailableSources >= servers.size()) {
@@ -199,7 +199,7 @@
     if (registry.nextUs() != TimingWheel.NEVER) {
       vertx.setTimer(
           MicroClock.timerMs(nowUs, registry.nextUs()),
-          timer -> print(registry.passed(clock.getAsLong())));
+          timer -> print(registry.advanceTo(clock.getAsLong())));
     }
   }
 
--- a/src/main/java/dunlinhitch/cli/RecordsTable.java
+++ b/src/main/java/dunlinhitch/cli/RecordsTable.java
@@ -1,7 +1,7 @@
 package dunlinhitch.cli;
 
 import dunlinhitch.discovery.dnssd.DnsDiscoverySource;
-import dunlinhitch.discovery.dnssd.Records;
+import dunlinhitch.discovery.dnssd.ServiceRecords;
 import dunlinhitch.endpoints.Endpoint;
 import dunlinhitch.endpoints.EndpointChange;
 import dunlinhitch.endpoints.EndpointRegistry;
@@ -31,7 +31,7 @@
                 "%-20s %-24s %5s %-9s %8s  %-12s %s%n",
                 "store", "address", "cell", "says", "left", "status", "why"));
     registry.rows().stream()
-        .sorted(Comparator.comparing(EndpointRegistry.Row::store))
+        .sorted(Comparator.comparing(EndpointRegistry.Row::name))
         .forEach(row -> out.append(formatRow(row, namesSource, nowUs)));
     for (DnsDiscoverySource source : sources) {
       appendSource(out, source);
@@ -40,16 +40,16 @@
   }
 
   private static String formatRow(EndpointRegistry.Row row, boolean namesSource, long nowUs) {
-    Endpoint endpoint = row.entry();
+    Endpoint endpoint = row.endpoint();
     return String.format(
         "%-20s %-24s %5s %-9s %8s  %-12s %s%s%n",
-        row.store(),
+        row.name(),
         endpoint == null ? "" : endpoint.host() + ":" + endpoint.port(),
         endpoint == null ? "" : endpoint.cell(),
         endpoint == null ? "" : endpoint.state().name().toLowerCase(Locale.ROOT),
-        remainingTime(row.untilUs(), nowUs),
+        remainingTime(row.expiresUs(), nowUs),
         label(row.status()),
-        row.reason().words(),
+        row.reason().message(),
         namesSource ? " [" + row.source() + "]" : "");
   }
 
@@ -61,12 +61,12 @@
   }
 
   private static void appendSource(StringBuilder out, DnsDiscoverySource source) {
-    for (Records.Shown instance : source.shown()) {
-      if (!instance.trouble().isEmpty()) {
+    for (ServiceRecords.InstanceDescription instance : source.describeInstances()) {
+      if (!instance.fault().isEmpty()) {
         out.append("instance \"")
             .append(instance.instance())
             .append("\" is of no use: ")
-            .append(instance.trouble())
+            .append(instance.fault())
             .append('\n');
       }
     }
@@ -74,21 +74,21 @@
   }
 
   private static String answerState(DnsDiscoverySource source) {
-    if (!source.answered()) {
+    if (!source.hasAnswered()) {
       return ": does not answer";
     }
-    return source.pushes() ? ": answers and pushes" : ": answers";
+    return source.isPushSessionUp() ? ": answers and pushes" : ": answers";
   }
 
   /** Returns the line for a change that was seen at {@code nowUs}, Unix time. */
   static String formatChange(EndpointChange change, long nowUs) {
     return Instant.ofEpochMilli(nowUs / MICROS_PER_MILLI)
         + " "
-        + change.entry().name()
+        + change.endpoint().name()
         + " "
         + label(change.status())
         + ": "
-        + change.reason().words();
+        + change.reason().message();
   }
 
   private static String label(EndpointStatus status) {
--- a/src/main/java/dunlinhitch/cluster/ActiveMembers.java
+++ b/src/main/java/dunlinhitch/cluster/ActiveMembers.java
@@ -43,7 +43,7 @@
   boolean refresh(ClusterSnapshot latest) {
     if (latest.number() != snapshot.number()) {
       snapshot = latest;
-      lastConnected = snapshot.alone() ? lastConnected : snapshot.names();
+      lastConnected = snapshot.isolated() ? lastConnected : snapshot.names();
     }
     Set<String> current = withoutFenced();
     if (current.equals(names)) {
--- a/src/main/java/dunlinhitch/cluster/AntiEntropy.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropy.java
@@ -40,7 +40,7 @@
 
   /** A protocol period begins. */
   void resetPageBudget() {
-    pageBudgetBytes = settings.pageBytes();
+    pageBudgetBytes = settings.antiEntropyBytes();
   }
 
   /** Updates the convergence state and asks a member that has diverged for long to compare. */
@@ -49,7 +49,7 @@
       members.markChanged();
     }
     convergence
-        .nextToCompare(nowUs, settings.everyUs())
+        .nextToCompare(nowUs, settings.periodUs())
         .map(members::peer)
         .ifPresent(peer -> sender.sendBuckets(peer, GossipMessage.COMPARE));
   }
@@ -75,7 +75,7 @@
     if (message.buckets().isEmpty() || !settings.isAntiEntropyEnabled()) {
       return;
     }
-    if (message.number() == GossipMessage.COMPARE) {
+    if (message.sequenceNumber() == GossipMessage.COMPARE) {
       sender.sendBuckets(from, GossipMessage.COMPARED);
     }
     if (!matches) {
--- a/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -10,23 +10,23 @@
  * its observations ({@link SharedObservations}), all by the members that it goes by ({@link
  * ActiveMembers}). The choice among the endpoints of the subset is the load balancer's.
  *
- * <p>Pure: events in, {@link Out} called. Not thread-safe; the reducer owns it. Each event has two
- * times in microseconds: {@code nowUs} of a monotonic clock, for durations, and {@code dayUs} of
- * the wall clock, which brokers share, for duties and the age of observations.
+ * <p>Pure: events in, {@link Transport} called. Not thread-safe; the reducer owns it. Each event
+ * has two times in microseconds: {@code nowUs} of a monotonic clock, for durations, and {@code
+ * dayUs} of the wall clock, which brokers share, for duties and the age of observations.
  */
 public final class ClusterCoordinator {
   private static final long NEVER = Long.MAX_VALUE;
 
   /** What the coordinator asks for; carried out in the order in which it was called. */
-  public interface Out extends MembershipProtocol.Out {
+  public interface Out extends MembershipProtocol.Transport {
     /**
      * Work goes to these endpoints of the list from now on; called too where only the members
      * changed.
      */
-    void keepTo(Set<String> stores);
+    void selectEndpoints(Set<String> stores);
 
     /** A health check that was left to others is to be made by this broker after all. */
-    void probe(String store);
+    void startHealthCheck(String store);
 
     /**
      * A health check that was left to others ended.
@@ -34,7 +34,7 @@
      * @param store the endpoint
      * @param seen the load report that another broker shared, or null
      */
-    void probed(String store, EndpointObservation seen);
+    void healthCheckEnded(String store, EndpointObservation seen);
   }
 
   /**
@@ -46,7 +46,8 @@
    * @param startedMs when it started, Unix time in milliseconds
    * @param usable whether new work may go to it
    */
-  public record Listed(String name, String cell, String zone, long startedMs, boolean usable) {}
+  public record ListedEndpoint(
+      String name, String cell, String zone, long startedMs, boolean usable) {}
 
   private final Out out;
   private final MembershipProtocol membership;
@@ -76,8 +77,8 @@
     observations = new SharedObservations(self.name(), settings);
     membership =
         new MembershipProtocol(
-            self, seeds, settings.view(), seed, nowUs, out, observations::nextToPiggyback);
-    activeMembers = new ActiveMembers(self, membership.now());
+            self, seeds, settings.membership(), seed, nowUs, out, observations::nextToPiggyback);
+    activeMembers = new ActiveMembers(self, membership.snapshot());
     subset = new EndpointSubset(settings.subsets(), activeMembers, observations);
     healthChecks =
         new HealthCheckDuty(
@@ -85,7 +86,7 @@
   }
 
   /** Fences these members: they act on outdated versions, and nothing is assigned to them. */
-  public void shutOut(Set<String> names) {
+  public void fence(Set<String> names) {
     activeMembers.fence(names);
     update();
   }
@@ -96,22 +97,22 @@
   }
 
   /** The membership protocol of this broker. */
-  public MembershipProtocol view() {
+  public MembershipProtocol membership() {
     return membership;
   }
 
   /** The membership that the last decision was based on. */
-  public ClusterSnapshot seen() {
+  public ClusterSnapshot snapshot() {
     return activeMembers.snapshot();
   }
 
   /** The observations of endpoints, this broker's and those of others. */
-  public ObservationTable signals() {
+  public ObservationTable observations() {
     return observations.table();
   }
 
   /** The endpoints that this broker sends work to. */
-  public Set<String> kept() {
+  public Set<String> selectedEndpoints() {
     return subset.selected();
   }
 
@@ -132,9 +133,10 @@
    * @param changed endpoints that were added or updated
    * @param removed names of the endpoints that were removed
    */
-  public void roster(long nowUs, Collection<Listed> changed, Collection<String> removed) {
-    for (Listed endpoint : changed) {
-      Listed before = subset.put(endpoint);
+  public void onEndpointsChanged(
+      long nowUs, Collection<ListedEndpoint> changed, Collection<String> removed) {
+    for (ListedEndpoint endpoint : changed) {
+      ListedEndpoint before = subset.put(endpoint);
       if (before != null && before.startedMs() != endpoint.startedMs()) {
         observations.resetFailures(endpoint.name());
       }
@@ -148,11 +150,11 @@
   }
 
   /** Handles a message of another broker. */
-  public void heard(long nowUs, long dayUs, GossipMessage message) {
-    membership.heard(nowUs, message);
-    for (EndpointObservation observation : message.signals()) {
+  public void onMessage(long nowUs, long dayUs, GossipMessage message) {
+    membership.onMessage(nowUs, message);
+    for (EndpointObservation observation : message.observations()) {
       if (observations.receive(observation, dayUs)) {
-        subset.markChanged(observation.store());
+        subset.markChanged(observation.endpoint());
       }
     }
     healthChecks.completeFromObservations();
@@ -167,8 +169,8 @@
    * @param answered whether it responded
    * @param report the load report of the response, or empty
    */
-  public void saw(long dayUs, String store, boolean answered, List<Float> report) {
-    Listed endpoint = subset.endpoints().get(store);
+  public void onAttempt(long dayUs, String store, boolean answered, List<Float> report) {
+    ListedEndpoint endpoint = subset.endpoints().get(store);
     if (endpoint == null) {
       return;
     }
@@ -179,31 +181,32 @@
   }
 
   /** Handles the outcome of a health check that this broker made; it is shared at once. */
-  public void probeEnded(long dayUs, String store, boolean answered, List<Float> report) {
+  public void onHealthCheckCompleted(
+      long dayUs, String store, boolean answered, List<Float> report) {
     observations.resetSharingInterval(store);
-    saw(dayUs, store, answered, report);
+    onAttempt(dayUs, store, answered, report);
   }
 
   /**
    * The load balancer wants a health check of an endpoint.
    *
    * @return true where this broker is to make it now; false where it is another's duty, and then
-   *     {@link Out#probed} gives the result or {@link Out#probe} says that it is this broker's
-   *     after all
+   *     {@link Transport#healthCheckEnded} gives the result or {@link Transport#startHealthCheck}
+   *     says that it is this broker's after all
    */
   public boolean mayHealthCheck(long dayUs, String store) {
     return healthChecks.request(store, dayUs);
   }
 
   /** Handles the timeouts that are due. */
-  public void passed(long nowUs, long dayUs) {
-    membership.passed(nowUs);
+  public void onTime(long nowUs, long dayUs) {
+    membership.onTime(nowUs);
     observations.table().expire(dayUs);
     healthChecks.onTime(dayUs);
     update();
   }
 
-  /** When {@link #passed} is to be called next, on the monotonic clock. */
+  /** When {@link #onTime} is to be called next, on the monotonic clock. */
   public long nextUs(long nowUs, long dayUs) {
     long next = membership.nextUs();
     long nextCheckUs = healthChecks.nextWallUs();
@@ -220,13 +223,13 @@
 
   /** Brings the subset in line with the members, the endpoint list and the failing endpoints. */
   private void update() {
-    boolean membersChanged = activeMembers.refresh(membership.now());
+    boolean membersChanged = activeMembers.refresh(membership.snapshot());
     if (membersChanged) {
       subset.markAllChanged();
     }
     boolean subsetChanged = subset.hasChanges() && subset.update();
     if (subsetChanged || membersChanged) {
-      out.keepTo(subset.selected());
+      out.selectEndpoints(subset.selected());
     }
   }
 }
--- a/src/main/java/dunlinhitch/cluster/ClusterSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSettings.java
@@ -4,19 +4,19 @@
  * The settings of a broker as a member of a cluster; times in microseconds.
  *
  * @param subsets how many endpoints each broker sends work to
- * @param view the times and bounds of the membership protocol
- * @param turnUs the epoch of health checks: one broker checks one endpoint so often
- * @param patienceUs how long each broker waits for the one before it to make a health check
- * @param staleUs the age at which an observation expires
- * @param mostStores endpoints of which observations are stored, at most
+ * @param membership the times and bounds of the membership protocol
+ * @param epochUs the epoch of health checks: one broker checks one endpoint so often
+ * @param takeoverDelayUs how long each broker waits for the one before it to make a health check
+ * @param maxAgeUs the age at which an observation expires
+ * @param maxEndpoints endpoints of which observations are stored, at most
  */
 public record ClusterSettings(
     SubsetSettings subsets,
-    MembershipProtocolSettings view,
-    long turnUs,
-    long patienceUs,
-    long staleUs,
-    int mostStores) {
+    MembershipProtocolSettings membership,
+    long epochUs,
+    long takeoverDelayUs,
+    long maxAgeUs,
+    int maxEndpoints) {
   /** A health check every 2 s; observations expire after 6 s. */
   public static final ClusterSettings STANDARD =
       new ClusterSettings(
@@ -29,12 +29,12 @@
 
   /** Checks that observations can be stored. */
   public ClusterSettings {
-    if (staleUs <= 0 || mostStores < 1) {
+    if (maxAgeUs <= 0 || maxEndpoints < 1) {
       throw new IllegalArgumentException(
           "signals last above 0 us and are kept of a store or more: "
-              + staleUs
+              + maxAgeUs
               + ", "
-              + mostStores);
+              + maxEndpoints);
     }
   }
 }
--- a/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
@@ -15,19 +15,19 @@
  * @param members all that take part, this broker included, in the order of their names, which is
  *     the same at all brokers
  * @param digest over names, zones and addresses of the members: equal at brokers that agree
- * @param settledUs since when the cluster has converged as far as is known, on the monotonic clock;
- *     negative where it has not
- * @param disagree members that announced another digest
- * @param alone whether this broker is isolated; then the members are those that it knew last
+ * @param convergedSinceUs since when the cluster has converged as far as is known, on the monotonic
+ *     clock; negative where it has not
+ * @param divergedMembers members that announced another digest
+ * @param isolated whether this broker is isolated; then the members are those that it knew last
  * @param displacedBy another broker that rightfully bears this one's name, or null
  */
 public record ClusterSnapshot(
     long number,
     List<MemberView> members,
     long digest,
-    long settledUs,
-    Set<String> disagree,
-    boolean alone,
+    long convergedSinceUs,
+    Set<String> divergedMembers,
+    boolean isolated,
     Member displacedBy) {
   /**
    * One broker that takes part.
@@ -43,7 +43,7 @@
     }
 
     /** Whether it is suspected. */
-    public boolean isDoubted() {
+    public boolean isSuspect() {
       return peer.status() == Member.Status.SUSPECT;
     }
   }
@@ -51,12 +51,12 @@
   /** Copies the collections. */
   public ClusterSnapshot {
     members = List.copyOf(members);
-    disagree = Set.copyOf(disagree);
+    divergedMembers = Set.copyOf(divergedMembers);
   }
 
   /** Whether the cluster has converged, as far as this broker knows. */
-  public boolean isSettled() {
-    return settledUs >= 0;
+  public boolean isConverged() {
+    return convergedSinceUs >= 0;
   }
 
   /** The names of the members, in order. */
@@ -86,24 +86,24 @@
       return Integer.toString(members.size());
     }
     List<String> names = new ArrayList<>();
-    members.forEach(member -> names.add(member.isDoubted() ? member.name() + "?" : member.name()));
+    members.forEach(member -> names.add(member.isSuspect() ? member.name() + "?" : member.name()));
     return members.size() + ": " + String.join(" ", names);
   }
 
   private String convergenceText(long nowUs, int most) {
-    if (alone) {
+    if (isolated) {
       return "it hears nobody";
     }
-    if (isSettled()) {
-      return "settled for " + (nowUs - settledUs) / 1000 + " ms";
+    if (isConverged()) {
+      return "settled for " + (nowUs - convergedSinceUs) / 1000 + " ms";
     }
-    if (disagree.isEmpty()) {
+    if (divergedMembers.isEmpty()) {
       return "not compared yet";
     }
     String names =
-        disagree.size() <= most
-            ? String.join(" ", new TreeSet<>(disagree))
-            : Integer.toString(disagree.size());
+        divergedMembers.size() <= most
+            ? String.join(" ", new TreeSet<>(divergedMembers))
+            : Integer.toString(divergedMembers.size());
     return "others hold another: " + names;
   }
 
--- a/src/main/java/dunlinhitch/cluster/EndpointObservation.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointObservation.java
@@ -6,45 +6,45 @@
  * What one broker observed of an endpoint, as brokers share it. It concerns one incarnation of the
  * endpoint, the one that started at {@code startedMs}, and says nothing of others.
  *
- * @param store the endpoint's name, the same at all brokers
+ * @param endpoint the endpoint's name, the same at all brokers
  * @param startedMs when the endpoint started, Unix time in milliseconds; 0: long ago
- * @param author the broker that made the observation
- * @param number the author's sequence number for that endpoint; a later observation replaces the
- *     earlier
- * @param seenUs when it was made, on the wall clock, in microseconds
+ * @param observer the broker that made the observation
+ * @param sequenceNumber the author's sequence number for that endpoint; a later observation
+ *     replaces the earlier
+ * @param observedUs when it was made, on the wall clock, in microseconds
  * @param report the endpoint's load report, in the order of the settings' fields, or empty
- * @param failed consecutive attempts and health checks without a response
+ * @param consecutiveFailures consecutive attempts and health checks without a response
  */
 public record EndpointObservation(
-    String store,
+    String endpoint,
     long startedMs,
-    String author,
-    long number,
-    long seenUs,
+    String observer,
+    long sequenceNumber,
+    long observedUs,
     List<Float> report,
-    int failed) {
+    int consecutiveFailures) {
   /** Bytes of the lengths of the two names and of the failure count. */
   private static final int FIXED_BYTES = 4;
 
   /** Checks that the names are not empty and the numbers not negative. */
   public EndpointObservation {
-    if (store.isEmpty()
-        || author.isEmpty()
-        || number < 0
-        || failed < 0
-        || seenUs < 0
+    if (endpoint.isEmpty()
+        || observer.isEmpty()
+        || sequenceNumber < 0
+        || consecutiveFailures < 0
+        || observedUs < 0
         || startedMs < 0) {
       throw new IllegalArgumentException(
           "a signal names its store and author and counts from 0: "
-              + store
+              + endpoint
               + ", "
-              + author
+              + observer
               + ", "
-              + number
+              + sequenceNumber
               + ", "
-              + failed
+              + consecutiveFailures
               + ", seen "
-              + seenUs
+              + observedUs
               + ", started "
               + startedMs);
     }
@@ -56,19 +56,19 @@
     if (startedMs != other.startedMs) {
       return startedMs > other.startedMs;
     }
-    if (seenUs != other.seenUs) {
-      return seenUs > other.seenUs;
+    if (observedUs != other.observedUs) {
+      return observedUs > other.observedUs;
     }
-    if (number != other.number) {
-      return number > other.number;
+    if (sequenceNumber != other.sequenceNumber) {
+      return sequenceNumber > other.sequenceNumber;
     }
-    return author.compareTo(other.author) > 0;
+    return observer.compareTo(other.observer) > 0;
   }
 
   /** About the bytes that it takes in a message. */
   int bytes() {
-    return store.length()
-        + author.length()
+    return endpoint.length()
+        + observer.length()
         + FIXED_BYTES
         + 3 * Long.BYTES
         + Float.BYTES * report.size();
--- a/src/main/java/dunlinhitch/cluster/EndpointSubset.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointSubset.java
@@ -21,7 +21,7 @@
   private final Subsetting subsetting;
   private final ActiveMembers members;
   private final SharedObservations observations;
-  private final Map<String, ClusterCoordinator.Listed> endpoints = new LinkedHashMap<>();
+  private final Map<String, ClusterCoordinator.ListedEndpoint> endpoints = new LinkedHashMap<>();
   private final Map<String, List<String>> selectedByCell = new HashMap<>();
   private final Set<String> changedCells = new HashSet<>();
   private Set<String> selected = Set.of();
@@ -44,13 +44,13 @@
   }
 
   /** The endpoints of the list by name; a live view. */
-  Map<String, ClusterCoordinator.Listed> endpoints() {
+  Map<String, ClusterCoordinator.ListedEndpoint> endpoints() {
     return Collections.unmodifiableMap(endpoints);
   }
 
   /** Adds or updates an endpoint; returns what it was before, or null. */
-  ClusterCoordinator.Listed put(ClusterCoordinator.Listed endpoint) {
-    ClusterCoordinator.Listed before = endpoints.put(endpoint.name(), endpoint);
+  ClusterCoordinator.ListedEndpoint put(ClusterCoordinator.ListedEndpoint endpoint) {
+    ClusterCoordinator.ListedEndpoint before = endpoints.put(endpoint.name(), endpoint);
     changedCells.add(endpoint.cell());
     if (before != null) {
       changedCells.add(before.cell());
@@ -60,7 +60,7 @@
 
   /** Removes an endpoint, if it is listed. */
   void remove(String name) {
-    ClusterCoordinator.Listed before = endpoints.remove(name);
+    ClusterCoordinator.ListedEndpoint before = endpoints.remove(name);
     if (before != null) {
       changedCells.add(before.cell());
     }
@@ -68,7 +68,7 @@
 
   /** The state of an endpoint changed, so its cell is computed anew with the next update. */
   void markChanged(String name) {
-    ClusterCoordinator.Listed endpoint = endpoints.get(name);
+    ClusterCoordinator.ListedEndpoint endpoint = endpoints.get(name);
     if (endpoint != null) {
       changedCells.add(endpoint.cell());
     }
@@ -109,7 +109,7 @@
 
   private Map<String, List<Subsetting.Store>> usableEndpointsOfChangedCells() {
     Map<String, List<Subsetting.Store>> byCell = new HashMap<>();
-    for (ClusterCoordinator.Listed endpoint : endpoints.values()) {
+    for (ClusterCoordinator.ListedEndpoint endpoint : endpoints.values()) {
       if (endpoint.usable() && changedCells.contains(endpoint.cell())) {
         byCell
             .computeIfAbsent(endpoint.cell(), cell -> new ArrayList<>())
--- a/src/main/java/dunlinhitch/cluster/FailureDetector.java
+++ b/src/main/java/dunlinhitch/cluster/FailureDetector.java
@@ -129,10 +129,10 @@
    */
   void resetAfterStall(long nowUs) {
     long lateUs = nowUs - nextPeriodUs;
-    if (!settings.isLifeguardEnabled() || lateUs < settings.everyUs()) {
+    if (!settings.isLifeguardEnabled() || lateUs < settings.periodUs()) {
       return;
     }
-    localHealth.degrade(lateUs / settings.everyUs());
+    localHealth.degrade(lateUs / settings.periodUs());
     pendingPings.clear();
     retries.clear();
     relayedPings.clear();
@@ -184,10 +184,10 @@
 
   /** Runs one protocol period: a ping, retries of failed ones, and joins where they are needed. */
   void runPeriod(long nowUs) {
-    if (nowUs - nextPeriodUs > settings.answerUs()) {
+    if (nowUs - nextPeriodUs > settings.pingTimeoutUs()) {
       localHealth.degrade(1);
     }
-    nextPeriodUs = nowUs + settings.everyUs();
+    nextPeriodUs = nowUs + settings.periodUs();
     boolean roundBegins = probeOrder.isRoundComplete();
     Member target = probeOrder.next();
     sendJoins(target, roundBegins);
@@ -220,8 +220,8 @@
             target.name(),
             attempt,
             nowUs,
-            localHealth.scale(settings.answerUs()),
-            localHealth.scale(2 * settings.answerUs())));
+            localHealth.scale(settings.pingTimeoutUs()),
+            localHealth.scale(2 * settings.pingTimeoutUs())));
     sender.send(target, GossipMessage.Kind.PING, sequenceNumber);
   }
 
@@ -237,7 +237,7 @@
       }
     }
     List<Member> remaining = new ArrayList<>(helpers);
-    for (int i = 0; i < settings.helpers() && !helpers.isEmpty(); i++) {
+    for (int i = 0; i < settings.indirectProbes() && !helpers.isEmpty(); i++) {
       if (remaining.isEmpty()) {
         if (!settings.isLifeguardEnabled()) {
           break;
@@ -262,7 +262,7 @@
     if (target == null || !target.takesPart() || (settings.isLifeguardEnabled() && isIsolated())) {
       return;
     }
-    if (ping.attempt < settings.tries()) {
+    if (ping.attempt < settings.pingAttempts()) {
       if (retries.size() < MAX_PENDING_RETRIES) {
         retries.add(new PingRetry(ping.target, ping.attempt + 1));
       }
@@ -311,12 +311,12 @@
   /** Handles an ack, direct or relayed; an ack for a ping that has timed out is ignored. */
   void onAck(GossipMessage message, long nowUs) {
     relayedPings.onAck(message);
-    PendingPing ping = pendingPings.get(message.number());
+    PendingPing ping = pendingPings.get(message.sequenceNumber());
     if (ping == null
-        || !(ping.target.equals(message.from().name()) || ping.target.equals(message.about()))) {
+        || !(ping.target.equals(message.from().name()) || ping.target.equals(message.subject()))) {
       return;
     }
-    pendingPings.remove(message.number());
+    pendingPings.remove(message.sequenceNumber());
     localHealth.improve();
     retries.removeIf(retry -> retry.target().equals(ping.target));
     if (settings.isLifeguardEnabled() && isIsolated()) {
--- a/src/main/java/dunlinhitch/cluster/GossipMessage.java
+++ b/src/main/java/dunlinhitch/cluster/GossipMessage.java
@@ -8,28 +8,28 @@
  *
  * @param kind what it asks for
  * @param from the sender as it announces itself
- * @param number the sequence number of the ping that it belongs to, which an ack repeats; with
- *     buckets {@link #COMPARE} or {@link #COMPARED}
- * @param about the member to ping, for {@link Kind#PING_REQUEST}; for the ack of one the member
+ * @param sequenceNumber the sequence number of the ping that it belongs to, which an ack repeats;
+ *     with buckets {@link #COMPARE} or {@link #COMPARED}
+ * @param subject the member to ping, for {@link Kind#PING_REQUEST}; for the ack of one the member
  *     that acked; else empty
  * @param versions the versions that the sender acts on, or null
- * @param peers piggybacked updates of members
- * @param signals piggybacked observations of endpoints
+ * @param memberUpdates piggybacked updates of members
+ * @param observations piggybacked observations of endpoints
  * @param digest the digest of the sender's member list; 0: not announced
  * @param buckets the sums that the digest consists of, where digests are compared; else empty
- * @param doubts piggybacked suspicion reports
+ * @param suspicionReports piggybacked suspicion reports
  */
 public record GossipMessage(
     Kind kind,
     Member from,
-    long number,
-    String about,
+    long sequenceNumber,
+    String subject,
     VersionVector versions,
-    List<Member> peers,
-    List<EndpointObservation> signals,
+    List<Member> memberUpdates,
+    List<EndpointObservation> observations,
     long digest,
     List<Long> buckets,
-    List<SuspicionReport> doubts) {
+    List<SuspicionReport> suspicionReports) {
   /** Number of a message with buckets that asks for the differing members and for buckets. */
   static final long COMPARE = 1;
 
@@ -57,22 +57,32 @@
 
   /** Copies the lists. */
   public GossipMessage {
-    peers = List.copyOf(peers);
-    signals = List.copyOf(signals);
+    memberUpdates = List.copyOf(memberUpdates);
+    observations = List.copyOf(observations);
     buckets = List.copyOf(buckets);
-    doubts = List.copyOf(doubts);
+    suspicionReports = List.copyOf(suspicionReports);
   }
 
   /** A message without a digest, buckets or suspicion reports. */
   public GossipMessage(
       Kind kind,
       Member from,
-      long number,
-      String about,
+      long sequenceNumber,
+      String subject,
       VersionVector versions,
-      List<Member> peers,
-      List<EndpointObservation> signals) {
-    this(kind, from, number, about, versions, peers, signals, 0, List.of(), List.of());
+      List<Member> memberUpdates,
+      List<EndpointObservation> observations) {
+    this(
+        kind,
+        from,
+        sequenceNumber,
+        subject,
+        versions,
+        memberUpdates,
+        observations,
+        0,
+        List.of(),
+        List.of());
   }
 
   /** About the bytes of its encoding: texts by their length, numbers in full. */
@@ -80,12 +90,12 @@
     return FIXED_BYTES
         + 2 * Long.BYTES
         + from.bytes()
-        + about.length()
+        + subject.length()
         + Long.BYTES * buckets.size()
         + versionsBytes()
-        + peers.stream().mapToInt(Member::bytes).sum()
-        + signals.stream().mapToInt(EndpointObservation::bytes).sum()
-        + doubts.stream().mapToInt(SuspicionReport::bytes).sum();
+        + memberUpdates.stream().mapToInt(Member::bytes).sum()
+        + observations.stream().mapToInt(EndpointObservation::bytes).sum()
+        + suspicionReports.stream().mapToInt(SuspicionReport::bytes).sum();
   }
 
   private int versionsBytes() {
--- a/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
+++ b/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
@@ -31,7 +31,7 @@
   private final ActiveMembers members;
   private final MembershipProtocol membership;
   private final SharedObservations observations;
-  private final Map<String, ClusterCoordinator.Listed> endpoints;
+  private final Map<String, ClusterCoordinator.ListedEndpoint> endpoints;
   private final ClusterCoordinator.Out out;
   private final Map<String, PendingCheck> pending = new LinkedHashMap<>();
   private long takenOver;
@@ -42,10 +42,10 @@
       ActiveMembers members,
       MembershipProtocol membership,
       SharedObservations observations,
-      Map<String, ClusterCoordinator.Listed> endpoints,
+      Map<String, ClusterCoordinator.ListedEndpoint> endpoints,
       ClusterCoordinator.Out out) {
-    rotation = new DutyRotation(settings.turnUs(), settings.patienceUs());
-    epochUs = settings.turnUs();
+    rotation = new DutyRotation(settings.epochUs(), settings.takeoverDelayUs());
+    epochUs = settings.epochUs();
     this.members = members;
     this.membership = membership;
     this.observations = observations;
@@ -80,7 +80,7 @@
       endUs += epochUs;
     }
     if (pending.size() >= MAX_PENDING) {
-      out.probed(endpoint, null);
+      out.healthCheckEnded(endpoint, null);
       return false;
     }
     pending.put(endpoint, new PendingCheck(wallUs, dueUs, endUs));
@@ -95,7 +95,7 @@
 
   private long dueUs(String endpoint, long epoch) {
     return rotation.dueUs(
-        endpoint, epoch, members.names(), members.self(), members.snapshot().alone());
+        endpoint, epoch, members.names(), members.self(), members.snapshot().isolated());
   }
 
   /**
@@ -111,7 +111,7 @@
         return;
       }
       if (!name.equals(members.self())) {
-        membership.tell(name);
+        membership.sendUpdates(name);
         remaining--;
       }
     }
@@ -125,7 +125,7 @@
       if (wallUs >= check.dueWallUs() && pending.remove(endpoint) != null) {
         takeTurn(endpoint, wallUs);
       } else if (wallUs >= check.endWallUs() && pending.remove(endpoint) != null) {
-        out.probed(endpoint, null);
+        out.healthCheckEnded(endpoint, null);
       }
     }
   }
@@ -133,12 +133,12 @@
   private void takeTurn(String endpoint, long wallUs) {
     long epoch = rotation.epochOf(endpoint, wallUs);
     if (isDone(endpoint, epoch, wallUs)) {
-      out.probed(endpoint, null);
+      out.healthCheckEnded(endpoint, null);
       return;
     }
     takenOver++;
     announce(endpoint, epoch, wallUs);
-    out.probe(endpoint);
+    out.startHealthCheck(endpoint);
   }
 
   /** Ends the pending health checks for which another broker has shared a load report. */
@@ -149,7 +149,7 @@
       Optional<EndpointObservation> shared =
           observations.table().latestReport(endpoint, sinceUs, members.self());
       if (shared.isPresent() && pending.remove(endpoint) != null) {
-        out.probed(endpoint, shared.get());
+        out.healthCheckEnded(endpoint, shared.get());
       }
     }
   }
@@ -157,7 +157,7 @@
   /** Ends the health check of an endpoint that was removed from the list. */
   void cancel(String endpoint) {
     if (pending.remove(endpoint) != null) {
-      out.probed(endpoint, null);
+      out.healthCheckEnded(endpoint, null);
     }
   }
 
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -208,7 +208,7 @@
   List<Member> removeExpired(long nowUs) {
     List<Member> removed = new ArrayList<>();
     for (String name : List.copyOf(departedSinceUs.keySet())) {
-      if (nowUs - departedSinceUs.get(name) >= settings.forgetUs()) {
+      if (nowUs - departedSinceUs.get(name) >= settings.deadRetentionUs()) {
         removed.add(peers.remove(name));
         departedSinceUs.remove(name);
         updates.remove(name);
@@ -221,7 +221,7 @@
   long nextExpiryUs() {
     long next = Long.MAX_VALUE;
     for (long since : departedSinceUs.values()) {
-      next = Math.min(next, since + settings.forgetUs());
+      next = Math.min(next, since + settings.deadRetentionUs());
     }
     return next;
   }
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -23,7 +23,7 @@
   private static final int LEAVE_TRANSMISSIONS = 2;
 
   /** Where the messages of this broker go; carried out in the order in which it was called. */
-  public interface Out {
+  public interface Transport {
     /** Sends a message to the broker at an address; it may be lost, delayed or duplicated. */
     void send(String host, int port, GossipMessage message);
   }
@@ -62,14 +62,14 @@
       MembershipProtocolSettings settings,
       long seed,
       long nowUs,
-      Out out,
+      Transport out,
       IntFunction<List<EndpointObservation>> riding) {
     this.settings = settings;
     List<Seed> otherSeeds =
         seeds.stream().filter(address -> !self.isAt(address.host(), address.port())).toList();
     SplittableRandom random = new SplittableRandom(seed);
     SuspicionTable suspicions = new SuspicionTable(settings);
-    localHealth = new LocalHealth(settings.mostHealth());
+    localHealth = new LocalHealth(settings.maxLocalHealth());
     members = new MemberList(self, settings, suspicions, updates, convergence);
     membershipUpdates = new MembershipUpdates(settings, members, localHealth);
     sender = new MessageSender(settings, members, updates, out, riding);
@@ -87,7 +87,7 @@
   }
 
   /** The membership now; the same object until something of it changes. */
-  public ClusterSnapshot now() {
+  public ClusterSnapshot snapshot() {
     if (members.clearChanged()) {
       snapshot = takeSnapshot();
     }
@@ -129,42 +129,42 @@
   }
 
   /** The most members that took part at once, this broker included, as far as it knows. */
-  public int largest() {
+  public int largestSize() {
     return members.largestSize();
   }
 
   /** True while every recent ping went unanswered: this broker is cut off, or the last one. */
-  public boolean alone() {
+  public boolean isIsolated() {
     return failureDetector.isIsolated();
   }
 
   /** The local health score: how far this broker stretches its timeouts; 0 is healthy. */
-  public int health() {
+  public int localHealthScore() {
     return localHealth.score();
   }
 
   /** Updates that were dropped: the list was full, or the incarnation could not be refuted. */
-  public long refused() {
+  public long rejected() {
     return membershipUpdates.rejected();
   }
 
   /** Members that this broker itself declared dead. */
-  public long declared() {
+  public long declaredDead() {
     return failureDetector.declaredDead();
   }
 
   /** Sets the versions that this broker acts on; each message announces them. */
-  public void acts(VersionVector on) {
+  public void setVersions(VersionVector on) {
     members.setSelfVersions(on);
   }
 
-  /** When {@link #passed} is to be called next. */
+  /** When {@link #onTime} is to be called next. */
   public long nextUs() {
     return Math.min(failureDetector.nextUs(), members.nextExpiryUs());
   }
 
   /** Handles the timeouts that are due, and runs a protocol period if one is. */
-  public void passed(long nowUs) {
+  public void onTime(long nowUs) {
     failureDetector.resetAfterStall(nowUs);
     failureDetector.expire(nowUs);
     for (Member expired : members.removeExpired(nowUs)) {
@@ -178,7 +178,7 @@
   }
 
   /** Handles a message: merges the updates that it carries, then answers it. */
-  public void heard(long nowUs, GossipMessage message) {
+  public void onMessage(long nowUs, GossipMessage message) {
     Member from = message.from();
     if (from.name().equals(self().name()) && self().isAt(from.host(), from.port())) {
       return; // from this broker itself, or from an earlier process at its address
@@ -186,11 +186,11 @@
     failureDetector.resetAfterStall(nowUs);
     failureDetector.onMessage(nowUs);
     membershipUpdates.merge(from, nowUs);
-    message.peers().forEach(update -> membershipUpdates.merge(update, nowUs));
-    message.doubts().forEach(report -> membershipUpdates.merge(report, nowUs));
+    message.memberUpdates().forEach(update -> membershipUpdates.merge(update, nowUs));
+    message.suspicionReports().forEach(report -> membershipUpdates.merge(report, nowUs));
     antiEntropy.onMessage(message, nowUs);
     switch (message.kind()) {
-      case PING -> sender.send(from, GossipMessage.Kind.ACK, message.number());
+      case PING -> sender.send(from, GossipMessage.Kind.ACK, message.sequenceNumber());
       case JOIN -> onJoin(message);
       case PING_REQUEST -> failureDetector.onPingRequest(message, nowUs);
       case ACK -> failureDetector.onAck(message, nowUs);
@@ -204,12 +204,12 @@
     if (!settings.isAntiEntropyEnabled()) {
       updates.replaceAll(members.peers().stream().map(Member::name).toList());
     }
-    sender.send(message.from(), GossipMessage.Kind.ACK, message.number());
+    sender.send(message.from(), GossipMessage.Kind.ACK, message.sequenceNumber());
     antiEntropy.onJoin(message);
   }
 
   /** Sends the pending updates to a member at once, if it takes part. */
-  public void tell(String name) {
+  public void sendUpdates(String name) {
     Member peer = members.peer(name);
     if (peer != null && peer.takesPart()) {
       sender.sendGossip(peer);
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -3,35 +3,38 @@
 /**
  * The times and bounds of the membership protocol; times in microseconds.
  *
- * @param everyUs length of the protocol period: one member is pinged in each
- * @param answerUs timeout of a direct ping; after it the indirect probe begins, which takes as long
- * @param helpers members that are asked to ping on this broker's behalf
- * @param suspectUs base of the suspicion timeout: a suspect member is declared dead after it
- * @param forgetUs how long a dead member is remembered, so that late messages do not bring it back
- * @param mostPeers bound of the member list
- * @param tries failed pings in a row before a member is suspected
- * @param mostHealth bound of the local health score, by which a broker that is slow itself
+ * @param periodUs length of the protocol period: one member is pinged in each
+ * @param pingTimeoutUs timeout of a direct ping; after it the indirect probe begins, which takes as
+ *     long
+ * @param indirectProbes members that are asked to ping on this broker's behalf
+ * @param suspicionTimeoutUs base of the suspicion timeout: a suspect member is declared dead after
+ *     it
+ * @param deadRetentionUs how long a dead member is remembered, so that late messages do not bring
+ *     it back
+ * @param maxMembers bound of the member list
+ * @param pingAttempts failed pings in a row before a member is suspected
+ * @param maxLocalHealth bound of the local health score, by which a broker that is slow itself
  *     stretches its timeouts; 0: Lifeguard's extensions are off
- * @param stretch factor by which a suspicion that nobody confirms lasts longer than one with all
- *     confirmations; 1: all last the same, whatever the cluster size
- * @param wordBytes bound of one message
- * @param pageBytes bound of the member pages that a broker sends in a period to members whose
- *     digest differs; 0: anti-entropy is off
+ * @param suspicionMultiplier factor by which a suspicion that nobody confirms lasts longer than one
+ *     with all confirmations; 1: all last the same, whatever the cluster size
+ * @param maxMessageBytes bound of one message
+ * @param antiEntropyBytes bound of the member pages that a broker sends in a period to members
+ *     whose digest differs; 0: anti-entropy is off
  * @param addresses whether digests cover addresses; off where each broker may know another address
  *     of the same member
  */
 public record MembershipProtocolSettings(
-    long everyUs,
-    long answerUs,
-    int helpers,
-    long suspectUs,
-    long forgetUs,
-    int mostPeers,
-    int tries,
-    int mostHealth,
-    int stretch,
-    int wordBytes,
-    int pageBytes,
+    long periodUs,
+    long pingTimeoutUs,
+    int indirectProbes,
+    long suspicionTimeoutUs,
+    long deadRetentionUs,
+    int maxMembers,
+    int pingAttempts,
+    int maxLocalHealth,
+    int suspicionMultiplier,
+    int maxMessageBytes,
+    int antiEntropyBytes,
     boolean addresses) {
   /** A protocol period of 200 ms; the bounds that follow stand in docs/view.md. */
   public static final MembershipProtocolSettings STANDARD =
@@ -42,8 +45,10 @@
 
   /** Checks that the times fit each other and the bounds are positive. */
   public MembershipProtocolSettings {
-    requireValidTimes(everyUs, answerUs, helpers, suspectUs, forgetUs, mostPeers);
-    requireValidBounds(tries, mostHealth, stretch, wordBytes, pageBytes);
+    requireValidTimes(
+        periodUs, pingTimeoutUs, indirectProbes, suspicionTimeoutUs, deadRetentionUs, maxMembers);
+    requireValidBounds(
+        pingAttempts, maxLocalHealth, suspicionMultiplier, maxMessageBytes, antiEntropyBytes);
   }
 
   private static void requireValidTimes(
@@ -97,57 +102,85 @@
 
   /** These times with the standard bounds. */
   public MembershipProtocolSettings(
-      long everyUs, long answerUs, int helpers, long suspectUs, long forgetUs, int mostPeers) {
-    this(everyUs, answerUs, helpers, suspectUs, forgetUs, mostPeers, 3, 8, 4, 1_200, 4_800, true);
+      long periodUs,
+      long pingTimeoutUs,
+      int indirectProbes,
+      long suspicionTimeoutUs,
+      long deadRetentionUs,
+      int maxMembers) {
+    this(
+        periodUs,
+        pingTimeoutUs,
+        indirectProbes,
+        suspicionTimeoutUs,
+        deadRetentionUs,
+        maxMembers,
+        3,
+        8,
+        4,
+        1_200,
+        4_800,
+        true);
   }
 
   /** The same with messages of at most that many bytes. */
-  public MembershipProtocolSettings withWords(int bytes) {
+  public MembershipProtocolSettings withMaxMessageBytes(int bytes) {
     return new MembershipProtocolSettings(
-        everyUs,
-        answerUs,
-        helpers,
-        suspectUs,
-        forgetUs,
-        mostPeers,
-        tries,
-        mostHealth,
-        stretch,
+        periodUs,
+        pingTimeoutUs,
+        indirectProbes,
+        suspicionTimeoutUs,
+        deadRetentionUs,
+        maxMembers,
+        pingAttempts,
+        maxLocalHealth,
+        suspicionMultiplier,
         bytes,
-        pageBytes,
+        antiEntropyBytes,
         addresses);
   }
 
   /** The same with addresses covered by the digests, or not. */
   public MembershipProtocolSettings withAddresses(boolean compared) {
     return new MembershipProtocolSettings(
-        everyUs,
-        answerUs,
-        helpers,
-        suspectUs,
-        forgetUs,
-        mostPeers,
-        tries,
-        mostHealth,
-        stretch,
-        wordBytes,
-        pageBytes,
+        periodUs,
+        pingTimeoutUs,
+        indirectProbes,
+        suspicionTimeoutUs,
+        deadRetentionUs,
+        maxMembers,
+        pingAttempts,
+        maxLocalHealth,
+        suspicionMultiplier,
+        maxMessageBytes,
+        antiEntropyBytes,
         compared);
   }
 
   /** The same without Lifeguard, retries and anti-entropy, as a baseline for measurements. */
-  public MembershipProtocolSettings plain() {
+  public MembershipProtocolSettings baseline() {
     return new MembershipProtocolSettings(
-        everyUs, answerUs, 2, suspectUs, forgetUs, mostPeers, 1, 0, 1, 32_768, 0, addresses);
+        periodUs,
+        pingTimeoutUs,
+        2,
+        suspicionTimeoutUs,
+        deadRetentionUs,
+        maxMembers,
+        1,
+        0,
+        1,
+        32_768,
+        0,
+        addresses);
   }
 
   /** Whether Lifeguard's extensions to SWIM are on. */
   boolean isLifeguardEnabled() {
-    return mostHealth > 0;
+    return maxLocalHealth > 0;
   }
 
   /** Whether digests are announced and compared. */
   boolean isAntiEntropyEnabled() {
-    return pageBytes > 0;
+    return antiEntropyBytes > 0;
   }
 }
--- a/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
@@ -43,7 +43,7 @@
       // without end.
       return;
     }
-    if (current == null && members.peers().size() >= settings.mostPeers()) {
+    if (current == null && members.peers().size() >= settings.maxMembers()) {
       rejected++;
     } else if (current == null || update.replaces(current)) {
       members.put(update, nowUs);
--- a/src/main/java/dunlinhitch/cluster/MessageSender.java
+++ b/src/main/java/dunlinhitch/cluster/MessageSender.java
@@ -27,7 +27,7 @@
   private final MemberList members;
   private final SuspicionTable suspicions;
   private final UpdateQueue<String> updates;
-  private final MembershipProtocol.Out transport;
+  private final MembershipProtocol.Transport transport;
   private final IntFunction<List<EndpointObservation>> observations;
   private long lastSequenceNumber;
 
@@ -36,7 +36,7 @@
       MembershipProtocolSettings settings,
       MemberList members,
       UpdateQueue<String> updates,
-      MembershipProtocol.Out transport,
+      MembershipProtocol.Transport transport,
       IntFunction<List<EndpointObservation>> observations) {
     this.settings = settings;
     this.members = members;
@@ -130,7 +130,7 @@
             members.digest(),
             buckets,
             List.of());
-    return settings.wordBytes() - header.bytes();
+    return settings.maxMessageBytes() - header.bytes();
   }
 
   private void send(
--- a/src/main/java/dunlinhitch/cluster/ObservationTable.java
+++ b/src/main/java/dunlinhitch/cluster/ObservationTable.java
@@ -27,9 +27,9 @@
    */
   private static final Comparator<EndpointObservation> LATEST_FIRST =
       Comparator.comparingLong(EndpointObservation::startedMs)
-          .thenComparingLong(EndpointObservation::seenUs)
-          .thenComparingLong(EndpointObservation::number)
-          .thenComparing(EndpointObservation::author)
+          .thenComparingLong(EndpointObservation::observedUs)
+          .thenComparingLong(EndpointObservation::sequenceNumber)
+          .thenComparing(EndpointObservation::observer)
           .reversed();
 
   private final int maxEndpoints;
@@ -52,24 +52,24 @@
    */
   public boolean merge(EndpointObservation received, long nowUs) {
     EndpointObservation observation = notInTheFuture(received, nowUs);
-    if (nowUs - observation.seenUs() > maxAgeUs) {
+    if (nowUs - observation.observedUs() > maxAgeUs) {
       return false;
     }
-    List<EndpointObservation> current = byEndpoint.get(observation.store());
+    List<EndpointObservation> current = byEndpoint.get(observation.endpoint());
     if (current == null) {
       if (byEndpoint.size() >= maxEndpoints) {
         rejected++;
         return false;
       }
       current = new ArrayList<>(MAX_AUTHORS + 1);
-      byEndpoint.put(observation.store(), current);
+      byEndpoint.put(observation.endpoint(), current);
     }
     if (isOutdated(observation, current)) {
       return false;
     }
     current.removeIf(
         other ->
-            other.author().equals(observation.author())
+            other.observer().equals(observation.observer())
                 || other.startedMs() < observation.startedMs());
     current.add(observation);
     current.sort(LATEST_FIRST);
@@ -80,17 +80,17 @@
   }
 
   private static EndpointObservation notInTheFuture(EndpointObservation received, long nowUs) {
-    if (received.seenUs() <= nowUs) {
+    if (received.observedUs() <= nowUs) {
       return received;
     }
     return new EndpointObservation(
-        received.store(),
+        received.endpoint(),
         received.startedMs(),
-        received.author(),
-        received.number(),
+        received.observer(),
+        received.sequenceNumber(),
         nowUs,
         received.report(),
-        received.failed());
+        received.consecutiveFailures());
   }
 
   private static boolean isOutdated(
@@ -99,7 +99,7 @@
       return true;
     }
     for (EndpointObservation other : current) {
-      if (other.author().equals(observation.author()) && !observation.replaces(other)) {
+      if (other.observer().equals(observation.observer()) && !observation.replaces(other)) {
         return true;
       }
     }
@@ -115,8 +115,8 @@
    */
   public Optional<EndpointObservation> latestReport(String endpoint, long sinceUs, String except) {
     for (EndpointObservation observation : of(endpoint)) {
-      if (!observation.author().equals(except)
-          && observation.seenUs() > sinceUs
+      if (!observation.observer().equals(except)
+          && observation.observedUs() > sinceUs
           && !observation.report().isEmpty()) {
         return Optional.of(observation);
       }
@@ -127,7 +127,7 @@
   /** Whether any broker observed the endpoint since then, with a response or without. */
   public boolean observedSince(String endpoint, long sinceUs) {
     for (EndpointObservation observation : of(endpoint)) {
-      if (observation.seenUs() >= sinceUs) {
+      if (observation.observedUs() >= sinceUs) {
         return true;
       }
     }
@@ -138,7 +138,7 @@
   public int countFailing(String endpoint, int threshold) {
     int count = 0;
     for (EndpointObservation observation : of(endpoint)) {
-      if (observation.failed() >= threshold) {
+      if (observation.consecutiveFailures() >= threshold) {
         count++;
       }
     }
@@ -161,7 +161,7 @@
         .values()
         .removeIf(
             observations -> {
-              observations.removeIf(observation -> nowUs - observation.seenUs() > maxAgeUs);
+              observations.removeIf(observation -> nowUs - observation.observedUs() > maxAgeUs);
               return observations.isEmpty();
             });
   }
--- a/src/main/java/dunlinhitch/cluster/RelayedPings.java
+++ b/src/main/java/dunlinhitch/cluster/RelayedPings.java
@@ -25,20 +25,21 @@
 
   /** Pings the member that a ping-req names, if it is known. */
   void onPingRequest(GossipMessage message, long nowUs) {
-    Member target = members.peer(message.about());
-    if (target == null || pending.size() >= settings.mostPeers()) {
+    Member target = members.peer(message.subject());
+    if (target == null || pending.size() >= settings.maxMembers()) {
       return;
     }
     // Shorter than the requester's own timeout, so that it learns in time that its helper is alive.
-    long deadlineUs = nowUs + settings.answerUs() * 3 / 4;
+    long deadlineUs = nowUs + settings.pingTimeoutUs() * 3 / 4;
     long sequenceNumber = sender.nextSequenceNumber();
-    pending.put(sequenceNumber, new RelayedPing(message.from(), message.number(), deadlineUs));
+    pending.put(
+        sequenceNumber, new RelayedPing(message.from(), message.sequenceNumber(), deadlineUs));
     sender.send(target, GossipMessage.Kind.PING, sequenceNumber);
   }
 
   /** Forwards the ack of a relayed ping to its requester; other acks are ignored. */
   void onAck(GossipMessage message) {
-    RelayedPing ping = pending.remove(message.number());
+    RelayedPing ping = pending.remove(message.sequenceNumber());
     if (ping == null) {
       return;
     }
--- a/src/main/java/dunlinhitch/cluster/ReplicatedEntry.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedEntry.java
@@ -5,10 +5,10 @@
  * timestamp: the later replaces the earlier.
  *
  * @param key what the entry is about
- * @param author the broker that it originates from
- * @param atUs its timestamp on the origin's wall clock, in microseconds
+ * @param origin the broker that it originates from
+ * @param timestampUs its timestamp on the origin's wall clock, in microseconds
  * @param value its value
  * @param <K> the type of the keys
  * @param <V> the type of the values
  */
-public record ReplicatedEntry<K, V>(K key, String author, long atUs, V value) {}
+public record ReplicatedEntry<K, V>(K key, String origin, long timestampUs, V value) {}
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
@@ -54,8 +54,8 @@
   public ReplicatedMap(ReplicatedMapSettings settings, Comparator<? super K> keyOrder) {
     this.settings = settings;
     oldestFirst =
-        Comparator.<ReplicatedEntry<K, V>>comparingLong(ReplicatedEntry::atUs)
-            .thenComparing(ReplicatedEntry::author)
+        Comparator.<ReplicatedEntry<K, V>>comparingLong(ReplicatedEntry::timestampUs)
+            .thenComparing(ReplicatedEntry::origin)
             .thenComparing(ReplicatedEntry::key, keyOrder);
     byAge = new TreeSet<>(oldestFirst);
   }
@@ -65,51 +65,53 @@
    * the map changes only where the result is {@link MergeResult#NEWS} or {@link
    * MergeResult#CROWDED_OUT}.
    */
-  public MergeResult take(long nowUs, ReplicatedEntry<K, V> received) {
+  public MergeResult merge(long nowUs, ReplicatedEntry<K, V> received) {
     Objects.requireNonNull(received.key());
-    forget(nowUs);
-    if (received.atUs() > nowUs + settings.skewUs()) {
+    expire(nowUs);
+    if (received.timestampUs() > nowUs + settings.skewUs()) {
       return MergeResult.FROM_THE_FUTURE;
     }
-    if (received.atUs() <= nowUs - settings.lifeUs()) {
+    if (received.timestampUs() <= nowUs - settings.timeToLiveUs()) {
       return MergeResult.OLD;
     }
-    EntryId<K> id = new EntryId<>(received.key(), received.author());
+    EntryId<K> id = new EntryId<>(received.key(), received.origin());
     StoredEntry<K, V> before = entries.get(id);
-    if (before != null && before.entry().atUs() >= received.atUs()) {
-      return before.entry().atUs() == received.atUs() ? MergeResult.KNOWN : MergeResult.OLD;
+    if (before != null && before.entry().timestampUs() >= received.timestampUs()) {
+      return before.entry().timestampUs() == received.timestampUs()
+          ? MergeResult.KNOWN
+          : MergeResult.OLD;
     }
     if (before != null) {
       remove(before.entry());
     }
     TreeSet<ReplicatedEntry<K, V>> ofOrigin =
-        byOrigin.computeIfAbsent(received.author(), origin -> new TreeSet<>(oldestFirst));
+        byOrigin.computeIfAbsent(received.origin(), origin -> new TreeSet<>(oldestFirst));
     entries.put(id, new StoredEntry<>(received, ++version));
     ofOrigin.add(received);
     byAge.add(received);
-    evict(received.author());
+    evict(received.origin());
     return entries.containsKey(id) ? MergeResult.NEWS : MergeResult.CROWDED_OUT;
   }
 
   private void evict(String origin) {
     TreeSet<ReplicatedEntry<K, V>> ofOrigin = byOrigin.get(origin);
-    if (ofOrigin.size() > settings.mostOfAuthor()) {
+    if (ofOrigin.size() > settings.maxEntriesPerOrigin()) {
       remove(ofOrigin.first());
     }
-    if (byAge.size() > settings.most()) {
+    if (byAge.size() > settings.maxEntries()) {
       remove(byAge.first());
     }
   }
 
   /** Removes the entries that have expired. */
-  public void forget(long nowUs) {
-    while (!byAge.isEmpty() && byAge.first().atUs() <= nowUs - settings.lifeUs()) {
+  public void expire(long nowUs) {
+    while (!byAge.isEmpty() && byAge.first().timestampUs() <= nowUs - settings.timeToLiveUs()) {
       remove(byAge.first());
     }
   }
 
   /** Removes all entries of an origin: it has left for good, or is not trusted any more. */
-  public void leave(String origin) {
+  public void removeOrigin(String origin) {
     TreeSet<ReplicatedEntry<K, V>> ofOrigin = byOrigin.get(origin);
     if (ofOrigin != null) {
       List.copyOf(ofOrigin).forEach(this::remove);
@@ -117,12 +119,12 @@
   }
 
   private void remove(ReplicatedEntry<K, V> entry) {
-    entries.remove(new EntryId<>(entry.key(), entry.author()));
+    entries.remove(new EntryId<>(entry.key(), entry.origin()));
     byAge.remove(entry);
-    TreeSet<ReplicatedEntry<K, V>> ofOrigin = byOrigin.get(entry.author());
+    TreeSet<ReplicatedEntry<K, V>> ofOrigin = byOrigin.get(entry.origin());
     ofOrigin.remove(entry);
     if (ofOrigin.isEmpty()) {
-      byOrigin.remove(entry.author());
+      byOrigin.remove(entry.origin());
     }
   }
 
@@ -154,7 +156,7 @@
       if (recent.size() >= most) {
         break;
       }
-      if (entries.get(new EntryId<>(entry.key(), entry.author())).version() > version) {
+      if (entries.get(new EntryId<>(entry.key(), entry.origin())).version() > version) {
         recent.add(entry);
       }
     }
--- a/src/main/java/dunlinhitch/cluster/SharedObservations.java
+++ b/src/main/java/dunlinhitch/cluster/SharedObservations.java
@@ -49,9 +49,9 @@
 
   SharedObservations(String self, ClusterSettings settings) {
     this.self = self;
-    maxEndpoints = settings.mostStores();
-    minimumIntervalUs = settings.turnUs();
-    table = new ObservationTable(settings.mostStores(), settings.staleUs());
+    maxEndpoints = settings.maxEndpoints();
+    minimumIntervalUs = settings.epochUs();
+    table = new ObservationTable(settings.maxEndpoints(), settings.maxAgeUs());
   }
 
   /** All observations that are current, this broker's own included. */
@@ -61,7 +61,7 @@
 
   /** Merges an observation of another broker; true where it is new, and then it is forwarded. */
   boolean receive(EndpointObservation observation, long wallUs) {
-    if (observation.author().equals(self) || !table.merge(observation, wallUs)) {
+    if (observation.observer().equals(self) || !table.merge(observation, wallUs)) {
       return false;
     }
     enqueue(observation);
@@ -76,7 +76,10 @@
    * @return true where the endpoint began or ceased to fail
    */
   boolean recordAttempt(
-      ClusterCoordinator.Listed endpoint, boolean answered, List<Float> report, long wallUs) {
+      ClusterCoordinator.ListedEndpoint endpoint,
+      boolean answered,
+      List<Float> report,
+      long wallUs) {
     String name = endpoint.name();
     int failuresBefore = consecutiveFailures.getOrDefault(name, 0);
     int failures = answered ? 0 : failuresBefore + 1;
@@ -106,7 +109,7 @@
   }
 
   /** Shares an observation of this broker with its current count of failures. */
-  void share(ClusterCoordinator.Listed endpoint, List<Float> report, long wallUs) {
+  void share(ClusterCoordinator.ListedEndpoint endpoint, List<Float> report, long wallUs) {
     EndpointObservation observation =
         new EndpointObservation(
             endpoint.name(),
--- a/src/main/java/dunlinhitch/cluster/Subsetting.java
+++ b/src/main/java/dunlinhitch/cluster/Subsetting.java
@@ -44,7 +44,7 @@
     Assignment assignment =
         new Assignment(
             settings.size(members.size(), stores.size()),
-            settings.most(members.size(), stores.size()));
+            settings.maxLoad(members.size(), stores.size()));
     for (String broker : RendezvousHash.order(brokers.keySet(), "turn", cell)) {
       assignment.assign(broker, preferences(cell, brokers.get(broker), endpointZones));
     }
--- a/src/main/java/dunlinhitch/cluster/SuspicionTable.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionTable.java
@@ -66,7 +66,7 @@
         || !suspicion.accusers.add(report.by())) {
       return false;
     }
-    if (settings.stretch() > 1) {
+    if (settings.suspicionMultiplier() > 1) {
       pendingReports.enqueue(report);
     }
     return true;
@@ -86,15 +86,15 @@
 
   /** How long a suspicion with so many accusers lasts in a cluster of that size. */
   long timeoutUs(int accusers, int members) {
-    if (settings.stretch() == 1) {
-      return settings.suspectUs();
+    if (settings.suspicionMultiplier() == 1) {
+      return settings.suspicionTimeoutUs();
     }
-    double shortest = settings.suspectUs() * Math.max(1, Math.log10(members));
+    double shortest = settings.suspicionTimeoutUs() * Math.max(1, Math.log10(members));
     int requiredConfirmations = Math.min(MAX_CONFIRMATIONS, members - 2);
     if (requiredConfirmations <= 0) {
       return (long) shortest;
     }
-    double longest = shortest * settings.stretch();
+    double longest = shortest * settings.suspicionMultiplier();
     int confirmations = Math.min(requiredConfirmations, Math.max(0, accusers - 1));
     return (long)
         (longest
--- a/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
@@ -18,11 +18,11 @@
  */
 public final class AddressBook {
   /** A configured address; the name of the broker there may be empty. */
-  public record Known(String name, String host, int port) {}
+  public record BrokerAddress(String name, String host, int port) {}
 
-  private final int mostBytes;
-  private final Set<Known> addresses = new HashSet<>();
-  private final Map<String, Known> byName = new HashMap<>();
+  private final int maxDatagramBytes;
+  private final Set<BrokerAddress> addresses = new HashSet<>();
+  private final Map<String, BrokerAddress> byName = new HashMap<>();
 
   /**
    * Creates an address book.
@@ -30,9 +30,9 @@
    * @param mostBytes the largest datagram that may be sent
    * @param configured the addresses of all brokers; empty where any address is allowed
    */
-  public AddressBook(int mostBytes, List<Known> configured) {
-    this.mostBytes = mostBytes;
-    for (Known address : configured) {
+  public AddressBook(int mostBytes, List<BrokerAddress> configured) {
+    this.maxDatagramBytes = mostBytes;
+    for (BrokerAddress address : configured) {
       addresses.add(addressOnly(address.host(), address.port()));
       if (!address.name().isEmpty()) {
         byName.put(address.name(), address);
@@ -41,15 +41,15 @@
   }
 
   /** The largest datagram that may be sent, in bytes. */
-  public int mostBytes() {
-    return mostBytes;
+  public int maxDatagramBytes() {
+    return maxDatagramBytes;
   }
 
   /**
    * True where the addresses are configured: then two brokers may rightly have different addresses
    * for the same third one.
    */
-  public boolean isTold() {
+  public boolean isConfigured() {
     return !addresses.isEmpty();
   }
 
@@ -58,9 +58,9 @@
     return addresses.isEmpty() || addresses.contains(addressOnly(host, port));
   }
 
-  private static Known addressOnly(String host, int port) {
+  private static BrokerAddress addressOnly(String host, int port) {
     InetAddress address = NetUtil.createInetAddressFromIpAddressString(host); // never asks DNS
-    return new Known("", address == null ? host : address.getHostAddress(), port);
+    return new BrokerAddress("", address == null ? host : address.getHostAddress(), port);
   }
 
   /** The message with the addresses that are valid here; it was received from that address. */
@@ -70,18 +70,18 @@
         : new GossipMessage(
             message.kind(),
             withAddress(message.from(), host, port),
-            message.number(),
-            message.about(),
+            message.sequenceNumber(),
+            message.subject(),
             message.versions(),
-            message.peers().stream().map(this::withConfiguredAddress).toList(),
-            message.signals(),
+            message.memberUpdates().stream().map(this::withConfiguredAddress).toList(),
+            message.observations(),
             message.digest(),
             message.buckets(),
-            message.doubts());
+            message.suspicionReports());
   }
 
   private Member withConfiguredAddress(Member member) {
-    Known address = byName.get(member.name());
+    BrokerAddress address = byName.get(member.name());
     return address == null ? member : withAddress(member, address.host(), address.port());
   }
 
--- a/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
@@ -52,16 +52,16 @@
     out.writeRawByte(kindAndFlags(message));
     out.writeRawByte(WireFormat.code(message.from().status()));
     writeMember(out, message.from(), 0);
-    out.writeUInt64NoTag(message.number());
-    if (!message.about().isEmpty()) {
-      strings.write(out, message.about());
+    out.writeUInt64NoTag(message.sequenceNumber());
+    if (!message.subject().isEmpty()) {
+      strings.write(out, message.subject());
     }
     VersionVector versions = message.versions();
     if (versions != null) {
       strings.write(out, versions.build());
       strings.write(out, versions.settings());
       out.writeSInt64NoTag(versions.settingsMs() - baseMs);
-      out.writeUInt64NoTag(versions.roster());
+      out.writeUInt64NoTag(versions.endpointListGeneration());
     }
     if (message.digest() != 0) {
       out.writeFixed64NoTag(message.digest());
@@ -71,7 +71,7 @@
 
   private static int kindAndFlags(GossipMessage message) {
     return WireFormat.code(message.kind())
-        | (message.about().isEmpty() ? 0 : WireFormat.HAS_SUBJECT)
+        | (message.subject().isEmpty() ? 0 : WireFormat.HAS_SUBJECT)
         | (message.versions() == null ? 0 : WireFormat.HAS_VERSIONS)
         | (message.digest() == 0 ? 0 : WireFormat.HAS_DIGEST)
         | (message.buckets().isEmpty() ? 0 : WireFormat.HAS_BUCKETS);
@@ -124,7 +124,7 @@
   boolean addObservation(EndpointObservation observation) {
     boolean added = append(out -> writeObservation(out, observation));
     if (added) {
-      lastObservedUs = observation.seenUs();
+      lastObservedUs = observation.observedUs();
     }
     return added;
   }
@@ -137,18 +137,18 @@
       throw new IOException("a load report of no use: " + observation.report());
     }
     out.writeRawByte(WireFormat.OBSERVATION_ITEM | (values << WireFormat.ITEM_TYPE_BITS));
-    strings.write(out, observation.store());
-    strings.write(out, observation.author());
+    strings.write(out, observation.endpoint());
+    strings.write(out, observation.observer());
     out.writeUInt64NoTag(
         observation.startedMs() == 0
             ? 0
             : CodedOutputStream.encodeZigZag64(observation.startedMs() - baseMs) + 1);
-    out.writeUInt64NoTag(observation.number());
-    out.writeSInt64NoTag(observation.seenUs() - lastObservedUs);
+    out.writeUInt64NoTag(observation.sequenceNumber());
+    out.writeSInt64NoTag(observation.observedUs() - lastObservedUs);
     for (float value : observation.report()) {
       out.writeFloatNoTag(value);
     }
-    out.writeUInt32NoTag(observation.failed());
+    out.writeUInt32NoTag(observation.consecutiveFailures());
   }
 
   private boolean append(Section section) {
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
@@ -66,7 +66,9 @@
   }
 
   private static int itemCount(GossipMessage message) {
-    return message.peers().size() + message.signals().size() + message.doubts().size();
+    return message.memberUpdates().size()
+        + message.observations().size()
+        + message.suspicionReports().size();
   }
 
   /** The header of every datagram but the first. */
@@ -88,14 +90,14 @@
     return new GossipMessage(
         message.kind(),
         message.from(),
-        message.number(),
-        message.about(),
+        message.sequenceNumber(),
+        message.subject(),
         null,
-        message.peers(),
-        message.signals(),
+        message.memberUpdates(),
+        message.observations(),
         message.digest(),
         message.buckets(),
-        message.doubts());
+        message.suspicionReports());
   }
 
   /**
@@ -106,16 +108,18 @@
   private static List<Item> items(GossipMessage message) {
     List<Item> items = new ArrayList<>();
     List<Member> alive = new ArrayList<>();
-    for (Member member : message.peers()) {
+    for (Member member : message.memberUpdates()) {
       if (member.status() == Member.Status.ALIVE) {
         alive.add(member);
       } else {
         items.add(writer -> writer.addMember(member));
       }
     }
-    message.doubts().forEach(suspicion -> items.add(writer -> writer.addSuspicion(suspicion)));
+    message
+        .suspicionReports()
+        .forEach(suspicion -> items.add(writer -> writer.addSuspicion(suspicion)));
     Iterator<Member> members = alive.iterator();
-    Iterator<EndpointObservation> observations = message.signals().iterator();
+    Iterator<EndpointObservation> observations = message.observations().iterator();
     while (members.hasNext() || observations.hasNext()) {
       if (observations.hasNext()) {
         EndpointObservation observation = observations.next();
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
@@ -21,7 +21,7 @@
  */
 public final class GossipSocket {
   /** The largest datagram where none is configured: no common link fragments it. */
-  public static final int STANDARD_BYTES = 1_200;
+  public static final int DEFAULT_MAX_BYTES = 1_200;
 
   /**
    * Datagrams of one message. Updates that do not fit are disseminated with a later message, or by
@@ -59,7 +59,7 @@
         vertx.createDatagramSocket(
             new DatagramSocketOptions().setReceiveBufferSize(RECEIVE_BUFFER_BYTES));
     socket.handler(this::onDatagram);
-    socket.exceptionHandler(error -> count(Counter.PEER_WORDS_UNREAD));
+    socket.exceptionHandler(error -> count(Counter.GOSSIP_UNREADABLE));
   }
 
   /** Binds the socket; the result is the port. */
@@ -71,9 +71,9 @@
     SocketAddress sender = packet.sender();
     byte[] bytes = packet.data().getBytes();
     if (!addresses.permits(sender.hostAddress(), sender.port())) {
-      count(Counter.PEER_WORDS_FOREIGN);
-    } else if (bytes.length > STANDARD_BYTES) {
-      count(Counter.PEER_WORDS_HUGE);
+      count(Counter.GOSSIP_FOREIGN);
+    } else if (bytes.length > DEFAULT_MAX_BYTES) {
+      count(Counter.GOSSIP_OVERSIZED);
     } else {
       try {
         GossipMessage message = GossipDecoder.decode(bytes);
@@ -82,7 +82,7 @@
               new Event.GossipReceived(
                   addresses.withLocalAddresses(message, sender.hostAddress(), sender.port())));
         } else {
-          count(Counter.PEER_WORDS_DOUBLE);
+          count(Counter.GOSSIP_DUPLICATE);
         }
       } catch (MalformedMessageException e) {
         count(e.reason().counter());
@@ -106,14 +106,14 @@
   }
 
   /** Sends a message. A lost one is not sent again: later ones repeat its updates. */
-  public void tell(Effect.SendGossip effect) {
+  public void send(Effect.SendGossip effect) {
     GossipEncoder.Datagrams datagrams =
-        GossipEncoder.encode(effect.word(), addresses.mostBytes(), MAX_DATAGRAMS);
+        GossipEncoder.encode(effect.message(), addresses.maxDatagramBytes(), MAX_DATAGRAMS);
     if (datagrams.all().isEmpty()) {
-      count(Counter.PEER_WORDS_UNSENT);
+      count(Counter.GOSSIP_UNSENT);
     }
     for (int i = 0; i < datagrams.omittedItems(); i++) {
-      count(Counter.PEER_NEWS_LEFT_OUT);
+      count(Counter.GOSSIP_UPDATES_OMITTED);
     }
     datagrams.all().forEach(bytes -> send(bytes, effect.host(), effect.port()));
   }
@@ -123,13 +123,11 @@
    * its address is not permitted.
    */
   void send(byte[] bytes, String host, int port) {
-    if (bytes.length > addresses.mostBytes() || !addresses.permits(host, port)) {
-      count(Counter.PEER_WORDS_UNSENT);
+    if (bytes.length > addresses.maxDatagramBytes() || !addresses.permits(host, port)) {
+      count(Counter.GOSSIP_UNSENT);
       return;
     }
-    socket
-        .send(Buffer.buffer(bytes), port, host)
-        .onFailure(error -> count(Counter.PEER_WORDS_UNSENT));
+    socket.send(Buffer.buffer(bytes), port, host).onFailure(error -> count(Counter.GOSSIP_UNSENT));
   }
 
   /** Closes the socket. */
--- a/src/main/java/dunlinhitch/cluster/gossip/MalformedMessageException.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/MalformedMessageException.java
@@ -12,13 +12,13 @@
   /** Why a datagram was dropped, as operators see it in the counters. */
   enum Reason {
     /** Truncated or changed in transit. */
-    CORRUPT(Counter.PEER_WORDS_CUT),
+    CORRUPT(Counter.GOSSIP_TRUNCATED),
     /** Of a newer version: its sender was upgraded before this broker. */
-    NEWER_VERSION(Counter.PEER_WORDS_LATER),
+    NEWER_VERSION(Counter.GOSSIP_OTHER_VERSION),
     /** Of an older version: its sender is upgraded after this broker. */
-    OLDER_VERSION(Counter.PEER_WORDS_UNREAD),
+    OLDER_VERSION(Counter.GOSSIP_UNREADABLE),
     /** No gossip message at all, or one with an invalid field. */
-    INVALID(Counter.PEER_WORDS_UNREAD);
+    INVALID(Counter.GOSSIP_UNREADABLE);
 
     private final Counter counter;
 
--- a/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
@@ -74,7 +74,7 @@
    * A broker, this one or another, announces the versions that it acts on. An announcement that was
    * overtaken by a newer one is ignored.
    */
-  public void told(long nowUs, String broker, VersionVector versions) {
+  public void onVersions(long nowUs, String broker, VersionVector versions) {
     VersionVector before = versionsByBroker.get(broker);
     if (before != null && isReordered(before, versions)) {
       return;
@@ -86,12 +86,12 @@
   private static boolean isReordered(VersionVector before, VersionVector received) {
     return before.settings().equals(received.settings())
         && before.build().equals(received.build())
-        && received.roster() < before.roster()
+        && received.endpointListGeneration() < before.endpointListGeneration()
         && received.settingsMs() <= before.settingsMs();
   }
 
   /** Another broker takes part no more: its versions do not count any longer. */
-  public void left(long nowUs, String broker) {
+  public void onMemberLeft(long nowUs, String broker) {
     if (!broker.equals(self) && versionsByBroker.remove(broker) != null) {
       skewsByBroker.remove(broker);
       evaluate(nowUs);
@@ -99,14 +99,14 @@
   }
 
   /** Returns the verdicts since the last call. */
-  public List<SkewVerdict> passed(long nowUs) {
+  public List<SkewVerdict> verdicts(long nowUs) {
     evaluate(nowUs);
     List<SkewVerdict> verdicts = List.copyOf(pendingVerdicts);
     pendingVerdicts.clear();
     return verdicts;
   }
 
-  /** When {@link #passed} is to be called next, at the latest. */
+  /** When {@link #verdicts} is to be called next, at the latest. */
   public long nextUs() {
     long next = pendingVerdicts.isEmpty() ? Long.MAX_VALUE : 0;
     for (Map.Entry<String, Map<SkewVerdict.Kind, Skew>> entry : skewsByBroker.entrySet()) {
@@ -130,7 +130,7 @@
   }
 
   /** The brokers that are fenced, this one included where it is. */
-  public Set<String> shutOut() {
+  public Set<String> fenced() {
     Set<String> fenced = new TreeSet<>();
     skewsByBroker.forEach(
         (broker, skews) -> {
@@ -142,7 +142,7 @@
   }
 
   /** The versions that each broker acts on, as far as they are known here. */
-  public Map<String, VersionVector> held() {
+  public Map<String, VersionVector> versionsByBroker() {
     return Map.copyOf(versionsByBroker);
   }
 
@@ -187,7 +187,7 @@
   private Map<String, Long> newestGenerationBySettings() {
     Map<String, Long> newest = new LinkedHashMap<>();
     for (VersionVector versions : versionsByBroker.values()) {
-      newest.merge(versions.settings(), versions.roster(), Math::max);
+      newest.merge(versions.settings(), versions.endpointListGeneration(), Math::max);
     }
     return newest;
   }
@@ -197,12 +197,12 @@
     long newer =
         versionsByBroker.values().stream()
             .filter(other -> other.settings().equals(versions.settings()))
-            .filter(other -> other.roster() > versions.roster())
+            .filter(other -> other.endpointListGeneration() > versions.endpointListGeneration())
             .count();
     return new Comparison(
-        versions.roster() < newestGeneration,
+        versions.endpointListGeneration() < newestGeneration,
         isMajority(newer),
-        Long.toString(versions.roster()),
+        Long.toString(versions.endpointListGeneration()),
         Long.toString(newestGeneration));
   }
 
--- a/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
@@ -7,13 +7,14 @@
  * @param settings a digest of the parsed settings, see {@link SettingsDigest}
  * @param settingsMs when the settings file was written, Unix time in milliseconds; orders two
  *     digests
- * @param roster the generation of the endpoint list, 0 before the first; comparable only among
- *     brokers with the same settings, for those name the same discovery
+ * @param endpointListGeneration the generation of the endpoint list, 0 before the first; comparable
+ *     only among brokers with the same settings, for those name the same discovery
  */
-public record VersionVector(String build, String settings, long settingsMs, long roster) {
+public record VersionVector(
+    String build, String settings, long settingsMs, long endpointListGeneration) {
   /** Checks that the texts are not empty and the numbers not negative. */
   public VersionVector {
-    if (build.isEmpty() || settings.isEmpty() || settingsMs < 0 || roster < 0) {
+    if (build.isEmpty() || settings.isEmpty() || settingsMs < 0 || endpointListGeneration < 0) {
       throw new IllegalArgumentException(
           "versions name a build and settings and count from 0: "
               + build
@@ -22,12 +23,12 @@
               + ", "
               + settingsMs
               + ", "
-              + roster);
+              + endpointListGeneration);
     }
   }
 
   /** The same with another generation of the endpoint list. */
-  public VersionVector withRoster(long generation) {
+  public VersionVector withEndpointListGeneration(long generation) {
     return new VersionVector(build, settings, settingsMs, generation);
   }
 
--- a/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
+++ b/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
@@ -2,7 +2,7 @@
 
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Config.ConfigException;
-import dunlinhitch.config.GossipAddresses.Known;
+import dunlinhitch.config.GossipAddresses.Peer;
 import java.util.List;
 
 /** Completes a {@code [fleet]} section that names no addresses by the platform's. */
@@ -20,7 +20,7 @@
    * @throws ConfigException if the section names no addresses and the platform has none either
    */
   static Product resolve(Product product, GossipAddresses platform, String brokerName) {
-    Product.Fleet cluster = product.fleet();
+    Product.Cluster cluster = product.cluster();
     if (cluster == null || cluster.listen() != null) {
       return product;
     }
@@ -35,7 +35,10 @@
     }
     Address advertise = advertisedAddress(platform, brokerName);
     List<Address> peers =
-        platform.peers().stream().map(Known::at).filter(peer -> !peer.equals(advertise)).toList();
+        platform.peers().stream()
+            .map(Peer::address)
+            .filter(peer -> !peer.equals(advertise))
+            .toList();
     if (peers.isEmpty() && platform.all() != null) {
       peers = List.of(platform.all());
     }
@@ -45,7 +48,7 @@
   private static Address advertisedAddress(GossipAddresses platform, String brokerName) {
     return platform.peers().stream()
         .filter(peer -> peer.name().equals(brokerName))
-        .map(Known::at)
+        .map(Peer::address)
         .findFirst()
         .orElse(platform.listen());
   }
--- a/src/main/java/dunlinhitch/config/ClusterSectionReader.java
+++ b/src/main/java/dunlinhitch/config/ClusterSectionReader.java
@@ -16,7 +16,7 @@
   }
 
   /** Reads and checks the section; errors are reported in the order of its directives. */
-  Product.Fleet read() {
+  Product.Cluster read() {
     Address listen = ProductReader.address(section, "listen");
     List<Address> peers = ProductReader.addresses(section, "peer");
     checkPeers(listen, peers);
@@ -27,7 +27,7 @@
     checkFailureDetection();
     checkHealthChecks();
     checkVersionSkew();
-    return new Product.Fleet(
+    return new Product.Cluster(
         listen,
         advertise,
         peers,
--- a/src/main/java/dunlinhitch/config/Config.java
+++ b/src/main/java/dunlinhitch/config/Config.java
@@ -13,13 +13,13 @@
  * @param admin address for operators, or null
  * @param discovery address of the discovery service
  * @param seed seed of the balancer's random numbers
- * @param known the endpoint list as the broker last had it, empty if there was none
+ * @param initialEndpoints the endpoint list as the broker last had it, empty if there was none
  * @param sockets number of file descriptors that the process may have open
  * @param settings settings of the load balancer
  * @param product what the product's own settings file switches on
- * @param scratch a folder that the processes of this broker share, or null
+ * @param sharedFolder a folder that the processes of this broker share, or null
  * @param writtenMs when the file was written, Unix time in milliseconds; 0 if unknown
- * @param talk what the platform says of the addresses for gossip, or null
+ * @param gossipAddresses what the platform says of the addresses for gossip, or null
  */
 public record Config(
     String name,
@@ -27,15 +27,15 @@
     Address admin,
     Address discovery,
     long seed,
-    JsonObject known,
+    JsonObject initialEndpoints,
     int sockets,
     Settings settings,
     Product product,
-    Path scratch,
+    Path sharedFolder,
     long writtenMs,
-    GossipAddresses talk) {
+    GossipAddresses gossipAddresses) {
   /** Number of file descriptors where the file has no {@code limits.sockets}. */
-  public static final int SOCKETS = 1024;
+  public static final int DEFAULT_SOCKETS = 1024;
 
   /** Creates a configuration of a platform without addresses for gossip. */
   public Config(
@@ -44,14 +44,24 @@
       Address admin,
       Address discovery,
       long seed,
-      JsonObject known,
+      JsonObject initialEndpoints,
       int sockets,
       Settings settings,
       Product product,
-      Path scratch,
+      Path sharedFolder,
       long writtenMs) {
     this(
-        name, listen, admin, discovery, seed, known, sockets, settings, product, scratch, writtenMs,
+        name,
+        listen,
+        admin,
+        discovery,
+        seed,
+        initialEndpoints,
+        sockets,
+        settings,
+        product,
+        sharedFolder,
+        writtenMs,
         null);
   }
 
--- a/src/main/java/dunlinhitch/config/ConfigFile.java
+++ b/src/main/java/dunlinhitch/config/ConfigFile.java
@@ -50,7 +50,7 @@
    * @throws Config.ConfigException if the file can not be used, lacks a key of the current one, or
    *     changes what needs a restart
    */
-  public Config again() {
+  public Config reload() {
     JsonObject root = ConfigReader.parse(file);
     RequiredKeys.check(file, currentRoot, root);
     Map<String, String> overrides = new HashMap<>(environment);
--- a/src/main/java/dunlinhitch/config/ConfigReader.java
+++ b/src/main/java/dunlinhitch/config/ConfigReader.java
@@ -98,7 +98,9 @@
 
   private static int socketLimit(JsonValue limits) {
     int sockets =
-        isAbsent(limits) ? Config.SOCKETS : limits.asObject().getInt("sockets", Config.SOCKETS);
+        isAbsent(limits)
+            ? Config.DEFAULT_SOCKETS
+            : limits.asObject().getInt("sockets", Config.DEFAULT_SOCKETS);
     if (sockets < MIN_SOCKETS) {
       throw new ConfigException("limits.sockets is under " + MIN_SOCKETS + ": " + sockets);
     }
--- a/src/main/java/dunlinhitch/config/GossipAddresses.java
+++ b/src/main/java/dunlinhitch/config/GossipAddresses.java
@@ -6,21 +6,22 @@
 /**
  * The platform's addresses for gossip between brokers: its keys {@code peer_listen}, {@code peers}
  * and {@code peers_all}. They switch nothing on. Unusable keys do not keep a broker from starting:
- * {@code trouble} says what is wrong then, and there are no addresses.
+ * {@code unusableReason} says what is wrong then, and there are no addresses.
  *
  * @param listen where gossip messages to this broker are delivered, or null
  * @param peers the other brokers, and possibly this one
  * @param all an address that stands for all of them, or null
- * @param trouble why the addresses can not be used, in one line, or null
+ * @param unusableReason why the addresses can not be used, in one line, or null
  */
-public record GossipAddresses(Address listen, List<Known> peers, Address all, String trouble) {
+public record GossipAddresses(
+    Address listen, List<Peer> peers, Address all, String unusableReason) {
   /**
    * One broker of the platform's list.
    *
    * @param name its name, empty if the platform gives none
-   * @param at its address
+   * @param address its address
    */
-  public record Known(String name, Address at) {}
+  public record Peer(String name, Address address) {}
 
   /** Copies the peers. */
   public GossipAddresses {
--- a/src/main/java/dunlinhitch/config/GossipAddressesReader.java
+++ b/src/main/java/dunlinhitch/config/GossipAddressesReader.java
@@ -4,7 +4,7 @@
 import com.eclipsesource.json.JsonValue;
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Config.ConfigException;
-import dunlinhitch.config.GossipAddresses.Known;
+import dunlinhitch.config.GossipAddresses.Peer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.regex.Pattern;
@@ -81,8 +81,8 @@
   }
 
   /** Reads one entry or an array of entries. */
-  private static List<Known> peers(JsonValue value) {
-    List<Known> peers = new ArrayList<>();
+  private static List<Peer> peers(JsonValue value) {
+    List<Peer> peers = new ArrayList<>();
     if (value.isArray()) {
       value.asArray().forEach(entry -> peers.addAll(peersOfEntry(entry)));
     } else {
@@ -98,13 +98,13 @@
    * Reads an entry: an address, an object with a name and an address, or an object of addresses by
    * name.
    */
-  private static List<Known> peersOfEntry(JsonValue entry) {
+  private static List<Peer> peersOfEntry(JsonValue entry) {
     if (!entry.isObject()) {
-      return List.of(new Known("", address(PEERS, entry)));
+      return List.of(new Peer("", address(PEERS, entry)));
     }
     JsonObject object = entry.asObject();
     JsonValue name = object.get("name");
-    List<Known> peers =
+    List<Peer> peers =
         name != null && name.isString()
             ? peerWithName(name.asString(), object)
             : peersByName(object);
@@ -114,20 +114,20 @@
     return peers;
   }
 
-  private static List<Known> peersByName(JsonObject addresses) {
-    List<Known> peers = new ArrayList<>();
+  private static List<Peer> peersByName(JsonObject addresses) {
+    List<Peer> peers = new ArrayList<>();
     for (JsonObject.Member member : addresses) {
-      peers.add(new Known(member.getName(), address(PEERS, member.getValue())));
+      peers.add(new Peer(member.getName(), address(PEERS, member.getValue())));
     }
     return peers;
   }
 
   /** Takes the first member that is an address; there may be others, such as a zone. */
-  private static List<Known> peerWithName(String name, JsonObject object) {
+  private static List<Peer> peerWithName(String name, JsonObject object) {
     for (JsonObject.Member member : object) {
       JsonValue value = member.getValue();
       if (value.isString() && ADDRESS.matcher(value.asString()).matches()) {
-        return List.of(new Known(name, address(PEERS, value)));
+        return List.of(new Peer(name, address(PEERS, value)));
       }
     }
     return List.of();
--- a/src/main/java/dunlinhitch/config/Product.java
+++ b/src/main/java/dunlinhitch/config/Product.java
@@ -16,7 +16,7 @@
  * @param stateDir folder of the last known state, or null
  * @param membership times of the endpoint registry, or null for the defaults
  * @param phases query classes that may run in two phases
- * @param fleet this broker's part in a cluster of brokers, or null
+ * @param cluster this broker's part in a cluster of brokers, or null
  */
 public record Product(
     Address flight,
@@ -25,8 +25,8 @@
     Announcement announcement,
     Path stateDir,
     MembershipTimes membership,
-    List<Phase> phases,
-    Fleet fleet) {
+    List<TwoPhaseClass> phases,
+    Cluster cluster) {
   /** Nothing is switched on. */
   public static final Product NONE =
       new Product(null, true, List.of(), null, null, null, List.of(), null);
@@ -46,50 +46,50 @@
    * @param listen address for gossip to this broker; null: that of the platform
    * @param advertise address that other brokers reach it at
    * @param peers addresses of brokers to join the cluster by
-   * @param least smallest subset of a cell's endpoints that each broker uses
+   * @param minSubset smallest subset of a cell's endpoints that each broker uses
    * @param slack how far the number of brokers of an endpoint may exceed the mean, as a share of it
-   * @param lookUs protocol period of failure detection, in microseconds
-   * @param suspectUs how long a suspected broker counts as alive, in microseconds
-   * @param turnUs interval at which one of all brokers checks the health of an endpoint, in
-   *     microseconds
-   * @param behindUs how long a broker may have older versions before it counts as a straggler, in
-   *     microseconds
-   * @param shutOutUs after how long with older versions than most it is fenced, in microseconds
+   * @param protocolPeriodUs protocol period of failure detection, in microseconds
+   * @param suspicionUs how long a suspected broker counts as alive, in microseconds
+   * @param healthCheckIntervalUs interval at which one of all brokers checks the health of an
+   *     endpoint, in microseconds
+   * @param stragglerAfterUs how long a broker may have older versions before it counts as a
+   *     straggler, in microseconds
+   * @param fenceAfterUs after how long with older versions than most it is fenced, in microseconds
    */
-  public record Fleet(
+  public record Cluster(
       Address listen,
       Address advertise,
       List<Address> peers,
-      int least,
+      int minSubset,
       double slack,
-      long lookUs,
-      long suspectUs,
-      long turnUs,
-      long behindUs,
-      long shutOutUs) {
+      long protocolPeriodUs,
+      long suspicionUs,
+      long healthCheckIntervalUs,
+      long stragglerAfterUs,
+      long fenceAfterUs) {
     /** Copies the peers. */
-    public Fleet {
+    public Cluster {
       peers = List.copyOf(peers);
     }
 
     /** Returns the same settings with other addresses. */
-    Fleet withAddresses(Address newListen, Address newAdvertise, List<Address> newPeers) {
-      return new Fleet(
+    Cluster withAddresses(Address newListen, Address newAdvertise, List<Address> newPeers) {
+      return new Cluster(
           newListen,
           newAdvertise,
           newPeers,
-          least,
+          minSubset,
           slack,
-          lookUs,
-          suspectUs,
-          turnUs,
-          behindUs,
-          shutOutUs);
+          protocolPeriodUs,
+          suspicionUs,
+          healthCheckIntervalUs,
+          stragglerAfterUs,
+          fenceAfterUs);
     }
   }
 
   /** Returns the same settings with another part in the cluster, or none if it is null. */
-  Product withCluster(Fleet cluster) {
+  Product withCluster(Cluster cluster) {
     return new Product(
         flight, discovery, dnsSd, announcement, stateDir, membership, phases, cluster);
   }
@@ -105,7 +105,7 @@
    * @param margin share of the work that must be saved for two phases to pay
    * @param closeUs how long pruning is closed after a failed audit, in microseconds
    */
-  public record Phase(
+  public record TwoPhaseClass(
       String queryClass,
       double share,
       int least,
@@ -184,12 +184,13 @@
    *
    * @param lingerUs how long a withdrawn endpoint may return as the same
    * @param staleForUs how long records are used past their expiry
-   * @param holdUs delay of the second return within the calm time; each further one doubles it
-   * @param holdMostUs longest delay of a return
+   * @param returnDelayUs delay of the second return within the calm time; each further one doubles
+   *     it
+   * @param maxReturnDelayUs longest delay of a return
    * @param calmUs time without a withdrawal after which returns are not delayed any more
    */
   public record MembershipTimes(
-      long lingerUs, long staleForUs, long holdUs, long holdMostUs, long calmUs) {}
+      long lingerUs, long staleForUs, long returnDelayUs, long maxReturnDelayUs, long calmUs) {}
 
   /**
    * Reads the product's settings file.
@@ -215,7 +216,7 @@
   }
 
   /** Returns a summary for operators, one line for each setting; empty if nothing is on. */
-  public String described() {
+  public String description() {
     return equals(NONE) ? "" : ProductDescription.of(this);
   }
 }
--- a/src/main/java/dunlinhitch/config/ProductDescription.java
+++ b/src/main/java/dunlinhitch/config/ProductDescription.java
@@ -15,8 +15,8 @@
     description.appendFrontends(product);
     product.dnsSd().forEach(description::appendDnsService);
     product.phases().forEach(description::appendPhase);
-    if (product.fleet() != null) {
-      description.appendCluster(product.fleet());
+    if (product.cluster() != null) {
+      description.appendCluster(product.cluster());
     }
     if (product.announcement() != null) {
       description.appendAnnouncement(product.announcement());
@@ -52,7 +52,7 @@
     out.append('\n');
   }
 
-  private void appendPhase(Product.Phase phase) {
+  private void appendPhase(Product.TwoPhaseClass phase) {
     out.append("phases ").append(phase.queryClass());
     out.append(": first pass within ").append(Math.round(PERCENT * phase.share()));
     out.append(" % of the time, from ").append(phase.least());
@@ -60,12 +60,12 @@
     out.append(" %, trial ").append(PERCENT * phase.trial()).append(" %\n");
   }
 
-  private void appendCluster(Product.Fleet cluster) {
+  private void appendCluster(Product.Cluster cluster) {
     out.append("fleet: hears other brokers on ").append(cluster.listen().hostAndPort());
     out.append(", begins with ").append(cluster.peers().size());
-    out.append(" of them, keeps to ").append(cluster.least());
+    out.append(" of them, keeps to ").append(cluster.minSubset());
     out.append(" stores of a cell at least, probes in turns of ");
-    out.append(cluster.turnUs() / US_PER_MS).append(" ms\n");
+    out.append(cluster.healthCheckIntervalUs() / US_PER_MS).append(" ms\n");
   }
 
   private void appendAnnouncement(Product.Announcement announcement) {
@@ -78,8 +78,8 @@
   private void appendMembership(Product.MembershipTimes times) {
     out.append("membership: linger ").append(times.lingerUs() / US_PER_MS);
     out.append(" ms, stale for ").append(times.staleForUs() / US_PER_S);
-    out.append(" s, hold ").append(times.holdUs() / US_PER_MS);
-    out.append(" to ").append(times.holdMostUs() / US_PER_MS);
+    out.append(" s, hold ").append(times.returnDelayUs() / US_PER_MS);
+    out.append(" to ").append(times.maxReturnDelayUs() / US_PER_MS);
     out.append(" ms, calm ").append(times.calmUs() / US_PER_MS).append(" ms\n");
   }
 }
--- a/src/main/java/dunlinhitch/config/ProductReader.java
+++ b/src/main/java/dunlinhitch/config/ProductReader.java
@@ -15,8 +15,8 @@
   private Product.MembershipTimes membership;
   private Product.Announcement announcement;
   private final List<Product.DnsService> dnsServices = new ArrayList<>();
-  private final List<Product.Phase> phases = new ArrayList<>();
-  private Product.Fleet cluster;
+  private final List<Product.TwoPhaseClass> phases = new ArrayList<>();
+  private Product.Cluster cluster;
 
   private ProductReader() {}
 
@@ -82,14 +82,14 @@
         section.durationUs("calm"));
   }
 
-  private static Product.Phase phase(SectionValues section) {
+  private static Product.TwoPhaseClass phase(SectionValues section) {
     if (section.share("share") <= 0 || section.share("share") >= 1) {
       throw section.error("share", "is above 0% and below 100%");
     }
     if (section.count("least") < 2) {
       throw section.error("least", "is 2 or more: one block has no first pass");
     }
-    return new Product.Phase(
+    return new Product.TwoPhaseClass(
         section.label(),
         section.share("share"),
         (int) section.count("least"),
--- a/src/main/java/dunlinhitch/core/AttemptStage.java
+++ b/src/main/java/dunlinhitch/core/AttemptStage.java
@@ -71,8 +71,8 @@
     long timeLimitUs = Math.min(dueUs, query.deadlineUs());
     timers.schedule(timeLimitUs, TimerQueue.Kind.ATTEMPT, attempt.id());
     long repeatUntilUs =
-        earlierExecutionUs >= 0 && query.kind().repeat() == Idempotency.GUARDED
-            ? earlierExecutionUs + query.kind().dedupWindowUs()
+        earlierExecutionUs >= 0 && query.queryClass().idempotency() == Idempotency.GUARDED
+            ? earlierExecutionUs + query.queryClass().dedupWindowUs()
             : Long.MAX_VALUE;
     batcher.add(
         attempt.endpoint().number,
@@ -153,7 +153,7 @@
    */
   private void updateEarliestExecution(InFlightAttempt attempt, AttemptOutcome outcome) {
     InFlightPart part = attempt.part();
-    if (!outcome.neverRan()) {
+    if (!outcome.neverExecuted()) {
       part.earliestEndedExecutionUs =
           part.earliestEndedExecutionUs < 0
               ? attempt.sentUs()
--- a/src/main/java/dunlinhitch/core/BalancerActionHandler.java
+++ b/src/main/java/dunlinhitch/core/BalancerActionHandler.java
@@ -68,7 +68,7 @@
     }
     boolean mayHaveExecuted =
         query.allParts().stream().anyMatch(part -> part.earliestExecutionUs >= 0);
-    if (mayHaveExecuted && query.request.kind().repeat() == Idempotency.SINGLE_SHOT) {
+    if (mayHaveExecuted && query.request.queryClass().idempotency() == Idempotency.SINGLE_SHOT) {
       // a rejection would tell the client that a retry is harmless
       state.counters().add(Counter.RESPONSES_BLOCKED);
       completion.fail(query);
--- a/src/main/java/dunlinhitch/core/ClusterStage.java
+++ b/src/main/java/dunlinhitch/core/ClusterStage.java
@@ -48,7 +48,7 @@
     context = state.context();
     registry = state.registry();
     counters = state.counters();
-    wallClockOffsetUs = identity.dayOffsetUs();
+    wallClockOffsetUs = identity.wallClockOffsetUs();
     subsetPublisher = new SubsetPublisher(state, balancer);
     coordinator =
         new ClusterCoordinator(
@@ -73,7 +73,7 @@
 
   void handle(Event.ClusterEvent event) {
     if (event instanceof Event.GossipReceived received) {
-      onGossip(received.word());
+      onGossip(received.message());
     } else if (event instanceof Event.EndpointListGenerationChanged changed) {
       versionSkew.onEndpointListGeneration(changed.generation());
     } else if (event instanceof Event.ConfigurationFileChanged changed) {
@@ -82,7 +82,7 @@
   }
 
   private void onGossip(GossipMessage message) {
-    coordinator.heard(context.nowUs(), wallClockUs(), message);
+    coordinator.onMessage(context.nowUs(), wallClockUs(), message);
     versionSkew.onGossip(message);
     subsetPublisher.publishChanges();
   }
@@ -97,7 +97,7 @@
       balancer.deliverWhenIdle(event);
       return;
     }
-    List<ClusterCoordinator.Listed> listed = new ArrayList<>();
+    List<ClusterCoordinator.ListedEndpoint> listed = new ArrayList<>();
     List<String> removed = new ArrayList<>();
     for (ServerEntry entry : update.servers()) {
       String name = registry.endpoints.get(entry.id()).name();
@@ -108,13 +108,13 @@
         listed.add(listedEndpoint(name, entry));
       }
     }
-    coordinator.roster(context.nowUs(), listed, removed);
+    coordinator.onEndpointsChanged(context.nowUs(), listed, removed);
     subsetPublisher.publish(update);
   }
 
-  private ClusterCoordinator.Listed listedEndpoint(String name, ServerEntry entry) {
+  private ClusterCoordinator.ListedEndpoint listedEndpoint(String name, ServerEntry entry) {
     long startedMs = entry.startedUs() <= 0 ? 0 : (entry.startedUs() + wallClockOffsetUs) / 1000;
-    return new ClusterCoordinator.Listed(
+    return new ClusterCoordinator.ListedEndpoint(
         name,
         Integer.toString(entry.cell()),
         Integer.toString(entry.zone()),
@@ -125,7 +125,7 @@
   /** Advances to the time of this turn. */
   void advance() {
     if (coordinator.nextUs(context.nowUs(), wallClockUs()) <= context.nowUs()) {
-      coordinator.passed(context.nowUs(), wallClockUs());
+      coordinator.onTime(context.nowUs(), wallClockUs());
       subsetPublisher.publishChanges();
     }
     versionSkew.advance();
@@ -138,14 +138,15 @@
 
   void onAttemptEnded(TrackedEndpoint endpoint, AttemptOutcome outcome, float[] report) {
     if (endedByEndpoint(outcome)) {
-      coordinator.saw(wallClockUs(), endpoint.name(), responded(outcome), toList(report));
+      coordinator.onAttempt(wallClockUs(), endpoint.name(), responded(outcome), toList(report));
       subsetPublisher.publishChanges();
     }
   }
 
   void onHealthCheckEnded(TrackedEndpoint endpoint, AttemptOutcome outcome, float[] report) {
     if (endedByEndpoint(outcome)) {
-      coordinator.probeEnded(wallClockUs(), endpoint.name(), responded(outcome), toList(report));
+      coordinator.onHealthCheckCompleted(
+          wallClockUs(), endpoint.name(), responded(outcome), toList(report));
       subsetPublisher.publishChanges();
     }
   }
@@ -205,14 +206,14 @@
     }
 
     @Override
-    public void keepTo(Set<String> names) {
+    public void selectEndpoints(Set<String> names) {
       boolean changed = subsetPublisher.replaceSubset(names);
       counters.add(Counter.SUBSETS_CHANGED, changed ? 1 : 0);
       logMembership();
     }
 
     @Override
-    public void probe(String name) {
+    public void startHealthCheck(String name) {
       TrackedEndpoint endpoint = registry.endpointsByName.get(name);
       if (endpoint != null) {
         counters.add(Counter.HEALTH_CHECKS_OWN);
@@ -221,7 +222,7 @@
     }
 
     @Override
-    public void probed(String name, EndpointObservation observation) {
+    public void healthCheckEnded(String name, EndpointObservation observation) {
       TrackedEndpoint endpoint = registry.endpointsByName.get(name);
       if (endpoint == null) {
         return;
--- a/src/main/java/dunlinhitch/core/Counter.java
+++ b/src/main/java/dunlinhitch/core/Counter.java
@@ -11,7 +11,7 @@
   /** Admitted queries that were rejected later. */
   QUERIES_REJECTED("refused"),
   /** Queries rejected on arrival, without admission. */
-  TURNED_AWAY("turned_away"),
+  QUERIES_NOT_ADMITTED("turned_away"),
   /** Queries given up, with no promise about their effect. */
   QUERIES_FAILED("failed"),
   /** Queries whose deadline was exceeded. */
@@ -67,9 +67,9 @@
   /** Updates received from any source of endpoints. */
   ENDPOINT_UPDATES("roster_news"),
   /** Endpoint entries that could not be read. */
-  BAD_ROSTER_ENTRIES("bad_roster_entries"),
+  ENDPOINT_ENTRIES_INVALID("bad_roster_entries"),
   /** Times that a source of endpoints stopped responding. */
-  ROSTER_LOST("roster_lost"),
+  SOURCES_UNAVAILABLE("roster_lost"),
   /** Times that the endpoint list was reported as possibly out of date. */
   ENDPOINT_LIST_STALE("roster_in_doubt"),
   /** Endpoints announced and not yet used. */
@@ -85,7 +85,7 @@
   /** Endpoints that have left the list. */
   ENDPOINTS_REMOVED("members_gone"),
   /** Claims that were rejected. */
-  MEMBERS_REFUSED("members_refused"),
+  CLAIMS_REJECTED("members_refused"),
   /** DNS messages that answer no open request. */
   DNS_STRAYS("dns_strays"),
   /** DNS answers from a server without authority. */
@@ -107,7 +107,7 @@
   /** Client connections closed as idle. */
   CLIENTS_IDLE("clients_idle"),
   /** Client connections evicted in favour of others. */
-  CLIENTS_CROWDED_OUT("clients_crowded_out"),
+  CLIENTS_EVICTED("clients_crowded_out"),
   /** Client connections reset. */
   CLIENTS_RESET("clients_reset"),
   /** Messages of endpoints that were malformed. */
@@ -127,25 +127,25 @@
   /** Gossip messages received. */
   GOSSIP_RECEIVED("peer_words_heard"),
   /** Gossip messages that were malformed. */
-  PEER_WORDS_UNREAD("peer_words_unread"),
+  GOSSIP_UNREADABLE("peer_words_unread"),
   /** Gossip messages that could not be sent. */
-  PEER_WORDS_UNSENT("peer_words_unsent"),
+  GOSSIP_UNSENT("peer_words_unsent"),
   /** Times that a broker's versions were found out of date. */
   VERSION_SKEWS_DETECTED("stragglers_seen"),
   /** Times that a broker was fenced for its versions. */
   BROKERS_FENCED("stragglers_shut_out"),
   /** Gossip messages that were truncated. */
-  PEER_WORDS_CUT("peer_words_cut"),
+  GOSSIP_TRUNCATED("peer_words_cut"),
   /** Gossip messages of a later protocol version. */
-  PEER_WORDS_LATER("peer_words_later"),
+  GOSSIP_OTHER_VERSION("peer_words_later"),
   /** Gossip messages received twice. */
-  PEER_WORDS_DOUBLE("peer_words_double"),
+  GOSSIP_DUPLICATE("peer_words_double"),
   /** Gossip messages from an address outside of the configured reach. */
-  PEER_WORDS_FOREIGN("peer_words_foreign"),
+  GOSSIP_FOREIGN("peer_words_foreign"),
   /** Gossip messages above the size limit. */
-  PEER_WORDS_HUGE("peer_words_huge"),
+  GOSSIP_OVERSIZED("peer_words_huge"),
   /** Updates left out of a gossip message for lack of space. */
-  PEER_NEWS_LEFT_OUT("peer_news_left_out"),
+  GOSSIP_UPDATES_OMITTED("peer_news_left_out"),
   /** Unexpected exceptions; the broker goes on. */
   FAULTS("faults");
 
--- a/src/main/java/dunlinhitch/core/Effect.java
+++ b/src/main/java/dunlinhitch/core/Effect.java
@@ -12,13 +12,13 @@
   /**
    * The result of a query's first step, which each part of the second carries.
    *
-   * @param in shards with a value, in the order of the query
-   * @param whole whether the first step's answer was complete
+   * @param shards shards with a value, in the order of the query
+   * @param complete whether the first step's answer was complete
    */
-  record FirstStep(List<Integer> in, boolean whole) {
+  record FirstStep(List<Integer> shards, boolean complete) {
     /** Copies the list. */
     public FirstStep {
-      in = List.copyOf(in);
+      shards = List.copyOf(shards);
     }
   }
 
@@ -33,8 +33,8 @@
    * @param repeatUntilUs the last moment at which it may be written although an earlier attempt may
    *     have been executed
    * @param text the text of the query
-   * @param first whether it asks only for the first pass
-   * @param after the first step that it follows, null for a part of that step itself
+   * @param firstPass whether it asks only for the first pass
+   * @param firstStep the first step that it follows, null for a part of that step itself
    */
   record AttemptRequest(
       long attempt,
@@ -44,8 +44,8 @@
       long dueUs,
       long repeatUntilUs,
       String text,
-      boolean first,
-      FirstStep after) {
+      boolean firstPass,
+      FirstStep firstStep) {
     /** The full pass of a part that has not been sent before, or may be repeated at any time. */
     public AttemptRequest(
         long attempt, String partId, int shard, String key, long dueUs, String text) {
@@ -56,13 +56,13 @@
      * Whether it may still be written; to be asked just before, for it may have waited for a
      * connection.
      */
-    public boolean mayLeave(long nowUs) {
+    public boolean maySendAt(long nowUs) {
       return nowUs < dueUs && nowUs <= repeatUntilUs;
     }
   }
 
   /** Send one request with attempts that share it, all of one phase. */
-  record SendRequest(int store, List<AttemptRequest> parts) implements Effect {
+  record SendRequest(int endpoint, List<AttemptRequest> parts) implements Effect {
     /** Copies the list. */
     public SendRequest {
       parts = List.copyOf(parts);
@@ -70,37 +70,37 @@
   }
 
   /** Cancel an attempt: its result is no longer waited for and the endpoint may drop it. */
-  record CancelAttempt(int store, long attempt) implements Effect {}
+  record CancelAttempt(int endpoint, long attempt) implements Effect {}
 
   /**
    * Withdraw an attempt whose query has ended: it is not written if that has not happened yet, and
    * goes on where it has.
    */
-  record WithdrawAttempt(int store, long attempt) implements Effect {}
+  record WithdrawAttempt(int endpoint, long attempt) implements Effect {}
 
   /** Send a health check that asks the endpoint for its load report. */
-  record SendHealthCheck(int store, long probe) implements Effect {}
+  record SendHealthCheck(int endpoint, long healthCheck) implements Effect {}
 
   /** Close the idle connections to an endpoint. */
-  record CloseIdleConnections(int store) implements Effect {}
+  record CloseIdleConnections(int endpoint) implements Effect {}
 
   /**
    * An endpoint is new or has changed. One that has left the list is disconnected as soon as it has
    * no attempt in flight.
    *
-   * @param store its number
-   * @param entry its entry in the list
-   * @param barred whether an operator has disabled it: nothing new is written to it
+   * @param number its number
+   * @param endpoint its entry in the list
+   * @param disabled whether an operator has disabled it: nothing new is written to it
    */
-  record EndpointChanged(int store, Endpoint entry, boolean barred) implements Effect {}
+  record EndpointChanged(int number, Endpoint endpoint, boolean disabled) implements Effect {}
 
   /** Send the one final response of an exchange. */
-  record SendResponse(long exchange, QueryResponse answer) implements Effect {}
+  record SendResponse(long exchange, QueryResponse response) implements Effect {}
 
   /**
    * Persist that an endpoint is disabled, or enabled again, then acknowledge the operator's call.
    */
-  record PersistDisabledEndpoint(long call, String store, boolean out) implements Effect {}
+  record PersistDisabledEndpoint(long call, String endpoint, boolean disabled) implements Effect {}
 
   /** Reject an operator's call that names an unknown endpoint. */
   record RejectUnknownEndpoint(long call) implements Effect {}
@@ -118,7 +118,7 @@
   record ChangeDiscoveryAddress(String host, int port) implements Effect {}
 
   /** Send a message to another member of the cluster. */
-  record SendGossip(String host, int port, GossipMessage word) implements Effect {}
+  record SendGossip(String host, int port, GossipMessage message) implements Effect {}
 
   /** Write a line for the operators. */
   record LogMessage(String text) implements Effect {}
--- a/src/main/java/dunlinhitch/core/EndpointStage.java
+++ b/src/main/java/dunlinhitch/core/EndpointStage.java
@@ -64,10 +64,10 @@
     endpointRegistry =
         new EndpointRegistry(
             claimSettings == null
-                ? EndpointRegistrySettings.of(layout.cells(), layout.inARow())
+                ? EndpointRegistrySettings.of(layout.cells(), layout.replicationFactor())
                 : claimSettings,
             context.nowUs());
-    endpointRegistry.named(DISCOVERY, DISCOVERY_RANK, true);
+    endpointRegistry.registerSource(DISCOVERY, DISCOVERY_RANK, true);
   }
 
   EndpointRegistry endpointRegistry() {
@@ -87,7 +87,7 @@
     } else if (event instanceof Event.DiscoveryRecovered) {
       freshness.onRecovered();
     } else if (event instanceof Event.SourceRegistered registered) {
-      endpointRegistry.named(registered.source(), registered.rank(), false);
+      endpointRegistry.registerSource(registered.source(), registered.rank(), false);
     } else if (event instanceof Event.SourceUpdated updated) {
       onSourceUpdated(updated);
     } else if (event instanceof Event.SourceUnavailable unavailable) {
@@ -99,27 +99,28 @@
     counters.add(Counter.ENDPOINT_UPDATES);
     long nowUs = context.nowUs();
     List<EndpointClaim> claims =
-        event.stores().stream()
+        event.endpoints().stream()
             .map(endpoint -> new EndpointClaim(endpoint.name(), endpoint, nowUs, TimingWheel.NEVER))
             .toList();
     boolean complete = event.kind() != ServerListKind.DELTA;
     long notifiedUs = freshness.earliestNotificationUs();
-    apply(notifiedUs, endpointRegistry.said(nowUs, DISCOVERY, complete, claims));
+    apply(notifiedUs, endpointRegistry.update(nowUs, DISCOVERY, complete, claims));
     freshness.onUpdateApplied(event.kind());
   }
 
   private void onSourceUpdated(Event.SourceUpdated event) {
     counters.add(Counter.ENDPOINT_UPDATES);
-    long rejectedBefore = endpointRegistry.refused();
+    long rejectedBefore = endpointRegistry.rejectedClaims();
     List<EndpointChange> changes =
-        endpointRegistry.said(context.nowUs(), event.source(), event.whole(), event.claims());
+        endpointRegistry.update(context.nowUs(), event.source(), event.complete(), event.claims());
     apply(context.unreadSinceUs(), changes);
-    counters.add(Counter.MEMBERS_REFUSED, endpointRegistry.refused() - rejectedBefore);
+    counters.add(Counter.CLAIMS_REJECTED, endpointRegistry.rejectedClaims() - rejectedBefore);
   }
 
   private void onSourceUnavailable(Event.SourceUnavailable event) {
-    counters.add(Counter.ROSTER_LOST);
-    List<EndpointChange> changes = endpointRegistry.silent(context.nowUs(), event.source());
+    counters.add(Counter.SOURCES_UNAVAILABLE);
+    List<EndpointChange> changes =
+        endpointRegistry.sourceUnavailable(context.nowUs(), event.source());
     if (!changes.isEmpty()) {
       apply(context.unreadSinceUs(), changes);
     }
@@ -131,7 +132,7 @@
       return;
     }
     freshness.advance();
-    List<EndpointChange> changes = endpointRegistry.passed(context.nowUs());
+    List<EndpointChange> changes = endpointRegistry.advanceTo(context.nowUs());
     if (!changes.isEmpty()) {
       apply(context.nowUs(), changes);
     }
@@ -155,10 +156,10 @@
       if (change.announced()) {
         report(change);
       }
-      Endpoint endpoint = change.entry();
+      Endpoint endpoint = change.endpoint();
       TrackedEndpoint tracked = registry.endpointsByName.get(endpoint.name());
       boolean unknownDeparture = tracked == null && endpoint.state() == ServerState.GONE;
-      if (!change.told() || unknownDeparture) {
+      if (!change.endpointChanged() || unknownDeparture) {
         continue;
       }
       if (tracked == null) {
@@ -226,7 +227,7 @@
     if (counter != null) {
       counters.add(counter);
     }
-    Endpoint endpoint = change.entry();
+    Endpoint endpoint = change.endpoint();
     boolean hasAddress =
         change.status() != EndpointStatus.WITHDRAWN && change.status() != EndpointStatus.GONE;
     String address =
@@ -239,7 +240,7 @@
             + " is "
             + change.status().name().toLowerCase(Locale.ROOT).replace('_', ' ')
             + ": "
-            + change.reason().words()
+            + change.reason().message()
             + address);
   }
 
--- a/src/main/java/dunlinhitch/core/Event.java
+++ b/src/main/java/dunlinhitch/core/Event.java
@@ -39,9 +39,9 @@
    * A frontend has read a complete request.
    *
    * @param exchange the frontend's number for the exchange; unique within the process
-   * @param ask the request
+   * @param request the request
    */
-  record QueryReceived(long exchange, QueryRequest ask) implements QueryEvent {}
+  record QueryReceived(long exchange, QueryRequest request) implements QueryEvent {}
 
   /** The client of that exchange has disconnected. */
   record ClientDisconnected(long exchange) implements QueryEvent {}
@@ -78,7 +78,7 @@
    * The first pass of a part was answered.
    *
    * @param attempt the number given with {@link Effect.AttemptRequest}
-   * @param cameUs when it was read, which may be well before the turn that handles it
+   * @param receivedUs when it was read, which may be well before the turn that handles it
    * @param report the load report that came with it, empty for none
    * @param records how many records the shard has for the query
    * @param version the version of the shard's data
@@ -87,34 +87,39 @@
   // an array, for copies or boxed values would cost the hot path; nobody writes to a report
   @SuppressWarnings("ArrayRecordComponent")
   record FirstPassCompleted(
-      long attempt, long cameUs, float[] report, long records, String version, String emptyValue)
+      long attempt,
+      long receivedUs,
+      float[] report,
+      long records,
+      String version,
+      String emptyValue)
       implements AttemptEvent {}
 
   /** So many attempts of one request have been written to an endpoint's connection. */
-  record AttemptsWritten(int tries) implements AttemptEvent {}
+  record AttemptsWritten(int attempts) implements AttemptEvent {}
 
   /**
    * A health check has ended.
    *
-   * @param probe the number given with {@link Effect.SendHealthCheck}
+   * @param healthCheck the number given with {@link Effect.SendHealthCheck}
    * @param outcome how it ended
    * @param report the load report that came with it, empty for none
    */
   // an array, for copies or boxed values would cost the hot path; nobody writes to a report
   @SuppressWarnings("ArrayRecordComponent")
-  record HealthCheckCompleted(long probe, AttemptOutcome outcome, float[] report)
+  record HealthCheckCompleted(long healthCheck, AttemptOutcome outcome, float[] report)
       implements Event {}
 
   /**
    * Discovery has sent its endpoint list, or changes of it.
    *
    * @param kind whether the list is complete, restored from a file, or a set of changes
-   * @param stores the endpoints
+   * @param endpoints the endpoints
    */
-  record EndpointsUpdated(ServerListKind kind, List<Endpoint> stores) implements EndpointEvent {
+  record EndpointsUpdated(ServerListKind kind, List<Endpoint> endpoints) implements EndpointEvent {
     /** Copies the list. */
     public EndpointsUpdated {
-      stores = List.copyOf(stores);
+      endpoints = List.copyOf(endpoints);
     }
   }
 
@@ -136,10 +141,10 @@
    * Such a source has sent claims.
    *
    * @param source its name
-   * @param whole whether these are all of its claims; else they are changes
+   * @param complete whether these are all of its claims; else they are changes
    * @param claims the claims
    */
-  record SourceUpdated(String source, boolean whole, List<EndpointClaim> claims)
+  record SourceUpdated(String source, boolean complete, List<EndpointClaim> claims)
       implements EndpointEvent {
     /** Copies the list. */
     public SourceUpdated {
@@ -157,22 +162,24 @@
    * An operator asks to disable an endpoint, or to enable it again.
    *
    * @param call the number of the call, which waits for its response
-   * @param store the endpoint's name
-   * @param out whether to disable it
+   * @param endpoint the endpoint's name
+   * @param disable whether to disable it
    */
-  record EndpointDisableRequested(long call, String store, boolean out) implements OperatorEvent {}
+  record EndpointDisableRequested(long call, String endpoint, boolean disable)
+      implements OperatorEvent {}
 
   /**
    * Another process of this broker, or an earlier one, was asked to disable or enable endpoints.
    *
-   * @param out names of the disabled ones
-   * @param back names of those that are enabled again
+   * @param disabled names of the disabled ones
+   * @param enabled names of those that are enabled again
    */
-  record DisabledEndpointsChanged(Set<String> out, Set<String> back) implements OperatorEvent {
+  record DisabledEndpointsChanged(Set<String> disabled, Set<String> enabled)
+      implements OperatorEvent {
     /** Copies the sets. */
     public DisabledEndpointsChanged {
-      out = Set.copyOf(out);
-      back = Set.copyOf(back);
+      disabled = Set.copyOf(disabled);
+      enabled = Set.copyOf(enabled);
     }
   }
 
@@ -193,7 +200,7 @@
   record ShutdownRequested() implements LifecycleEvent {}
 
   /** Another member of the cluster has sent a message. */
-  record GossipReceived(GossipMessage word) implements ClusterEvent {}
+  record GossipReceived(GossipMessage message) implements ClusterEvent {}
 
   /** The endpoint list that discovery sent last is of that generation. */
   record EndpointListGenerationChanged(long generation) implements ClusterEvent {}
--- a/src/main/java/dunlinhitch/core/FirstPassSupport.java
+++ b/src/main/java/dunlinhitch/core/FirstPassSupport.java
@@ -45,7 +45,7 @@
     for (int cell = 0; cell < cells; cell++) {
       boolean any = false;
       boolean all = true;
-      for (int offset = 0; offset < context.settings().layout().inARow(); offset++) {
+      for (int offset = 0; offset < context.settings().layout().replicationFactor(); offset++) {
         any |= withSupport[(cell + offset) % cells];
         all &= !withoutSupport[(cell + offset) % cells];
       }
--- a/src/main/java/dunlinhitch/core/HealthCheckStage.java
+++ b/src/main/java/dunlinhitch/core/HealthCheckStage.java
@@ -62,7 +62,7 @@
   }
 
   void handle(Event.HealthCheckCompleted event) {
-    end(event.probe(), event.outcome(), event.report());
+    end(event.healthCheck(), event.outcome(), event.report());
   }
 
   private void end(long id, AttemptOutcome outcome, float[] report) {
--- a/src/main/java/dunlinhitch/core/InFlightQuery.java
+++ b/src/main/java/dunlinhitch/core/InFlightQuery.java
@@ -74,9 +74,9 @@
    */
   boolean isAnswerable() {
     double minimumWeight =
-        firstStep != null && request.kind().floor() >= request.kind().need()
+        firstStep != null && request.queryClass().floor() >= request.queryClass().need()
             ? 1
-            : request.kind().floor();
+            : request.queryClass().floor();
     return currentParts().stream().anyMatch(part -> part.value != null)
         && receivedWeight() >= minimumWeight - WEIGHT_TOLERANCE;
   }
@@ -87,7 +87,7 @@
    */
   boolean isComplete() {
     return firstStep == null
-        ? receivedWeight() >= request.kind().need() - WEIGHT_TOLERANCE
-        : firstStep.whole() && secondStepParts.stream().allMatch(part -> part.value != null);
+        ? receivedWeight() >= request.queryClass().need() - WEIGHT_TOLERANCE
+        : firstStep.complete() && secondStepParts.stream().allMatch(part -> part.value != null);
   }
 }
--- a/src/main/java/dunlinhitch/core/OperatorStage.java
+++ b/src/main/java/dunlinhitch/core/OperatorStage.java
@@ -31,25 +31,25 @@
     if (event instanceof Event.EndpointDisableRequested requested) {
       onRequested(requested);
     } else if (event instanceof Event.DisabledEndpointsChanged changed) {
-      changed.out().forEach(this::disable);
-      changed.back().forEach(this::enable);
+      changed.disabled().forEach(this::disable);
+      changed.enabled().forEach(this::enable);
     }
   }
 
   private void onRequested(Event.EndpointDisableRequested event) {
-    String name = event.store();
+    String name = event.endpoint();
     TrackedEndpoint endpoint = registry.endpointsByName.get(name);
     boolean listed = endpoint != null && endpoint.state() != ServerState.GONE;
     if (!listed && !registry.disabledEndpoints.containsKey(name)) {
       context.emit(new Effect.RejectUnknownEndpoint(event.call()));
       return;
     }
-    if (event.out()) {
+    if (event.disable()) {
       disable(name);
     } else {
       enable(name);
     }
-    context.emit(new Effect.PersistDisabledEndpoint(event.call(), name, event.out()));
+    context.emit(new Effect.PersistDisabledEndpoint(event.call(), name, event.disable()));
   }
 
   private void disable(String name) {
--- a/src/main/java/dunlinhitch/core/QueryCompletion.java
+++ b/src/main/java/dunlinhitch/core/QueryCompletion.java
@@ -30,7 +30,9 @@
   /** Answers a query with the values received so far. */
   void serve(InFlightQuery query, QueryResponse.Served response) {
     respond(
-        query, response, response.whole() ? Counter.RESPONSES_COMPLETE : Counter.RESPONSES_PARTIAL);
+        query,
+        response,
+        response.complete() ? Counter.RESPONSES_COMPLETE : Counter.RESPONSES_PARTIAL);
   }
 
   /** Rejects a query of which no part can have been executed, or which may be repeated. */
@@ -65,7 +67,7 @@
 
   /** Emits the final response of an exchange and counts it with its class. */
   void emit(long exchange, QueryRequest request, QueryResponse response) {
-    outcomes.record(request.kind().name(), response);
+    outcomes.record(request.queryClass().name(), response);
     context.emit(new Effect.SendResponse(exchange, response));
   }
 }
--- a/src/main/java/dunlinhitch/core/QueryRequest.java
+++ b/src/main/java/dunlinhitch/core/QueryRequest.java
@@ -8,10 +8,10 @@
  *
  * @param id the client's identifier of the query
  * @param key the idempotency key, empty where the class has none
- * @param kind the class itself, for its index in the settings may change
+ * @param queryClass the class itself, for its index in the settings may change
  * @param tenant the tenant's name for the same reason; empty where the settings know none such
  * @param deadlineUs when the client stops waiting, in microseconds
- * @param repeat whether the client marked it as a repeat
+ * @param isRepeat whether the client marked it as a repeat
  * @param parts the parts, one for each shard
  * @param text what each part carries
  * @param showPruned whether the response is to name pruned shards
@@ -19,10 +19,10 @@
 public record QueryRequest(
     String id,
     String key,
-    QueryClass kind,
+    QueryClass queryClass,
     String tenant,
     long deadlineUs,
-    boolean repeat,
+    boolean isRepeat,
     List<PartRequest> parts,
     String text,
     boolean showPruned) {
@@ -44,22 +44,30 @@
   public QueryRequest(
       String id,
       String key,
-      QueryClass kind,
+      QueryClass queryClass,
       long deadlineUs,
-      boolean repeat,
+      boolean isRepeat,
       List<PartRequest> parts,
       String text) {
-    this(id, key, kind, "", deadlineUs, repeat, parts, text, false);
+    this(id, key, queryClass, "", deadlineUs, isRepeat, parts, text, false);
   }
 
   /** The same request with the earlier of its own deadline and another. */
   public QueryRequest dueBy(long otherUs) {
     return new QueryRequest(
-        id, key, kind, tenant, Math.min(deadlineUs, otherUs), repeat, parts, text, showPruned);
+        id,
+        key,
+        queryClass,
+        tenant,
+        Math.min(deadlineUs, otherUs),
+        isRepeat,
+        parts,
+        text,
+        showPruned);
   }
 
   /** The same request under what its class has become since it was read. */
   public QueryRequest under(QueryClass now) {
-    return new QueryRequest(id, key, now, tenant, deadlineUs, repeat, parts, text, showPruned);
+    return new QueryRequest(id, key, now, tenant, deadlineUs, isRepeat, parts, text, showPruned);
   }
 }
--- a/src/main/java/dunlinhitch/core/QueryResponse.java
+++ b/src/main/java/dunlinhitch/core/QueryResponse.java
@@ -10,11 +10,11 @@
   /**
    * The query was served.
    *
-   * @param whole whether the response is complete
+   * @param complete whether the response is complete
    * @param parts the values received
    * @param pruned shards without a record by their first pass, null where the client did not ask
    */
-  record Served(boolean whole, List<PartValue> parts, List<Integer> pruned)
+  record Served(boolean complete, List<PartValue> parts, List<Integer> pruned)
       implements QueryResponse {
     /** Copies the lists. */
     public Served {
@@ -23,8 +23,8 @@
     }
 
     /** A response that does not name pruned shards. */
-    public Served(boolean whole, List<PartValue> parts) {
-      this(whole, parts, null);
+    public Served(boolean complete, List<PartValue> parts) {
+      this(complete, parts, null);
     }
   }
 
--- a/src/main/java/dunlinhitch/core/QueryStage.java
+++ b/src/main/java/dunlinhitch/core/QueryStage.java
@@ -50,18 +50,19 @@
 
   private void onReceived(Event.QueryReceived event) {
     Settings settings = context.settings();
-    int queryClass = context.classIndex(event.ask().kind().name());
+    int queryClass = context.classIndex(event.request().queryClass().name());
     QueryRequest request =
         event
-            .ask()
+            .request()
             .dueBy(lifecycle.drainDeadlineUs())
-            .under(queryClass < 0 ? event.ask().kind() : settings.classes().get(queryClass));
+            .under(
+                queryClass < 0 ? event.request().queryClass() : settings.classes().get(queryClass));
     counters.add(Counter.QUERIES_RECEIVED);
     int tenant = context.tenantIndex(request.tenant());
     boolean unknownTenant = !settings.tenants().isEmpty() && tenant < 0;
     counters.add(Counter.TENANTS_UNKNOWN, unknownTenant ? 1 : 0);
-    if (queryClass < 0 || !isAdmissible(event.ask(), request)) {
-      counters.add(Counter.TURNED_AWAY);
+    if (queryClass < 0 || !isAdmissible(event.request(), request)) {
+      counters.add(Counter.QUERIES_NOT_ADMITTED);
       long retryAfterUs = settings.limits().retryAfter() ? settings.limits().maxRetryAfterUs() : 0;
       completion.emit(event.exchange(), request, new QueryResponse.Rejected(retryAfterUs));
       return;
@@ -81,8 +82,8 @@
   private boolean isAdmissible(QueryRequest asRead, QueryRequest request) {
     // read without an idempotency key: endpoints could not recognize a repeat of its parts
     boolean keyMissing =
-        request.kind().repeat() == Idempotency.GUARDED
-            && asRead.kind().repeat() != Idempotency.GUARDED;
+        request.queryClass().idempotency() == Idempotency.GUARDED
+            && asRead.queryClass().idempotency() != Idempotency.GUARDED;
     boolean overLimit =
         registry.size() + 1 + request.parts().size() > context.settings().limits().maxInFlight();
     return !keyMissing
@@ -122,7 +123,7 @@
             query.parts.size(),
             request.deadlineUs(),
             workHintUs,
-            request.repeat()));
+            request.isRepeat()));
     for (InFlightPart part : query.parts) {
       QueryRequest.PartRequest partRequest = part.request;
       balancer.deliver(
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -110,7 +110,7 @@
                 completion,
                 attempts);
     operators = new OperatorStage(state, balancer, attempts, endpoints::nextNumber);
-    queries = new QueryStage(completion, balancer, lifecycle, twoPhases, this::fenced, state);
+    queries = new QueryStage(completion, balancer, lifecycle, twoPhases, this::isFenced, state);
     BalancerActionHandler actions =
         new BalancerActionHandler(state, balancer, completion, attempts, healthChecks, twoPhases);
     balancer.start(new LoadBalancer(configuration.balancerSettings(), seed, actions));
@@ -119,7 +119,7 @@
   // ---- what edges and operators read
 
   /** What has been learnt about two phases, for operators; empty where no class uses them. */
-  public List<TwoPhasePlanner.Shown> phases() {
+  public List<TwoPhasePlanner.ClassStatus> twoPhaseStatistics() {
     return twoPhases == null ? List.of() : twoPhases.statistics();
   }
 
@@ -134,7 +134,7 @@
   }
 
   /** The status that is shown to operators. */
-  public BrokerStatus figures() {
+  public BrokerStatus status() {
     Counters counters = state.counters();
     int listed = 0;
     int skipped = 0;
@@ -150,7 +150,7 @@
     return new BrokerStatus(
         outcomes.list(),
         counters.get(Counter.ATTEMPTS_WRITTEN),
-        open(),
+        openQueries(),
         listed,
         skipped,
         counters.get(Counter.CONFIGURATIONS_LOADED),
@@ -158,17 +158,17 @@
   }
 
   /** Which endpoints there are, and why. */
-  public EndpointRegistry membership() {
+  public EndpointRegistry endpointRegistry() {
     return endpoints.endpointRegistry();
   }
 
   /** True while this broker's versions are too far out of date to admit queries. */
-  public boolean fenced() {
+  public boolean isFenced() {
     return cluster != null && cluster.isFenced();
   }
 
   /** Queries that wait for their response. */
-  public int open() {
+  public int openQueries() {
     return state.registry().queries.size();
   }
 
@@ -266,7 +266,7 @@
 
   private void handleAttempt(Event.AttemptEvent event) {
     if (event instanceof Event.AttemptsWritten written) {
-      state.counters().add(Counter.ATTEMPTS_WRITTEN, written.tries());
+      state.counters().add(Counter.ATTEMPTS_WRITTEN, written.attempts());
     } else if (event instanceof Event.AttemptCompleted completed) {
       InFlightAttempt attempt = state.registry().attempts.get(completed.attempt());
       if (attempt != null) {
--- a/src/main/java/dunlinhitch/core/RequestBatcher.java
+++ b/src/main/java/dunlinhitch/core/RequestBatcher.java
@@ -51,8 +51,8 @@
     unsent.forEach(
         (endpoint, attempts) -> {
           if (twoPhases) {
-            send(endpoint, attempts.stream().filter(attempt -> !attempt.first()).toList());
-            send(endpoint, attempts.stream().filter(Effect.AttemptRequest::first).toList());
+            send(endpoint, attempts.stream().filter(attempt -> !attempt.firstPass()).toList());
+            send(endpoint, attempts.stream().filter(Effect.AttemptRequest::firstPass).toList());
           } else {
             send(endpoint, attempts);
           }
--- a/src/main/java/dunlinhitch/core/SecondStepStage.java
+++ b/src/main/java/dunlinhitch/core/SecondStepStage.java
@@ -27,7 +27,7 @@
 
   /** True where the next answer of the load balancer only closes the first step. */
   static boolean isDue(InFlightQuery query) {
-    return query.firstStep == null && query.request.kind().followUp() > 0;
+    return query.firstStep == null && query.request.queryClass().followUp() > 0;
   }
 
   /**
@@ -41,7 +41,7 @@
     query.parts.forEach(registry::close);
     List<Integer> shards = served.stream().map(part -> part.request.shard()).toList();
     query.firstStep = new Effect.FirstStep(shards, complete);
-    List<InFlightPart> selected = selectHighestScores(served, query.request.kind());
+    List<InFlightPart> selected = selectHighestScores(served, query.request.queryClass());
     for (InFlightPart part : selected) {
       QueryRequest.PartRequest request =
           new QueryRequest.PartRequest(part.request.shard(), 1.0 / selected.size(), 0);
--- a/src/main/java/dunlinhitch/core/SendGuard.java
+++ b/src/main/java/dunlinhitch/core/SendGuard.java
@@ -62,18 +62,22 @@
     Settings settings = context.settings();
     int cells = settings.layout().cells();
     int cellOffset = Math.floorMod(endpoint.endpoint.cell() - part.request.shard(), cells);
-    return cellOffset >= settings.layout().inARow() ? "the store does not hold its shard" : null;
+    return cellOffset >= settings.layout().replicationFactor()
+        ? "the store does not hold its shard"
+        : null;
   }
 
   private String reasonOfRepetition(InFlightPart part) {
     if (part.earliestExecutionUs < 0) {
       return null;
     }
-    QueryClass queryClass = part.query.request.kind();
+    QueryClass queryClass = part.query.request.queryClass();
     boolean windowOver =
-        queryClass.repeat() == Idempotency.GUARDED
+        queryClass.idempotency() == Idempotency.GUARDED
             && context.nowUs() > part.earliestExecutionUs + queryClass.dedupWindowUs();
-    return windowOver || queryClass.repeat() == Idempotency.SINGLE_SHOT ? "it may have run" : null;
+    return windowOver || queryClass.idempotency() == Idempotency.SINGLE_SHOT
+        ? "it may have run"
+        : null;
   }
 
   /** True for an endpoint that has left, is withdrawn, or drains beyond its grace period. */
--- a/src/main/java/dunlinhitch/core/TwoPhaseModeLog.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseModeLog.java
@@ -14,7 +14,7 @@
   /** The shortest time between two lines on one class, in microseconds. */
   private static final long MINIMUM_INTERVAL_US = 10_000_000;
 
-  private record LoggedMode(TwoPhasePlan.Why reason, long atUs) {}
+  private record LoggedMode(TwoPhasePlan.Reason reason, long atUs) {}
 
   private final TurnContext context;
   private final TwoPhasePlanner planner;
@@ -26,42 +26,43 @@
   }
 
   /** A query of that class was planned for that reason. */
-  void onPlanned(String queryClass, TwoPhasePlan.Why reason) {
+  void onPlanned(String queryClass, TwoPhasePlan.Reason reason) {
     if (concernsSingleQuery(reason) || wasLogged(queryClass, reason)) {
       return;
     }
     lastByClass.put(queryClass, new LoggedMode(reason, context.nowUs()));
-    planner.shown(context.nowUs()).stream()
+    planner.status(context.nowUs()).stream()
         .filter(statistics -> statistics.queryClass().equals(queryClass))
         .forEach(statistics -> log(queryClass, reason, statistics));
   }
 
-  private static boolean concernsSingleQuery(TwoPhasePlan.Why reason) {
+  private static boolean concernsSingleQuery(TwoPhasePlan.Reason reason) {
     return switch (reason) {
       case TRIAL, FEW_BLOCKS, KNOWN_FULL, TOO_LITTLE_TIME -> true;
       default -> false;
     };
   }
 
-  private boolean wasLogged(String queryClass, TwoPhasePlan.Why reason) {
+  private boolean wasLogged(String queryClass, TwoPhasePlan.Reason reason) {
     LoggedMode last = lastByClass.get(queryClass);
     return last != null
         && (last.reason() == reason || context.nowUs() < last.atUs() + MINIMUM_INTERVAL_US);
   }
 
-  private void log(String queryClass, TwoPhasePlan.Why reason, TwoPhasePlanner.Shown statistics) {
+  private void log(
+      String queryClass, TwoPhasePlan.Reason reason, TwoPhasePlanner.ClassStatus statistics) {
     context.log(
         String.format(
             Locale.ROOT,
             "%s goes in %s: %s (share of empty blocks %.2f, price of a first pass %.2f)",
             queryClass,
-            reason == TwoPhasePlan.Why.TWO_PHASES ? "two phases" : "one phase",
+            reason == TwoPhasePlan.Reason.TWO_PHASES ? "two phases" : "one phase",
             describe(reason),
-            statistics.empty(),
-            statistics.price()));
+            statistics.emptyShare(),
+            statistics.costRatio()));
   }
 
-  private static String describe(TwoPhasePlan.Why reason) {
+  private static String describe(TwoPhasePlan.Reason reason) {
     return switch (reason) {
       case TWO_PHASES -> "it pays";
       case DOES_NOT_PAY -> "it does not pay, or too little is known yet";
--- a/src/main/java/dunlinhitch/core/TwoPhaseQuery.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseQuery.java
@@ -22,7 +22,7 @@
   final Map<Integer, InFlightPart> firstPassParts = new LinkedHashMap<>();
 
   /** First passes completed, by shard. */
-  final Map<Integer, TwoPhasePlanner.First> firstPassAnswers = new HashMap<>();
+  final Map<Integer, TwoPhasePlanner.FirstAnswer> firstPassAnswers = new HashMap<>();
 
   /** Shards without a record, which need no full pass. */
   final Set<Integer> prunedShards = new HashSet<>();
@@ -48,7 +48,7 @@
   }
 
   String className() {
-    return query.request.kind().name();
+    return query.request.queryClass().name();
   }
 
   /** True while a sub-query is open. */
--- a/src/main/java/dunlinhitch/core/TwoPhaseStage.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseStage.java
@@ -63,8 +63,8 @@
   }
 
   /** What has been learnt, by class. */
-  List<TwoPhasePlanner.Shown> statistics() {
-    return planner.shown(context.nowUs());
+  List<TwoPhasePlanner.ClassStatus> statistics() {
+    return planner.status(context.nowUs());
   }
 
   // ---- opening
@@ -72,19 +72,19 @@
   /** Opens a query in two phases; false where it is to be opened as a single query instead. */
   boolean open(InFlightQuery query) {
     QueryRequest request = query.request;
-    String className = request.kind().name();
-    if (!planner.isSet(className) || request.kind().repeat() != Idempotency.FREE) {
+    String className = request.queryClass().name();
+    if (!planner.isEnabled(className) || request.queryClass().idempotency() != Idempotency.FREE) {
       return false;
     }
     TwoPhasePlan plan = plan(query);
     state
         .counters()
         .add(plan.twoPhases() ? Counter.QUERIES_IN_TWO_PHASES : Counter.QUERIES_IN_ONE_PHASE);
-    modeLog.onPlanned(className, plan.why());
+    modeLog.onPlanned(className, plan.reason());
     if (!plan.twoPhases()) {
       return false;
     }
-    if (firstPassClasses.updateRelativeCost(className, planner.price(className))) {
+    if (firstPassClasses.updateRelativeCost(className, planner.costRatio(className))) {
       configuration.publishSettings();
     }
     start(new TwoPhaseQuery(query, context.nowUs()), plan);
@@ -96,10 +96,10 @@
     List<Integer> shards = query.parts.stream().map(part -> part.request.shard()).toList();
     Set<Integer> supported = new HashSet<>();
     shards.stream().filter(firstPassSupport::covers).forEach(supported::add);
-    long objectiveUs = context.nowUs() + request.kind().latencyObjectiveUs();
-    return planner.arrived(
+    long objectiveUs = context.nowUs() + request.queryClass().latencyObjectiveUs();
+    return planner.plan(
         context.nowUs(),
-        request.kind().name(),
+        request.queryClass().name(),
         shards,
         supported,
         request.text(),
@@ -111,18 +111,18 @@
     queries.put(query.number, twoPhase);
     List<InFlightPart> fullPassParts = new ArrayList<>();
     for (InFlightPart part : query.parts) {
-      if (plan.first().contains(part.request.shard())) {
+      if (plan.firstPassShards().contains(part.request.shard())) {
         part.inFirstPass = true;
         twoPhase.firstPassParts.put(part.request.shard(), part);
       } else {
         fullPassParts.add(part);
       }
     }
-    openFirstPass(twoPhase, plan.firstEndUs());
+    openFirstPass(twoPhase, plan.firstPassEndUs());
     if (!fullPassParts.isEmpty() && queries.containsKey(query.number)) {
       openFullPass(twoPhase, fullPassParts);
     }
-    state.timers().schedule(plan.firstEndUs(), TimerQueue.Kind.FIRST_PASS, query.number);
+    state.timers().schedule(plan.firstPassEndUs(), TimerQueue.Kind.FIRST_PASS, query.number);
   }
 
   private void openFirstPass(TwoPhaseQuery twoPhase, long endUs) {
@@ -161,7 +161,7 @@
             parts.size(),
             deadlineUs,
             workHintUs,
-            request.repeat()));
+            request.isRepeat()));
     for (InFlightPart part : parts) {
       double weight = totalWeight > 0 ? part.request.weight() / totalWeight : 1.0 / parts.size();
       long partHintUs = firstPass ? 0 : part.request.hintUs();
@@ -216,28 +216,28 @@
     if (twoPhase == null || !attempt.firstPass()) {
       return;
     }
-    TwoPhasePlanner.First answer =
-        new TwoPhasePlanner.First(event.records(), event.version(), event.emptyValue());
+    TwoPhasePlanner.FirstAnswer answer =
+        new TwoPhasePlanner.FirstAnswer(event.records(), event.version(), event.emptyValue());
     twoPhase.firstPassAnswers.put(part.request.shard(), answer);
-    planner.firstCame(
+    planner.onFirstAnswer(
         context.nowUs(),
         twoPhase.className(),
         part.request.shard(),
         part.query.request.text(),
         answer,
-        event.cameUs() - attempt.sentUs());
+        event.receivedUs() - attempt.sentUs());
   }
 
   /** A full pass was completed, of a query in one phase or two. */
   void onFullPassCompleted(InFlightAttempt attempt, String value) {
     InFlightQuery query = attempt.part().query;
-    String className = query.request.kind().name();
-    if (!planner.isSet(className)) {
+    String className = query.request.queryClass().name();
+    if (!planner.isEnabled(className)) {
       return;
     }
     // it arrived within the tick before this turn
     long latencyUs = context.nowUs() - attempt.sentUs() - context.settings().tickUs() / 2;
-    planner.fullCame(context.nowUs(), className, latencyUs);
+    planner.onFullAnswer(context.nowUs(), className, latencyUs);
     TwoPhaseQuery twoPhase = queries.get(query.number);
     int shard = attempt.part().request.shard();
     if (twoPhase != null && twoPhase.auditedShards.remove(shard)) {
@@ -247,10 +247,10 @@
   }
 
   private void finishAudit(InFlightAttempt attempt, boolean confirmed) {
-    String className = attempt.part().query.request.kind().name();
+    String className = attempt.part().query.request.queryClass().name();
     int shard = attempt.part().request.shard();
     state.counters().add(confirmed ? Counter.AUDITS_CONFIRMED : Counter.AUDITS_REFUTED);
-    if (planner.audited(context.nowUs(), className, shard, confirmed)) {
+    if (planner.onAuditAnswer(context.nowUs(), className, shard, confirmed)) {
       context.log(
           "pruning is closed for "
               + className
@@ -269,7 +269,7 @@
     }
     twoPhase.firstPassParts.values().forEach(this::cancelAttempts);
     TwoPhasePlanner.Outcome outcome =
-        planner.over(
+        planner.onFirstPassEnded(
             context.nowUs(),
             twoPhase.className(),
             twoPhase.query.request.text(),
@@ -300,7 +300,7 @@
     for (InFlightPart part : twoPhase.firstPassParts.values()) {
       boolean answered = twoPhase.firstPassAnswers.containsKey(part.request.shard());
       if (part.attemptsInFlight > 0 && !answered) {
-        planner.firstMissed(context.nowUs(), twoPhase.className(), waitedUs);
+        planner.onFirstAnswerTimeout(context.nowUs(), twoPhase.className(), waitedUs);
       }
     }
   }
--- a/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
+++ b/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
@@ -50,9 +50,9 @@
     this.subsetListener = subsetListener;
     self = identity.self().name();
     versions = identity.versions();
-    detector = new VersionSkewDetector(identity.audit(), self, versions);
-    coordinator.view().acts(versions);
-    lastSnapshot = coordinator.seen();
+    detector = new VersionSkewDetector(identity.versionSkew(), self, versions);
+    coordinator.membership().setVersions(versions);
+    lastSnapshot = coordinator.snapshot();
   }
 
   /** True while this broker is too far out of date to decide safely: it admits no query. */
@@ -61,7 +61,7 @@
   }
 
   void onEndpointListGeneration(long generation) {
-    publishVersions(versions.withRoster(generation));
+    publishVersions(versions.withEndpointListGeneration(generation));
   }
 
   void onConfigurationFileChanged(long writtenMs) {
@@ -78,23 +78,24 @@
 
   private void publishVersions(VersionVector current) {
     versions = current;
-    coordinator.view().acts(current);
-    detector.told(context.nowUs(), self, current);
+    coordinator.membership().setVersions(current);
+    detector.onVersions(context.nowUs(), self, current);
   }
 
   void onGossip(GossipMessage message) {
     coordinator
-        .seen()
+        .snapshot()
         .member(message.from().name())
         .filter(member -> member.versions() != null)
-        .ifPresent(member -> detector.told(context.nowUs(), member.name(), member.versions()));
+        .ifPresent(
+            member -> detector.onVersions(context.nowUs(), member.name(), member.versions()));
   }
 
   /** Advances to the time of this turn. */
   void advance() {
     forgetDepartedMembers();
     if (detector.nextUs() <= context.nowUs()) {
-      detector.passed(context.nowUs()).forEach(this::apply);
+      detector.verdicts(context.nowUs()).forEach(this::apply);
     }
   }
 
@@ -105,14 +106,14 @@
   // a snapshot is replaced, never changed: another object is another snapshot
   @SuppressWarnings("ReferenceEquality")
   private void forgetDepartedMembers() {
-    if (lastSnapshot == coordinator.seen()) {
+    if (lastSnapshot == coordinator.snapshot()) {
       return;
     }
-    lastSnapshot = coordinator.seen();
+    lastSnapshot = coordinator.snapshot();
     Set<String> members = lastSnapshot.names();
-    detector.held().keySet().stream()
+    detector.versionsByBroker().keySet().stream()
         .filter(name -> !members.contains(name))
-        .forEach(name -> detector.left(context.nowUs(), name));
+        .forEach(name -> detector.onMemberLeft(context.nowUs(), name));
   }
 
   private void apply(SkewVerdict verdict) {
@@ -132,9 +133,9 @@
       case CAUGHT_UP, LET_IN ->
           context.log(subject + " has caught up: " + describeRecovery(verdict));
     }
-    Set<String> fencedBrokers = detector.shutOut();
+    Set<String> fencedBrokers = detector.fenced();
     fenced = fencedBrokers.contains(self);
-    coordinator.shutOut(fencedBrokers);
+    coordinator.fence(fencedBrokers);
     subsetListener.run();
   }
 
--- a/src/main/java/dunlinhitch/discovery/DiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoverySource.java
@@ -22,5 +22,5 @@
   void resync();
 
   /** True once the source itself has answered since the start. */
-  boolean answered();
+  boolean hasAnswered();
 }
--- a/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
@@ -81,7 +81,7 @@
   }
 
   @Override
-  public boolean answered() {
+  public boolean hasAnswered() {
     return answered;
   }
 
@@ -121,7 +121,7 @@
     } else if (action instanceof WatchAction.CloseRequest close) {
       requests.remove(close.requestId()).close();
     } else if (action instanceof WatchAction.CountFailure) {
-      events.accept(new Event.ConditionCounted(Counter.ROSTER_LOST));
+      events.accept(new Event.ConditionCounted(Counter.SOURCES_UNAVAILABLE));
     } else if (action instanceof WatchAction.ReportUnavailable report) {
       events.accept(new Event.DiscoveryUnavailable(report.sinceUs()));
     } else if (action instanceof WatchAction.ReportRecovered) {
@@ -254,7 +254,7 @@
     }
 
     private void countMalformed() {
-      events.accept(new Event.ConditionCounted(Counter.BAD_ROSTER_ENTRIES));
+      events.accept(new Event.ConditionCounted(Counter.ENDPOINT_ENTRIES_INVALID));
     }
 
     private void apply(JsonObject list) {
--- a/src/main/java/dunlinhitch/discovery/EndpointListFile.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListFile.java
@@ -32,7 +32,7 @@
    * @param savedUs when it was written, Unix time in microseconds
    * @param bySource the claims of each source, in the order of the file
    */
-  public record Kept(long savedUs, Map<String, List<EndpointClaim>> bySource) {}
+  public record Content(long savedUs, Map<String, List<EndpointClaim>> bySource) {}
 
   /** The file in that folder, which need not exist. */
   public EndpointListFile(Path folder) {
@@ -77,7 +77,7 @@
    * @throws IOException where it can not be read; a damaged file is renamed, and the exception's
    *     message is a line for the log
    */
-  public Kept read(long nowUs) throws IOException {
+  public Content read(long nowUs) throws IOException {
     if (!Files.exists(path())) {
       return null;
     }
--- a/src/main/java/dunlinhitch/discovery/EndpointListFormat.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListFormat.java
@@ -41,7 +41,7 @@
   static List<ByteBuffer> encode(long nowUs, List<EndpointRegistry.Row> rows) {
     JsonArray claims = new JsonArray();
     for (EndpointRegistry.Row row : rows) {
-      boolean isClaim = !row.source().isEmpty() && row.entry() != null;
+      boolean isClaim = !row.source().isEmpty() && row.endpoint() != null;
       if (isClaim) {
         claims.add(encodeClaim(nowUs, row));
       }
@@ -53,8 +53,8 @@
   }
 
   private static JsonObject encodeClaim(long nowUs, EndpointRegistry.Row row) {
-    Endpoint endpoint = row.entry();
-    boolean unbounded = row.untilUs() == TimingWheel.NEVER;
+    Endpoint endpoint = row.endpoint();
+    boolean unbounded = row.expiresUs() == TimingWheel.NEVER;
     return new JsonObject()
         .add("source", row.source())
         .add("key", row.key())
@@ -66,10 +66,10 @@
         .add("state", endpoint.state().name())
         .add("weight", endpoint.weight())
         .add("start", endpoint.startedUs())
-        .add("wire", endpoint.wire().name())
+        .add("wire", endpoint.protocol().name())
         .add("phases", endpoint.phases())
-        .add("heard", row.heardUs())
-        .add("until", unbounded ? nowUs + UNBOUNDED_CLAIM_US : row.untilUs());
+        .add("heard", row.reportedUs())
+        .add("until", unbounded ? nowUs + UNBOUNDED_CLAIM_US : row.expiresUs());
   }
 
   /**
@@ -78,7 +78,7 @@
    *
    * @throws RuntimeException where the content is of another version or damaged
    */
-  static EndpointListFile.Kept decode(long nowUs, byte[] content) {
+  static EndpointListFile.Content decode(long nowUs, byte[] content) {
     int headerEnd = 0;
     while (headerEnd < content.length && content[headerEnd] != '\n') {
       headerEnd++;
@@ -101,7 +101,7 @@
           .computeIfAbsent(json.get("source").asString(), source -> new ArrayList<>())
           .add(claim);
     }
-    return new EndpointListFile.Kept(root.get("saved").asLong(), bySource);
+    return new EndpointListFile.Content(root.get("saved").asLong(), bySource);
   }
 
   private static EndpointClaim decodeClaim(long nowUs, JsonObject json) {
--- a/src/main/java/dunlinhitch/discovery/EndpointListReader.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListReader.java
@@ -46,9 +46,9 @@
     List<Endpoint> endpoints = new ArrayList<>();
     for (JsonValue value : list.get("instances").asArray()) {
       try {
-        endpoints.add(entry(value.asObject()));
+        endpoints.add(endpoint(value.asObject()));
       } catch (RuntimeException e) { // the JSON library throws several kinds for wrong types
-        events.accept(new Event.ConditionCounted(Counter.BAD_ROSTER_ENTRIES));
+        events.accept(new Event.ConditionCounted(Counter.ENDPOINT_ENTRIES_INVALID));
       }
     }
     boolean reset = list.getBoolean("reset", false);
@@ -56,8 +56,8 @@
     return new Event.EndpointsUpdated(cached ? ServerListKind.CACHED : kind, endpoints);
   }
 
-  private Endpoint entry(JsonObject json) {
-    return entry(
+  private Endpoint endpoint(JsonObject json) {
+    return endpoint(
             json.get("instanceId").asString(),
             json.get("hostPort").asString(),
             json.getString("zone", ""),
@@ -74,7 +74,7 @@
    *
    * @throws IllegalArgumentException where a field can not be used
    */
-  public Endpoint entry(
+  public Endpoint endpoint(
       String name,
       String hostPort,
       String zone,
--- a/src/main/java/dunlinhitch/discovery/dnssd/BrowsedInstances.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/BrowsedInstances.java
@@ -15,7 +15,7 @@
 
 /**
  * The instances that the PTR records of the browsed names list, and those among them whose claims
- * are to be computed anew. Owned by {@link Records}.
+ * are to be computed anew. Owned by {@link ServiceRecords}.
  */
 final class BrowsedInstances {
   private final RecordCache cache;
--- a/src/main/java/dunlinhitch/discovery/dnssd/ClaimBuilder.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ClaimBuilder.java
@@ -99,7 +99,9 @@
   private EndpointClaim claim(
       String key, Endpoint endpoint, long expiresUs, EndpointClaim previous) {
     boolean unchanged =
-        previous != null && previous.entry().equals(endpoint) && previous.untilUs() == expiresUs;
+        previous != null
+            && previous.endpoint().equals(endpoint)
+            && previous.expiresUs() == expiresUs;
     return unchanged ? previous : new EndpointClaim(key, endpoint, cache.nowUs(), expiresUs);
   }
 
--- a/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
@@ -22,9 +22,9 @@
 import org.xbill.DNS.Type;
 
 /**
- * Discovery of one service at one DNS server. {@link Records} decides what to query and which
- * claims follow, {@link Resolver} sends the queries, and {@link PushClient} brings changes as they
- * happen where a push server is configured. All methods are called on the event loop.
+ * Discovery of one service at one DNS server. {@link ServiceRecords} decides what to query and
+ * which claims follow, {@link Resolver} sends the queries, and {@link PushClient} brings changes as
+ * they happen where a push server is configured. All methods are called on the event loop.
  */
 public final class DnsDiscoverySource implements DiscoverySource {
   /** Time limit of a query, including its repetition over TCP. */
@@ -69,12 +69,12 @@
       Name zone,
       long serialPollIntervalUs,
       Push pushServer,
-      Records.Bounds bounds) {}
+      ServiceRecords.Limits bounds) {}
 
   private final Vertx vertx;
   private final Settings settings;
   private final DiscoveryContext context;
-  private final Records records;
+  private final ServiceRecords records;
   private final Resolver resolver;
   private final ZoneSerialPoller serialPoller;
 
@@ -103,7 +103,7 @@
     RandomGenerator random =
         seed == 0 ? RandomGenerator.of("L64X128MixRandom") : new SplittableRandom(seed);
     records =
-        new Records(
+        new ServiceRecords(
             settings.browsedNames(),
             new TxtRecordParser(reader),
             settings.bounds(),
@@ -124,7 +124,7 @@
   }
 
   /** Takes the keys of claims that an earlier process has stored; called before the start. */
-  public void restored(Collection<String> keys) {
+  public void restoreClaims(Collection<String> keys) {
     records.restore(keys);
   }
 
@@ -158,17 +158,17 @@
   }
 
   @Override
-  public boolean answered() {
+  public boolean hasAnswered() {
     return answered;
   }
 
   /** Every instance as the records describe it, for display. */
-  public List<Records.Shown> shown() {
+  public List<ServiceRecords.InstanceDescription> describeInstances() {
     return records.describeInstances();
   }
 
   /** True while a push session is up. */
-  public boolean pushes() {
+  public boolean isPushSessionUp() {
     return pushClient != null && pushClient.isUp();
   }
 
@@ -220,7 +220,7 @@
   }
 
   private void emitClaims(long nowUs) {
-    Records.ClaimUpdate update = records.drainClaims(nowUs);
+    ServiceRecords.ClaimUpdate update = records.drainClaims(nowUs);
     if (update.snapshot() || !update.claims().isEmpty()) {
       context.emit(new Event.SourceUpdated(settings.source(), update.snapshot(), update.claims()));
     }
@@ -243,14 +243,14 @@
 
   private static Counter counterOf(AnswerFault fault) {
     return switch (fault) {
-      case INVALID_INSTANCE, UNRESOLVED_ALIAS -> Counter.BAD_ROSTER_ENTRIES;
-      case INSTANCE_LIMIT -> Counter.MEMBERS_REFUSED;
+      case INVALID_INSTANCE, UNRESOLVED_ALIAS -> Counter.ENDPOINT_ENTRIES_INVALID;
+      case INSTANCE_LIMIT -> Counter.CLAIMS_REJECTED;
       case NOT_AUTHORITATIVE -> Counter.DNS_NOT_AUTHORITATIVE;
     };
   }
 
   private void pollSerial(long nowUs) {
-    if (serialPoller.startPoll(nowUs, pushes())) {
+    if (serialPoller.startPoll(nowUs, isPushSessionUp())) {
       resolver
           .query(new Question(settings.zone(), Type.SOA), nowUs + QUERY_TIMEOUT_US)
           .onComplete(this::onSerialResult);
--- a/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
@@ -128,7 +128,7 @@
   }
 
   /** A keep-alive with the inactivity timeout and the keep-alive interval, in milliseconds. */
-  public static Tlv keepAlive(long inactivityTimeoutMs, long intervalMs) {
+  public static Tlv keepalive(long inactivityTimeoutMs, long intervalMs) {
     Buffer data =
         Buffer.buffer().appendUnsignedInt(inactivityTimeoutMs).appendUnsignedInt(intervalMs);
     return new Tlv(KEEPALIVE, data.getBytes());
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushClient.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushClient.java
@@ -9,15 +9,15 @@
 
 /**
  * Follows the records of a service at a push server: carries out the actions of the {@link
- * PushSession} on a {@link PushConnection} and applies pushed changes to the {@link Records}. On
- * the event loop.
+ * PushSession} on a {@link PushConnection} and applies pushed changes to the {@link
+ * ServiceRecords}. On the event loop.
  */
 final class PushClient implements PushConnection.Listener {
   /** Differs from every version of the records. */
   private static final long NO_VERSION = -1;
 
   private final DiscoveryContext context;
-  private final Records records;
+  private final ServiceRecords records;
   private final PushSession session;
   private final PushConnection connection;
   private final Runnable afterEvent;
@@ -31,7 +31,7 @@
       Vertx vertx,
       DnsDiscoverySource.Push server,
       DiscoveryContext context,
-      Records records,
+      ServiceRecords records,
       RandomGenerator random,
       Runnable afterEvent) {
     this.context = context;
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
@@ -301,7 +301,7 @@
   }
 
   private void sendKeepalive(long nowUs, List<Action> actions) {
-    Tlv tlv = Dso.keepAlive(DEFAULT_KEEPALIVE_US / US_PER_MS, keepaliveIntervalUs / US_PER_MS);
+    Tlv tlv = Dso.keepalive(DEFAULT_KEEPALIVE_US / US_PER_MS, keepaliveIntervalUs / US_PER_MS);
     send(nowUs, actions, nextMessageId(), tlv);
   }
 
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordCache.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordCache.java
@@ -109,7 +109,7 @@
   /** Queues a query unless one is in flight. A null set is ignored. */
   void queryNow(RecordSet set) {
     if (set != null && !set.querying) {
-      wheel.drop(set.timer);
+      wheel.cancel(set.timer);
       pendingQueries.add(set);
     }
   }
@@ -200,12 +200,12 @@
   }
 
   private void cancelQuery(RecordSet set) {
-    wheel.drop(set.timer);
+    wheel.cancel(set.timer);
     pendingQueries.remove(set);
   }
 
   private void queryAt(RecordSet set, long dueUs) {
-    wheel.drop(set.timer);
-    set.timer = wheel.set(dueUs, set);
+    wheel.cancel(set.timer);
+    set.timer = wheel.schedule(dueUs, set);
   }
 }
