--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordRegistrar.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordRegistrar.java
@@ -71,7 +71,7 @@
   private long timerId = NO_TIMER;
   private boolean closed;
 
-  /** Nothing is registered before {@link #ready}. */
+  /** Nothing is registered before {@link #register}. */
   public RecordRegistrar(Vertx vertx, Settings settings, LongSupplier clock, Consumer<String> log) {
     this.vertx = vertx;
     this.settings = settings;
@@ -105,7 +105,7 @@
    * separated by white space. The operator makes the file readable by its owner only; that is not
    * checked here.
    */
-  public static TSIG key(Path file) throws IOException {
+  public static TSIG readKeyFile(Path file) throws IOException {
     String[] fields = Files.readString(file).trim().split("\\s+", -1);
     if (fields.length != KEY_FILE_FIELDS) {
       throw new IOException(file + " does not hold NAME ALGORITHM SECRET");
@@ -118,7 +118,7 @@
   }
 
   /** The broker serves: registers it, and refreshes the registration from then on. */
-  public void ready() {
+  public void register() {
     registration.onReady(clock.getAsLong());
     advance();
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordsProbe.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordsBenchmark.java
@@ -16,26 +16,26 @@
 import org.xbill.DNS.Type;
 
 /**
- * Drives {@link Records} without sockets, for measurements: a table takes the place of the server,
- * which responds at once and pushes changes.
+ * Drives {@link ServiceRecords} without sockets, for measurements: a table takes the place of the
+ * server, which responds at once and pushes changes.
  */
-public final class RecordsProbe {
+public final class RecordsBenchmark {
   private static final Name SERVICE = Names.parse("_calendar._tcp.rooms.example.org.");
   private static final Question POINTERS = new Question(SERVICE, Type.PTR);
-  private static final Records.Bounds BOUNDS = new Records.Bounds(50_000, 1_000);
+  private static final ServiceRecords.Limits BOUNDS = new ServiceRecords.Limits(50_000, 1_000);
 
   /** Arbitrary time at which a refresh is measured. */
   private static final long REFRESH_US = 1_000_000;
 
-  private final Records records;
+  private final ServiceRecords records;
   private final Map<Question, List<Record>> zone = new LinkedHashMap<>();
   private final List<Record> pointers = new ArrayList<>();
   private long responseBytes;
 
   /** The seed decides the jitter of the refreshes. */
-  public RecordsProbe(EndpointListReader reader, long seed) {
+  public RecordsBenchmark(EndpointListReader reader, long seed) {
     records =
-        new Records(
+        new ServiceRecords(
             List.of(SERVICE), new TxtRecordParser(reader), BOUNDS, new SplittableRandom(seed), 0);
   }
 
@@ -117,7 +117,7 @@
   /** Queries all records of these endpoints once; returns the bytes of the responses. */
   public static long refresh(List<List<Record>> endpointRecords, long seed) throws Exception {
     EndpointListReader reader = new EndpointListReader(List.of("a"), event -> {});
-    RecordsProbe measured = new RecordsProbe(reader, seed);
+    RecordsBenchmark measured = new RecordsBenchmark(reader, seed);
     measured.fill(REFRESH_US, endpointRecords);
     return measured.responseBytes;
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/RestoredClaims.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RestoredClaims.java
@@ -44,7 +44,7 @@
     keysByInstance.forEach(
         (instance, keys) -> {
           if (!listed.contains(instance)) {
-            keys.forEach(key -> withdrawals.add(EndpointClaim.back(key, nowUs)));
+            keys.forEach(key -> withdrawals.add(EndpointClaim.withdrawal(key, nowUs)));
           }
         });
     keysByInstance.keySet().retainAll(listed);
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceInstance.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceInstance.java
@@ -9,7 +9,7 @@
 
 /**
  * One instance of the service (RFC 6763 section 4): the record sets that describe it and the claims
- * that were last made of them. Owned by {@link Records}; compared by identity.
+ * that were last made of them. Owned by {@link ServiceRecords}; compared by identity.
  */
 final class ServiceInstance {
   final Name name;
--- a/src/main/java/dunlinhitch/discovery/dnssd/Records.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
@@ -27,16 +27,16 @@
  * <p>A negative answer counts only with the AA bit; any other failure leaves a record set as it
  * was, and its query is retried with backoff.
  */
-public final class Records {
+public final class ServiceRecords {
   /**
    * Limits of one service.
    *
    * @param instances instances that are taken into account
    * @param asking queries that may be in flight at once
    */
-  public record Bounds(int instances, int asking) {
+  public record Limits(int instances, int asking) {
     /** The limits where nothing is configured. */
-    public static final Bounds STANDARD = new Bounds(4096, 32);
+    public static final Limits STANDARD = new Limits(4096, 32);
   }
 
   /**
@@ -45,9 +45,10 @@
    * @param instance the instance's label
    * @param endpoints what its claims say
    * @param expiresUs when the first of the claims expires; 0 without any
-   * @param trouble why the records make no usable endpoint; empty where they do
+   * @param fault why the records make no usable endpoint; empty where they do
    */
-  public record Shown(String instance, List<Endpoint> endpoints, long expiresUs, String trouble) {}
+  public record InstanceDescription(
+      String instance, List<Endpoint> endpoints, long expiresUs, String fault) {}
 
   /**
    * The claims since the last update.
@@ -66,10 +67,10 @@
   private boolean snapshotEmitted;
 
   /** {@code browsedNames}: the service, or its subtypes. */
-  Records(
+  ServiceRecords(
       List<Name> browsedNames,
       TxtRecordParser parser,
-      Bounds bounds,
+      Limits bounds,
       RandomGenerator random,
       long nowUs) {
     this.browsedNames = List.copyOf(browsedNames);
@@ -238,7 +239,7 @@
     previousKeys.addAll(restoredClaims.remove(Names.canonicalText(instance.name)));
     for (String key : previousKeys) {
       if (!current.containsKey(key)) {
-        changes.add(EndpointClaim.back(key, cache.nowUs()));
+        changes.add(EndpointClaim.withdrawal(key, cache.nowUs()));
       }
     }
     current.forEach(
@@ -318,16 +319,16 @@
   }
 
   /** Every listed instance. */
-  List<Shown> describeInstances() {
-    return instances.all().stream().map(Records::describe).toList();
+  List<InstanceDescription> describeInstances() {
+    return instances.all().stream().map(ServiceRecords::describe).toList();
   }
 
-  private static Shown describe(ServiceInstance instance) {
+  private static InstanceDescription describe(ServiceInstance instance) {
     Collection<EndpointClaim> claims = instance.claims.values();
-    return new Shown(
+    return new InstanceDescription(
         Names.instanceLabel(instance.name),
-        claims.stream().map(EndpointClaim::entry).toList(),
-        claims.stream().mapToLong(EndpointClaim::untilUs).min().orElse(0),
+        claims.stream().map(EndpointClaim::endpoint).toList(),
+        claims.stream().mapToLong(EndpointClaim::expiresUs).min().orElse(0),
         instance.fault);
   }
 }
--- a/src/main/java/dunlinhitch/discovery/dnssd/TxtRecordParser.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/TxtRecordParser.java
@@ -37,7 +37,7 @@
       }
     }
     return endpointReader
-        .entry(
+        .endpoint(
             attributes.get("id"),
             host + ":" + port,
             attributes.get("zone"),
--- a/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
+++ b/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
@@ -43,7 +43,7 @@
     if (endpoint.published == null) {
       return null;
     }
-    return endpoint.published.in(
+    return endpoint.published.withState(
         endpoint.status == EndpointStatus.WITHDRAWN ? ServerState.WITHDRAWN : ServerState.GONE);
   }
 
@@ -61,12 +61,12 @@
   private static Endpoint claimed(
       EndpointRecord endpoint, Evaluation evaluation, boolean announced) {
     if (!endpoint.status.usesClaimedState()) {
-      return evaluation.endpoint().in(ServerState.WITHDRAWN);
+      return evaluation.endpoint().withState(ServerState.WITHDRAWN);
     }
     if (!announced) {
       return evaluation.endpoint();
     }
-    Endpoint serving = evaluation.endpoint().startedAt(processStartUs(endpoint, evaluation));
+    Endpoint serving = evaluation.endpoint().withStart(processStartUs(endpoint, evaluation));
     endpoint.lastServing = serving;
     return serving;
   }
--- a/src/main/java/dunlinhitch/endpoints/ClaimEvaluator.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimEvaluator.java
@@ -51,8 +51,8 @@
 
   private static Endpoint merge(Endpoint merged, Endpoint other) {
     Endpoint result =
-        other.state() == ServerState.DRAINING ? merged.in(ServerState.DRAINING) : merged;
-    return result.startedUs() == 0 ? result.startedAt(other.startedUs()) : result;
+        other.state() == ServerState.DRAINING ? merged.withState(ServerState.DRAINING) : merged;
+    return result.startedUs() == 0 ? result.withStart(other.startedUs()) : result;
   }
 
   private static Evaluation withoutConflict(ActiveClaim claim, Endpoint endpoint) {
--- a/src/main/java/dunlinhitch/endpoints/ClaimTable.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimTable.java
@@ -50,10 +50,10 @@
   /** Takes in a claim or its withdrawal; one that is older than what is in force is ignored. */
   void apply(ClaimSource source, EndpointClaim update) {
     ActiveClaim current = source.claims.get(update.key());
-    if (current != null && update.heardUs() < current.reportedUs) {
+    if (current != null && update.reportedUs() < current.reportedUs) {
       return;
     }
-    Endpoint endpoint = update.entry();
+    Endpoint endpoint = update.endpoint();
     boolean ended = endpoint == null || endpoint.state() == ServerState.GONE;
     boolean rejects = !ended && isRejected(source, endpoint);
     if (rejects) {
@@ -110,7 +110,7 @@
     if (!source.trusted && endpoint.cell() >= settings.cells()) {
       return true;
     }
-    return !endpoints.containsKey(endpoint.name()) && endpoints.size() >= settings.mostStores();
+    return !endpoints.containsKey(endpoint.name()) && endpoints.size() >= settings.maxEndpoints();
   }
 
   private void withdrawIfPresent(ActiveClaim claim) {
@@ -120,7 +120,8 @@
   }
 
   private ActiveClaim add(ClaimSource source, EndpointClaim update) {
-    EndpointRecord endpoint = endpoints.computeIfAbsent(update.entry().name(), EndpointRecord::new);
+    EndpointRecord endpoint =
+        endpoints.computeIfAbsent(update.endpoint().name(), EndpointRecord::new);
     ActiveClaim claim = new ActiveClaim(source, update.key(), endpoint);
     endpoint.claims.add(claim);
     source.claims.put(claim.key, claim);
@@ -128,12 +129,12 @@
   }
 
   private void setContent(ActiveClaim claim, EndpointClaim update) {
-    if (!update.entry().equals(claim.endpoint)) {
-      claim.endpoint = update.entry();
-      claim.sinceUs = update.heardUs();
+    if (!update.endpoint().equals(claim.endpoint)) {
+      claim.endpoint = update.endpoint();
+      claim.sinceUs = update.reportedUs();
       pending.add(claim.owner);
     }
-    claim.reportedUs = update.heardUs();
-    expiry.renew(claim, update.untilUs());
+    claim.reportedUs = update.reportedUs();
+    expiry.renew(claim, update.expiresUs());
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/Endpoint.java
+++ b/src/main/java/dunlinhitch/endpoints/Endpoint.java
@@ -19,7 +19,7 @@
     ServerState state,
     double weight,
     long startedUs,
-    Protocol wire,
+    Protocol protocol,
     int phases) {
   /** The protocol that an endpoint speaks. */
   public enum Protocol {
@@ -37,33 +37,33 @@
       ServerState state,
       double weight,
       long startedUs,
-      Protocol wire) {
-    this(name, host, port, zone, cell, state, weight, startedUs, wire, 1);
+      Protocol protocol) {
+    this(name, host, port, zone, cell, state, weight, startedUs, protocol, 1);
   }
 
   /** True where both are reached at the same address by the same protocol. */
   public boolean sameAddress(Endpoint other) {
-    return host.equals(other.host) && port == other.port && wire == other.wire;
+    return host.equals(other.host) && port == other.port && protocol == other.protocol;
   }
 
   /** This endpoint in another state. */
-  public Endpoint in(ServerState newState) {
+  public Endpoint withState(ServerState newState) {
     return newState == state
         ? this
-        : new Endpoint(name, host, port, zone, cell, newState, weight, startedUs, wire, phases);
+        : new Endpoint(name, host, port, zone, cell, newState, weight, startedUs, protocol, phases);
   }
 
   /** This endpoint with another number of phases. */
   public Endpoint phases(int newPhases) {
     return newPhases == phases
         ? this
-        : new Endpoint(name, host, port, zone, cell, state, weight, startedUs, wire, newPhases);
+        : new Endpoint(name, host, port, zone, cell, state, weight, startedUs, protocol, newPhases);
   }
 
   /** This endpoint with another start, Unix time in microseconds. */
-  public Endpoint startedAt(long newStartedUs) {
+  public Endpoint withStart(long newStartedUs) {
     return newStartedUs == startedUs
         ? this
-        : new Endpoint(name, host, port, zone, cell, state, weight, newStartedUs, wire, phases);
+        : new Endpoint(name, host, port, zone, cell, state, weight, newStartedUs, protocol, phases);
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/EndpointChange.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointChange.java
@@ -3,10 +3,14 @@
 /**
  * A change of one endpoint in the list that the registry publishes.
  *
- * @param entry the endpoint as the balancer and the transports are to use it
- * @param told true where {@code entry} differs from the one published before; otherwise only the
- *     status or its reason has changed
+ * @param endpoint the endpoint as the balancer and the transports are to use it
+ * @param endpointChanged true where {@code endpoint} differs from the one published before;
+ *     otherwise only the status or its reason has changed
  * @param announced false where the only source is a trusted one: such a change need not be logged
  */
 public record EndpointChange(
-    Endpoint entry, EndpointStatus status, StatusReason reason, boolean told, boolean announced) {}
+    Endpoint endpoint,
+    EndpointStatus status,
+    StatusReason reason,
+    boolean endpointChanged,
+    boolean announced) {}
--- a/src/main/java/dunlinhitch/endpoints/EndpointClaim.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointClaim.java
@@ -6,19 +6,19 @@
  * What a source says of one endpoint under a key of its own: an id on discovery's list, an instance
  * of DNS-SD, or one of two records that contradict each other.
  *
- * @param entry the claimed endpoint, or null: the claim is withdrawn
- * @param heardUs when the source reported the claim (microseconds on the broker's clock; for a
+ * @param endpoint the claimed endpoint, or null: the claim is withdrawn
+ * @param reportedUs when the source reported the claim (microseconds on the broker's clock; for a
  *     restored claim this may be before the process started)
- * @param untilUs when the claim expires unless it is renewed, or {@link TimingWheel#NEVER}
+ * @param expiresUs when the claim expires unless it is renewed, or {@link TimingWheel#NEVER}
  */
-public record EndpointClaim(String key, Endpoint entry, long heardUs, long untilUs) {
+public record EndpointClaim(String key, Endpoint endpoint, long reportedUs, long expiresUs) {
   /** Checks that there is a key. */
   public EndpointClaim {
     Objects.requireNonNull(key, "key");
   }
 
   /** The withdrawal of the claim under that key. */
-  public static EndpointClaim back(String key, long reportedUs) {
+  public static EndpointClaim withdrawal(String key, long reportedUs) {
     return new EndpointClaim(key, null, reportedUs, TimingWheel.NEVER);
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
@@ -15,33 +15,33 @@
  * docs/membership.md has the rules.
  *
  * <p>No I/O, clock or threads: every call brings the time (microseconds, never running back), and
- * {@link #nextUs} says when {@link #passed} is needed next. The cost of a call depends on what it
- * changes, not on the length of the list. Not thread-safe.
+ * {@link #nextUs} says when {@link #advanceTo} is needed next. The cost of a call depends on what
+ * it changes, not on the length of the list. Not thread-safe.
  */
 public final class EndpointRegistry {
   /**
    * One claim in force, or an endpoint that is remembered without any, for operators and for the
    * endpoint list file.
    *
-   * @param store name of the endpoint
-   * @param entry what the claim says; for an endpoint without claims what was published last
+   * @param name name of the endpoint
+   * @param endpoint what the claim says; for an endpoint without claims what was published last
    * @param source name of the source; empty without a claim
    * @param key key of the claim; empty without a claim
    * @param sinceUs since when the claim has this content, or when the endpoint was withdrawn
-   * @param heardUs when the claim was reported last, or when the endpoint was withdrawn
-   * @param untilUs when the claim expires, or {@link TimingWheel#NEVER}
+   * @param reportedUs when the claim was reported last, or when the endpoint was withdrawn
+   * @param expiresUs when the claim expires, or {@link TimingWheel#NEVER}
    * @param stale the claim has expired or its source is unavailable
    */
   public record Row(
-      String store,
+      String name,
       EndpointStatus status,
       StatusReason reason,
-      Endpoint entry,
+      Endpoint endpoint,
       String source,
       String key,
       long sinceUs,
-      long heardUs,
-      long untilUs,
+      long reportedUs,
+      long expiresUs,
       boolean stale) {}
 
   private final Map<String, ClaimSource> sources = new LinkedHashMap<>();
@@ -73,7 +73,7 @@
    * wins; between two of one rank the endpoint is disputed. Claims of a {@code trusted} source are
    * taken as they are. Registering a source again changes nothing.
    */
-  public void named(String source, int rank, boolean trusted) {
+  public void registerSource(String source, int rank, boolean trusted) {
     sources.computeIfAbsent(source, name -> new ClaimSource(name, rank, trusted));
   }
 
@@ -83,7 +83,7 @@
    *
    * @throws IllegalArgumentException where the source is not registered
    */
-  public List<EndpointChange> said(
+  public List<EndpointChange> update(
       long nowUs, String sourceName, boolean complete, Collection<EndpointClaim> updates) {
     timers.advance(nowUs);
     ClaimSource source = sources.get(sourceName);
@@ -117,7 +117,7 @@
    * A source does not answer. Its claims stay in force until they expire, and as stale ones for
    * {@code staleForUs} after that.
    */
-  public List<EndpointChange> silent(long nowUs, String sourceName) {
+  public List<EndpointChange> sourceUnavailable(long nowUs, String sourceName) {
     timers.advance(nowUs);
     ClaimSource source = sources.get(sourceName);
     if (source != null && !source.unavailable) {
@@ -128,7 +128,7 @@
   }
 
   /** Removes a source and withdraws its claims. */
-  public List<EndpointChange> left(long nowUs, String sourceName) {
+  public List<EndpointChange> removeSource(long nowUs, String sourceName) {
     timers.advance(nowUs);
     ClaimSource source = sources.remove(sourceName);
     if (source != null) {
@@ -143,18 +143,18 @@
   /**
    * Lets time pass: expiries, suppressions and lingers that are due by {@code nowUs} take effect.
    */
-  public List<EndpointChange> passed(long nowUs) {
+  public List<EndpointChange> advanceTo(long nowUs) {
     timers.advance(nowUs);
     return collectChanges();
   }
 
-  /** When {@link #passed} is needed at the latest, or {@link TimingWheel#NEVER}. */
+  /** When {@link #advanceTo} is needed at the latest, or {@link TimingWheel#NEVER}. */
   public long nextUs() {
     return timers.nextUs();
   }
 
   /** Claims rejected since the start: of cells that do not exist, or beyond the bound of names. */
-  public long refused() {
+  public long rejectedClaims() {
     return claims.rejected();
   }
 
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
@@ -5,25 +5,25 @@
  *
  * @param cells number of cells; shard s is in the cells (s + j) mod this, for j below {@code
  *     inARow}
- * @param inARow number of consecutive cells that have a shard
+ * @param cellsPerShard number of consecutive cells that have a shard
  * @param lingerUs how long a withdrawn endpoint is remembered as the same process
  * @param staleForUs how long a claim stays in force after its expiry
- * @param firstHoldUs suppression of the second return within {@code calmUs}; each further return is
- *     suppressed twice as long
- * @param mostHoldUs the longest suppression of a return
- * @param calmUs stable period without a withdrawal, after which the flaps of an endpoint are
- *     forgotten
- * @param mostStores bound of the endpoint names; claims of further ones are rejected
+ * @param firstSuppressionUs suppression of the second return within {@code stablePeriodUs}; each
+ *     further return is suppressed twice as long
+ * @param maxSuppressionUs the longest suppression of a return
+ * @param stablePeriodUs stable period without a withdrawal, after which the flaps of an endpoint
+ *     are forgotten
+ * @param maxEndpoints bound of the endpoint names; claims of further ones are rejected
  */
 public record EndpointRegistrySettings(
     int cells,
-    int inARow,
+    int cellsPerShard,
     long lingerUs,
     long staleForUs,
-    long firstHoldUs,
-    long mostHoldUs,
-    long calmUs,
-    int mostStores) {
+    long firstSuppressionUs,
+    long maxSuppressionUs,
+    long stablePeriodUs,
+    int maxEndpoints) {
   private static final long DEFAULT_LINGER_US = 10_000_000;
   private static final long DEFAULT_STALE_FOR_US = 3_600_000_000L;
   private static final long DEFAULT_FIRST_SUPPRESSION_US = 500_000;
@@ -33,9 +33,9 @@
 
   /** Checks the bounds. */
   public EndpointRegistrySettings {
-    boolean layoutInRange = cells >= 1 && inARow >= 1 && mostStores >= 1;
-    boolean suppressionInRange = firstHoldUs >= 0 && mostHoldUs >= firstHoldUs;
-    boolean timesInRange = lingerUs >= 0 && staleForUs >= 0 && calmUs >= 0;
+    boolean layoutInRange = cells >= 1 && cellsPerShard >= 1 && maxEndpoints >= 1;
+    boolean suppressionInRange = firstSuppressionUs >= 0 && maxSuppressionUs >= firstSuppressionUs;
+    boolean timesInRange = lingerUs >= 0 && staleForUs >= 0 && stablePeriodUs >= 0;
     if (!layoutInRange || !suppressionInRange || !timesInRange) {
       throw new IllegalArgumentException("membership settings out of range");
     }
@@ -63,12 +63,12 @@
       long newStablePeriodUs) {
     return new EndpointRegistrySettings(
         cells,
-        inARow,
+        cellsPerShard,
         newLingerUs,
         newStaleForUs,
         newFirstSuppressionUs,
         newMaxSuppressionUs,
         newStablePeriodUs,
-        mostStores);
+        maxEndpoints);
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/FlapDamping.java
+++ b/src/main/java/dunlinhitch/endpoints/FlapDamping.java
@@ -20,7 +20,7 @@
   }
 
   void onWithdrawal(FlapHistory history, long nowUs) {
-    boolean wasStable = nowUs - history.lastWithdrawalUs > settings.calmUs();
+    boolean wasStable = nowUs - history.lastWithdrawalUs > settings.stablePeriodUs();
     history.withdrawals = wasStable ? 1 : history.withdrawals + 1;
     history.lastWithdrawalUs = nowUs;
   }
@@ -40,6 +40,6 @@
       return 0;
     }
     int doublings = Math.min(MAX_DOUBLINGS, damped - 1);
-    return Math.min(settings.mostHoldUs(), settings.firstHoldUs() << doublings);
+    return Math.min(settings.maxSuppressionUs(), settings.firstSuppressionUs() << doublings);
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/RegistryTimers.java
+++ b/src/main/java/dunlinhitch/endpoints/RegistryTimers.java
@@ -27,12 +27,12 @@
   }
 
   TimingWheel.Handle<Runnable> schedule(long dueUs, Runnable action) {
-    return wheel.set(dueUs, action);
+    return wheel.schedule(dueUs, action);
   }
 
   /** Cancels a timer; null and a timer that has run are ignored. */
   void cancel(TimingWheel.Handle<Runnable> timer) {
-    wheel.drop(timer);
+    wheel.cancel(timer);
   }
 
   /** When {@link #advance} is needed next, or {@link TimingWheel#NEVER}. */
--- a/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
+++ b/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
@@ -36,7 +36,7 @@
 
   ShardCoverage(EndpointRegistrySettings settings) {
     cells = settings.cells();
-    cellsPerShard = settings.inARow();
+    cellsPerShard = settings.cellsPerShard();
     servingCounts = new int[cells];
     standIns = new EndpointRecord[cells];
     for (int i = 0; i < cells; i++) {
--- a/src/main/java/dunlinhitch/endpoints/StatusReason.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusReason.java
@@ -25,7 +25,7 @@
   }
 
   /** The text for operators. */
-  public String words() {
+  public String message() {
     return message;
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
@@ -123,7 +123,7 @@
 
   /** Keeps the flap history of an endpoint that is gone for one stable period. */
   private void rememberFlaps(EndpointRecord endpoint) {
-    long forgetUs = timers.nowUs() + settings.calmUs();
+    long forgetUs = timers.nowUs() + settings.stablePeriodUs();
     endpoint.timer = timers.schedule(forgetUs, () -> claims.forgetUnclaimed(endpoint));
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/TimingWheel.java
+++ b/src/main/java/dunlinhitch/endpoints/TimingWheel.java
@@ -69,7 +69,7 @@
     }
 
     /** True until the timer has fired or was cancelled. */
-    public boolean isSet() {
+    public boolean isScheduled() {
       return slot != UNSCHEDULED;
     }
   }
@@ -98,7 +98,7 @@
   }
 
   /** Schedules a timer; one whose time is past fires with the next {@link #advance}. */
-  public Handle<T> set(long dueUs, T item) {
+  public Handle<T> schedule(long dueUs, T item) {
     Handle<T> handle = new Handle<>(item, ++lastSequence);
     long boundedDueUs = Math.min(dueUs, NEVER - TICK_US);
     handle.dueTick = Math.max(tick + 1, (boundedDueUs + TICK_US - 1) >> TICK_BITS);
@@ -108,7 +108,7 @@
   }
 
   /** Cancels a timer; null and a timer that has fired are ignored. */
-  public void drop(Handle<T> handle) {
+  public void cancel(Handle<T> handle) {
     if (handle == null) {
       return;
     }
--- a/src/main/java/dunlinhitch/experiments/dns/OldLookUp.java
+++ b/src/main/java/dunlinhitch/experiments/dns/OldLookUp.java
@@ -130,7 +130,7 @@
   }
 
   @Override
-  public boolean answered() {
+  public boolean hasAnswered() {
     return answered;
   }
 
@@ -149,7 +149,7 @@
                 pauseUs = FIRST_PAUSE_US;
                 again(lookUp.ttlUs);
               } else {
-                events.accept(new Event.ConditionCounted(Counter.ROSTER_LOST));
+                events.accept(new Event.ConditionCounted(Counter.SOURCES_UNAVAILABLE));
                 again(pauseUs);
                 pauseUs = Math.min(LEAST_TTL_US * 4, 2 * pauseUs);
               }
@@ -255,7 +255,7 @@
     try {
       lookUp.found.put(
           name,
-          reader.entry(
+          reader.endpoint(
               words.getOrDefault("id", ""),
               hostPort,
               words.getOrDefault("zone", ""),
@@ -265,7 +265,7 @@
               Long.parseLong(words.getOrDefault("start", "0")),
               words.getOrDefault("protocol", "")));
     } catch (IllegalArgumentException e) {
-      events.accept(new Event.ConditionCounted(Counter.BAD_ROSTER_ENTRIES));
+      events.accept(new Event.ConditionCounted(Counter.ENDPOINT_ENTRIES_INVALID));
     }
   }
 
--- a/src/main/java/dunlinhitch/experiments/dns/Responder.java
+++ b/src/main/java/dunlinhitch/experiments/dns/Responder.java
@@ -356,7 +356,7 @@
         int id = message.head().id();
         switch (first.type()) {
           case Dso.KEEPALIVE ->
-              socket.write(Dso.write(new Head(id, true, 0), Dso.keepAlive(15_000, 15_000)));
+              socket.write(Dso.write(new Head(id, true, 0), Dso.keepalive(15_000, 15_000)));
           case Dso.SUBSCRIBE -> {
             Question key = Dso.subscribed(first);
             byId.put(id, key);
--- a/src/main/java/dunlinhitch/experiments/fakes/Stage.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Stage.java
@@ -33,7 +33,7 @@
   public volatile int adminPort;
 
   /** Descriptors that the broker may hold. */
-  public int sockets = Config.SOCKETS;
+  public int sockets = Config.DEFAULT_SOCKETS;
 
   /**
    * Where the last known state is kept, what is announced, and the times of the membership, or
@@ -43,7 +43,7 @@
 
   public Product.Announcement announcement;
   public Product.MembershipTimes times;
-  public List<Product.Phase> phases = List.of();
+  public List<Product.TwoPhaseClass> phases = List.of();
 
   /** What the broker logged. */
   public final List<String> log = new java.util.concurrent.CopyOnWriteArrayList<>();
@@ -148,7 +148,7 @@
         one.reportsInAnswers(),
         one.reportsInHealthChecks(),
         one.reportFields(),
-        one.marksRepeats());
+        one.clientsMarkRetries());
   }
 
   /** Starts the broker on ports of its own and waits until it is ready. */
@@ -183,7 +183,7 @@
                     },
                     listener);
             broker
-                .openDesk()
+                .listenForAdmin()
                 .onSuccess(desk -> adminPort = desk)
                 .compose(desk -> broker.start())
                 .onSuccess(port::complete)
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
@@ -22,7 +22,7 @@
 
   private static final double FALSE_DEATHS_IN_1000_HOURS = 1;
   private static final MembershipProtocolSettings NEW = MembershipProtocolSettings.STANDARD;
-  private static final MembershipProtocolSettings OLD = NEW.plain();
+  private static final MembershipProtocolSettings OLD = NEW.baseline();
 
   /** Something that befalls a settled fleet. */
   private enum Trouble {
@@ -106,12 +106,12 @@
           bytes(fresh),
           bytes(old));
     }
-    figure((double) largestWord / NEW.wordBytes());
+    figure((double) largestWord / NEW.maxMessageBytes());
     out.printf(
         Locale.ROOT,
         "largest word %d bytes of %d; bytes a second and broker at most %.0f%n%n",
         largestWord,
-        NEW.wordBytes(),
+        NEW.maxMessageBytes(),
         ViewBounds.bytesPerS(NEW));
     atRest(out, seed, quick, sizes, losses);
     return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -6,7 +6,7 @@
 import dunlinhitch.core.Event;
 import dunlinhitch.core.Reducer;
 import dunlinhitch.discovery.EndpointListReader;
-import dunlinhitch.discovery.dnssd.RecordsProbe;
+import dunlinhitch.discovery.dnssd.RecordsBenchmark;
 import dunlinhitch.endpoints.Endpoint;
 import dunlinhitch.endpoints.Endpoint.Protocol;
 import dunlinhitch.endpoints.EndpointClaim;
@@ -52,7 +52,7 @@
       Cost whole = swap(sizes[i], Math.max(20, changes * 10 / sizes[i]), seed);
       long cpu = THREADS.getCurrentThreadCpuTime();
       long bytes = THREADS.getCurrentThreadAllocatedBytes();
-      long wire = RecordsProbe.refresh(stores(sizes[i]), seed);
+      long wire = RecordsBenchmark.refresh(stores(sizes[i]), seed);
       out.printf(
           Locale.ROOT,
           "%10d %12.1f %12.1f %12.1f %12.1f %14.1f %14.1f %12.1f%n",
@@ -99,7 +99,8 @@
 
   /** Microseconds and kilobytes of a change, the median. */
   private static Cost one(int size, int changes, long seed) throws Exception {
-    RecordsProbe records = new RecordsProbe(new EndpointListReader(List.of("a"), e -> {}), seed);
+    RecordsBenchmark records =
+        new RecordsBenchmark(new EndpointListReader(List.of("a"), e -> {}), seed);
     Reducer reducer = new Reducer(Stage.settings(300), seed, 0);
     long now = 1_000_000;
     reducer.turn(now, List.of(new Event.SourceRegistered(SOURCE, 1)));
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -105,7 +105,8 @@
     Stage stage = new Stage();
     stage.phases =
         twoPhases
-            ? List.of(new Product.Phase("free-search", 0.3, 3, 0.02, 0.02, 0.05, 60_000_000))
+            ? List.of(
+                new Product.TwoPhaseClass("free-search", 0.3, 3, 0.02, 0.02, 0.05, 60_000_000))
             : List.of();
     List<WorkingStore> stores = new ArrayList<>();
     for (int i = 0; i < STORES; i++) {
--- a/src/main/java/dunlinhitch/experiments/measurements/SummariesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/SummariesMeasure.java
@@ -31,7 +31,7 @@
       int[] features = new int[PREDICATES];
       for (int p = 0; p < PREDICATES; p++) {
         texts[p] = "altos " + p;
-        features[p] = BlockSummaries.feature(texts[p]);
+        features[p] = BlockSummaries.hash(texts[p]);
       }
       int passes = Math.max(1, (quick ? 200_000 : 2_000_000) / size / PREDICATES);
       SplittableRandom random = new SplittableRandom(seed);
@@ -41,7 +41,7 @@
       for (int pass = 0; pass < passes; pass++) {
         for (int block = 0; block < size; block++) {
           for (int p = 0; p < PREDICATES; p++) {
-            bitmaps.told(1, block, "v", features[p], random.nextInt(100) < 60);
+            bitmaps.record(1, block, "v", features[p], random.nextInt(100) < 60);
           }
         }
       }
--- a/src/main/java/dunlinhitch/experiments/measurements/WheelMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WheelMeasure.java
@@ -48,7 +48,7 @@
     TimingWheel<Integer> wheel = new TimingWheel<>(0);
     java.util.List<TimingWheel.Handle<Integer>> handles = new java.util.ArrayList<>();
     for (int i = 0; i < size; i++) {
-      handles.add(wheel.set(random.nextLong(TTL_US), i));
+      handles.add(wheel.schedule(random.nextLong(TTL_US), i));
     }
     long now = 0;
     long step = Math.max(1, TTL_US / size / 2);
@@ -56,15 +56,15 @@
     long from = System.nanoTime();
     for (int i = 0; i < moves; i++) {
       int which = random.nextInt(size);
-      wheel.drop(handles.get(which));
-      handles.set(which, wheel.set(now + TTL_US, which));
+      wheel.cancel(handles.get(which));
+      handles.set(which, wheel.schedule(now + TTL_US, which));
       now += step;
       if (i % 64 == 0) {
         wheel.advance(
             now,
             item -> {
               rung[0]++;
-              handles.set(item, wheel.set(Long.MAX_VALUE / 2, item));
+              handles.set(item, wheel.schedule(Long.MAX_VALUE / 2, item));
             });
       }
     }
--- a/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
@@ -272,7 +272,7 @@
                     event -> {
                       if (event instanceof Event.EndpointsUpdated news) {
                         Set<String> names =
-                            new HashSet<>(news.stores().stream().map(Endpoint::name).toList());
+                            new HashSet<>(news.endpoints().stream().map(Endpoint::name).toList());
                         listed.addAll(names);
                         listed.retainAll(names);
                         newsNanos.set(System.nanoTime());
--- a/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
@@ -42,7 +42,8 @@
       IntToLongFunction incarnation,
       Predicate<MembershipProtocol> settled) {
     static final Flaw NONE =
-        new Flaw(word -> word, now -> (now + 1) * INCARNATIONS, view -> view.now().isSettled());
+        new Flaw(
+            word -> word, now -> (now + 1) * INCARNATIONS, view -> view.snapshot().isConverged());
   }
 
   /** What can be seen of one view. */
@@ -77,13 +78,13 @@
 
     @Override
     public void passed(int now) {
-      view.passed(now);
+      view.onTime(now);
       look();
     }
 
     @Override
     public void heard(int now, GossipMessage word) {
-      view.heard(now, flaw.ear().apply(word));
+      view.onMessage(now, flaw.ear().apply(word));
       look();
     }
 
@@ -108,7 +109,7 @@
     public Seen seen() {
       return new Seen(
           view.self(),
-          view.now().names(),
+          view.snapshot().names(),
           List.copyOf(view.peers()),
           flaw.settled().test(view),
           wrong);
@@ -238,12 +239,13 @@
 
   @Override
   public String told(GossipMessage word) {
-    StringBuilder told = new StringBuilder(word.kind().name()).append(' ').append(word.number());
-    if (!word.about().isEmpty()) {
-      told.append(" about ").append(word.about());
+    StringBuilder told =
+        new StringBuilder(word.kind().name()).append(' ').append(word.sequenceNumber());
+    if (!word.subject().isEmpty()) {
+      told.append(" about ").append(word.subject());
     }
     told.append(", itself in ").append(word.from().incarnation());
-    word.peers()
+    word.memberUpdates()
         .forEach(
             peer ->
                 told.append(", ")
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -41,12 +41,12 @@
 
     @Override
     public void take(long nowUs, ReplicatedEntry<String, Integer> told) {
-      facts.take(nowUs, told);
+      facts.merge(nowUs, told);
     }
 
     @Override
     public void forget(long nowUs) {
-      facts.forget(nowUs);
+      facts.expire(nowUs);
     }
 
     @Override
@@ -104,7 +104,7 @@
       clock = clock(now);
       held.forget(clock);
       held.all().stream()
-          .filter(fact -> fact.atUs() <= clock - RULE.lifeUs())
+          .filter(fact -> fact.timestampUs() <= clock - RULE.timeToLiveUs())
           .findFirst()
           .ifPresent(fact -> wrong = name + " still holds " + fact);
       look();
@@ -142,13 +142,13 @@
           .ifPresent(fact -> wrong = name + " holds again what it had let go: " + fact);
       long most =
           now.stream()
-              .collect(Collectors.groupingBy(ReplicatedEntry::author, Collectors.counting()))
+              .collect(Collectors.groupingBy(ReplicatedEntry::origin, Collectors.counting()))
               .values()
               .stream()
               .mapToLong(count -> count)
               .max()
               .orElse(0);
-      if (now.size() > RULE.most() || most > RULE.mostOfAuthor()) {
+      if (now.size() > RULE.maxEntries() || most > RULE.maxEntriesPerOrigin()) {
         wrong = name + " holds " + now.size() + " facts, " + most + " of them of one author";
       }
     }
@@ -231,7 +231,7 @@
             .map(
                 one ->
                     one.all().stream()
-                        .filter(fact -> fact.atUs() > latest - RULE.lifeUs())
+                        .filter(fact -> fact.timestampUs() > latest - RULE.timeToLiveUs())
                         .toList())
             .toList();
     for (int i = 1; i < held.size(); i++) {
@@ -263,7 +263,7 @@
   @Override
   public String told(List<ReplicatedEntry<String, Integer>> word) {
     return word.stream()
-        .map(fact -> fact.author() + " of " + fact.key() + " at " + fact.atUs())
+        .map(fact -> fact.origin() + " of " + fact.key() + " at " + fact.timestampUs())
         .collect(Collectors.joining(", ", "[", "]"));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/simulation/Checker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Checker.java
@@ -118,10 +118,10 @@
           broken("a value that no store made for this part", id);
         }
       }
-      if (in < q.ask.kind().floor() - WEIGHT_SLACK) {
+      if (in < q.ask.queryClass().floor() - WEIGHT_SLACK) {
         broken("an answer from less than the least share", id);
       }
-      if (served.whole() && in < q.ask.kind().need() - WEIGHT_SLACK) {
+      if (served.complete() && in < q.ask.queryClass().need() - WEIGHT_SLACK) {
         broken("an answer marked whole that is not", id);
       }
     }
@@ -162,9 +162,9 @@
       broken("more attempts than allowed", partId);
     }
     if (ask != null
-        && ask.kind().repeat() == Idempotency.GUARDED
+        && ask.queryClass().idempotency() == Idempotency.GUARDED
         && part.mayHaveRunUs >= 0
-        && time.now() > part.mayHaveRunUs + ask.kind().dedupWindowUs() + SLACK_US) {
+        && time.now() > part.mayHaveRunUs + ask.queryClass().dedupWindowUs() + SLACK_US) {
       broken("a repeat after its window", partId);
     }
     part.mayHaveRunUs = part.mayHaveRunUs < 0 ? time.now() : part.mayHaveRunUs;
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
@@ -181,7 +181,7 @@
       String self = "n" + brokers.indexOf(this);
       List<ReplicatedEntry<WeightKey, Weight>> news =
           scoring.weights().since(told, Integer.MAX_VALUE).stream()
-              .filter(fact -> fact.author().equals(self))
+              .filter(fact -> fact.origin().equals(self))
               .toList();
       told = scoring.weights().version();
       if (!news.isEmpty()) {
--- a/src/main/java/dunlinhitch/experiments/simulation/World.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/World.java
@@ -238,7 +238,7 @@
     if (checker.breach() == null) {
       int still = 0;
       for (SimBroker broker : all) {
-        still += broker.isDead() ? 0 : broker.reducer.open();
+        still += broker.isDead() ? 0 : broker.reducer.openQueries();
       }
       checker.over(still);
     }
@@ -330,7 +330,7 @@
 
   private EndpointClaim claim(Endpoint entry) {
     return entry.state() == ServerState.GONE
-        ? EndpointClaim.back(entry.name(), time.now())
+        ? EndpointClaim.withdrawal(entry.name(), time.now())
         : new EndpointClaim(entry.name(), entry, time.now(), TimingWheel.NEVER);
   }
 
@@ -550,16 +550,17 @@
 
   private void carryOut(SimBroker broker, Effect effect) {
     if (effect instanceof Effect.EndpointChanged e) {
-      if (e.entry().state() == ServerState.GONE) {
-        ways.get(broker.number).remove(e.store());
+      if (e.endpoint().state() == ServerState.GONE) {
+        ways.get(broker.number).remove(e.number());
       } else {
         stores.stream()
-            .filter(s -> s.name.equals(e.entry().name()))
+            .filter(s -> s.name.equals(e.endpoint().name()))
             .findFirst()
-            .ifPresent(s -> ways.get(broker.number).put(e.store(), new Way(s, e.entry().port())));
+            .ifPresent(
+                s -> ways.get(broker.number).put(e.number(), new Way(s, e.endpoint().port())));
       }
     } else if (effect instanceof Effect.SendRequest e) {
-      Way way = ways.get(broker.number).get(e.store());
+      Way way = ways.get(broker.number).get(e.endpoint());
       e.parts().forEach(part -> send(broker, way, part));
       broker.accept(new Event.AttemptsWritten(e.parts().size()));
     } else if (effect instanceof Effect.CancelAttempt e) {
@@ -569,7 +570,7 @@
         checker.ended(broker.number, out.part.partId(), e.attempt(), false);
       }
     } else if (effect instanceof Effect.SendHealthCheck e) {
-      Way way = ways.get(broker.number).get(e.store());
+      Way way = ways.get(broker.number).get(e.endpoint());
       if (way != null && !isCut(broker, way.store())) {
         time.after(
             2 * latency(broker, way.store()) + 1_000,
@@ -577,12 +578,12 @@
                 broker.accept(
                     way.store().running
                         ? new Event.HealthCheckCompleted(
-                            e.probe(), AttemptOutcome.OK, way.store().report())
+                            e.healthCheck(), AttemptOutcome.OK, way.store().report())
                         : new Event.HealthCheckCompleted(
-                            e.probe(), AttemptOutcome.CONNECT_FAILED, new float[0])));
+                            e.healthCheck(), AttemptOutcome.CONNECT_FAILED, new float[0])));
       }
     } else if (effect instanceof Effect.SendResponse e) {
-      reply(broker, e.exchange(), e.answer());
+      reply(broker, e.exchange(), e.response());
     } else if (effect instanceof Effect.LogMessage e) {
       line("broker " + broker.number + ": " + e.text());
       if (e.text().startsWith("fault")) {
@@ -628,7 +629,7 @@
       checker.sent(broker.number, store, ask, part.partId(), part.shard(), part.attempt(), CELLS);
     }
     if (ask != null
-        && ask.kind().repeat() == Idempotency.GUARDED
+        && ask.queryClass().idempotency() == Idempotency.GUARDED
         && by(Defect.AFTER_THE_WINDOW, 0.02)) {
       time.after(
           4_500_000,
@@ -641,7 +642,7 @@
     if (isCut(broker, store)) {
       return; // nothing comes back; the broker gives it up
     }
-    boolean booking = ask != null && ask.kind().repeat() == Idempotency.GUARDED;
+    boolean booking = ask != null && ask.queryClass().idempotency() == Idempotency.GUARDED;
     long workUs = (long) Streams.logNormal(work, booking ? 67_000 : 84_000, 0.3) + 46_000 / 4;
     int port = way.port();
     time.after(
@@ -698,7 +699,8 @@
             + outcome
             + " of "
             + out.store.name);
-    checker.ended(out.broker.number, out.part.partId(), out.part.attempt(), outcome.neverRan());
+    checker.ended(
+        out.broker.number, out.part.partId(), out.part.attempt(), outcome.neverExecuted());
     if (by(Defect.MANY_ATTEMPTS, 0.002)) {
       for (int i = 0; i < 4; i++) {
         checker.sent(
@@ -750,7 +752,7 @@
       return; // nobody is there
     }
     open.put(a.ask().id(), a);
-    line("broker " + broker.number + " takes " + a.ask().id() + " " + a.ask().kind().name());
+    line("broker " + broker.number + " takes " + a.ask().id() + " " + a.ask().queryClass().name());
     checker.taken(broker.number, a.ask());
     long exchange = ++lastExchange;
     exchanges.put(broker.number + " " + exchange, a.ask().id());
@@ -790,7 +792,7 @@
             + " "
             + told.getClass().getSimpleName()
             + (told instanceof QueryResponse.Served s
-                ? (s.whole() ? " whole" : " partly " + s.parts().size())
+                ? (s.complete() ? " whole" : " partly " + s.parts().size())
                 : ""));
     checker.answered(id, told);
     if (by(Defect.TWO_ANSWERS, 0.01)) {
@@ -804,13 +806,13 @@
     if (!(answer instanceof QueryResponse.Served s)) {
       return answer;
     }
-    if (day.defect() == Defect.FALSE_WHOLE && !s.whole()) {
+    if (day.defect() == Defect.FALSE_WHOLE && !s.complete()) {
       return new QueryResponse.Served(true, s.parts());
     }
     if (by(Defect.OTHER_VALUE, 0.01)) {
       List<QueryResponse.PartValue> parts = new ArrayList<>(s.parts());
       parts.set(0, new QueryResponse.PartValue(parts.get(0).shard(), "another's"));
-      return new QueryResponse.Served(s.whole(), parts);
+      return new QueryResponse.Served(s.complete(), parts);
     }
     if (s.parts().size() > 1 && by(Defect.UNDER_THE_FLOOR, 0.01)) {
       return new QueryResponse.Served(false, s.parts().subList(0, 1));
@@ -823,11 +825,11 @@
    * or not.
    */
   private void heard(Asked a, QueryResponse answer) {
-    QueryClass kind = a.ask().kind();
+    QueryClass kind = a.ask().queryClass();
     if (answer instanceof QueryResponse.Served s) {
       double share = s.parts().stream().mapToDouble(v -> 1.0 / a.ask().parts().size()).sum();
       double earned =
-          kind.priorityWeight() * (s.whole() ? 1 : kind.partialWeight() * share / kind.need());
+          kind.priorityWeight() * (s.complete() ? 1 : kind.partialWeight() * share / kind.need());
       worth +=
           time.now() <= a.beganUs() + kind.latencyObjectiveUs()
               ? earned
@@ -851,7 +853,7 @@
               new QueryRequest(
                   old.id().replaceAll("r.*", "") + "r" + (a.tries() + 1),
                   old.key(),
-                  old.kind(),
+                  old.queryClass(),
                   old.deadlineUs(),
                   true,
                   old.parts(),
--- a/src/main/java/dunlinhitch/experiments/testbed/FleetWorld.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FleetWorld.java
@@ -78,7 +78,7 @@
 
     private void passed() {
       if (up) {
-        fleet.passed(now, dayUs());
+        fleet.onTime(now, dayUs());
         wake();
       }
     }
@@ -101,7 +101,7 @@
 
     private void heard(GossipMessage word) {
       if (up) {
-        fleet.heard(now, dayUs(), word);
+        fleet.onMessage(now, dayUs(), word);
         wake();
       }
     }
@@ -110,7 +110,7 @@
     public void wantProbe(String store) {
       if (up) {
         if (fleet.mayHealthCheck(dayUs(), store)) {
-          probe(store);
+          startHealthCheck(store);
         }
         wake();
       }
@@ -119,7 +119,7 @@
     /** An attempt at that store came to an end. */
     public void saw(String store, boolean answered) {
       if (up) {
-        fleet.saw(dayUs(), store, answered, answered ? List.of(5f, 1f) : List.of());
+        fleet.onAttempt(dayUs(), store, answered, answered ? List.of(5f, 1f) : List.of());
         wake();
       }
     }
@@ -140,12 +140,12 @@
     }
 
     @Override
-    public void keepTo(Set<String> stores) {
+    public void selectEndpoints(Set<String> stores) {
       // asked of the module where it is wanted
     }
 
     @Override
-    public void probe(String store) {
+    public void startHealthCheck(String store) {
       probed.add(store);
       probes.add(new Probe(now, store, name));
       boolean answers = answering;
@@ -153,14 +153,15 @@
           now + MOST_DELAY_US,
           () -> {
             if (up) {
-              fleet.probeEnded(dayUs(), store, answers, answers ? List.of(5f, 1f) : List.of());
+              fleet.onHealthCheckCompleted(
+                  dayUs(), store, answers, answers ? List.of(5f, 1f) : List.of());
               wake();
             }
           });
     }
 
     @Override
-    public void probed(String store, EndpointObservation seen) {
+    public void healthCheckEnded(String store, EndpointObservation seen) {
       if (seen == null) {
         untold++;
       } else {
@@ -178,7 +179,7 @@
       new PriorityQueue<>(Comparator.comparingLong(Step::atUs).thenComparingLong(Step::order));
   private final List<Node> nodes = new ArrayList<>();
   private final List<Probe> probes = new ArrayList<>();
-  private final Map<String, ClusterCoordinator.Listed> stores = new LinkedHashMap<>();
+  private final Map<String, ClusterCoordinator.ListedEndpoint> stores = new LinkedHashMap<>();
   private final double loss;
   private boolean answering = true;
   private long now;
@@ -222,7 +223,7 @@
     for (int cell = 0; cell < cells; cell++) {
       for (int i = 0; i < each; i++) {
         String name = "s" + cell + "-" + i;
-        stores.put(name, new ClusterCoordinator.Listed(name, "c" + cell, "", 0, true));
+        stores.put(name, new ClusterCoordinator.ListedEndpoint(name, "c" + cell, "", 0, true));
       }
     }
   }
@@ -255,7 +256,7 @@
             random.nextLong(),
             now,
             node);
-    node.fleet.roster(now, stores.values(), List.of());
+    node.fleet.onEndpointsChanged(now, stores.values(), List.of());
     node.wake();
   }
 
@@ -305,7 +306,8 @@
     stores.keySet().forEach(store -> load.put(store, 0));
     nodes.stream()
         .filter(n -> n.up)
-        .forEach(n -> n.fleet.kept().forEach(store -> load.merge(store, 1, Integer::sum)));
+        .forEach(
+            n -> n.fleet.selectedEndpoints().forEach(store -> load.merge(store, 1, Integer::sum)));
     return load;
   }
 
--- a/src/main/java/dunlinhitch/experiments/testbed/ViewBounds.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ViewBounds.java
@@ -14,28 +14,32 @@
 
   /** News to all: twice the logarithm of the fleet, in periods. */
   private static double news(MembershipProtocolSettings s, int brokers) {
-    return 2 * s.everyUs() * Math.log(brokers + 1) / Math.log(2);
+    return 2 * s.periodUs() * Math.log(brokers + 1) / Math.log(2);
   }
 
   private static double pages(MembershipProtocolSettings s, int brokers) {
-    return 4.0 * s.everyUs() * Math.ceil((double) brokers * BROKER_BYTES / s.pageBytes());
+    return 4.0 * s.periodUs() * Math.ceil((double) brokers * BROKER_BYTES / s.antiEntropyBytes());
   }
 
   /** Some leave as asked, and one or more of the others heard it. */
   public static long leaveUs(MembershipProtocolSettings s, int brokers) {
-    return (long) (4 * s.everyUs() + 2 * news(s, brokers));
+    return (long) (4 * s.periodUs() + 2 * news(s, brokers));
   }
 
   /** Some join, or a cut is over, or both. */
   public static long joinUs(MembershipProtocolSettings s, int brokers) {
-    return (long) (8 * s.everyUs() + 2 * news(s, brokers) + pages(s, brokers));
+    return (long) (8 * s.periodUs() + 2 * news(s, brokers) + pages(s, brokers));
   }
 
   /** Some die, or are cut off. */
   public static long dieUs(MembershipProtocolSettings s, int brokers) {
-    double longest = s.stretch() * s.suspectUs() * Math.max(1, Math.log10(brokers));
+    double longest =
+        s.suspicionMultiplier() * s.suspicionTimeoutUs() * Math.max(1, Math.log10(brokers));
     return (long)
-        ((s.tries() + 4) * s.everyUs() + longest + 2 * news(s, brokers) + pages(s, brokers));
+        ((s.pingAttempts() + 4) * s.periodUs()
+            + longest
+            + 2 * news(s, brokers)
+            + pages(s, brokers));
   }
 
   /**
@@ -44,7 +48,7 @@
    */
   public static double bytesPerS(MembershipProtocolSettings s) {
     int looks = 3;
-    int words = looks * (4 + 4 * s.helpers()) + 2;
-    return (words * (s.wordBytes() + 28.0) + s.pageBytes()) * 1e6 / s.everyUs();
+    int words = looks * (4 + 4 * s.indirectProbes()) + 2;
+    return (words * (s.maxMessageBytes() + 28.0) + s.antiEntropyBytes()) * 1e6 / s.periodUs();
   }
 }
--- a/src/main/java/dunlinhitch/experiments/testbed/ViewWorld.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ViewWorld.java
@@ -65,7 +65,7 @@
 
     private void passed() {
       if (up && now >= stillUntilUs) {
-        view.passed(now);
+        view.onTime(now);
         after();
       }
     }
@@ -77,14 +77,14 @@
       if (now < stillUntilUs) {
         kept.add(word); // the socket's buffer
       } else {
-        view.heard(now, word);
+        view.onMessage(now, word);
         after();
       }
     }
 
     @SuppressWarnings("ReferenceEquality") // a snapshot is replaced, never changed
     private void after() {
-      ClusterSnapshot seen = view.now();
+      ClusterSnapshot seen = view.snapshot();
       if (seen != shown) {
         Set<String> held = seen.names();
         if (!held.equals(names)) {
@@ -321,7 +321,7 @@
       if (agree()) {
         return now - from;
       }
-      play(settings.everyUs() / 4);
+      play(settings.periodUs() / 4);
     }
     return -1;
   }
@@ -330,10 +330,10 @@
   public long untilSettled(long withinUs) {
     long from = now;
     while (now <= from + withinUs) {
-      if (agree() && nodes.stream().allMatch(node -> node.view.now().isSettled())) {
+      if (agree() && nodes.stream().allMatch(node -> node.view.snapshot().isConverged())) {
         return now - from;
       }
-      play(settings.everyUs() / 4);
+      play(settings.periodUs() / 4);
     }
     return -1;
   }
@@ -350,8 +350,8 @@
     }
     Set<String> all = new TreeSet<>();
     among.forEach(node -> all.add(node.name));
-    long digest = among.get(0).view.now().digest();
-    return among.stream().allMatch(node -> node.view.now().digest() == digest)
-        && among.get(0).view.now().names().equals(all);
+    long digest = among.get(0).view.snapshot().digest();
+    return among.stream().allMatch(node -> node.view.snapshot().digest() == digest)
+        && among.get(0).view.snapshot().names().equals(all);
   }
 }
--- a/src/main/java/dunlinhitch/frontend/Exchanges.java
+++ b/src/main/java/dunlinhitch/frontend/Exchanges.java
@@ -12,7 +12,7 @@
  * which the response carries too. Used on the event loop only.
  */
 public final class Exchanges {
-  private final Map<Long, Consumer<QueryResponse>> waiting = new HashMap<>();
+  private final Map<Long, Consumer<QueryResponse>> openCount = new HashMap<>();
   private final Consumer<Event> events;
   private long lastExchange;
 
@@ -29,28 +29,28 @@
    */
   public long open(QueryRequest query, Consumer<QueryResponse> writer) {
     long exchange = ++lastExchange;
-    waiting.put(exchange, writer);
+    openCount.put(exchange, writer);
     events.accept(new Event.QueryReceived(exchange, query));
     return exchange;
   }
 
   /** The client has disconnected; ignored where the exchange is completed. */
-  public void left(long exchange) {
-    if (waiting.remove(exchange) != null) {
+  public void clientDisconnected(long exchange) {
+    if (openCount.remove(exchange) != null) {
       events.accept(new Event.ClientDisconnected(exchange));
     }
   }
 
   /** Completes an exchange; ignored where the client has disconnected. */
-  public void reply(long exchange, QueryResponse response) {
-    Consumer<QueryResponse> writer = waiting.remove(exchange);
+  public void complete(long exchange, QueryResponse response) {
+    Consumer<QueryResponse> writer = openCount.remove(exchange);
     if (writer != null) {
       writer.accept(response);
     }
   }
 
   /** The number of exchanges without a response. */
-  public int waiting() {
-    return waiting.size();
+  public int openCount() {
+    return openCount.size();
   }
 }
--- a/src/main/java/dunlinhitch/frontend/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -94,7 +94,8 @@
       long receivedUs)
       throws MalformedQueryException {
     String id = token(header, TRACE_ID);
-    String key = queryClass.repeat() == Idempotency.GUARDED ? token(header, IDEMPOTENCY_KEY) : "";
+    String key =
+        queryClass.idempotency() == Idempotency.GUARDED ? token(header, IDEMPOTENCY_KEY) : "";
     long leftUs = timeoutUs(queryClass, header.apply(EXPIRES_IN));
     try {
       JsonObject object = Json.parse(body).asObject();
--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -210,7 +210,7 @@
             context.runOnContext(
                 ignored -> {
                   call.disconnected = true;
-                  exchanges.left(call.exchange);
+                  exchanges.clientDisconnected(call.exchange);
                 }));
     context.runOnContext(
         ignored -> {
@@ -240,7 +240,7 @@
   private void writeServed(
       FlightProducer.ServerStreamListener listener, QueryResponse.Served served) {
     try (VectorSchemaRoot root =
-        VectorSchemaRoot.create(schema(served.whole(), served.pruned()), allocator)) {
+        VectorSchemaRoot.create(schema(served.complete(), served.pruned()), allocator)) {
       fill(root, served.parts());
       listener.start(root);
       listener.putNext();
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -144,7 +144,7 @@
     connection.closeHandler(ignored -> onDisconnected(client));
     if (connections.size() >= maxConnections.getAsInt()) {
       client.excess = !evictOne();
-      events.accept(new Event.ConditionCounted(Counter.CLIENTS_CROWDED_OUT));
+      events.accept(new Event.ConditionCounted(Counter.CLIENTS_EVICTED));
     }
     connections.put(connection, client);
     shutdown.accepted(client.acceptedUs, client);
--- a/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
@@ -159,7 +159,7 @@
    * left to that process, and each connection ends with its next response. Idle connections stay
    * until {@link #drain}.
    */
-  public void leaveToSibling() {
+  public void beginHotRestart() {
     connections.drain(false);
     listener.stopAccepting();
   }
@@ -265,7 +265,7 @@
     Disposition disposition = connections.requestReceived(request);
     if (disposition != Disposition.FORWARD) {
       if (disposition == Disposition.REFUSE) {
-        events.accept(new Event.ConditionCounted(Counter.TURNED_AWAY));
+        events.accept(new Event.ConditionCounted(Counter.QUERIES_NOT_ADMITTED));
         refuse(request);
       }
       return;
@@ -280,7 +280,7 @@
                   body.toString(),
                   receivedUs),
               response -> writeResponse(request, response));
-      connections.onDisconnect(request, () -> exchanges.left(exchange));
+      connections.onDisconnect(request, () -> exchanges.clientDisconnected(exchange));
     } catch (MalformedQueryException e) {
       respondBadRequest(request, BAD_REQUEST, e.getMessage());
     }
@@ -308,7 +308,7 @@
         .parts()
         .forEach(
             part -> parts.add(Json.object().add("range", part.shard()).add("blob", part.value())));
-    String body = Json.object().add("total", served.whole()).add("answers", parts).toString();
+    String body = Json.object().add("total", served.complete()).add("answers", parts).toString();
     respond(request, OK, "application/json", Buffer.buffer(body), false);
   }
 
--- a/src/main/java/dunlinhitch/scoring/Verdicts.java
+++ b/src/main/java/dunlinhitch/scoring/Verdicts.java
@@ -23,18 +23,19 @@
 
   /** Another broker's word; true if it was news. */
   public boolean told(long dayUs, ReplicatedEntry<ScorerIdentity, Failure> fact) {
-    return !fact.author().equals(self) && facts.take(dayUs, fact) == ReplicatedMap.MergeResult.NEWS;
+    return !fact.origin().equals(self)
+        && facts.merge(dayUs, fact) == ReplicatedMap.MergeResult.NEWS;
   }
 
   /** This broker left it out. */
   public void failed(long dayUs, ScorerIdentity scorer, Failure failure) {
-    facts.take(dayUs, new ReplicatedEntry<>(scorer, self, dayUs, failure));
+    facts.merge(dayUs, new ReplicatedEntry<>(scorer, self, dayUs, failure));
   }
 
   /** Other brokers that left the same one out of late. */
   public int doubters(long dayUs, ScorerIdentity scorer) {
-    facts.forget(dayUs);
-    return (int) facts.of(scorer).stream().filter(fact -> !fact.author().equals(self)).count();
+    facts.expire(dayUs);
+    return (int) facts.of(scorer).stream().filter(fact -> !fact.origin().equals(self)).count();
   }
 
   public List<ReplicatedEntry<ScorerIdentity, Failure>> since(long version, int most) {
--- a/src/main/java/dunlinhitch/scoring/Weights.java
+++ b/src/main/java/dunlinhitch/scoring/Weights.java
@@ -52,14 +52,14 @@
   /** A word of another broker, or one that was passed on. */
   public Took told(long dayUs, ReplicatedEntry<WeightKey, Weight> fact) {
     Took took;
-    if (fact.author().equals(self)) {
+    if (fact.origin().equals(self)) {
       took = Took.OWN;
     } else if (!fact.key().scorer().equals(scorer)) {
       took = Took.OTHER_SCORER;
     } else if (!fact.value().believable(rule)) {
       took = Took.BEYOND_BELIEF;
     } else {
-      took = Took.valueOf(facts.take(dayUs, fact).name());
+      took = Took.valueOf(facts.merge(dayUs, fact).name());
     }
     counts.merge(took, 1L, Long::sum);
     return took;
@@ -78,11 +78,11 @@
     boolean same =
         before != null
             && before.value().startedMs() == weight.startedMs()
-            && dayUs - before.atUs() < rule.halfLifeUs() / 4
+            && dayUs - before.timestampUs() < rule.halfLifeUs() / 4
             && Math.abs(Math.log(weight.value() / before.value().value())) < rule.tellStep()
             && weight.evidence() < 2 * before.value().evidence();
-    if (!same && (before == null || dayUs > before.atUs())) {
-      facts.take(dayUs, new ReplicatedEntry<>(key, self, dayUs, weight));
+    if (!same && (before == null || dayUs > before.timestampUs())) {
+      facts.merge(dayUs, new ReplicatedEntry<>(key, self, dayUs, weight));
     }
   }
 
@@ -91,17 +91,17 @@
    * Evidence of another life is left out.
    */
   Map<Place, FleetWeight> merged(long dayUs, Map<String, Long> startedMs) {
-    facts.forget(dayUs);
+    facts.expire(dayUs);
     Map<Place, List<Say>> says = new HashMap<>();
     for (ReplicatedEntry<WeightKey, Weight> fact : facts.all()) {
       Long started = startedMs.get(fact.key().store());
       boolean counts =
           started != null
               && fact.value().startedMs() == started
-              && fact.atUs() >= started * 1_000
-              && !fact.author().equals(self);
+              && fact.timestampUs() >= started * 1_000
+              && !fact.origin().equals(self);
       if (counts) {
-        double mass = rule.faded(fact.value().evidence(), dayUs - fact.atUs());
+        double mass = rule.faded(fact.value().evidence(), dayUs - fact.timestampUs());
         says.computeIfAbsent(
                 new Place(fact.key().store(), fact.key().queryClass()), place -> new ArrayList<>())
             .add(new Say(Math.log(fact.value().value()), mass));
--- a/src/main/java/dunlinhitch/server/AdminInterface.java
+++ b/src/main/java/dunlinhitch/server/AdminInterface.java
@@ -38,11 +38,13 @@
     server =
         config.admin() == null
             ? null
-            : new AdminServer(runtime.vertx(), ready, reducer::figures, events, runtime.clock());
+            : new AdminServer(runtime.vertx(), ready, reducer::status, events, runtime.clock());
     disabledEndpoints =
         new DisabledEndpointFolder(
             runtime.vertx(),
-            config.scratch() == null ? null : config.scratch().resolve(DISABLED_ENDPOINTS_FOLDER),
+            config.sharedFolder() == null
+                ? null
+                : config.sharedFolder().resolve(DISABLED_ENDPOINTS_FOLDER),
             (disabled, enabled) ->
                 events.accept(new Event.DisabledEndpointsChanged(disabled, enabled)));
   }
@@ -72,8 +74,8 @@
   /** Persists that an endpoint was disabled or enabled, then answers the operator's call. */
   void persist(Effect.PersistDisabledEndpoint change) {
     disabledEndpoints
-        .keep(change.store(), change.out())
-        .onSuccess(v -> server.reply(change.call(), OK, change.out() ? "out" : "may serve"))
+        .persist(change.endpoint(), change.disabled())
+        .onSuccess(v -> server.reply(change.call(), OK, change.disabled() ? "out" : "may serve"))
         .onFailure(
             cause ->
                 server.reply(
--- a/src/main/java/dunlinhitch/server/BackendTransportFactory.java
+++ b/src/main/java/dunlinhitch/server/BackendTransportFactory.java
@@ -2,7 +2,7 @@
 
 import dunlinhitch.backend.BackendTransport;
 import dunlinhitch.backend.LoadReportParser;
-import dunlinhitch.backend.flight.FlightStores;
+import dunlinhitch.backend.flight.FlightTransports;
 import dunlinhitch.backend.frames.FrameTransport;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.Reducer;
@@ -18,7 +18,7 @@
   private final FrameTransport.Shared frames;
 
   /** Null until an endpoint speaks Arrow Flight: no class of Arrow is loaded before that. */
-  private FlightStores flightStores;
+  private FlightTransports flightStores;
 
   BackendTransportFactory(
       BrokerRuntime runtime, Reducer reducer, DescriptorBudget budget, Consumer<Event> events) {
@@ -37,12 +37,12 @@
   }
 
   BackendTransport open(Endpoint endpoint) {
-    if (endpoint.wire() == Endpoint.Protocol.FRAMES) {
+    if (endpoint.protocol() == Endpoint.Protocol.FRAMES) {
       return new FrameTransport(frames, endpoint);
     }
     if (flightStores == null) {
       flightStores =
-          new FlightStores(
+          new FlightTransports(
               runtime.vertx(),
               runtime.context(),
               () -> reducer.settings().limits(),
--- a/src/main/java/dunlinhitch/server/Broker.java
+++ b/src/main/java/dunlinhitch/server/Broker.java
@@ -64,11 +64,11 @@
     long startUs = clock.getAsLong();
     runtime = new BrokerRuntime(vertx, context, config, clock, log);
     shared = listener != null && listener.isShared();
-    if (config.talk() != null && config.talk().trouble() != null) {
-      log.accept(config.talk().trouble());
+    if (config.gossipAddresses() != null && config.gossipAddresses().unusableReason() != null) {
+      log.accept(config.gossipAddresses().unusableReason());
     }
     clusterGossip =
-        config.product().fleet() == null ? null : new ClusterGossip(vertx, config, clock);
+        config.product().cluster() == null ? null : new ClusterGossip(vertx, config, clock);
     reducer =
         ReducerFactory.create(
             config, clusterGossip == null ? null : clusterGossip.identity(), startUs);
@@ -91,15 +91,18 @@
   private EffectDispatcher effectDispatcher() {
     EffectDispatcher dispatcher =
         new EffectDispatcher()
-            .on(Effect.SendRequest.class, backends::call)
+            .on(Effect.SendRequest.class, backends::send)
             .on(Effect.SendResponse.class, frontends::send)
-            .on(Effect.CancelAttempt.class, backends::giveUp)
+            .on(Effect.CancelAttempt.class, backends::cancel)
             .on(Effect.WithdrawAttempt.class, backends::withdraw)
-            .on(Effect.SendHealthCheck.class, backends::probe)
-            .on(Effect.CloseIdleConnections.class, effect -> backends.release(effect.store()))
+            .on(Effect.SendHealthCheck.class, backends::sendHealthCheck)
+            .on(
+                Effect.CloseIdleConnections.class,
+                effect -> backends.closeIdleConnections(effect.endpoint()))
             .on(
                 Effect.EndpointChanged.class,
-                effect -> backends.changed(effect.store(), effect.entry(), effect.barred()))
+                effect ->
+                    backends.endpointChanged(effect.number(), effect.endpoint(), effect.disabled()))
             .on(Effect.PersistDisabledEndpoint.class, admin::persist)
             .on(Effect.RejectUnknownEndpoint.class, admin::rejectUnknown)
             .on(Effect.RefreshEndpoints.class, effect -> endpointSources.resync())
@@ -117,7 +120,7 @@
    * Listens for operators, before clients are accepted; the result is the port, or 0 where the
    * configuration has no address for them.
    */
-  public Future<Integer> openDesk() {
+  public Future<Integer> listenForAdmin() {
     return admin.listen();
   }
 
--- a/src/main/java/dunlinhitch/server/ClusterGossip.java
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -50,7 +50,7 @@
   private static final long MICROS_PER_MILLI = 1000;
 
   private final Vertx vertx;
-  private final Product.Fleet fleet;
+  private final Product.Cluster fleet;
   private final ClusterIdentity identity;
   private final AddressBook addressBook;
 
@@ -59,8 +59,8 @@
 
   ClusterGossip(Vertx vertx, Config config, MicroClock clock) {
     this.vertx = vertx;
-    fleet = config.product().fleet();
-    addressBook = addressBook(fleet, config.talk(), config.name());
+    fleet = config.product().cluster();
+    addressBook = addressBook(fleet, config.gossipAddresses(), config.name());
     long startMs = System.currentTimeMillis();
     List<String> zones = config.settings().zones();
     int zoneIndex = config.settings().zone();
@@ -81,7 +81,9 @@
             clusterSettings(fleet, addressBook),
             startMs * MICROS_PER_MILLI - clock.getAsLong(),
             new VersionSkewSettings(
-                fleet.behindUs(), VersionSkewSettings.STANDARD.againUs(), fleet.shutOutUs()),
+                fleet.stragglerAfterUs(),
+                VersionSkewSettings.STANDARD.againUs(),
+                fleet.fenceAfterUs()),
             new VersionVector(
                 BuildVersion.TEXT,
                 SettingsDigest.of(CanonicalSettings.of(config.settings())),
@@ -94,9 +96,9 @@
    * are members. This broker is added under its own address, whatever address others have for it:
    * otherwise it would take itself for a different member of its name.
    */
-  static AddressBook addressBook(Product.Fleet fleet, GossipAddresses platform, String self) {
+  static AddressBook addressBook(Product.Cluster fleet, GossipAddresses platform, String self) {
     boolean platformListens = platform != null && platform.listen() != null;
-    List<AddressBook.Known> members = new ArrayList<>();
+    List<AddressBook.BrokerAddress> members = new ArrayList<>();
     if (platformListens
         && platform.listen().equals(fleet.listen())
         && !platform.peers().isEmpty()) {
@@ -105,33 +107,35 @@
           .forEach(
               peer ->
                   members.add(
-                      new AddressBook.Known(peer.name(), peer.at().host(), peer.at().port())));
-      members.add(new AddressBook.Known(self, fleet.advertise().host(), fleet.advertise().port()));
+                      new AddressBook.BrokerAddress(
+                          peer.name(), peer.address().host(), peer.address().port())));
+      members.add(
+          new AddressBook.BrokerAddress(self, fleet.advertise().host(), fleet.advertise().port()));
     }
     return new AddressBook(
-        platformListens ? PLATFORM_DATAGRAM_BYTES : GossipSocket.STANDARD_BYTES, members);
+        platformListens ? PLATFORM_DATAGRAM_BYTES : GossipSocket.DEFAULT_MAX_BYTES, members);
   }
 
   /** Returns the cluster's settings; messages are limited to what the socket can send. */
-  static ClusterSettings clusterSettings(Product.Fleet fleet, AddressBook addressBook) {
+  static ClusterSettings clusterSettings(Product.Cluster fleet, AddressBook addressBook) {
     ClusterSettings standard = ClusterSettings.STANDARD;
     MembershipProtocolSettings protocol =
         new MembershipProtocolSettings(
-                fleet.lookUs(),
-                fleet.lookUs() / ACK_TIMEOUT_DIVISOR,
-                standard.view().helpers(),
-                fleet.suspectUs(),
-                Math.max(MINIMUM_RETENTION_US, RETENTION_SUSPICION_TIMEOUTS * fleet.suspectUs()),
-                standard.view().mostPeers())
-            .withWords(addressBook.mostBytes())
-            .withAddresses(!addressBook.isTold());
+                fleet.protocolPeriodUs(),
+                fleet.protocolPeriodUs() / ACK_TIMEOUT_DIVISOR,
+                standard.membership().indirectProbes(),
+                fleet.suspicionUs(),
+                Math.max(MINIMUM_RETENTION_US, RETENTION_SUSPICION_TIMEOUTS * fleet.suspicionUs()),
+                standard.membership().maxMembers())
+            .withMaxMessageBytes(addressBook.maxDatagramBytes())
+            .withAddresses(!addressBook.isConfigured());
     return new ClusterSettings(
-        new SubsetSettings(fleet.least(), standard.subsets().spread(), fleet.slack()),
+        new SubsetSettings(fleet.minSubset(), standard.subsets().spread(), fleet.slack()),
         protocol,
-        fleet.turnUs(),
-        (long) (DUTY_TIMEOUT_PART * fleet.turnUs()),
-        standard.staleUs(),
-        standard.mostStores());
+        fleet.healthCheckIntervalUs(),
+        (long) (DUTY_TIMEOUT_PART * fleet.healthCheckIntervalUs()),
+        standard.maxAgeUs(),
+        standard.maxEndpoints());
   }
 
   /** Returns the identity from which the reducer runs the membership protocol. */
@@ -150,7 +154,7 @@
    */
   void send(Effect.SendGossip gossip) {
     if (socket != null) {
-      socket.tell(gossip);
+      socket.send(gossip);
     }
   }
 
--- a/src/main/java/dunlinhitch/server/DnsSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -10,7 +10,7 @@
 import dunlinhitch.discovery.dnssd.DnsDiscoverySource;
 import dunlinhitch.discovery.dnssd.Names;
 import dunlinhitch.discovery.dnssd.RecordRegistrar;
-import dunlinhitch.discovery.dnssd.Records;
+import dunlinhitch.discovery.dnssd.ServiceRecords;
 import dunlinhitch.endpoints.EndpointClaim;
 import dunlinhitch.endpoints.EndpointRegistry;
 import io.vertx.core.Future;
@@ -111,7 +111,7 @@
           zone,
           service.soaEveryUs(),
           push,
-          new Records.Bounds(service.instances(), Records.Bounds.STANDARD.asking()));
+          new ServiceRecords.Limits(service.instances(), ServiceRecords.Limits.STANDARD.asking()));
     } catch (IllegalArgumentException exception) {
       throw new Config.ConfigException(
           "[dns_sd " + service.name() + "]: " + exception.getMessage());
@@ -132,7 +132,7 @@
           registration.txt(),
           registration.ttlUs(),
           registration.leaseUs(),
-          registration.key() == null ? null : RecordRegistrar.key(registration.key()));
+          registration.key() == null ? null : RecordRegistrar.readKeyFile(registration.key()));
     } catch (IOException | IllegalArgumentException exception) {
       throw new Config.ConfigException("[announce]: " + exception.getMessage());
     }
@@ -155,7 +155,7 @@
     }
     long nowUs = clock.getAsLong();
     try {
-      EndpointListFile.Kept saved = file.read(nowUs);
+      EndpointListFile.Content saved = file.read(nowUs);
       if (saved != null) {
         restore(saved, nowUs);
       }
@@ -166,12 +166,12 @@
   }
 
   /** Passes on the saved claims of the sources that are still configured, with their ages. */
-  private void restore(EndpointListFile.Kept saved, long nowUs) {
+  private void restore(EndpointListFile.Content saved, long nowUs) {
     for (DnsDiscoverySource source : sources) {
       List<EndpointClaim> claims = saved.bySource().getOrDefault(source.name(), List.of());
       if (!claims.isEmpty()) {
         restored = true;
-        source.restored(claims.stream().map(EndpointClaim::key).toList());
+        source.restoreClaims(claims.stream().map(EndpointClaim::key).toList());
         events.accept(new Event.SourceUpdated(source.name(), false, claims));
         log.accept(
             source.name()
@@ -215,7 +215,7 @@
   /** Registers this broker in DNS, where that is configured: it accepts clients. */
   void register() {
     if (registrar != null) {
-      registrar.ready();
+      registrar.register();
     }
   }
 
--- a/src/main/java/dunlinhitch/server/EndpointSources.java
+++ b/src/main/java/dunlinhitch/server/EndpointSources.java
@@ -32,8 +32,10 @@
     Config config = runtime.config();
     EndpointListReader reader = new EndpointListReader(config.settings().zones(), events);
     Event.EndpointsUpdated initial =
-        config.known().get("instances") == null ? null : reader.read(config.known(), true);
-    hasInitialList = initial != null && !initial.stores().isEmpty();
+        config.initialEndpoints().get("instances") == null
+            ? null
+            : reader.read(config.initialEndpoints(), true);
+    hasInitialList = initial != null && !initial.endpoints().isEmpty();
     if (initial != null) {
       events.accept(initial);
     }
@@ -44,14 +46,14 @@
               runtime.vertx(),
               reducer::settings,
               config.seed(),
-              config.known().getLong("generation", 0),
+              config.initialEndpoints().getLong("generation", 0),
               reader,
               events,
               runtime.clock()));
     }
     dnsSources =
         hasProductFile(config)
-            ? new DnsSources(runtime, reader, events, reducer::membership)
+            ? new DnsSources(runtime, reader, events, reducer::endpointRegistry)
             : null;
     if (dnsSources != null) {
       all.addAll(dnsSources.sources());
@@ -101,7 +103,7 @@
 
   /** Returns whether a source has sent its list since the start. */
   boolean anyAnswered() {
-    return sources.stream().anyMatch(DiscoverySource::answered);
+    return sources.stream().anyMatch(DiscoverySource::hasAnswered);
   }
 
   /** Returns whether endpoints are known from before the start. */
--- a/src/main/java/dunlinhitch/server/Frontends.java
+++ b/src/main/java/dunlinhitch/server/Frontends.java
@@ -95,12 +95,12 @@
   }
 
   void send(Effect.SendResponse response) {
-    exchanges.reply(response.exchange(), response.answer());
+    exchanges.complete(response.exchange(), response.response());
   }
 
   /** Leaves new connections to the other process that accepts from the same socket. */
   void leaveToSibling() {
-    http.leaveToSibling();
+    http.beginHotRestart();
   }
 
   /** From now on each HTTP response closes its connection. */
--- a/src/main/java/dunlinhitch/server/Readiness.java
+++ b/src/main/java/dunlinhitch/server/Readiness.java
@@ -44,6 +44,6 @@
         endpointSources.anyAnswered()
             || (endpointSources.hasInitialEndpoints()
                 && clock.getAsLong() - startUs > DISCOVERY_TIMEOUT_US);
-    return started && hasEndpoints && !stopping && !reducer.fenced();
+    return started && hasEndpoints && !stopping && !reducer.isFenced();
   }
 }
--- a/src/main/java/dunlinhitch/server/ReducerFactory.java
+++ b/src/main/java/dunlinhitch/server/ReducerFactory.java
@@ -36,12 +36,12 @@
       return null;
     }
     ShardLayout layout = config.settings().layout();
-    return EndpointRegistrySettings.of(layout.cells(), layout.inARow())
+    return EndpointRegistrySettings.of(layout.cells(), layout.replicationFactor())
         .withTimes(
             times.lingerUs(),
             times.staleForUs(),
-            times.holdUs(),
-            times.holdMostUs(),
+            times.returnDelayUs(),
+            times.maxReturnDelayUs(),
             times.calmUs());
   }
 
--- a/src/main/java/dunlinhitch/server/TwoPhaseSettingsFactory.java
+++ b/src/main/java/dunlinhitch/server/TwoPhaseSettingsFactory.java
@@ -24,7 +24,7 @@
   static List<TwoPhaseSettings> create(Config config) {
     List<QueryClass> classes = config.settings().classes();
     List<TwoPhaseSettings> settings = new ArrayList<>();
-    for (Product.Phase phase : config.product().phases()) {
+    for (Product.TwoPhaseClass phase : config.product().phases()) {
       requireSupported(find(classes, phase.queryClass()));
       settings.add(
           new TwoPhaseSettings(
@@ -52,7 +52,7 @@
   }
 
   private static void requireSupported(QueryClass queryClass) {
-    if (queryClass.repeat() != Idempotency.FREE) {
+    if (queryClass.idempotency() != Idempotency.FREE) {
       throw failure(
           queryClass.name(), "the class is not safe to repeat, and only such go in two phases");
     }
--- a/src/main/java/dunlinhitch/server/WarmUp.java
+++ b/src/main/java/dunlinhitch/server/WarmUp.java
@@ -113,7 +113,7 @@
         new Address(host, discoveryPort),
         1,
         Json.object(),
-        Config.SOCKETS,
+        Config.DEFAULT_SOCKETS,
         settings,
         Product.NONE,
         null,
--- a/src/main/java/dunlinhitch/twophase/BlockSummaries.java
+++ b/src/main/java/dunlinhitch/twophase/BlockSummaries.java
@@ -73,7 +73,7 @@
   }
 
   /** Hashes a predicate by FNV-1a, which gives the same value in every process. */
-  public static int feature(String predicate) {
+  public static int hash(String predicate) {
     int hash = FNV_OFFSET_BASIS;
     for (int i = 0; i < predicate.length(); i++) {
       hash = (hash ^ predicate.charAt(i)) * FNV_PRIME;
@@ -88,15 +88,15 @@
    * @param nowUs time of the answer, in microseconds
    * @param block number of the block
    * @param version version of the block's data
-   * @param feature {@linkplain #feature hash} of the predicate
+   * @param feature {@linkplain #hash hash} of the predicate
    * @param empty whether the block has no matching records
    */
-  public void told(long nowUs, int block, String version, int feature, boolean empty) {
+  public void record(long nowUs, int block, String version, int feature, boolean empty) {
     if (block < 0 || block >= maxBlocks) {
       return;
     }
     ensureCapacity(block);
-    int versionHash = feature(version) | 1; // never NO_VERSION
+    int versionHash = hash(version) | 1; // never NO_VERSION
     if (versionHashes[block] != versionHash) {
       forget(block);
       versionHashes[block] = versionHash;
--- a/src/main/java/dunlinhitch/twophase/ClassEstimates.java
+++ b/src/main/java/dunlinhitch/twophase/ClassEstimates.java
@@ -1,6 +1,6 @@
 package dunlinhitch.twophase;
 
-import dunlinhitch.twophase.TwoPhasePlan.Why;
+import dunlinhitch.twophase.TwoPhasePlan.Reason;
 import java.util.EnumMap;
 import java.util.Map;
 
@@ -60,7 +60,7 @@
   private final LatencyWindow firstPassWithTimeouts = new LatencyWindow();
 
   private final LatencyWindow fullPass = new LatencyWindow();
-  private final Map<Why, Long> planCounts = new EnumMap<>(Why.class);
+  private final Map<Reason, Long> planCounts = new EnumMap<>(Reason.class);
   private double emptyShare = INITIAL_EMPTY_SHARE;
   private double costRatio = INITIAL_COST_RATIO;
   private double quickestFullUs = LatencyWindow.MAX_LATENCY_US;
@@ -165,12 +165,12 @@
     closedUntilUs = nowUs + settings.closeDurationUs();
   }
 
-  void countPlan(Why why) {
+  void countPlan(Reason why) {
     planCounts.merge(why, 1L, Long::sum);
   }
 
   /** Number of plans for each reason, since the start. */
-  Map<Why, Long> planCounts() {
+  Map<Reason, Long> planCounts() {
     return Map.copyOf(planCounts);
   }
 }
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
@@ -5,16 +5,16 @@
 /**
  * The decision for one query: a single phase, or a first pass over some of its shards.
  *
- * @param first shards of the first pass; empty if the query runs in a single phase
- * @param firstEndUs the time at which the first pass ends at the latest, in absolute microseconds;
- *     0 for a single phase
- * @param why the reason for the decision
+ * @param firstPassShards shards of the first pass; empty if the query runs in a single phase
+ * @param firstPassEndUs the time at which the first pass ends at the latest, in absolute
+ *     microseconds; 0 for a single phase
+ * @param reason the reason for the decision
  */
-public record TwoPhasePlan(Set<Integer> first, long firstEndUs, Why why) {
+public record TwoPhasePlan(Set<Integer> firstPassShards, long firstPassEndUs, Reason reason) {
   /**
    * Reason for running a query in two phases or in one. The names appear in the broker's output.
    */
-  public enum Why {
+  public enum Reason {
     /** Two phases: the first pass is expected to save more than it costs. */
     TWO_PHASES,
     /** Two phases, as a trial that keeps the estimates up to date. */
@@ -37,15 +37,15 @@
 
   /** Copies the set of shards. */
   public TwoPhasePlan {
-    first = Set.copyOf(first);
+    firstPassShards = Set.copyOf(firstPassShards);
   }
 
   /** Returns whether the query has a first pass. */
   public boolean twoPhases() {
-    return !first.isEmpty();
+    return !firstPassShards.isEmpty();
   }
 
-  static TwoPhasePlan singlePhase(Why why) {
+  static TwoPhasePlan singlePhase(Reason why) {
     return new TwoPhasePlan(Set.of(), 0, why);
   }
 }
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
@@ -1,7 +1,7 @@
 package dunlinhitch.twophase;
 
 import dunlinhitch.twophase.BlockSummaries.Hint;
-import dunlinhitch.twophase.TwoPhasePlan.Why;
+import dunlinhitch.twophase.TwoPhasePlan.Reason;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -35,7 +35,7 @@
    * @param version version of the block's data
    * @param emptyValue the full answer of a block without matching records
    */
-  public record First(long records, String version, String emptyValue) {
+  public record FirstAnswer(long records, String version, String emptyValue) {
     private boolean isEmpty() {
       return records == 0;
     }
@@ -54,19 +54,19 @@
    * The state of one query class, as shown to operators.
    *
    * @param queryClass name of the class
-   * @param empty estimated share of empty blocks
-   * @param price cost of a first pass as a share of the full work; 0 while unknown
-   * @param pays whether two phases paid by the last decision
+   * @param emptyShare estimated share of empty blocks
+   * @param costRatio cost of a first pass as a share of the full work; 0 while unknown
+   * @param paysOff whether two phases paid by the last decision
    * @param closed whether pruning is closed after a failed audit
-   * @param whys number of plans for each reason, since the start
+   * @param planCounts number of plans for each reason, since the start
    */
-  public record Shown(
+  public record ClassStatus(
       String queryClass,
-      double empty,
-      double price,
-      boolean pays,
+      double emptyShare,
+      double costRatio,
+      boolean paysOff,
       boolean closed,
-      Map<Why, Long> whys) {}
+      Map<Reason, Long> planCounts) {}
 
   private final Map<String, ClassEstimates> estimatesByClass = new HashMap<>();
   private final BlockSummaries summaries =
@@ -87,15 +87,15 @@
   }
 
   /** Returns whether queries of the class may run in two phases. */
-  public boolean isSet(String queryClass) {
+  public boolean isEnabled(String queryClass) {
     return estimatesByClass.containsKey(queryClass);
   }
 
   /**
    * Returns the cost of a first pass as a share of the full work; 0 while there are too few
-   * samples. The class must be {@linkplain #isSet set}.
+   * samples. The class must be {@linkplain #isEnabled set}.
    */
-  public double price(String queryClass) {
+  public double costRatio(String queryClass) {
     return estimatesByClass.get(queryClass).costRatio();
   }
 
@@ -110,7 +110,7 @@
    * @param untilUs the query's latency objective, or its deadline where that is earlier
    * @return the plan; it never covers shards that are not in {@code able}
    */
-  public TwoPhasePlan arrived(
+  public TwoPhasePlan plan(
       long nowUs,
       String queryClass,
       Collection<Integer> shards,
@@ -119,10 +119,10 @@
       long untilUs) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     if (estimates == null) {
-      return TwoPhasePlan.singlePhase(Why.NOT_SET);
+      return TwoPhasePlan.singlePhase(Reason.NOT_SET);
     }
     TwoPhasePlan plan = plan(nowUs, estimates, shards.size(), able, predicate, untilUs);
-    estimates.countPlan(plan.why());
+    estimates.countPlan(plan.reason());
     return plan;
   }
 
@@ -134,29 +134,29 @@
       String predicate,
       long untilUs) {
     if (blocks < estimates.settings().minBlocks()) {
-      return TwoPhasePlan.singlePhase(Why.FEW_BLOCKS);
+      return TwoPhasePlan.singlePhase(Reason.FEW_BLOCKS);
     }
     if (estimates.isClosed(nowUs)) {
-      return TwoPhasePlan.singlePhase(Why.CLOSED);
+      return TwoPhasePlan.singlePhase(Reason.CLOSED);
     }
     if (able.isEmpty()) {
-      return TwoPhasePlan.singlePhase(Why.ONE_PHASE_STORES);
+      return TwoPhasePlan.singlePhase(Reason.ONE_PHASE_STORES);
     }
     boolean paysOff = estimates.updatePaysOff();
     if (!paysOff && !drawTrial(estimates)) {
-      return TwoPhasePlan.singlePhase(Why.DOES_NOT_PAY);
+      return TwoPhasePlan.singlePhase(Reason.DOES_NOT_PAY);
     }
     long firstPassEndUs = estimates.firstPassEndUs(nowUs, untilUs);
     if (!estimates.hasTimeForFullPass(firstPassEndUs, untilUs)) {
-      return TwoPhasePlan.singlePhase(Why.TOO_LITTLE_TIME);
+      return TwoPhasePlan.singlePhase(Reason.TOO_LITTLE_TIME);
     }
     // a trial asks every block, for its answers are what the estimates are made of
     Set<Integer> firstPass =
         paysOff ? withoutNonEmptyHint(nowUs, able, predicate) : new HashSet<>(able);
     if (firstPass.isEmpty()) {
-      return TwoPhasePlan.singlePhase(Why.KNOWN_FULL);
+      return TwoPhasePlan.singlePhase(Reason.KNOWN_FULL);
     }
-    return new TwoPhasePlan(firstPass, firstPassEndUs, paysOff ? Why.TWO_PHASES : Why.TRIAL);
+    return new TwoPhasePlan(firstPass, firstPassEndUs, paysOff ? Reason.TWO_PHASES : Reason.TRIAL);
   }
 
   private boolean drawTrial(ClassEstimates estimates) {
@@ -166,7 +166,7 @@
   }
 
   private Set<Integer> withoutNonEmptyHint(long nowUs, Set<Integer> able, String predicate) {
-    int feature = BlockSummaries.feature(predicate);
+    int feature = BlockSummaries.hash(predicate);
     Set<Integer> shards = new HashSet<>();
     for (int shard : able) {
       if (summaries.hint(nowUs, shard, feature) != Hint.SOMETHING) {
@@ -177,19 +177,24 @@
   }
 
   /** Handles an answer of a first pass, received {@code latencyUs} after its request was sent. */
-  public void firstCame(
-      long nowUs, String queryClass, int shard, String predicate, First answer, long latencyUs) {
+  public void onFirstAnswer(
+      long nowUs,
+      String queryClass,
+      int shard,
+      String predicate,
+      FirstAnswer answer,
+      long latencyUs) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     if (estimates == null) {
       return;
     }
     estimates.onFirstAnswer(nowUs, latencyUs, answer.isEmpty());
-    int feature = BlockSummaries.feature(predicate);
-    summaries.told(nowUs, shard, answer.version(), feature, answer.isEmpty());
+    int feature = BlockSummaries.hash(predicate);
+    summaries.record(nowUs, shard, answer.version(), feature, answer.isEmpty());
   }
 
   /** Handles a first answer that was given up after {@code waitedUs}. */
-  public void firstMissed(long nowUs, String queryClass, long waitedUs) {
+  public void onFirstAnswerTimeout(long nowUs, String queryClass, long waitedUs) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     if (estimates != null) {
       estimates.onFirstAnswerTimeout(nowUs, waitedUs);
@@ -200,7 +205,7 @@
    * Handles a full answer, received {@code latencyUs} after its request was sent, of a query with
    * or without a first pass.
    */
-  public void fullCame(long nowUs, String queryClass, long latencyUs) {
+  public void onFullAnswer(long nowUs, String queryClass, long latencyUs) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     if (estimates != null) {
       estimates.onFullAnswer(nowUs, latencyUs);
@@ -218,12 +223,12 @@
    * @param asked shards of the first pass
    * @param answers the answers that arrived in time, by shard
    */
-  public Outcome over(
+  public Outcome onFirstPassEnded(
       long nowUs,
       String queryClass,
       String predicate,
       Collection<Integer> asked,
-      Map<Integer, First> answers) {
+      Map<Integer, FirstAnswer> answers) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     // pruning may have closed while this pass was in flight
     boolean closed = estimates == null || estimates.isClosed(nowUs);
@@ -231,7 +236,7 @@
     Set<Integer> pruned = new HashSet<>();
     Set<Integer> audited = new HashSet<>();
     for (int shard : asked) {
-      First answer = answers.get(shard);
+      FirstAnswer answer = answers.get(shard);
       if (closed || answer == null || !answer.isEmpty()) {
         full.add(shard);
       } else if (random.nextDouble() < estimates.settings().auditShare()) {
@@ -252,8 +257,8 @@
   }
 
   private void sortByLikelihood(
-      List<Integer> shards, long nowUs, String predicate, Map<Integer, First> answers) {
-    int feature = BlockSummaries.feature(predicate);
+      List<Integer> shards, long nowUs, String predicate, Map<Integer, FirstAnswer> answers) {
+    int feature = BlockSummaries.hash(predicate);
     shards.sort(
         (left, right) ->
             Long.compare(
@@ -262,8 +267,8 @@
   }
 
   /** Ranks a block by its number of records, or by its summary where it gave no answer. */
-  private long likelihood(long nowUs, int shard, int feature, Map<Integer, First> answers) {
-    First answer = answers.get(shard);
+  private long likelihood(long nowUs, int shard, int feature, Map<Integer, FirstAnswer> answers) {
+    FirstAnswer answer = answers.get(shard);
     if (answer != null) {
       return answer.records();
     }
@@ -284,7 +289,7 @@
    * @return true if this failed audit has closed pruning, false if it was closed already or the
    *     audit passed
    */
-  public boolean audited(long nowUs, String queryClass, int shard, boolean same) {
+  public boolean onAuditAnswer(long nowUs, String queryClass, int shard, boolean same) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     if (same || estimates == null) {
       return false;
@@ -301,12 +306,12 @@
   }
 
   /** Returns the state of every class, for operators; the order is unspecified. */
-  public List<Shown> shown(long nowUs) {
-    return estimatesByClass.values().stream().map(estimates -> shown(nowUs, estimates)).toList();
+  public List<ClassStatus> status(long nowUs) {
+    return estimatesByClass.values().stream().map(estimates -> status(nowUs, estimates)).toList();
   }
 
-  private static Shown shown(long nowUs, ClassEstimates estimates) {
-    return new Shown(
+  private static ClassStatus status(long nowUs, ClassEstimates estimates) {
+    return new ClassStatus(
         estimates.settings().queryClass(),
         estimates.emptyShare(),
         estimates.costRatio(),
--- a/src/test/java/dunlinhitch/admin/DisabledEndpointFolderTest.java
+++ b/src/test/java/dunlinhitch/admin/DisabledEndpointFolderTest.java
@@ -74,12 +74,12 @@
     Path folder = parent.resolve("new").resolve("disabled");
     DisabledEndpointFolder store = open(folder);
     assertFalse(await(store.start(false)), "the folder did not exist");
-    await(store.keep("s-3", true));
-    await(store.keep("../b c", true));
-    await(store.keep("ü/???", true));
+    await(store.persist("s-3", true));
+    await(store.persist("../b c", true));
+    await(store.persist("ü/???", true));
     assertEquals(Set.of(FILE_OF_S3, FILE_OF_PATH_LIKE_ID, FILE_OF_NON_ASCII_ID), fileNames(folder));
     assertEquals(0, Files.size(folder.resolve(FILE_OF_S3)));
-    await(store.keep("s-3", false));
+    await(store.persist("s-3", false));
     assertEquals(Set.of(FILE_OF_PATH_LIKE_ID, FILE_OF_NON_ASCII_ID), fileNames(folder));
     assertEquals(Set.of(), new HashSet<>(disabled), "own changes are not reported");
   }
@@ -88,7 +88,7 @@
   void storesNothingWithoutAFolder() throws Exception {
     DisabledEndpointFolder store = open(null);
     assertFalse(await(store.start(true)));
-    await(store.keep("s-3", true));
+    await(store.persist("s-3", true));
     assertEquals(Set.of(), fileNames(parent));
   }
 }
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -42,8 +42,8 @@
   private volatile String blockedThread = "none";
 
   private volatile CountDownLatch released = new CountDownLatch(0);
-  private final FlightStores stores =
-      new FlightStores(
+  private final FlightTransports stores =
+      new FlightTransports(
           vertx,
           context,
           FlightTransportTest::limits,
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
@@ -257,7 +257,7 @@
     }
     assertTrue(
         probes.poll(5, TimeUnit.SECONDS) instanceof Event.HealthCheckCompleted completion
-            && completion.probe() == 7);
+            && completion.healthCheck() == 7);
   }
 
   /**
--- a/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
+++ b/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
@@ -55,10 +55,11 @@
   void tenPercentMessageLossDeclaresNobodyDead() {
     FleetWorld world = world(8, 0.1);
     world.playTo(5 * SECOND_US);
-    long before = world.nodes().stream().mapToLong(n -> n.fleet().view().version()).sum();
+    long before = world.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum();
     world.playTo(35 * SECOND_US);
     assertTrue(world.agree(0));
-    assertEquals(before, world.nodes().stream().mapToLong(n -> n.fleet().view().version()).sum());
+    assertEquals(
+        before, world.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum());
   }
 
   /** Both sides agree again after the partition. */
@@ -66,18 +67,20 @@
   void isolatedBrokerRetainsItsSubsetAndRejoins() {
     FleetWorld world = world(8, 0);
     world.playTo(4 * SECOND_US);
-    Set<String> subset = world.nodes().get(2).fleet().kept();
-    Set<String> otherSubset = world.nodes().get(5).fleet().kept();
+    Set<String> subset = world.nodes().get(2).fleet().selectedEndpoints();
+    Set<String> otherSubset = world.nodes().get(5).fleet().selectedEndpoints();
     world.group(2, 1);
     world.playTo(9 * SECOND_US);
-    assertTrue(world.nodes().get(2).fleet().view().alone());
-    assertEquals(subset, world.nodes().get(2).fleet().kept());
+    assertTrue(world.nodes().get(2).fleet().membership().isIsolated());
+    assertEquals(subset, world.nodes().get(2).fleet().selectedEndpoints());
     assertEquals(7, world.nodes().get(5).fleet().members().size());
     world.group(2, 0);
     world.playTo(13 * SECOND_US);
     assertTrue(world.agree(0));
     assertEquals(
-        otherSubset, world.nodes().get(5).fleet().kept(), "the subsets are what they were");
+        otherSubset,
+        world.nodes().get(5).fleet().selectedEndpoints(),
+        "the subsets are what they were");
   }
 
   /** All brokers are isolated from each other. */
@@ -122,7 +125,9 @@
     world.playTo(4 * SECOND_US);
     String failing = "s0-0";
     List<FleetWorld.Node> users =
-        world.nodes().stream().filter(n -> n.fleet().kept().contains(failing)).toList();
+        world.nodes().stream()
+            .filter(n -> n.fleet().selectedEndpoints().contains(failing))
+            .toList();
     assertTrue(users.size() >= 4, users.size() + " keep to it");
     FleetWorld.Node firstUser = users.get(0);
     for (int i = 0; i < 3; i++) {
@@ -149,7 +154,7 @@
   }
 
   private static Set<String> subsetOfCell(FleetWorld.Node node, String cell) {
-    Set<String> subsetOfCell = new TreeSet<>(node.fleet().kept());
+    Set<String> subsetOfCell = new TreeSet<>(node.fleet().selectedEndpoints());
     subsetOfCell.removeIf(store -> !store.startsWith(cell));
     return subsetOfCell;
   }
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -49,7 +49,7 @@
                     .append('\n')
                     .append(node.name)
                     .append(": ")
-                    .append(node.view().now().line(world.nowUs(), 40)));
+                    .append(node.view().snapshot().line(world.nowUs(), 40)));
     return memberLists.toString();
   }
 
@@ -73,9 +73,9 @@
       assertTrue(
           ViewWorld.agree(others),
           "the others go on without it, mute " + mute + memberLists(world));
-      assertTrue(broker.view().now().alone(), "it knows that it is cut off");
-      assertEquals(8, broker.view().now().members().size(), "and holds on to what it knew");
-      assertFalse(broker.view().now().isSettled());
+      assertTrue(broker.view().snapshot().isolated(), "it knows that it is cut off");
+      assertEquals(8, broker.view().snapshot().members().size(), "and holds on to what it knew");
+      assertFalse(broker.view().snapshot().isConverged());
       world.cut((from, to) -> false);
       assertConverges(world, joinBoundUs(8));
     }
@@ -101,12 +101,12 @@
     ViewWorld world = convergedWorld(seed, 8, 0.02);
     ViewWorld.Node broker = world.node(7);
     List<ViewWorld.Node> others = world.nodes().subList(0, 7);
-    long period = SETTINGS.suspectUs();
+    long period = SETTINGS.suspicionTimeoutUs();
     for (int i = 0; i < 20; i++) {
       boolean isCut = i % 2 == 0;
       world.cut((from, to) -> isCut && (from == broker || to == broker));
       world.play(period);
-      others.forEach(node -> assertTrue(node.view().now().names().size() >= 7, node.name));
+      others.forEach(node -> assertTrue(node.view().snapshot().names().size() >= 7, node.name));
     }
     assertConverges(world, joinBoundUs(8));
   }
@@ -153,23 +153,23 @@
     ViewWorld.Node first = world.node(3);
     ViewWorld.Node second = world.start("n3", 20, world.incarnation(0));
     assertConverges(world, joinBoundUs(7));
-    assertNotNull(first.view().now().displacedBy());
-    assertNull(second.view().now().displacedBy());
+    assertNotNull(first.view().snapshot().displacedBy());
+    assertNull(second.view().snapshot().displacedBy());
     assertEquals(
         1,
-        world.nodes().get(0).view().now().members().stream()
+        world.nodes().get(0).view().snapshot().members().stream()
             .filter(member -> member.peer().port() == 7020)
             .count());
     world.kill(20);
     world.play(deathBoundUs(7)); // till then all hold the address of the other
     assertConverges(world, joinBoundUs(7));
-    assertNull(first.view().now().displacedBy());
+    assertNull(first.view().snapshot().displacedBy());
     long sameIncarnation = world.incarnation(5_000);
     world.start("n9", 30, sameIncarnation);
     world.start("n9", 31, sameIncarnation);
     assertConverges(world, joinBoundUs(8));
     assertNotNull(
-        world.node(30).view().now().displacedBy(),
+        world.node(30).view().snapshot().displacedBy(),
         "of two that began at once the higher address has it");
   }
 
@@ -192,7 +192,9 @@
         .forEach(
             node ->
                 assertEquals(
-                    8_004, node.view().now().member("n4").orElseThrow().peer().port(), node.name));
+                    8_004,
+                    node.view().snapshot().member("n4").orElseThrow().peer().port(),
+                    node.name));
   }
 
   /**
@@ -205,8 +207,8 @@
     Member self = world.node(1).view().self();
     long maxAccepted = Member.MAX_INCARNATION / 2;
     for (long incarnation : new long[] {maxAccepted, maxAccepted + 1, Member.MAX_INCARNATION}) {
-      long before = view.refused();
-      view.heard(
+      long before = view.rejected();
+      view.onMessage(
           world.nowUs(),
           gossipFrom(
               world.node(2),
@@ -218,9 +220,9 @@
                       self.port(),
                       incarnation,
                       Member.Status.DEAD))));
-      assertEquals(before + 1, view.refused());
+      assertEquals(before + 1, view.rejected());
     }
-    view.heard(
+    view.onMessage(
         world.nowUs(),
         gossipFrom(
             world.node(2),
@@ -232,7 +234,7 @@
                     self.port(),
                     maxAccepted - 1,
                     Member.Status.DEAD))));
-    assertEquals(4, view.now().members().size());
+    assertEquals(4, view.snapshot().members().size());
     assertConverges(world, joinBoundUs(5));
     assertEquals(maxAccepted, world.node(1).view().self().incarnation());
   }
@@ -255,14 +257,14 @@
             0,
             (host, port, message) -> sent.add(message),
             maxBytes -> List.of());
-    view.heard(
+    view.onMessage(
         1,
         new GossipMessage(
             GossipMessage.Kind.PING, peer("b", 2), 9, "", null, List.of(), List.of()));
-    assertEquals(Set.of("a", "b"), view.now().names());
-    assertEquals(Set.of(), view.now().disagree());
+    assertEquals(Set.of("a", "b"), view.snapshot().names());
+    assertEquals(Set.of(), view.snapshot().divergedMembers());
     sent.clear();
-    view.heard(
+    view.onMessage(
         2,
         new GossipMessage(
             GossipMessage.Kind.GOSSIP,
@@ -275,15 +277,15 @@
             7,
             List.of(1L, 2L, 3L),
             List.of()));
-    assertEquals(Set.of("c"), view.now().disagree());
+    assertEquals(Set.of("c"), view.snapshot().divergedMembers());
     assertTrue(
         sent.stream()
             .anyMatch(
                 message ->
-                    message.number() == GossipMessage.COMPARED
+                    message.sequenceNumber() == GossipMessage.COMPARED
                         && message.buckets().size() == AntiEntropyDigest.BUCKETS));
     assertTrue(
-        sent.stream().anyMatch(message -> message.peers().contains(peer("b", 2))),
+        sent.stream().anyMatch(message -> message.memberUpdates().contains(peer("b", 2))),
         "all buckets differ");
   }
 
@@ -296,7 +298,8 @@
   void messagesDelayedBeyondTheSuspicionTimeoutConverge(long seed) {
     ViewWorld world = convergedWorld(seed, 8, 0);
     ViewWorld.Node broker = world.node(5);
-    world.late((from, to) -> from == broker || to == broker ? 6 * SETTINGS.suspectUs() : 0);
+    world.late(
+        (from, to) -> from == broker || to == broker ? 6 * SETTINGS.suspicionTimeoutUs() : 0);
     world.play(15 * SECOND_US);
     world.late((from, to) -> 0);
     world.play(7 * SECOND_US);
@@ -309,14 +312,14 @@
   void stalledBrokerDeclaresNobodyDead(long seed) {
     for (boolean wordsFirst : new boolean[] {true, false}) {
       ViewWorld world = convergedWorld(seed, 8, 0.05);
-      long before = world.node(6).view().declared();
+      long before = world.node(6).view().declaredDead();
       world.still(6, 2 * SECOND_US, wordsFirst);
       world.play(2 * SECOND_US + 1);
-      assertTrue(world.node(6).view().health() > 0);
+      assertTrue(world.node(6).view().localHealthScore() > 0);
       assertConverges(world, joinBoundUs(8) + 2 * SECOND_US);
       world.play(10 * SECOND_US);
-      assertEquals(before, world.node(6).view().declared());
-      assertTrue(world.node(6).view().health() <= 1, "it is well again");
+      assertEquals(before, world.node(6).view().declaredDead());
+      assertTrue(world.node(6).view().localHealthScore() <= 1, "it is well again");
     }
   }
 
@@ -330,13 +333,13 @@
     }
     assertConverges(world, deathBoundUs(20));
     world.cut((from, to) -> ViewWorld.number(from) < 14 != ViewWorld.number(to) < 14);
-    world.play(deathBoundUs(20) + SETTINGS.forgetUs() + 5 * SECOND_US);
+    world.play(deathBoundUs(20) + SETTINGS.deadRetentionUs() + 5 * SECOND_US);
     assertTrue(
         world.nodes().stream().allMatch(node -> node.view().peers().size() == 5),
         "forgotten" + memberLists(world));
     world.cut((from, to) -> false);
     // one address is asked a round of 5, and only some of those that are remembered are there
-    assertConverges(world, joinBoundUs(20) + 8 * 14 * SETTINGS.everyUs());
+    assertConverges(world, joinBoundUs(20) + 8 * 14 * SETTINGS.periodUs());
   }
 
   /** Groups that never exchanged a message find each other by the seeds; the baseline does not. */
@@ -350,7 +353,7 @@
     assertTrue(ViewWorld.agree(world.nodes().subList(0, 4)));
     world.cut((from, to) -> false);
     assertConverges(world, joinBoundUs(8));
-    ViewWorld baseline = new ViewWorld(seed, 0, SETTINGS.plain());
+    ViewWorld baseline = new ViewWorld(seed, 0, SETTINGS.baseline());
     baseline.cut((from, to) -> ViewWorld.number(from) < 4 != ViewWorld.number(to) < 4);
     baseline.start(0, 8);
     baseline.play(5 * SECOND_US);
@@ -364,7 +367,7 @@
     world.start(3, 300);
     assertConverges(world, joinBoundUs(300));
     assertEquals(0, world.falseDeaths());
-    assertTrue(world.largestWord() <= SETTINGS.wordBytes(), "bytes " + world.largestWord());
+    assertTrue(world.largestWord() <= SETTINGS.maxMessageBytes(), "bytes " + world.largestWord());
     assertTrue(world.bytes() / 300.0 / (world.nowUs() / 1e6) <= ViewBounds.bytesPerS(SETTINGS));
   }
 
@@ -372,7 +375,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void smallMessagesConvergeToo(long seed) {
-    MembershipProtocolSettings small = SETTINGS.withWords(256);
+    MembershipProtocolSettings small = SETTINGS.withMaxMessageBytes(256);
     ViewWorld world = new ViewWorld(seed, 0.05, small);
     world.start(0, 40);
     assertConverges(world, ViewBounds.joinUs(small, 40));
@@ -386,12 +389,12 @@
   @Test
   void snapshotsAreImmutableAndNumbered() {
     ViewWorld world = convergedWorld(1, 4, 0);
-    ClusterSnapshot before = world.node(0).view().now();
+    ClusterSnapshot before = world.node(0).view().snapshot();
     world.kill(3);
     assertConverges(world, deathBoundUs(4));
     assertEquals(4, before.names().size());
-    assertTrue(world.node(0).view().now().number() > before.number());
+    assertTrue(world.node(0).view().snapshot().number() > before.number());
     assertThrows(UnsupportedOperationException.class, () -> before.members().clear());
-    assertThrows(IllegalArgumentException.class, () -> SETTINGS.withWords(100));
+    assertThrows(IllegalArgumentException.class, () -> SETTINGS.withMaxMessageBytes(100));
   }
 }
--- a/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
+++ b/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
@@ -58,7 +58,7 @@
         signals.merge(
             signal("n2", 6, 1, 960_000, 3),
             NOW)); // of a later incarnation, which replaces the first
-    assertEquals(List.of("n2"), signals.all().stream().map(EndpointObservation::author).toList());
+    assertEquals(List.of("n2"), signals.all().stream().map(EndpointObservation::observer).toList());
     assertEquals(1, signals.countFailing("s", 3));
     signals.expire(NOW + 500_000);
     assertEquals(0, signals.countObservers("s"));
@@ -70,7 +70,7 @@
     ObservationTable signals = new ObservationTable(10, 500_000);
     assertTrue(signals.merge(signal("ahead", 0, 1, 9_000_000, 0), NOW));
     assertTrue(signals.merge(signal("n1", 0, 1, NOW + 1, 0), NOW + 1));
-    assertEquals("n1", signals.latestReport("s", 0, "self").orElseThrow().author());
+    assertEquals("n1", signals.latestReport("s", 0, "self").orElseThrow().observer());
     signals.expire(NOW + 600_000);
     assertEquals(0, signals.countObservers("s"));
   }
--- a/src/test/java/dunlinhitch/cluster/SubsettingTest.java
+++ b/src/test/java/dunlinhitch/cluster/SubsettingTest.java
@@ -53,7 +53,7 @@
           assertEquals(stores, order.stream().distinct().count());
           order.subList(0, size).forEach(store -> load.merge(store, 1, Integer::sum));
         });
-    int maxLoad = SubsetSettings.STANDARD.most(brokers, stores);
+    int maxLoad = SubsetSettings.STANDARD.maxLoad(brokers, stores);
     assertTrue(load.values().stream().allMatch(l -> l <= maxLoad), load + " over " + maxLoad);
   }
 
@@ -98,9 +98,10 @@
     assertEquals(2, settings.size(100, 10));
     assertEquals(1, settings.size(100, 1));
     assertEquals(0, settings.size(100, 0));
-    assertEquals(6, settings.most(8, 3)); // 16 assignments to 3 endpoints
-    assertEquals(80, settings.most(100, 3)); // 200 assignments to 3 endpoints
-    assertEquals(5, settings.most(6, 3)); // 12 assignments to 3 endpoints: 4 would leave none spare
+    assertEquals(6, settings.maxLoad(8, 3)); // 16 assignments to 3 endpoints
+    assertEquals(80, settings.maxLoad(100, 3)); // 200 assignments to 3 endpoints
+    assertEquals(
+        5, settings.maxLoad(6, 3)); // 12 assignments to 3 endpoints: 4 would leave none spare
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(0, 1.5, 0.2));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(2, 0.5, 0.2));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(2, 1.5, Double.NaN));
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
@@ -155,9 +155,9 @@
           first ? expectedFirst(message, decoded) : expectedContinuation(message, decoded),
           decoded);
       assertTrue(first || itemCount(decoded) > 0, "a datagram that says nothing");
-      suspicions.addAll(decoded.doubts());
-      members.addAll(decoded.peers());
-      observations.addAll(decoded.signals());
+      suspicions.addAll(decoded.suspicionReports());
+      members.addAll(decoded.memberUpdates());
+      observations.addAll(decoded.observations());
       first = false;
     }
     assertTrue(encoded.all().size() <= maxDatagrams);
@@ -165,17 +165,19 @@
         itemCount(message),
         members.size() + observations.size() + suspicions.size() + encoded.omittedItems());
     assertTrue(
-        new HashSet<>(message.peers()).containsAll(members)
-            && new HashSet<>(message.signals()).containsAll(observations)
-            && new HashSet<>(message.doubts()).containsAll(suspicions));
+        new HashSet<>(message.memberUpdates()).containsAll(members)
+            && new HashSet<>(message.observations()).containsAll(observations)
+            && new HashSet<>(message.suspicionReports()).containsAll(suspicions));
     if (encoded.omittedItems() == 0) {
-      assertEquals(message.signals(), observations, "signals keep their order");
-      assertEquals(message.doubts(), suspicions);
+      assertEquals(message.observations(), observations, "signals keep their order");
+      assertEquals(message.suspicionReports(), suspicions);
     }
   }
 
   private static int itemCount(GossipMessage message) {
-    return message.peers().size() + message.signals().size() + message.doubts().size();
+    return message.memberUpdates().size()
+        + message.observations().size()
+        + message.suspicionReports().size();
   }
 
   /** What the first datagram must decode to, given its items; buckets may displace the versions. */
@@ -183,14 +185,14 @@
     return new GossipMessage(
         message.kind(),
         message.from(),
-        message.number(),
-        message.about(),
+        message.sequenceNumber(),
+        message.subject(),
         message.buckets().isEmpty() ? message.versions() : decoded.versions(),
-        decoded.peers(),
-        decoded.signals(),
+        decoded.memberUpdates(),
+        decoded.observations(),
         message.digest(),
         message.buckets(),
-        decoded.doubts());
+        decoded.suspicionReports());
   }
 
   /** What any other datagram must decode to, given its items. */
@@ -201,11 +203,11 @@
         0,
         "",
         null,
-        decoded.peers(),
-        decoded.signals(),
+        decoded.memberUpdates(),
+        decoded.observations(),
         message.digest(),
         List.of(),
-        decoded.doubts());
+        decoded.suspicionReports());
   }
 
   /** The code of each kind and status is part of the wire format and must never change. */
@@ -230,9 +232,11 @@
         GossipEncoder.encode(typical(), 256, GossipSocket.MAX_DATAGRAMS);
     assertEquals(0, small.omittedItems());
     GossipMessage first = GossipDecoder.decode(small.all().get(0));
-    assertEquals("n11", first.peers().get(0).name());
-    assertTrue(first.signals().size() >= 3 && first.peers().size() >= 3, first.toString());
-    GossipEncoder.Datagrams large = GossipEncoder.encode(typical(), GossipSocket.STANDARD_BYTES, 1);
+    assertEquals("n11", first.memberUpdates().get(0).name());
+    assertTrue(
+        first.observations().size() >= 3 && first.memberUpdates().size() >= 3, first.toString());
+    GossipEncoder.Datagrams large =
+        GossipEncoder.encode(typical(), GossipSocket.DEFAULT_MAX_BYTES, 1);
     assertEquals(0, large.omittedItems());
     assertTrue(large.all().get(0).length < 560, () -> large.all().get(0).length + " bytes");
     assertTrue(
@@ -284,7 +288,8 @@
 
   @Test
   void corruptAndOtherVersionsAreRejected() {
-    byte[] datagram = GossipEncoder.encode(typical(), GossipSocket.STANDARD_BYTES, 1).all().get(0);
+    byte[] datagram =
+        GossipEncoder.encode(typical(), GossipSocket.DEFAULT_MAX_BYTES, 1).all().get(0);
     for (int length = 0; length < datagram.length; length++) {
       assertEquals(Reason.CORRUPT, reasonOf(Arrays.copyOf(datagram, length)));
     }
@@ -307,7 +312,8 @@
    */
   @Test
   void flippedBitIsDetectedOrDecodesWithoutFault() {
-    byte[] datagram = GossipEncoder.encode(typical(), GossipSocket.STANDARD_BYTES, 1).all().get(0);
+    byte[] datagram =
+        GossipEncoder.encode(typical(), GossipSocket.DEFAULT_MAX_BYTES, 1).all().get(0);
     for (int bit = 0; bit < 8 * datagram.length; bit++) {
       byte[] flipped = datagram.clone();
       flipped[bit / 8] ^= (byte) (1 << (bit % 8));
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
@@ -79,23 +79,23 @@
     DatagramSocket raw = vertx.createDatagramSocket();
     for (var sent :
         List.of(
-            Map.entry(Counter.PEER_WORDS_UNREAD, "who goes there".getBytes(StandardCharsets.UTF_8)),
-            Map.entry(Counter.PEER_WORDS_UNREAD, "{\"v\":1}".getBytes(StandardCharsets.UTF_8)),
-            Map.entry(Counter.PEER_WORDS_CUT, Arrays.copyOf(datagram, datagram.length / 2)),
-            Map.entry(Counter.PEER_WORDS_LATER, newerVersion),
-            Map.entry(Counter.PEER_WORDS_HUGE, Arrays.copyOf(datagram, 20_000)))) {
+            Map.entry(Counter.GOSSIP_UNREADABLE, "who goes there".getBytes(StandardCharsets.UTF_8)),
+            Map.entry(Counter.GOSSIP_UNREADABLE, "{\"v\":1}".getBytes(StandardCharsets.UTF_8)),
+            Map.entry(Counter.GOSSIP_TRUNCATED, Arrays.copyOf(datagram, datagram.length / 2)),
+            Map.entry(Counter.GOSSIP_OTHER_VERSION, newerVersion),
+            Map.entry(Counter.GOSSIP_OVERSIZED, Arrays.copyOf(datagram, 20_000)))) {
       await(raw.send(Buffer.buffer(sent.getValue()), port, LOCALHOST));
       assertEquals(new Event.ConditionCounted(sent.getKey()), nextEvent());
     }
-    sender.tell(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
+    sender.send(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
     assertEquals(new Event.GossipReceived(MESSAGE), nextEvent());
     await(raw.send(Buffer.buffer(datagram), port, LOCALHOST)); // a duplicate
-    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_DOUBLE), nextEvent());
+    assertEquals(new Event.ConditionCounted(Counter.GOSSIP_DUPLICATE), nextEvent());
     for (int i = 0; i < 200; i++) { // only recent datagrams are remembered
-      sender.tell(new Effect.SendGossip(LOCALHOST, port, numbered(i)));
+      sender.send(new Effect.SendGossip(LOCALHOST, port, numbered(i)));
       assertEquals(new Event.GossipReceived(numbered(i)), nextEvent());
     }
-    sender.tell(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
+    sender.send(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
     assertEquals(new Event.GossipReceived(MESSAGE), nextEvent());
   }
 
@@ -113,14 +113,14 @@
     GossipSocket sender = new GossipSocket(vertx, new AddressBook(256, List.of()), events::add);
     await(sender.listen(LOCALHOST, 0));
     sender.send(new byte[257], LOCALHOST, port);
-    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_UNSENT), nextEvent());
+    assertEquals(new Event.ConditionCounted(Counter.GOSSIP_UNSENT), nextEvent());
     List<EndpointObservation> observations = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       observations.add(
           new EndpointObservation(
               "s" + i, 0, "n" + i, i, 1_796_000_000_000_000L, List.of(0.5f, 1f), 0));
     }
-    sender.tell(
+    sender.send(
         new Effect.SendGossip(
             LOCALHOST,
             port,
@@ -129,7 +129,7 @@
       Integer size = sizes.poll(5, TimeUnit.SECONDS);
       assertTrue(size > 200 && size <= 256, "a datagram of " + size);
     }
-    assertEquals(new Event.ConditionCounted(Counter.PEER_NEWS_LEFT_OUT), nextEvent());
+    assertEquals(new Event.ConditionCounted(Counter.GOSSIP_UPDATES_OMITTED), nextEvent());
   }
 
   /**
@@ -146,34 +146,35 @@
             new AddressBook(
                 256,
                 List.of(
-                    new AddressBook.Known("", LOCALHOST, senderPort),
-                    new AddressBook.Known("n2", LOCALHOST, 9))),
+                    new AddressBook.BrokerAddress("", LOCALHOST, senderPort),
+                    new AddressBook.BrokerAddress("n2", LOCALHOST, 9))),
             events::add);
     int port = await(receiver.listen(LOCALHOST, 0));
     DatagramSocket stranger = await(vertx.createDatagramSocket().listen(0, LOCALHOST));
     await(
         stranger.send(
             Buffer.buffer(GossipEncoder.encode(MESSAGE, 256, 1).all().get(0)), port, LOCALHOST));
-    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_FOREIGN), nextEvent());
-    receiver.tell(new Effect.SendGossip(LOCALHOST, stranger.localAddress().port(), MESSAGE));
-    assertEquals(new Event.ConditionCounted(Counter.PEER_WORDS_UNSENT), nextEvent());
-    sender.tell(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
-    GossipMessage received = ((Event.GossipReceived) nextEvent()).word();
+    assertEquals(new Event.ConditionCounted(Counter.GOSSIP_FOREIGN), nextEvent());
+    receiver.send(new Effect.SendGossip(LOCALHOST, stranger.localAddress().port(), MESSAGE));
+    assertEquals(new Event.ConditionCounted(Counter.GOSSIP_UNSENT), nextEvent());
+    sender.send(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
+    GossipMessage received = ((Event.GossipReceived) nextEvent()).message();
     assertEquals(senderPort, received.from().port());
     assertEquals(
-        List.of(new Member("n2", "", LOCALHOST, 9, 7, Member.Status.SUSPECT)), received.peers());
+        List.of(new Member("n2", "", LOCALHOST, 9, 7, Member.Status.SUSPECT)),
+        received.memberUpdates());
     assertEquals(
         MESSAGE,
         new GossipMessage(
             received.kind(),
             SELF,
-            received.number(),
-            received.about(),
+            received.sequenceNumber(),
+            received.subject(),
             received.versions(),
-            MESSAGE.peers(),
-            received.signals(),
+            MESSAGE.memberUpdates(),
+            received.observations(),
             received.digest(),
             received.buckets(),
-            received.doubts()));
+            received.suspicionReports()));
   }
 }
--- a/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
+++ b/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
@@ -21,7 +21,7 @@
   private List<String> playTo(long fromUs, long toUs) {
     List<String> decided = new ArrayList<>();
     for (long now = fromUs; now < toUs; now += SECOND_US / 10) {
-      for (SkewVerdict verdict : detector.passed(now)) {
+      for (SkewVerdict verdict : detector.verdicts(now)) {
         verdicts.add(verdict);
         decided.add(verdict.broker() + " " + verdict.kind() + " " + verdict.step());
       }
@@ -31,11 +31,11 @@
 
   @Test
   void outdatedBrokerIsReportedFencedAndReadmitted() {
-    detector.told(0, "n1", OLD);
-    detector.told(0, "n2", NEW);
-    detector.told(0, "n0", NEW);
-    detector.left(0, "n1");
-    detector.told(5 * SECOND_US, "n1", OLD);
+    detector.onVersions(0, "n1", OLD);
+    detector.onVersions(0, "n2", NEW);
+    detector.onVersions(0, "n0", NEW);
+    detector.onMemberLeft(0, "n1");
+    detector.onVersions(5 * SECOND_US, "n1", OLD);
     assertEquals(List.of(), playTo(0, 5 * SECOND_US));
     assertEquals(List.of(), playTo(5 * SECOND_US, 5 * SECOND_US + 1_400_000));
     assertEquals(List.of("n1 SETTINGS SEEN"), playTo(5 * SECOND_US + 1_400_000, 14 * SECOND_US));
@@ -43,25 +43,25 @@
         new SkewVerdict("n1", Kind.SETTINGS, Step.SEEN, "aaaa", "bbbb", 1_500_000),
         verdicts.get(0));
     assertEquals(List.of("n1 SETTINGS SHUT_OUT"), playTo(14 * SECOND_US, 20 * SECOND_US));
-    assertEquals(Set.of("n1"), detector.shutOut());
-    detector.told(20 * SECOND_US, "n1", NEW);
+    assertEquals(Set.of("n1"), detector.fenced());
+    detector.onVersions(20 * SECOND_US, "n1", NEW);
     assertEquals(List.of("n1 SETTINGS LET_IN"), playTo(20 * SECOND_US, 25 * SECOND_US));
-    assertEquals(Set.of(), detector.shutOut());
+    assertEquals(Set.of(), detector.fenced());
   }
 
   /** It refreshes from its source once a second until it has the version. */
   @Test
   void outdatedBrokerRefreshesAndThenFencesItself() {
-    detector.told(0, "n1", OLD.withRoster(6));
-    detector.told(0, "n2", OLD.withRoster(6));
+    detector.onVersions(0, "n1", OLD.withEndpointListGeneration(6));
+    detector.onVersions(0, "n2", OLD.withEndpointListGeneration(6));
     List<String> decided = playTo(0, 4 * SECOND_US);
     assertEquals(
         List.of("n0 ROSTER SEEN", "n0 ROSTER BRING_UP", "n0 ROSTER BRING_UP", "n0 ROSTER BRING_UP"),
         decided);
     decided = playTo(4 * SECOND_US, 11 * SECOND_US);
     assertEquals(1, decided.stream().filter("n0 ROSTER SHUT_OUT"::equals).count());
-    assertEquals(Set.of("n0"), detector.shutOut());
-    detector.told(11 * SECOND_US, "n0", OLD.withRoster(6));
+    assertEquals(Set.of("n0"), detector.fenced());
+    detector.onVersions(11 * SECOND_US, "n0", OLD.withEndpointListGeneration(6));
     assertEquals(List.of("n0 ROSTER LET_IN"), playTo(11 * SECOND_US, 12 * SECOND_US));
   }
 
@@ -69,15 +69,15 @@
   @Test
   void slowRolloutFencesNobody() {
     for (int i = 1; i < 8; i++) {
-      detector.told(0, "n" + i, OLD);
+      detector.onVersions(0, "n" + i, OLD);
     }
     for (int i = 1; i <= 4; i++) {
-      detector.told(i * 60L * SECOND_US, "n" + i, NEW);
+      detector.onVersions(i * 60L * SECOND_US, "n" + i, NEW);
       List<String> decided = playTo(i * 60L * SECOND_US, (i + 1) * 60L * SECOND_US);
       assertEquals(
           List.of(), decided.stream().filter(verdict -> verdict.endsWith("SHUT_OUT")).toList());
     }
-    detector.told(300 * SECOND_US, "n5", NEW);
+    detector.onVersions(300 * SECOND_US, "n5", NEW);
     List<String> decided = playTo(300 * SECOND_US, 360 * SECOND_US);
     assertEquals(
         Set.of("n0 SETTINGS SHUT_OUT", "n6 SETTINGS SHUT_OUT", "n7 SETTINGS SHUT_OUT"),
@@ -87,10 +87,10 @@
   @Test
   void rolloutWithinTheBoundReportsNobody() {
     for (int i = 1; i < 8; i++) {
-      detector.told(0, "n" + i, OLD);
+      detector.onVersions(0, "n" + i, OLD);
     }
     for (int i = 0; i < 8; i++) {
-      detector.told(i * 150_000L, "n" + i, NEW);
+      detector.onVersions(i * 150_000L, "n" + i, NEW);
     }
     assertEquals(List.of(), playTo(8 * 150_000L, 60 * SECOND_US));
   }
@@ -98,7 +98,7 @@
   /** Another discovery numbers its lists independently. */
   @Test
   void endpointListsAreComparedWithinTheSameSettingsOnly() {
-    detector.told(0, "n1", NEW.withRoster(90));
+    detector.onVersions(0, "n1", NEW.withEndpointListGeneration(90));
     List<String> decided = playTo(0, 3 * SECOND_US);
     assertEquals(Set.of("n0 SETTINGS SEEN", "n0 SETTINGS BRING_UP"), Set.copyOf(decided));
   }
@@ -106,19 +106,19 @@
   /** A reordered announcement does not undo a newer one; a restart without a list does. */
   @Test
   void reorderedAnnouncementIsIgnored() {
-    detector.told(0, "n1", OLD.withRoster(9));
-    detector.told(1, "n1", OLD.withRoster(8));
-    assertEquals(9, detector.held().get("n1").roster());
-    detector.left(2, "n1");
-    detector.told(3, "n1", OLD.withRoster(0));
-    assertEquals(0, detector.held().get("n1").roster());
+    detector.onVersions(0, "n1", OLD.withEndpointListGeneration(9));
+    detector.onVersions(1, "n1", OLD.withEndpointListGeneration(8));
+    assertEquals(9, detector.versionsByBroker().get("n1").endpointListGeneration());
+    detector.onMemberLeft(2, "n1");
+    detector.onVersions(3, "n1", OLD.withEndpointListGeneration(0));
+    assertEquals(0, detector.versionsByBroker().get("n1").endpointListGeneration());
   }
 
   @Test
   void versionsOfABrokerThatLeftDoNotCount() {
-    detector.told(0, "n1", NEW);
+    detector.onVersions(0, "n1", NEW);
     playTo(0, 2 * SECOND_US);
-    detector.left(2 * SECOND_US, "n1");
+    detector.onMemberLeft(2 * SECOND_US, "n1");
     assertEquals(List.of("n0 SETTINGS CAUGHT_UP"), playTo(2 * SECOND_US, 20 * SECOND_US));
   }
 
--- a/src/test/java/dunlinhitch/config/ConfigFileTest.java
+++ b/src/test/java/dunlinhitch/config/ConfigFileTest.java
@@ -56,16 +56,16 @@
             valid.replace("\"discovery\"", "\"other\""),
             valid.replace("[\"x\"]", "[\"x\",\"y\"]"))) {
       Files.writeString(path, invalid);
-      assertThrows(ConfigException.class, file::again, invalid);
+      assertThrows(ConfigException.class, file::reload, invalid);
     }
     Files.writeString(
         path, configWith(CLASS_B + "," + CLASS_A, "\"MaxAttempts\":2,\"MostHeld\":7"));
-    Config reloaded = file.again();
+    Config reloaded = file.reload();
     assertEquals(
         List.of("b", "a"), reloaded.settings().classes().stream().map(c -> c.name()).toList());
     assertEquals(2, reloaded.settings().limits().maxAttempts());
     assertEquals(2, reloaded.discovery().port());
     Files.writeString(path, valid); // lacks a key of the current file
-    assertThrows(ConfigException.class, file::again);
+    assertThrows(ConfigException.class, file::reload);
   }
 }
--- a/src/test/java/dunlinhitch/config/ProductDescriptionTest.java
+++ b/src/test/java/dunlinhitch/config/ProductDescriptionTest.java
@@ -41,8 +41,8 @@
             Path.of("key")),
         Path.of("state"),
         new Product.MembershipTimes(5_000_000, 86_400_000_000L, 400_000, 20_000_000, 120_000_000),
-        List.of(new Product.Phase("free-search", 0.3, 4, 0.025, 0.01, 0.05, 60_000_000)),
-        new Product.Fleet(
+        List.of(new Product.TwoPhaseClass("free-search", 0.3, 4, 0.025, 0.01, 0.05, 60_000_000)),
+        new Product.Cluster(
             ADDRESS,
             ADDRESS,
             List.of(ADDRESS),
@@ -57,7 +57,7 @@
 
   @Test
   void isEmptyIfNothingIsOn() {
-    assertEquals("", Product.NONE.described());
+    assertEquals("", Product.NONE.description());
   }
 
   @Test
@@ -76,6 +76,6 @@
         state: kept in state
         membership: linger 5000 ms, stale for 86400 s, hold 400 to 20000 ms, calm 120000 ms
         """,
-        completeProduct().described());
+        completeProduct().description());
   }
 }
--- a/src/test/java/dunlinhitch/config/SettingsReaderTest.java
+++ b/src/test/java/dunlinhitch/config/SettingsReaderTest.java
@@ -18,7 +18,7 @@
             """
                 {"New": [1], "Classes": [{"DeadlineUs": 5000, "OnTimeUs": 1000, "Idempotency": "guarded"}],
                  "Domain": {"ClassNeed": [0.5]}, "Report": {"Via": "probe", "Fields": ["backlog", "x0"]}}""");
-    assertEquals(Idempotency.GUARDED, settings.classes().get(0).repeat());
+    assertEquals(Idempotency.GUARDED, settings.classes().get(0).idempotency());
     assertEquals(0.5, settings.classes().get(0).floor());
     assertEquals(-1, settings.rules().retryRatio());
     assertEquals(List.of(LoadReportField.BACKLOG, LoadReportField.OTHER), settings.reportFields());
--- a/src/test/java/dunlinhitch/core/AttemptStageTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptStageTest.java
@@ -54,7 +54,7 @@
         settings.reportsInAnswers(),
         settings.reportsInHealthChecks(),
         settings.reportFields(),
-        settings.marksRepeats());
+        settings.clientsMarkRetries());
   }
 
   private InFlightPart part(Idempotency repeat) {
--- a/src/test/java/dunlinhitch/core/ClusterStageTest.java
+++ b/src/test/java/dunlinhitch/core/ClusterStageTest.java
@@ -97,7 +97,7 @@
       effects.addAll(emitted);
       for (Effect effect : emitted) {
         if (effect instanceof SendRequest request) {
-          endpointsUsed.add(request.store());
+          endpointsUsed.add(request.endpoint());
           request
               .parts()
               .forEach(
@@ -141,7 +141,7 @@
     Set<Integer> disconnected = new HashSet<>();
     effects.stream()
         .filter(Effect.CloseIdleConnections.class::isInstance)
-        .forEach(e -> disconnected.add(((Effect.CloseIdleConnections) e).store()));
+        .forEach(e -> disconnected.add(((Effect.CloseIdleConnections) e).endpoint()));
     assertTrue(
         IntStream.rangeClosed(1, ENDPOINTS)
             .allMatch(s -> subset.contains(s) || disconnected.contains(s)),
@@ -165,7 +165,7 @@
             peer,
             0,
             "",
-            OWN.withRoster(generation),
+            OWN.withEndpointListGeneration(generation),
             List.of(),
             List.of()));
   }
@@ -186,20 +186,21 @@
           gossipWithListGeneration(2, 5),
           gossipWithListGeneration(3, 5));
     }
-    assertTrue(reducer.fenced());
+    assertTrue(reducer.isFenced());
     assertTrue(
         effects.stream().filter(Effect.RefreshEndpoints.class::isInstance).count() >= 8,
         "it asked its source again");
     assertTrue(
         hasLogged("this broker is shut out: it acts on roster 4, and 5 is newest"),
         effects.toString());
-    long before = reducer.counters().get(Counter.TURNED_AWAY);
+    long before = reducer.counters().get(Counter.QUERIES_NOT_ADMITTED);
     assertEquals(0, endpointsUsed().size());
-    assertEquals(60, reducer.counters().get(Counter.TURNED_AWAY) - before);
+    assertEquals(60, reducer.counters().get(Counter.QUERIES_NOT_ADMITTED) - before);
     turn(new Event.EndpointListGenerationChanged(5));
     now += 100_000;
     turn();
-    assertTrue(!reducer.fenced() && !endpointsUsed().isEmpty(), "it has the list and serves again");
+    assertTrue(
+        !reducer.isFenced() && !endpointsUsed().isEmpty(), "it has the list and serves again");
     turn(
         new Event.EndpointListGenerationChanged(6),
         gossipWithListGeneration(1, 6),
@@ -222,12 +223,12 @@
     turn(gossipFrom(3, GossipMessage.Kind.PING, 77));
     Effect.SendGossip acknowledgement = gossipSent().get(gossipSent().size() - 1);
     assertEquals(7403, acknowledgement.port());
-    assertEquals(GossipMessage.Kind.ACK, acknowledgement.word().kind());
-    assertEquals(77, acknowledgement.word().number());
+    assertEquals(GossipMessage.Kind.ACK, acknowledgement.message().kind());
+    assertEquals(77, acknowledgement.message().sequenceNumber());
     turn(new Event.ShutdownRequested());
     Effect.SendGossip leave = gossipSent().get(gossipSent().size() - 1);
-    assertEquals(GossipMessage.Kind.LEAVE, leave.word().kind());
-    assertEquals(Member.Status.LEFT, leave.word().from().status());
+    assertEquals(GossipMessage.Kind.LEAVE, leave.message().kind());
+    assertEquals(Member.Status.LEFT, leave.message().from().status());
     assertTrue(effects.get(effects.size() - 1) instanceof Effect.ShutdownCompleted);
   }
 
--- a/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
+++ b/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
@@ -41,7 +41,7 @@
                     new Event.AttemptCompleted(p.attempt(), AttemptOutcome.OK, new float[0], "v")));
     runFor(SECOND);
     assertTrue(
-        responseTo(1) instanceof QueryResponse.Served s && !s.whole() && s.parts().size() == 8,
+        responseTo(1) instanceof QueryResponse.Served s && !s.complete() && s.parts().size() == 8,
         "answer: " + responseTo(1));
     assertTrue(
         responseTo(2) instanceof QueryResponse.DeadlineExceeded
@@ -49,8 +49,8 @@
         "answer: " + responseTo(2));
     assertEquals(
         List.of("free-search", "slot-booking", "hall-search"),
-        reducer.figures().classes().stream().map(BrokerStatus.OfClass::name).toList());
-    assertEquals(1, reducer.figures().loads());
+        reducer.status().classes().stream().map(BrokerStatus.OfClass::name).toList());
+    assertEquals(1, reducer.status().configurationLoads());
     assertEquals(0, reducer.counters().get(Counter.FAULTS));
   }
 
--- a/src/test/java/dunlinhitch/core/EndpointStageTest.java
+++ b/src/test/java/dunlinhitch/core/EndpointStageTest.java
@@ -58,10 +58,10 @@
     Effect.EndpointChanged last =
         effectsOf(Effect.EndpointChanged.class)
             .get(effectsOf(Effect.EndpointChanged.class).size() - 1);
-    assertEquals("a", last.entry().name());
-    assertEquals(ServerState.GONE, last.entry().state());
+    assertEquals("a", last.endpoint().name());
+    assertEquals(ServerState.GONE, last.endpoint().state());
     turn(queryReceived(1, 0, 6));
-    assertTrue(effectsOf(SendRequest.class).stream().allMatch(c -> c.store() != last.store()));
+    assertTrue(effectsOf(SendRequest.class).stream().allMatch(c -> c.endpoint() != last.number()));
     assertEquals(6, effectsOf(SendRequest.class).stream().mapToInt(c -> c.parts().size()).sum());
   }
 
@@ -88,13 +88,13 @@
         new Event.SourceRegistered("dns", 1),
         new Event.SourceUpdated(
             "dns", true, List.of(readyClaim("one", "a", 0), readyClaim("two", "b", 1))));
-    int number = effectsOf(Effect.EndpointChanged.class).get(0).store();
+    int number = effectsOf(Effect.EndpointChanged.class).get(0).number();
     turn(
         queryReceived(1, 0, 2),
-        new Event.SourceUpdated("dns", false, List.of(EndpointClaim.back("one", now))));
+        new Event.SourceUpdated("dns", false, List.of(EndpointClaim.withdrawal("one", now))));
     int withdrawn = effects.indexOf(effectsOf(Effect.EndpointChanged.class).get(2));
     assertEquals(
-        ServerState.WITHDRAWN, effectsOf(Effect.EndpointChanged.class).get(2).entry().state());
+        ServerState.WITHDRAWN, effectsOf(Effect.EndpointChanged.class).get(2).endpoint().state());
     assertTrue(
         effects.stream()
             .filter(SendRequest.class::isInstance)
@@ -108,18 +108,18 @@
     }
     assertEquals(
         List.of(),
-        effectsOf(SendRequest.class).stream().filter(call -> call.store() == number).toList());
+        effectsOf(SendRequest.class).stream().filter(call -> call.endpoint() == number).toList());
     assertTrue(!effectsOf(SendRequest.class).isEmpty(), effects.toString());
     effects.clear();
     now += 100_000;
     turn(new Event.SourceUpdated("dns", false, List.of(readyClaim("one", "a", 0))));
-    assertEquals(number, effectsOf(Effect.EndpointChanged.class).get(0).store());
+    assertEquals(number, effectsOf(Effect.EndpointChanged.class).get(0).number());
     assertEquals(
-        0, effectsOf(Effect.EndpointChanged.class).get(0).entry().startedUs(), "no cold start");
-    turn(new Event.SourceUpdated("dns", false, List.of(EndpointClaim.back("one", now))));
+        0, effectsOf(Effect.EndpointChanged.class).get(0).endpoint().startedUs(), "no cold start");
+    turn(new Event.SourceUpdated("dns", false, List.of(EndpointClaim.withdrawal("one", now))));
     runFor(11 * SECOND);
     assertEquals(1, reducer.counters().get(Counter.ENDPOINTS_REMOVED));
-    assertEquals(1, reducer.figures().knownStores());
+    assertEquals(1, reducer.status().listedEndpoints());
   }
 
   /**
@@ -260,7 +260,7 @@
         0, reducer.counters().get(Counter.SENDS_BLOCKED), "the decisions know it themselves");
     turn(
         new Event.EndpointsUpdated(
-            ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.READY).startedAt(now))));
+            ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.READY).withStart(now))));
     for (int i = 100; i < 160; i++, now += 5_000) {
       turn(queryReceived(i, 0, 1));
     }
--- a/src/test/java/dunlinhitch/core/HealthCheckStageTest.java
+++ b/src/test/java/dunlinhitch/core/HealthCheckStageTest.java
@@ -34,7 +34,7 @@
     }
     assertTrue(effectsOf(Effect.SendHealthCheck.class).size() > 0);
     runFor(SECOND);
-    long probe = effectsOf(Effect.SendHealthCheck.class).get(0).probe();
+    long probe = effectsOf(Effect.SendHealthCheck.class).get(0).healthCheck();
     turn(new Event.HealthCheckCompleted(probe, AttemptOutcome.OK, new float[] {1, 0}));
     assertEquals(0, reducer.counters().get(Counter.FAULTS));
   }
--- a/src/test/java/dunlinhitch/core/OperatorStageTest.java
+++ b/src/test/java/dunlinhitch/core/OperatorStageTest.java
@@ -35,20 +35,20 @@
             ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.READY))));
     int disabledNumber =
         effectsOf(Effect.EndpointChanged.class).stream()
-            .filter(c -> c.entry().name().equals("a"))
+            .filter(c -> c.endpoint().name().equals("a"))
             .findFirst()
             .orElseThrow()
-            .store();
+            .number();
     assertTrue(
         effectsOf(Effect.EndpointChanged.class)
             .get(effectsOf(Effect.EndpointChanged.class).size() - 1)
-            .barred());
-    assertEquals(1, reducer.figures().skippedStores());
+            .disabled());
+    assertEquals(1, reducer.status().skippedEndpoints());
     turn(queryReceived(1, 0, 10));
     assertTrue(
-        effectsOf(SendRequest.class).stream().noneMatch(call -> call.store() == disabledNumber));
+        effectsOf(SendRequest.class).stream().noneMatch(call -> call.endpoint() == disabledNumber));
     turn(new Event.EndpointDisableRequested(4, "a", false));
-    assertEquals(0, reducer.figures().skippedStores());
+    assertEquals(0, reducer.status().skippedEndpoints());
     assertEquals(0, reducer.counters().get(Counter.SENDS_BLOCKED));
   }
 
@@ -61,10 +61,10 @@
   void unsentAttemptsForADisabledEndpointAreWithdrawn() {
     listBothEndpoints();
     turn(queryReceived(1, 0, 10), new Event.EndpointDisableRequested(1, "a", true));
-    int disabledNumber = effectsOf(Effect.EndpointChanged.class).get(0).store();
+    int disabledNumber = effectsOf(Effect.EndpointChanged.class).get(0).number();
     runFor(50_000);
     assertTrue(
-        effectsOf(SendRequest.class).stream().noneMatch(call -> call.store() == disabledNumber));
+        effectsOf(SendRequest.class).stream().noneMatch(call -> call.endpoint() == disabledNumber));
     assertEquals(
         10, effectsOf(SendRequest.class).stream().mapToInt(call -> call.parts().size()).sum());
   }
--- a/src/test/java/dunlinhitch/core/QueryStageTest.java
+++ b/src/test/java/dunlinhitch/core/QueryStageTest.java
@@ -25,7 +25,7 @@
     assertEquals(
         effectsOf(SendRequest.class).stream().mapToInt(c -> c.parts().size()).sum(),
         effectsOf(Effect.CancelAttempt.class).size());
-    assertEquals(0, reducer.open());
+    assertEquals(0, reducer.openQueries());
   }
 
   @Test
@@ -35,7 +35,8 @@
     assertEquals(new QueryResponse.Rejected(500_000), responseTo(2));
     assertEquals(null, responseTo(1));
     turn(queryReceived(1, 1, 1));
-    assertTrue(reducer.counters().get(Counter.TURNED_AWAY) == 2, "the same id while it is open");
+    assertTrue(
+        reducer.counters().get(Counter.QUERIES_NOT_ADMITTED) == 2, "the same id while it is open");
   }
 
   /**
@@ -98,7 +99,7 @@
       after.addAll(reducer.turn(now, List.of()));
     }
     assertEquals(List.of(), attemptsIn(after));
-    assertEquals(0, reducer.open());
+    assertEquals(0, reducer.openQueries());
     assertEquals(0, reducer.counters().get(Counter.FAULTS));
     assertEquals(
         state == DisconnectState.FIRST_STEP_CLOSES ? 1 : 0,
--- a/src/test/java/dunlinhitch/core/ReducerTest.java
+++ b/src/test/java/dunlinhitch/core/ReducerTest.java
@@ -43,7 +43,7 @@
   void attemptsOfATurnRespectTheLastEndpointStateOfThatTurn() {
     listBothEndpoints();
     turn(queryReceived(1, 0, 4), new Event.EndpointDisableRequested(1, "a", true));
-    int enabledNumber = effectsOf(Effect.EndpointChanged.class).get(1).store();
+    int enabledNumber = effectsOf(Effect.EndpointChanged.class).get(1).number();
     long sentBefore = attemptsSentTo(effects, enabledNumber);
     now += 5_000;
     Event drain =
--- a/src/test/java/dunlinhitch/core/ReducerTestSupport.java
+++ b/src/test/java/dunlinhitch/core/ReducerTestSupport.java
@@ -68,7 +68,7 @@
   QueryResponse responseTo(long exchange) {
     return effectsOf(Effect.SendResponse.class).stream()
         .filter(r -> r.exchange() == exchange)
-        .map(Effect.SendResponse::answer)
+        .map(Effect.SendResponse::response)
         .reduce(
             (one, two) -> {
               throw new AssertionError("two answers");
@@ -81,7 +81,7 @@
     return turn.stream()
         .filter(SendRequest.class::isInstance)
         .map(SendRequest.class::cast)
-        .filter(c -> c.store() == store)
+        .filter(c -> c.endpoint() == store)
         .mapToLong(c -> c.parts().size())
         .sum();
   }
@@ -138,6 +138,6 @@
         settings.reportsInAnswers(),
         settings.reportsInHealthChecks(),
         settings.reportFields(),
-        settings.marksRepeats());
+        settings.clientsMarkRetries());
   }
 }
--- a/src/test/java/dunlinhitch/core/SecondStepStageTest.java
+++ b/src/test/java/dunlinhitch/core/SecondStepStageTest.java
@@ -72,18 +72,18 @@
         Set.of("q1.5.r", "q1.6.r"),
         second.stream().map(Effect.AttemptRequest::partId).collect(Collectors.toSet()));
     second.forEach(
-        attempt -> assertEquals(new Effect.FirstStep(List.of(4, 5, 6), true), attempt.after()));
+        attempt -> assertEquals(new Effect.FirstStep(List.of(4, 5, 6), true), attempt.firstStep()));
     twoStepsTurn(
         new Event.AttemptCompleted(second.get(0).attempt(), AttemptOutcome.OK, new float[0], "r0"));
     assertEquals(null, responseTo(1), "one of two parts is no answer");
     twoStepsTurn(
         new Event.AttemptCompleted(second.get(1).attempt(), AttemptOutcome.OK, new float[0], "r1"));
     QueryResponse.Served served = (QueryResponse.Served) responseTo(1);
-    assertTrue(served.whole());
+    assertTrue(served.complete());
     assertEquals(
         Set.of(5, 6),
         served.parts().stream().map(QueryResponse.PartValue::shard).collect(Collectors.toSet()));
-    assertEquals(0, twoStepReducer.open());
+    assertEquals(0, twoStepReducer.openQueries());
   }
 
   /** The attempts in flight are cancelled and nothing of the query remains. */
@@ -100,7 +100,7 @@
     for (int i = 0; i < 300; i++) {
       twoStepsTurn();
     }
-    assertEquals(0, twoStepReducer.open());
+    assertEquals(0, twoStepReducer.openQueries());
     assertEquals(null, responseTo(1));
   }
 }
--- a/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
+++ b/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
@@ -38,8 +38,8 @@
             new Event.EndpointsUpdated(
                 ServerListKind.FULL,
                 List.of(
-                    endpoint("a", 0, ServerState.READY).startedAt(now).phases(2),
-                    endpoint("b", 1, ServerState.READY).startedAt(now).phases(2)))));
+                    endpoint("a", 0, ServerState.READY).withStart(now).phases(2),
+                    endpoint("b", 1, ServerState.READY).withStart(now).phases(2)))));
     Map<Integer, Integer> sent = new TreeMap<>();
     int[] attemptsByPhase = {0, 0};
     List<Event> next = new ArrayList<>();
@@ -54,9 +54,9 @@
       next.clear();
       for (Effect effect : twoPhaseReducer.turn(now, events)) {
         if (effect instanceof SendRequest call) {
-          sent.merge(call.store(), call.parts().size(), Integer::sum);
+          sent.merge(call.endpoint(), call.parts().size(), Integer::sum);
           for (Effect.AttemptRequest part : call.parts()) {
-            attemptsByPhase[part.first() ? 0 : 1]++;
+            attemptsByPhase[part.firstPass() ? 0 : 1]++;
             next.add(completionOf(part));
           }
         }
@@ -84,7 +84,7 @@
   }
 
   private Event completionOf(Effect.AttemptRequest part) {
-    return part.first()
+    return part.firstPass()
         ? new Event.FirstPassCompleted(part.attempt(), now + 1_000, new float[0], 2, "v", "")
         : new Event.AttemptCompleted(part.attempt(), AttemptOutcome.OK, new float[0], "v");
   }
--- a/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
@@ -116,7 +116,7 @@
     Request nextAfterFailure() throws InterruptedException {
       while (true) {
         Event.ConditionCounted failure = DiscoveryWatchTest.this.next(Event.ConditionCounted.class);
-        if (failure.what() == Counter.ROSTER_LOST) {
+        if (failure.what() == Counter.SOURCES_UNAVAILABLE) {
           clock.addAndGet(RETRY_US);
           return next();
         }
@@ -219,7 +219,7 @@
   }
 
   private static List<String> names(Event.EndpointsUpdated update) {
-    return update.stores().stream().map(store -> store.name()).toList();
+    return update.endpoints().stream().map(store -> store.name()).toList();
   }
 
   /** The next request, after the longest delay of one beside those that hang. */
@@ -363,9 +363,9 @@
       }
       long counted = 0;
       for (Counter counter = next(Event.ConditionCounted.class).what();
-          counter != Counter.ROSTER_LOST;
+          counter != Counter.SOURCES_UNAVAILABLE;
           counter = next(Event.ConditionCounted.class).what()) {
-        assertEquals(Counter.BAD_ROSTER_ENTRIES, counter);
+        assertEquals(Counter.ENDPOINT_ENTRIES_INVALID, counter);
         counted++;
       }
       assertTrue(counted >= 1 && counted < 100, counted + " for " + text.substring(0, 5));
@@ -402,7 +402,9 @@
             + "}]}\n");
     for (int i = 0; i < malformed.size(); i++) {
       assertEquals(
-          Counter.BAD_ROSTER_ENTRIES, next(Event.ConditionCounted.class).what(), malformed.get(i));
+          Counter.ENDPOINT_ENTRIES_INVALID,
+          next(Event.ConditionCounted.class).what(),
+          malformed.get(i));
     }
     assertEquals(List.of("s"), names(next(Event.EndpointsUpdated.class)));
   }
@@ -450,7 +452,7 @@
         assertEquals(List.of(name), names(next(Event.EndpointsUpdated.class)), form);
       }
       request.reset();
-      assertEquals(Counter.ROSTER_LOST, next(Event.ConditionCounted.class).what());
+      assertEquals(Counter.SOURCES_UNAVAILABLE, next(Event.ConditionCounted.class).what());
       clock.addAndGet(RETRY_US);
     }
   }
--- a/src/test/java/dunlinhitch/discovery/EndpointListFileTest.java
+++ b/src/test/java/dunlinhitch/discovery/EndpointListFileTest.java
@@ -82,7 +82,7 @@
 
   @Test
   void aFileOfTheOldVersionIsRead() throws IOException {
-    EndpointListFile.Kept content = stored(STORED).read(SAVED_US);
+    EndpointListFile.Content content = stored(STORED).read(SAVED_US);
     assertEquals(SAVED_US, content.savedUs());
     assertEquals(
         Map.of("dns", List.of(READY_CLAIM), "push", List.of(DRAINING_CLAIM)), content.bySource());
@@ -92,9 +92,15 @@
   @Test
   void theStoredFormIsThatOfTheOldVersion() throws IOException {
     EndpointRegistry.Row ready =
-        row("s-1", READY, "dns", READY_CLAIM.key(), READY_CLAIM.heardUs(), READY_CLAIM.untilUs());
+        row(
+            "s-1",
+            READY,
+            "dns",
+            READY_CLAIM.key(),
+            READY_CLAIM.reportedUs(),
+            READY_CLAIM.expiresUs());
     EndpointRegistry.Row unbounded =
-        row("s-2", DRAINING, "push", DRAINING_CLAIM.key(), DRAINING_CLAIM.heardUs(), NEVER_US);
+        row("s-2", DRAINING, "push", DRAINING_CLAIM.key(), DRAINING_CLAIM.reportedUs(), NEVER_US);
     EndpointRegistry.Row withoutClaim = row("s-3", DRAINING, "", "", 1, NEVER_US);
     EndpointListFile file = new EndpointListFile(folder.resolve("new"));
     file.write(SAVED_US, List.of(ready, unbounded, withoutClaim));
@@ -127,10 +133,10 @@
   /** The clock was set back: the claim counts as reported now, with its lifetime as it was. */
   @Test
   void aClaimOfTheFutureCountsAsReportedNow() throws IOException {
-    long nowUs = DRAINING_CLAIM.heardUs() - 500_000;
+    long nowUs = DRAINING_CLAIM.reportedUs() - 500_000;
     EndpointClaim claim = stored(STORED).read(nowUs).bySource().get("push").get(0);
-    assertEquals(nowUs, claim.heardUs());
-    assertEquals(UNBOUNDED_EXPIRY_US - 500_000, claim.untilUs());
+    assertEquals(nowUs, claim.reportedUs());
+    assertEquals(UNBOUNDED_EXPIRY_US - 500_000, claim.expiresUs());
   }
 
   @Test
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -40,7 +40,7 @@
         PUSHED_SETTINGS.reportsInAnswers(),
         PUSHED_SETTINGS.reportsInHealthChecks(),
         PUSHED_SETTINGS.reportFields(),
-        PUSHED_SETTINGS.marksRepeats());
+        PUSHED_SETTINGS.clientsMarkRetries());
   }
 
   private WatchStateMachine stateMachine(Settings settings) {
--- a/src/test/java/dunlinhitch/discovery/dnssd/AbstractRecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/AbstractServiceRecordsTest.java
@@ -17,22 +17,22 @@
 import org.xbill.DNS.Section;
 
 /** Records that a zone responds to, without sockets, and the claims that have come of them. */
-abstract class AbstractRecordsTest {
+abstract class AbstractServiceRecordsTest {
   static final String SERVICE = "_calendar._tcp.example.org.";
   static final long US_PER_SECOND = 1_000_000;
 
   /** Instances, and queries in flight. */
-  private static final Records.Bounds BOUNDS = new Records.Bounds(3, 2);
+  private static final ServiceRecords.Limits BOUNDS = new ServiceRecords.Limits(3, 2);
 
   final Zone zone = new Zone("example.org.");
   final List<Question> queries = new ArrayList<>();
   final TreeMap<String, EndpointClaim> claims = new TreeMap<>();
   long nowUs = 1_000 * US_PER_SECOND;
   boolean snapshotReceived;
-  final Records records = browse(Names.parse(SERVICE));
+  final ServiceRecords records = browse(Names.parse(SERVICE));
 
-  final Records browse(Name... browsedNames) {
-    return new Records(
+  final ServiceRecords browse(Name... browsedNames) {
+    return new ServiceRecords(
         List.of(browsedNames),
         new TxtRecordParser(new EndpointListReader(List.of("a"), event -> {})),
         BOUNDS,
@@ -47,11 +47,11 @@
     return Zone.store(SERVICE, instance, "127.0.0.1", port, 100, attributes.toArray(String[]::new));
   }
 
-  final void applyClaims(Records source) {
-    Records.ClaimUpdate update = source.drainClaims(nowUs);
+  final void applyClaims(ServiceRecords source) {
+    ServiceRecords.ClaimUpdate update = source.drainClaims(nowUs);
     snapshotReceived |= update.snapshot();
     for (EndpointClaim claim : update.claims()) {
-      if (claim.entry() == null) {
+      if (claim.endpoint() == null) {
         claims.remove(claim.key());
       } else {
         claims.put(claim.key(), claim);
@@ -60,7 +60,7 @@
   }
 
   /** The zone responds to every query that is due, until there is none. */
-  final void respondToAll(Records source) {
+  final void respondToAll(ServiceRecords source) {
     List<Question> due = source.startQueries(nowUs);
     while (!due.isEmpty()) {
       assertTrue(due.size() <= BOUNDS.asking(), "no more at once than the bounds say");
@@ -78,7 +78,7 @@
   }
 
   /** Every query that is due fails, until there is none. */
-  final void failAll(Records source) {
+  final void failAll(ServiceRecords source) {
     List<Question> due = source.startQueries(nowUs);
     while (!due.isEmpty()) {
       due.forEach(question -> source.onFailure(nowUs, question));
@@ -91,6 +91,6 @@
   }
 
   final List<Integer> claimedPorts() {
-    return claims.values().stream().map(claim -> claim.entry().port()).sorted().toList();
+    return claims.values().stream().map(claim -> claim.endpoint().port()).sorted().toList();
   }
 }
--- a/src/test/java/dunlinhitch/discovery/dnssd/DsoTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/DsoTest.java
@@ -28,7 +28,7 @@
 
   @Test
   void aKeepaliveRequestHasItsLengthHeaderAndIntervals() {
-    Buffer request = Dso.write(new Head(1, false, 0), Dso.keepAlive(15_000, 20_000));
+    Buffer request = Dso.write(new Head(1, false, 0), Dso.keepalive(15_000, 20_000));
     assertEquals(
         "0018" + "0001" + "3000" + NO_COUNTS + "00010008" + "00003a9800004e20", hex(request));
   }
--- a/src/test/java/dunlinhitch/discovery/dnssd/MalformedMessagesTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/MalformedMessagesTest.java
@@ -15,7 +15,7 @@
 import org.xbill.DNS.Type;
 
 /** Valid messages with random bytes changed, cut off or appended: rejected or read, never fatal. */
-class MalformedMessagesTest extends AbstractRecordsTest {
+class MalformedMessagesTest extends AbstractServiceRecordsTest {
   private static final int ROUNDS = 20_000;
   private final SplittableRandom random = new SplittableRandom(9);
 
--- a/src/test/java/dunlinhitch/discovery/dnssd/PushSessionTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/PushSessionTest.java
@@ -69,7 +69,7 @@
         List.of(),
         session.updateSubscriptions(nowUs, Set.of(POINTERS)),
         "not before the server has shown that it supports DSO");
-    receive(new Head(keepalive.head().id(), true, 0), Dso.keepAlive(15_000, 20_000));
+    receive(new Head(keepalive.head().id(), true, 0), Dso.keepalive(15_000, 20_000));
     DsoMessage subscribe =
         sentMessages(session.updateSubscriptions(nowUs, Set.of(POINTERS))).get(0);
     assertEquals(POINTERS, Dso.subscribed(subscribe.tlvs().get(0)));
@@ -110,6 +110,6 @@
     assertTrue(hasClose(session.onTimer(nowUs + 30 * US_PER_SECOND)));
     nowUs += 300 * US_PER_SECOND;
     reconnect();
-    assertTrue(hasClose(receiveRequest(Dso.keepAlive(1, 500))));
+    assertTrue(hasClose(receiveRequest(Dso.keepalive(1, 500))));
   }
 }
--- a/src/test/java/dunlinhitch/discovery/dnssd/RecordRegistrarKeyFileTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/RecordRegistrarKeyFileTest.java
@@ -23,7 +23,7 @@
 
   @Test
   void readsNameAlgorithmAndSecretOfOneLine() throws IOException {
-    TSIG key = RecordRegistrar.key(keyFile(" broker.  hmac-sha256\t" + SECRET + "\n"));
+    TSIG key = RecordRegistrar.readKeyFile(keyFile(" broker.  hmac-sha256\t" + SECRET + "\n"));
     Message message = new Message();
     message.setTSIG(key);
     byte[] wire = message.toWire(DnsTcpFraming.MAX_MESSAGE_BYTES);
@@ -34,7 +34,7 @@
   @Test
   void rejectsAnotherNumberOfFields() throws IOException {
     Path file = keyFile("broker. hmac-sha256\n");
-    IOException failure = assertThrows(IOException.class, () -> RecordRegistrar.key(file));
+    IOException failure = assertThrows(IOException.class, () -> RecordRegistrar.readKeyFile(file));
     assertEquals(file + " does not hold NAME ALGORITHM SECRET", failure.getMessage());
   }
 }
--- a/src/test/java/dunlinhitch/discovery/dnssd/RecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/ServiceRecordsTest.java
@@ -22,7 +22,7 @@
 import org.xbill.DNS.Type;
 
 /** Which claims follow from records, and which queries are sent when. */
-class RecordsTest extends AbstractRecordsTest {
+class ServiceRecordsTest extends AbstractServiceRecordsTest {
   private static final Name HOST = Names.parse("host-127-0-0-1.example.org.");
   private static final Name ALIAS = Names.parse("alias.example.org.");
 
@@ -65,7 +65,7 @@
     assertEquals(
         Set.of(Type.PTR, Type.SRV, Type.TXT, Type.A),
         Set.copyOf(queries.stream().map(Question::type).toList()));
-    long expiresUs = claims.firstEntry().getValue().untilUs();
+    long expiresUs = claims.firstEntry().getValue().expiresUs();
     assertTrue(expiresUs >= nowUs + 99 * US_PER_SECOND, "its expiry was moved on");
     nowUs += 91 * US_PER_SECOND;
     failAll(records);
@@ -74,7 +74,7 @@
     assertBackoffGrowsUpToItsMaximum(browse(Names.parse(SERVICE)));
   }
 
-  private void assertBackoffGrowsUpToItsMaximum(Records unanswered) {
+  private void assertBackoffGrowsUpToItsMaximum(ServiceRecords unanswered) {
     long previousDelayUs = 0;
     List<Question> due = unanswered.startQueries(nowUs);
     for (int i = 0; i < 12; i++) {
@@ -131,7 +131,7 @@
     while (!due.isEmpty()) {
       due.forEach(question -> records.onResponse(nowUs, question, zoneResponse(question)));
       records.drainClaims(nowUs).claims().stream()
-          .filter(claim -> claim.entry() == null)
+          .filter(claim -> claim.endpoint() == null)
           .forEach(claim -> withdrawn.add(claim.key()));
       due = records.startQueries(nowUs);
     }
--- a/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
@@ -48,9 +48,9 @@
                 60 * SECOND_US,
                 50),
             0);
-    registry.named("a", 1, false);
-    registry.named("b", 1, false);
-    registry.named("c", 2, false);
+    registry.registerSource("a", 1, false);
+    registry.registerSource("b", 1, false);
+    registry.registerSource("c", 2, false);
     return registry;
   }
 
@@ -70,14 +70,14 @@
   private void apply(List<EndpointChange> changes) {
     for (EndpointChange change : changes) {
       allChanges.add(change);
-      if (change.told()) {
-        published.put(change.entry().name(), change.entry());
+      if (change.endpointChanged()) {
+        published.put(change.endpoint().name(), change.endpoint());
       }
     }
   }
 
   private void report(String source, long reportedUs, EndpointClaim... claims) {
-    apply(registry.said(reportedUs, source, false, List.of(claims)));
+    apply(registry.update(reportedUs, source, false, List.of(claims)));
   }
 
   private ServerState state(String name) {
@@ -86,7 +86,7 @@
 
   private EndpointStatus status(String name) {
     return registry.rows().stream()
-        .filter(row -> row.store().equals(name))
+        .filter(row -> row.name().equals(name))
         .findFirst()
         .orElseThrow()
         .status();
@@ -94,8 +94,8 @@
 
   @Test
   void aReturnWithinTheLingerIsTheSameProcess() {
-    apply(registry.said(SECOND_US, "a", true, List.of(claim(endpoint("s", 1, 0, 0), SECOND_US))));
-    report("a", 20 * SECOND_US, EndpointClaim.back("s/1/0", 20 * SECOND_US));
+    apply(registry.update(SECOND_US, "a", true, List.of(claim(endpoint("s", 1, 0, 0), SECOND_US))));
+    report("a", 20 * SECOND_US, EndpointClaim.withdrawal("s/1/0", 20 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"));
     report(
         "a",
@@ -108,7 +108,7 @@
   @Test
   void anotherAddressOrStartIsARestart() {
     apply(
-        registry.said(
+        registry.update(
             SECOND_US,
             "a",
             true,
@@ -118,9 +118,9 @@
     report(
         "a",
         20 * SECOND_US,
-        EndpointClaim.back("s/1/0", 20 * SECOND_US),
+        EndpointClaim.withdrawal("s/1/0", 20 * SECOND_US),
         claim(endpoint("s", 9, 0, 0), 20 * SECOND_US),
-        EndpointClaim.back("t/2/5", 20 * SECOND_US),
+        EndpointClaim.withdrawal("t/2/5", 20 * SECOND_US),
         claim(endpoint("t", 2, 0, 7 * SECOND_US), 20 * SECOND_US));
     assertEquals(20 * SECOND_US, published.get("s").startedUs());
     assertEquals(7 * SECOND_US, published.get("t").startedUs());
@@ -131,11 +131,11 @@
 
   @Test
   void aReturnAfterTheLingerIsAnotherProcess() {
-    apply(registry.said(SECOND_US, "a", true, List.of(claim(endpoint("s", 1, 0, 0), SECOND_US))));
-    report("a", 2 * SECOND_US, EndpointClaim.back("s/1/0", 2 * SECOND_US));
-    apply(registry.passed(11 * SECOND_US));
+    apply(registry.update(SECOND_US, "a", true, List.of(claim(endpoint("s", 1, 0, 0), SECOND_US))));
+    report("a", 2 * SECOND_US, EndpointClaim.withdrawal("s/1/0", 2 * SECOND_US));
+    apply(registry.advanceTo(11 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"));
-    apply(registry.passed(12 * SECOND_US + SECOND_US / 10));
+    apply(registry.advanceTo(12 * SECOND_US + SECOND_US / 10));
     assertEquals(ServerState.GONE, state("s"));
     report("a", 80 * SECOND_US, claim(endpoint("s", 1, 0, 0), 80 * SECOND_US));
     assertEquals(80 * SECOND_US, published.get("s").startedUs());
@@ -160,7 +160,7 @@
     assertEquals(EndpointStatus.STANDING_IN, status("u"));
     report("a", 3 * SECOND_US, claim(endpoint("v", 4, 1, 0), 3 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("u"), "now another serves it");
-    report("b", 4 * SECOND_US, EndpointClaim.back("s/9/0", 4 * SECOND_US));
+    report("b", 4 * SECOND_US, EndpointClaim.withdrawal("s/9/0", 4 * SECOND_US));
     assertEquals(ServerState.READY, state("s"), "the conflict has ended");
   }
 
@@ -182,7 +182,7 @@
     report("a", 2 * SECOND_US, claim(endpoint("u", 1, 0, 0), 2 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"));
     assertEquals(ServerState.WITHDRAWN, state("u"));
-    report("a", 3 * SECOND_US, EndpointClaim.back("u/1/0", 3 * SECOND_US));
+    report("a", 3 * SECOND_US, EndpointClaim.withdrawal("u/1/0", 3 * SECOND_US));
     assertEquals(ServerState.READY, state("s"));
   }
 
@@ -191,7 +191,7 @@
     report("c", SECOND_US, claim(endpoint("s", 9, 0, 0), SECOND_US));
     report("a", 2 * SECOND_US, claim(endpoint("s", 1, 0, 0), 2 * SECOND_US));
     assertEquals(1, published.get("s").port());
-    report("a", 3 * SECOND_US, EndpointClaim.back("s/1/0", 3 * SECOND_US));
+    report("a", 3 * SECOND_US, EndpointClaim.withdrawal("s/1/0", 3 * SECOND_US));
     assertEquals(
         ServerState.WITHDRAWN, state("s"), "earlier claims of the lower source are overruled");
     report("c", 4 * SECOND_US, claim(endpoint("s", 9, 0, 7), 4 * SECOND_US));
@@ -199,8 +199,8 @@
     report(
         "c",
         5 * SECOND_US,
-        EndpointClaim.back("s/9/0", 5 * SECOND_US),
-        EndpointClaim.back("s/9/7", 5 * SECOND_US));
+        EndpointClaim.withdrawal("s/9/0", 5 * SECOND_US),
+        EndpointClaim.withdrawal("s/9/7", 5 * SECOND_US));
     assertEquals(ServerState.WITHDRAWN, state("s"));
   }
 
@@ -214,14 +214,14 @@
     long[] suppressionsUs = new long[6];
     long now = 2 * SECOND_US;
     for (int i = 0; i < suppressionsUs.length; i++) {
-      report("a", now, EndpointClaim.back("s/1/0", now));
+      report("a", now, EndpointClaim.withdrawal("s/1/0", now));
       assertEquals(ServerState.WITHDRAWN, state("s"), "withdrawn at once");
       now += SECOND_US / 10;
       report("a", now, claim(endpoint("s", 1, 0, 0), now));
       long returnedUs = now;
       while (state("s") != ServerState.READY) {
         now = registry.nextUs();
-        apply(registry.passed(now));
+        apply(registry.advanceTo(now));
       }
       suppressionsUs[i] = now - returnedUs;
       now += SECOND_US;
@@ -232,7 +232,8 @@
     }
     assertTrue(suppressionsUs[5] <= 4 * SECOND_US + 10_000, "but no longer than the settings say");
     // without another endpoint for its shard it serves all the same
-    report("a", now, EndpointClaim.back("s/1/0", now), EndpointClaim.back("t/2/0", now));
+    report(
+        "a", now, EndpointClaim.withdrawal("s/1/0", now), EndpointClaim.withdrawal("t/2/0", now));
     report("a", now + 1, claim(endpoint("s", 1, 0, 0), now + 1));
     assertEquals(EndpointStatus.STANDING_IN, status("s"));
   }
@@ -241,13 +242,13 @@
   void claimsOfAnUnavailableSourceStayStaleUntilTheBound() {
     report(
         "a", SECOND_US, new EndpointClaim("s", endpoint("s", 1, 0, 0), SECOND_US, 5 * SECOND_US));
-    apply(registry.silent(3 * SECOND_US, "a"));
-    apply(registry.passed(6 * SECOND_US));
+    apply(registry.sourceUnavailable(3 * SECOND_US, "a"));
+    apply(registry.advanceTo(6 * SECOND_US));
     assertEquals(EndpointStatus.STALE, status("s"));
     assertEquals(ServerState.READY, state("s"));
-    apply(registry.passed(24 * SECOND_US));
+    apply(registry.advanceTo(24 * SECOND_US));
     assertEquals(ServerState.READY, state("s"));
-    apply(registry.passed(25 * SECOND_US + SECOND_US / 10));
+    apply(registry.advanceTo(25 * SECOND_US + SECOND_US / 10));
     assertEquals(ServerState.WITHDRAWN, state("s"));
     assertEquals(StatusReason.CLAIM_EXPIRED, allChanges.get(allChanges.size() - 1).reason());
   }
@@ -259,7 +260,7 @@
     }
     report("a", SECOND_US, claim(endpoint("z", 7, 2, 0), SECOND_US));
     assertEquals(50, published.size());
-    assertEquals(11, registry.refused());
+    assertEquals(11, registry.rejectedClaims());
     assertFalse(published.containsKey("z"));
   }
 
@@ -289,7 +290,7 @@
             report.variant() == 3 ? 9 : 0);
     String key = entry.name() + "/" + report.variant();
     return report.withdrawal()
-        ? EndpointClaim.back(key, reportedUs)
+        ? EndpointClaim.withdrawal(key, reportedUs)
         : new EndpointClaim(key, entry, reportedUs, FAR_FUTURE_US);
   }
 
@@ -313,7 +314,7 @@
   private static Map<String, String> outcome(List<Report> claims, List<Integer> order) {
     EndpointRegistry registry = newRegistry();
     for (int i : order) {
-      registry.said(
+      registry.update(
           100 * SECOND_US,
           claims.get(i).source(),
           false,
@@ -325,7 +326,7 @@
         .forEach(
             row ->
                 result.put(
-                    row.store() + "/" + row.source() + "/" + row.key(),
+                    row.name() + "/" + row.source() + "/" + row.key(),
                     row.status() + " " + row.reason()));
     return result;
   }
@@ -349,27 +350,28 @@
       } else {
         activeClaims.put(key, claim);
       }
-      List<EndpointChange> changes = new ArrayList<>(registry.passed(now));
-      changes.addAll(registry.said(now, report.source(), false, List.of(claim)));
+      List<EndpointChange> changes = new ArrayList<>(registry.advanceTo(now));
+      changes.addAll(registry.update(now, report.source(), false, List.of(claim)));
       changes.stream()
-          .filter(EndpointChange::told)
-          .forEach(change -> publishedStates.put(change.entry().name(), change.entry().state()));
+          .filter(EndpointChange::endpointChanged)
+          .forEach(
+              change -> publishedStates.put(change.endpoint().name(), change.endpoint().state()));
       publishedStates.forEach(
           (name, state) ->
               assertTrue(
                   state != ServerState.READY
                       || activeClaims.values().stream()
-                          .anyMatch(active -> active.entry().name().equals(name)),
+                          .anyMatch(active -> active.endpoint().name().equals(name)),
                   name));
       for (EndpointChange change : changes) {
         boolean claimed =
             activeClaims.values().stream()
                 .anyMatch(
                     active ->
-                        active.entry().name().equals(change.entry().name())
-                            && active.entry().cell() == change.entry().cell());
+                        active.endpoint().name().equals(change.endpoint().name())
+                            && active.endpoint().cell() == change.endpoint().cell());
         assertTrue(
-            !change.told() || change.entry().state() != ServerState.READY || claimed,
+            !change.endpointChanged() || change.endpoint().state() != ServerState.READY || claimed,
             "another cell than claimed");
       }
     }
--- a/src/test/java/dunlinhitch/endpoints/TimingWheelTest.java
+++ b/src/test/java/dunlinhitch/endpoints/TimingWheelTest.java
@@ -19,7 +19,7 @@
   @Property(tries = 200, seed = "20261201")
   void timersFireInTime(@ForAll("dueTimes") List<Long> dueTimes) {
     TimingWheel<Long> wheel = new TimingWheel<>(0);
-    dueTimes.forEach(due -> wheel.set(due, due));
+    dueTimes.forEach(due -> wheel.schedule(due, due));
     List<Long> fired = new ArrayList<>();
     long now = 0;
     while (wheel.nextUs() != TimingWheel.NEVER) {
--- a/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
+++ b/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
@@ -53,14 +53,14 @@
             new GossipMessage(
                 word.kind(),
                 first(word.from()),
-                word.number(),
-                word.about(),
+                word.sequenceNumber(),
+                word.subject(),
                 word.versions(),
-                word.peers().stream().map(ExplorerTest::first).toList(),
-                word.signals(),
+                word.memberUpdates().stream().map(ExplorerTest::first).toList(),
+                word.observations(),
                 word.digest(),
                 word.buckets(),
-                word.doubts());
+                word.suspicionReports());
     Explorer.Found found =
         found(
             new MembershipSubject.Flaw(deaf, now -> 1_000, MembershipSubject.Flaw.NONE.settled()));
@@ -115,7 +115,7 @@
 
     @Override
     public void take(long nowUs, ReplicatedEntry<String, Integer> told) {
-      held.merge(told.key() + " " + told.author(), told, latest);
+      held.merge(told.key() + " " + told.origin(), told, latest);
       List<ReplicatedEntry<String, Integer>> now = all();
       held.values()
           .removeIf(
@@ -124,23 +124,28 @@
                       && now.stream()
                           .anyMatch(
                               fact ->
-                                  fact.author().equals(old.author()) && fact.atUs() > old.atUs()));
+                                  fact.origin().equals(old.origin())
+                                      && fact.timestampUs() > old.timestampUs()));
     }
 
     @Override
     public void forget(long nowUs) {
       held.values()
-          .removeIf(fact -> forgets && fact.atUs() <= nowUs - ReplicatedMapSubject.RULE.lifeUs());
+          .removeIf(
+              fact ->
+                  forgets
+                      && fact.timestampUs() <= nowUs - ReplicatedMapSubject.RULE.timeToLiveUs());
     }
 
     @Override
     public List<ReplicatedEntry<String, Integer>> all() {
       return held.values().stream()
           .sorted(
-              Comparator.<ReplicatedEntry<String, Integer>>comparingLong(ReplicatedEntry::atUs)
+              Comparator.<ReplicatedEntry<String, Integer>>comparingLong(
+                      ReplicatedEntry::timestampUs)
                   .reversed()
                   .thenComparing(ReplicatedEntry::key)
-                  .thenComparing(ReplicatedEntry::author))
+                  .thenComparing(ReplicatedEntry::origin))
           .toList();
     }
   }
@@ -153,7 +158,7 @@
   })
   void factsPutWrongAreFound(boolean byArrival, boolean bounded, boolean forgets, String wrong) {
     BinaryOperator<ReplicatedEntry<String, Integer>> latest =
-        (one, other) -> byArrival || other.atUs() > one.atUs() ? other : one;
+        (one, other) -> byArrival || other.timestampUs() > one.timestampUs() ? other : one;
     ReplicatedMapSubject subject =
         new ReplicatedMapSubject(() -> new Wrong(latest, bounded, forgets), 0, false);
     Explorer.Report report =
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -169,13 +169,13 @@
           "it had been idle for as long and was asked nothing");
       for (int i = 1; i <= 2; i++) {
         long exchange = i;
-        vertx.runOnContext(v -> exchanges.reply(exchange, new QueryResponse.Rejected(0)));
+        vertx.runOnContext(v -> exchanges.complete(exchange, new QueryResponse.Rejected(0)));
       }
       assertTrue(
           readResponse(idle).startsWith("HTTP/1.1 503 ")
               && readResponse(silent).startsWith("HTTP/1.1 503 "));
       whileLoopIsBlocked(() -> write(idle, post("c")), 0, frontend::drain);
-      vertx.runOnContext(v -> exchanges.reply(3, new QueryResponse.Rejected(0)));
+      vertx.runOnContext(v -> exchanges.complete(3, new QueryResponse.Rejected(0)));
       String last = readResponse(idle);
       assertTrue(last.startsWith("HTTP/1.1 503 ") && last.contains("close"), last);
       assertEquals(-1, idle.getInputStream().read());
@@ -195,7 +195,7 @@
           () -> {},
           0,
           () ->
-              exchanges.reply(
+              exchanges.complete(
                   1,
                   new QueryResponse.Served(true, List.of(new QueryResponse.PartValue(1, large)))));
       whileLoopIsBlocked(() -> {}, 6_000_000, frontend::closeTimedOut);
@@ -248,8 +248,9 @@
       write(socket, post("a") + post("b") + post("c"));
       for (int i = 0; i < 3; i++) {
         Event.QueryReceived query = (Event.QueryReceived) events.poll(5, TimeUnit.SECONDS);
-        assertEquals("abc".substring(i, i + 1), query.ask().id());
-        vertx.runOnContext(v -> exchanges.reply(query.exchange(), new QueryResponse.Rejected(0)));
+        assertEquals("abc".substring(i, i + 1), query.request().id());
+        vertx.runOnContext(
+            v -> exchanges.complete(query.exchange(), new QueryResponse.Rejected(0)));
         assertTrue(readResponse(socket).startsWith("HTTP/1.1 503 "));
       }
     }
@@ -258,7 +259,7 @@
       write(socket, post("a") + post("b"));
       Event.QueryReceived query = (Event.QueryReceived) events.poll(5, TimeUnit.SECONDS);
       whileLoopIsBlocked(
-          () -> {}, 0, () -> exchanges.reply(query.exchange(), new QueryResponse.Rejected(0)));
+          () -> {}, 0, () -> exchanges.complete(query.exchange(), new QueryResponse.Rejected(0)));
       assertTrue(readResponse(socket).startsWith("HTTP/1.1 503 "));
       assertEquals(-1, socket.getInputStream().read(), "one answer");
     }
@@ -276,7 +277,7 @@
       write(socket, post("a") + next.substring(0, 30));
       Event.QueryReceived query = (Event.QueryReceived) events.poll(5, TimeUnit.SECONDS);
       whileLoopIsBlocked(
-          () -> {}, 0, () -> exchanges.reply(query.exchange(), new QueryResponse.Rejected(0)));
+          () -> {}, 0, () -> exchanges.complete(query.exchange(), new QueryResponse.Rejected(0)));
       assertTrue(readResponse(socket).startsWith("HTTP/1.1 503 "));
       whileLoopIsBlocked(() -> {}, 200_000, frontend::drain);
       write(socket, next.substring(30));
@@ -362,7 +363,7 @@
       while (query instanceof Event.ConditionCounted) {
         query = events.poll(5, TimeUnit.SECONDS);
       }
-      assertEquals("b", ((Event.QueryReceived) query).ask().id());
+      assertEquals("b", ((Event.QueryReceived) query).request().id());
       socket.shutdownOutput();
       assertEquals(-1, socket.getInputStream().read());
       assertTrue(events.poll(5, TimeUnit.SECONDS) instanceof Event.ClientDisconnected);
@@ -407,7 +408,7 @@
           () -> {},
           0,
           () ->
-              exchanges.reply(
+              exchanges.complete(
                   1,
                   new QueryResponse.Served(
                       true, List.of(new QueryResponse.PartValue(1, "x".repeat(32 << 20))))));
--- a/src/test/java/dunlinhitch/server/AdminTest.java
+++ b/src/test/java/dunlinhitch/server/AdminTest.java
@@ -186,7 +186,7 @@
     first.start(true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     second.start(true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     for (String id : List.of("a", "../b c")) {
-      first.keep(id, true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+      first.persist(id, true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
       awaitNotification(notifications, "two [" + id + "][]");
     }
     DisabledEndpointFolder restarted =
@@ -194,7 +194,7 @@
             stage.vertx, dir, (disabled, back) -> notifications.add("later " + disabled.size()));
     restarted.start(false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     awaitNotification(notifications, "later 2");
-    second.keep("a", false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
+    second.persist("a", false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     awaitNotification(notifications, "one [][a]");
     assertEquals(4, notifications.size(), "own changes are no news: " + notifications);
   }
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -71,15 +71,15 @@
             "[{\"name\":\"n1\",\"zone\":\"a\",\"addr\":\"10.0.0.1:7400\"},{\"n2\":\"10.0.0.2:7401\"}]")) {
       assertEquals(
           List.of(one, two),
-          read(LISTEN + "\"peers\":" + form + ",", "").talk().peers().stream()
-              .map(p -> p.at())
+          read(LISTEN + "\"peers\":" + form + ",", "").gossipAddresses().peers().stream()
+              .map(p -> p.address())
               .toList());
     }
     assertNull(
-        read("\"peers\":[],\"peer_listen\":null,", "").talk(),
+        read("\"peers\":[],\"peer_listen\":null,", "").gossipAddresses(),
         "a platform without words between brokers");
     assertNull(
-        read(LISTEN + "\"peers\":{\"n1\":\"10.0.0.1:7400\"},", "").product().fleet(),
+        read(LISTEN + "\"peers\":{\"n1\":\"10.0.0.1:7400\"},", "").product().cluster(),
         "nothing is switched on by them");
   }
 
@@ -98,13 +98,14 @@
       Config config = read(bad, "[fleet]\n");
       assertTrue(
           config
-              .talk()
-              .trouble()
+              .gossipAddresses()
+              .unusableReason()
               .startsWith("no words between brokers by the platform's addresses: "),
           bad);
-      assertNull(config.product().fleet(), bad);
+      assertNull(config.product().cluster(), bad);
     }
-    assertTrue(file(LISTEN, false, "").read().talk().trouble().contains("PeerMessages"));
+    assertTrue(
+        file(LISTEN, false, "").read().gossipAddresses().unusableReason().contains("PeerMessages"));
     assertThrows(Config.ConfigException.class, () -> read("", "[fleet]\n"));
     assertThrows(Config.ConfigException.class, () -> read(LISTEN, "[fleet]\npeer 10.0.0.1:7400\n"));
     assertThrows(
@@ -115,9 +116,9 @@
   @Test
   void reloadAcceptsOtherPeers() throws IOException {
     ConfigFile file = file(LISTEN + "\"peers\":{\"n1\":\"10.0.0.1:7400\"},", true, "[fleet]\n");
-    assertEquals(7400, file.read().product().fleet().listen().port());
+    assertEquals(7400, file.read().product().cluster().listen().port());
     read(LISTEN + "\"peers\":{\"n2\":\"10.0.0.2:7400\"},", "[fleet]\n");
-    assertEquals(7400, file.again().product().fleet().listen().port());
+    assertEquals(7400, file.reload().product().cluster().listen().port());
   }
 
   private static <T> T await(Future<T> future) throws Exception {
@@ -145,7 +146,7 @@
       BlockingQueue<Event> events = new LinkedBlockingQueue<>();
       await(clusterGossip.listen(events::add));
       Member self = clusterGossip.identity().self();
-      other.tell(
+      other.send(
           new Effect.SendGossip(
               "127.0.0.1",
               own,
@@ -164,8 +165,8 @@
                           self.incarnation(),
                           Member.Status.ALIVE)),
                   List.of())));
-      GossipMessage received = ((Event.GossipReceived) events.poll(5, TimeUnit.SECONDS)).word();
-      assertEquals(List.of(self), received.peers());
+      GossipMessage received = ((Event.GossipReceived) events.poll(5, TimeUnit.SECONDS)).message();
+      assertEquals(List.of(self), received.memberUpdates());
       assertEquals(port, received.from().port());
     } finally {
       await(vertx.close());
@@ -209,9 +210,9 @@
       assertEquals(
           List.of(new MembershipProtocol.Seed("127.0.0.1", port)),
           clusterGossip.identity().seeds());
-      assertEquals(256, clusterGossip.identity().settings().view().wordBytes());
+      assertEquals(256, clusterGossip.identity().settings().membership().maxMessageBytes());
       assertFalse(
-          clusterGossip.identity().settings().view().addresses(),
+          clusterGossip.identity().settings().membership().addresses(),
           "others may be told other addresses");
       List<Member> peers = membersWithLongNames(12);
       await(clusterGossip.listen(event -> {}));
--- a/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
@@ -24,7 +24,7 @@
     Map<String, Integer> load = rig.load(Rig.Node::isUp);
     assertTrue(
         load.values().stream()
-            .allMatch(l -> l >= 1 && l <= SubsetSettings.STANDARD.most(brokers, 3)),
+            .allMatch(l -> l >= 1 && l <= SubsetSettings.STANDARD.maxLoad(brokers, 3)),
         load.toString());
   }
 
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -119,7 +119,7 @@
         settings.reportsInAnswers(),
         settings.reportsInHealthChecks(),
         settings.reportFields(),
-        settings.marksRepeats());
+        settings.clientsMarkRetries());
   }
 
   private static void await(BooleanSupplier condition) {
--- a/src/test/java/dunlinhitch/server/ReducerLoopTest.java
+++ b/src/test/java/dunlinhitch/server/ReducerLoopTest.java
@@ -107,7 +107,7 @@
       assertTrue(
           answered instanceof Effect.SendResponse reply
               && reply.exchange() == exchange
-              && reply.answer() instanceof QueryResponse.Rejected,
+              && reply.response() instanceof QueryResponse.Rejected,
           "" + answered);
     }
     vertx.close();
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -37,7 +37,7 @@
         new Address("127.0.0.1", discovery),
         7,
         Json.parse(initialList).asObject(),
-        Config.SOCKETS,
+        Config.DEFAULT_SOCKETS,
         Stage.settings(40),
         Product.NONE,
         scratch,
--- a/src/test/java/dunlinhitch/server/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -44,7 +44,8 @@
 
   private void begin(Wire wire, double audit, boolean mixed) throws Exception {
     stage = new Stage();
-    stage.phases = List.of(new Product.Phase("free-search", 0.4, 2, 1, audit, 0.05, 60_000_000));
+    stage.phases =
+        List.of(new Product.TwoPhaseClass("free-search", 0.4, 2, 1, audit, 0.05, 60_000_000));
     one = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-0") : new FlightStore("s-0");
     two = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-1") : new FlightStore("s-1");
     first(part -> new First(part.shard() % 2 == 0 ? 0 : 3, "v1", NONE));
--- a/src/test/java/dunlinhitch/twophase/TwoPhasePlannerTest.java
+++ b/src/test/java/dunlinhitch/twophase/TwoPhasePlannerTest.java
@@ -4,8 +4,8 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.twophase.TwoPhasePlan.Why;
-import dunlinhitch.twophase.TwoPhasePlanner.First;
+import dunlinhitch.twophase.TwoPhasePlan.Reason;
+import dunlinhitch.twophase.TwoPhasePlanner.FirstAnswer;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -34,19 +34,19 @@
   /** Feeds 400 answers of each pass, with the given share of empty blocks. */
   private void trainEstimates(TwoPhasePlanner planner, double empty, long firstUs, long fullUs) {
     for (int i = 0; i < 400; i++) {
-      planner.firstCame(
+      planner.onFirstAnswer(
           nowUs,
           QUERY_CLASS,
           100 + i,
           "x" + i,
-          new First(i % 100 < empty * 100 ? 0 : 3, "v", ""),
+          new FirstAnswer(i % 100 < empty * 100 ? 0 : 3, "v", ""),
           firstUs);
-      planner.fullCame(nowUs, QUERY_CLASS, fullUs);
+      planner.onFullAnswer(nowUs, QUERY_CLASS, fullUs);
     }
   }
 
   private TwoPhasePlan plan(TwoPhasePlanner planner, Set<Integer> eligible, long remainingUs) {
-    return planner.arrived(nowUs, QUERY_CLASS, SHARDS, eligible, "altos", nowUs + remainingUs);
+    return planner.plan(nowUs, QUERY_CLASS, SHARDS, eligible, "altos", nowUs + remainingUs);
   }
 
   @Test
@@ -54,23 +54,25 @@
     TwoPhasePlanner planner = planner(0, 0);
     Set<Integer> all = Set.copyOf(SHARDS);
     assertEquals(
-        Why.NOT_SET, planner.arrived(nowUs, "other", SHARDS, all, "x", nowUs + SECOND_US).why());
+        Reason.NOT_SET, planner.plan(nowUs, "other", SHARDS, all, "x", nowUs + SECOND_US).reason());
     assertEquals(
-        Why.FEW_BLOCKS,
-        planner.arrived(nowUs, QUERY_CLASS, List.of(1, 2), all, "x", nowUs + SECOND_US).why());
-    assertEquals(Why.ONE_PHASE_STORES, plan(planner, Set.of(), SECOND_US).why());
+        Reason.FEW_BLOCKS,
+        planner.plan(nowUs, QUERY_CLASS, List.of(1, 2), all, "x", nowUs + SECOND_US).reason());
+    assertEquals(Reason.ONE_PHASE_STORES, plan(planner, Set.of(), SECOND_US).reason());
     trainEstimates(planner, 0.6, 2_000, 80_000);
     TwoPhasePlan plan = plan(planner, all, SECOND_US);
-    assertEquals(Why.TWO_PHASES, plan.why());
-    assertTrue(plan.firstEndUs() <= nowUs + SECOND_US * 3 / 10, "a stated share of the time");
-    assertEquals(Why.TOO_LITTLE_TIME, plan(planner, all, 150_000).why());
-    assertTrue(planner.audited(nowUs, QUERY_CLASS, 3, false), "it closes");
-    assertFalse(planner.audited(nowUs, QUERY_CLASS, 3, false), "once");
-    assertEquals(Why.CLOSED, plan(planner, all, SECOND_US).why());
+    assertEquals(Reason.TWO_PHASES, plan.reason());
+    assertTrue(plan.firstPassEndUs() <= nowUs + SECOND_US * 3 / 10, "a stated share of the time");
+    assertEquals(Reason.TOO_LITTLE_TIME, plan(planner, all, 150_000).reason());
+    assertTrue(planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "it closes");
+    assertFalse(planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "once");
+    assertEquals(Reason.CLOSED, plan(planner, all, SECOND_US).reason());
     nowUs += 11 * SECOND_US;
-    assertEquals(Why.TWO_PHASES, plan(planner, all, SECOND_US).why());
+    assertEquals(Reason.TWO_PHASES, plan(planner, all, SECOND_US).reason());
     assertEquals(
-        Set.of(1, 2), plan(planner, Set.of(1, 2), SECOND_US).first(), "the fleet may be mixed");
+        Set.of(1, 2),
+        plan(planner, Set.of(1, 2), SECOND_US).firstPassShards(),
+        "the fleet may be mixed");
   }
 
   @Test
@@ -82,10 +84,10 @@
         IntStream.range(0, 1_000).filter(i -> plan(planner, all, SECOND_US).twoPhases()).count();
     assertTrue(trials > 60 && trials < 140, "trials: " + trials);
     trainEstimates(planner, 0.8, 20_000, 80_000);
-    assertEquals(Why.TWO_PHASES, plan(planner, all, SECOND_US).why());
+    assertEquals(Reason.TWO_PHASES, plan(planner, all, SECOND_US).reason());
     TwoPhasePlanner expensivePlanner = planner(0, 0);
     trainEstimates(expensivePlanner, 0.6, 70_000, 80_000);
-    assertEquals(Why.DOES_NOT_PAY, plan(expensivePlanner, all, SECOND_US).why());
+    assertEquals(Reason.DOES_NOT_PAY, plan(expensivePlanner, all, SECOND_US).reason());
   }
 
   /** If both passes are queued, the ratio of their latencies does not reflect the cost. */
@@ -93,12 +95,12 @@
   void queueingDoesNotRaiseTheCostOfAFirstPass() {
     TwoPhasePlanner planner = planner(0, 0);
     trainEstimates(planner, 0.6, 8_000, 80_000);
-    assertEquals(0.1, planner.price(QUERY_CLASS), 0.02);
+    assertEquals(0.1, planner.costRatio(QUERY_CLASS), 0.02);
     nowUs += 50 * SECOND_US;
     trainEstimates(planner, 0.6, 408_000, 480_000);
     trainEstimates(planner, 0.6, 408_000, 480_000);
-    assertEquals(0.1, planner.price(QUERY_CLASS), 0.02);
-    assertEquals(Why.TWO_PHASES, plan(planner, Set.copyOf(SHARDS), 10 * SECOND_US).why());
+    assertEquals(0.1, planner.costRatio(QUERY_CLASS), 0.02);
+    assertEquals(Reason.TWO_PHASES, plan(planner, Set.copyOf(SHARDS), 10 * SECOND_US).reason());
   }
 
   @Test
@@ -106,19 +108,20 @@
     TwoPhasePlanner planner = planner(0, 0);
     Set<Integer> all = Set.copyOf(SHARDS);
     trainEstimates(planner, 0.6, 2_000, 80_000);
-    planner.firstCame(nowUs, QUERY_CLASS, 2, "altos", new First(7, "v1", ""), 2_000);
-    planner.firstCame(nowUs, QUERY_CLASS, 4, "altos", new First(0, "v1", ""), 2_000);
+    planner.onFirstAnswer(nowUs, QUERY_CLASS, 2, "altos", new FirstAnswer(7, "v1", ""), 2_000);
+    planner.onFirstAnswer(nowUs, QUERY_CLASS, 4, "altos", new FirstAnswer(0, "v1", ""), 2_000);
     assertEquals(
         Set.of(0, 1, 3, 4, 5),
-        plan(planner, all, SECOND_US).first(),
+        plan(planner, all, SECOND_US).firstPassShards(),
         "what has something goes in full at once");
     TwoPhasePlanner.Outcome outcome =
-        planner.over(
-            nowUs, QUERY_CLASS, "altos", List.of(0, 4, 5), Map.of(5, new First(9, "v1", "")));
+        planner.onFirstPassEnded(
+            nowUs, QUERY_CLASS, "altos", List.of(0, 4, 5), Map.of(5, new FirstAnswer(9, "v1", "")));
     assertEquals(Set.of(), outcome.pruned(), "known to have nothing is not said to have nothing");
     assertEquals(List.of(5, 0, 4), outcome.full(), "the likeliest first");
     nowUs += 40 * SECOND_US;
-    assertEquals(all, plan(planner, all, SECOND_US).first(), "an old summary says nothing");
+    assertEquals(
+        all, plan(planner, all, SECOND_US).firstPassShards(), "an old summary says nothing");
   }
 
   /** Whatever the answers: a block is pruned only if its own answer within this query was empty. */
@@ -129,16 +132,16 @@
         new TwoPhasePlanner(
             List.of(new TwoPhaseSettings(QUERY_CLASS, 0.3, 3, 0, 0.2, 0, SECOND_US)),
             new SplittableRandom(seed));
-    Map<Integer, First> answers = new HashMap<>();
+    Map<Integer, FirstAnswer> answers = new HashMap<>();
     for (int i = 0; i < recordCounts.size(); i++) {
-      planner.firstCame(SECOND_US, QUERY_CLASS, i, "p", new First(0, "v", ""), 10);
+      planner.onFirstAnswer(SECOND_US, QUERY_CLASS, i, "p", new FirstAnswer(0, "v", ""), 10);
       if (recordCounts.get(i) >= 0) {
-        answers.put(i, new First(recordCounts.get(i), "v", "none"));
+        answers.put(i, new FirstAnswer(recordCounts.get(i), "v", "none"));
       }
     }
     List<Integer> shards = IntStream.range(0, recordCounts.size()).boxed().toList();
     TwoPhasePlanner.Outcome outcome =
-        planner.over(2 * SECOND_US, QUERY_CLASS, "p", shards, answers);
+        planner.onFirstPassEnded(2 * SECOND_US, QUERY_CLASS, "p", shards, answers);
     outcome.pruned().forEach(shard -> assertEquals(0, answers.get(shard).records()));
     Set<Integer> queriedOrPruned = outcome.full().stream().collect(Collectors.toSet());
     assertEquals(outcome.full().size(), queriedOrPruned.size());
