--- a/src/main/java/dunlinhitch/experiments/testbed/Rig.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/Rig.java
@@ -6,10 +6,6 @@
 import io.vertx.core.VertxOptions;
 import java.io.BufferedReader;
 import java.io.IOException;
-import java.net.DatagramSocket;
-import java.net.InetAddress;
-import java.net.InetSocketAddress;
-import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -62,8 +58,8 @@
 
     private Node(int number) throws Exception {
       name = "n" + number;
-      httpPort = freePort();
-      wordPort = freeWordPort();
+      httpPort = FreePorts.tcp();
+      wordPort = FreePorts.udp();
       folder = Files.createDirectory(dir.resolve(name));
       discovery = new Discovery(vertx);
       toDiscovery = new StreamProxy(vertx, links, name, "d", discovery.port());
@@ -365,21 +361,6 @@
     return done.get(10, TimeUnit.SECONDS);
   }
 
-  private static int freePort() throws IOException {
-    try (ServerSocket socket = new ServerSocket()) {
-      socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-      return socket.getLocalPort();
-    }
-  }
-
-  /** A port of UDP that nobody holds now. */
-  public static int freeWordPort() throws IOException {
-    try (DatagramSocket socket =
-        new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-      return socket.getLocalPort();
-    }
-  }
-
   @Override
   public void close() {
     try {
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -17,7 +17,7 @@
 import dunlinhitch.core.Effect;
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
-import dunlinhitch.experiments.testbed.Rig;
+import dunlinhitch.experiments.testbed.FreePorts;
 import io.vertx.core.Future;
 import io.vertx.core.Vertx;
 import io.vertx.core.datagram.DatagramSocket;
@@ -132,7 +132,7 @@
     try {
       GossipSocket other = new GossipSocket(vertx, new AddressBook(256, List.of()), event -> {});
       int port = await(other.listen("127.0.0.1", 0));
-      int own = Rig.freeWordPort();
+      int own = FreePorts.udp();
       ClusterGossip clusterGossip =
           new ClusterGossip(
               vertx,
@@ -197,7 +197,7 @@
       DatagramSocket other =
           vertx.createDatagramSocket().handler(packet -> sizes.add(packet.data().length()));
       int port = await(other.listen(0, "127.0.0.1")).localAddress().port();
-      int own = Rig.freeWordPort();
+      int own = FreePorts.udp();
       Config config =
           read(
               LISTEN.replace("7400", Integer.toString(own))
