--- a/src/main/java/dunlinhitch/answerkeys/AnswerKey.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKey.java
@@ -7,11 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * What answers are shared by: two parts with one key have one answer. {@code text} is as the
- * trusted rules rewrote it, {@code variants} what they left of the attributes. {@code rules} names
- * the rules that were at work: a text that one of them made must not meet the same text that a
- * client wrote, once that rule is withdrawn. {@code generation} is the latest that a store of the
- * shard told, 0 before any did.
+ * The cache key of an answer: two parts with one key share one answer.
+ *
+ * @param text the text as the trusted rules rewrote it
+ * @param variants the attributes that these rules left
+ * @param rules names the rules that were applied: a text that one of them made must not match the
+ *     same text of a client once that rule is withdrawn
+ * @param generation the latest generation that a store of the shard stated, 0 before any did
  */
 public record AnswerKey(
     String queryClass,
@@ -21,26 +23,27 @@
     Map<String, String> variants,
     String rules,
     long generation) {
+  /** Copies the variants, in the order of their names. */
   public AnswerKey {
     variants = Collections.unmodifiableMap(new TreeMap<>(variants));
   }
 
-  AnswerKey in(long generation) {
-    return new AnswerKey(queryClass, tenant, shard, text, variants, rules, generation);
+  AnswerKey withGeneration(long newGeneration) {
+    return new AnswerKey(queryClass, tenant, shard, text, variants, rules, newGeneration);
   }
 
   /**
-   * What its home is found by. Neither rules nor generation: a key that outlives them stays at its
-   * home.
+   * What the owner of the key is found by. Neither rules nor generation are part of it, so that a
+   * key stays with its owner when they change.
    */
-  String[] words() {
-    List<String> words =
+  String[] ownershipComponents() {
+    List<String> components =
         new ArrayList<>(List.of(queryClass, tenant, Integer.toString(shard), text));
     variants.forEach(
         (name, value) -> {
-          words.add(name);
-          words.add(value);
+          components.add(name);
+          components.add(value);
         });
-    return words.toArray(String[]::new);
+    return components.toArray(String[]::new);
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/answerkeys/CanonicalText.java
@@ -0,0 +1,104 @@
+package dunlinhitch.answerkeys;
+
+import dunlinhitch.answerkeys.Rewrite.DropTerms;
+import dunlinhitch.answerkeys.Rewrite.FoldCase;
+import dunlinhitch.answerkeys.Rewrite.FoldSpaces;
+import dunlinhitch.answerkeys.Rewrite.SortTerms;
+import java.util.Arrays;
+import java.util.List;
+import java.util.regex.Pattern;
+import java.util.stream.Collectors;
+
+/**
+ * The canonical form of a text: the fixed point of the rewrites. Whichever rewrites are applied, it
+ * is reached within {@link #MAX_PASSES} passes: after the first, case and white space are folded
+ * for good; the second drops and sorts terms that no later one changes.
+ */
+final class CanonicalText {
+  /** Two passes that may change something, and one that finds nothing more to do. */
+  private static final int MAX_PASSES = 3;
+
+  private CanonicalText() {}
+
+  /**
+   * The canonical form of the text.
+   *
+   * @param separator what separates terms; null where no rule of the class is about terms
+   */
+  static String of(String text, List<Rewrite> rewrites, Character separator) {
+    String current = text;
+    for (int pass = 0; pass < MAX_PASSES; pass++) {
+      String previous = current;
+      for (Rewrite rewrite : rewrites) {
+        current = apply(rewrite, current, separator);
+      }
+      if (current.equals(previous)) {
+        return current;
+      }
+    }
+    throw new IllegalStateException("no fixed point after " + MAX_PASSES + " passes: " + rewrites);
+  }
+
+  private static String apply(Rewrite rewrite, String text, Character separator) {
+    if (rewrite instanceof FoldCase) {
+      return lowerCase(text);
+    }
+    if (rewrite instanceof FoldSpaces) {
+      return foldSpaces(text, separator);
+    }
+    if (rewrite instanceof SortTerms sort) {
+      String[] terms = terms(text, sort.separator());
+      Arrays.sort(terms);
+      return String.join(String.valueOf(sort.separator()), terms);
+    }
+    if (rewrite instanceof DropTerms drop) {
+      return Arrays.stream(terms(text, drop.separator()))
+          .filter(term -> !drop.terms().contains(term))
+          .collect(Collectors.joining(String.valueOf(drop.separator())));
+    }
+    return text; // the rewrite is about attributes or the tenant
+  }
+
+  private static String[] terms(String text, char separator) {
+    return text.split(Pattern.quote(String.valueOf(separator)), -1);
+  }
+
+  /**
+   * Maps code point by code point: the result for one must not depend on its neighbours, because
+   * terms are moved.
+   */
+  static String lowerCase(String text) {
+    StringBuilder result = new StringBuilder(text.length());
+    text.codePoints().map(Character::toLowerCase).forEach(result::appendCodePoint);
+    return result.toString();
+  }
+
+  static boolean isBlank(char character) {
+    return Character.isWhitespace(character) || Character.isSpaceChar(character);
+  }
+
+  private static String foldSpaces(String text, Character separator) {
+    StringBuilder result = new StringBuilder(text.length());
+    boolean blankBefore = false;
+    for (int i = 0; i < text.length(); i++) {
+      char current = text.charAt(i);
+      if (isBlank(current)) {
+        blankBefore = true;
+        continue;
+      }
+      if (blankBefore && result.length() > 0 && !besideSeparator(result, current, separator)) {
+        result.append(' ');
+      }
+      blankBefore = false;
+      result.append(current);
+    }
+    return result.toString();
+  }
+
+  /** True where the end of the result or the next character is a separator other than a space. */
+  private static boolean besideSeparator(StringBuilder result, char next, Character separator) {
+    return separator != null
+        && separator != ' '
+        && (next == separator || result.charAt(result.length() - 1) == separator);
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/answerkeys/ClassRules.java
@@ -0,0 +1,220 @@
+package dunlinhitch.answerkeys;
+
+import dunlinhitch.answerkeys.KeysException.Code;
+import dunlinhitch.answerkeys.Rewrite.AcrossTenants;
+import dunlinhitch.answerkeys.Rewrite.DropTerms;
+import dunlinhitch.answerkeys.Rewrite.DropVariant;
+import dunlinhitch.answerkeys.Rewrite.FoldCase;
+import dunlinhitch.answerkeys.Rewrite.FoldVariant;
+import dunlinhitch.answerkeys.Rewrite.SortTerms;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.TreeMap;
+import java.util.function.Predicate;
+
+/** The checked rules of one query class, and the keys that they make. */
+final class ClassRules {
+  private final ClassCachePolicy policy;
+  private final List<Rule> rules;
+
+  /** For each fold the group of each value that it names. */
+  private final Map<FoldVariant, Map<String, String>> resolvedFolds = new HashMap<>();
+
+  /** What separates the terms of a text; null where no rule is about terms. */
+  private Character separator;
+
+  /**
+   * Checks the rules.
+   *
+   * @throws KeysException where one can not be used
+   */
+  ClassRules(ClassCachePolicy policy, List<Rule> rules) {
+    this.policy = policy;
+    this.rules = rules;
+    Set<String> rewrittenAttributes = new HashSet<>();
+    boolean caseFolded = false;
+    for (Rule rule : rules) {
+      if (rule.rewrites().isEmpty()) {
+        throw new KeysException(
+            Code.NEVER_ACTS,
+            rule.location(),
+            rule.name() + " rewrites nothing",
+            "say what it is to fold or drop");
+      }
+      for (Rewrite rewrite : rule.rewrites()) {
+        check(rule, rewrite, rewrittenAttributes, caseFolded);
+        caseFolded |= rewrite instanceof FoldCase;
+      }
+    }
+  }
+
+  private void check(
+      Rule rule, Rewrite rewrite, Set<String> rewrittenAttributes, boolean caseFolded) {
+    if (rewrite instanceof DropVariant drop) {
+      checkAttribute(rule, drop.attribute(), rewrittenAttributes);
+    } else if (rewrite instanceof FoldVariant fold) {
+      checkAttribute(rule, fold.attribute(), rewrittenAttributes);
+      resolvedFolds.put(fold, resolve(rule, fold));
+    } else if (rewrite instanceof SortTerms sort) {
+      checkSeparator(rule, sort.separator());
+    } else if (rewrite instanceof DropTerms drop) {
+      checkSeparator(rule, drop.separator());
+      checkTerms(rule, drop, caseFolded);
+    }
+  }
+
+  /**
+   * One rewrite for an attribute: two could undo each other, and an unequal pair would not show
+   * which of them is false.
+   */
+  private void checkAttribute(Rule rule, String attribute, Set<String> rewrittenAttributes) {
+    if (!policy.attributes().contains(attribute)) {
+      throw new KeysException(
+          Code.NO_ATTRIBUTE,
+          rule.location(),
+          policy.name() + " has no attribute " + attribute,
+          "name one of " + policy.attributes());
+    }
+    if (!rewrittenAttributes.add(attribute)) {
+      throw new KeysException(
+          Code.ATTRIBUTE_TWICE,
+          rule.location(),
+          "another rewrite of " + policy.name() + " is about " + attribute,
+          "leave one of them");
+    }
+  }
+
+  private void checkSeparator(Rule rule, char candidate) {
+    boolean otherBlank = CanonicalText.isBlank(candidate) && candidate != ' ';
+    if (Character.isLetterOrDigit(candidate)
+        || Character.isSurrogate(candidate)
+        || Character.toLowerCase(candidate) != candidate
+        || otherBlank) {
+      throw new KeysException(
+          Code.SEPARATOR,
+          rule.location(),
+          "terms can not be parted by '" + candidate + "'",
+          "give a mark that is no letter or digit, or a space");
+    }
+    if (separator != null && separator != candidate) {
+      throw new KeysException(
+          Code.SEPARATOR,
+          rule.location(),
+          "terms of "
+              + policy.name()
+              + " are parted by '"
+              + separator
+              + "' in another rewrite, and by '"
+              + candidate
+              + "' here: they could undo each other",
+          "use one for the class");
+    }
+    separator = candidate;
+  }
+
+  private static void checkTerms(Rule rule, DropTerms drop, boolean caseFolded) {
+    for (String term : drop.terms()) {
+      String reason = reasonNeverDropped(term, drop.separator(), caseFolded);
+      if (reason != null) {
+        throw new KeysException(
+            Code.NEVER_ACTS,
+            rule.location(),
+            "term '" + term + "' is never dropped: " + reason,
+            "write it as it stands in the text at that point");
+      }
+    }
+  }
+
+  /** Null where a text may contain the term. */
+  private static String reasonNeverDropped(String term, char separator, boolean caseFolded) {
+    if (term.isEmpty() || term.indexOf(separator) >= 0) {
+      return "no text has a term like that";
+    }
+    return caseFolded && !CanonicalText.lowerCase(term).equals(term)
+        ? "case is folded before it"
+        : null;
+  }
+
+  /** Follows each value to the last group that it belongs to. */
+  private static Map<String, String> resolve(Rule rule, FoldVariant fold) {
+    Map<String, String> lastGroups = new TreeMap<>();
+    Set<String> values = new HashSet<>(fold.groups().keySet());
+    values.addAll(fold.groups().values());
+    values.add(fold.otherwise());
+    for (String value : values) {
+      lastGroups.put(value, lastGroup(rule, fold, value));
+    }
+    // An absent value is none of those that are named.
+    lastGroups.putIfAbsent("", lastGroups.get(fold.otherwise()));
+    return lastGroups;
+  }
+
+  private static String lastGroup(Rule rule, FoldVariant fold, String value) {
+    String group = value;
+    Set<String> visited = new HashSet<>();
+    while (fold.groups().containsKey(group) && !fold.groups().get(group).equals(group)) {
+      if (!visited.add(group)) {
+        throw new KeysException(
+            Code.CYCLE,
+            rule.location(),
+            "values of "
+                + fold.attribute()
+                + " fall round in a ring: "
+                + String.join(", ", visited),
+            "let one of them stand for all");
+      }
+      group = fold.groups().get(group);
+    }
+    return group;
+  }
+
+  List<Rule> rules() {
+    return rules;
+  }
+
+  /** See {@link RuleSet#key}. */
+  AnswerKey key(
+      PartQuery part,
+      Predicate<Rule> applied,
+      Set<String> varying,
+      String fingerprint,
+      long generation) {
+    List<Rewrite> rewrites =
+        rules.stream().filter(applied).flatMap(rule -> rule.rewrites().stream()).toList();
+    String tenant = part.tenant();
+    Map<String, String> variants = new TreeMap<>();
+    policy.attributes().forEach(name -> variants.put(name, part.variants().getOrDefault(name, "")));
+    for (Rewrite rewrite : rewrites) {
+      if (rewrite instanceof DropVariant drop && !varying.contains(drop.attribute())) {
+        variants.remove(drop.attribute());
+      } else if (rewrite instanceof FoldVariant fold && !varying.contains(fold.attribute())) {
+        variants.compute(fold.attribute(), (name, value) -> groupOf(fold, value));
+      } else if (rewrite instanceof AcrossTenants) {
+        tenant = "";
+      }
+    }
+    return new AnswerKey(
+        part.queryClass(),
+        tenant,
+        part.shard(),
+        canonicalText(part.text(), rewrites),
+        variants,
+        fingerprint,
+        generation);
+  }
+
+  private String groupOf(FoldVariant fold, String value) {
+    Map<String, String> lastGroups = resolvedFolds.get(fold);
+    if (lastGroups.containsKey(value)) {
+      return lastGroups.get(value);
+    }
+    return fold.otherwise().isEmpty() ? value : lastGroups.get(fold.otherwise());
+  }
+
+  String canonicalText(String text, List<Rewrite> rewrites) {
+    return CanonicalText.of(text, rewrites, separator);
+  }
+}
--- a/src/main/java/dunlinhitch/answerkeys/Evidence.java
+++ b/src/main/java/dunlinhitch/answerkeys/Evidence.java
@@ -5,69 +5,91 @@
 import java.util.TreeSet;
 
 /**
- * What one broker has seen of a rule in one epoch, all told: the later word of a broker holds all
- * of its earlier ones. {@code seen} asks that the rule would have changed, {@code equal} pairs, the
- * shards and client kinds of these, whether it suspects the rule, and why it withdrew it (empty: it
- * did not).
+ * The cumulative evidence of one broker about a rule in one epoch: a later value of a broker
+ * includes all of its earlier ones.
+ *
+ * @param proposals requests whose key the rule would have changed
+ * @param equalPairs pairs of equal answers
+ * @param shards the shards of these pairs
+ * @param clientKinds the client kinds of these pairs
+ * @param suspect the broker suspects the rule
+ * @param withdrawalReason why the broker withdrew the rule; empty where it did not
  */
 public record Evidence(
-    long seen,
-    long equal,
+    long proposals,
+    long equalPairs,
     Set<Integer> shards,
-    Set<String> kinds,
+    Set<String> clientKinds,
     boolean suspect,
-    String withdrawn) {
+    String withdrawalReason) {
   static final Evidence NONE = new Evidence(0, 0, Set.of(), Set.of(), false, "");
 
-  /** A word has room for so many; no spread that is asked for may be wider. */
-  static final int MOST_SPREAD = 16;
+  /**
+   * The number of shards or client kinds that a gossip message has capacity for; no setting may ask
+   * for a wider spread.
+   */
+  static final int MAX_SPREAD = 16;
 
+  /** Copies the sets, sorted. */
   public Evidence {
     shards = Collections.unmodifiableSet(new TreeSet<>(shards));
-    kinds = Collections.unmodifiableSet(new TreeSet<>(kinds));
+    clientKinds = Collections.unmodifiableSet(new TreeSet<>(clientKinds));
   }
 
-  private static <T> Set<T> and(Set<T> some, Set<T> more) {
-    Set<T> both = new TreeSet<>(some);
-    for (T one : more) {
-      if (both.size() < MOST_SPREAD) {
-        both.add(one);
+  private static <T> Set<T> boundedUnion(Set<T> first, Set<T> second) {
+    Set<T> union = new TreeSet<>(first);
+    for (T element : second) {
+      if (union.size() < MAX_SPREAD) {
+        union.add(element);
       }
     }
-    return both;
+    return union;
   }
 
-  Evidence andSeen(long most) {
-    return seen >= most ? this : new Evidence(seen + 1, equal, shards, kinds, suspect, withdrawn);
+  boolean isWithdrawn() {
+    return !withdrawalReason.isEmpty();
   }
 
-  /** Beyond {@code most} pairs nothing is added: what is enough need not be told again. */
-  Evidence andEqual(long most, int shard, Set<String> ofKinds) {
+  Evidence withProposal(long limit) {
+    return proposals >= limit
+        ? this
+        : new Evidence(proposals + 1, equalPairs, shards, clientKinds, suspect, withdrawalReason);
+  }
+
+  /** Adds nothing beyond {@code limit} pairs: what suffices need not be gossiped again. */
+  Evidence withEqualPair(long limit, int shard, Set<String> pairKinds) {
     return new Evidence(
-        seen,
-        Math.min(most, equal + 1),
-        and(shards, Set.of(shard)),
-        and(kinds, ofKinds),
+        proposals,
+        Math.min(limit, equalPairs + 1),
+        boundedUnion(shards, Set.of(shard)),
+        boundedUnion(clientKinds, pairKinds),
         suspect,
-        withdrawn);
+        withdrawalReason);
   }
 
-  Evidence suspecting(boolean now) {
-    return new Evidence(seen, equal, shards, kinds, now, withdrawn);
+  Evidence withSuspicion(boolean suspected) {
+    return new Evidence(proposals, equalPairs, shards, clientKinds, suspected, withdrawalReason);
   }
 
-  Evidence withdrawnFor(String why) {
-    return new Evidence(seen, equal, shards, kinds, false, withdrawn.isEmpty() ? why : withdrawn);
+  /** The first reason stays. */
+  Evidence withWithdrawal(String reason) {
+    return new Evidence(
+        proposals,
+        equalPairs,
+        shards,
+        clientKinds,
+        false,
+        isWithdrawn() ? withdrawalReason : reason);
   }
 
-  /** With what the same broker had said before it was started anew. */
-  Evidence and(Evidence other) {
+  /** Merged with what an earlier incarnation of the same broker had published. */
+  Evidence mergedWith(Evidence other) {
     return new Evidence(
-        Math.max(seen, other.seen),
-        Math.max(equal, other.equal),
-        and(shards, other.shards),
-        and(kinds, other.kinds),
+        Math.max(proposals, other.proposals),
+        Math.max(equalPairs, other.equalPairs),
+        boundedUnion(shards, other.shards),
+        boundedUnion(clientKinds, other.clientKinds),
         suspect || other.suspect,
-        withdrawn.isEmpty() ? other.withdrawn : withdrawn);
+        isWithdrawn() ? withdrawalReason : other.withdrawalReason);
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/answerkeys/FetchTable.java
@@ -0,0 +1,95 @@
+package dunlinhitch.answerkeys;
+
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+
+/** The registry of in-flight fetches with their timers. It makes no decisions. */
+final class FetchTable {
+  /** A moment at which a fetch is checked for deadlines. */
+  private record Timer(long atUs, InFlightFetch fetch) {}
+
+  private final Map<AnswerKey, InFlightFetch> byKey = new HashMap<>();
+  private final Map<Long, InFlightFetch> byId = new HashMap<>();
+  private final Map<Long, InFlightFetch> byQuery = new HashMap<>();
+  private final PriorityQueue<Timer> timers =
+      new PriorityQueue<>((one, other) -> Long.compare(one.atUs(), other.atUs()));
+  private long lastId;
+
+  InFlightFetch byKey(AnswerKey key) {
+    return byKey.get(key);
+  }
+
+  InFlightFetch byId(long id) {
+    return byId.get(id);
+  }
+
+  InFlightFetch byQuery(long query) {
+    return byQuery.get(query);
+  }
+
+  int size() {
+    return byId.size();
+  }
+
+  /** A copy, so that the caller may close fetches while it iterates. */
+  List<InFlightFetch> all() {
+    return List.copyOf(byId.values());
+  }
+
+  InFlightFetch open(AnswerKey key) {
+    InFlightFetch fetch = new InFlightFetch(++lastId, key);
+    byKey.put(key, fetch);
+    byId.put(fetch.id, fetch);
+    return fetch;
+  }
+
+  void close(InFlightFetch fetch) {
+    fetch.closed = true;
+    byKey.remove(fetch.key);
+    byId.remove(fetch.id);
+  }
+
+  void join(InFlightFetch fetch, Waiter waiter) {
+    fetch.waiters.add(waiter);
+    schedule(waiter.deadlineUs, fetch);
+    if (waiter.isLocal()) {
+      byQuery.put(waiter.id, fetch);
+    }
+  }
+
+  /** Removes a waiter; where it led, the fetch is without a leader until the next election. */
+  void remove(InFlightFetch fetch, Waiter waiter) {
+    fetch.waiters.remove(waiter);
+    if (waiter.isLocal()) {
+      byQuery.remove(waiter.id);
+    }
+    if (fetch.leader == waiter) {
+      fetch.leader = null;
+    }
+  }
+
+  void schedule(long atUs, InFlightFetch fetch) {
+    timers.add(new Timer(atUs, fetch));
+  }
+
+  /** The next open fetch whose timer has fired, or null where there is none. */
+  InFlightFetch pollDue(long nowUs) {
+    while (!timers.isEmpty() && timers.peek().atUs() <= nowUs) {
+      InFlightFetch fetch = timers.poll().fetch();
+      if (!fetch.closed) {
+        return fetch;
+      }
+    }
+    return null;
+  }
+
+  /** The moment of the next timer of an open fetch, {@link Long#MAX_VALUE} without any. */
+  long nextTimerUs() {
+    while (!timers.isEmpty() && timers.peek().fetch().closed) {
+      timers.poll();
+    }
+    return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().atUs();
+  }
+}
--- a/src/main/java/dunlinhitch/answerkeys/KeysException.java
+++ b/src/main/java/dunlinhitch/answerkeys/KeysException.java
@@ -1,53 +1,71 @@
 package dunlinhitch.answerkeys;
 
 /**
- * Rules of answer keys that can not be used. The message is one line: what is wrong, where, and
- * what to do.
+ * Rules or settings of answer keys that can not be used. The message is one line: what is wrong,
+ * where, and what to do.
  */
 public final class KeysException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** What can be wrong. The word of each is stable: operators search for it. */
+  /** What can be wrong. The label of each is stable: operators search for it. */
   public enum Code {
+    /** Two rules have one name. */
     NAME_TWICE("KEYS-NAME-TWICE"),
+    /** The query class is not configured. */
     NO_CLASS("KEYS-NO-CLASS"),
+    /** The query class forbids reuse of answers. */
     MAY_NOT_REUSE("KEYS-MAY-NOT-REUSE"),
+    /** The query class does not declare the attribute. */
     NO_ATTRIBUTE("KEYS-NO-ATTRIBUTE"),
+    /** Two rewrites of a class are about one attribute. */
     ATTRIBUTE_TWICE("KEYS-ATTRIBUTE-TWICE"),
+    /** Groups of values refer to each other in a cycle. */
     CYCLE("KEYS-CYCLE"),
+    /** The separator of terms is invalid, or differs within a class. */
     SEPARATOR("KEYS-SEPARATOR"),
+    /** A rewrite can never change anything. */
     NEVER_ACTS("KEYS-NEVER-ACTS"),
+    /** A setting is out of range. */
     SETTING("KEYS-SETTING");
 
-    private final String word;
+    private final String label;
 
-    Code(String word) {
-      this.word = word;
+    Code(String label) {
+      this.label = label;
     }
 
-    public String word() {
-      return word;
+    /** The stable text of the code in messages. */
+    public String label() {
+      return label;
     }
   }
 
   private final Code code;
-  private final String place;
+  private final String location;
   private final String remedy;
 
-  public KeysException(Code code, String place, String wrong, String remedy) {
-    super(code.word() + " " + place + ": " + wrong + "; " + remedy);
+  /**
+   * Composes the message.
+   *
+   * @param location where the rule or setting is configured
+   * @param problem what is wrong
+   * @param remedy what an operator can do about it
+   */
+  public KeysException(Code code, String location, String problem, String remedy) {
+    super(code.label() + " " + location + ": " + problem + "; " + remedy);
     this.code = code;
-    this.place = place;
+    this.location = location;
     this.remedy = remedy;
   }
 
+  /** What is wrong, for programs. */
   public Code code() {
     return code;
   }
 
-  /** Where the rule or figure stands. */
-  public String place() {
-    return place;
+  /** Where the rule or setting is configured. */
+  public String location() {
+    return location;
   }
 
   /** What an operator can do about it. */
--- /dev/null
+++ b/src/main/java/dunlinhitch/answerkeys/PartQuery.java
@@ -0,0 +1,36 @@
+package dunlinhitch.answerkeys;
+
+import java.util.Collections;
+import java.util.Map;
+import java.util.TreeMap;
+
+/**
+ * One part of a query, as the client sent it.
+ *
+ * @param tenant empty where there is none
+ * @param variants the attributes that the query class declares; an absent one counts as empty
+ * @param clientKind the kind of client that the variants indicate
+ * @param idempotencyKeyed the query carries an idempotency key
+ */
+public record PartQuery(
+    String queryClass,
+    String tenant,
+    int shard,
+    String text,
+    Map<String, String> variants,
+    String clientKind,
+    boolean idempotencyKeyed) {
+  /** Copies the variants, in the order of their names. */
+  public PartQuery {
+    variants = Collections.unmodifiableMap(new TreeMap<>(variants));
+  }
+
+  /** True where the two are identical without the help of any rule. */
+  boolean sameAs(PartQuery other) {
+    return shard == other.shard
+        && queryClass.equals(other.queryClass)
+        && tenant.equals(other.tenant)
+        && text.equals(other.text)
+        && variants.equals(other.variants);
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/answerkeys/RequestCoalescer.java
@@ -0,0 +1,313 @@
+package dunlinhitch.answerkeys;
+
+import dunlinhitch.cluster.RendezvousHash;
+import java.util.Collection;
+import java.util.List;
+import java.util.Set;
+import java.util.TreeSet;
+
+/**
+ * Request coalescing (single flight): requests with one key wait for one fetch, which one of them,
+ * the leader, performs. Where another broker owns the key, that broker is asked first. A leader
+ * that fails or leaves is succeeded by the waiter that has waited longest.
+ */
+final class RequestCoalescer {
+  private final RuleSet rules;
+  private final AnswerKeySettings settings;
+  private final String self;
+  private final KeyFactory keys;
+  private final AnswerCache answers;
+  private final FetchTable table;
+  private final ActionBuffer output;
+  private Set<String> members = Set.of();
+
+  RequestCoalescer(
+      RuleSet rules,
+      AnswerKeySettings settings,
+      String self,
+      KeyFactory keys,
+      AnswerCache answers,
+      FetchTable table,
+      ActionBuffer output) {
+    this.rules = rules;
+    this.settings = settings;
+    this.self = self;
+    this.keys = keys;
+    this.answers = answers;
+    this.table = table;
+    this.output = output;
+  }
+
+  /** Fetches that wait for a broker which is no member any more elect another leader. */
+  void updateMembers(long nowUs, Collection<String> names) {
+    members = new TreeSet<>(names);
+    for (InFlightFetch fetch : table.all()) {
+      if (fetch.leader == null && !members.contains(fetch.owner)) {
+        fetch.owner = null;
+        electLeader(nowUs, fetch);
+      } else if (fetch.leader != null
+          && !fetch.leader.isLocal()
+          && !members.contains(fetch.leader.peer)) {
+        table.remove(fetch, fetch.leader);
+        electLeader(nowUs, fetch);
+      }
+    }
+  }
+
+  /** Answers a query from the cache, or has it wait, lead or bypass. */
+  void submit(long nowUs, long query, PartQuery part, long deadlineUs) {
+    if (table.byQuery(query) != null) {
+      throw new IllegalArgumentException("query " + query + " waits already");
+    }
+    if (!keys.isShareable(part) || nowUs >= deadlineUs) {
+      output.bypass(query, AnswerKeyCounter.NOT_SHARED);
+      return;
+    }
+    AnswerKey key = keys.keyFor(part);
+    if (answers.isUncacheable(nowUs, key)) {
+      output.bypass(query, AnswerKeyCounter.NOT_SHARED);
+      return;
+    }
+    CachedAnswer cached = answers.lookup(nowUs, key);
+    if (cached == null) {
+      coalesce(nowUs, key, new Waiter(null, query, part, deadlineUs));
+    } else if (answers.selectsTrial(part, cached.fetchedFor())) {
+      output.bypass(query, AnswerKeyCounter.TRIALS);
+    } else {
+      output.count(AnswerKeyCounter.REUSED);
+      output.add(new Action.Respond(query, cached));
+    }
+  }
+
+  private void coalesce(long nowUs, AnswerKey key, Waiter waiter) {
+    InFlightFetch current = table.byKey(key);
+    if (isFull(current)) {
+      output.bypass(waiter.id, AnswerKeyCounter.NOT_SHARED);
+      return;
+    }
+    if (current == null) {
+      InFlightFetch fetch = table.open(key);
+      table.join(fetch, waiter);
+      start(nowUs, fetch, waiter);
+      return;
+    }
+    if (current.leader != null) {
+      waiter.trialDecided = true;
+      if (answers.selectsTrial(waiter.part, current.startedFor)) {
+        output.bypass(waiter.id, AnswerKeyCounter.TRIALS);
+        return;
+      }
+    }
+    table.join(current, waiter);
+  }
+
+  /**
+   * True where no further waiter may join the fetch, or no further fetch start where it is null.
+   */
+  boolean isFull(InFlightFetch fetch) {
+    return fetch == null
+        ? table.size() >= settings.limits().fetches()
+        : fetch.waiters.size() >= settings.limits().waiters();
+  }
+
+  private void start(long nowUs, InFlightFetch fetch, Waiter first) {
+    long waitUs = rules.classPolicy(fetch.key.queryClass()).ownerWaitUs();
+    String owner = RendezvousHash.first(members, fetch.key.ownershipComponents());
+    if (owner == null || owner.equals(self) || !members.contains(self) || waitUs == 0) {
+      electLeader(nowUs, fetch);
+      return;
+    }
+    fetch.owner = owner;
+    fetch.ownerKey = fetch.key;
+    fetch.ownerDeadlineUs = Math.min(nowUs + waitUs, first.deadlineUs);
+    table.schedule(fetch.ownerDeadlineUs, fetch);
+    output.add(
+        new Action.RequestFromOwner(owner, fetch.id, fetch.key, first.part, fetch.ownerDeadlineUs));
+  }
+
+  /** The leader's request to a store succeeded; the leader has the answer already. */
+  void succeed(long nowUs, long fetchId, StoreAnswer answer) {
+    InFlightFetch fetch = table.byId(fetchId);
+    if (fetch == null || !fetch.isLedLocally()) {
+      return; // nobody waits for it any more
+    }
+    CachedAnswer cached = new CachedAnswer(answer, fetch.startedFor, fetch.startedUs);
+    table.remove(fetch, fetch.leader);
+    boolean shareable = answers.offer(nowUs, cached, fetch.key);
+    complete(fetch, shareable ? cached : null, AnswerKeyCounter.JOINED);
+    if (fetch.owner != null) {
+      // Also an answer that is not shareable, so that nobody waits there for the next one.
+      output.add(new Action.ReportToOwner(fetch.owner, fetch.ownerKey, cached.forPeers()));
+    }
+  }
+
+  /** The leader's request failed after that many attempts, which count for all that waited. */
+  void fail(long nowUs, long fetchId, int attempts) {
+    InFlightFetch fetch = table.byId(fetchId);
+    if (fetch == null || !fetch.isLedLocally()) {
+      return;
+    }
+    table.remove(fetch, fetch.leader);
+    for (Waiter waiter : List.copyOf(fetch.waiters)) {
+      waiter.attemptsUsed += attempts;
+      if (waiter.isLocal() && waiter.attemptsUsed >= settings.limits().attempts()) {
+        table.remove(fetch, waiter);
+        failQuery(waiter, Action.FailureReason.ATTEMPTS_EXHAUSTED);
+      }
+    }
+    electLeader(nowUs, fetch);
+  }
+
+  private void failQuery(Waiter waiter, Action.FailureReason reason) {
+    output.count(AnswerKeyCounter.ENDED);
+    output.add(new Action.Fail(waiter.id, reason));
+  }
+
+  /** The query is cancelled. */
+  void cancel(long nowUs, long query) {
+    InFlightFetch fetch = table.byQuery(query);
+    if (fetch == null) {
+      return;
+    }
+    Waiter waiter =
+        fetch.waiters.stream()
+            .filter(candidate -> candidate.isLocalQuery(query))
+            .findFirst()
+            .orElseThrow();
+    boolean wasLeader = fetch.leader == waiter;
+    table.remove(fetch, waiter);
+    if (wasLeader) {
+      replaceCancelledLeader(nowUs, fetch);
+    } else if (fetch.waiters.isEmpty()) {
+      electLeader(nowUs, fetch);
+    }
+  }
+
+  /** Handles the deadlines, leases and owner timeouts that have passed. */
+  void expire(long nowUs) {
+    InFlightFetch fetch = table.pollDue(nowUs);
+    while (fetch != null) {
+      expire(nowUs, fetch);
+      fetch = table.pollDue(nowUs);
+    }
+  }
+
+  private void expire(long nowUs, InFlightFetch fetch) {
+    boolean hadLeader = fetch.leader != null;
+    for (Waiter waiter : List.copyOf(fetch.waiters)) {
+      boolean leased = waiter == fetch.leader && !waiter.isLocal();
+      if (nowUs >= (leased ? fetch.leaseUntilUs : waiter.deadlineUs)) {
+        table.remove(fetch, waiter);
+        if (waiter.isLocal()) {
+          failQuery(waiter, Action.FailureReason.DEADLINE_EXCEEDED);
+        }
+      }
+    }
+    if ((hadLeader && fetch.leader == null) || fetch.waiters.isEmpty()) {
+      electLeader(nowUs, fetch);
+    } else if (fetch.leader == null && nowUs >= fetch.ownerDeadlineUs) {
+      output.count(AnswerKeyCounter.HOME_LATE);
+      electLeader(nowUs, fetch); // the owner still gets the result
+    }
+  }
+
+  /**
+   * A leader was cancelled while its request is in flight. The first waiter with an identical part
+   * adopts that request. For any other it would be an answer by rules, which may be withdrawn
+   * before it arrives, so that the request is cancelled.
+   */
+  private void replaceCancelledLeader(long nowUs, InFlightFetch fetch) {
+    Waiter successor =
+        fetch.waiters.stream()
+            .filter(waiter -> waiter.isLocal() && waiter.part.sameAs(fetch.startedFor))
+            .findFirst()
+            .orElse(null);
+    if (successor == null) {
+      output.add(new Action.CancelFetch(fetch.id));
+      electLeader(nowUs, fetch);
+    } else {
+      promote(nowUs, fetch, successor, true);
+    }
+  }
+
+  /** The waiter that has waited longest leads; without any the fetch is closed. */
+  void electLeader(long nowUs, InFlightFetch fetch) {
+    if (!fetch.waiters.isEmpty()) {
+      promote(nowUs, fetch, fetch.waiters.get(0), false);
+      return;
+    }
+    table.close(fetch);
+    if (fetch.owner != null && fetch.startedFor != null) {
+      output.add(new Action.ReportToOwner(fetch.owner, fetch.ownerKey, null));
+    }
+  }
+
+  private void promote(long nowUs, InFlightFetch fetch, Waiter leader, boolean adoptsRequest) {
+    fetch.leader = leader;
+    output.count(fetch.startedFor != null ? AnswerKeyCounter.PASSED_ON : AnswerKeyCounter.LED);
+    if (!adoptsRequest) {
+      fetch.startedUs = nowUs;
+      fetch.startedFor = leader.part;
+    }
+    if (leader.isLocal()) {
+      output.add(new Action.Fetch(fetch.id, leader.id, leader.attemptsUsed, adoptsRequest));
+      return;
+    }
+    fetch.leaseUntilUs = nowUs + rules.classPolicy(fetch.key.queryClass()).ownerWaitUs();
+    table.schedule(fetch.leaseUntilUs, fetch);
+    output.add(
+        new Action.ReplyToPeer(leader.peer, leader.id, fetch.key, Action.OwnerReply.FETCH, null));
+  }
+
+  /**
+   * Closes the fetch: each waiter gets the answer, or bypasses where it may not have it.
+   *
+   * @param cached null where the answer may not be shared
+   * @param source the counter for those that are answered
+   */
+  void complete(InFlightFetch fetch, CachedAnswer cached, AnswerKeyCounter source) {
+    table.close(fetch);
+    for (Waiter waiter : List.copyOf(fetch.waiters)) {
+      table.remove(fetch, waiter);
+      if (!waiter.isLocal()) {
+        Action.OwnerReply reply =
+            cached == null ? Action.OwnerReply.NONE : Action.OwnerReply.ANSWER;
+        output.add(new Action.ReplyToPeer(waiter.peer, waiter.id, fetch.key, reply, cached));
+      } else if (cached == null || !answers.matches(waiter.part, cached)) {
+        output.bypass(waiter.id, AnswerKeyCounter.NOT_SHARED);
+      } else if (!waiter.trialDecided && answers.selectsTrial(waiter.part, cached.fetchedFor())) {
+        output.bypass(waiter.id, AnswerKeyCounter.TRIALS);
+      } else {
+        output.count(source);
+        output.add(new Action.Respond(waiter.id, cached));
+      }
+    }
+  }
+
+  /** Releases those that wait under keys of rules that no longer apply, except for the leaders. */
+  void releaseOutdated(long nowUs) {
+    for (InFlightFetch fetch : table.all()) {
+      if (fetch.key.rules().equals(keys.ruleFingerprint(fetch.key.queryClass()))) {
+        continue;
+      }
+      for (Waiter waiter : List.copyOf(fetch.waiters)) {
+        if (waiter != fetch.leader) {
+          release(fetch, waiter);
+        }
+      }
+      if (fetch.waiters.isEmpty()) {
+        electLeader(nowUs, fetch);
+      }
+    }
+  }
+
+  private void release(InFlightFetch fetch, Waiter waiter) {
+    table.remove(fetch, waiter);
+    if (waiter.isLocal()) {
+      output.bypass(waiter.id, AnswerKeyCounter.NOT_SHARED);
+    } else {
+      output.add(
+          new Action.ReplyToPeer(waiter.peer, waiter.id, fetch.key, Action.OwnerReply.NONE, null));
+    }
+  }
+}
--- a/src/main/java/dunlinhitch/answerkeys/Rewrite.java
+++ b/src/main/java/dunlinhitch/answerkeys/Rewrite.java
@@ -3,33 +3,37 @@
 import java.util.Map;
 import java.util.Set;
 
-/** One thing that a rule does to a key. */
+/** One step by which a rule brings a query into its canonical form. */
 public sealed interface Rewrite {
-  /** The attribute does not matter. */
+  /** Answers do not depend on the attribute. */
   record DropVariant(String attribute) implements Rewrite {}
 
   /**
-   * Values of the attribute fall into kinds; one that is not named falls into {@code otherwise}, or
-   * stays as it is where that is empty. A kind may fall into another one.
+   * Maps values of the attribute to groups.
+   *
+   * @param groups the group of each value; a group may belong to another one
+   * @param otherwise the group of values that are not named; empty leaves them as they are
    */
-  record FoldVariant(String attribute, Map<String, String> kinds, String otherwise)
+  record FoldVariant(String attribute, Map<String, String> groups, String otherwise)
       implements Rewrite {
+    /** Copies the groups. */
     public FoldVariant {
-      kinds = Map.copyOf(kinds);
+      groups = Map.copyOf(groups);
     }
   }
 
-  /** Upper and lower case are one. */
+  /** Upper and lower case are equal. */
   record FoldCase() implements Rewrite {}
 
-  /** Any blanks are one space, and none at the ends or beside a separator of terms. */
+  /** Any white space is one space, and none at the ends or beside a separator of terms. */
   record FoldSpaces() implements Rewrite {}
 
   /** The order of the terms does not matter. */
   record SortTerms(char separator) implements Rewrite {}
 
-  /** These terms do not matter. */
+  /** Answers do not depend on these terms. */
   record DropTerms(char separator, Set<String> terms) implements Rewrite {
+    /** Copies the terms. */
     public DropTerms {
       terms = Set.copyOf(terms);
     }
--- /dev/null
+++ b/src/main/java/dunlinhitch/answerkeys/RuleAttribution.java
@@ -0,0 +1,37 @@
+package dunlinhitch.answerkeys;
+
+import java.util.List;
+import java.util.function.Predicate;
+
+/** Finds the rules to which it is due that two parts share a key. */
+final class RuleAttribution {
+  private final KeyFactory keys;
+
+  RuleAttribution(KeyFactory keys) {
+    this.keys = keys;
+  }
+
+  /**
+   * The rules without which the two would not share a key; where two rules have the same effect,
+   * all that change one of the parts.
+   */
+  List<Rule> responsible(PartQuery one, PartQuery other, List<Rule> tested) {
+    if (tested.size() == 1) {
+      return isNecessary(one, other, tested.get(0)) ? tested : List.of();
+    }
+    List<Rule> necessary = tested.stream().filter(rule -> isNecessary(one, other, rule)).toList();
+    return necessary.isEmpty()
+        ? tested.stream().filter(rule -> changes(one, rule) || changes(other, rule)).toList()
+        : necessary;
+  }
+
+  private boolean isNecessary(PartQuery one, PartQuery other, Rule rule) {
+    Predicate<Rule> others = candidate -> keys.isTrusted(candidate) && !candidate.equals(rule);
+    return !keys.keyFor(one, others).equals(keys.keyFor(other, others));
+  }
+
+  private boolean changes(PartQuery part, Rule rule) {
+    return !keys.keyFor(part, candidate -> candidate.equals(rule))
+        .equals(keys.keyFor(part, candidate -> false));
+  }
+}
--- a/src/main/java/dunlinhitch/answerkeys/RuleState.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleState.java
@@ -1,15 +1,15 @@
 package dunlinhitch.answerkeys;
 
-/** Where a rule stands in its epoch. Only a trusted one deduplicates. */
+/** The state of a rule in its epoch. Only a trusted one takes part in the keys of answers. */
 public enum RuleState {
-  /** It only counts what it would change. */
+  /** Only the requests whose key it would change are counted. */
   PROPOSED,
-  /** Answers that it would make one are compared. */
+  /** Answers that it would make equal are compared. */
   TRIED,
   /** Enough of them were equal. */
   TRUSTED,
-  /** Two were not, and it may have been the data that changed between them. */
+  /** Two were not, which a change of the data between them may explain. */
   SUSPECT,
-  /** Two were not, of the same data: for good, in this epoch. */
+  /** Two of the same data were not; final in this epoch. */
   WITHDRAWN
 }
--- a/src/main/java/dunlinhitch/experiments/answerkeys/KeysWorld.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/KeysWorld.java
@@ -1,47 +1,42 @@
 package dunlinhitch.experiments.answerkeys;
 
-import dunlinhitch.answerkeys.Act;
-import dunlinhitch.answerkeys.Answer;
-import dunlinhitch.answerkeys.AnswerKeyModule;
-import dunlinhitch.answerkeys.Ask;
-import dunlinhitch.answerkeys.ClassKeys;
-import dunlinhitch.answerkeys.Evidence;
-import dunlinhitch.answerkeys.Held;
-import dunlinhitch.answerkeys.KeySettings;
-import dunlinhitch.answerkeys.Rewrite;
-import dunlinhitch.answerkeys.Rule;
-import dunlinhitch.answerkeys.RuleSet;
-import dunlinhitch.answerkeys.RuleState;
-import dunlinhitch.answerkeys.SimpleShelf;
-import dunlinhitch.cluster.ReplicatedEntry;
+import dunlinhitch.answerkeys.Action;
+import dunlinhitch.answerkeys.AnswerKeyCounter;
+import dunlinhitch.answerkeys.CachedAnswer;
+import dunlinhitch.answerkeys.StoreAnswer;
 import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
 import java.util.Locale;
 import java.util.Map;
-import java.util.PriorityQueue;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeMap;
+import java.util.function.Consumer;
 import org.HdrHistogram.Histogram;
 
 /**
- * Brokers with answer keys before stores, on virtual time: four client kinds write the same wishes
- * differently, the wishes are Zipf's. It knows what each answer ought to be, so it counts wrong
- * ones. Rule {@code forms} is true; {@code language} is true until the stores' answers come to
- * depend on the language, where that is asked for.
+ * Simulates brokers with answer keys in front of stores, on virtual time. It knows what each answer
+ * ought to be, so that it counts wrong ones. Rule {@code forms} is true; rule {@code language} is
+ * true until the answers come to depend on the language, where the setup asks for that.
  */
 public final class KeysWorld {
-  /** What is shared: nothing, answers of equal texts, answers by rules. */
+  /** What is shared. */
   public enum Mode {
+    /** Nothing. */
     NONE,
+    /** Answers of equal texts. */
     EXACT,
+    /** Answers by rules. */
     RULES
   }
 
   /**
-   * {@code loss} of words, {@code failing} of fetches; {@code cut}: two halves for 10 s; {@code
-   * turnsFalse}: at 24 s, while they are cut.
+   * One run.
+   *
+   * @param perSecond queries a second
+   * @param loss the probability that a message between brokers is lost
+   * @param failing the probability that a fetch fails
+   * @param cut a network partition into two halves for 10 s
+   * @param turnsFalse answers depend on the language from 24 s on, during the partition
    */
   public record Setup(
       long seed,
@@ -54,11 +49,15 @@
       boolean turnsFalse) {}
 
   /**
-   * {@code again}: leads for a wish within the age of the one before, of the same data; {@code
-   * wrong} and {@code old}: answers of another wish or language, and from data that had gone for
-   * longer than the age; {@code unended}: queries that did not end, or twice, or late; {@code
-   * mayBeWrong}: the bound; {@code restedUs}: from the change until the rule was at rest
-   * everywhere.
+   * What was counted, after the first 15 s.
+   *
+   * @param again fetches of an answer within its age, of the same data
+   * @param wrong answers of another topic or language
+   * @param old answers from data that had ended longer ago than the age
+   * @param unended queries that did not end, or twice, or late
+   * @param mayBeWrong the bound of {@code wrong}
+   * @param restedUs from the change of the data until all brokers stopped to apply the false rule;
+   *     -1 where that did not happen
    */
   public record Result(
       long asks,
@@ -74,491 +73,325 @@
       long p99Us,
       String states) {}
 
+  /** What a broker does with a message. */
+  interface Message {
+    List<Action> deliverTo(SimulatedBroker receiver);
+  }
+
   private static final long SECOND_US = 1_000_000;
   private static final long COUNTED_FROM_US = 15 * SECOND_US;
   private static final long END_US = 40 * SECOND_US;
-  private static final long CUT_US = 20 * SECOND_US;
-  private static final long HEALED_US = 30 * SECOND_US;
-  private static final long FALSE_US = 24 * SECOND_US;
-  private static final long SETTLE_US = 2 * SECOND_US;
-  private static final long LOOK_US = 200_000;
-  private static final long AGE_US = 3 * SECOND_US;
+  private static final long PARTITION_START_US = 20 * SECOND_US;
+  private static final long PARTITION_END_US = 30 * SECOND_US;
+  private static final long RULE_FALSE_FROM_US = 24 * SECOND_US;
+  private static final long CONVERGENCE_US = 2 * SECOND_US;
+  private static final long GOSSIP_INTERVAL_US = 200_000;
+  private static final int GOSSIP_FANOUT = 2;
   private static final long DEADLINE_US = 3 * SECOND_US;
-  private static final long HOME_WAIT_US = 150_000;
-  private static final int SHARDS = 12;
-  private static final int WISHES = 200;
-  private static final double ZIPF = 1.1;
-  private static final double ARABIC = 0.25;
-  private static final long MOST_TAKES_US = 60_000;
-
-  /**
-   * Mean times between changes of a shard's data, where its stores tell the generation and where
-   * they do not.
-   */
-  private static final double TOLD_CHANGE_S = 5;
-
-  private static final double UNTOLD_CHANGE_S = 60;
-
-  /** The bound is held but for one case in so many. */
-  private static final double CHANCE = 1000;
-
-  private static final String[] KINDS = {"phone", "kiosk", "planner", "old"};
-
-  private record At(long us, long number, Runnable what) {}
+  private static final long MIN_FETCH_US = 20_000;
+  private static final long MAX_FETCH_US = 60_000;
+  private static final long MIN_MESSAGE_US = 1000;
+  private static final long MESSAGE_JITTER_US = 2000;
+  private static final int REPLICAS = 2;
 
-  /** One query: what it wishes and how it came; {@code ended} counts its ends. */
-  private static final class Query {
-    private Node node;
-    private Ask ask;
-    private int wish;
-    private long atUs;
-    private int ended;
-  }
+  /** Mean seconds between changes of a shard's data where its stores state the generation. */
+  private static final double STATED_CHANGE_S = 5;
 
-  private final class Node {
-    private final String name;
-    private final int half;
-    private final AnswerKeyModule keys;
-    private final Map<Long, Query> open = new HashMap<>();
-    private final Map<String, Long> toldTo = new HashMap<>();
-    private long wakesUs = Long.MAX_VALUE;
-
-    Node(int number) {
-      name = "n" + number;
-      half = number % 2;
-      List<Rule> rules = setup.mode() == Mode.RULES ? RULES : List.of();
-      keys =
-          new AnswerKeyModule(
-              new RuleSet(List.of(CLASS), rules),
-              SETTINGS,
-              name,
-              new SplittableRandom(setup.seed() * 1000 + number),
-              new SimpleShelf<>(SETTINGS.mostBytes()));
-    }
+  /** The same where they do not state it. */
+  private static final double UNSTATED_CHANGE_S = 60;
 
-    void act(List<Act> acts) {
-      acts.forEach(this::act);
-      long next = Math.max(nowUs + 1, keys.nextUs(nowUs));
-      if (next < wakesUs) {
-        wakesUs = next;
-        at(
-            next,
-            () -> {
-              if (wakesUs == next) {
-                wakesUs = Long.MAX_VALUE;
-                act(keys.passed(nowUs));
-              }
-            });
-      }
-    }
-
-    private void act(Act act) {
-      if (act instanceof Act.Alone alone) {
-        fetch(this, alone.query(), 0);
-      } else if (act instanceof Act.Fetch fetch) {
-        lead(open.get(fetch.query()));
-        if (!fetch.takesOver()) {
-          fetch(this, fetch.query(), fetch.flight());
-        }
-      } else if (act instanceof Act.Give give) {
-        given(open.get(give.query()), give.held());
-      } else if (act instanceof Act.End end) {
-        end(open.get(end.query()));
-      } else if (act instanceof Act.AskHome ask) {
-        send(
-            this,
-            ask.home(),
-            to ->
-                to.keys.peerAsked(nowUs, name, ask.flight(), ask.key(), ask.ask(), ask.untilUs()));
-      } else if (act instanceof Act.TellHome tell) {
-        send(this, tell.home(), to -> to.keys.peerTold(nowUs, name, tell.key(), tell.held()));
-      } else if (act instanceof Act.TellPeer tell) {
-        send(
-            this,
-            tell.peer(),
-            to ->
-                to.keys.homeSaid(nowUs, name, tell.flight(), tell.key(), tell.said(), tell.held()));
-      } else if (act instanceof Act.Spread) {
-        gossip(3);
-      }
-    }
-
-    /** Tells some others what they may not know. */
-    void gossip(int many) {
-      for (int i = 0; i < many; i++) {
-        Node other = nodes.get(random.nextInt(nodes.size()));
-        long version = keys.lives().facts().version();
-        for (ReplicatedEntry<Rule.Life, Evidence> fact :
-            keys.lives().facts().since(toldTo.getOrDefault(other.name, 0L), 30)) {
-          send(this, other.name, to -> to.keys.heard(nowUs, fact));
-        }
-        toldTo.put(
-            other.name,
-            random.nextDouble() < setup.loss() * 2
-                ? 0L
-                : version); // a digest would find what was lost
-      }
-    }
-  }
-
-  /** What a broker does with a word. */
-  private interface Word {
-    List<Act> heardBy(Node to);
-  }
-
-  private static final ClassKeys CLASS =
-      new ClassKeys(
-          "free-search",
-          List.of("client", "language"),
-          true,
-          AGE_US,
-          HOME_WAIT_US,
-          1_200_000,
-          "model");
-  private static final KeySettings SETTINGS = KeySettings.STANDARD;
-  private static final List<Rule> RULES =
-      List.of(
-          new Rule(
-              "forms",
-              "free-search",
-              1,
-              List.of(
-                  new Rewrite.DropVariant("client"),
-                  new Rewrite.FoldCase(),
-                  new Rewrite.FoldSpaces(),
-                  new Rewrite.DropTerms(',', Set.of("app", "v1")),
-                  new Rewrite.SortTerms(',')),
-              "model"),
-          new Rule(
-              "language", "free-search", 1, List.of(new Rewrite.DropVariant("language")), "model"));
+  /** The bound may be exceeded in one case out of so many. */
+  private static final double BOUND_ODDS = 1000;
 
   private final Setup setup;
   private final SplittableRandom random;
-  private final PriorityQueue<At> queue =
-      new PriorityQueue<>(
-          (a, b) ->
-              a.us() != b.us()
-                  ? Long.compare(a.us(), b.us())
-                  : Long.compare(a.number(), b.number()));
-  private final List<Node> nodes = new ArrayList<>();
-  private final double[] zipf = new double[WISHES];
-
-  /** For each shard when each of its generations ended. */
-  private final List<List<Long>> ends = new ArrayList<>();
-
-  private final Map<String, long[]> lastLead = new HashMap<>();
-  private final Histogram took = new Histogram(60 * SECOND_US, 3);
-  private long nowUs;
-  private long number;
-  private boolean cutNow;
-  private boolean dependsNow;
-  private long asks;
+  private final EventQueue events = new EventQueue();
+  private final List<SimulatedBroker> brokers = new ArrayList<>();
+  private final Workload workload = new Workload();
+  private final ShardData data = new ShardData();
+  private final FetchHistory fetchHistory = new FetchHistory();
+  private final Histogram latencies = new Histogram(60 * SECOND_US, 3);
+  private boolean partitioned;
+  private long countedQueries;
   private long fetches;
-  private long again;
-  private long wrong;
-  private long old;
-  private long ended;
-  private long begun;
-  private long late;
-  private long acrossLanguages;
+  private long repeatedFetches;
+  private long wrongAnswers;
+  private long outdatedAnswers;
+  private long endedQueries;
+  private long startedQueries;
+  private long lateEnds;
+  private long answersAcrossLanguages;
   private long trialsBefore;
-  private long restedUs = -1;
+  private long demotedAfterUs = -1;
 
+  /** Makes a world at its start. */
   public KeysWorld(Setup setup) {
     this.setup = setup;
     random = new SplittableRandom(setup.seed());
-    double sum = 0;
-    for (int i = 0; i < WISHES; i++) {
-      sum += Math.pow(i + 1, -ZIPF);
-      zipf[i] = sum;
-    }
-    for (int shard = 0; shard < SHARDS; shard++) {
-      ends.add(new ArrayList<>());
-    }
   }
 
-  private void at(long us, Runnable what) {
-    queue.add(new At(us, ++number, what));
+  long nowUs() {
+    return events.nowUs();
   }
 
-  private long after(double meanUs) {
-    return nowUs + 1 + (long) (-Math.log(1 - random.nextDouble()) * meanUs);
+  void schedule(long atUs, Runnable task) {
+    events.schedule(atUs, task);
   }
 
+  SimulatedBroker randomBroker() {
+    return brokers.get(random.nextInt(brokers.size()));
+  }
+
+  /** Draws whether something is lost, at a multiple of the loss of messages. */
+  boolean drawsLoss(int factor) {
+    return random.nextDouble() < setup.loss() * factor;
+  }
+
+  private long afterExponentialDelay(double meanUs) {
+    return nowUs() + 1 + (long) (-Math.log(1 - random.nextDouble()) * meanUs);
+  }
+
+  /** Runs the simulation; once for each world. */
   public Result play() {
+    startBrokers();
+    for (int shard = 0; shard < Workload.SHARDS; shard++) {
+      scheduleDataChange(shard);
+    }
+    scheduleFaults();
+    schedule(COUNTED_FROM_US, () -> trialsBefore = trials());
+    schedule(afterExponentialDelay(SECOND_US / setup.perSecond()), this::startQuery);
+    events.runUntil(END_US + 2 * DEADLINE_US);
+    double acrossLanguagesPerSecond =
+        answersAcrossLanguages / ((RULE_FALSE_FROM_US - COUNTED_FROM_US) / 1e6);
+    return new Result(
+        countedQueries,
+        fetches,
+        trials() - trialsBefore,
+        repeatedFetches,
+        wrongAnswers,
+        outdatedAnswers,
+        startedQueries - endedQueries + lateEnds,
+        wrongAnswersBound(acrossLanguagesPerSecond),
+        demotedAfterUs,
+        latencies.getValueAtPercentile(50),
+        latencies.getValueAtPercentile(99),
+        states());
+  }
+
+  private void startBrokers() {
     for (int i = 0; i < setup.brokers(); i++) {
-      nodes.add(new Node(i));
+      brokers.add(new SimulatedBroker(this, setup, i));
     }
-    for (Node node : nodes) {
-      for (int shard = 0; shard < SHARDS; shard++) {
-        node.keys.listed("s" + shard + "-0", 0);
-        node.keys.listed("s" + shard + "-1", 0);
+    for (SimulatedBroker broker : brokers) {
+      for (int shard = 0; shard < Workload.SHARDS; shard++) {
+        for (int replica = 0; replica < REPLICAS; replica++) {
+          broker.module.addStore(storeName(shard, replica), 0);
+        }
       }
-      at(random.nextLong(LOOK_US), () -> look(node));
-    }
-    settle(false);
-    for (int shard = 0; shard < SHARDS; shard++) {
-      change(shard);
+      schedule(random.nextLong(GOSSIP_INTERVAL_US), () -> gossipPeriodically(broker));
     }
+    updateMembers(false);
+  }
+
+  private static String storeName(int shard, int replica) {
+    return "s" + shard + "-" + replica;
+  }
+
+  private void scheduleFaults() {
     if (setup.cut()) {
-      at(CUT_US, () -> cutNow = true);
-      at(CUT_US + SETTLE_US, () -> settle(true));
-      at(HEALED_US, () -> cutNow = false);
-      at(HEALED_US + SETTLE_US, () -> settle(false));
+      schedule(PARTITION_START_US, () -> partitioned = true);
+      schedule(PARTITION_START_US + CONVERGENCE_US, () -> updateMembers(true));
+      schedule(PARTITION_END_US, () -> partitioned = false);
+      schedule(PARTITION_END_US + CONVERGENCE_US, () -> updateMembers(false));
     }
     if (setup.turnsFalse()) {
-      at(FALSE_US, this::turnFalse);
+      schedule(RULE_FALSE_FROM_US, () -> data.startDependingOnLanguage(nowUs()));
     }
-    at(COUNTED_FROM_US, () -> trialsBefore = trials());
-    at(after(SECOND_US / setup.perSecond()), this::ask);
-    while (!queue.isEmpty()) {
-      At next = queue.poll();
-      if (next.us() > END_US + 2 * DEADLINE_US) {
-        break;
-      }
-      nowUs = next.us();
-      next.what().run();
-    }
-    double across = acrossLanguages / ((FALSE_US - COUNTED_FROM_US) / 1e6);
-    return new Result(
-        asks,
-        fetches,
-        trials() - trialsBefore,
-        again,
-        wrong,
-        old,
-        begun - ended + late,
-        mayBeWrong(across),
-        restedUs,
-        took.getValueAtPercentile(50),
-        took.getValueAtPercentile(99),
-        states());
   }
 
   /**
-   * docs/answer-keys.md has it: for each side the trials until one finds it, and what is given
-   * until all have heard of it.
+   * The bound of docs/answer-keys.md: for each side of a partition the trials until one finds the
+   * false rule, and the answers until all brokers have received that.
    */
-  private double mayBeWrong(double acrossASecond) {
+  private double wrongAnswersBound(double acrossLanguagesPerSecond) {
     int sides = setup.cut() ? 2 : 1;
-    double verdicts = 0.5 * Math.exp(-AGE_US / 1e6 / TOLD_CHANGE_S);
-    double settleS = (Math.ceil(Math.log(setup.brokers()) / Math.log(2)) + 2) * LOOK_US / 1e6;
-    return sides * Math.log(CHANCE) / (SETTINGS.share() * verdicts)
-        + acrossASecond * (settleS + MOST_TAKES_US / 1e6);
+    double verdicts = 0.5 * Math.exp(-SimulatedBroker.MAX_AGE_US / 1e6 / STATED_CHANGE_S);
+    double convergenceS =
+        (Math.ceil(Math.log(setup.brokers()) / Math.log(2)) + 2) * GOSSIP_INTERVAL_US / 1e6;
+    return sides * Math.log(BOUND_ODDS) / (SimulatedBroker.SETTINGS.trialShare() * verdicts)
+        + acrossLanguagesPerSecond * (convergenceS + MAX_FETCH_US / 1e6);
   }
 
   private long trials() {
-    return nodes.stream()
-        .mapToLong(node -> node.keys.counts().getOrDefault(AnswerKeyModule.Count.TRIALS, 0L))
+    return brokers.stream()
+        .mapToLong(broker -> broker.module.counters().getOrDefault(AnswerKeyCounter.TRIALS, 0L))
         .sum();
   }
 
+  /** The number of brokers for each rule and state. */
   private String states() {
     Map<String, Integer> states = new TreeMap<>();
-    nodes.forEach(
-        node ->
-            node.keys
-                .lives()
-                .shown()
-                .forEach(
-                    shown ->
-                        states.merge(
-                            shown.life().rule()
-                                + " "
-                                + shown.state().name().toLowerCase(Locale.ROOT),
-                            1,
-                            Integer::sum)));
+    brokers.stream()
+        .flatMap(broker -> broker.module.lifecycle().statuses().stream())
+        .map(
+            status ->
+                status.ruleEpoch().rule() + " " + status.state().name().toLowerCase(Locale.ROOT))
+        .forEach(state -> states.merge(state, 1, Integer::sum));
     return states.toString();
   }
 
-  private void settle(boolean halves) {
-    for (Node node : nodes) {
+  private void updateMembers(boolean bySide) {
+    for (SimulatedBroker broker : brokers) {
       List<String> members =
-          nodes.stream()
-              .filter(other -> !halves || other.half == node.half)
+          brokers.stream()
+              .filter(other -> !bySide || other.side == broker.side)
               .map(other -> other.name)
               .toList();
-      node.act(node.keys.settled(nowUs, members));
+      broker.perform(broker.module.updateMembers(nowUs(), members));
     }
   }
 
-  private void look(Node node) {
-    node.gossip(2);
+  private void gossipPeriodically(SimulatedBroker broker) {
+    broker.gossip(GOSSIP_FANOUT);
     if (setup.turnsFalse()
-        && nowUs > FALSE_US
-        && restedUs < 0
-        && nodes.stream()
-            .allMatch(
-                n ->
-                    n.keys.lives().shown().stream()
-                        .anyMatch(
-                            s ->
-                                s.life().rule().equals("language")
-                                    && (s.state() == RuleState.SUSPECT
-                                        || s.state() == RuleState.WITHDRAWN)))) {
-      restedUs = nowUs - FALSE_US;
+        && nowUs() > RULE_FALSE_FROM_US
+        && demotedAfterUs < 0
+        && brokers.stream().allMatch(SimulatedBroker::hasDemotedLanguageRule)) {
+      demotedAfterUs = nowUs() - RULE_FALSE_FROM_US;
     }
-    if (nowUs < END_US) {
-      at(nowUs + LOOK_US, () -> look(node));
+    if (nowUs() < END_US) {
+      schedule(nowUs() + GOSSIP_INTERVAL_US, () -> gossipPeriodically(broker));
     }
   }
 
-  private static boolean tells(int shard) {
-    return shard % 2 == 0;
-  }
-
-  private int generation(int shard) {
-    return ends.get(shard).size() + 1;
-  }
-
-  private void change(int shard) {
-    at(
-        after((tells(shard) ? TOLD_CHANGE_S : UNTOLD_CHANGE_S) * SECOND_US),
+  private void scheduleDataChange(int shard) {
+    double meanS = ShardData.statesGeneration(shard) ? STATED_CHANGE_S : UNSTATED_CHANGE_S;
+    schedule(
+        afterExponentialDelay(meanS * SECOND_US),
         () -> {
-          ends.get(shard).add(nowUs);
-          change(shard);
+          data.startGeneration(nowUs(), shard);
+          scheduleDataChange(shard);
         });
   }
 
-  /** A release of the stores: answers depend on the language now, and all data are new. */
-  private void turnFalse() {
-    dependsNow = true;
-    ends.forEach(ofShard -> ofShard.add(nowUs));
-  }
-
-  private void send(Node from, String name, Word word) {
-    Node to = nodes.get(Integer.parseInt(name.substring(1)));
-    int copies =
-        random.nextDouble() < setup.loss() ? 0 : random.nextDouble() < setup.loss() ? 2 : 1;
+  /** Delivers a message after a delay; it may be lost, duplicated or cut off by the partition. */
+  void send(SimulatedBroker sender, String receiverName, Message message) {
+    SimulatedBroker receiver = brokers.get(Integer.parseInt(receiverName.substring(1)));
+    int copies = drawCopies();
     for (int i = 0; i < copies; i++) {
-      at(
-          nowUs + 1000 + random.nextLong(2000),
+      schedule(
+          nowUs() + MIN_MESSAGE_US + random.nextLong(MESSAGE_JITTER_US),
           () -> {
-            if (!cutNow || from.half == to.half) {
-              to.act(word.heardBy(to));
+            if (!partitioned || sender.side == receiver.side) {
+              receiver.perform(message.deliverTo(receiver));
             }
           });
     }
   }
 
-  // ---- queries
-
-  private void ask() {
-    Query q = new Query();
-    q.node = nodes.get(random.nextInt(nodes.size()));
-    double draw = random.nextDouble() * zipf[WISHES - 1];
-    while (zipf[q.wish] < draw) {
-      q.wish++;
+  private int drawCopies() {
+    if (random.nextDouble() < setup.loss()) {
+      return 0;
     }
-    String kind = KINDS[random.nextInt(KINDS.length)];
-    String language = random.nextDouble() < ARABIC ? "ar" : "en";
-    q.ask =
-        new Ask(
-            "free-search",
-            "",
-            random.nextInt(SHARDS),
-            text(q.wish, kind),
-            Map.of("client", kind, "language", language),
-            kind,
-            false);
-    q.atUs = nowUs;
-    begun++;
-    asks += nowUs >= COUNTED_FROM_US ? 1 : 0;
-    long id = begun;
-    q.node.open.put(id, q);
+    return random.nextDouble() < setup.loss() ? 2 : 1;
+  }
+
+  private static boolean isCounted(long momentUs) {
+    return momentUs >= COUNTED_FROM_US;
+  }
+
+  private void startQuery() {
+    SimulatedBroker broker = randomBroker();
+    SimulatedQuery query = new SimulatedQuery(broker, workload.next(random), nowUs());
+    startedQueries++;
+    countedQueries += isCounted(nowUs()) ? 1 : 0;
+    long id = startedQueries;
+    broker.addQuery(id, query);
     if (setup.mode() == Mode.NONE) {
-      fetch(q.node, id, 0);
+      bypass(broker, id);
     } else {
-      q.node.act(q.node.keys.asked(nowUs, id, q.ask, nowUs + DEADLINE_US));
+      broker.perform(broker.module.onQuery(nowUs(), id, query.part(), nowUs() + DEADLINE_US));
     }
-    if (nowUs < END_US) {
-      at(after(SECOND_US / setup.perSecond()), this::ask);
+    if (nowUs() < END_US) {
+      schedule(afterExponentialDelay(SECOND_US / setup.perSecond()), this::startQuery);
     }
   }
 
-  private static String text(int wish, String kind) {
-    String hall = "hall=h" + wish % 20;
-    String voice = "voice=v" + wish / 20;
-    return switch (kind) {
-      case "phone" -> hall + "," + voice + ",app";
-      case "kiosk" -> (voice + "," + hall).toUpperCase(Locale.ROOT);
-      case "planner" -> voice + " , " + hall + " ";
-      default -> "v1," + hall + "," + voice;
-    };
+  /** The query becomes the leader of a fetch. */
+  void recordLeader(SimulatedQuery query) {
+    long generation = data.generation(query.part().shard());
+    boolean repeated = fetchHistory.recordLeader(nowUs(), query.identity(), generation);
+    repeatedFetches += isCounted(nowUs()) && repeated ? 1 : 0;
+  }
+
+  /** The query asks a store for itself. */
+  void bypass(SimulatedBroker broker, long id) {
+    SimulatedQuery query = broker.query(id);
+    long requestedUs = nowUs();
+    requestFromStore(
+        query,
+        answer -> {
+          List<Action> actions =
+              answer == null || setup.mode() == Mode.NONE
+                  ? List.of()
+                  : broker.module.onBypassAnswered(nowUs(), query.part(), answer, requestedUs);
+          end(query);
+          broker.perform(actions);
+        });
   }
 
-  private void lead(Query q) {
-    long[] last =
-        lastLead.computeIfAbsent(
-            q.wish + "/" + q.ask.shard(), wish -> new long[] {Long.MIN_VALUE / 2, 0});
-    boolean sameData = last[1] == generation(q.ask.shard());
-    again += nowUs >= COUNTED_FROM_US && nowUs < last[0] + AGE_US && sameData ? 1 : 0;
-    last[0] = nowUs;
+  /** The query asks a store as the leader of a fetch. */
+  void fetch(SimulatedBroker broker, long id, long fetchId) {
+    SimulatedQuery query = broker.query(id);
+    requestFromStore(
+        query,
+        answer -> {
+          if (answer == null) {
+            end(query);
+            broker.perform(broker.module.onFetchFailed(nowUs(), fetchId, 1));
+            return;
+          }
+          fetchHistory.recordAnswer(query.identity(), data.generation(query.part().shard()));
+          List<Action> actions = broker.module.onFetchSucceeded(nowUs(), fetchId, answer);
+          end(query);
+          broker.perform(actions);
+        });
   }
 
-  private void fetch(Node node, long id, long flight) {
-    Query q = node.open.get(id);
-    fetches += nowUs >= COUNTED_FROM_US && nowUs < END_US ? 1 : 0;
-    long begunUs = nowUs;
-    String store = "s" + q.ask.shard() + "-" + random.nextInt(2);
-    at(
-        nowUs + 20_000 + random.nextLong(MOST_TAKES_US - 20_000),
+  /** Passes the answer of a random replica to the consumer, null where the request fails. */
+  private void requestFromStore(SimulatedQuery query, Consumer<StoreAnswer> consumer) {
+    fetches += isCounted(nowUs()) && nowUs() < END_US ? 1 : 0;
+    String store = storeName(query.part().shard(), random.nextInt(REPLICAS));
+    schedule(
+        nowUs() + MIN_FETCH_US + random.nextLong(MAX_FETCH_US - MIN_FETCH_US),
         () -> {
           boolean fails = random.nextDouble() < setup.failing();
-          int generation = generation(q.ask.shard());
-          if (!fails) {
-            String value =
-                q.wish
-                    + "/"
-                    + (dependsNow ? q.ask.variants().get("language") : "any")
-                    + "/"
-                    + generation;
-            Answer answer =
-                new Answer(
-                    value, store, 0, tells(q.ask.shard()) ? generation : 0, Set.of(), true, true);
-            if (flight > 0) {
-              lastLead.get(q.wish + "/" + q.ask.shard())[1] = generation;
-            }
-            List<Act> acts =
-                flight > 0
-                    ? node.keys.came(nowUs, flight, answer)
-                    : setup.mode() == Mode.NONE
-                        ? List.of()
-                        : node.keys.alone(nowUs, q.ask, answer, begunUs);
-            end(q);
-            node.act(acts);
-          } else {
-            end(q);
-            node.act(flight > 0 ? node.keys.failed(nowUs, flight, 1) : List.of());
-          }
+          consumer.accept(fails ? null : data.answer(store, query.request));
         });
   }
 
-  private void given(Query q, Held held) {
-    String[] value = held.answer().value().split("/", 0);
-    String language = q.ask.variants().get("language");
-    int generation = Integer.parseInt(value[2]);
-    wrong +=
-        Integer.parseInt(value[0]) != q.wish
-                || (!value[1].equals("any") && !value[1].equals(language))
-            ? 1
-            : 0;
-    List<Long> ofShard = ends.get(q.ask.shard());
-    old += generation <= ofShard.size() && ofShard.get(generation - 1) < nowUs - AGE_US ? 1 : 0;
-    boolean counts = nowUs >= COUNTED_FROM_US && nowUs < FALSE_US;
-    acrossLanguages += counts && !language.equals(held.by().variants().get("language")) ? 1 : 0;
-    end(q);
+  /** The query is answered with what was fetched for another. */
+  void respond(SimulatedQuery query, CachedAnswer cached) {
+    wrongAnswers += ShardData.isWrong(cached, query.request) ? 1 : 0;
+    long oldestUs = nowUs() - SimulatedBroker.MAX_AGE_US;
+    outdatedAnswers += data.endedBefore(cached, query.part().shard(), oldestUs) ? 1 : 0;
+    String language = query.part().variants().get("language");
+    boolean sameLanguage = language.equals(cached.fetchedFor().variants().get("language"));
+    boolean ruleIsTrue = nowUs() < RULE_FALSE_FROM_US;
+    answersAcrossLanguages += isCounted(nowUs()) && ruleIsTrue && !sameLanguage ? 1 : 0;
+    end(query);
   }
 
-  private void end(Query q) {
-    if (q.ended++ == 0) {
-      ended++;
+  /** The query ends, with or without an answer. */
+  void end(SimulatedQuery query) {
+    if (query.ends++ == 0) {
+      endedQueries++;
     } else {
-      late++;
+      lateEnds++;
     }
-    late += nowUs > q.atUs + DEADLINE_US + 1 ? 1 : 0;
-    if (q.atUs >= COUNTED_FROM_US) {
-      took.recordValue(Math.max(1, nowUs - q.atUs));
+    lateEnds += nowUs() > query.startedUs + DEADLINE_US + 1 ? 1 : 0;
+    if (isCounted(query.startedUs)) {
+      latencies.recordValue(Math.max(1, nowUs() - query.startedUs));
     }
   }
 }
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
@@ -0,0 +1,200 @@
+package dunlinhitch.experiments.answerkeys;
+
+import dunlinhitch.answerkeys.Action;
+import dunlinhitch.answerkeys.AnswerKeyModule;
+import dunlinhitch.answerkeys.AnswerKeySettings;
+import dunlinhitch.answerkeys.ClassCachePolicy;
+import dunlinhitch.answerkeys.Evidence;
+import dunlinhitch.answerkeys.LruCache;
+import dunlinhitch.answerkeys.Rewrite;
+import dunlinhitch.answerkeys.Rule;
+import dunlinhitch.answerkeys.RuleEpoch;
+import dunlinhitch.answerkeys.RuleSet;
+import dunlinhitch.answerkeys.RuleState;
+import dunlinhitch.answerkeys.RuleStatus;
+import dunlinhitch.cluster.ReplicatedEntry;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
+
+/** One broker of the simulation: an answer key module whose actions it performs in the world. */
+final class SimulatedBroker {
+  static final AnswerKeySettings SETTINGS = AnswerKeySettings.STANDARD;
+  static final long MAX_AGE_US = 3_000_000;
+  private static final long OWNER_WAIT_US = 150_000;
+  private static final long LATENCY_OBJECTIVE_US = 1_200_000;
+  private static final long SEED_FACTOR = 1000;
+
+  /** The rule that is false once answers depend on the language. */
+  private static final String LANGUAGE_RULE = "language";
+
+  private static final String LOCATION = "model";
+  private static final int MAX_GOSSIPED_ENTRIES = 30;
+  private static final int URGENT_GOSSIP_FANOUT = 3;
+
+  /** The loss of entries that a digest would not find, as a multiple of the loss of messages. */
+  private static final int GOSSIP_LOSS_FACTOR = 2;
+
+  private static final ClassCachePolicy CLASS_POLICY =
+      new ClassCachePolicy(
+          Workload.QUERY_CLASS,
+          List.of("client", "language"),
+          true,
+          MAX_AGE_US,
+          OWNER_WAIT_US,
+          LATENCY_OBJECTIVE_US,
+          LOCATION);
+  private static final List<Rule> RULES =
+      List.of(
+          new Rule(
+              "forms",
+              Workload.QUERY_CLASS,
+              1,
+              List.of(
+                  new Rewrite.DropVariant("client"),
+                  new Rewrite.FoldCase(),
+                  new Rewrite.FoldSpaces(),
+                  new Rewrite.DropTerms(',', Set.of("app", "v1")),
+                  new Rewrite.SortTerms(',')),
+              LOCATION),
+          new Rule(
+              LANGUAGE_RULE,
+              Workload.QUERY_CLASS,
+              1,
+              List.of(new Rewrite.DropVariant("language")),
+              LOCATION));
+
+  final String name;
+
+  /** The side of a network partition, 0 or 1. */
+  final int side;
+
+  final AnswerKeyModule module;
+  private final KeysWorld world;
+  private final Map<Long, SimulatedQuery> queries = new HashMap<>();
+
+  /** For each other broker the version of the evidence that was gossiped to it. */
+  private final Map<String, Long> gossipedVersions = new HashMap<>();
+
+  private long wakeUpUs = Long.MAX_VALUE;
+
+  SimulatedBroker(KeysWorld world, KeysWorld.Setup setup, int number) {
+    this.world = world;
+    name = "n" + number;
+    side = number % 2;
+    module =
+        new AnswerKeyModule(
+            new RuleSet(
+                List.of(CLASS_POLICY), setup.mode() == KeysWorld.Mode.RULES ? RULES : List.of()),
+            SETTINGS,
+            name,
+            new SplittableRandom(setup.seed() * SEED_FACTOR + number),
+            new LruCache<>(SETTINGS.limits().cacheBytes()));
+  }
+
+  void addQuery(long id, SimulatedQuery query) {
+    queries.put(id, query);
+  }
+
+  SimulatedQuery query(long id) {
+    return queries.get(id);
+  }
+
+  /** Performs the actions and schedules the next timer of the module. */
+  void perform(List<Action> actions) {
+    actions.forEach(this::perform);
+    long nextUs = Math.max(world.nowUs() + 1, module.nextTimerUs(world.nowUs()));
+    if (nextUs < wakeUpUs) {
+      wakeUpUs = nextUs;
+      world.schedule(nextUs, () -> wakeUp(nextUs));
+    }
+  }
+
+  /** Does nothing where an earlier wake-up has replaced this one. */
+  private void wakeUp(long scheduledUs) {
+    if (wakeUpUs == scheduledUs) {
+      wakeUpUs = Long.MAX_VALUE;
+      perform(module.onTimer(world.nowUs()));
+    }
+  }
+
+  private void perform(Action action) {
+    if (action instanceof Action.Bypass bypass) {
+      world.bypass(this, bypass.query());
+    } else if (action instanceof Action.Fetch fetch) {
+      world.recordLeader(queries.get(fetch.query()));
+      if (!fetch.adoptsRequest()) {
+        world.fetch(this, fetch.query(), fetch.fetchId());
+      }
+    } else if (action instanceof Action.Respond respond) {
+      world.respond(queries.get(respond.query()), respond.cached());
+    } else if (action instanceof Action.Fail fail) {
+      world.end(queries.get(fail.query()));
+    } else if (action instanceof Action.GossipNow) {
+      gossip(URGENT_GOSSIP_FANOUT);
+    } else {
+      sendToPeer(action);
+    }
+  }
+
+  private void sendToPeer(Action action) {
+    if (action instanceof Action.RequestFromOwner request) {
+      world.send(
+          this,
+          request.owner(),
+          peer ->
+              peer.module.onPeerRequest(
+                  world.nowUs(),
+                  name,
+                  request.fetchId(),
+                  request.key(),
+                  request.part(),
+                  request.deadlineUs()));
+    } else if (action instanceof Action.ReportToOwner report) {
+      world.send(
+          this,
+          report.owner(),
+          peer -> peer.module.onPeerReport(world.nowUs(), name, report.key(), report.cached()));
+    } else if (action instanceof Action.ReplyToPeer reply) {
+      world.send(
+          this,
+          reply.peer(),
+          peer ->
+              peer.module.onOwnerReply(
+                  world.nowUs(),
+                  name,
+                  reply.fetchId(),
+                  reply.key(),
+                  reply.reply(),
+                  reply.cached()));
+    }
+  }
+
+  /** Sends that many random brokers the evidence that they may lack. */
+  void gossip(int fanout) {
+    for (int i = 0; i < fanout; i++) {
+      SimulatedBroker other = world.randomBroker();
+      long version = module.lifecycle().evidence().version();
+      for (ReplicatedEntry<RuleEpoch, Evidence> entry :
+          module
+              .lifecycle()
+              .evidence()
+              .since(gossipedVersions.getOrDefault(other.name, 0L), MAX_GOSSIPED_ENTRIES)) {
+        world.send(this, other.name, peer -> peer.module.mergeEvidence(world.nowUs(), entry));
+      }
+      // A digest would find what was lost: starting again at version 0 stands for it.
+      boolean lost = world.drawsLoss(GOSSIP_LOSS_FACTOR);
+      gossipedVersions.put(other.name, lost ? 0L : version);
+    }
+  }
+
+  /** True where the rule about the language is not applied here any more. */
+  boolean hasDemotedLanguageRule() {
+    return module.lifecycle().statuses().stream()
+        .filter(status -> status.ruleEpoch().rule().equals(LANGUAGE_RULE))
+        .map(RuleStatus::state)
+        .anyMatch(state -> state == RuleState.SUSPECT || state == RuleState.WITHDRAWN);
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedQuery.java
@@ -0,0 +1,28 @@
+package dunlinhitch.experiments.answerkeys;
+
+import dunlinhitch.answerkeys.PartQuery;
+
+/** One query of the simulation at the broker that received it. */
+final class SimulatedQuery {
+  final SimulatedBroker broker;
+  final Workload.Request request;
+  final long startedUs;
+
+  /** How often it ended, which ought to be once. */
+  int ends;
+
+  SimulatedQuery(SimulatedBroker broker, Workload.Request request, long startedUs) {
+    this.broker = broker;
+    this.request = request;
+    this.startedUs = startedUs;
+  }
+
+  PartQuery part() {
+    return request.part();
+  }
+
+  /** Identifies queries that ought to have the same answer. */
+  String identity() {
+    return request.topic() + "/" + part().shard();
+  }
+}
--- a/src/test/java/dunlinhitch/answerkeys/RuleSetTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/RuleSetTest.java
@@ -24,57 +24,61 @@
 import org.junit.jupiter.api.Test;
 
 class RuleSetTest {
-  static final ClassKeys SEARCH =
-      new ClassKeys(
+  static final ClassCachePolicy SEARCH =
+      new ClassCachePolicy(
           "search", List.of("client", "language"), true, 1_000_000, 100_000, 1_200_000, "f:1");
-  private static final ClassKeys BOOKING =
-      new ClassKeys("booking", List.of(), false, 1_000_000, 0, 1_500_000, "f:2");
+  private static final ClassCachePolicy BOOKING =
+      new ClassCachePolicy("booking", List.of(), false, 1_000_000, 0, 1_500_000, "f:2");
 
   static Rule rule(String name, Rewrite... rewrites) {
     return new Rule(name, "search", 1, List.of(rewrites), "f:7");
   }
 
-  private static RuleSet set(Rule... rules) {
+  private static RuleSet ruleSet(Rule... rules) {
     return new RuleSet(List.of(SEARCH, BOOKING), List.of(rules));
   }
 
   private static AnswerKey key(RuleSet rules, String text, Map<String, String> variants) {
     return rules.key(
-        new Ask("search", "t1", 3, text, variants, "phone", false), rule -> true, Set.of(), "", 0);
+        new PartQuery("search", "t1", 3, text, variants, "phone", false),
+        rule -> true,
+        Set.of(),
+        "",
+        0);
   }
 
   /**
-   * Whatever the text, the rewrites and their order: the fixed point is reached within the stated
-   * passes, and is one.
+   * Whatever the text, the rewrites and their order: the canonical form is reached within the
+   * stated passes, and is a fixed point.
    */
   @Property(tries = 1000)
-  void eachTextHasOneFixedPoint(@ForAll long seed) {
+  void eachTextHasOneCanonicalForm(@ForAll long seed) {
     Random random = new Random(seed);
-    char mark = ",; ".charAt(random.nextInt(3));
+    char separator = ",; ".charAt(random.nextInt(3));
     List<Rewrite> rewrites =
         new ArrayList<>(
             List.of(
-                new SortTerms(mark),
-                new DropTerms(mark, Set.of("ab", "ς")),
+                new SortTerms(separator),
+                new DropTerms(separator, Set.of("ab", "ς")),
                 new FoldSpaces(),
-                new DropTerms(mark, Set.of("b")),
+                new DropTerms(separator, Set.of("b")),
                 new FoldCase()));
     Collections.shuffle(rewrites, random);
-    List<Rewrite> some = rewrites.subList(0, 1 + random.nextInt(rewrites.size()));
-    String letters = "aAbBΣσςİıⅣ,;  \t\u00a0";
+    List<Rewrite> applied = rewrites.subList(0, 1 + random.nextInt(rewrites.size()));
+    String alphabet = "aAbBΣσςİıⅣ,;  \t\u00a0";
     StringBuilder text = new StringBuilder();
     for (int i = random.nextInt(25); i > 0; i--) {
-      text.append(letters.charAt(random.nextInt(letters.length())));
+      text.append(alphabet.charAt(random.nextInt(alphabet.length())));
     }
-    RuleSet rules = set(rule("all", rewrites.toArray(Rewrite[]::new)));
-    String end = rules.text("search", text.toString(), some);
-    assertEquals(end, rules.text("search", end, some));
+    RuleSet rules = ruleSet(rule("all", rewrites.toArray(Rewrite[]::new)));
+    String canonical = rules.canonicalText("search", text.toString(), applied);
+    assertEquals(canonical, rules.canonicalText("search", canonical, applied));
   }
 
   @Test
-  void whatDiffersByClientKindOnlyHasOneKey() {
+  void textsThatDifferByClientKindOnlyShareAKey() {
     RuleSet rules =
-        set(
+        ruleSet(
             rule(
                 "forms",
                 new FoldVariant(
@@ -91,41 +95,51 @@
     assertEquals("large", key(rules, "", Map.of()).variants().get("client"));
   }
 
-  /** Code, place and remedy stand in the one line that an operator reads. */
+  /** Code, location and remedy are in the one line that an operator reads. */
   @Test
-  void whatCanNotBeUsedIsNamed() {
-    wrong(Code.NAME_TWICE, () -> set(rule("a", new FoldCase()), rule("a", new FoldCase())));
-    wrong(Code.NO_CLASS, () -> set(new Rule("a", "serach", 1, List.of(new FoldCase()), "f:7")));
-    wrong(
-        Code.MAY_NOT_REUSE, () -> set(new Rule("a", "booking", 1, List.of(new FoldCase()), "f:7")));
-    wrong(Code.NO_ATTRIBUTE, () -> set(rule("a", new DropVariant("clint"))));
-    wrong(
+  void unusableRulesAreRejectedWithCodeAndRemedy() {
+    assertRejected(
+        Code.NAME_TWICE, () -> ruleSet(rule("a", new FoldCase()), rule("a", new FoldCase())));
+    assertRejected(
+        Code.NO_CLASS, () -> ruleSet(new Rule("a", "serach", 1, List.of(new FoldCase()), "f:7")));
+    assertRejected(
+        Code.MAY_NOT_REUSE,
+        () -> ruleSet(new Rule("a", "booking", 1, List.of(new FoldCase()), "f:7")));
+    assertRejected(Code.NO_ATTRIBUTE, () -> ruleSet(rule("a", new DropVariant("clint"))));
+    assertRejected(
         Code.ATTRIBUTE_TWICE,
         () ->
-            set(
+            ruleSet(
                 rule("a", new DropVariant("client")),
                 rule("b", new FoldVariant("client", Map.of(), "x"))));
-    wrong(
+    assertRejected(
         Code.CYCLE,
-        () -> set(rule("a", new FoldVariant("client", Map.of("x", "y", "y", "z", "z", "x"), ""))));
-    wrong(Code.SEPARATOR, () -> set(rule("a", new SortTerms('x'))));
-    wrong(
+        () ->
+            ruleSet(
+                rule("a", new FoldVariant("client", Map.of("x", "y", "y", "z", "z", "x"), ""))));
+    assertRejected(Code.SEPARATOR, () -> ruleSet(rule("a", new SortTerms('x'))));
+    assertRejected(
+        Code.SEPARATOR,
+        () -> ruleSet(rule("a", new SortTerms('\u24b6')))); // no letter, but it has a lower case
+    assertRejected(
         Code.SEPARATOR,
-        () -> set(rule("a", new SortTerms('\u24b6')))); // no letter, and has a lower case
-    wrong(Code.SEPARATOR, () -> set(rule("a", new SortTerms(',')), rule("b", new SortTerms(';'))));
-    wrong(Code.NEVER_ACTS, () -> set(rule("a", new FoldCase(), new DropTerms(',', Set.of("App")))));
-    wrong(Code.NEVER_ACTS, () -> set(rule("a")));
-    wrong(
+        () -> ruleSet(rule("a", new SortTerms(',')), rule("b", new SortTerms(';'))));
+    assertRejected(
+        Code.NEVER_ACTS,
+        () -> ruleSet(rule("a", new FoldCase(), new DropTerms(',', Set.of("App")))));
+    assertRejected(Code.NEVER_ACTS, () -> ruleSet(rule("a")));
+    assertRejected(
         Code.SETTING,
-        () -> new ClassKeys("search", List.of(), true, 1, 1_200_000, 1_200_000, "f:7"));
+        () -> new ClassCachePolicy("search", List.of(), true, 1, 1_200_000, 1_200_000, "f:7"));
   }
 
-  private static void wrong(Code code, Runnable made) {
-    KeysException e = assertThrows(KeysException.class, made::run);
-    assertEquals(code, e.code());
+  private static void assertRejected(Code code, Runnable construction) {
+    KeysException exception = assertThrows(KeysException.class, construction::run);
+    assertEquals(code, exception.code());
     assertTrue(
-        e.getMessage().startsWith(code.word() + " f:7: ") && e.getMessage().endsWith(e.remedy()),
-        e.getMessage());
-    assertFalse(e.remedy().isBlank());
+        exception.getMessage().startsWith(code.label() + " f:7: ")
+            && exception.getMessage().endsWith(exception.remedy()),
+        exception.getMessage());
+    assertFalse(exception.remedy().isBlank());
   }
 }
