--- a/src/main/java/dunlinhitch/scoring/DampingRule.java
+++ b/src/main/java/dunlinhitch/scoring/DampingRule.java
@@ -1,20 +1,22 @@
 package dunlinhitch.scoring;
 
 /**
- * How factors follow what a scorer says, so that many brokers that read the same weights do not all
- * run to one store.
+ * Damping of the factors, so that brokers with the same weights do not all move their load to one
+ * endpoint (a herd effect).
  *
- * @param gain share of the way that a factor's logarithm goes in a round, on the mean: each broker
- *     draws its own, by a half more or less
- * @param step the most that it goes in a round
- * @param tilt by how much a broker's own draw moves each store's, either way
+ * @param gain share of the distance to the wanted value that a factor's logarithm moves in a round;
+ *     the mean of the brokers, each of which draws its own from half to one and a half times it
+ * @param step the most that the logarithm moves in a round
+ * @param tilt the largest constant offset of the logarithm that a broker draws for an endpoint
  */
 public record DampingRule(double gain, double step, double tilt) {
+  /** The settings of a broker. */
   public static final DampingRule STANDARD = new DampingRule(0.1, 0.05, 0.03);
 
-  /** Every word is followed at once and in full: what the others are measured against. */
+  /** No damping: the baseline of the experiments. */
   public static final DampingRule NAIVE = new DampingRule(1, 100, 0);
 
+  /** Validates the settings. */
   public DampingRule {
     if (!(gain > 0 && gain <= 1) || !(step > 0) || !(tilt >= 0 && tilt < 1)) {
       throw new IllegalArgumentException(
@@ -22,7 +24,7 @@
     }
   }
 
-  /** The furthest that a factor's logarithm goes while news of it is under way. */
+  /** The most that a factor's logarithm moves while information of that age is propagated. */
   public double mostWithin(long staleUs, long roundUs) {
     return step * Math.ceil((double) staleUs / roundUs);
   }
--- a/src/main/java/dunlinhitch/scoring/FactorTable.java
+++ b/src/main/java/dunlinhitch/scoring/FactorTable.java
@@ -1,34 +1,36 @@
 package dunlinhitch.scoring;
 
-import dunlinhitch.scoring.api.ScoringApi;
-
 /**
- * Factors of one moment, by server and class; never changed, so that any thread may read it. What
- * is not in it has factor 1.
+ * The factors of one round, by server and query class. Immutable, so that any thread may read it; a
+ * combination that is not in it has factor 1.
  */
 public final class FactorTable {
-  /** No scorer: every choice is as it was, to the bit. */
+  /** The table without a scorer: multiplying by its factors changes no bit. */
   public static final FactorTable NONE = new FactorTable(0, new double[0]);
 
   private final int classes;
   private final double[] factors;
 
   /**
-   * {@code factors}: those of the first server by class, then those of the next; it is taken over.
+   * Takes ownership of the factors.
+   *
+   * @param classes number of query classes
+   * @param factors those of the first server by query class, then those of the next
    */
   FactorTable(int classes, double[] factors) {
     this.classes = classes;
     this.factors = factors;
-    for (int i = 0; i < factors.length; i++) {
-      double held = Math.max(ScoringApi.LEAST_FACTOR, Math.min(ScoringApi.MOST_FACTOR, factors[i]));
-      factors[i] = Double.isNaN(held) ? 1 : held;
+    for (int index = 0; index < factors.length; index++) {
+      double clamped = Scoring.clamp(factors[index]);
+      factors[index] = Double.isNaN(clamped) ? 1 : clamped;
     }
   }
 
+  /** The factor by which the predicted work of a server counts for a query class. */
   public double factor(int server, int queryClass) {
-    int at = server * classes + queryClass;
-    return server >= 0 && queryClass >= 0 && queryClass < classes && at < factors.length
-        ? factors[at]
-        : 1;
+    int index = server * classes + queryClass;
+    boolean present =
+        server >= 0 && queryClass >= 0 && queryClass < classes && index < factors.length;
+    return present ? factors[index] : 1;
   }
 }
--- a/src/main/java/dunlinhitch/scoring/ScorerIdentity.java
+++ b/src/main/java/dunlinhitch/scoring/ScorerIdentity.java
@@ -3,8 +3,9 @@
 import java.util.Comparator;
 
 /**
- * What must be the same for weights of two brokers to mean the same; {@code parameters} is their
- * text, sorted by name.
+ * Identity of a scorer: brokers share weights only where all of it is equal.
+ *
+ * @param parameters the text of the parameters, sorted by name
  */
 public record ScorerIdentity(String name, String version, String parameters) {
   static final Comparator<ScorerIdentity> ORDER =
--- a/src/main/java/dunlinhitch/scoring/ScorerSettings.java
+++ b/src/main/java/dunlinhitch/scoring/ScorerSettings.java
@@ -5,13 +5,14 @@
 import java.util.TreeMap;
 
 /**
- * What a {@code [scorer NAME]} section says.
+ * The settings of a {@code [scorer NAME]} section.
  *
- * @param name the scorer's own name for itself
- * @param directory where the jars are; null: it is one of those that ship with the program
- * @param parameters what the scorer is told, by name
+ * @param name the name by which the scorer identifies itself
+ * @param directory directory of the jars; null for a scorer that ships with the broker
+ * @param parameters parameters of the scorer by name
  */
 public record ScorerSettings(String name, Path directory, Map<String, String> parameters) {
+  /** Validates the name and copies the parameters. */
   public ScorerSettings {
     if (name.isEmpty()) {
       throw new IllegalArgumentException("a scorer has a name");
@@ -19,7 +20,7 @@
     parameters = Map.copyOf(parameters);
   }
 
-  /** Who it is, once it has said of which version it is. */
+  /** The identity of the scorer, which itself states its version. */
   public ScorerIdentity identity(String version) {
     return new ScorerIdentity(name, version, new TreeMap<>(parameters).toString());
   }
--- a/src/main/java/dunlinhitch/scoring/Scoring.java
+++ b/src/main/java/dunlinhitch/scoring/Scoring.java
@@ -1,16 +1,13 @@
 package dunlinhitch.scoring;
 
-import dunlinhitch.scoring.Weights.Place;
 import dunlinhitch.scoring.api.Candidate;
 import dunlinhitch.scoring.api.Ending;
 import dunlinhitch.scoring.api.FleetWeight;
 import dunlinhitch.scoring.api.Judgement;
 import dunlinhitch.scoring.api.Round;
 import dunlinhitch.scoring.api.ScoringApi;
-import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.Arrays;
-import java.util.Deque;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -18,232 +15,205 @@
 import java.util.TreeMap;
 
 /**
- * One scorer at one broker: gathers what it is to judge, checks and damps what it says, and keeps
- * the weights that the brokers share. No thread, clock or chance of its own: whoever holds it says
- * what time it is, on a clock that never runs back and on the day's.
+ * The rounds of one scorer at one broker: collects its input, validates and damps its output, and
+ * replicates its weights.
+ *
+ * <p>Pure: no clock, I/O or threads. Not thread-safe; the caller owns it and passes the time:
+ * {@code nowUs} of a monotonic clock, {@code dayUs} of the wall clock, both in microseconds.
  */
 public final class Scoring {
-  /** A class of queries: its name, and the time in which it is to be answered. */
+  /**
+   * A query class.
+   *
+   * @param aimUs its latency objective in microseconds
+   */
   public record Kind(String name, long aimUs) {}
 
-  /** What is kept of a store and class from round to round. */
-  private static final class Kept {
-    private final Deque<Ending> endings = new ArrayDeque<>();
+  /** The shortest time from round to round, as a share of the mean. */
+  private static final double MIN_ROUND_SHARE = 0.8;
 
-    /** Endings shown, fading: the most evidence that there can be. */
-    private double shown;
-
-    private long shownAtUs;
-    private double applied;
-    private boolean begun;
-    private long startedMs;
-    private long sinceUs;
-  }
+  /** The share of the mean time from round to round that is drawn at random. */
+  private static final double ROUND_JITTER = 0.4;
 
   private final ScorerIdentity scorer;
   private final ScoringRule rule;
-  private final List<Kind> kinds;
+  private final List<Kind> queryClasses;
   private final SplittableRandom random;
-  private final double ownGain;
-  private final long tiltSeed;
-  private final Weights weights;
-  private final Map<Place, Kept> kept = new HashMap<>();
-  private Map<Integer, Sight> sights = new TreeMap<>();
-  private FactorTable table = FactorTable.NONE;
-  private long held;
+  private final FactorDamping damping;
+  private final SharedWeights weights;
+  private final Map<WeightTarget, TargetState> states = new HashMap<>();
+  private Map<Integer, Sight> endpoints = new TreeMap<>();
+  private FactorTable factors = FactorTable.NONE;
 
+  /**
+   * Creates the state of a scorer that has had no round.
+   *
+   * @param self name of this broker
+   * @param seed of all random draws
+   */
   public Scoring(
-      String self, ScorerIdentity scorer, ScoringRule rule, List<Kind> kinds, long seed) {
+      String self, ScorerIdentity scorer, ScoringRule rule, List<Kind> queryClasses, long seed) {
     this.scorer = scorer;
     this.rule = rule;
-    this.kinds = List.copyOf(kinds);
+    this.queryClasses = List.copyOf(queryClasses);
     random = new SplittableRandom(seed);
-    ownGain = rule.damping().gain() < 1 ? rule.damping().gain() * (0.5 + random.nextDouble()) : 1;
-    tiltSeed = random.nextLong();
-    weights = new Weights(self, scorer, rule.weights());
+    damping = new FactorDamping(rule.damping(), random);
+    weights = new SharedWeights(self, scorer, rule.weights());
   }
 
+  /** The scorer that these rounds are for. */
   public ScorerIdentity scorer() {
     return scorer;
   }
 
-  public Weights weights() {
+  /** The replicated weights of the scorer. */
+  public SharedWeights weights() {
     return weights;
   }
 
-  /**
-   * All stores that there are; what was kept of others is let go, and what was seen of an earlier
-   * life of one says nothing any more.
-   */
-  public void seen(List<Sight> all) {
-    Map<Integer, Sight> told = new TreeMap<>();
-    Map<String, Long> lives = new HashMap<>();
-    for (Sight sight : all) {
-      told.put(sight.server(), sight);
-      lives.put(sight.store(), sight.startedMs());
+  /** Replaces the endpoints; the state of removed ones and of earlier incarnations is dropped. */
+  public void seen(List<Sight> snapshots) {
+    Map<Integer, Sight> byServer = new TreeMap<>();
+    for (Sight endpoint : snapshots) {
+      byServer.put(endpoint.server(), endpoint);
     }
-    kept.entrySet()
-        .removeIf(e -> !Long.valueOf(e.getValue().startedMs).equals(lives.get(e.getKey().store())));
-    sights = told;
+    Map<String, Long> incarnations = incarnations(snapshots);
+    states
+        .entrySet()
+        .removeIf(
+            entry ->
+                !Long.valueOf(entry.getValue().startedMs())
+                    .equals(incarnations.get(entry.getKey().store())));
+    endpoints = byServer;
+  }
+
+  private static Map<String, Long> incarnations(Iterable<Sight> snapshots) {
+    Map<String, Long> incarnations = new HashMap<>();
+    for (Sight endpoint : snapshots) {
+      incarnations.put(endpoint.store(), endpoint.startedMs());
+    }
+    return incarnations;
   }
 
   /**
-   * An attempt ended; of very many in a round the latest are kept. One that was sent to an earlier
-   * life of the store says nothing.
+   * Records a completed attempt. Only the latest of a round are retained; an attempt sent to an
+   * earlier incarnation of the endpoint is ignored.
    */
-  public void ended(String store, int queryClass, Ending ending) {
-    Kept at = kept.get(new Place(store, kinds.get(queryClass).name()));
-    if (at != null && ending.atUs() - ending.tookUs() >= at.sinceUs) {
-      at.endings.addLast(ending);
-      if (at.endings.size() > rule.endingsMost()) {
-        at.endings.removeFirst();
-      }
+  public void ended(String store, int queryClass, Ending attempt) {
+    TargetState state = states.get(new WeightTarget(store, queryClasses.get(queryClass).name()));
+    if (state != null) {
+      state.add(attempt, rule.endingsMost());
     }
   }
 
-  /** What the scorer is asked now, one round for each class; the endings go with it. */
+  /** The scorer's input, one round for each query class; the attempts are handed over with it. */
   public List<Round> rounds(long nowUs, long dayUs) {
-    Map<String, Long> lives = new HashMap<>();
-    sights.values().forEach(sight -> lives.put(sight.store(), sight.startedMs()));
-    Map<Place, FleetWeight> merged = weights.merged(dayUs, lives);
+    Map<WeightTarget, FleetWeight> merged = weights.merged(dayUs, incarnations(endpoints.values()));
     List<Round> rounds = new ArrayList<>();
-    for (Kind kind : kinds) {
+    for (Kind queryClass : queryClasses) {
       List<Candidate> candidates = new ArrayList<>();
-      for (Sight s : sights.values()) {
-        Place place = new Place(s.store(), kind.name());
-        Kept at =
-            kept.computeIfAbsent(
-                place,
-                p -> {
-                  Kept fresh = new Kept();
-                  fresh.startedMs = s.startedMs();
-                  fresh.sinceUs = nowUs;
-                  return fresh;
-                });
-        at.shown = rule.weights().faded(at.shown, nowUs - at.shownAtUs) + at.endings.size();
-        at.shownAtUs = nowUs;
+      for (Sight endpoint : endpoints.values()) {
+        WeightTarget target = new WeightTarget(endpoint.store(), queryClass.name());
+        TargetState state =
+            states.computeIfAbsent(target, key -> new TargetState(endpoint.startedMs(), nowUs));
         candidates.add(
-            new Candidate(
-                s.store(),
-                s.cell(),
-                s.zone(),
-                s.near(),
-                s.warmth(),
-                s.startedMs(),
-                s.workUs(),
-                s.report(),
-                s.reportAgeUs(),
-                List.copyOf(at.endings),
-                merged.getOrDefault(place, FleetWeight.NONE)));
-        at.endings.clear();
+            candidate(
+                endpoint,
+                state.drain(nowUs, rule.weights()),
+                merged.getOrDefault(target, FleetWeight.NONE)));
       }
-      rounds.add(new Round(nowUs, kind.name(), kind.aimUs(), candidates));
+      rounds.add(new Round(nowUs, queryClass.name(), queryClass.aimUs(), candidates));
     }
     return rounds;
   }
 
+  private static Candidate candidate(
+      Sight endpoint, List<Ending> attempts, FleetWeight fleetWeight) {
+    return new Candidate(
+        endpoint.store(),
+        endpoint.cell(),
+        endpoint.zone(),
+        endpoint.near(),
+        endpoint.warmth(),
+        endpoint.startedMs(),
+        endpoint.workUs(),
+        endpoint.report(),
+        endpoint.reportAgeUs(),
+        attempts,
+        fleetWeight);
+  }
+
   /**
-   * Takes what the scorer said of those rounds: factors go a damped step towards it, weights are
-   * passed on. Empty if all is sound, else what is nonsense about it, and then nothing is taken.
+   * Applies the scorer's output for these rounds: factors move one damped step, weights are
+   * replicated. Nothing is applied unless all of it is valid.
+   *
+   * @return what is invalid, or an empty string
    */
-  public String judged(long dayUs, List<Round> rounds, List<List<Judgement>> said) {
-    for (int k = 0; k < rounds.size(); k++) {
-      String wrong = wrong(rounds.get(k), said.get(k));
-      if (!wrong.isEmpty()) {
-        return wrong;
-      }
+  public String judged(long dayUs, List<Round> rounds, List<List<Judgement>> judgements) {
+    String problem = JudgementValidator.findProblem(rounds, judgements);
+    if (!problem.isEmpty()) {
+      return problem;
     }
-    Map<Place, Double> factors = new HashMap<>();
-    for (int k = 0; k < rounds.size(); k++) {
-      Round round = rounds.get(k);
-      for (int i = 0; i < round.candidates().size(); i++) {
-        Candidate candidate = round.candidates().get(i);
-        Place place = new Place(candidate.store(), round.queryClass());
-        Kept at = kept.get(place);
-        if (at != null && at.startedMs == candidate.startedMs()) {
-          take(dayUs, place, at, said.get(k).get(i));
-          factors.put(place, Math.exp(at.applied + rule.damping().tilt() * tilt(place)));
-        }
-      }
+    Map<WeightTarget, Double> factorByTarget = new HashMap<>();
+    for (int index = 0; index < rounds.size(); index++) {
+      apply(dayUs, rounds.get(index), judgements.get(index), factorByTarget);
     }
-    int rows = sights.keySet().stream().mapToInt(id -> id + 1).max().orElse(0);
-    double[] table = new double[rows * kinds.size()];
-    Arrays.fill(table, 1);
-    sights.forEach(
-        (server, sight) -> {
-          for (int k = 0; k < kinds.size(); k++) {
-            table[server * kinds.size() + k] =
-                factors.getOrDefault(new Place(sight.store(), kinds.get(k).name()), 1.0);
-          }
-        });
-    this.table = new FactorTable(kinds.size(), table);
+    factors = buildTable(factorByTarget);
     return "";
   }
 
-  private static String wrong(Round round, List<Judgement> said) {
-    if (said == null || said.size() != round.candidates().size()) {
-      return (said == null ? "no judgements" : said.size() + " judgements")
-          + " of "
-          + round.candidates().size()
-          + " candidates";
-    }
-    for (Judgement judgement : said) {
-      boolean sound =
-          judgement != null
-              && judgement.factor() > 0
-              && Double.isFinite(judgement.factor())
-              && judgement.weight() > 0
-              && Double.isFinite(judgement.weight())
-              && judgement.evidence() >= 0;
-      if (!sound) {
-        return "the judgement " + judgement;
+  private void apply(
+      long dayUs,
+      Round round,
+      List<Judgement> judgements,
+      Map<WeightTarget, Double> factorByTarget) {
+    for (int index = 0; index < round.candidates().size(); index++) {
+      Candidate candidate = round.candidates().get(index);
+      WeightTarget target = new WeightTarget(candidate.store(), round.queryClass());
+      TargetState state = states.get(target);
+      if (state != null && state.startedMs() == candidate.startedMs()) {
+        apply(dayUs, target, state, judgements.get(index));
+        factorByTarget.put(target, damping.factor(target, state.logFactor()));
       }
     }
-    return "";
   }
 
-  /**
-   * The first of a store is followed in full: it is what the fleet has long settled on, or nothing.
-   */
-  private void take(long dayUs, Place place, Kept at, Judgement judgement) {
-    double factor = hold(judgement.factor());
-    held += factor == judgement.factor() ? 0 : 1;
-    double way = Math.log(factor) - at.applied;
-    double step = rule.damping().step();
-    at.applied += at.begun ? Math.max(-step, Math.min(step, way * ownGain)) : way;
-    at.begun = true;
-    double evidence =
-        Math.min(judgement.evidence(), Math.min(at.shown, rule.weights().evidenceMost()));
-    weights.saw(
-        dayUs,
-        place.store(),
-        place.queryClass(),
-        new Weight(hold(judgement.weight()), evidence, at.startedMs));
+  private void apply(long dayUs, WeightTarget target, TargetState state, Judgement judgement) {
+    state.moveFactor(Math.log(clamp(judgement.factor())), damping);
+    double maxEvidence = Math.min(state.shownEvidence(), rule.weights().evidenceMost());
+    double evidence = Math.min(judgement.evidence(), maxEvidence);
+    weights.recordOwn(
+        dayUs, target, new Weight(clamp(judgement.weight()), evidence, state.startedMs()));
   }
 
-  private static double hold(double factor) {
-    return Math.max(ScoringApi.LEAST_FACTOR, Math.min(ScoringApi.MOST_FACTOR, factor));
+  private FactorTable buildTable(Map<WeightTarget, Double> factorByTarget) {
+    int rows = endpoints.keySet().stream().mapToInt(server -> server + 1).max().orElse(0);
+    int columns = queryClasses.size();
+    double[] values = new double[rows * columns];
+    Arrays.fill(values, 1);
+    endpoints.forEach(
+        (server, endpoint) -> {
+          for (int column = 0; column < columns; column++) {
+            values[server * columns + column] =
+                factorByTarget.getOrDefault(
+                    new WeightTarget(endpoint.store(), queryClasses.get(column).name()), 1.0);
+          }
+        });
+    return new FactorTable(columns, values);
   }
 
-  /** This broker's own leaning about a store, from -1 to 1, the same as long as it runs. */
-  private double tilt(Place place) {
-    return new SplittableRandom(tiltSeed ^ place.hashCode()).nextDouble() * 2 - 1;
+  /** Limits a factor to the bounds of the interface; NaN stays NaN. */
+  static double clamp(double factor) {
+    return Math.max(ScoringApi.LEAST_FACTOR, Math.min(ScoringApi.MOST_FACTOR, factor));
   }
 
+  /** The factors after the last valid round. */
   public FactorTable table() {
-    return table;
+    return factors;
   }
 
-  /**
-   * When the next round is due after one at that moment: brokers that began together do not stay
-   * together.
-   */
+  /** When the next round is due; with jitter, so that brokers do not run their rounds in step. */
   public long nextRoundUs(long nowUs) {
-    return nowUs + (long) (rule.roundUs() * (0.8 + 0.4 * random.nextDouble()));
-  }
-
-  /** Factors that lay beyond the bounds. */
-  public long held() {
-    return held;
+    return nowUs + (long) (rule.roundUs() * (MIN_ROUND_SHARE + ROUND_JITTER * random.nextDouble()));
   }
 }
--- a/src/main/java/dunlinhitch/scoring/ScoringRule.java
+++ b/src/main/java/dunlinhitch/scoring/ScoringRule.java
@@ -1,17 +1,20 @@
 package dunlinhitch.scoring;
 
 /**
- * The figures of scoring.
+ * Settings of the rounds of a scorer.
  *
- * @param weights how weights merge
- * @param damping how factors follow
- * @param roundUs from round to round
- * @param endingsMost endings of a store and class that are kept for a round
+ * @param weights how weights are merged
+ * @param damping how factors are damped
+ * @param roundUs mean time from round to round
+ * @param endingsMost maximum number of attempts of an endpoint and query class that are retained
+ *     for a round
  */
 public record ScoringRule(WeightRule weights, DampingRule damping, long roundUs, int endingsMost) {
+  /** The settings of a broker. */
   public static final ScoringRule STANDARD =
       new ScoringRule(WeightRule.STANDARD, DampingRule.STANDARD, 250_000, 64);
 
+  /** Validates the settings. */
   public ScoringRule {
     if (roundUs <= 0 || endingsMost < 1) {
       throw new IllegalArgumentException(
--- a/src/main/java/dunlinhitch/scoring/Sight.java
+++ b/src/main/java/dunlinhitch/scoring/Sight.java
@@ -3,11 +3,18 @@
 import java.util.List;
 
 /**
- * One store as the decisions see it at a moment, for the scorer to judge.
+ * Snapshot of one endpoint, the input of a scorer.
  *
- * @param server its number with the decisions
- * @param workUs predicted work outstanding, of this broker and by report of others
- * @param startedMs when its present life began, by the day's clock; 0: long ago
+ * @param server its number with the load balancer
+ * @param store its name
+ * @param cell the cell whose blocks it holds
+ * @param near true if it is in the zone of this broker
+ * @param warmth slow-start weight, from 0 to 1
+ * @param startedMs start of its present incarnation in Unix milliseconds; 0 if long ago
+ * @param workUs predicted outstanding work in microseconds, of this broker and, by the load report,
+ *     of others
+ * @param report the last load report; empty if there is none
+ * @param reportAgeUs age of the load report in microseconds
  */
 public record Sight(
     int server,
@@ -20,6 +27,7 @@
     double workUs,
     List<Double> report,
     long reportAgeUs) {
+  /** Copies the load report. */
   public Sight {
     report = List.copyOf(report);
   }
--- /dev/null
+++ b/src/main/java/dunlinhitch/scoring/TargetState.java
@@ -0,0 +1,67 @@
+package dunlinhitch.scoring;
+
+import dunlinhitch.scoring.api.Ending;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.List;
+
+/** What a broker retains of one endpoint and query class from round to round. */
+final class TargetState {
+  /** Incarnation of the endpoint: its start in Unix milliseconds. */
+  private final long startedMs;
+
+  /** When this state was created; attempts sent before belong to an earlier incarnation. */
+  private final long createdUs;
+
+  private final Deque<Ending> completedAttempts = new ArrayDeque<>();
+
+  /** Decayed number of attempts shown to the scorer: the upper bound of its evidence. */
+  private double shownEvidence;
+
+  private long decayedAtUs;
+  private double logFactor;
+  private boolean hasFactor;
+
+  TargetState(long startedMs, long createdUs) {
+    this.startedMs = startedMs;
+    this.createdUs = createdUs;
+  }
+
+  long startedMs() {
+    return startedMs;
+  }
+
+  double shownEvidence() {
+    return shownEvidence;
+  }
+
+  double logFactor() {
+    return logFactor;
+  }
+
+  /** Adds a completed attempt; beyond {@code limit} the earliest is dropped. */
+  void add(Ending attempt, int limit) {
+    if (attempt.atUs() - attempt.tookUs() < createdUs) {
+      return;
+    }
+    completedAttempts.addLast(attempt);
+    if (completedAttempts.size() > limit) {
+      completedAttempts.removeFirst();
+    }
+  }
+
+  /** Removes and returns the attempts completed since the last round, and counts them as shown. */
+  List<Ending> drain(long nowUs, WeightRule rule) {
+    shownEvidence = rule.faded(shownEvidence, nowUs - decayedAtUs) + completedAttempts.size();
+    decayedAtUs = nowUs;
+    List<Ending> drained = List.copyOf(completedAttempts);
+    completedAttempts.clear();
+    return drained;
+  }
+
+  /** Moves the factor; the first one is taken undamped, as the cluster has converged on it. */
+  void moveFactor(double wantedLog, FactorDamping damping) {
+    logFactor = hasFactor ? damping.next(logFactor, wantedLog) : wantedLog;
+    hasFactor = true;
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/scoring/TrimmedMean.java
@@ -0,0 +1,45 @@
+package dunlinhitch.scoring;
+
+import dunlinhitch.scoring.api.FleetWeight;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+
+/**
+ * The merge of the brokers' weights of one target: a trimmed mean of logarithms, weighted by
+ * evidence. The trimming bounds the influence of one broker to {@link WeightRule#mostStep}.
+ */
+final class TrimmedMean {
+  /**
+   * The report of one origin.
+   *
+   * @param logWeight logarithm of the reported weight
+   * @param evidence decayed evidence behind it
+   */
+  record WeightReport(double logWeight, double evidence) {}
+
+  private TrimmedMean() {}
+
+  /** Merges the reports; evidence missing to the minimum of origins counts as a weight of 1. */
+  static FleetWeight of(List<WeightReport> reports, WeightRule rule) {
+    double reported = reports.stream().mapToDouble(WeightReport::evidence).sum();
+    double total = Math.max(reported, rule.authorsLeast() * rule.evidenceMost());
+    List<WeightReport> sorted = new ArrayList<>(reports);
+    sorted.add(new WeightReport(0, total - reported));
+    sorted.sort(
+        Comparator.comparingDouble(WeightReport::logWeight)
+            .thenComparingDouble(WeightReport::evidence));
+    double lowerBound = rule.trim() * total;
+    double upperBound = total - lowerBound;
+    double sum = 0;
+    double position = 0;
+    for (WeightReport report : sorted) {
+      double next = position + report.evidence();
+      sum +=
+          report.logWeight()
+              * Math.max(0, Math.min(next, upperBound) - Math.max(position, lowerBound));
+      position = next;
+    }
+    return new FleetWeight(Math.exp(sum / (upperBound - lowerBound)), reported, reports.size());
+  }
+}
--- a/src/main/java/dunlinhitch/scoring/Weight.java
+++ b/src/main/java/dunlinhitch/scoring/Weight.java
@@ -3,17 +3,15 @@
 import dunlinhitch.scoring.api.ScoringApi;
 
 /**
- * What one broker says of a store and class, as it rides on words.
+ * One broker's weight of an endpoint and query class, as replicated by gossip.
  *
- * @param value from 1/4 to 4
- * @param evidence endings behind it, faded up to the fact's moment
- * @param startedMs which life of the store it was seen of
+ * @param value from {@link ScoringApi#LEAST_FACTOR} to {@link ScoringApi#MOST_FACTOR}
+ * @param evidence number of attempts behind it, decayed up to the timestamp of the entry
+ * @param startedMs incarnation of the endpoint: its start in Unix milliseconds, 0 if unknown
  */
 public record Weight(double value, double evidence, long startedMs) {
-  /**
-   * False for what no sound broker says; written so that what is no number is not believed either.
-   */
-  boolean believable(WeightRule rule) {
+  /** False for what no correct broker sends. Each comparison is written so that NaN fails it. */
+  boolean isValid(WeightRule rule) {
     return value >= ScoringApi.LEAST_FACTOR
         && value <= ScoringApi.MOST_FACTOR
         && evidence > 0
--- a/src/main/java/dunlinhitch/scoring/WeightKey.java
+++ b/src/main/java/dunlinhitch/scoring/WeightKey.java
@@ -2,7 +2,7 @@
 
 import java.util.Comparator;
 
-/** What a weight is about: one scorer's of one store and class. */
+/** Key of a replicated weight: a scorer, an endpoint and a query class. */
 public record WeightKey(ScorerIdentity scorer, String store, String queryClass) {
   static final Comparator<WeightKey> ORDER =
       Comparator.comparing(WeightKey::store)
--- a/src/main/java/dunlinhitch/scoring/api/Candidate.java
+++ b/src/main/java/dunlinhitch/scoring/api/Candidate.java
@@ -3,23 +3,25 @@
 import java.util.List;
 
 /**
- * One store as this broker knows it at the beginning of a round.
+ * Snapshot of one endpoint at the beginning of a round.
  *
- * @param store its name, the same at all brokers
- * @param cell stores of one cell hold the same blocks: only among them is there a choice
- * @param zone where it stands
- * @param near true where this broker stands in the same zone
- * @param warmth from 0 to 1: the share of its capacity that it is sure to have since its start
- * @param startedMs when its present life began, Unix time in milliseconds; 0: long ago. What was
- *     seen of another life says nothing of this one
- * @param workUs predicted work outstanding there, of this broker and of others by the store's
- *     report, in µs
- * @param report the load that the store last told, in the order of the settings' fields; empty
- *     where it told none
- * @param reportAgeUs how old that is
- * @param endings attempts of this class that ended there since the last round, the earliest first;
- *     not all of them where they are very many
- * @param fleet what the other brokers' scorers of the same name, version and parameters say of it
+ * @param store name of the endpoint, the same at all brokers
+ * @param cell number of its cell: the endpoints of one cell hold the same blocks and are the
+ *     alternatives to each other
+ * @param zone zone of the endpoint
+ * @param near true if this broker is in the same zone
+ * @param warmth slow-start weight: the share of its capacity that it has reached since its start,
+ *     from 0 to 1
+ * @param startedMs start of its present incarnation in Unix milliseconds; 0 if long ago.
+ *     Observations of another incarnation do not apply to it
+ * @param workUs predicted outstanding work in microseconds, of this broker and, by the load report,
+ *     of others
+ * @param report the last load report, in the order of the fields in the settings; empty if there is
+ *     none
+ * @param reportAgeUs age of the load report in microseconds
+ * @param endings attempts of this query class that completed since the last round, the earliest
+ *     first; only the latest if there are very many
+ * @param fleet merged weight of the other brokers' scorers of the same name, version and parameters
  */
 public record Candidate(
     String store,
@@ -33,6 +35,7 @@
     long reportAgeUs,
     List<Ending> endings,
     FleetWeight fleet) {
+  /** Copies the lists. */
   public Candidate {
     report = List.copyOf(report);
     endings = List.copyOf(endings);
--- a/src/main/java/dunlinhitch/scoring/api/Ending.java
+++ b/src/main/java/dunlinhitch/scoring/api/Ending.java
@@ -1,20 +1,21 @@
 package dunlinhitch.scoring.api;
 
 /**
- * How one attempt ended.
+ * A completed attempt.
  *
- * @param atUs when, on the clock of the round
- * @param tookUs from its sending to its end
- * @param foreseenUs what the broker had foreseen, by the work ahead of it and its own
+ * @param atUs time of completion in microseconds, on the clock of the round
+ * @param tookUs latency in microseconds
+ * @param foreseenUs latency in microseconds that the broker had predicted, from the work ahead of
+ *     it and its own
  */
 public record Ending(Outcome outcome, long atUs, long tookUs, long foreseenUs) {
-  /**
-   * SILENT: given up without a word from the store; FAILED: the connection broke or the store said
-   * so.
-   */
+  /** Outcome of an attempt. */
   public enum Outcome {
+    /** The endpoint returned a response. */
     ANSWERED,
+    /** The broker gave the attempt up before any response. */
     SILENT,
+    /** The connection failed, or the endpoint returned an error. */
     FAILED
   }
 }
--- a/src/main/java/dunlinhitch/scoring/api/FleetWeight.java
+++ b/src/main/java/dunlinhitch/scoring/api/FleetWeight.java
@@ -1,12 +1,13 @@
 package dunlinhitch.scoring.api;
 
 /**
- * What the other brokers say of a store and class: never what this one told them.
+ * The other brokers' merged weight of an endpoint and query class; this broker's own is not in it.
  *
- * @param weight from 1/4 to 4; 1 says nothing
- * @param evidence how many endings of late stand behind it, faded with age; 0 says nothing
- * @param authors how many brokers
+ * @param weight from 1/4 to 4; 1 is neutral
+ * @param evidence number of attempts behind it, decayed with age; 0 if there are none
+ * @param authors number of brokers behind it
  */
 public record FleetWeight(double weight, double evidence, int authors) {
+  /** No weight of any broker. */
   public static final FleetWeight NONE = new FleetWeight(1, 0, 0);
 }
--- a/src/main/java/dunlinhitch/scoring/api/Judgement.java
+++ b/src/main/java/dunlinhitch/scoring/api/Judgement.java
@@ -1,19 +1,19 @@
 package dunlinhitch.scoring.api;
 
 /**
- * What a scorer says of one candidate.
+ * A scorer's output for one candidate.
  *
- * @param factor its predicted work counts so many times; held to 1/4 to 4
- * @param weight what this broker alone has seen of the store, to be shared; held to 1/4 to 4. Do
- *     not mix in what the fleet said: it would come back to those who said it as if it were news
- * @param evidence how many endings stand behind the weight, faded with age; 0: nothing to share.
- *     Never more than there were
+ * @param factor multiplier of its predicted work; limited to 1/4 to 4
+ * @param weight the observations of this broker alone, replicated to the others; limited to 1/4 to
+ *     4. Do not mix in {@link Candidate#fleet}: the others would count their own evidence again
+ * @param evidence number of attempts behind the weight, decayed with age, never more than the
+ *     candidate had; 0 if there is nothing to share
  */
 public record Judgement(double factor, double weight, double evidence) {
-  /** As if there were no scorer. */
+  /** The neutral output, as without a scorer. */
   public static final Judgement NONE = new Judgement(1, 1, 0);
 
-  /** A factor, and nothing to share. */
+  /** A factor without a weight to share. */
   public static Judgement of(double factor) {
     return new Judgement(factor, 1, 0);
   }
--- a/src/main/java/dunlinhitch/scoring/api/Round.java
+++ b/src/main/java/dunlinhitch/scoring/api/Round.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * What a scorer is asked, some times a second, once for each class.
+ * The input of a scorer for one query class; there are several rounds a second.
  *
- * @param nowUs a clock that never runs back, in µs
- * @param queryClass the class of queries that the answer is for
- * @param aimUs the time in which queries of the class are to be answered
- * @param candidates all stores that there are, of all cells, in an order that says nothing
+ * @param nowUs time of a monotonic clock in microseconds
+ * @param queryClass name of the query class
+ * @param aimUs latency objective of the query class in microseconds
+ * @param candidates all endpoints of all cells, in no particular order
  */
 public record Round(long nowUs, String queryClass, long aimUs, List<Candidate> candidates) {
+  /** Copies the list. */
   public Round {
     candidates = List.copyOf(candidates);
   }
--- a/src/main/java/dunlinhitch/scoring/api/Scorer.java
+++ b/src/main/java/dunlinhitch/scoring/api/Scorer.java
@@ -4,39 +4,39 @@
 import java.util.Map;
 
 /**
- * A scorer says of each store by what factor its predicted work should count more or less than it
- * does. The broker sends each part to the store with the least of predicted work times factor;
- * drains, cold budgets, attempts and cells are never a scorer's.
+ * A plug-in that corrects the predicted work of endpoints by a factor. The broker sends each part
+ * to the endpoint with the least product of predicted work and factor; draining, slow start,
+ * attempts and cells are not affected by a scorer.
  *
- * <p>It is found by {@link java.util.ServiceLoader}, so its class is public, has a public
+ * <p>It is located by {@link java.util.ServiceLoader}, so its class is public, has a public
  * constructor without parameters, and is named in {@code
  * META-INF/services/dunlinhitch.scoring.api.Scorer}. All its methods are called on one thread,
- * which is not the one that serves queries: between two rounds the broker uses the last answer. A
- * scorer that throws, returns nonsense, is slow, does not return or holds memory is left out, and
- * tried again later.
+ * which is not the one that serves queries: between two rounds the broker uses the last output. A
+ * scorer that throws, returns invalid output, is slow, does not return or uses too much memory is
+ * ejected, and retried after a backoff.
  */
 public interface Scorer extends AutoCloseable {
-  /** The version that it was built for: {@code return ScoringApi.VERSION;}. */
+  /** The interface version that it was built for: {@code return ScoringApi.VERSION;}. */
   int api();
 
-  /** What the settings name it by. */
+  /** The name by which the settings refer to it. */
   String name();
 
   /**
-   * Brokers share weights only where name, version and parameters are the same: give what decides
-   * otherwise another version.
+   * The version of its algorithm. Brokers share weights only where name, version and parameters are
+   * the same: change the version whenever the output changes.
    */
   String version();
 
   /**
-   * Called once, before the first round, with the parameters of the settings. Throws where they are
-   * of no use, and says why.
+   * Called once, before the first round, with the parameters of the settings. Throws an exception
+   * with a message if they are invalid.
    */
   default void begin(Map<String, String> parameters) {}
 
   /**
-   * One judgement for each candidate, in the order of the candidates. Returns in milliseconds, and
-   * heeds an interrupt.
+   * One judgement for each candidate, in the order of the candidates. Must return within
+   * milliseconds and respond to interrupts.
    */
   List<Judgement> judge(Round round);
 
--- a/src/main/java/dunlinhitch/scoring/api/package-info.java
+++ b/src/main/java/dunlinhitch/scoring/api/package-info.java
@@ -1,5 +1,7 @@
 /**
- * The interface that a scorer implements, version 1. It stands alone: a plug-in is compiled against
- * this package and the JDK only, and so is everything in it.
+ * The published interface of scorers, version 1.
+ *
+ * <p>Entry point: {@link dunlinhitch.scoring.api.Scorer}. A plug-in is compiled against this
+ * package and the JDK only; the package itself may import nothing else.
  */
 package dunlinhitch.scoring.api;
--- /dev/null
+++ b/src/main/java/dunlinhitch/scoring/host/HostConfiguration.java
@@ -0,0 +1,28 @@
+package dunlinhitch.scoring.host;
+
+import dunlinhitch.scoring.ScorerSettings;
+import dunlinhitch.scoring.Scoring;
+import dunlinhitch.scoring.ScoringRule;
+import java.util.List;
+
+/**
+ * Configuration of a {@link ScorerHost}.
+ *
+ * @param self name of this broker
+ * @param scorer the scorer to load first
+ * @param rule settings of its rounds
+ * @param limits limits on its resources
+ * @param seed of all random draws
+ */
+public record HostConfiguration(
+    String self,
+    ScorerSettings scorer,
+    ScoringRule rule,
+    HostLimits limits,
+    List<Scoring.Kind> queryClasses,
+    long seed) {
+  /** Copies the query classes. */
+  public HostConfiguration {
+    queryClasses = List.copyOf(queryClasses);
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/scoring/host/HostLimits.java
@@ -0,0 +1,38 @@
+package dunlinhitch.scoring.host;
+
+import dunlinhitch.scoring.CircuitBreakerSettings;
+
+/**
+ * Limits on the resources that a scorer may use.
+ *
+ * @param round limits of one round
+ * @param loadTimeoutUs time limit for locating, loading and initializing a scorer
+ * @param maxAbandonedThreads number of threads in scorers that never returned, from which on none
+ *     is loaded any more
+ * @param mailboxCapacity number of waiting messages beyond which new ones are dropped and counted
+ * @param circuitBreaker backoff after failures
+ */
+public record HostLimits(
+    RoundLimits round,
+    long loadTimeoutUs,
+    int maxAbandonedThreads,
+    int mailboxCapacity,
+    CircuitBreakerSettings circuitBreaker) {
+  /**
+   * Limits of one round.
+   *
+   * @param cpuTimeUs processor time beyond which a round counts as slow
+   * @param timeoutUs time from the call to its result
+   * @param allocatedBytes memory that a round may allocate
+   */
+  public record RoundLimits(long cpuTimeUs, long timeoutUs, long allocatedBytes) {}
+
+  /** The limits of a broker. */
+  public static final HostLimits STANDARD =
+      new HostLimits(
+          new RoundLimits(20_000, 1_000_000, 8 << 20),
+          5_000_000,
+          2,
+          10_000,
+          CircuitBreakerSettings.STANDARD);
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/scoring/host/HostStatistics.java
@@ -0,0 +1,39 @@
+package dunlinhitch.scoring.host;
+
+import dunlinhitch.scoring.Failure;
+import dunlinhitch.scoring.ScorerIdentity;
+import dunlinhitch.scoring.SharedWeights;
+import java.util.Map;
+
+/**
+ * Statistics of a {@link ScorerHost} for an operator.
+ *
+ * @param scorer the active scorer, or null
+ * @param counters counts of events
+ * @param lastRoundCpuUs processor time of the last round in microseconds
+ * @param abandonedThreads threads of released scorers that have not ended
+ * @param problem why the scorer is ejected and what can be done, or empty
+ */
+public record HostStatistics(
+    ScorerIdentity scorer,
+    Counters counters,
+    long lastRoundCpuUs,
+    int abandonedThreads,
+    String problem) {
+  /**
+   * Counts of events since the host was created.
+   *
+   * @param validRounds rounds whose output was applied
+   * @param failures failures of the scorer by kind
+   * @param mergeResults received weights by result; counted anew when the scorer's identity changes
+   * @param droppedMessages messages that found the mailbox full
+   */
+  public record Counters(
+      long validRounds,
+      Map<Failure, Long> failures,
+      Map<SharedWeights.MergeResult, Long> mergeResults,
+      long droppedMessages) {}
+
+  static final HostStatistics NONE =
+      new HostStatistics(null, new Counters(0, Map.of(), Map.of(), 0), 0, 0, "");
+}
--- a/src/main/java/dunlinhitch/scoring/host/JarLoader.java
+++ b/src/main/java/dunlinhitch/scoring/host/JarClassLoader.java
@@ -20,37 +20,47 @@
 import java.util.jar.JarInputStream;
 
 /**
- * The classes of one plug-in's jar, read whole into memory: the file may be written over or removed
- * while they are in use, no descriptor stays open, and all goes with the last reference to it.
+ * Loads the classes of one plug-in's jar from memory: the file may be overwritten or removed while
+ * they are in use, no file descriptor stays open, and everything is collected with the last
+ * reference to the loader.
  */
-final class JarLoader extends ClassLoader {
-  private static final long MOST_BYTES = 16 << 20;
+final class JarClassLoader extends ClassLoader {
+  /** Size limit of a jar file. */
+  private static final long MAX_JAR_BYTES = 16 << 20;
+
+  /** Size limit of all entries of a jar together, uncompressed. */
+  private static final long MAX_UNPACKED_BYTES = 4 * MAX_JAR_BYTES;
 
   private final Map<String, byte[]> entries = new HashMap<>();
   private final String digest;
 
-  JarLoader(Path jar) throws IOException {
-    super(jar.getFileName().toString(), ApiOnly.INSTANCE);
-    if (Files.size(jar) > MOST_BYTES) {
-      throw new IOException(jar.getFileName() + " is larger than " + MOST_BYTES + " bytes");
+  /** Reads the jar. */
+  JarClassLoader(Path jar) throws IOException {
+    super(jar.getFileName().toString(), ApiClassLoader.INSTANCE);
+    if (Files.size(jar) > MAX_JAR_BYTES) {
+      throw new IOException(jar.getFileName() + " is larger than " + MAX_JAR_BYTES + " bytes");
     }
     byte[] file = Files.readAllBytes(jar);
     digest = digest(file);
-    long left = 4 * MOST_BYTES;
+    readEntries(jar, file);
+    if (entries.isEmpty()) {
+      throw new IOException(jar.getFileName() + " is no jar, or an empty one");
+    }
+  }
+
+  private void readEntries(Path jar, byte[] file) throws IOException {
+    long remaining = MAX_UNPACKED_BYTES;
     try (JarInputStream in = new JarInputStream(new ByteArrayInputStream(file), false)) {
       for (JarEntry entry = in.getNextJarEntry(); entry != null; entry = in.getNextJarEntry()) {
-        byte[] bytes = in.readNBytes((int) Math.min(left + 1, Integer.MAX_VALUE));
-        left -= bytes.length;
-        if (left < 0) {
+        byte[] bytes = in.readNBytes((int) Math.min(remaining + 1, Integer.MAX_VALUE));
+        remaining -= bytes.length;
+        if (remaining < 0) {
           throw new IOException(
-              jar.getFileName() + " unpacks to more than " + 4 * MOST_BYTES + " bytes");
+              jar.getFileName() + " unpacks to more than " + MAX_UNPACKED_BYTES + " bytes");
         }
         entries.put(entry.getName(), bytes);
       }
     }
-    if (entries.isEmpty()) {
-      throw new IOException(jar.getFileName() + " is no jar, or an empty one");
-    }
   }
 
   private static String digest(byte[] bytes) {
@@ -61,7 +71,7 @@
     }
   }
 
-  /** What the file held, to tell whether it has changed. */
+  /** SHA-256 of the file, by which a change of it is detected. */
   String digest() {
     return digest;
   }
@@ -79,7 +89,9 @@
   protected URL findResource(String name) {
     byte[] bytes = entries.get(name);
     try {
-      return bytes == null ? null : new URL("plugin", "", -1, "/" + name, new InMemory(bytes));
+      return bytes == null
+          ? null
+          : new URL("plugin", "", -1, "/" + name, new InMemoryHandler(bytes));
     } catch (IOException e) {
       throw new IllegalStateException(e);
     }
@@ -87,14 +99,15 @@
 
   @Override
   protected Enumeration<URL> findResources(String name) {
-    URL found = findResource(name);
-    return Collections.enumeration(found == null ? List.of() : List.of(found));
+    URL url = findResource(name);
+    return Collections.enumeration(url == null ? List.of() : List.of(url));
   }
 
-  private static final class InMemory extends URLStreamHandler {
+  /** Opens the bytes of one entry. */
+  private static final class InMemoryHandler extends URLStreamHandler {
     private final byte[] bytes;
 
-    private InMemory(byte[] bytes) {
+    private InMemoryHandler(byte[] bytes) {
       this.bytes = bytes;
     }
 
@@ -103,7 +116,7 @@
       return new URLConnection(url) {
         @Override
         public void connect() {
-          // it is here
+          // the bytes are in memory
         }
 
         @Override
--- /dev/null
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerLocator.java
@@ -0,0 +1,120 @@
+package dunlinhitch.scoring.host;
+
+import dunlinhitch.scoring.Failure;
+import dunlinhitch.scoring.ScorerSettings;
+import dunlinhitch.scoring.api.Scorer;
+import dunlinhitch.scoring.api.ScoringApi;
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.ServiceConfigurationError;
+import java.util.ServiceLoader;
+import java.util.stream.Stream;
+
+/**
+ * Locates a scorer by its name, in a directory of jars or among those that ship with the broker.
+ */
+final class ScorerLocator {
+  /** Stands for the digest of a scorer without a jar of its own. */
+  private static final String SHIPPED_DIGEST = "shipped";
+
+  private static final int MAX_VERSION_LENGTH = 64;
+
+  private final ScorerSettings settings;
+  private LoadedScorer located;
+  private LoadException firstProblem;
+
+  private ScorerLocator(ScorerSettings settings) {
+    this.settings = settings;
+  }
+
+  /**
+   * Locates the scorer of that name. Runs code of the plug-in, so it must be called on the scorer's
+   * thread.
+   *
+   * @throws LoadException if there is none; with the problem of the first unreadable jar, if any
+   */
+  static LoadedScorer locate(ScorerSettings settings) throws LoadException {
+    return new ScorerLocator(settings).locate();
+  }
+
+  private LoadedScorer locate() throws LoadException {
+    if (settings.directory() == null) {
+      located = load(Scorer.class.getClassLoader(), SHIPPED_DIGEST);
+    } else {
+      for (Path jar : jars(settings.directory())) {
+        search(jar);
+      }
+    }
+    if (located != null) {
+      return located;
+    }
+    if (firstProblem != null) {
+      throw firstProblem;
+    }
+    String place =
+        settings.directory() == null
+            ? " does not ship"
+            : " is in no jar of " + settings.directory();
+    throw new LoadException(Failure.NOT_THERE, settings.name() + place);
+  }
+
+  private void search(Path jar) throws LoadException {
+    try {
+      JarClassLoader loader = new JarClassLoader(jar);
+      LoadedScorer candidate = load(loader, loader.digest());
+      if (candidate != null && located != null) {
+        throw new LoadException(
+            Failure.WILL_NOT_LOAD, "two jars offer it, one of them " + jar.getFileName());
+      }
+      located = candidate == null ? located : candidate;
+    } catch (IOException e) {
+      recordProblem(e.getMessage());
+    } catch (ServiceConfigurationError | LinkageError e) {
+      recordProblem(jar.getFileName() + ": " + e);
+    }
+  }
+
+  private void recordProblem(String reason) {
+    if (firstProblem == null) {
+      firstProblem = new LoadException(Failure.WILL_NOT_LOAD, reason);
+    }
+  }
+
+  private static List<Path> jars(Path directory) throws LoadException {
+    try (Stream<Path> files = Files.list(directory)) {
+      return files.filter(file -> file.toString().endsWith(".jar")).sorted().toList();
+    } catch (IOException e) {
+      throw new LoadException(Failure.NOT_THERE, "the directory " + directory + " can not be read");
+    }
+  }
+
+  private LoadedScorer load(ClassLoader loader, String digest) throws LoadException {
+    for (Scorer scorer : ServiceLoader.load(Scorer.class, loader)) {
+      if (settings.name().equals(scorer.name())) {
+        checkApi(scorer.api());
+        String version = scorer.version();
+        checkVersion(version);
+        return new LoadedScorer(scorer, settings.identity(version), digest);
+      }
+    }
+    return null;
+  }
+
+  private static void checkApi(int api) throws LoadException {
+    if (api < 1 || api > ScoringApi.VERSION) {
+      throw new LoadException(
+          Failure.LATER_API,
+          "it asks for version " + api + ", this broker has " + ScoringApi.VERSION);
+    }
+  }
+
+  private static void checkVersion(String version) throws LoadException {
+    if (version == null || version.isEmpty() || version.length() > MAX_VERSION_LENGTH) {
+      throw new LoadException(
+          Failure.WILL_NOT_LOAD,
+          "its version is no text of 1 to " + MAX_VERSION_LENGTH + " characters");
+    }
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
@@ -0,0 +1,416 @@
+package dunlinhitch.scoring.host;
+
+import dunlinhitch.cluster.ReplicatedEntry;
+import dunlinhitch.scoring.CircuitBreaker;
+import dunlinhitch.scoring.EjectionNotices;
+import dunlinhitch.scoring.FactorTable;
+import dunlinhitch.scoring.Failure;
+import dunlinhitch.scoring.ScorerIdentity;
+import dunlinhitch.scoring.ScorerSettings;
+import dunlinhitch.scoring.Scoring;
+import dunlinhitch.scoring.SharedWeights;
+import dunlinhitch.scoring.Weight;
+import dunlinhitch.scoring.WeightKey;
+import dunlinhitch.scoring.api.Ending;
+import dunlinhitch.scoring.api.Judgement;
+import dunlinhitch.scoring.api.Round;
+import dunlinhitch.scoring.api.Scorer;
+import java.util.ArrayList;
+import java.util.EnumMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * Loads a scorer, calls it round by round, and ejects it if it fails.
+ *
+ * <p>Not thread-safe: {@link #run} and all messages of the mailbox run on the supervisor thread,
+ * which owns the state. Only {@link #close} may be called on any thread.
+ */
+final class ScorerSupervisor {
+  /** Entries of either kind that are offered for dissemination. */
+  private static final int MAX_GOSSIP_ENTRIES = 64;
+
+  private static final long NEVER = Long.MAX_VALUE / 2;
+
+  /** A scorer that is being loaded while the active one continues. */
+  private record PendingLoad(
+      ScorerThread thread, ScorerCall<LoadedScorer> call, LoadedScorer activeAtStart) {}
+
+  /** Rounds whose judgements have not arrived. */
+  private record PendingRound(List<Round> rounds, ScorerCall<List<List<Judgement>>> call) {}
+
+  private final HostConfiguration configuration;
+  private final HostLimits limits;
+  private final HostEnvironment environment;
+  private final Mailbox mailbox;
+  private final SharedState sharedState;
+  private final EjectionNotices ejectionNotices;
+  private final CircuitBreaker circuitBreaker;
+
+  /** Threads of released scorers that have not ended yet. */
+  private final List<ScorerThread> releasedThreads = new ArrayList<>();
+
+  private volatile boolean closed;
+  private ScorerSettings settings;
+
+  /** The active scorer and its thread; both null while there is none. */
+  private LoadedScorer active;
+
+  private ScorerThread activeThread;
+
+  /** State of the rounds; it outlives a reload of a scorer of the same identity. */
+  private Scoring scoring;
+
+  private PendingRound pendingRound;
+  private PendingLoad pendingLoad;
+  private boolean reloadRequested = true;
+  private long nextActionUs;
+  private long validRounds;
+  private long lastRoundCpuUs;
+
+  /** Memory that the active scorer has allocated in rounds. */
+  private long allocatedBytes;
+
+  /** Versions of the weights of earlier scorers, so that the version of the gossip only rises. */
+  private long earlierWeightVersions;
+
+  ScorerSupervisor(
+      HostConfiguration configuration,
+      HostEnvironment environment,
+      Mailbox mailbox,
+      SharedState sharedState) {
+    this.configuration = configuration;
+    this.environment = environment;
+    this.mailbox = mailbox;
+    this.sharedState = sharedState;
+    limits = configuration.limits();
+    settings = configuration.scorer();
+    ejectionNotices = new EjectionNotices(configuration.self());
+    circuitBreaker = new CircuitBreaker(limits.circuitBreaker(), configuration.seed());
+  }
+
+  /** The loop of the supervisor thread; returns after {@link #close} and an interrupt. */
+  void run() {
+    try {
+      while (!closed) {
+        Runnable message = mailbox.poll(Math.max(0, nextDeadlineUs() - nowUs()));
+        if (message != null) {
+          message.run();
+        }
+        onTimer(nowUs());
+      }
+    } catch (InterruptedException e) {
+      // closed
+    } finally {
+      sharedState.setFactors(FactorTable.NONE);
+      release();
+      if (pendingLoad != null) {
+        pendingLoad.thread.abandon();
+      }
+    }
+  }
+
+  /** Ends the loop; the caller interrupts the thread. */
+  void close() {
+    closed = true;
+  }
+
+  void onAttemptCompleted(String store, int queryClass, Ending attempt) {
+    if (scoring != null) {
+      scoring.ended(store, queryClass, attempt);
+    }
+  }
+
+  void onWeightReceived(ReplicatedEntry<WeightKey, Weight> weight) {
+    if (scoring != null) {
+      scoring.weights().told(dayUs(), weight);
+    }
+  }
+
+  void onEjectionNoticeReceived(ReplicatedEntry<ScorerIdentity, Failure> notice) {
+    ejectionNotices.merge(dayUs(), notice);
+  }
+
+  void onReload(ScorerSettings newSettings) {
+    settings = newSettings;
+    reloadRequested = true;
+    circuitBreaker.reset();
+  }
+
+  private long nowUs() {
+    return environment.nowUs().getAsLong();
+  }
+
+  private long dayUs() {
+    return environment.dayUs().getAsLong();
+  }
+
+  private long nextDeadlineUs() {
+    long deadlineUs = NEVER;
+    if (pendingRound != null) {
+      deadlineUs = Math.min(deadlineUs, pendingRound.call.deadlineUs());
+    }
+    if (pendingLoad != null) {
+      deadlineUs = Math.min(deadlineUs, pendingLoad.call.deadlineUs());
+    }
+    if (isRoundWanted()) {
+      deadlineUs = Math.min(deadlineUs, nextActionUs);
+    }
+    if (isLoadWanted()) {
+      deadlineUs = Math.min(deadlineUs, Math.max(nextActionUs, circuitBreaker.retryAtUs()));
+    }
+    return deadlineUs;
+  }
+
+  private boolean isRoundWanted() {
+    return active != null && pendingRound == null;
+  }
+
+  private boolean isLoadWanted() {
+    return pendingLoad == null && pendingRound == null && (active == null || reloadRequested);
+  }
+
+  private void onTimer(long nowUs) {
+    if (pendingRound != null && nowUs >= pendingRound.call.deadlineUs()) {
+      onRoundTimeout(nowUs);
+    }
+    if (pendingLoad != null && nowUs >= pendingLoad.call.deadlineUs()) {
+      onLoadTimeout(nowUs);
+    }
+    releasedThreads.removeIf(thread -> !thread.isAlive());
+    if (isLoadWanted() && nowUs >= nextActionUs && circuitBreaker.allowsRequest(nowUs)) {
+      nextActionUs = nextRoundUs(nowUs);
+      if (releasedThreads.size() < limits.maxAbandonedThreads()) {
+        startLoad(nowUs);
+      }
+    } else if (isRoundWanted() && nowUs >= nextActionUs) {
+      nextActionUs = nextRoundUs(nowUs);
+      startRound(nowUs);
+    }
+  }
+
+  private long nextRoundUs(long nowUs) {
+    return scoring != null ? scoring.nextRoundUs(nowUs) : nowUs + configuration.rule().roundUs();
+  }
+
+  private void onRoundTimeout(long nowUs) {
+    pendingRound = null;
+    releasedThreads.add(activeThread);
+    activeThread.abandon();
+    activeThread = null;
+    eject(
+        nowUs,
+        Failure.NEVER_RETURNS,
+        "a round was not answered within " + limits.round().timeoutUs() + " µs");
+  }
+
+  private void onLoadTimeout(long nowUs) {
+    ScorerThread thread = pendingLoad.thread;
+    pendingLoad = null;
+    releasedThreads.add(thread);
+    thread.abandon();
+    onLoadFailure(
+        nowUs, Failure.NEVER_RETURNS, "it was not loaded within " + limits.loadTimeoutUs() + " µs");
+  }
+
+  private void startLoad(long nowUs) {
+    reloadRequested = false;
+    ScorerCall<LoadedScorer> call =
+        new ScorerCall<>(
+            nowUs + limits.loadTimeoutUs(), Failure.WILL_NOT_LOAD, new LoadTask(settings, active));
+    ScorerThread thread =
+        new ScorerThread(
+            settings.name(), completed -> mailbox.add(() -> onCallCompleted(completed)));
+    pendingLoad = new PendingLoad(thread, call, active);
+    thread.submit(call);
+  }
+
+  private void startRound(long nowUs) {
+    scoring.seen(sharedState.endpoints());
+    List<Round> rounds = scoring.rounds(nowUs, dayUs());
+    ScorerCall<List<List<Judgement>>> call =
+        new ScorerCall<>(
+            nowUs + limits.round().timeoutUs(),
+            Failure.THROWS,
+            new RoundTask(active.scorer(), rounds));
+    pendingRound = new PendingRound(rounds, call);
+    activeThread.submit(call);
+  }
+
+  /** A call that is no longer pending has timed out or belongs to a released scorer: ignored. */
+  private void onCallCompleted(ScorerCall<?> call) {
+    long nowUs = nowUs();
+    if (pendingRound != null && call == pendingRound.call) {
+      PendingRound completed = pendingRound;
+      pendingRound = null;
+      onRoundCompleted(nowUs, completed);
+    } else if (pendingLoad != null && call == pendingLoad.call) {
+      PendingLoad completed = pendingLoad;
+      pendingLoad = null;
+      onLoadCompleted(nowUs, completed);
+    }
+  }
+
+  private void onRoundCompleted(long nowUs, PendingRound round) {
+    ScorerCall<List<List<Judgement>>> call = round.call;
+    allocatedBytes += call.allocatedBytes();
+    lastRoundCpuUs = call.cpuTimeUs();
+    long dayUs = dayUs();
+    boolean slow = call.cpuTimeUs() > limits.round().cpuTimeUs();
+    if (call.failure() != null) {
+      eject(nowUs, call.failure(), call.reason());
+    } else if (call.allocatedBytes() > limits.round().allocatedBytes()) {
+      eject(nowUs, Failure.HOLDS_MEMORY, call.allocatedBytes() + " bytes in one round");
+    } else if (allocatedBytes > limits.round().allocatedBytes()
+        && environment.isMemoryShort().getAsBoolean()) {
+      eject(
+          nowUs,
+          Failure.HOLDS_MEMORY,
+          "the heap is nearly full, and it took " + allocatedBytes + " bytes since it was loaded");
+    } else if (slow && circuitBreaker.onSlowRound()) {
+      eject(nowUs, Failure.SLOW, call.cpuTimeUs() + " µs in one round, not for the first time");
+    } else {
+      String problem = scoring.judged(dayUs, round.rounds, call.result());
+      if (problem.isEmpty()) {
+        onValidRound(slow);
+      } else {
+        eject(nowUs, Failure.NONSENSE, problem);
+      }
+    }
+  }
+
+  private void onValidRound(boolean slow) {
+    validRounds++;
+    sharedState.setFactors(scoring.table());
+    if (!slow) {
+      circuitBreaker.onSuccess();
+    }
+    publish();
+  }
+
+  @SuppressWarnings("ReferenceEquality") // the task returns the very object if nothing changed
+  private void onLoadCompleted(long nowUs, PendingLoad load) {
+    ScorerCall<LoadedScorer> call = load.call;
+    boolean unchanged = call.failure() == null && call.result() == load.activeAtStart;
+    if (call.failure() != null || unchanged) {
+      load.thread.shutdown();
+      releasedThreads.add(load.thread);
+      if (call.failure() != null) {
+        onLoadFailure(nowUs, call.failure(), call.reason());
+      }
+      return;
+    }
+    release();
+    active = call.result();
+    activeThread = load.thread;
+    if (scoring == null || !scoring.scorer().equals(active.identity())) {
+      replaceScoring(active.identity());
+    }
+    environment
+        .log()
+        .accept(
+            "scorer " + active.identity().name() + " " + active.identity().version() + " judges");
+    publish();
+  }
+
+  private void replaceScoring(ScorerIdentity identity) {
+    earlierWeightVersions += scoring == null ? 0 : scoring.weights().version();
+    scoring =
+        new Scoring(
+            configuration.self(),
+            identity,
+            configuration.rule(),
+            configuration.queryClasses(),
+            configuration.seed());
+    sharedState.setFactors(FactorTable.NONE);
+  }
+
+  /** The active scorer continues unless its jar was removed. */
+  private void onLoadFailure(long nowUs, Failure failure, String reason) {
+    if (failure == Failure.NOT_THERE) {
+      sharedState.setFactors(FactorTable.NONE);
+      release();
+    }
+    circuitBreaker.onFailure(nowUs, failure, reason, 0);
+    environment.log().accept(circuitBreaker.describe(settings.name()));
+    publish();
+  }
+
+  private void eject(long nowUs, Failure failure, String reason) {
+    long dayUs = dayUs();
+    sharedState.setFactors(FactorTable.NONE);
+    ejectionNotices.recordOwn(dayUs, active.identity(), failure);
+    circuitBreaker.onFailure(
+        nowUs, failure, reason, ejectionNotices.otherEjections(dayUs, active.identity()));
+    release();
+    environment.log().accept(circuitBreaker.describe(settings.name()));
+    publish();
+  }
+
+  /**
+   * Drops all references to classes of the active scorer; its own thread closes it and ends.
+   * Without an active scorer nothing happens.
+   */
+  private void release() {
+    if (activeThread != null) {
+      Scorer scorer = active.scorer();
+      activeThread.submit(
+          new ScorerCall<Void>(
+              0,
+              Failure.THROWS,
+              () -> {
+                scorer.close();
+                return null;
+              }));
+      activeThread.shutdown();
+      releasedThreads.add(activeThread);
+    }
+    activeThread = null;
+    active = null;
+    pendingRound = null;
+    allocatedBytes = 0;
+  }
+
+  private void publish() {
+    publishGossip();
+    HostStatistics.Counters counters =
+        new HostStatistics.Counters(
+            validRounds, failureCounts(), mergeResultCounts(), mailbox.dropped());
+    sharedState.setStatistics(
+        new HostStatistics(
+            active == null ? null : active.identity(),
+            counters,
+            lastRoundCpuUs,
+            releasedThreads.size(),
+            circuitBreaker.describe(settings.name())));
+  }
+
+  private void publishGossip() {
+    long weightVersion = scoring == null ? 0 : scoring.weights().version();
+    long version = earlierWeightVersions + ejectionNotices.version() + weightVersion;
+    if (version == sharedState.pendingGossip().version()) {
+      return;
+    }
+    sharedState.setPendingGossip(
+        new PendingGossip(
+            version,
+            scoring == null ? List.of() : scoring.weights().since(0, MAX_GOSSIP_ENTRIES),
+            ejectionNotices.since(0, MAX_GOSSIP_ENTRIES)));
+  }
+
+  private Map<Failure, Long> failureCounts() {
+    Map<Failure, Long> counts = new EnumMap<>(Failure.class);
+    for (Failure failure : Failure.values()) {
+      counts.put(failure, circuitBreaker.count(failure));
+    }
+    return Map.copyOf(counts);
+  }
+
+  private Map<SharedWeights.MergeResult, Long> mergeResultCounts() {
+    Map<SharedWeights.MergeResult, Long> counts = new EnumMap<>(SharedWeights.MergeResult.class);
+    for (SharedWeights.MergeResult result : SharedWeights.MergeResult.values()) {
+      counts.put(result, scoring == null ? 0 : scoring.weights().count(result));
+    }
+    return Map.copyOf(counts);
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/scoring/host/SharedState.java
@@ -0,0 +1,48 @@
+package dunlinhitch.scoring.host;
+
+import dunlinhitch.scoring.FactorTable;
+import dunlinhitch.scoring.Sight;
+import java.util.List;
+
+/**
+ * Immutable values exchanged between the event loop and the supervisor thread; only the latest
+ * counts.
+ */
+final class SharedState {
+  private volatile List<Sight> endpoints = List.of();
+  private volatile FactorTable factors = FactorTable.NONE;
+  private volatile PendingGossip pendingGossip = PendingGossip.NONE;
+  private volatile HostStatistics statistics = HostStatistics.NONE;
+
+  List<Sight> endpoints() {
+    return endpoints;
+  }
+
+  void setEndpoints(List<Sight> endpoints) {
+    this.endpoints = endpoints;
+  }
+
+  FactorTable factors() {
+    return factors;
+  }
+
+  void setFactors(FactorTable factors) {
+    this.factors = factors;
+  }
+
+  PendingGossip pendingGossip() {
+    return pendingGossip;
+  }
+
+  void setPendingGossip(PendingGossip pendingGossip) {
+    this.pendingGossip = pendingGossip;
+  }
+
+  HostStatistics statistics() {
+    return statistics;
+  }
+
+  void setStatistics(HostStatistics statistics) {
+    this.statistics = statistics;
+  }
+}
--- a/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
@@ -14,15 +14,26 @@
 import java.util.Set;
 
 /**
- * Peak EWMA: a store's latency rises at once with a slow answer and falls slowly with quick ones.
- * The factor is its latency by the mean of its cell, by a root, since the wait behind the work that
- * is out is counted already. It shares no weights: a latency is as much the way's as the store's.
+ * Peak EWMA: the latency estimate of an endpoint rises at once with a slow response and decays
+ * exponentially with fast ones. The factor is the square root of the estimate by the geometric mean
+ * of its cell, because the wait behind outstanding work is predicted separately. It shares no
+ * weights: a latency depends on the network path as much as on the endpoint.
+ *
+ * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
 public final class PeakLatency implements Scorer {
-  private record Seen(double us, long atUs, long startedMs) {}
+  /** Name of the parameter with the time constant of the decay, in seconds. */
+  private static final String DECAY_PARAMETER = "life";
 
-  private final Map<String, Map<String, Seen>> byClass = new HashMap<>();
-  private double lifeUs = 10e6;
+  private static final double MICROS_PER_SECOND = 1e6;
+
+  /** The square root of the latency ratio, as a power. */
+  private static final double EXPONENT = 0.5;
+
+  private record LatencyEstimate(double latencyUs, long updatedAtUs, long startedMs) {}
+
+  private final Map<String, Map<String, LatencyEstimate>> estimatesByClass = new HashMap<>();
+  private double decayTimeUs = 10e6;
 
   @Override
   public int api() {
@@ -39,12 +50,12 @@
     return "1";
   }
 
-  /** {@code life}: seconds in which a peak fades e-fold. */
+  /** Reads {@code life}: seconds in which a peak decays to 1/e. */
   @Override
   public void begin(Map<String, String> parameters) {
-    if (parameters.containsKey("life")) {
-      lifeUs = Double.parseDouble(parameters.get("life")) * 1e6;
-      if (!(lifeUs > 0)) {
+    if (parameters.containsKey(DECAY_PARAMETER)) {
+      decayTimeUs = Double.parseDouble(parameters.get(DECAY_PARAMETER)) * MICROS_PER_SECOND;
+      if (!(decayTimeUs > 0)) {
         throw new IllegalArgumentException("life is seconds, above 0");
       }
     }
@@ -52,42 +63,52 @@
 
   @Override
   public List<Judgement> judge(Round round) {
-    Map<String, Seen> seen = byClass.computeIfAbsent(round.queryClass(), c -> new HashMap<>());
-    Set<String> there = new HashSet<>();
-    Map<Integer, double[]> cells = new HashMap<>();
-    for (Candidate c : round.candidates()) {
-      there.add(c.store());
-      Seen before = seen.get(c.store());
-      Seen now = before != null && before.startedMs == c.startedMs() ? before : null;
-      for (Ending ending : c.endings()) {
-        if (ending.outcome() != Ending.Outcome.FAILED) {
-          double keep = now == null ? 0 : Math.exp((now.atUs - ending.atUs()) / lifeUs);
-          double mean =
-              now == null ? ending.tookUs() : now.us * keep + ending.tookUs() * (1 - keep);
-          now =
-              new Seen(
-                  Math.max(1, Math.max(mean, (double) ending.tookUs())),
-                  ending.atUs(),
-                  c.startedMs());
-        }
-      }
-      seen.put(c.store(), now);
-      if (now != null) {
-        double[] sum = cells.computeIfAbsent(c.cell(), cell -> new double[2]);
-        sum[0] += Math.log(now.us);
-        sum[1]++;
+    Map<String, LatencyEstimate> estimates =
+        estimatesByClass.computeIfAbsent(round.queryClass(), key -> new HashMap<>());
+    CellMeans cellMeans = new CellMeans();
+    Set<String> present = new HashSet<>();
+    for (Candidate candidate : round.candidates()) {
+      present.add(candidate.store());
+      LatencyEstimate estimate = update(estimates.get(candidate.store()), candidate);
+      estimates.put(candidate.store(), estimate);
+      if (estimate != null) {
+        cellMeans.add(candidate.cell(), Math.log(estimate.latencyUs));
       }
     }
-    seen.keySet().retainAll(there);
-    List<Judgement> said = new ArrayList<>();
-    for (Candidate c : round.candidates()) {
-      Seen now = seen.get(c.store());
-      double[] sum = cells.get(c.cell());
-      said.add(
-          now == null
+    estimates.keySet().retainAll(present);
+    List<Judgement> judgements = new ArrayList<>();
+    for (Candidate candidate : round.candidates()) {
+      LatencyEstimate estimate = estimates.get(candidate.store());
+      judgements.add(
+          estimate == null
               ? Judgement.NONE
-              : Judgement.of(Math.exp(0.5 * (Math.log(now.us) - sum[0] / sum[1]))));
+              : Judgement.of(
+                  Math.exp(
+                      EXPONENT
+                          * (Math.log(estimate.latencyUs) - cellMeans.mean(candidate.cell())))));
+    }
+    return judgements;
+  }
+
+  /** The estimate after the attempts of this round; null if there is none of this incarnation. */
+  private LatencyEstimate update(LatencyEstimate previous, Candidate candidate) {
+    boolean sameIncarnation = previous != null && previous.startedMs == candidate.startedMs();
+    LatencyEstimate estimate = sameIncarnation ? previous : null;
+    for (Ending attempt : candidate.endings()) {
+      if (attempt.outcome() != Ending.Outcome.FAILED) {
+        double latencyUs = Math.max(average(estimate, attempt), (double) attempt.tookUs());
+        estimate =
+            new LatencyEstimate(Math.max(1, latencyUs), attempt.atUs(), candidate.startedMs());
+      }
+    }
+    return estimate;
+  }
+
+  private double average(LatencyEstimate estimate, Ending attempt) {
+    if (estimate == null) {
+      return attempt.tookUs();
     }
-    return said;
+    double retained = Math.exp((estimate.updatedAtUs - attempt.atUs()) / decayTimeUs);
+    return estimate.latencyUs * retained + attempt.tookUs() * (1 - retained);
   }
 }
--- a/src/main/java/dunlinhitch/scoring/shipped/StorePace.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/StorePace.java
@@ -15,34 +15,52 @@
 import java.util.Set;
 
 /**
- * Learns how many times longer a store takes than was foreseen: a store that says that it is idle
- * and is not, or whose machine is slower than the others'. What this broker saw is shared; the
- * factor is that together with what the fleet saw, by the mean of the store's cell.
+ * Learns by what ratio an endpoint takes longer than predicted: its load report is wrong, or its
+ * machine is slower than the others. The ratio that this broker observed is shared as a weight; the
+ * factor combines it with the weight of the other brokers, relative to the mean of the cell.
+ *
+ * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
 public final class StorePace implements Scorer {
+  /** Half-life of an observation. */
   private static final double HALF_LIFE_US = 30e6;
 
-  /** So many endings that say 1 stand against the first that say otherwise. */
-  private static final double DOUBT = 4;
+  /** Number of attempts of ratio 1 that are assumed before the first observation (the prior). */
+  private static final double PRIOR_ATTEMPTS = 4;
 
-  private static final double MOST = Math.log(20);
+  /** The largest logarithm of a ratio that one attempt counts for, either way. */
+  private static final double MAX_LOG_RATIO = Math.log(20);
 
-  /** Sum of logarithms and of counts, fading together. */
-  private static final class Pace {
+  /** Exponentially decayed sum and count of the logarithms of ratios. */
+  private static final class LatencyRatio {
     private final long startedMs;
     private double sum;
     private double count;
-    private long atUs;
+    private long decayedAtUs;
 
-    private Pace(long startedMs) {
+    private LatencyRatio(long startedMs) {
       this.startedMs = startedMs;
     }
 
-    private void fade(long nowUs) {
-      double keep = count == 0 ? 0 : Math.pow(0.5, Math.max(0, nowUs - atUs) / HALF_LIFE_US);
-      sum *= keep;
-      count *= keep;
-      atUs = nowUs;
+    private void decay(long nowUs) {
+      double retained =
+          count == 0 ? 0 : Math.pow(0.5, Math.max(0, nowUs - decayedAtUs) / HALF_LIFE_US);
+      sum *= retained;
+      count *= retained;
+      decayedAtUs = nowUs;
+    }
+
+    private void add(Ending attempt) {
+      double logRatio =
+          Math.log((double) Math.max(1, attempt.tookUs()) / Math.max(1, attempt.foreseenUs()));
+      sum += Math.max(-MAX_LOG_RATIO, Math.min(MAX_LOG_RATIO, logRatio));
+      count++;
+    }
+
+    /** The mean of this broker's observations together with the other brokers' weight. */
+    private double combinedMean(FleetWeight fleet) {
+      return (sum + fleet.evidence() * Math.log(fleet.weight()))
+          / (count + fleet.evidence() + PRIOR_ATTEMPTS);
     }
 
     private double mean() {
@@ -50,7 +68,7 @@
     }
   }
 
-  private final Map<String, Map<String, Pace>> byClass = new HashMap<>();
+  private final Map<String, Map<String, LatencyRatio>> ratiosByClass = new HashMap<>();
 
   @Override
   public int api() {
@@ -69,44 +87,42 @@
 
   @Override
   public List<Judgement> judge(Round round) {
-    Map<String, Pace> paces = byClass.computeIfAbsent(round.queryClass(), c -> new HashMap<>());
-    Set<String> there = new HashSet<>();
-    Map<Integer, double[]> cells = new HashMap<>();
-    List<Double> together = new ArrayList<>();
-    for (Candidate c : round.candidates()) {
-      there.add(c.store());
-      Pace pace =
-          paces.compute(
-              c.store(),
-              (name, p) -> p == null || p.startedMs != c.startedMs() ? new Pace(c.startedMs()) : p);
-      pace.fade(round.nowUs());
-      for (Ending ending : c.endings()) {
-        if (ending.outcome() != Ending.Outcome.FAILED) {
-          double times =
-              Math.log((double) Math.max(1, ending.tookUs()) / Math.max(1, ending.foreseenUs()));
-          pace.sum += Math.max(-MOST, Math.min(MOST, times));
-          pace.count++;
-        }
-      }
-      FleetWeight fleet = c.fleet();
-      double all =
-          (pace.sum + fleet.evidence() * Math.log(fleet.weight()))
-              / (pace.count + fleet.evidence() + DOUBT);
-      together.add(all);
-      double[] sum = cells.computeIfAbsent(c.cell(), cell -> new double[2]);
-      sum[0] += all;
-      sum[1]++;
+    Map<String, LatencyRatio> ratios =
+        ratiosByClass.computeIfAbsent(round.queryClass(), key -> new HashMap<>());
+    Set<String> present = new HashSet<>();
+    CellMeans cellMeans = new CellMeans();
+    List<Double> combinedMeans = new ArrayList<>();
+    for (Candidate candidate : round.candidates()) {
+      present.add(candidate.store());
+      LatencyRatio ratio = update(ratios, candidate, round.nowUs());
+      double combinedMean = ratio.combinedMean(candidate.fleet());
+      combinedMeans.add(combinedMean);
+      cellMeans.add(candidate.cell(), combinedMean);
     }
-    paces.keySet().retainAll(there);
-    List<Judgement> said = new ArrayList<>();
-    for (int i = 0; i < round.candidates().size(); i++) {
-      Candidate c = round.candidates().get(i);
-      double[] sum = cells.get(c.cell());
-      Pace pace = paces.get(c.store());
-      said.add(
-          new Judgement(
-              Math.exp(together.get(i) - sum[0] / sum[1]), Math.exp(pace.mean()), pace.count));
+    ratios.keySet().retainAll(present);
+    List<Judgement> judgements = new ArrayList<>();
+    for (int index = 0; index < round.candidates().size(); index++) {
+      Candidate candidate = round.candidates().get(index);
+      LatencyRatio ratio = ratios.get(candidate.store());
+      double factor = Math.exp(combinedMeans.get(index) - cellMeans.mean(candidate.cell()));
+      judgements.add(new Judgement(factor, Math.exp(ratio.mean()), ratio.count));
+    }
+    return judgements;
+  }
+
+  private static LatencyRatio update(
+      Map<String, LatencyRatio> ratios, Candidate candidate, long nowUs) {
+    LatencyRatio ratio = ratios.get(candidate.store());
+    if (ratio == null || ratio.startedMs != candidate.startedMs()) {
+      ratio = new LatencyRatio(candidate.startedMs());
+      ratios.put(candidate.store(), ratio);
+    }
+    ratio.decay(nowUs);
+    for (Ending attempt : candidate.endings()) {
+      if (attempt.outcome() != Ending.Outcome.FAILED) {
+        ratio.add(attempt);
+      }
     }
-    return said;
+    return ratio;
   }
 }
--- a/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
+++ b/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
@@ -5,13 +5,13 @@
 import static org.junit.jupiter.api.Assertions.assertSame;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dunlinhitch.scoring.CircuitBreakerSettings;
 import dunlinhitch.scoring.FactorTable;
 import dunlinhitch.scoring.Failure;
 import dunlinhitch.scoring.ScorerSettings;
 import dunlinhitch.scoring.Scoring;
 import dunlinhitch.scoring.ScoringRule;
 import dunlinhitch.scoring.Sight;
-import dunlinhitch.scoring.StandingRule;
 import dunlinhitch.scoring.api.Ending;
 import dunlinhitch.scoring.api.Scorer;
 import java.io.IOException;
@@ -37,9 +37,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/**
- * Plug-ins that are compiled here, against the interface alone, and loaded as an operator's are.
- */
+/** Compiles plug-ins against the interface alone and loads them as an operator's. */
 class ScorerHostTest {
   private static final String SOURCE =
       """
@@ -82,67 +80,67 @@
                 }
             }
             """;
-  private static final List<Scoring.Kind> KINDS = List.of(new Scoring.Kind("a", 100_000));
-  private static final ScoringRule QUICK =
+  private static final List<Scoring.Kind> QUERY_CLASSES = List.of(new Scoring.Kind("a", 100_000));
+  private static final ScoringRule FAST_ROUNDS =
       new ScoringRule(ScoringRule.STANDARD.weights(), ScoringRule.STANDARD.damping(), 2_000, 64);
 
-  /** What fails is not tried again within the test, and nothing is late. */
-  private static final HostRule ONCE =
-      new HostRule(
+  /** A backoff longer than the test, and timeouts that are not reached. */
+  private static final HostLimits NO_RETRY =
+      new HostLimits(
+          new HostLimits.RoundLimits(60_000_000, 60_000_000, 8 << 20),
           60_000_000,
-          60_000_000,
-          60_000_000,
-          8 << 20,
           2,
           100,
-          new StandingRule(3_600_000_000L, 3_600_000_000L, 10, 2));
+          new CircuitBreakerSettings(3_600_000_000L, 3_600_000_000L, 10, 2));
 
-  @TempDir private Path dir;
+  @TempDir private Path directory;
 
-  /** One for each time that the keeper looked at the clock: what it did before can be seen then. */
-  private final Semaphore looked = new Semaphore(0);
+  /**
+   * A permit for each read of the clock by the supervisor: its earlier effects are visible then.
+   */
+  private final Semaphore clockReads = new Semaphore(0);
 
-  private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
+  private final List<String> logLines = Collections.synchronizedList(new ArrayList<>());
 
-  private ScorerHost host(ScorerSettings settings, HostRule rule, boolean memoryIsShort) {
+  private ScorerHost host(ScorerSettings settings, HostLimits limits, boolean memoryIsShort) {
     ScorerHost host =
         new ScorerHost(
-            "me",
-            settings,
-            QUICK,
-            rule,
-            KINDS,
-            1,
-            new ScorerHost.Surroundings(
+            new HostConfiguration("me", settings, FAST_ROUNDS, limits, QUERY_CLASSES, 1),
+            new HostEnvironment(
                 () -> {
-                  looked.release();
+                  clockReads.release();
                   return System.nanoTime() / 1_000;
                 },
                 () -> System.currentTimeMillis() * 1_000,
-                () -> memoryIsShort),
-            lines::add);
-    host.seen(List.of(new Sight(0, "s0", 0, "z", true, 1, 0, 0, List.of(), 0)));
+                () -> memoryIsShort,
+                logLines::add));
+    host.updateEndpoints(List.of(new Sight(0, "s0", 0, "z", true, 1, 0, 0, List.of(), 0)));
     return host;
   }
 
   private void await(BooleanSupplier condition) throws InterruptedException {
     while (!condition.getAsBoolean()) {
-      assertTrue(looked.tryAcquire(60, TimeUnit.SECONDS), () -> "nothing moved any more: " + lines);
+      assertTrue(
+          clockReads.tryAcquire(60, TimeUnit.SECONDS), () -> "nothing moved any more: " + logLines);
     }
   }
 
-  private ScorerSettings odd(String mode) {
-    return new ScorerSettings("odd", dir, Map.of("mode", mode));
+  private static long failures(ScorerHost host, Failure failure) {
+    return host.statistics().counters().failures().getOrDefault(failure, 0L);
+  }
+
+  private ScorerSettings settings(String mode) {
+    return new ScorerSettings("odd", directory, Map.of("mode", mode));
   }
 
-  /** Compiles against the classes of the interface and nothing else. */
-  private static void jar(Path jar, Path source, String service) throws IOException {
+  /** Compiles a plug-in against the classes of the interface and nothing else. */
+  private static void compileJar(Path jar, Path source, String service) throws IOException {
     Path work = Files.createTempDirectory(jar.toAbsolutePath().getParent(), "build");
     Path api = Files.createDirectories(work.resolve("api/dunlinhitch/scoring/api"));
     Path classes = Files.createDirectories(work.resolve("classes"));
-    try (Stream<Path> all = Files.list(Path.of("target/classes/dunlinhitch/scoring/api"))) {
-      for (Path one : all.toList()) {
-        Files.copy(one, api.resolve(one.getFileName()));
+    try (Stream<Path> files = Files.list(Path.of("target/classes/dunlinhitch/scoring/api"))) {
+      for (Path file : files.toList()) {
+        Files.copy(file, api.resolve(file.getFileName()));
       }
     }
     assertEquals(
@@ -157,27 +155,28 @@
                 "-d",
                 classes.toString(),
                 source.toString()));
-    try (OutputStream file = Files.newOutputStream(jar);
-        JarOutputStream out = new JarOutputStream(file);
-        Stream<Path> all = Files.walk(classes)) {
-      for (Path one : all.filter(Files::isRegularFile).toList()) {
-        out.putNextEntry(new JarEntry(classes.relativize(one).toString()));
-        Files.copy(one, out);
+    try (OutputStream output = Files.newOutputStream(jar);
+        JarOutputStream out = new JarOutputStream(output);
+        Stream<Path> files = Files.walk(classes)) {
+      for (Path file : files.filter(Files::isRegularFile).toList()) {
+        out.putNextEntry(new JarEntry(classes.relativize(file).toString()));
+        Files.copy(file, out);
       }
       out.putNextEntry(new JarEntry("META-INF/services/" + Scorer.class.getName()));
       out.write(service.getBytes(StandardCharsets.UTF_8));
     }
   }
 
-  private void oddJar(String name, String api, String version, String factor) throws IOException {
-    Path source = Files.createDirectories(dir.resolve("src")).resolve("Odd.java");
+  private void compileScorerJar(String name, String api, String version, String factor)
+      throws IOException {
+    Path source = Files.createDirectories(directory.resolve("src")).resolve("Odd.java");
     Files.writeString(
         source,
         SOURCE
             .replace("API;", api + ";")
             .replace("VERSION\"", version + "\"")
             .replace("FACTOR", factor));
-    jar(dir.resolve(name), source, "p.Odd");
+    compileJar(directory.resolve(name), source, "p.Odd");
   }
 
   @ParameterizedTest
@@ -191,116 +190,130 @@
     "refuses,WILL_NOT_LOAD",
     "looks,WILL_NOT_LOAD"
   })
-  void oneThatFailsIsLeftOutAndNamedWithItsRemedy(String mode, Failure failure) throws Exception {
-    oddJar("odd.jar", "ScoringApi.VERSION", "1", "2");
-    try (ScorerHost host = host(odd(mode), ONCE, false)) {
-      await(() -> host.figures().failures().getOrDefault(failure, 0L) == 1);
+  void failingScorerIsEjectedAndReportedWithItsRemedy(String mode, Failure failure)
+      throws Exception {
+    compileScorerJar("odd.jar", "ScoringApi.VERSION", "1", "2");
+    try (ScorerHost host = host(settings(mode), NO_RETRY, false)) {
+      await(() -> failures(host, failure) == 1);
       assertSame(FactorTable.NONE, host.factors());
-      assertNull(host.figures().scorer());
-      assertTrue(host.figures().trouble().contains(failure.remedy()), host.figures().trouble());
-      boolean judged = failure != Failure.WILL_NOT_LOAD;
-      assertEquals(judged ? 1 : 0, host.news().verdicts().size());
+      assertNull(host.statistics().scorer());
+      assertTrue(
+          host.statistics().problem().contains(failure.remedy()), host.statistics().problem());
+      boolean loaded = failure != Failure.WILL_NOT_LOAD;
+      assertEquals(loaded ? 1 : 0, host.pendingGossip().ejectionNotices().size());
     }
   }
 
   @Test
-  void oneThatIsSlowTooOftenOrCreepsUpTheHeapIsLeftOut() throws Exception {
-    oddJar("odd.jar", "ScoringApi.VERSION", "1", "2");
-    HostRule strict = new HostRule(1_000, 60_000_000, 60_000_000, 8 << 20, 2, 100, ONCE.standing());
-    try (ScorerHost host = host(odd("slow"), strict, false)) {
-      await(() -> host.figures().failures().getOrDefault(Failure.SLOW, 0L) == 1);
-      assertEquals(1, host.figures().rounds());
+  void scorerThatIsSlowOrLeaksMemoryIsEjected() throws Exception {
+    compileScorerJar("odd.jar", "ScoringApi.VERSION", "1", "2");
+    HostLimits littleCpuTime =
+        new HostLimits(
+            new HostLimits.RoundLimits(1_000, 60_000_000, 8 << 20),
+            60_000_000,
+            2,
+            100,
+            NO_RETRY.circuitBreaker());
+    try (ScorerHost host = host(settings("slow"), littleCpuTime, false)) {
+      await(() -> failures(host, Failure.SLOW) == 1);
+      assertEquals(1, host.statistics().counters().validRounds());
     }
-    try (ScorerHost host = host(odd("creeps"), ONCE, true)) {
-      await(() -> host.figures().failures().getOrDefault(Failure.HOLDS_MEMORY, 0L) == 1);
-      assertTrue(host.figures().rounds() > 1);
+    try (ScorerHost host = host(settings("creeps"), NO_RETRY, true)) {
+      await(() -> failures(host, Failure.HOLDS_MEMORY) == 1);
+      assertTrue(host.statistics().counters().validRounds() > 1);
     }
   }
 
   /**
-   * Each time it stays a thread is left behind; with so many none is loaded any more, and the loop
-   * is never waited for.
+   * Each timeout abandons a thread; at the limit no scorer is loaded any more, and the event loop
+   * never waits.
    */
   @Test
-  void oneThatNeverReturnsHoldsNothingButItsThreads() throws Exception {
-    oddJar("odd.jar", "ScoringApi.VERSION", "1", "2");
-    HostRule impatient =
-        new HostRule(
-            60_000_000, 20_000, 60_000_000, 8 << 20, 2, 100, new StandingRule(1, 1, 10, 2));
-    try (ScorerHost host = host(odd("stays"), impatient, false)) {
-      await(() -> host.figures().failures().getOrDefault(Failure.NEVER_RETURNS, 0L) == 2);
-      looked.drainPermits();
-      looked.acquire(20); // it goes on looking, and loads none
-      assertEquals(2, host.figures().failures().get(Failure.NEVER_RETURNS));
-      assertEquals(2, host.figures().stuck());
+  void scorerThatNeverReturnsBlocksOnlyItsOwnThreads() throws Exception {
+    compileScorerJar("odd.jar", "ScoringApi.VERSION", "1", "2");
+    HostLimits shortTimeout =
+        new HostLimits(
+            new HostLimits.RoundLimits(60_000_000, 20_000, 8 << 20),
+            60_000_000,
+            2,
+            100,
+            new CircuitBreakerSettings(1, 1, 10, 2));
+    try (ScorerHost host = host(settings("stays"), shortTimeout, false)) {
+      await(() -> failures(host, Failure.NEVER_RETURNS) == 2);
+      clockReads.drainPermits();
+      clockReads.acquire(20); // it continues to run, and loads none
+      assertEquals(2, host.statistics().counters().failures().get(Failure.NEVER_RETURNS));
+      assertEquals(2, host.statistics().abandonedThreads());
       for (int i = 0; i < 1_000; i++) {
-        host.ended("s0", 0, new Ending(Ending.Outcome.ANSWERED, 0, 0, 0));
+        host.onAttemptCompleted("s0", 0, new Ending(Ending.Outcome.ANSWERED, 0, 0, 0));
       }
     }
   }
 
   @Test
-  void aLaterInterfaceAndTwoOfANameAndNoneAreNamed() throws Exception {
-    try (ScorerHost host = host(odd(""), ONCE, false)) {
-      await(() -> host.figures().failures().getOrDefault(Failure.NOT_THERE, 0L) == 1);
-      oddJar("later.jar", "2", "1", "2");
-      host.reload(odd(""));
-      await(() -> host.figures().failures().getOrDefault(Failure.LATER_API, 0L) == 1);
-      oddJar("later.jar", "1", "1", "2");
-      oddJar("odd.jar", "1", "1", "2");
-      host.reload(odd(""));
-      await(() -> host.figures().failures().getOrDefault(Failure.WILL_NOT_LOAD, 0L) == 1);
-      assertTrue(host.figures().trouble().contains("two jars"), host.figures().trouble());
+  void laterInterfaceDuplicateNameAndMissingScorerAreReported() throws Exception {
+    try (ScorerHost host = host(settings(""), NO_RETRY, false)) {
+      await(() -> failures(host, Failure.NOT_THERE) == 1);
+      compileScorerJar("later.jar", "2", "1", "2");
+      host.reload(settings(""));
+      await(() -> failures(host, Failure.LATER_API) == 1);
+      compileScorerJar("later.jar", "1", "1", "2");
+      compileScorerJar("odd.jar", "1", "1", "2");
+      host.reload(settings(""));
+      await(() -> failures(host, Failure.WILL_NOT_LOAD) == 1);
+      assertTrue(host.statistics().problem().contains("two jars"), host.statistics().problem());
     }
   }
 
   @Test
-  void reloadTakesAJarInChangesItAndLetsItGo() throws Exception {
-    oddJar("odd.jar", "ScoringApi.VERSION", "1", "2");
-    try (ScorerHost host = host(odd(""), ONCE, false)) {
+  void reloadAddsReplacesAndReleasesAJar() throws Exception {
+    compileScorerJar("odd.jar", "ScoringApi.VERSION", "1", "2");
+    try (ScorerHost host = host(settings(""), NO_RETRY, false)) {
       await(() -> host.factors().factor(0, 0) > 1.9);
       WeakReference<?> first = (WeakReference<?>) System.getProperties().get("scorer.test");
-      Files.writeString(dir.resolve("odd.jar"), "no jar");
-      host.reload(odd(""));
-      await(() -> host.figures().failures().getOrDefault(Failure.WILL_NOT_LOAD, 0L) == 1);
-      assertEquals("1", host.figures().scorer().version()); // the one that judges goes on
-      oddJar("odd.jar", "ScoringApi.VERSION", "2", "3");
-      host.reload(odd(""));
+      Files.writeString(directory.resolve("odd.jar"), "no jar");
+      host.reload(settings(""));
+      await(() -> failures(host, Failure.WILL_NOT_LOAD) == 1);
+      assertEquals("1", host.statistics().scorer().version()); // the active one continues
+      compileScorerJar("odd.jar", "ScoringApi.VERSION", "2", "3");
+      host.reload(settings(""));
       await(
-          () -> host.figures().scorer().version().equals("2") && host.factors().factor(0, 0) > 2.8);
-      collected(first);
+          () ->
+              host.statistics().scorer().version().equals("2")
+                  && host.factors().factor(0, 0) > 2.8);
+      assertCollected(first);
       WeakReference<?> second = (WeakReference<?>) System.getProperties().get("scorer.test");
-      Files.delete(dir.resolve("odd.jar"));
-      host.reload(odd(""));
-      await(() -> host.figures().failures().getOrDefault(Failure.NOT_THERE, 0L) == 1);
+      Files.delete(directory.resolve("odd.jar"));
+      host.reload(settings(""));
+      await(() -> failures(host, Failure.NOT_THERE) == 1);
       assertSame(FactorTable.NONE, host.factors());
-      collected(second);
+      assertCollected(second);
     }
   }
 
-  private static void collected(WeakReference<?> loader) throws InterruptedException {
-    ReferenceQueue<Object> none = new ReferenceQueue<>();
-    for (int nudge = 0; nudge < 100 && loader.get() != null; nudge++) {
+  private static void assertCollected(WeakReference<?> loader) throws InterruptedException {
+    ReferenceQueue<Object> emptyQueue = new ReferenceQueue<>();
+    for (int attempt = 0; attempt < 100 && loader.get() != null; attempt++) {
       System.gc();
-      none.remove(50);
+      emptyQueue.remove(50);
     }
     assertNull(loader.get(), "something still holds the classes of a jar that was let go");
   }
 
   @Test
-  void theExampleIsBuiltAgainstTheInterfaceAloneAndJudges() throws Exception {
-    jar(
-        dir.resolve("quiet.jar"),
+  void exampleIsCompiledAgainstTheInterfaceAloneAndRuns() throws Exception {
+    compileJar(
+        directory.resolve("quiet.jar"),
         Path.of("examples/scorer/src/org/example/scorer/QuietFirst.java"),
         Files.readString(Path.of("examples/scorer/META-INF/services/" + Scorer.class.getName())));
     for (ScorerSettings settings :
         List.of(
-            new ScorerSettings("quiet-first", dir, Map.of("busy", "3")),
+            new ScorerSettings("quiet-first", directory, Map.of("busy", "3")),
             new ScorerSettings("store-pace", null, Map.of()),
             new ScorerSettings("peak-latency", null, Map.of()))) {
-      try (ScorerHost host = host(settings, ONCE, false)) {
-        await(() -> host.figures().rounds() > 0);
-        assertEquals(settings.name(), host.figures().scorer().name());
+      try (ScorerHost host = host(settings, NO_RETRY, false)) {
+        await(() -> host.statistics().counters().validRounds() > 0);
+        assertEquals(settings.name(), host.statistics().scorer().name());
       }
     }
   }
