--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
@@ -0,0 +1,617 @@
+package dunlinhitch.experiments.modelchecker;
+
+import com.google.common.hash.Hasher;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.Deque;
+import java.util.HashSet;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.TreeSet;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.function.UnaryOperator;
+
+/**
+ * Three brokers that run one module, and the words between them: each word may be delivered in any
+ * order, lost or doubled; brokers crash and start anew, links are cut and heal, and time passes by
+ * a step for all. How often there is trouble of each kind has a most.
+ */
+public final class ClusterModel<W, V>
+    implements Model<ClusterModel.State<W, V>, ClusterModel.Transition<W>> {
+  public static final int BROKER_COUNT = 3;
+
+  /** Words that the calm ending may deliver in one step. */
+  private static final int MAX_DELIVERIES_PER_STEP = 2_000;
+
+  /**
+   * The most of each.
+   *
+   * @param warmUpSteps steps without trouble before the beginning
+   * @param maxDelaySteps steps that a word may be on its way; then it is lost
+   * @param maxInFlight on their way at once, for acts that say some
+   */
+  public record Budget(
+      int warmUpSteps,
+      int maxDelaySteps,
+      int maxInFlight,
+      int crashes,
+      int partitions,
+      int losses,
+      int duplicates,
+      int updates) {}
+
+  /** What of the budget is spent. */
+  private record UsedBudget(int crashes, int partitions, int losses, int duplicates, int updates) {
+    UsedBudget plus(int crash, int cut, int loss, int copy, int said) {
+      return new UsedBudget(
+          crashes + crash, partitions + cut, losses + loss, duplicates + copy, updates + said);
+    }
+  }
+
+  /** A link that is cut, both ways; the lower number first. */
+  private record Link(int lower, int higher) implements Comparable<Link> {
+    static Link of(int one, int other) {
+      return new Link(Math.min(one, other), Math.max(one, other));
+    }
+
+    @Override
+    public int compareTo(Link other) {
+      return lower != other.lower
+          ? Integer.compare(lower, other.lower)
+          : Integer.compare(higher, other.higher);
+    }
+  }
+
+  /** A word on its way. */
+  @SuppressWarnings(
+      "ArrayRecordComponent") // the array is never changed, and flights are compared by identity
+  private record InFlightMessage<W>(
+      int from, int to, W message, int sentAt, boolean duplicated, Digest[] digests) {}
+
+  /** {@code downSince} of each broker: when it crashed, or -1. */
+  public record State<W, V>(
+      int now,
+      List<NodeHistory<W, V>> histories,
+      List<Integer> downSince,
+      Set<Link> partitionedLinks,
+      List<InFlightMessage<W>> inFlight,
+      UsedBudget used) {
+    boolean isUp(int number) {
+      return downSince.get(number) < 0;
+    }
+
+    boolean canReach(int one, int other) {
+      return isUp(one) && isUp(other) && !partitionedLinks.contains(Link.of(one, other));
+    }
+  }
+
+  private enum TransitionKind {
+    DELIVER,
+    DROP,
+    DUPLICATE,
+    CRASH,
+    RESTART,
+    PARTITION,
+    HEAL,
+    TICK,
+    ACTION
+  }
+
+  /** {@code message} or {@code action} as the kind has them, else null. */
+  public record Transition<W>(
+      TransitionKind kind, int first, int second, InFlightMessage<W> message, String action) {}
+
+  private final Subject<W, V> subject;
+  private final Budget budget;
+  private final List<int[]> symmetries;
+  private final Map<Integer, NodeHistory<W, V>> initialHistories = new ConcurrentHashMap<>();
+
+  public ClusterModel(Subject<W, V> subject, Budget budget) {
+    this.subject = subject;
+    this.budget = budget;
+    symmetries = subject.symmetries();
+  }
+
+  /**
+   * All start at once, and go on without trouble for a while; each hears the next broker before the
+   * one after.
+   */
+  @Override
+  public State<W, V> initialState() {
+    List<NodeHistory<W, V>> locals = new ArrayList<>();
+    for (int i = 0; i < BROKER_COUNT; i++) {
+      locals.add(initialHistory(i, 0));
+    }
+    State<W, V> state =
+        new State<>(
+            0,
+            List.copyOf(locals),
+            List.of(-1, -1, -1),
+            Set.of(),
+            List.of(),
+            new UsedBudget(0, 0, 0, 0, 0));
+    for (int step = 0; step < budget.warmUpSteps(); step++) {
+      state = tick(state);
+      while (!state.inFlight().isEmpty()) {
+        state = deliverRound(state);
+      }
+    }
+    return state;
+  }
+
+  /**
+   * Delivers all that is on its way; what is said to it is on its way after. Alike for all but for
+   * their numbers.
+   */
+  private State<W, V> deliverRound(State<W, V> state) {
+    List<InFlightMessage<W>> flights = state.inFlight();
+    State<W, V> after = withMessages(state, state.histories(), List.of(), state.used());
+    for (int to = 0; to < BROKER_COUNT; to++) {
+      for (int hop = 1; hop < BROKER_COUNT; hop++) {
+        for (InFlightMessage<W> flight : flights) {
+          if (flight.to() == to && flight.from() == (to + hop) % BROKER_COUNT) {
+            after =
+                applyInput(
+                    after,
+                    to,
+                    new NodeHistory.Input<>(
+                        NodeHistory.InputKind.MESSAGE, after.now(), flight.message(), null, 0));
+          }
+        }
+      }
+    }
+    return after;
+  }
+
+  private NodeHistory<W, V> initialHistory(int number, int now) {
+    return initialHistories.computeIfAbsent(
+        now * BROKER_COUNT + number,
+        key -> new NodeHistory<W, V>(mouth -> subject.start(number, now, mouth), this::digests));
+  }
+
+  private Digest[] digests(Object what) {
+    Digest[] digests = new Digest[symmetries.size()];
+    for (int i = 0; i < digests.length; i++) {
+      digests[i] = StateHasher.of(what, brokerRenaming(symmetries.get(i)));
+    }
+    return digests;
+  }
+
+  private static UnaryOperator<String> brokerRenaming(int[] symmetry) {
+    return text ->
+        text.length() == 2
+                && text.charAt(0) == 'n'
+                && text.charAt(1) >= '0'
+                && text.charAt(1) < '0' + BROKER_COUNT
+            ? name(symmetry[text.charAt(1) - '0'])
+            : text;
+  }
+
+  /** The name and host of that broker. */
+  static String name(int number) {
+    return "n" + number;
+  }
+
+  static int number(String name) {
+    return name.charAt(1) - '0';
+  }
+
+  @Override
+  public List<Transition<W>> transitions(State<W, V> state) {
+    List<Transition<W>> moves = new ArrayList<>();
+    UsedBudget spent = state.used();
+    Set<List<Object>> known = new HashSet<>();
+    for (InFlightMessage<W> flight : state.inFlight()) {
+      if (known.add(
+          List.of(
+              flight.from(),
+              flight.to(),
+              flight.duplicated(),
+              flight.digests()[0]))) { // else one like it was there
+        if (state.isUp(flight.to())) {
+          moves.add(
+              new Transition<>(TransitionKind.DELIVER, flight.from(), flight.to(), flight, null));
+          if (!flight.duplicated() && spent.duplicates() < budget.duplicates()) {
+            moves.add(
+                new Transition<>(
+                    TransitionKind.DUPLICATE, flight.from(), flight.to(), flight, null));
+          }
+        }
+        if (spent.losses() < budget.losses()) {
+          moves.add(
+              new Transition<>(TransitionKind.DROP, flight.from(), flight.to(), flight, null));
+        }
+      }
+    }
+    moves.add(new Transition<>(TransitionKind.TICK, 0, 0, null, null));
+    for (int i = 0; i < BROKER_COUNT; i++) {
+      addBrokerTransitions(state, i, moves);
+      for (int j = i + 1; j < BROKER_COUNT; j++) {
+        boolean cut = state.partitionedLinks().contains(Link.of(i, j));
+        if (cut || spent.partitions() < budget.partitions()) {
+          moves.add(
+              new Transition<>(
+                  cut ? TransitionKind.HEAL : TransitionKind.PARTITION, i, j, null, null));
+        }
+      }
+    }
+    return moves;
+  }
+
+  private void addBrokerTransitions(State<W, V> state, int number, List<Transition<W>> moves) {
+    UsedBudget spent = state.used();
+    if (!state.isUp(number)) {
+      if (state.now() > state.downSince().get(number)) { // a start takes its time
+        moves.add(new Transition<>(TransitionKind.RESTART, number, number, null, null));
+      }
+      return;
+    }
+    if (spent.crashes() < budget.crashes()) {
+      moves.add(new Transition<>(TransitionKind.CRASH, number, number, null, null));
+    }
+    for (String act : subject.actions(number)) {
+      if (subject.isUpdate(act)
+          ? spent.updates() < budget.updates()
+          : state.inFlight().size() < budget.maxInFlight()) {
+        moves.add(new Transition<>(TransitionKind.ACTION, number, number, null, act));
+      }
+    }
+  }
+
+  @Override
+  public State<W, V> successor(State<W, V> state, Transition<W> move) {
+    UsedBudget spent = state.used();
+    return switch (move.kind()) {
+      case DELIVER ->
+          deliverMessage(
+              withMessages(
+                  state, state.histories(), replaceMessage(state, move.message(), null), spent),
+              move.message());
+      case DUPLICATE -> {
+        InFlightMessage<W> f = move.message();
+        InFlightMessage<W> copy =
+            new InFlightMessage<>(f.from(), f.to(), f.message(), f.sentAt(), true, f.digests());
+        yield deliverMessage(
+            withMessages(
+                state,
+                state.histories(),
+                replaceMessage(state, f, copy),
+                spent.plus(0, 0, 0, 1, 0)),
+            f);
+      }
+      case DROP ->
+          withMessages(
+              state,
+              state.histories(),
+              replaceMessage(state, move.message(), null),
+              spent.plus(0, 0, 1, 0, 0));
+      case CRASH -> {
+        List<Integer> down = new ArrayList<>(state.downSince());
+        down.set(move.first(), state.now());
+        yield new State<>(
+            state.now(),
+            state.histories(),
+            List.copyOf(down),
+            state.partitionedLinks(),
+            state.inFlight(),
+            spent.plus(1, 0, 0, 0, 0));
+      }
+      case RESTART -> {
+        List<Integer> down = new ArrayList<>(state.downSince());
+        down.set(move.first(), -1);
+        List<NodeHistory<W, V>> locals = new ArrayList<>(state.histories());
+        locals.set(move.first(), initialHistory(move.first(), state.now()));
+        State<W, V> again =
+            new State<>(
+                state.now(),
+                List.copyOf(locals),
+                List.copyOf(down),
+                state.partitionedLinks(),
+                state.inFlight(),
+                spent);
+        yield enqueueOutgoing(again, move.first());
+      }
+      case PARTITION -> {
+        Set<Link> cut = new TreeSet<>(state.partitionedLinks());
+        Link link = Link.of(move.first(), move.second());
+        cut.add(link);
+        List<InFlightMessage<W>> left =
+            state.inFlight().stream().filter(f -> !Link.of(f.from(), f.to()).equals(link)).toList();
+        yield new State<>(
+            state.now(),
+            state.histories(),
+            state.downSince(),
+            cut,
+            left,
+            spent.plus(0, 1, 0, 0, 0));
+      }
+      case HEAL -> {
+        Set<Link> cut = new TreeSet<>(state.partitionedLinks());
+        cut.remove(Link.of(move.first(), move.second()));
+        yield new State<>(
+            state.now(), state.histories(), state.downSince(), cut, state.inFlight(), spent);
+      }
+      case TICK -> tick(state);
+      case ACTION -> {
+        State<W, V> acting =
+            withMessages(
+                state,
+                state.histories(),
+                state.inFlight(),
+                subject.isUpdate(move.action()) ? spent.plus(0, 0, 0, 0, 1) : spent);
+        yield applyInput(
+            acting,
+            move.first(),
+            new NodeHistory.Input<>(
+                NodeHistory.InputKind.ACTION, state.now(), null, move.action(), spent.updates()));
+      }
+    };
+  }
+
+  /** Time passes by a step for all that are up; what is on its way for too long is lost. */
+  private State<W, V> tick(State<W, V> state) {
+    int now = state.now() + 1;
+    List<InFlightMessage<W>> left =
+        state.inFlight().stream().filter(f -> now - f.sentAt() <= budget.maxDelaySteps()).toList();
+    State<W, V> after =
+        new State<>(
+            now,
+            state.histories(),
+            state.downSince(),
+            state.partitionedLinks(),
+            left,
+            state.used());
+    for (int i = 0; i < BROKER_COUNT; i++) {
+      if (state.isUp(i)) {
+        after =
+            applyInput(
+                after, i, new NodeHistory.Input<>(NodeHistory.InputKind.TICK, now, null, null, 0));
+      }
+    }
+    return after;
+  }
+
+  private State<W, V> deliverMessage(State<W, V> state, InFlightMessage<W> flight) {
+    return applyInput(
+        state,
+        flight.to(),
+        new NodeHistory.Input<>(
+            NodeHistory.InputKind.MESSAGE, state.now(), flight.message(), null, 0));
+  }
+
+  private State<W, V> applyInput(State<W, V> state, int number, NodeHistory.Input<W> input) {
+    List<NodeHistory<W, V>> locals = new ArrayList<>(state.histories());
+    locals.set(number, locals.get(number).afterInput(input));
+    return enqueueOutgoing(
+        withMessages(state, List.copyOf(locals), state.inFlight(), state.used()), number);
+  }
+
+  /** What that broker said last is on its way, if its link is whole and there is somebody. */
+  private State<W, V> enqueueOutgoing(State<W, V> state, int from) {
+    List<InFlightMessage<W>> flights = new ArrayList<>(state.inFlight());
+    for (NodeHistory.OutgoingMessage<W> said : state.histories().get(from).sent()) {
+      if (said.to() != from && state.canReach(from, said.to())) {
+        flights.add(
+            new InFlightMessage<>(
+                from, said.to(), said.message(), state.now(), false, digests(said.message())));
+      }
+    }
+    return withMessages(state, state.histories(), List.copyOf(flights), state.used());
+  }
+
+  private static <W, V> State<W, V> withMessages(
+      State<W, V> state,
+      List<NodeHistory<W, V>> locals,
+      List<InFlightMessage<W>> flights,
+      UsedBudget spent) {
+    return new State<>(
+        state.now(), locals, state.downSince(), state.partitionedLinks(), flights, spent);
+  }
+
+  @SuppressWarnings("ReferenceEquality") // two flights may be equal: this one is meant
+  private static <W, V> List<InFlightMessage<W>> replaceMessage(
+      State<W, V> state, InFlightMessage<W> gone, InFlightMessage<W> instead) {
+    List<InFlightMessage<W>> flights = new ArrayList<>();
+    for (InFlightMessage<W> flight : state.inFlight()) {
+      if (flight != gone) {
+        flights.add(flight);
+      } else if (instead != null) {
+        flights.add(instead);
+      }
+    }
+    return List.copyOf(flights);
+  }
+
+  /**
+   * The least of the digests under the symmetries, which is the same for all states that are the
+   * same but for names.
+   */
+  @Override
+  public Digest digest(State<W, V> state) {
+    Digest least = null;
+    for (int i = 0; i < symmetries.size(); i++) {
+      Digest digest = digest(state, i);
+      least = least == null || digest.compareTo(least) < 0 ? digest : least;
+    }
+    return least;
+  }
+
+  private Digest digest(State<W, V> state, int symmetry) {
+    int[] becomes = symmetries.get(symmetry);
+    int[] was = new int[BROKER_COUNT];
+    for (int i = 0; i < BROKER_COUNT; i++) {
+      was[becomes[i]] = i;
+    }
+    Hasher hasher = Digest.newHasher().putInt(state.now());
+    for (int i : was) {
+      state.histories().get(i).digest(symmetry).putInto(hasher);
+      hasher.putInt(state.downSince().get(i));
+    }
+    Set<Link> cut = new TreeSet<>();
+    state
+        .partitionedLinks()
+        .forEach(link -> cut.add(Link.of(becomes[link.lower()], becomes[link.higher()])));
+    cut.forEach(link -> hasher.putInt(link.lower()).putInt(link.higher()));
+    hasher.putInt(-1);
+    state.inFlight().stream()
+        .map(
+            f -> {
+              Hasher own =
+                  Digest.newHasher()
+                      .putInt(becomes[f.from()])
+                      .putInt(becomes[f.to()])
+                      .putInt(f.sentAt())
+                      .putBoolean(f.duplicated());
+              f.digests()[symmetry].putInto(own);
+              return Digest.of(own);
+            })
+        .sorted()
+        .forEach(digest -> digest.putInto(hasher));
+    UsedBudget spent = state.used();
+    hasher
+        .putInt(-1)
+        .putInt(spent.crashes())
+        .putInt(spent.partitions())
+        .putInt(spent.losses())
+        .putInt(spent.duplicates())
+        .putInt(spent.updates());
+    return Digest.of(hasher);
+  }
+
+  @Override
+  public Optional<String> safetyViolation(State<W, V> state) {
+    return subject.safetyViolation(
+        state.histories().stream().map(NodeHistory::observation).toList(), reachableGroups(state));
+  }
+
+  /** Those that are up, in groups that reach each other, be it by way of another. */
+  private static <W, V> List<List<Integer>> reachableGroups(State<W, V> state) {
+    List<List<Integer>> sides = new ArrayList<>();
+    Set<Integer> placed = new HashSet<>();
+    for (int i = 0; i < BROKER_COUNT; i++) {
+      if (state.isUp(i) && placed.add(i)) {
+        Set<Integer> side = new LinkedHashSet<>(Set.of(i));
+        for (int round = 0; round < BROKER_COUNT; round++) {
+          for (int j = 0; j < BROKER_COUNT; j++) {
+            int other = j;
+            if (side.stream().anyMatch(member -> state.canReach(member, other))) {
+              side.add(j);
+            }
+          }
+        }
+        placed.addAll(side);
+        sides.add(List.copyOf(side));
+      }
+    }
+    return sides;
+  }
+
+  /**
+   * Links are whole, all is delivered in the order in which it was said, and time passes; who is
+   * down stays so.
+   */
+  @Override
+  public Optional<String> convergenceViolation(State<W, V> state) {
+    List<Integer> live = new ArrayList<>();
+    List<Node<W, V>> nodes = new ArrayList<>();
+    Deque<NodeHistory.OutgoingMessage<W>> queue = new ArrayDeque<>();
+    for (int i = 0; i < BROKER_COUNT; i++) {
+      nodes.add(null);
+      if (state.isUp(i)) {
+        live.add(i);
+        boolean[] aloud = {false};
+        int from = i;
+        nodes.set(
+            i,
+            state
+                .histories()
+                .get(i)
+                .replay(
+                    (to, word) -> {
+                      if (aloud[0] && to != from && state.isUp(to)) {
+                        queue.add(new NodeHistory.OutgoingMessage<>(to, word));
+                      }
+                    },
+                    () -> {}));
+        aloud[0] = true;
+      }
+    }
+    state.inFlight().stream()
+        .filter(f -> state.isUp(f.to()))
+        .forEach(f -> queue.add(new NodeHistory.OutgoingMessage<>(f.to(), f.message())));
+    return runConvergencePhase(state.now(), live, nodes, queue);
+  }
+
+  private Optional<String> runConvergencePhase(
+      int begin,
+      List<Integer> live,
+      List<Node<W, V>> nodes,
+      Deque<NodeHistory.OutgoingMessage<W>> queue) {
+    Optional<String> wrong = Optional.empty();
+    int lasted = 0;
+    for (int now = begin; now <= begin + subject.convergenceSteps(); now++) {
+      if (!deliverQueue(now, nodes, queue)) {
+        return Optional.of("words without an end at step " + now);
+      }
+      for (int i : live) {
+        for (String act : subject.convergenceActions(i)) {
+          nodes.get(i).perform(now, 0, act);
+        }
+      }
+      deliverQueue(now, nodes, queue);
+      wrong =
+          subject.convergenceViolation(
+              live.stream().map(i -> nodes.get(i).observe()).toList(), live);
+      lasted = wrong.isEmpty() ? lasted + 1 : 0;
+      if (lasted > subject.stableSteps()) {
+        return Optional.empty();
+      }
+      for (int i : live) {
+        nodes.get(i).onTick(now + 1);
+      }
+    }
+    return wrong
+        .or(() -> Optional.of("it did not last"))
+        .map(what -> what + ", " + subject.convergenceSteps() + " steps on");
+  }
+
+  /** False where there is no end to it. */
+  private boolean deliverQueue(
+      int now, List<Node<W, V>> nodes, Deque<NodeHistory.OutgoingMessage<W>> queue) {
+    for (int delivered = 0; delivered < MAX_DELIVERIES_PER_STEP && !queue.isEmpty(); delivered++) {
+      NodeHistory.OutgoingMessage<W> said = queue.remove();
+      nodes.get(said.to()).onMessage(now, said.message());
+    }
+    return queue.isEmpty();
+  }
+
+  @Override
+  public String describe(Transition<W> move) {
+    String one = name(move.first());
+    return switch (move.kind()) {
+      case DELIVER ->
+          name(move.second()) + " hears " + one + ": " + subject.describe(move.message().message());
+      case DROP ->
+          name(move.second())
+              + " never hears "
+              + one
+              + ": "
+              + subject.describe(move.message().message());
+      case DUPLICATE ->
+          name(move.second())
+              + " hears, and will again, "
+              + one
+              + ": "
+              + subject.describe(move.message().message());
+      case CRASH -> one + " crashes";
+      case RESTART -> one + " starts anew";
+      case PARTITION -> one + " and " + name(move.second()) + " are cut";
+      case HEAL -> one + " and " + name(move.second()) + " reach each other again";
+      case TICK -> "a step of time passes";
+      case ACTION -> one + ": " + move.action();
+    };
+  }
+}
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Digest.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Digest.java
@@ -6,7 +6,7 @@
 
 /** A state's 128 bits: of a million states two have the same one with a chance of 1 in 10^27. */
 public record Digest(long high, long low) implements Comparable<Digest> {
-  static Hasher hasher() {
+  static Hasher newHasher() {
     return Hashing.murmur3_128().newHasher();
   }
 
@@ -15,7 +15,7 @@
     return new Digest(bytes.getLong(), bytes.getLong());
   }
 
-  void into(Hasher hasher) {
+  void putInto(Hasher hasher) {
     hasher.putLong(high).putLong(low);
   }
 
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ExploreCommand.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ExploreCommand.java
@@ -32,24 +32,25 @@
   @Override
   public Integer call() {
     long begin = System.nanoTime();
-    Explorer.Report report = Explorer.explore(Models.of(name), new Explorer.Limits(depth, states));
+    Explorer.Report report =
+        Explorer.explore(Models.create(name), new Explorer.Limits(depth, states));
     System.out.printf(
         Locale.ROOT,
         "%s: %d states, %d moves in %.1f s; all up to %d moves deep%n",
         name,
         report.states(),
-        report.moves(),
+        report.transitions(),
         (System.nanoTime() - begin) / 1e9,
         report.depth());
     report
-        .found()
+        .violation()
         .ifPresent(
             found -> {
               System.out.println(
-                  "broken: " + found.wrong() + ", after " + found.trace().size() + " moves:");
+                  "broken: " + found.description() + ", after " + found.trace().size() + " moves:");
               found.trace().forEach(move -> System.out.println("  " + move));
             });
-    System.out.println(name + (report.found().isEmpty() ? " held" : " broken"));
-    return report.found().isEmpty() ? 0 : 1;
+    System.out.println(name + (report.violation().isEmpty() ? " held" : " broken"));
+    return report.violation().isEmpty() ? 0 : 1;
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
@@ -15,7 +15,7 @@
  * and limits give the same report.
  */
 public final class Explorer<S, M> {
-  private static final int CHUNK = 2_000;
+  private static final int CHUNK_STATES = 2_000;
 
   /** How far it goes: so many moves deep, and so many states at the most. */
   public record Limits(int depth, int states) {
@@ -28,32 +28,33 @@
   }
 
   /** What is wrong, and the moves that lead to it, in words. */
-  public record Found(String wrong, List<String> trace) {}
+  public record Violation(String description, List<String> trace) {}
 
   /**
    * What was gone through.
    *
    * @param states different ones
-   * @param moves that were tried from them
+   * @param transitions that were tried from them
    * @param depth up to which all was gone through
-   * @param found the first that is wrong, or empty
+   * @param violation the first that is wrong, or empty
    */
-  public record Report(int states, long moves, int depth, Optional<Found> found) {}
+  public record Report(int states, long transitions, int depth, Optional<Violation> violation) {}
 
   /** How a state was come to; the beginning has no move. */
-  private record Step<M>(int before, M move) {}
+  private record Step<M>(int predecessor, M transition) {}
 
-  private record Open<S>(int number, S state) {}
+  private record Unexplored<S>(int number, S state) {}
 
   /** A successor, or what making it threw. */
-  private record Next<S, M>(int before, M move, S state, Digest digest, String thrown) {}
+  private record Successor<S, M>(
+      int predecessor, M transition, S state, Digest digest, String failure) {}
 
   private final Model<S, M> model;
   private final Limits limits;
-  private final Set<Digest> seen = new HashSet<>();
+  private final Set<Digest> visited = new HashSet<>();
   private final List<Step<M>> steps = new ArrayList<>();
-  private long moves;
-  private Found found;
+  private long transitionCount;
+  private Violation violation;
 
   private Explorer(Model<S, M> model, Limits limits) {
     this.model = model;
@@ -65,23 +66,24 @@
   }
 
   private Report run() {
-    S start = model.start();
-    seen.add(model.digest(start));
+    S start = model.initialState();
+    visited.add(model.digest(start));
     steps.add(new Step<>(-1, null));
-    List<Open<S>> layer = List.of(new Open<>(0, start));
-    check(layer);
+    List<Unexplored<S>> layer = List.of(new Unexplored<>(0, start));
+    checkStates(layer);
     int depth = 0;
-    while (found == null && depth < limits.depth()) {
-      List<Open<S>> next = new ArrayList<>();
-      for (int from = 0; from < layer.size() && found == null; from += CHUNK) {
-        List<Open<S>> fresh = expand(layer.subList(from, Math.min(from + CHUNK, layer.size())));
-        check(fresh);
+    while (violation == null && depth < limits.depth()) {
+      List<Unexplored<S>> next = new ArrayList<>();
+      for (int from = 0; from < layer.size() && violation == null; from += CHUNK_STATES) {
+        List<Unexplored<S>> fresh =
+            expand(layer.subList(from, Math.min(from + CHUNK_STATES, layer.size())));
+        checkStates(fresh);
         next.addAll(fresh);
         if (steps.size() >= limits.states()) {
           return report(depth);
         }
       }
-      if (found == null) {
+      if (violation == null) {
         depth++;
         layer = next;
       }
@@ -90,22 +92,22 @@
   }
 
   private Report report(int depth) {
-    return new Report(steps.size(), moves, depth, Optional.ofNullable(found));
+    return new Report(steps.size(), transitionCount, depth, Optional.ofNullable(violation));
   }
 
-  private List<Open<S>> expand(List<Open<S>> chunk) {
-    List<List<Next<S, M>>> all = chunk.parallelStream().map(this::successors).toList();
-    List<Open<S>> fresh = new ArrayList<>();
-    for (List<Next<S, M>> some : all) {
-      for (Next<S, M> next : some) {
-        moves++;
-        if (next.thrown() != null || seen.add(next.digest())) {
-          steps.add(new Step<>(next.before(), next.move()));
-          if (next.thrown() != null) {
-            find(next.thrown(), steps.size() - 1);
+  private List<Unexplored<S>> expand(List<Unexplored<S>> chunk) {
+    List<List<Successor<S, M>>> all = chunk.parallelStream().map(this::successors).toList();
+    List<Unexplored<S>> fresh = new ArrayList<>();
+    for (List<Successor<S, M>> some : all) {
+      for (Successor<S, M> next : some) {
+        transitionCount++;
+        if (next.failure() != null || visited.add(next.digest())) {
+          steps.add(new Step<>(next.predecessor(), next.transition()));
+          if (next.failure() != null) {
+            recordViolation(next.failure(), steps.size() - 1);
             return fresh;
           }
-          fresh.add(new Open<>(steps.size() - 1, next.state()));
+          fresh.add(new Unexplored<>(steps.size() - 1, next.state()));
           if (steps.size() >= limits.states()) {
             return fresh;
           }
@@ -115,46 +117,48 @@
     return fresh;
   }
 
-  private List<Next<S, M>> successors(Open<S> open) {
-    List<Next<S, M>> all = new ArrayList<>();
-    for (M move : model.moves(open.state())) {
+  private List<Successor<S, M>> successors(Unexplored<S> open) {
+    List<Successor<S, M>> all = new ArrayList<>();
+    for (M move : model.transitions(open.state())) {
       try {
-        S state = model.after(open.state(), move);
-        all.add(new Next<>(open.number(), move, state, model.digest(state), null));
+        S state = model.successor(open.state(), move);
+        all.add(new Successor<>(open.number(), move, state, model.digest(state), null));
       } catch (RuntimeException e) {
-        all.add(new Next<>(open.number(), move, null, null, "threw " + e));
+        all.add(new Successor<>(open.number(), move, null, null, "threw " + e));
       }
     }
     return all;
   }
 
   /** Finds the first of these that is wrong; a move that threw comes after all of them. */
-  private void check(List<Open<S>> fresh) {
+  private void checkStates(List<Unexplored<S>> fresh) {
     List<Optional<String>> wrongs =
-        fresh.parallelStream().map(open -> wrong(open.state())).toList();
+        fresh.parallelStream().map(open -> findViolation(open.state())).toList();
     for (int i = 0; i < wrongs.size(); i++) {
       if (wrongs.get(i).isPresent()) {
-        find(wrongs.get(i).get(), fresh.get(i).number());
+        recordViolation(wrongs.get(i).get(), fresh.get(i).number());
         return;
       }
     }
   }
 
-  private Optional<String> wrong(S state) {
+  private Optional<String> findViolation(S state) {
     try {
       return model
-          .broken(state)
-          .or(() -> model.unsettled(state).map(what -> "after the calm ending: " + what));
+          .safetyViolation(state)
+          .or(
+              () ->
+                  model.convergenceViolation(state).map(what -> "after the calm ending: " + what));
     } catch (RuntimeException e) {
       return Optional.of("threw " + e);
     }
   }
 
-  private void find(String wrong, int number) {
+  private void recordViolation(String wrong, int number) {
     Deque<String> trace = new ArrayDeque<>();
-    for (int at = number; steps.get(at).before() >= 0; at = steps.get(at).before()) {
-      trace.addFirst(model.told(steps.get(at).move()));
+    for (int at = number; steps.get(at).predecessor() >= 0; at = steps.get(at).predecessor()) {
+      trace.addFirst(model.describe(steps.get(at).transition()));
     }
-    found = new Found(wrong, List.copyOf(trace));
+    violation = new Violation(wrong, List.copyOf(trace));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
@@ -14,7 +14,8 @@
 import java.util.function.UnaryOperator;
 
 /** The brokers' view of each other, the module that serves. */
-public final class MembershipSubject implements Subject<GossipMessage, MembershipSubject.Seen> {
+public final class MembershipSubject
+    implements Subject<GossipMessage, MembershipSubject.Observation> {
   /**
    * A look every second step, an answer within one; suspected for two to four. One look that fails
    * is enough, and an ill broker is ill by one, so that suspicions and health come up within a few
@@ -26,120 +27,125 @@
   /**
    * Between two starts a step apart: more than a broker gainsays in a life that is looked at here.
    */
-  private static final long INCARNATIONS = 1_000;
+  private static final long INCARNATION_STRIDE = 1_000;
 
-  private static final int WITHIN = 80;
+  private static final int CONVERGENCE_STEPS = 80;
 
   /**
    * Where the module is put wrong on purpose.
    *
-   * @param ear what a broker makes of a word that it hears
+   * @param messageMutation what a broker makes of a word that it hears
    * @param incarnation under which it starts, by the step
-   * @param settled whether it counts its view for settled
+   * @param convergence whether it counts its view for settled
    */
-  record Flaw(
-      UnaryOperator<GossipMessage> ear,
+  record Mutation(
+      UnaryOperator<GossipMessage> messageMutation,
       IntToLongFunction incarnation,
-      Predicate<MembershipProtocol> settled) {
-    static final Flaw NONE =
-        new Flaw(
-            word -> word, now -> (now + 1) * INCARNATIONS, view -> view.snapshot().isConverged());
+      Predicate<MembershipProtocol> convergence) {
+    static final Mutation NONE =
+        new Mutation(
+            word -> word,
+            now -> (now + 1) * INCARNATION_STRIDE,
+            view -> view.snapshot().isConverged());
   }
 
   /** What can be seen of one view. */
-  public record Seen(
-      Member self, Set<String> members, List<Member> peers, boolean settled, String wrong) {}
+  public record Observation(
+      Member self, Set<String> members, List<Member> peers, boolean converged, String violation) {}
 
   private final long seed;
-  private final Flaw flaw;
+  private final Mutation mutation;
 
   /** {@code seed}: of the rows in which the brokers look at each other, the same for all. */
   public MembershipSubject(long seed) {
-    this(seed, Flaw.NONE);
+    this(seed, Mutation.NONE);
   }
 
-  MembershipSubject(long seed, Flaw flaw) {
+  MembershipSubject(long seed, Mutation flaw) {
     this.seed = seed;
-    this.flaw = flaw;
+    this.mutation = flaw;
   }
 
   /** One broker's. */
-  private static final class Seeing implements Node<GossipMessage, Seen> {
-    private final MembershipProtocol view;
-    private final Flaw flaw;
+  private static final class MembershipNode implements Node<GossipMessage, Observation> {
+    private final MembershipProtocol protocol;
+    private final Mutation mutation;
     private long incarnation;
-    private String wrong;
+    private String violation;
 
-    Seeing(MembershipProtocol view, Flaw flaw) {
-      this.view = view;
-      this.flaw = flaw;
+    MembershipNode(MembershipProtocol view, Mutation flaw) {
+      this.protocol = view;
+      this.mutation = flaw;
       incarnation = view.self().incarnation();
     }
 
     @Override
-    public void passed(int now) {
-      view.onTime(now);
-      look();
+    public void onTick(int now) {
+      protocol.onTime(now);
+      checkIncarnation();
     }
 
     @Override
-    public void heard(int now, GossipMessage word) {
-      view.onMessage(now, flaw.ear().apply(word));
-      look();
+    public void onMessage(int now, GossipMessage word) {
+      protocol.onMessage(now, mutation.messageMutation().apply(word));
+      checkIncarnation();
     }
 
     @Override
-    public void act(int now, int order, String what) {
+    public void perform(int now, int order, String what) {
       throw new IllegalStateException("a view does nothing of its own accord but in time");
     }
 
-    private void look() {
-      if (view.self().incarnation() < incarnation) {
-        wrong =
-            view.self().name()
+    private void checkIncarnation() {
+      if (protocol.self().incarnation() < incarnation) {
+        violation =
+            protocol.self().name()
                 + " went back from incarnation "
                 + incarnation
                 + " to "
-                + view.self().incarnation();
+                + protocol.self().incarnation();
       }
-      incarnation = Math.max(incarnation, view.self().incarnation());
+      incarnation = Math.max(incarnation, protocol.self().incarnation());
     }
 
     @Override
-    public Seen seen() {
-      return new Seen(
-          view.self(),
-          view.snapshot().names(),
-          List.copyOf(view.peers()),
-          flaw.settled().test(view),
-          wrong);
+    public Observation observe() {
+      return new Observation(
+          protocol.self(),
+          protocol.snapshot().names(),
+          List.copyOf(protocol.peers()),
+          mutation.convergence().test(protocol),
+          violation);
     }
 
     @Override
     public Object state() {
-      return view;
+      return protocol;
     }
   }
 
   @Override
-  public Node<GossipMessage, Seen> start(int number, int now, Node.Mouth<GossipMessage> mouth) {
-    String name = Brokers.name(number);
+  public Node<GossipMessage, Observation> start(
+      int number, int now, Node.MessageSender<GossipMessage> mouth) {
+    String name = ClusterModel.name(number);
     List<MembershipProtocol.Seed> seeds = new ArrayList<>();
-    for (int hop = 1; hop < Brokers.COUNT; hop++) { // from itself on
-      seeds.add(new MembershipProtocol.Seed(Brokers.name((number + hop) % Brokers.COUNT), 1));
+    for (int hop = 1; hop < ClusterModel.BROKER_COUNT; hop++) { // from itself on
+      seeds.add(
+          new MembershipProtocol.Seed(
+              ClusterModel.name((number + hop) % ClusterModel.BROKER_COUNT), 1));
     }
     Member self =
-        new Member(name, "", name, 1, flaw.incarnation().applyAsLong(now), Member.Status.ALIVE);
-    return new Seeing(
+        new Member(name, "", name, 1, mutation.incarnation().applyAsLong(now), Member.Status.ALIVE);
+    return new MembershipNode(
         new MembershipProtocol(
             self,
             seeds,
             SETTINGS,
             seed,
             now,
-            (host, port, word) -> mouth.say(Brokers.number(host), word),
+            (host, port, word) -> mouth.send(ClusterModel.number(host), word),
             bytes -> List.of()),
-        flaw);
+        mutation);
   }
 
   /** None: digests and buckets are made of the names, so no two brokers are alike. */
@@ -149,31 +155,32 @@
   }
 
   @Override
-  public List<String> acts(int number) {
+  public List<String> actions(int number) {
     return List.of();
   }
 
   @Override
-  public boolean isNews(String act) {
+  public boolean isUpdate(String act) {
     return false;
   }
 
   @Override
-  public List<String> calmActs(int number) {
+  public List<String> convergenceActions(int number) {
     return List.of();
   }
 
   @Override
-  public Optional<String> broken(List<Seen> seen, List<List<Integer>> sides) {
+  public Optional<String> safetyViolation(List<Observation> seen, List<List<Integer>> sides) {
     for (List<Integer> side : sides) {
-      Optional<Seen> first = side.stream().map(seen::get).filter(Seen::settled).findFirst();
+      Optional<Observation> first =
+          side.stream().map(seen::get).filter(Observation::converged).findFirst();
       for (int i : side) {
-        Seen one = seen.get(i);
-        if (one.wrong() != null) {
-          return Optional.of(one.wrong());
+        Observation one = seen.get(i);
+        if (one.violation() != null) {
+          return Optional.of(one.violation());
         }
         for (Member peer : one.peers()) {
-          Member self = seen.get(Brokers.number(peer.name())).self();
+          Member self = seen.get(ClusterModel.number(peer.name())).self();
           if (peer.name().equals(one.self().name())) {
             return Optional.of(peer.name() + " counts itself among the others");
           }
@@ -188,7 +195,7 @@
                     + self.incarnation());
           }
         }
-        if (one.settled() && !one.members().equals(first.get().members())) {
+        if (one.converged() && !one.members().equals(first.get().members())) {
           return Optional.of(
               "settled and at odds: "
                   + first.get().self().name()
@@ -205,13 +212,13 @@
   }
 
   @Override
-  public Optional<String> unsettled(List<Seen> live, List<Integer> numbers) {
+  public Optional<String> convergenceViolation(List<Observation> live, List<Integer> numbers) {
     Set<String> all = new TreeSet<>();
-    numbers.forEach(i -> all.add(Brokers.name(i)));
-    for (Seen one : live) {
+    numbers.forEach(i -> all.add(ClusterModel.name(i)));
+    for (Observation one : live) {
       Optional<Member> doubted =
           one.peers().stream().filter(peer -> peer.status() == Member.Status.SUSPECT).findFirst();
-      if (!one.members().equals(all) || doubted.isPresent() || !one.settled()) {
+      if (!one.members().equals(all) || doubted.isPresent() || !one.converged()) {
         return Optional.of(
             one.self().name()
                 + " holds "
@@ -220,25 +227,25 @@
                 + all
                 + " are up"
                 + doubted.map(peer -> ", and suspects " + peer.name()).orElse("")
-                + (one.settled() ? "" : ", and is not settled"));
+                + (one.converged() ? "" : ", and is not settled"));
       }
     }
     return Optional.empty();
   }
 
   @Override
-  public int settledWithin() {
-    return WITHIN;
+  public int convergenceSteps() {
+    return CONVERGENCE_STEPS;
   }
 
   /** A whole round of looks. */
   @Override
-  public int lasting() {
+  public int stableSteps() {
     return 4;
   }
 
   @Override
-  public String told(GossipMessage word) {
+  public String describe(GossipMessage word) {
     StringBuilder told =
         new StringBuilder(word.kind().name()).append(' ').append(word.sequenceNumber());
     if (!word.subject().isEmpty()) {
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
@@ -8,24 +8,24 @@
  * to others. All methods are functions of their arguments and may be called from several threads.
  */
 public interface Model<S, M> {
-  S start();
+  S initialState();
 
   /** All that can happen next, in an order of its own. */
-  List<M> moves(S state);
+  List<M> transitions(S state);
 
-  S after(S state, M move);
+  S successor(S state, M move);
 
   /** The same for states that are the same but for the names in them, and for no others. */
   Digest digest(S state);
 
   /** What must hold in each state and does not, or empty. */
-  Optional<String> broken(S state);
+  Optional<String> safetyViolation(S state);
 
   /** What is still wrong after the calm ending, in which troubles end and time passes, or empty. */
-  Optional<String> unsettled(S state);
+  Optional<String> convergenceViolation(S state);
 
   /** A move in words. */
-  default String told(M move) {
+  default String describe(M move) {
     return move.toString();
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
@@ -7,23 +7,23 @@
  */
 public interface Node<W, V> {
   /** Where its words go: to the broker of that number. */
-  interface Mouth<W> {
-    void say(int to, W word);
+  interface MessageSender<W> {
+    void send(int to, W word);
   }
 
-  void passed(int now);
+  void onTick(int now);
 
-  void heard(int now, W word);
+  void onMessage(int now, W word);
 
   /**
    * It does something of its own accord; {@code order} is the count of such acts of all brokers
    * that said something new.
    */
-  void act(int now, int order, String what);
+  void perform(int now, int order, String what);
 
   /** Does not change any more. */
-  V seen();
+  V observe();
 
-  /** All that what it does next depends on, see {@link Shape}. */
+  /** All that what it does next depends on, see {@link StateHasher}. */
   Object state();
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -16,130 +16,133 @@
 
 /** What brokers hold in common, the module that serves; a word tells all that its broker holds. */
 public final class ReplicatedMapSubject
-    implements Subject<List<ReplicatedEntry<String, Integer>>, ReplicatedMapSubject.Seen> {
+    implements Subject<List<ReplicatedEntry<String, Integer>>, ReplicatedMapSubject.Observation> {
   /** A step of the model, in µs. */
   private static final long STEP_US = 1_000;
 
-  static final ReplicatedMapSettings RULE = new ReplicatedMapSettings(3 * STEP_US, STEP_US, 2, 1);
+  static final ReplicatedMapSettings SETTINGS =
+      new ReplicatedMapSettings(3 * STEP_US, STEP_US, 2, 1);
   private static final List<String> KEYS = List.of("a", "b");
-  private static final String SAY = "says something of ";
-  private static final String TELL = "tells ";
+  private static final String PUBLISH_PREFIX = "says something of ";
+  private static final String SEND_PREFIX = "tells ";
 
   /** What holds facts: the module, or one put wrong on purpose. */
-  interface Holder {
-    void take(long nowUs, ReplicatedEntry<String, Integer> told);
+  interface Replica {
+    void merge(long nowUs, ReplicatedEntry<String, Integer> told);
 
-    void forget(long nowUs);
+    void expire(long nowUs);
 
-    List<ReplicatedEntry<String, Integer>> all();
+    List<ReplicatedEntry<String, Integer>> entries();
   }
 
   /** The module that serves. */
-  private static final class Real implements Holder {
-    private final ReplicatedMap<String, Integer> facts =
-        new ReplicatedMap<>(RULE, Comparator.<String>naturalOrder());
+  private static final class ProductionReplica implements Replica {
+    private final ReplicatedMap<String, Integer> map =
+        new ReplicatedMap<>(SETTINGS, Comparator.<String>naturalOrder());
 
     @Override
-    public void take(long nowUs, ReplicatedEntry<String, Integer> told) {
-      facts.merge(nowUs, told);
+    public void merge(long nowUs, ReplicatedEntry<String, Integer> told) {
+      map.merge(nowUs, told);
     }
 
     @Override
-    public void forget(long nowUs) {
-      facts.expire(nowUs);
+    public void expire(long nowUs) {
+      map.expire(nowUs);
     }
 
     @Override
-    public List<ReplicatedEntry<String, Integer>> all() {
-      return facts.all();
+    public List<ReplicatedEntry<String, Integer>> entries() {
+      return map.all();
     }
   }
 
   /** {@code clockUs}: what the broker's clock shows. */
-  public record Seen(long clockUs, List<ReplicatedEntry<String, Integer>> all, String wrong) {}
+  public record Observation(
+      long clockUs, List<ReplicatedEntry<String, Integer>> entries, String violation) {}
 
-  private final Supplier<Holder> holders;
-  private final long aheadUs;
-  private final boolean ties;
+  private final Supplier<Replica> replicaFactory;
+  private final long clockOffsetUs;
+  private final boolean simultaneousUpdates;
 
   /**
    * @param aheadUs of n0's clock
    * @param ties brokers may say things at the same moment; else no two ever do
    */
   public ReplicatedMapSubject(long aheadUs, boolean ties) {
-    this(Real::new, aheadUs, ties);
+    this(ProductionReplica::new, aheadUs, ties);
   }
 
-  ReplicatedMapSubject(Supplier<Holder> holders, long aheadUs, boolean ties) {
-    this.holders = holders;
-    this.aheadUs = aheadUs;
-    this.ties = ties;
+  ReplicatedMapSubject(Supplier<Replica> holders, long aheadUs, boolean ties) {
+    this.replicaFactory = holders;
+    this.clockOffsetUs = aheadUs;
+    this.simultaneousUpdates = ties;
   }
 
   /** One broker's, and what it held once and does no more. */
-  private final class Holding implements Node<List<ReplicatedEntry<String, Integer>>, Seen> {
+  private final class ReplicaNode
+      implements Node<List<ReplicatedEntry<String, Integer>>, Observation> {
     private final String name;
-    private final Mouth<List<ReplicatedEntry<String, Integer>>> mouth;
-    private final Holder held = holders.get();
-    private final long ahead;
-    private final Set<ReplicatedEntry<String, Integer>> gone = new HashSet<>();
-    private final Map<String, Long> said = new HashMap<>();
-    private List<ReplicatedEntry<String, Integer>> before = List.of();
-    private long clock;
-    private String wrong;
-
-    Holding(int number, int now, Mouth<List<ReplicatedEntry<String, Integer>>> mouth) {
-      name = Brokers.name(number);
-      ahead = number == 0 ? aheadUs : 0;
-      clock = clock(now);
-      this.mouth = mouth;
+    private final MessageSender<List<ReplicatedEntry<String, Integer>>> sender;
+    private final Replica replica = replicaFactory.get();
+    private final long offsetUs;
+    private final Set<ReplicatedEntry<String, Integer>> removed = new HashSet<>();
+    private final Map<String, Long> lastPublishedUs = new HashMap<>();
+    private List<ReplicatedEntry<String, Integer>> previous = List.of();
+    private long clockUs;
+    private String violation;
+
+    ReplicaNode(int number, int now, MessageSender<List<ReplicatedEntry<String, Integer>>> mouth) {
+      name = ClusterModel.name(number);
+      offsetUs = number == 0 ? clockOffsetUs : 0;
+      clockUs = clockUs(now);
+      this.sender = mouth;
     }
 
-    private long clock(int now) {
-      return now * STEP_US + ahead;
+    private long clockUs(int now) {
+      return now * STEP_US + offsetUs;
     }
 
     @Override
-    public void passed(int now) {
-      clock = clock(now);
-      held.forget(clock);
-      held.all().stream()
-          .filter(fact -> fact.timestampUs() <= clock - RULE.timeToLiveUs())
+    public void onTick(int now) {
+      clockUs = clockUs(now);
+      replica.expire(clockUs);
+      replica.entries().stream()
+          .filter(fact -> fact.timestampUs() <= clockUs - SETTINGS.timeToLiveUs())
           .findFirst()
-          .ifPresent(fact -> wrong = name + " still holds " + fact);
-      look();
+          .ifPresent(fact -> violation = name + " still holds " + fact);
+      checkInvariants();
     }
 
     @Override
-    public void heard(int now, List<ReplicatedEntry<String, Integer>> word) {
-      word.forEach(fact -> held.take(clock, fact));
-      look();
+    public void onMessage(int now, List<ReplicatedEntry<String, Integer>> word) {
+      word.forEach(fact -> replica.merge(clockUs, fact));
+      checkInvariants();
     }
 
     @Override
-    public void act(int now, int order, String what) {
-      if (what.startsWith(SAY)) {
-        String key = what.substring(SAY.length());
-        long at = ties ? clock : clock + order;
-        Long last = said.put(key, at);
+    public void perform(int now, int order, String what) {
+      if (what.startsWith(PUBLISH_PREFIX)) {
+        String key = what.substring(PUBLISH_PREFIX.length());
+        long at = simultaneousUpdates ? clockUs : clockUs + order;
+        Long last = lastPublishedUs.put(key, at);
         if (last == null || last < at) { // of one key an author says one thing at a moment
-          held.take(clock, new ReplicatedEntry<>(key, name, at, order));
+          replica.merge(clockUs, new ReplicatedEntry<>(key, name, at, order));
         }
       } else {
-        mouth.say(Brokers.number(what.substring(TELL.length())), held.all());
+        sender.send(ClusterModel.number(what.substring(SEND_PREFIX.length())), replica.entries());
       }
-      look();
+      checkInvariants();
     }
 
-    private void look() {
-      List<ReplicatedEntry<String, Integer>> now = held.all();
+    private void checkInvariants() {
+      List<ReplicatedEntry<String, Integer>> now = replica.entries();
       Set<ReplicatedEntry<String, Integer>> all = Set.copyOf(now);
-      before.stream().filter(fact -> !all.contains(fact)).forEach(gone::add);
-      before = now;
+      previous.stream().filter(fact -> !all.contains(fact)).forEach(removed::add);
+      previous = now;
       now.stream()
-          .filter(gone::contains)
+          .filter(removed::contains)
           .findFirst()
-          .ifPresent(fact -> wrong = name + " holds again what it had let go: " + fact);
+          .ifPresent(fact -> violation = name + " holds again what it had let go: " + fact);
       long most =
           now.stream()
               .collect(Collectors.groupingBy(ReplicatedEntry::origin, Collectors.counting()))
@@ -148,26 +151,26 @@
               .mapToLong(count -> count)
               .max()
               .orElse(0);
-      if (now.size() > RULE.maxEntries() || most > RULE.maxEntriesPerOrigin()) {
-        wrong = name + " holds " + now.size() + " facts, " + most + " of them of one author";
+      if (now.size() > SETTINGS.maxEntries() || most > SETTINGS.maxEntriesPerOrigin()) {
+        violation = name + " holds " + now.size() + " facts, " + most + " of them of one author";
       }
     }
 
     @Override
-    public Seen seen() {
-      return new Seen(clock, before, wrong);
+    public Observation observe() {
+      return new Observation(clockUs, previous, violation);
     }
 
     @Override
     public Object state() {
-      return List.of(clock, before, gone, said);
+      return List.of(clockUs, previous, removed, lastPublishedUs);
     }
   }
 
   @Override
-  public Node<List<ReplicatedEntry<String, Integer>>, Seen> start(
-      int number, int now, Node.Mouth<List<ReplicatedEntry<String, Integer>>> mouth) {
-    return new Holding(number, now, mouth);
+  public Node<List<ReplicatedEntry<String, Integer>>, Observation> start(
+      int number, int now, Node.MessageSender<List<ReplicatedEntry<String, Integer>>> mouth) {
+    return new ReplicaNode(number, now, mouth);
   }
 
   /**
@@ -177,10 +180,10 @@
   @Override
   public List<int[]> symmetries() {
     List<int[]> same = new ArrayList<>(List.of(new int[] {0, 1, 2}));
-    if (!ties) {
+    if (!simultaneousUpdates) {
       same.add(new int[] {0, 2, 1});
     }
-    if (!ties && aheadUs == 0) {
+    if (!simultaneousUpdates && clockOffsetUs == 0) {
       same.addAll(
           List.of(
               new int[] {1, 0, 2}, new int[] {1, 2, 0}, new int[] {2, 0, 1}, new int[] {2, 1, 0}));
@@ -189,79 +192,79 @@
   }
 
   @Override
-  public List<String> acts(int number) {
+  public List<String> actions(int number) {
     List<String> acts = new ArrayList<>();
-    KEYS.forEach(key -> acts.add(SAY + key));
-    acts.addAll(calmActs(number));
+    KEYS.forEach(key -> acts.add(PUBLISH_PREFIX + key));
+    acts.addAll(convergenceActions(number));
     return acts;
   }
 
   @Override
-  public boolean isNews(String act) {
-    return act.startsWith(SAY);
+  public boolean isUpdate(String act) {
+    return act.startsWith(PUBLISH_PREFIX);
   }
 
   /** To tell each other. */
   @Override
-  public List<String> calmActs(int number) {
+  public List<String> convergenceActions(int number) {
     List<String> tells = new ArrayList<>();
-    for (int i = 0; i < Brokers.COUNT; i++) {
+    for (int i = 0; i < ClusterModel.BROKER_COUNT; i++) {
       if (i != number) {
-        tells.add(TELL + Brokers.name(i));
+        tells.add(SEND_PREFIX + ClusterModel.name(i));
       }
     }
     return tells;
   }
 
   @Override
-  public Optional<String> broken(List<Seen> seen, List<List<Integer>> sides) {
+  public Optional<String> safetyViolation(List<Observation> seen, List<List<Integer>> sides) {
     return sides.stream()
         .flatMap(List::stream)
-        .map(i -> seen.get(i).wrong())
+        .map(i -> seen.get(i).violation())
         .filter(wrong -> wrong != null)
         .findFirst();
   }
 
   /** All hold the same, but for what a clock that is ahead has let go of. */
   @Override
-  public Optional<String> unsettled(List<Seen> live, List<Integer> numbers) {
-    long latest = live.stream().mapToLong(Seen::clockUs).max().orElse(0);
+  public Optional<String> convergenceViolation(List<Observation> live, List<Integer> numbers) {
+    long latest = live.stream().mapToLong(Observation::clockUs).max().orElse(0);
     List<List<ReplicatedEntry<String, Integer>>> held =
         live.stream()
             .map(
                 one ->
-                    one.all().stream()
-                        .filter(fact -> fact.timestampUs() > latest - RULE.timeToLiveUs())
+                    one.entries().stream()
+                        .filter(fact -> fact.timestampUs() > latest - SETTINGS.timeToLiveUs())
                         .toList())
             .toList();
     for (int i = 1; i < held.size(); i++) {
       if (!held.get(i).equals(held.get(0))) {
         return Optional.of(
-            Brokers.name(numbers.get(0))
+            ClusterModel.name(numbers.get(0))
                 + " holds "
                 + held.get(0)
                 + ", "
-                + Brokers.name(numbers.get(i))
+                + ClusterModel.name(numbers.get(i))
                 + " "
                 + held.get(i));
       }
     }
-    return live.stream().map(Seen::wrong).filter(wrong -> wrong != null).findFirst();
+    return live.stream().map(Observation::violation).filter(wrong -> wrong != null).findFirst();
   }
 
   /** At once: each tells each all. */
   @Override
-  public int settledWithin() {
+  public int convergenceSteps() {
     return 0;
   }
 
   @Override
-  public int lasting() {
+  public int stableSteps() {
     return 0;
   }
 
   @Override
-  public String told(List<ReplicatedEntry<String, Integer>> word) {
+  public String describe(List<ReplicatedEntry<String, Integer>> word) {
     return word.stream()
         .map(fact -> fact.origin() + " of " + fact.key() + " at " + fact.timestampUs())
         .collect(Collectors.joining(", ", "[", "]"));
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Shape.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
@@ -25,9 +25,9 @@
  * of chance, whose state the JDK keeps to itself: states that differ only in draws to come count as
  * one.
  */
-final class Shape {
-  private static final String OWN = "dunlinhitch.";
-  private static final ClassValue<List<Field>> FIELDS =
+final class StateHasher {
+  private static final String PROJECT_PACKAGE_PREFIX = "dunlinhitch.";
+  private static final ClassValue<List<Field>> INSTANCE_FIELDS =
       new ClassValue<>() {
         @Override
         protected List<Field> computeValue(Class<?> type) {
@@ -44,16 +44,16 @@
         }
       };
 
-  private final UnaryOperator<String> names;
+  private final UnaryOperator<String> nameMapping;
 
-  private Shape(UnaryOperator<String> names) {
-    this.names = names;
+  private StateHasher(UnaryOperator<String> names) {
+    this.nameMapping = names;
   }
 
   /** {@code names}: each text goes in as this returns it. */
   static Digest of(Object value, UnaryOperator<String> names) {
-    Hasher hasher = Digest.hasher();
-    new Shape(names).put(hasher, value);
+    Hasher hasher = Digest.newHasher();
+    new StateHasher(names).put(hasher, value);
     return Digest.of(hasher);
   }
 
@@ -61,11 +61,11 @@
     if (value == null) {
       hasher.putByte((byte) 0);
     } else if (value instanceof String text) {
-      text(hasher, 's', names.apply(text));
+      putText(hasher, 's', nameMapping.apply(text));
     } else if (value instanceof Number || value instanceof Boolean || value instanceof Character) {
-      text(hasher, 'v', value.toString());
+      putText(hasher, 'v', value.toString());
     } else if (value instanceof Enum<?> constant) {
-      text(hasher, 'e', constant.name());
+      putText(hasher, 'e', constant.name());
     } else if (value instanceof Optional<?> optional) {
       put(hasher, optional.orElse(null));
     } else if (value instanceof Map<?, ?> map) {
@@ -77,14 +77,14 @@
                     put(into, key);
                     put(into, held);
                   }));
-      parts(hasher, entries, map instanceof LinkedHashMap);
+      putElements(hasher, entries, map instanceof LinkedHashMap);
     } else if (value instanceof Collection<?> many) {
       List<Consumer<Hasher>> elements = new ArrayList<>();
       many.forEach(element -> elements.add(into -> put(into, element)));
       boolean loose =
           (many instanceof Set && !(many instanceof LinkedHashSet))
               || many instanceof PriorityQueue;
-      parts(hasher, elements, !loose);
+      putElements(hasher, elements, !loose);
     } else if (value.getClass().isArray()) {
       hasher.putInt(Array.getLength(value));
       for (int i = 0; i < Array.getLength(value); i++) {
@@ -92,17 +92,17 @@
       }
     } else if (value.getClass().isHidden() || value instanceof SplittableRandom) {
       hasher.putByte((byte) 1);
-    } else if (value.getClass().getName().startsWith(OWN)) {
-      own(hasher, value);
+    } else if (value.getClass().getName().startsWith(PROJECT_PACKAGE_PREFIX)) {
+      putFields(hasher, value);
     } else {
       throw new IllegalArgumentException(
           "it is not known how to tell two of these apart: " + value.getClass().getName());
     }
   }
 
-  private void own(Hasher hasher, Object value) {
-    text(hasher, 'o', value.getClass().getName());
-    for (Field field : FIELDS.get(value.getClass())) {
+  private void putFields(Hasher hasher, Object value) {
+    putText(hasher, 'o', value.getClass().getName());
+    for (Field field : INSTANCE_FIELDS.get(value.getClass())) {
       try {
         put(hasher, field.get(value));
       } catch (IllegalAccessException e) {
@@ -111,11 +111,11 @@
     }
   }
 
-  private static void text(Hasher hasher, char kind, String text) {
+  private static void putText(Hasher hasher, char kind, String text) {
     hasher.putChar(kind).putInt(text.length()).putUnencodedChars(text);
   }
 
-  private void parts(Hasher hasher, List<Consumer<Hasher>> parts, boolean ordered) {
+  private void putElements(Hasher hasher, List<Consumer<Hasher>> parts, boolean ordered) {
     hasher.putInt(parts.size());
     if (ordered) {
       parts.forEach(part -> part.accept(hasher));
@@ -124,11 +124,11 @@
     parts.stream()
         .map(
             part -> {
-              Hasher own = Digest.hasher();
+              Hasher own = Digest.newHasher();
               part.accept(own);
               return Digest.of(own);
             })
         .sorted()
-        .forEach(digest -> digest.into(hasher));
+        .forEach(digest -> digest.putInto(hasher));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -19,21 +19,22 @@
  * made short.
  */
 public final class Days {
-  private static final int SECONDS = 60;
-  private static final double RATE = 38;
-  private static final int MOST_FAULTS = 6;
+  private static final int DEFAULT_SECONDS = 60;
+  private static final double DEFAULT_QUERIES_PER_SECOND = 38;
+  private static final int MAX_FAULTS = 6;
 
   private Days() {}
 
   /** A drawn day: two to six troubles, at any time and over each other. */
-  public static World.Day drawn(long seed, Defect defect) {
-    UniformRandomProvider random = new Streams(seed).of("day");
+  public static Simulation.SimulatedDay generate(long seed, Defect defect) {
+    UniformRandomProvider random = new RandomStreams(seed).stream("day");
     List<Fault> faults = new ArrayList<>();
-    int many = 2 + random.nextInt(MOST_FAULTS - 1);
+    int many = 2 + random.nextInt(MAX_FAULTS - 1);
     for (int i = 0; i < many; i++) {
       long from =
-          1_000_000L * (long) Streams.between(random, 3, SECONDS - 15) + random.nextInt(1_000_000);
-      long length = 1_000_000L * (long) Streams.between(random, 1, 10);
+          1_000_000L * (long) RandomStreams.uniform(random, 3, DEFAULT_SECONDS - 15)
+              + random.nextInt(1_000_000);
+      long length = 1_000_000L * (long) RandomStreams.uniform(random, 1, 10);
       List<String> some = new ArrayList<>();
       for (int s = 1 + random.nextInt(4); s > 0; s--) {
         String name = "s" + random.nextInt(18);
@@ -48,10 +49,13 @@
             case 1 -> new Fault(from, to, "", "drain", some, 0);
             case 2 -> new Fault(from, -1, "", "move", some.subList(0, 1), 0);
             case 3 -> new Fault(from, -1, "", "replace", some, 0);
-            case 4 -> new Fault(from, to, "", "slow", some, Streams.between(random, 3.8, 9.8));
+            case 4 ->
+                new Fault(from, to, "", "slow", some, RandomStreams.uniform(random, 3.8, 9.8));
             case 5 ->
-                new Fault(from, to, "", "slow-all", List.of(), Streams.between(random, 1.4, 1.8));
-            case 6 -> new Fault(from, to, "", "jump", List.of(), Streams.between(random, 1.4, 1.9));
+                new Fault(
+                    from, to, "", "slow-all", List.of(), RandomStreams.uniform(random, 1.4, 1.8));
+            case 6 ->
+                new Fault(from, to, "", "jump", List.of(), RandomStreams.uniform(random, 1.4, 1.9));
             case 7 -> new Fault(from, to, "", "late", List.of(), 2_000_000);
             case 8 ->
                 new Fault(from, to, "", "cut", List.of("b" + random.nextInt(3), some.get(0)), 0);
@@ -68,19 +72,21 @@
             case 11 ->
                 new Fault(from, from + 100_000 + random.nextInt(900_000), "", "withdraw", some, 0);
             case 12 ->
-                new Fault(from, to, "", "garble", List.of(), Streams.between(random, 0.02, 0.2));
+                new Fault(
+                    from, to, "", "garble", List.of(), RandomStreams.uniform(random, 0.02, 0.2));
             default -> new Fault(from, to, "", "settings", List.of(), 0);
           });
     }
-    return new World.Day(seed, SECONDS, RATE, faults, defect);
+    return new Simulation.SimulatedDay(
+        seed, DEFAULT_SECONDS, DEFAULT_QUERIES_PER_SECOND, faults, defect);
   }
 
   /** A file of troubles; a line {@code day seed 7 seconds 60 rate 38 defect X} may say the rest. */
-  public static World.Day read(Path file, Long seed) throws IOException {
-    return read(file, Files.readAllLines(file), seed);
+  public static Simulation.SimulatedDay parse(Path file, Long seed) throws IOException {
+    return parse(file, Files.readAllLines(file), seed);
   }
 
-  static World.Day read(Path file, List<String> lines, Long seed) {
+  static Simulation.SimulatedDay parse(Path file, List<String> lines, Long seed) {
     Map<String, String> head = new HashMap<>();
     List<String> rest = new ArrayList<>(lines);
     for (int i = 0; i < rest.size(); i++) {
@@ -92,16 +98,16 @@
         rest.set(i, "");
       }
     }
-    return new World.Day(
+    return new Simulation.SimulatedDay(
         seed != null ? seed : Long.parseLong(head.getOrDefault("seed", "1")),
-        Integer.parseInt(head.getOrDefault("seconds", String.valueOf(SECONDS))),
-        Double.parseDouble(head.getOrDefault("rate", String.valueOf(RATE))),
-        Fault.read(file, rest),
+        Integer.parseInt(head.getOrDefault("seconds", String.valueOf(DEFAULT_SECONDS))),
+        Double.parseDouble(head.getOrDefault("rate", String.valueOf(DEFAULT_QUERIES_PER_SECOND))),
+        Fault.parse(file, rest),
         Defect.valueOf(head.getOrDefault("defect", "NONE")));
   }
 
   /** As a file has it. */
-  public static String written(World.Day day) {
+  public static String format(Simulation.SimulatedDay day) {
     StringBuilder out =
         new StringBuilder(
             "day seed "
@@ -109,7 +115,7 @@
                 + " seconds "
                 + day.seconds()
                 + " rate "
-                + day.queriesPerS()
+                + day.queriesPerSecond()
                 + (day.defect() == Defect.NONE ? "" : " defect " + day.defect())
                 + "\n");
     day.faults().forEach(fault -> out.append(fault).append('\n'));
@@ -117,14 +123,15 @@
   }
 
   /** What a search came to: seeds played, simulated seconds, and the breaches by seed. */
-  public record Found(int played, long steps, double meanShare, List<World.Result> breaches) {}
+  public record Found(
+      int played, long steps, double meanShare, List<Simulation.SimulationResult> breaches) {}
 
   /**
    * Plays the drawn days of so many seeds, on all cores; {@code first}: it ends with the first
    * breach.
    */
   public static Found search(long fromSeed, int seeds, Defect defect, boolean first) {
-    ConcurrentLinkedQueue<World.Result> breaches = new ConcurrentLinkedQueue<>();
+    ConcurrentLinkedQueue<Simulation.SimulationResult> breaches = new ConcurrentLinkedQueue<>();
     AtomicInteger played = new AtomicInteger();
     AtomicLong steps = new AtomicLong();
     double share =
@@ -135,7 +142,8 @@
                   if (first && !breaches.isEmpty()) {
                     return Double.NaN;
                   }
-                  World.Result result = World.play(drawn(fromSeed + i, defect), false);
+                  Simulation.SimulationResult result =
+                      Simulation.play(generate(fromSeed + i, defect), false);
                   played.incrementAndGet();
                   steps.addAndGet(result.steps());
                   if (result.breach() != null) {
@@ -157,25 +165,25 @@
    * The same breach from fewer troubles, a shorter day and fewer clients; each step is kept if the
    * rule still breaks.
    */
-  public static World.Day shrunk(World.Day day) {
-    World.Result whole = World.play(day, false);
+  public static Simulation.SimulatedDay shrink(Simulation.SimulatedDay day) {
+    Simulation.SimulationResult whole = Simulation.play(day, false);
     if (whole.breach() == null) {
       throw new IllegalArgumentException("no rule breaks on this day");
     }
     String rule = whole.breach().rule();
-    Predicate<World.Day> breaks =
+    Predicate<Simulation.SimulatedDay> breaks =
         d -> {
-          World.Result r = World.play(d, false);
+          Simulation.SimulationResult r = Simulation.play(d, false);
           return r.breach() != null && r.breach().rule().equals(rule);
         };
-    World.Day best = day;
+    Simulation.SimulatedDay best = day;
     for (boolean smaller = true; smaller; ) {
       smaller = false;
       for (int i = 0; i < best.faults().size(); i++) {
         List<Fault> fewer = new ArrayList<>(best.faults());
         fewer.remove(i);
-        if (breaks.test(best.with(fewer))) {
-          best = best.with(fewer);
+        if (breaks.test(best.withChanges(fewer))) {
+          best = best.withChanges(fewer);
           smaller = true;
           i--;
         }
@@ -183,15 +191,15 @@
       for (int seconds : new int[] {best.seconds() / 2, best.seconds() - 5, best.seconds() - 1}) {
         if (seconds >= 1
             && seconds < best.seconds()
-            && breaks.test(best.with(seconds, best.queriesPerS()))) {
-          best = best.with(seconds, best.queriesPerS());
+            && breaks.test(best.withChanges(seconds, best.queriesPerSecond()))) {
+          best = best.withChanges(seconds, best.queriesPerSecond());
           smaller = true;
           break;
         }
       }
-      double half = best.queriesPerS() / 2;
-      if (half >= 1 && breaks.test(best.with(best.seconds(), half))) {
-        best = best.with(best.seconds(), half);
+      double half = best.queriesPerSecond() / 2;
+      if (half >= 1 && breaks.test(best.withChanges(best.seconds(), half))) {
+        best = best.withChanges(best.seconds(), half);
         smaller = true;
       }
     }
--- a/src/main/java/dunlinhitch/experiments/simulation/Fault.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Fault.java
@@ -27,12 +27,12 @@
  * when s3 cold jump x2               from when the store has started cold, for 3 s
  * </pre>
  *
- * @param fromUs since the start of the day (microseconds); below 0: when {@code whenCold} starts
+ * @param fromUs since the start of the day (microseconds); below 0: when {@code coldStartOf} starts
  *     cold
  * @param toUs the end, where it has one
  */
 public record Fault(
-    long fromUs, long toUs, String whenCold, String what, List<String> who, double by) {
+    long fromUs, long toUs, String coldStartOf, String kind, List<String> targets, double factor) {
   private static final Map<String, Long> UNITS =
       Map.of("us", 1L, "ms", 1_000L, "s", 1_000_000L, "m", 60_000_000L);
   private static final List<String> KINDS =
@@ -53,17 +53,17 @@
           "settings");
 
   public Fault {
-    who = List.copyOf(who);
+    targets = List.copyOf(targets);
   }
 
   /** Throws an IllegalArgumentException that names the line and what is wrong. */
-  static List<Fault> read(Path file, List<String> lines) {
+  static List<Fault> parse(Path file, List<String> lines) {
     List<Fault> faults = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
       String line = lines.get(i).replaceAll("#.*", "").trim();
       if (!line.isEmpty()) {
         try {
-          faults.add(read(line));
+          faults.add(parse(line));
         } catch (IllegalArgumentException | IndexOutOfBoundsException e) {
           throw new IllegalArgumentException(
               file
@@ -81,7 +81,7 @@
     return faults;
   }
 
-  static Fault read(String line) {
+  static Fault parse(String line) {
     List<String> words = new ArrayList<>(List.of(line.split("\\s+", 0)));
     long from = -1;
     long to = -1;
@@ -89,8 +89,8 @@
     String how = words.remove(0);
     if (how.equals("at")) {
       String[] times = words.remove(0).split("\\.\\.", 0);
-      from = time(times[0]);
-      to = times.length > 1 ? time(times[1]) : -1;
+      from = parseTime(times[0]);
+      to = times.length > 1 ? parseTime(times[1]) : -1;
     } else if (how.equals("when")) {
       cold = words.remove(0);
       if (!words.remove(0).equals("cold")) {
@@ -109,11 +109,11 @@
     for (int i = 0; i < words.size(); i++) {
       String word = words.get(i);
       if (word.equals("for")) {
-        to = from + time(words.get(++i));
+        to = from + parseTime(words.get(++i));
       } else if (word.matches("x[0-9.]+")) {
         by = Double.parseDouble(word.substring(1));
       } else if (what.equals("late")) {
-        by = time(word);
+        by = parseTime(word);
       } else {
         who.add(word);
       }
@@ -121,7 +121,7 @@
     return new Fault(from, to, cold, what, who, by);
   }
 
-  static long time(String text) {
+  static long parseTime(String text) {
     int digits = 0;
     while (digits < text.length()
         && (Character.isDigit(text.charAt(digits)) || text.charAt(digits) == '.')) {
@@ -134,7 +134,7 @@
     return Math.round(Double.parseDouble(text.substring(0, digits)) * unit);
   }
 
-  private static String time(long us) {
+  private static String parseTime(long us) {
     return us % 1_000 != 0
         ? us + "us"
         : us % 1_000_000 != 0 ? us / 1_000 + "ms" : us / 1_000_000 + "s";
@@ -146,14 +146,14 @@
     StringBuilder out =
         new StringBuilder(
             fromUs < 0
-                ? "when " + whenCold + " cold"
-                : "at " + time(fromUs) + (toUs >= 0 ? ".." + time(toUs) : ""));
-    out.append(' ').append(what);
-    who.forEach(name -> out.append(' ').append(name));
-    if (what.equals("late")) {
-      out.append(' ').append(time((long) by));
-    } else if (by != 0) {
-      out.append(String.format(Locale.ROOT, " x%s", by));
+                ? "when " + coldStartOf + " cold"
+                : "at " + parseTime(fromUs) + (toUs >= 0 ? ".." + parseTime(toUs) : ""));
+    out.append(' ').append(kind);
+    targets.forEach(name -> out.append(' ').append(name));
+    if (kind.equals("late")) {
+      out.append(' ').append(parseTime((long) factor));
+    } else if (factor != 0) {
+      out.append(String.format(Locale.ROOT, " x%s", factor));
     }
     return out.toString();
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/Streams.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/RandomStreams.java
@@ -8,14 +8,14 @@
 /**
  * One stream of random numbers for each component, by its name: a change in one shifts no other.
  */
-final class Streams {
+final class RandomStreams {
   private final long seed;
 
-  Streams(long seed) {
+  RandomStreams(long seed) {
     this.seed = seed;
   }
 
-  UniformRandomProvider of(String component) {
+  UniformRandomProvider stream(String component) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < component.length(); i++) {
       hash = (hash ^ component.charAt(i)) * 0x100000001b3L;
@@ -24,7 +24,7 @@
         new long[] {seed * 0x9E3779B97F4A7C15L + 1, hash});
   }
 
-  static double between(UniformRandomProvider random, double from, double to) {
+  static double uniform(UniformRandomProvider random, double from, double to) {
     return from + (to - from) * random.nextDouble();
   }
 
--- a/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
@@ -7,14 +7,15 @@
  * Microseconds.
  */
 final class Scheduler {
-  private record Due(long atUs, long order, Runnable task) implements Comparable<Due> {
+  private record ScheduledTask(long atUs, long order, Runnable task)
+      implements Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Due other) {
+    public int compareTo(ScheduledTask other) {
       return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
     }
   }
 
-  private final PriorityQueue<Due> dues = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
   private long nowUs;
   private long order;
   private long steps;
@@ -32,18 +33,18 @@
     return steps;
   }
 
-  void at(long atUs, Runnable task) {
-    dues.add(new Due(Math.max(nowUs, atUs), ++order, task));
+  void scheduleAt(long atUs, Runnable task) {
+    queue.add(new ScheduledTask(Math.max(nowUs, atUs), ++order, task));
   }
 
-  void after(long inUs, Runnable task) {
-    at(nowUs + Math.max(0, inUs), task);
+  void scheduleAfter(long inUs, Runnable task) {
+    scheduleAt(nowUs + Math.max(0, inUs), task);
   }
 
   /** Does all that is due by then; false where a step said to stop. */
-  void until(long endUs, java.util.function.BooleanSupplier goOn) {
-    while (!dues.isEmpty() && dues.peek().atUs() <= endUs && goOn.getAsBoolean()) {
-      Due due = dues.poll();
+  void runUntil(long endUs, java.util.function.BooleanSupplier goOn) {
+    while (!queue.isEmpty() && queue.peek().atUs() <= endUs && goOn.getAsBoolean()) {
+      ScheduledTask due = queue.poll();
       nowUs = due.atUs();
       steps++;
       due.task().run();
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
@@ -49,32 +49,32 @@
       boolean together,
       long staleUs) {}
 
-  private static final int KIND = 0;
-  private static final long DAY_US = 1_700_000_000_000_000L;
-  private static final double REPORTS_FADE = 4; // aims
+  private static final int QUERY_CLASS = 0;
+  private static final long CLOCK_START_US = 1_700_000_000_000_000L;
+  private static final double REPORT_DECAY_OBJECTIVES = 4; // aims
 
   private static final class Store {
-    private final double times;
+    private final double slowdown;
     private final String name;
     private long busyUntilUs;
     private int queued;
-    private int[] inWindow = new int[0];
+    private int[] countsByWindow = new int[0];
 
     private Store(String name, double times) {
       this.name = name;
-      this.times = times;
+      this.slowdown = times;
     }
   }
 
   private final class Broker {
-    private final double[] ledgerUs = new double[stores.size()];
-    private final int[] out = new int[stores.size()];
+    private final double[] outstandingWorkUs = new double[stores.size()];
+    private final int[] outstandingParts = new int[stores.size()];
     private final double[] reported = new double[stores.size()];
     private final long[] reportedAtUs = new long[stores.size()];
     private final Scorer scorer;
     private final Scoring scoring;
     private FactorTable factors = FactorTable.NONE;
-    private long told;
+    private long publishedVersion;
 
     private Broker(int number) {
       scorer = plan.scorer() == null ? null : plan.scorer().get();
@@ -85,21 +85,23 @@
                   "n" + number,
                   new ScorerIdentity(scorer.name(), scorer.version(), "{}"),
                   plan.rule(),
-                  List.of(new Scoring.Kind("a", aimUs())),
+                  List.of(new Scoring.Kind("a", latencyObjectiveUs())),
                   seed + number);
     }
 
-    private double entry(int store) {
+    private double estimatedWorkUs(int store) {
       double age = scheduler.now() - reportedAtUs[store];
-      return ledgerUs[store]
-          + reported[store] * Math.exp(-age / (REPORTS_FADE * aimUs())) * plan.workUs();
+      return outstandingWorkUs[store]
+          + reported[store]
+              * Math.exp(-age / (REPORT_DECAY_OBJECTIVES * latencyObjectiveUs()))
+              * plan.workUs();
     }
 
-    private int choose(int cell) {
+    private int selectStore(int cell) {
       int best = -1;
       double least = 0;
       for (int i = cell * plan.replicas(); i < (cell + 1) * plan.replicas(); i++) {
-        double work = (entry(i) + plan.workUs()) * factors.factor(i, KIND);
+        double work = (estimatedWorkUs(i) + plan.workUs()) * factors.factor(i, QUERY_CLASS);
         double score = work * (1 + 0.001 * random.nextDouble());
         if (best < 0 || score < least) {
           best = i;
@@ -110,37 +112,37 @@
     }
 
     private void send() {
-      int at = choose(random.nextInt(plan.cells()));
+      int at = selectStore(random.nextInt(plan.cells()));
       Store store = stores.get(at);
       long sentUs = scheduler.now();
       chosen.add(at);
-      count(store);
-      long foreseenUs = (long) (entry(at) + plan.workUs());
-      ledgerUs[at] += plan.workUs();
-      out[at]++;
+      countPart(store);
+      long foreseenUs = (long) (estimatedWorkUs(at) + plan.workUs());
+      outstandingWorkUs[at] += plan.workUs();
+      outstandingParts[at]++;
       store.queued++;
-      long serviceUs = (long) (-Math.log(1 - random.nextDouble()) * plan.workUs() * store.times);
+      long serviceUs = (long) (-Math.log(1 - random.nextDouble()) * plan.workUs() * store.slowdown);
       store.busyUntilUs = Math.max(store.busyUntilUs, sentUs) + serviceUs;
-      scheduler.at(
+      scheduler.scheduleAt(
           store.busyUntilUs,
           () -> {
             store.queued--;
-            out[at]--;
-            ledgerUs[at] = Math.max(0, ledgerUs[at] - plan.workUs());
-            reported[at] = Math.max(0, store.queued - out[at]) / store.times;
+            outstandingParts[at]--;
+            outstandingWorkUs[at] = Math.max(0, outstandingWorkUs[at] - plan.workUs());
+            reported[at] = Math.max(0, store.queued - outstandingParts[at]) / store.slowdown;
             reportedAtUs[at] = scheduler.now();
             long tookUs = scheduler.now() - sentUs;
             finished.add(new Finished(this, sentUs, tookUs));
             if (scoring != null) {
               scoring.ended(
                   store.name,
-                  KIND,
+                  QUERY_CLASS,
                   new Ending(Ending.Outcome.ANSWERED, scheduler.now(), tookUs, foreseenUs));
             }
           });
     }
 
-    private void round() {
+    private void runScoringRound() {
       List<Sight> sights = new ArrayList<>();
       for (int i = 0; i < stores.size(); i++) {
         sights.add(
@@ -152,12 +154,12 @@
                 true,
                 1,
                 0,
-                entry(i),
+                estimatedWorkUs(i),
                 List.of(reported[i]),
                 scheduler.now() - reportedAtUs[i]));
       }
       scoring.seen(sights);
-      long dayUs = DAY_US + scheduler.now();
+      long dayUs = CLOCK_START_US + scheduler.now();
       List<Round> rounds = scoring.rounds(scheduler.now(), dayUs);
       List<List<Judgement>> said = new ArrayList<>();
       rounds.forEach(round -> said.add(scorer.judge(round)));
@@ -167,38 +169,39 @@
       }
       factors = scoring.table();
       if (plan.shared()) {
-        tell();
+        shareWeights();
       }
       long nextUs =
           plan.together()
               ? (scheduler.now() / plan.rule().roundUs() + 1) * plan.rule().roundUs()
               : scoring.nextRoundUs(scheduler.now());
-      scheduler.at(nextUs, this::round);
+      scheduler.scheduleAt(nextUs, this::runScoringRound);
     }
 
     /** Own words go to every other broker, each after a time of its own. */
-    private void tell() {
+    private void shareWeights() {
       String self = "n" + brokers.indexOf(this);
       List<ReplicatedEntry<WeightKey, Weight>> news =
-          scoring.weights().since(told, Integer.MAX_VALUE).stream()
+          scoring.weights().since(publishedVersion, Integer.MAX_VALUE).stream()
               .filter(fact -> fact.origin().equals(self))
               .toList();
-      told = scoring.weights().version();
+      publishedVersion = scoring.weights().version();
       if (!news.isEmpty()) {
         for (Broker other : brokers) {
           if (other != this) {
-            scheduler.after(
+            scheduler.scheduleAfter(
                 (long) (random.nextDouble() * plan.staleUs()),
                 () ->
                     news.forEach(
-                        fact -> other.scoring.weights().told(DAY_US + scheduler.now(), fact)));
+                        fact ->
+                            other.scoring.weights().told(CLOCK_START_US + scheduler.now(), fact)));
           }
         }
       }
     }
   }
 
-  private record Finished(Broker broker, long sentUs, long tookUs) {}
+  private record Finished(Broker broker, long sentUs, long latencyUs) {}
 
   private final Plan plan;
   private final long seed;
@@ -208,7 +211,7 @@
   private final List<Broker> brokers = new ArrayList<>();
   private final List<Finished> finished = new ArrayList<>();
   private final List<Integer> chosen = new ArrayList<>();
-  private final double everyUs;
+  private final double meanGapUs;
   private static final long WINDOW_US = 1_000_000;
 
   public ScorerWorld(Plan plan, long seed) {
@@ -224,14 +227,14 @@
       stores.add(new Store("s" + i, times));
       able += 1 / times;
     }
-    everyUs =
+    meanGapUs =
         plan.workUs() / (able * plan.load()) * plan.brokers(); // from query to query at one broker
     for (int i = 0; i < plan.brokers(); i++) {
       join();
     }
   }
 
-  private long aimUs() {
+  private long latencyObjectiveUs() {
     return 20 * plan.workUs();
   }
 
@@ -249,32 +252,33 @@
             .scoring
             .weights()
             .since(0, Integer.MAX_VALUE)
-            .forEach(fact -> fresh.scoring.weights().told(DAY_US + scheduler.now(), fact));
+            .forEach(fact -> fresh.scoring.weights().told(CLOCK_START_US + scheduler.now(), fact));
       }
-      scheduler.after(plan.together() ? 0 : random.nextLong(plan.rule().roundUs()), fresh::round);
+      scheduler.scheduleAfter(
+          plan.together() ? 0 : random.nextLong(plan.rule().roundUs()), fresh::runScoringRound);
     }
-    next(fresh);
+    scheduleNextQuery(fresh);
   }
 
-  private void next(Broker broker) {
-    scheduler.after(
-        (long) (-Math.log(1 - random.nextDouble()) * everyUs),
+  private void scheduleNextQuery(Broker broker) {
+    scheduler.scheduleAfter(
+        (long) (-Math.log(1 - random.nextDouble()) * meanGapUs),
         () -> {
           broker.send();
-          next(broker);
+          scheduleNextQuery(broker);
         });
   }
 
   public void playTo(long untilUs) {
-    scheduler.until(untilUs, () -> true);
+    scheduler.runUntil(untilUs, () -> true);
   }
 
-  private void count(Store store) {
+  private void countPart(Store store) {
     int window = (int) (scheduler.now() / WINDOW_US);
-    if (store.inWindow.length <= window) {
-      store.inWindow = Arrays.copyOf(store.inWindow, window + 64);
+    if (store.countsByWindow.length <= window) {
+      store.countsByWindow = Arrays.copyOf(store.countsByWindow, window + 64);
     }
-    store.inWindow[window]++;
+    store.countsByWindow[window]++;
   }
 
   /** Which store each part went to. */
@@ -287,23 +291,23 @@
    * broker that joined last alone.
    */
   public double worth(long fromUs, long untilUs, boolean newest) {
-    double[] took = took(fromUs, untilUs, newest);
-    return Arrays.stream(took).filter(t -> t <= aimUs()).count()
+    double[] took = latencies(fromUs, untilUs, newest);
+    return Arrays.stream(took).filter(t -> t <= latencyObjectiveUs()).count()
         / (double) Math.max(1, took.length);
   }
 
   /** What all but one in a hundred took at the most, µs. */
   public double p99(long fromUs, long untilUs, boolean newest) {
-    double[] took = took(fromUs, untilUs, newest);
+    double[] took = latencies(fromUs, untilUs, newest);
     Arrays.sort(took);
     return took.length == 0 ? 0 : took[(int) (0.99 * (took.length - 1))];
   }
 
-  private double[] took(long fromUs, long untilUs, boolean newest) {
+  private double[] latencies(long fromUs, long untilUs, boolean newest) {
     Broker last = brokers.get(brokers.size() - 1);
     return finished.stream()
         .filter(f -> f.sentUs >= fromUs && f.sentUs < untilUs && (!newest || f.broker == last))
-        .mapToDouble(Finished::tookUs)
+        .mapToDouble(Finished::latencyUs)
         .toArray();
   }
 
@@ -316,7 +320,7 @@
     int first = (int) (fromUs / WINDOW_US);
     int last = (int) (untilUs / WINDOW_US);
     for (Store store : stores) {
-      int[] counts = Arrays.copyOfRange(store.inWindow, first, last);
+      int[] counts = Arrays.copyOfRange(store.countsByWindow, first, last);
       double mean = Arrays.stream(counts).average().orElse(0);
       double square =
           Arrays.stream(counts).mapToDouble(n -> (n - mean) * (n - mean)).average().orElse(0);
--- a/src/main/java/dunlinhitch/experiments/simulation/World.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -36,109 +36,111 @@
  * them. docs/simulation.md has the models and what is outside. One thread; the same seed, script
  * and build give the same lines byte for byte.
  */
-public final class World {
-  static final int CELLS = 6;
-  static final int SHARDS = 24;
-  private static final int SETS = 3;
-  private static final int BROKERS = 3;
+public final class Simulation {
+  static final int CELL_COUNT = 6;
+  static final int SHARD_COUNT = 24;
+  private static final int REPLICA_SETS = 3;
+  private static final int BROKER_COUNT = 3;
   private static final long START_US = 1_700_000_000_000_000L;
-  private static final long NEAR_US = 100;
-  private static final long SETTLE_US = 8_000_000;
-  private static final String RECORDS = "dns_sd day";
-
-  /** A day to be played; {@code queriesPerS} over all brokers. */
-  public record Day(long seed, int seconds, double queriesPerS, List<Fault> faults, Defect defect) {
-    public Day {
+  private static final long SAME_ZONE_LATENCY_US = 100;
+  private static final long DRAIN_PERIOD_US = 8_000_000;
+  private static final String DNS_SOURCE = "dns_sd day";
+
+  /** A day to be played; {@code queriesPerSecond} over all brokers. */
+  public record SimulatedDay(
+      long seed, int seconds, double queriesPerSecond, List<Fault> faults, Defect defect) {
+    public SimulatedDay {
       faults = List.copyOf(faults);
     }
 
-    Day with(List<Fault> others) {
-      return new Day(seed, seconds, queriesPerS, others, defect);
+    SimulatedDay withChanges(List<Fault> others) {
+      return new SimulatedDay(seed, seconds, queriesPerSecond, others, defect);
     }
 
-    Day with(int otherSeconds, double rate) {
-      return new Day(seed, otherSeconds, rate, faults, defect);
+    SimulatedDay withChanges(int otherSeconds, double rate) {
+      return new SimulatedDay(seed, otherSeconds, rate, faults, defect);
     }
   }
 
-  /** How it went; {@code lines} only where they were asked for. */
-  public record Result(
-      Day day,
-      Checker.Breach breach,
-      double worth,
-      double asked,
+  /** How it went; {@code trace} only where they were asked for. */
+  public record SimulationResult(
+      SimulatedDay day,
+      InvariantChecker.Violation breach,
+      double servedWeight,
+      double offeredWeight,
       long steps,
       String digest,
-      List<String> lines) {
+      List<String> trace) {
     public double share() {
-      return asked == 0 ? 1 : worth / asked;
+      return offeredWeight == 0 ? 1 : servedWeight / offeredWeight;
     }
   }
 
   /** A store as one broker reaches it. */
-  private record Way(SimStore store, int port) {}
+  private record Route(SimulatedStore store, int port) {}
 
   /** An attempt that is out. */
-  private static final class Out {
-    private final SimBroker broker;
-    private final SimStore store;
-    private final Effect.AttemptRequest part;
-    private boolean over;
+  private static final class OutstandingAttempt {
+    private final SimulatedBroker broker;
+    private final SimulatedStore store;
+    private final Effect.AttemptRequest request;
+    private boolean ended;
 
-    Out(SimBroker broker, SimStore store, Effect.AttemptRequest part) {
+    OutstandingAttempt(SimulatedBroker broker, SimulatedStore store, Effect.AttemptRequest part) {
       this.broker = broker;
       this.store = store;
-      this.part = part;
+      this.request = part;
     }
   }
 
-  private record Asked(QueryRequest ask, int tries, long beganUs, boolean obeys) {}
+  private record ClientQuery(
+      QueryRequest request, int retries, long startedUs, boolean honorsRetryAfter) {}
 
-  private final Day day;
+  private final SimulatedDay day;
   private final Scheduler time = new Scheduler(START_US);
-  private final Streams streams;
-  private final Checker checker = new Checker(time);
+  private final RandomStreams streams;
+  private final InvariantChecker checker = new InvariantChecker(time);
   private final Settings settings = settings(true);
-  private final List<SimStore> stores = new ArrayList<>();
-  private final SimBroker[] slots = new SimBroker[BROKERS];
-  private final List<Map<Integer, Way>> ways = new ArrayList<>();
-  private final List<Map<Long, Out>> outs = new ArrayList<>();
-  private final List<SimBroker> all = new ArrayList<>();
-  private final Map<String, Asked> open = new LinkedHashMap<>();
+  private final List<SimulatedStore> stores = new ArrayList<>();
+  private final SimulatedBroker[] slots = new SimulatedBroker[BROKER_COUNT];
+  private final List<Map<Integer, Route>> routes = new ArrayList<>();
+  private final List<Map<Long, OutstandingAttempt>> outstanding = new ArrayList<>();
+  private final List<SimulatedBroker> allBrokers = new ArrayList<>();
+  private final Map<String, ClientQuery> openQueries = new LinkedHashMap<>();
   private final Map<String, String> exchanges = new HashMap<>();
   private final UniformRandomProvider clients;
   private final UniformRandomProvider network;
   private final UniformRandomProvider work;
   private final UniformRandomProvider discovery;
   private final UniformRandomProvider defects;
-  private final boolean byRecords;
-  private final boolean keepLines;
-  private final List<String> kept = new ArrayList<>();
+  private final boolean usesDnsSource;
+  private final boolean keepTrace;
+  private final List<String> trace = new ArrayList<>();
   private final MessageDigest digest;
-  private double jump = 1;
-  private double slowAll = 1;
-  private long lateReportsUs;
-  private double garble;
+  private double trafficFactor = 1;
+  private double globalSlowdown = 1;
+  private long reportDelayUs;
+  private double corruptShare;
   private final Map<String, Integer> cuts = new HashMap<>();
-  private final Map<Integer, Long> toldUs = new HashMap<>();
+  private final Map<Integer, Long> lastNotificationUs = new HashMap<>();
   private boolean classDropped;
   private int lastPort = 7000;
   private int lastQuery;
   private long lastExchange;
   private int lastStore;
-  private double worth;
-  private double asked;
+  private double servedWeight;
+  private double offeredWeight;
 
-  private World(Day day, boolean keepLines) {
+  private Simulation(SimulatedDay day, boolean keepLines) {
     this.day = day;
-    this.keepLines = keepLines;
-    streams = new Streams(day.seed());
-    clients = streams.of("clients");
-    network = streams.of("network");
-    work = streams.of("work");
-    discovery = streams.of("discovery");
-    defects = streams.of("defects");
-    byRecords = day.seed() % 2 == 1;
+    this.keepTrace = keepLines;
+    streams = new RandomStreams(day.seed());
+    clients = streams.stream("clients");
+    network = streams.stream("network");
+    work = streams.stream("work");
+    discovery = streams.stream("discovery");
+    defects = streams.stream("defects");
+    usesDnsSource = day.seed() % 2 == 1;
     try {
       digest = MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
@@ -147,8 +149,8 @@
   }
 
   /** Plays the day to its end, or to the first breach. */
-  public static Result play(Day day, boolean keepLines) {
-    return new World(day, keepLines).run();
+  public static SimulationResult play(SimulatedDay day, boolean keepLines) {
+    return new Simulation(day, keepLines).run();
   }
 
   static String value(String text, int shard) {
@@ -191,14 +193,14 @@
               0.9));
     }
     return new Settings(
-        BROKERS,
+        BROKER_COUNT,
         List.of("a", "b"),
         0,
         5_000,
         classes,
         List.of(),
         0.1,
-        new ShardLayout(CELLS, 1, SHARDS, 8, 46_000),
+        new ShardLayout(CELL_COUNT, 1, SHARD_COUNT, 8, 46_000),
         new Limits(4, 300, true, true, false, true, 500_000, 250_000, 32, 15_000_000),
         new Rules(
             20_000,
@@ -206,10 +208,10 @@
             -1,
             0,
             0,
-            SimStore.COLD,
-            SimStore.WARM_US,
-            SimStore.OVERLOAD,
-            SimStore.FALL_US,
+            SimulatedStore.COLD_WEIGHT,
+            SimulatedStore.SLOW_START_US,
+            SimulatedStore.OVERLOAD_FACTOR,
+            SimulatedStore.OVERLOAD_WINDOW_US,
             250_000),
         new Prices(0.01, 0.012, 0.11, 0.03),
         false,
@@ -219,110 +221,110 @@
         false);
   }
 
-  private Result run() {
-    for (int i = 0; i < CELLS * SETS; i++) {
-      add(i % CELLS, i / CELLS % 2, 0);
+  private SimulationResult run() {
+    for (int i = 0; i < CELL_COUNT * REPLICA_SETS; i++) {
+      add(i % CELL_COUNT, i / CELL_COUNT % 2, 0);
     }
-    for (int slot = 0; slot < BROKERS; slot++) {
+    for (int slot = 0; slot < BROKER_COUNT; slot++) {
       begin(slot);
     }
     for (Fault fault : day.faults()) {
       if (fault.fromUs() >= 0) { // the others wait for their store to start
-        time.at(START_US + fault.fromUs(), () -> apply(fault));
+        time.scheduleAt(START_US + fault.fromUs(), () -> apply(fault));
       }
     }
-    time.after(500_000, this::arrive);
-    time.after(100_000, this::look);
+    time.scheduleAfter(500_000, this::arrive);
+    time.scheduleAfter(100_000, this::look);
     long endUs = START_US + day.seconds() * 1_000_000L;
-    time.until(endUs + SETTLE_US, () -> checker.breach() == null);
-    if (checker.breach() == null) {
+    time.runUntil(endUs + DRAIN_PERIOD_US, () -> checker.violation() == null);
+    if (checker.violation() == null) {
       int still = 0;
-      for (SimBroker broker : all) {
-        still += broker.isDead() ? 0 : broker.reducer.openQueries();
+      for (SimulatedBroker broker : allBrokers) {
+        still += broker.isCrashed() ? 0 : broker.reducer.openQueries();
       }
-      checker.over(still);
+      checker.simulationEnded(still);
     }
-    return new Result(
+    return new SimulationResult(
         day,
-        checker.breach(),
-        worth,
-        asked,
+        checker.violation(),
+        servedWeight,
+        offeredWeight,
         time.steps(),
         HexFormat.of().formatHex(digest.digest()),
-        kept);
+        trace);
   }
 
   private void line(String text) {
-    checker.line(text);
+    checker.recordLine(text);
     digest.update((time.now() + " " + text + "\n").getBytes(StandardCharsets.UTF_8));
-    if (keepLines) {
-      kept.add(time.now() - START_US + " " + text);
+    if (keepTrace) {
+      trace.add(time.now() - START_US + " " + text);
     }
   }
 
   private void look() {
-    checker.look();
-    if (time.now() < START_US + day.seconds() * 1_000_000L + SETTLE_US) {
-      time.after(100_000, this::look);
+    checker.checkOverdueQueries();
+    if (time.now() < START_US + day.seconds() * 1_000_000L + DRAIN_PERIOD_US) {
+      time.scheduleAfter(100_000, this::look);
     }
   }
 
   // ---- stores and what is told of them
 
-  private SimStore add(int cell, int room, long startedUs) {
+  private SimulatedStore add(int cell, int room, long startedUs) {
     String name = "s" + lastStore++;
-    SimStore[] made = {null};
+    SimulatedStore[] made = {null};
     made[0] =
-        new SimStore(
+        new SimulatedStore(
             name,
             cell,
             room,
             ++lastPort,
             time,
-            streams.of("store " + name),
+            streams.stream("store " + name),
             sentUs -> {
               line("store " + name + " fell over after " + sentUs + " us of work");
-              checker.broken("a cold store was pushed over", name);
+              checker.reportViolation("a cold store was pushed over", name);
             });
     made[0].startedUs = startedUs;
     stores.add(made[0]);
     return made[0];
   }
 
-  private SimStore store(String name) {
+  private SimulatedStore store(String name) {
     return stores.stream()
         .filter(s -> s.name.equals(name))
         .findFirst()
         .orElseThrow(() -> new IllegalArgumentException("no such store: " + name));
   }
 
-  private Endpoint entry(SimStore s, ServerState state) {
+  private Endpoint entry(SimulatedStore s, ServerState state) {
     long started = day.defect() == Defect.COLD_FLOOD ? 0 : s.startedUs;
     return new Endpoint(
-        s.name, "10.0.0.1", s.port, s.room, s.cell, state, 1, started, Protocol.FRAMES);
+        s.name, "10.0.0.1", s.port, s.zone, s.cell, state, 1, started, Protocol.FRAMES);
   }
 
   private void begin(int slot) {
-    SimBroker broker =
-        new SimBroker(
-            all.size(),
+    SimulatedBroker broker =
+        new SimulatedBroker(
+            allBrokers.size(),
             classDropped ? settings(false) : settings,
-            day.seed() * 31 + all.size(),
+            day.seed() * 31 + allBrokers.size(),
             time,
             this::carryOut);
-    all.add(broker);
-    ways.add(new HashMap<>());
-    outs.add(new LinkedHashMap<>());
+    allBrokers.add(broker);
+    routes.add(new HashMap<>());
+    outstanding.add(new LinkedHashMap<>());
     slots[slot] = broker;
     List<Endpoint> listed =
         stores.stream()
             .filter(s -> s.running && !s.draining)
             .map(s -> entry(s, ServerState.READY))
             .toList();
-    if (byRecords) {
-      broker.accept(new Event.SourceRegistered(RECORDS, 1));
+    if (usesDnsSource) {
+      broker.accept(new Event.SourceRegistered(DNS_SOURCE, 1));
       broker.accept(
-          new Event.SourceUpdated(RECORDS, true, listed.stream().map(this::claim).toList()));
+          new Event.SourceUpdated(DNS_SOURCE, true, listed.stream().map(this::claim).toList()));
     } else {
       broker.accept(new Event.EndpointsUpdated(ServerListKind.FULL, listed));
     }
@@ -335,36 +337,36 @@
   }
 
   /** Every broker is told after a delay of its own; {@code quick}: by a push of records. */
-  private void tell(SimStore s, ServerState state, boolean quick) {
+  private void tell(SimulatedStore s, ServerState state, boolean quick) {
     Endpoint entry = entry(s, state);
-    for (SimBroker broker : slots) {
+    for (SimulatedBroker broker : slots) {
       long delay =
           (long)
-              (quick || byRecords
-                  ? Streams.between(discovery, 1_000, 60_000)
-                  : Streams.between(discovery, 200_000, 3_000_000));
+              (quick || usesDnsSource
+                  ? RandomStreams.uniform(discovery, 1_000, 60_000)
+                  : RandomStreams.uniform(discovery, 200_000, 3_000_000));
       boolean late = day.defect() == Defect.LATE_DRAIN && state != ServerState.READY;
       // one agent tells a broker, in the order of what happened
-      long atUs = Math.max(time.now() + delay, toldUs.getOrDefault(broker.number, 0L));
-      toldUs.put(broker.number, atUs);
-      time.at(
+      long atUs = Math.max(time.now() + delay, lastNotificationUs.getOrDefault(broker.number, 0L));
+      lastNotificationUs.put(broker.number, atUs);
+      time.scheduleAt(
           atUs,
           () -> {
-            if (broker.isDead()) {
+            if (broker.isCrashed()) {
               return;
             }
             line("broker " + broker.number + " is told " + s.name + " " + state);
-            checker.told(broker.number, s.name, state == ServerState.READY);
+            checker.endpointNotified(broker.number, s.name, state == ServerState.READY);
             Event event =
-                byRecords
-                    ? new Event.SourceUpdated(RECORDS, false, List.of(claim(entry)))
+                usesDnsSource
+                    ? new Event.SourceUpdated(DNS_SOURCE, false, List.of(claim(entry)))
                     : new Event.EndpointsUpdated(ServerListKind.DELTA, List.of(entry));
-            time.after(late ? 2_000_000 : 0, () -> broker.accept(event));
+            time.scheduleAfter(late ? 2_000_000 : 0, () -> broker.accept(event));
           });
     }
   }
 
-  private void crash(SimStore s) {
+  private void crash(SimulatedStore s) {
     line("store " + s.name + " dies");
     s.stop();
     reset(s);
@@ -372,31 +374,32 @@
   }
 
   /** What is out there ends with its connections. */
-  private void reset(SimStore s) {
-    for (int i = 0; i < outs.size(); i++) {
-      SimBroker broker = all.get(i);
-      for (Out out : List.copyOf(outs.get(i).values())) {
+  private void reset(SimulatedStore s) {
+    for (int i = 0; i < outstanding.size(); i++) {
+      SimulatedBroker broker = allBrokers.get(i);
+      for (OutstandingAttempt out : List.copyOf(outstanding.get(i).values())) {
         if (out.store == s && !isCut(broker, s)) {
-          time.after(latency(broker, s), () -> end(out, AttemptOutcome.RESET, new float[0], ""));
+          time.scheduleAfter(
+              latency(broker, s), () -> end(out, AttemptOutcome.RESET, new float[0], ""));
         }
       }
     }
   }
 
-  private void startCold(SimStore s) {
+  private void startCold(SimulatedStore s) {
     s.start();
     line("store " + s.name + " starts cold");
     tell(s, ServerState.READY, false);
     for (Fault fault : day.faults()) {
-      if (fault.fromUs() < 0 && fault.whenCold().equals(s.name)) {
+      if (fault.fromUs() < 0 && fault.coldStartOf().equals(s.name)) {
         apply(
             new Fault(
                 time.now() - START_US,
                 time.now() - START_US + 3_000_000,
                 "",
-                fault.what(),
-                fault.who(),
-                fault.by()));
+                fault.kind(),
+                fault.targets(),
+                fault.factor()));
       }
     }
   }
@@ -407,32 +410,32 @@
     line("trouble " + f);
     long endUs = START_US + f.toUs();
     boolean ends = f.toUs() >= 0;
-    switch (f.what()) {
+    switch (f.kind()) {
       case "crash" ->
-          f.who()
+          f.targets()
               .forEach(
                   name -> {
-                    SimStore s = store(name);
+                    SimulatedStore s = store(name);
                     crash(s);
-                    time.at(ends ? endUs : time.now() + 8_000_000, () -> startCold(s));
+                    time.scheduleAt(ends ? endUs : time.now() + 8_000_000, () -> startCold(s));
                   });
       case "room" ->
           stores.stream()
-              .filter(s -> s.room == (f.who().get(0).equals("a") ? 0 : 1))
+              .filter(s -> s.zone == (f.targets().get(0).equals("a") ? 0 : 1))
               .toList()
               .forEach(
                   s -> {
                     crash(s);
-                    time.at(ends ? endUs : time.now() + 5_000_000, () -> startCold(s));
+                    time.scheduleAt(ends ? endUs : time.now() + 5_000_000, () -> startCold(s));
                   });
       case "drain" ->
-          f.who()
+          f.targets()
               .forEach(
                   name -> {
-                    SimStore s = store(name);
+                    SimulatedStore s = store(name);
                     s.draining = true;
                     tell(s, ServerState.DRAINING, false);
-                    time.at(
+                    time.scheduleAt(
                         ends ? endUs : time.now() + 8_000_000,
                         () -> {
                           s.stop();
@@ -441,32 +444,32 @@
                         });
                   });
       case "move" ->
-          f.who()
+          f.targets()
               .forEach(
                   name -> {
-                    SimStore s = store(name);
+                    SimulatedStore s = store(name);
                     s.stop();
                     reset(s);
                     s.port = ++lastPort;
                     startCold(s);
                   });
       case "replace" ->
-          f.who()
+          f.targets()
               .forEach(
                   name -> {
-                    SimStore s = store(name);
+                    SimulatedStore s = store(name);
                     s.draining = true;
                     tell(s, ServerState.DRAINING, false);
-                    time.after(4_000_000, () -> crash(s));
-                    time.after(1_000_000, () -> startCold(add(s.cell, s.room, time.now())));
+                    time.scheduleAfter(4_000_000, () -> crash(s));
+                    time.scheduleAfter(1_000_000, () -> startCold(add(s.cell, s.zone, time.now())));
                   });
       case "withdraw" ->
-          f.who()
+          f.targets()
               .forEach(
                   name -> {
-                    SimStore s = store(name);
+                    SimulatedStore s = store(name);
                     tell(s, ServerState.GONE, true);
-                    time.at(
+                    time.scheduleAt(
                         ends ? endUs : time.now() + 500_000,
                         () -> {
                           if (s.running) {
@@ -474,67 +477,74 @@
                           }
                         });
                   });
-      case "slow" -> during(f, 1, by -> f.who().forEach(name -> store(name).slow = slowAll * by));
+      case "slow" ->
+          during(
+              f, 1, by -> f.targets().forEach(name -> store(name).slowdown = globalSlowdown * by));
       case "slow-all" ->
           during(
               f,
               1,
               by -> {
-                slowAll = by;
-                stores.forEach(s -> s.slow = by);
+                globalSlowdown = by;
+                stores.forEach(s -> s.slowdown = by);
               });
-      case "jump" -> during(f, 1, by -> jump = by);
-      case "late" -> during(f, 0, by -> lateReportsUs = (long) by.doubleValue());
-      case "garble" -> during(f, 0, by -> garble = by);
+      case "jump" -> during(f, 1, by -> trafficFactor = by);
+      case "late" -> during(f, 0, by -> reportDelayUs = (long) by.doubleValue());
+      case "garble" -> during(f, 0, by -> corruptShare = by);
       case "cut" -> {
-        String link = f.who().get(0) + " " + f.who().get(1);
+        String link = f.targets().get(0) + " " + f.targets().get(1);
         cuts.merge(link, 1, Integer::sum);
-        time.at(ends ? endUs : time.now() + 2_000_000, () -> cuts.merge(link, -1, Integer::sum));
+        time.scheduleAt(
+            ends ? endUs : time.now() + 2_000_000, () -> cuts.merge(link, -1, Integer::sum));
       }
       case "kill" -> {
-        int slot = Integer.parseInt(f.who().get(0).substring(1));
-        SimBroker broker = slots[slot];
-        if (!broker.isDead()) {
-          broker.die();
-          checker.died(broker.number);
-          outs.get(broker.number).clear();
-          time.at(ends ? endUs : time.now() + 2_000_000, () -> begin(slot));
+        int slot = Integer.parseInt(f.targets().get(0).substring(1));
+        SimulatedBroker broker = slots[slot];
+        if (!broker.isCrashed()) {
+          broker.crash();
+          checker.brokerCrashed(broker.number);
+          outstanding.get(broker.number).clear();
+          time.scheduleAt(ends ? endUs : time.now() + 2_000_000, () -> begin(slot));
         }
       }
       case "settings" -> {
         classDropped = true;
         retune(settings(false));
-        time.at(
+        time.scheduleAt(
             ends ? endUs : time.now() + 5_000_000,
             () -> {
               classDropped = false;
               retune(settings);
             });
       }
-      default -> throw new IllegalStateException(f.what());
+      default -> throw new IllegalStateException(f.kind());
     }
   }
 
   private void during(Fault f, double normal, Consumer<Double> set) {
-    set.accept(f.by());
-    time.at(f.toUs() >= 0 ? START_US + f.toUs() : time.now() + 5_000_000, () -> set.accept(normal));
+    set.accept(f.factor());
+    time.scheduleAt(
+        f.toUs() >= 0 ? START_US + f.toUs() : time.now() + 5_000_000, () -> set.accept(normal));
   }
 
   private void retune(Settings to) {
-    for (SimBroker broker : slots) {
+    for (SimulatedBroker broker : slots) {
       broker.accept(new Event.ConfigurationReloaded(to, "10.0.0.9", 8500));
     }
   }
 
   // ---- network
 
-  private long latency(SimBroker broker, SimStore s) {
-    long way = s.room == broker.number % 2 ? NEAR_US : (long) Streams.between(network, 700, 1_300);
-    return way + (long) Streams.exponential(network, 60);
+  private long latency(SimulatedBroker broker, SimulatedStore s) {
+    long way =
+        s.zone == broker.number % 2
+            ? SAME_ZONE_LATENCY_US
+            : (long) RandomStreams.uniform(network, 700, 1_300);
+    return way + (long) RandomStreams.exponential(network, 60);
   }
 
-  private boolean isCut(SimBroker broker, SimStore s) {
-    for (int slot = 0; slot < BROKERS; slot++) {
+  private boolean isCut(SimulatedBroker broker, SimulatedStore s) {
+    for (int slot = 0; slot < BROKER_COUNT; slot++) {
       if (slots[slot] == broker && cuts.getOrDefault("b" + slot + " " + s.name, 0) > 0) {
         return true;
       }
@@ -548,31 +558,31 @@
     return day.defect() == defect && defects.nextDouble() < share;
   }
 
-  private void carryOut(SimBroker broker, Effect effect) {
+  private void carryOut(SimulatedBroker broker, Effect effect) {
     if (effect instanceof Effect.EndpointChanged e) {
       if (e.endpoint().state() == ServerState.GONE) {
-        ways.get(broker.number).remove(e.number());
+        routes.get(broker.number).remove(e.number());
       } else {
         stores.stream()
             .filter(s -> s.name.equals(e.endpoint().name()))
             .findFirst()
             .ifPresent(
-                s -> ways.get(broker.number).put(e.number(), new Way(s, e.endpoint().port())));
+                s -> routes.get(broker.number).put(e.number(), new Route(s, e.endpoint().port())));
       }
     } else if (effect instanceof Effect.SendRequest e) {
-      Way way = ways.get(broker.number).get(e.endpoint());
+      Route way = routes.get(broker.number).get(e.endpoint());
       e.parts().forEach(part -> send(broker, way, part));
       broker.accept(new Event.AttemptsWritten(e.parts().size()));
     } else if (effect instanceof Effect.CancelAttempt e) {
-      Out out = outs.get(broker.number).remove(e.attempt());
+      OutstandingAttempt out = outstanding.get(broker.number).remove(e.attempt());
       if (out != null) {
-        out.over = true;
-        checker.ended(broker.number, out.part.partId(), e.attempt(), false);
+        out.ended = true;
+        checker.attemptEnded(broker.number, out.request.partId(), e.attempt(), false);
       }
     } else if (effect instanceof Effect.SendHealthCheck e) {
-      Way way = ways.get(broker.number).get(e.endpoint());
+      Route way = routes.get(broker.number).get(e.endpoint());
       if (way != null && !isCut(broker, way.store())) {
-        time.after(
+        time.scheduleAfter(
             2 * latency(broker, way.store()) + 1_000,
             () ->
                 broker.accept(
@@ -587,21 +597,21 @@
     } else if (effect instanceof Effect.LogMessage e) {
       line("broker " + broker.number + ": " + e.text());
       if (e.text().startsWith("fault")) {
-        checker.broken("a fault in the decisions", "broker " + broker.number);
+        checker.reportViolation("a fault in the decisions", "broker " + broker.number);
       }
     }
   }
 
-  private void send(SimBroker broker, Way way, Effect.AttemptRequest part) {
+  private void send(SimulatedBroker broker, Route way, Effect.AttemptRequest part) {
     if (way == null) {
-      time.after(
-          NEAR_US,
+      time.scheduleAfter(
+          SAME_ZONE_LATENCY_US,
           () ->
               broker.accept(
                   Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.CONNECT_FAILED)));
       return;
     }
-    SimStore to = way.store();
+    SimulatedStore to = way.store();
     if (by(Defect.WRONG_SHARD, 0.005)) {
       to = stores.get((stores.indexOf(to) + 1) % stores.size());
     }
@@ -609,12 +619,12 @@
       int cell = to.cell;
       to = stores.stream().filter(s -> s.cell == cell && s.draining).findFirst().orElse(to);
     }
-    SimStore store = to;
-    Out out = new Out(broker, store, part);
-    outs.get(broker.number).put(part.attempt(), out);
+    SimulatedStore store = to;
+    OutstandingAttempt out = new OutstandingAttempt(broker, store, part);
+    outstanding.get(broker.number).put(part.attempt(), out);
     String query = part.partId().substring(0, part.partId().indexOf('.'));
-    Asked of = open.get(query);
-    QueryRequest ask = of == null ? null : of.ask();
+    ClientQuery of = openQueries.get(query);
+    QueryRequest ask = of == null ? null : of.request();
     line(
         "broker "
             + broker.number
@@ -624,92 +634,103 @@
             + store.name
             + " attempt "
             + part.attempt());
-    checker.sent(broker.number, store, ask, part.partId(), part.shard(), part.attempt(), CELLS);
+    checker.attemptSent(
+        broker.number, store, ask, part.partId(), part.shard(), part.attempt(), CELL_COUNT);
     if (by(Defect.TWO_OUT, 0.002)) {
-      checker.sent(broker.number, store, ask, part.partId(), part.shard(), part.attempt(), CELLS);
+      checker.attemptSent(
+          broker.number, store, ask, part.partId(), part.shard(), part.attempt(), CELL_COUNT);
     }
     if (ask != null
         && ask.queryClass().idempotency() == Idempotency.GUARDED
         && by(Defect.AFTER_THE_WINDOW, 0.02)) {
-      time.after(
+      time.scheduleAfter(
           4_500_000,
           () -> {
-            checker.ended(broker.number, part.partId(), part.attempt(), false);
-            checker.sent(
-                broker.number, store, ask, part.partId(), part.shard(), part.attempt(), CELLS);
+            checker.attemptEnded(broker.number, part.partId(), part.attempt(), false);
+            checker.attemptSent(
+                broker.number, store, ask, part.partId(), part.shard(), part.attempt(), CELL_COUNT);
           });
     }
     if (isCut(broker, store)) {
       return; // nothing comes back; the broker gives it up
     }
     boolean booking = ask != null && ask.queryClass().idempotency() == Idempotency.GUARDED;
-    long workUs = (long) Streams.logNormal(work, booking ? 67_000 : 84_000, 0.3) + 46_000 / 4;
+    long workUs = (long) RandomStreams.logNormal(work, booking ? 67_000 : 84_000, 0.3) + 46_000 / 4;
     int port = way.port();
-    time.after(
+    time.scheduleAfter(
         latency(broker, store),
         () -> arrive(out, port, booking ? part.key() + "." + part.shard() : "", workUs));
   }
 
-  private void arrive(Out out, int port, String key, long workUs) {
+  private void arrive(OutstandingAttempt out, int port, String key, long workUs) {
     if (out.store.port != port) {
       answer(out, AttemptOutcome.CONNECT_FAILED, "");
       return;
     }
-    SimStore.Taken taken =
-        out.store.take(
+    SimulatedStore.Admission taken =
+        out.store.submit(
             key,
             workUs,
             () -> {
-              boolean spoilt = garble > 0 && network.nextDouble() < garble;
+              boolean spoilt = corruptShare > 0 && network.nextDouble() < corruptShare;
               answer(
                   out,
                   spoilt ? AttemptOutcome.RESET : AttemptOutcome.OK,
-                  value(out.part.text(), out.part.shard()));
+                  value(out.request.text(), out.request.shard()));
             });
-    if (taken == SimStore.Taken.DOWN) {
+    if (taken == SimulatedStore.Admission.DOWN) {
       answer(out, AttemptOutcome.CONNECT_FAILED, "");
-    } else if (taken == SimStore.Taken.TURNED_AWAY) {
+    } else if (taken == SimulatedStore.Admission.REJECTED) {
       answer(out, AttemptOutcome.FULL, "");
     }
   }
 
-  private void answer(Out out, AttemptOutcome outcome, String value) {
+  private void answer(OutstandingAttempt out, AttemptOutcome outcome, String value) {
     if (isCut(out.broker, out.store)) {
       return;
     }
     float[] report =
-        lateReportsUs > 0 || outcome == AttemptOutcome.CONNECT_FAILED
+        reportDelayUs > 0 || outcome == AttemptOutcome.CONNECT_FAILED
             ? new float[0]
             : out.store.report();
-    time.after(latency(out.broker, out.store), () -> end(out, outcome, report, value));
+    time.scheduleAfter(latency(out.broker, out.store), () -> end(out, outcome, report, value));
   }
 
-  private void end(Out out, AttemptOutcome outcome, float[] report, String value) {
-    if (out.over || out.broker.isDead()) {
+  private void end(OutstandingAttempt out, AttemptOutcome outcome, float[] report, String value) {
+    if (out.ended || out.broker.isCrashed()) {
       return;
     }
-    out.over = true;
-    outs.get(out.broker.number).remove(out.part.attempt());
+    out.ended = true;
+    outstanding.get(out.broker.number).remove(out.request.attempt());
     line(
         "broker "
             + out.broker.number
             + " has "
-            + out.part.partId()
+            + out.request.partId()
             + " "
             + outcome
             + " of "
             + out.store.name);
-    checker.ended(
-        out.broker.number, out.part.partId(), out.part.attempt(), outcome.neverExecuted());
+    checker.attemptEnded(
+        out.broker.number, out.request.partId(), out.request.attempt(), outcome.neverExecuted());
     if (by(Defect.MANY_ATTEMPTS, 0.002)) {
       for (int i = 0; i < 4; i++) {
-        checker.sent(
-            out.broker.number, out.store, null, out.part.partId(), out.part.shard(), -i, CELLS);
-        checker.ended(
-            out.broker.number, out.part.partId(), -1 - (long) (defects.nextDouble() * 1e15), false);
+        checker.attemptSent(
+            out.broker.number,
+            out.store,
+            null,
+            out.request.partId(),
+            out.request.shard(),
+            -i,
+            CELL_COUNT);
+        checker.attemptEnded(
+            out.broker.number,
+            out.request.partId(),
+            -1 - (long) (defects.nextDouble() * 1e15),
+            false);
       }
     }
-    out.broker.accept(new Event.AttemptCompleted(out.part.attempt(), outcome, report, value));
+    out.broker.accept(new Event.AttemptCompleted(out.request.attempt(), outcome, report, value));
   }
 
   // ---- clients
@@ -718,17 +739,19 @@
     if (time.now() >= START_US + day.seconds() * 1_000_000L) {
       return;
     }
-    time.after((long) Streams.exponential(clients, 1e6 / (day.queriesPerS() * jump)), this::arrive);
+    time.scheduleAfter(
+        (long) RandomStreams.exponential(clients, 1e6 / (day.queriesPerSecond() * trafficFactor)),
+        this::arrive);
     boolean booking = clients.nextDouble() < 0.5;
-    int first = clients.nextInt(SHARDS);
+    int first = clients.nextInt(SHARD_COUNT);
     List<QueryRequest.PartRequest> parts = new ArrayList<>();
     int many = booking ? 1 : 6;
     for (int i = 0; i < many; i++) {
-      parts.add(new QueryRequest.PartRequest((first + i) % SHARDS, 1.0 / many, 0));
+      parts.add(new QueryRequest.PartRequest((first + i) % SHARD_COUNT, 1.0 / many, 0));
     }
     QueryClass kind = kind(booking);
     int number = ++lastQuery;
-    long waits = (long) (kind.deadlineUs() * Streams.between(clients, 0.6, 1));
+    long waits = (long) (kind.deadlineUs() * RandomStreams.uniform(clients, 0.6, 1));
     QueryRequest ask =
         new QueryRequest(
             "q" + number,
@@ -738,41 +761,47 @@
             false,
             parts,
             "t" + number);
-    asked += kind.priorityWeight();
-    ask(new Asked(ask, 0, time.now(), clients.nextDouble() < 0.8));
+    offeredWeight += kind.priorityWeight();
+    ask(new ClientQuery(ask, 0, time.now(), clients.nextDouble() < 0.8));
   }
 
   private QueryClass kind(boolean booking) {
     return settings.classes().get(booking ? 1 : 0);
   }
 
-  private void ask(Asked a) {
-    SimBroker broker = slots[clients.nextInt(BROKERS)];
-    if (broker.isDead()) {
+  private void ask(ClientQuery a) {
+    SimulatedBroker broker = slots[clients.nextInt(BROKER_COUNT)];
+    if (broker.isCrashed()) {
       return; // nobody is there
     }
-    open.put(a.ask().id(), a);
-    line("broker " + broker.number + " takes " + a.ask().id() + " " + a.ask().queryClass().name());
-    checker.taken(broker.number, a.ask());
+    openQueries.put(a.request().id(), a);
+    line(
+        "broker "
+            + broker.number
+            + " takes "
+            + a.request().id()
+            + " "
+            + a.request().queryClass().name());
+    checker.queryAccepted(broker.number, a.request());
     long exchange = ++lastExchange;
-    exchanges.put(broker.number + " " + exchange, a.ask().id());
-    broker.accept(new Event.QueryReceived(exchange, a.ask()));
+    exchanges.put(broker.number + " " + exchange, a.request().id());
+    broker.accept(new Event.QueryReceived(exchange, a.request()));
     if (clients.nextDouble() < 0.02) {
-      time.after(
-          (long) Streams.between(clients, 10_000, 1_000_000),
+      time.scheduleAfter(
+          (long) RandomStreams.uniform(clients, 10_000, 1_000_000),
           () -> {
-            if (open.remove(a.ask().id()) != null) {
-              line("client of " + a.ask().id() + " leaves");
-              checker.left(a.ask().id());
+            if (openQueries.remove(a.request().id()) != null) {
+              line("client of " + a.request().id() + " leaves");
+              checker.clientDisconnected(a.request().id());
               broker.accept(new Event.ClientDisconnected(exchange));
             }
           });
     }
   }
 
-  private void reply(SimBroker broker, long exchange, QueryResponse answer) {
+  private void reply(SimulatedBroker broker, long exchange, QueryResponse answer) {
     String id = exchanges.get(broker.number + " " + exchange);
-    Asked a = open.get(id);
+    ClientQuery a = openQueries.get(id);
     if (a == null) {
       return; // its client has left meanwhile
     }
@@ -780,7 +809,7 @@
       return;
     }
     if (by(Defect.LATE_ANSWER, 0.01)) {
-      time.after(5_000_000, () -> checker.answered(id, answer));
+      time.scheduleAfter(5_000_000, () -> checker.queryAnswered(id, answer));
       return;
     }
     QueryResponse told = spoil(answer);
@@ -794,11 +823,11 @@
             + (told instanceof QueryResponse.Served s
                 ? (s.complete() ? " whole" : " partly " + s.parts().size())
                 : ""));
-    checker.answered(id, told);
+    checker.queryAnswered(id, told);
     if (by(Defect.TWO_ANSWERS, 0.01)) {
-      checker.answered(id, told);
+      checker.queryAnswered(id, told);
     }
-    open.remove(id);
+    openQueries.remove(id);
     heard(a, told);
   }
 
@@ -824,41 +853,43 @@
    * What a client does with its answer: it keeps it, or comes back, sooner or later as it was told
    * or not.
    */
-  private void heard(Asked a, QueryResponse answer) {
-    QueryClass kind = a.ask().queryClass();
+  private void heard(ClientQuery a, QueryResponse answer) {
+    QueryClass kind = a.request().queryClass();
     if (answer instanceof QueryResponse.Served s) {
-      double share = s.parts().stream().mapToDouble(v -> 1.0 / a.ask().parts().size()).sum();
+      double share = s.parts().stream().mapToDouble(v -> 1.0 / a.request().parts().size()).sum();
       double earned =
           kind.priorityWeight() * (s.complete() ? 1 : kind.partialWeight() * share / kind.need());
-      worth +=
-          time.now() <= a.beganUs() + kind.latencyObjectiveUs()
+      servedWeight +=
+          time.now() <= a.startedUs() + kind.latencyObjectiveUs()
               ? earned
               : earned * kind.lateWeight();
       return;
     }
-    if (a.tries() >= 2 || time.now() >= a.ask().deadlineUs() - 100_000) {
+    if (a.retries() >= 2 || time.now() >= a.request().deadlineUs() - 100_000) {
       return;
     }
     long advised = answer instanceof QueryResponse.Rejected r ? r.retryAfterUs() : 0;
     long wait =
-        a.obeys() ? Math.max(advised, (long) Streams.between(clients, 20_000, 200_000)) : 5_000;
-    time.after(
+        a.honorsRetryAfter()
+            ? Math.max(advised, (long) RandomStreams.uniform(clients, 20_000, 200_000))
+            : 5_000;
+    time.scheduleAfter(
         wait,
         () -> {
-          if (time.now() >= a.ask().deadlineUs() - 50_000) {
+          if (time.now() >= a.request().deadlineUs() - 50_000) {
             return;
           }
-          QueryRequest old = a.ask();
+          QueryRequest old = a.request();
           QueryRequest again =
               new QueryRequest(
-                  old.id().replaceAll("r.*", "") + "r" + (a.tries() + 1),
+                  old.id().replaceAll("r.*", "") + "r" + (a.retries() + 1),
                   old.key(),
                   old.queryClass(),
                   old.deadlineUs(),
                   true,
                   old.parts(),
                   old.text());
-          ask(new Asked(again, a.tries() + 1, a.beganUs(), a.obeys()));
+          ask(new ClientQuery(again, a.retries() + 1, a.startedUs(), a.honorsRetryAfter()));
         });
   }
 }
--- a/src/main/java/dunlinhitch/experiments/simulation/SimCommands.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
@@ -10,11 +10,11 @@
 import picocli.CommandLine.Parameters;
 
 /** The commands of simulated days. */
-public final class SimCommands {
-  private SimCommands() {}
+public final class SimulationCommands {
+  private SimulationCommands() {}
 
   /** Which day is meant: a file's, or the drawn one of a seed. */
-  static final class Which {
+  static final class DaySelection {
     @Parameters(
         arity = "0..1",
         paramLabel = "FILE",
@@ -30,12 +30,12 @@
         description = "for a drawn day: one of ${COMPLETION-CANDIDATES}")
     private Defect defect;
 
-    World.Day day() throws IOException {
-      return file == null ? Days.drawn(seed == null ? 1 : seed, defect) : Days.read(file, seed);
+    Simulation.SimulatedDay day() throws IOException {
+      return file == null ? Days.generate(seed == null ? 1 : seed, defect) : Days.parse(file, seed);
     }
   }
 
-  private static void print(World.Result result) {
+  private static void printResult(Simulation.SimulationResult result) {
     System.out.printf(
         Locale.ROOT,
         "seed %d: worth %.3f of what was asked for, %d steps, digest %s%n",
@@ -44,7 +44,7 @@
         result.steps(),
         result.digest().substring(0, 16));
     if (result.breach() != null) {
-      Checker.Breach b = result.breach();
+      InvariantChecker.Violation b = result.breach();
       System.out.printf(
           Locale.ROOT,
           "broken: %s (%s) at step %d, %.6f s%n%s",
@@ -52,7 +52,7 @@
           b.subject(),
           b.step(),
           b.atUs() / 1e6 % 1e5,
-          b.story());
+          b.trace());
     }
   }
 
@@ -62,14 +62,14 @@
           "Plays a day of a file, or the drawn one of a seed; exit code 1 if a rule breaks.",
       mixinStandardHelpOptions = true)
   public static final class Run implements Callable<Integer> {
-    @Mixin private Which which;
+    @Mixin private DaySelection selection;
 
     @Override
     public Integer call() throws IOException {
-      World.Day day = which.day();
-      System.out.print(Days.written(day));
-      World.Result result = World.play(day, false);
-      print(result);
+      Simulation.SimulatedDay day = selection.day();
+      System.out.print(Days.format(day));
+      Simulation.SimulationResult result = Simulation.play(day, false);
+      printResult(result);
       return result.breach() == null ? 0 : 1;
     }
   }
@@ -126,12 +126,13 @@
       description = "Prints the shortest day found that breaks the same rule.",
       mixinStandardHelpOptions = true)
   public static final class Shrink implements Callable<Integer> {
-    @Mixin private Which which;
+    @Mixin private DaySelection selection;
 
     @Override
     public Integer call() throws IOException {
-      World.Day day = Days.shrunk(which.day());
-      System.out.print("# " + World.play(day, false).breach().rule() + "\n" + Days.written(day));
+      Simulation.SimulatedDay day = Days.shrink(selection.day());
+      System.out.print(
+          "# " + Simulation.play(day, false).breach().rule() + "\n" + Days.format(day));
       return 0;
     }
   }
@@ -141,7 +142,7 @@
       description = "Prints the time line of a day, or of a query or store of it.",
       mixinStandardHelpOptions = true)
   public static final class Show implements Callable<Integer> {
-    @Mixin private Which which;
+    @Mixin private DaySelection selection;
 
     @Option(
         names = "--of",
@@ -151,8 +152,8 @@
 
     @Override
     public Integer call() throws IOException {
-      World.Day day = which.day();
-      World.play(day, true).lines().stream()
+      Simulation.SimulatedDay day = selection.day();
+      Simulation.play(day, true).trace().stream()
           .filter(
               line ->
                   of.isEmpty()
--- a/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
+++ b/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
@@ -32,42 +32,45 @@
 
   @ParameterizedTest
   @CsvSource({"view, 5", "view-start, 4", "facts, 4", "facts-ties, 3", "facts-ahead, 3"})
-  void whatServesHoldsInEveryOrder(String name, int depth) {
-    Explorer.Report report = Explorer.explore(Models.of(name), new Explorer.Limits(depth, 100_000));
-    assertEquals(Optional.empty(), report.found());
+  void productionModulesHaveNoViolation(String name, int depth) {
+    Explorer.Report report =
+        Explorer.explore(Models.create(name), new Explorer.Limits(depth, 100_000));
+    assertEquals(Optional.empty(), report.violation());
     assertEquals(depth, report.depth(), "not all was gone through: " + report);
     assertTrue(report.states() > 300, report.toString());
   }
 
-  private static Explorer.Found found(MembershipSubject.Flaw flaw) {
-    return Explorer.explore(new Brokers<>(new MembershipSubject(1, flaw), Models.view(4)), SHALLOW)
-        .found()
+  private static Explorer.Violation findViolation(MembershipSubject.Mutation flaw) {
+    return Explorer.explore(
+            new ClusterModel<>(new MembershipSubject(1, flaw), Models.membershipBudget(4)), SHALLOW)
+        .violation()
         .orElseThrow();
   }
 
   /** Whoever was suspected once stays dead. */
   @Test
-  void aViewThatIgnoresWhoGainsaysIsFound() {
+  void ignoredRefutationIsFound() {
     UnaryOperator<GossipMessage> deaf =
         word ->
             new GossipMessage(
                 word.kind(),
-                first(word.from()),
+                inFirstIncarnation(word.from()),
                 word.sequenceNumber(),
                 word.subject(),
                 word.versions(),
-                word.memberUpdates().stream().map(ExplorerTest::first).toList(),
+                word.memberUpdates().stream().map(ExplorerTest::inFirstIncarnation).toList(),
                 word.observations(),
                 word.digest(),
                 word.buckets(),
                 word.suspicionReports());
-    Explorer.Found found =
-        found(
-            new MembershipSubject.Flaw(deaf, now -> 1_000, MembershipSubject.Flaw.NONE.settled()));
-    assertTrue(found.wrong().startsWith("after the calm ending: "), found.toString());
+    Explorer.Violation found =
+        findViolation(
+            new MembershipSubject.Mutation(
+                deaf, now -> 1_000, MembershipSubject.Mutation.NONE.convergence()));
+    assertTrue(found.description().startsWith("after the calm ending: "), found.toString());
   }
 
-  private static Member first(Member peer) {
+  private static Member inFirstIncarnation(Member peer) {
     return new Member(
         peer.name(),
         peer.zone(),
@@ -78,46 +81,49 @@
   }
 
   @Test
-  void aBrokerThatStartsInAnOlderIncarnationIsFound() {
-    Explorer.Found found =
-        found(
-            new MembershipSubject.Flaw(
-                word -> word, now -> now == 0 ? 1_000 : 0, MembershipSubject.Flaw.NONE.settled()));
-    assertTrue(found.wrong().contains("which is in 0"), found.toString());
+  void restartInOlderIncarnationIsFound() {
+    Explorer.Violation found =
+        findViolation(
+            new MembershipSubject.Mutation(
+                word -> word,
+                now -> now == 0 ? 1_000 : 0,
+                MembershipSubject.Mutation.NONE.convergence()));
+    assertTrue(found.description().contains("which is in 0"), found.toString());
     assertEquals(3, found.trace().size(), "a crash, a step of time and a start: " + found.trace());
   }
 
   @Test
-  void viewsThatCallThemselvesSettledTooSoonAreFound() {
-    Explorer.Found found =
-        found(
-            new MembershipSubject.Flaw(
-                word -> word, MembershipSubject.Flaw.NONE.incarnation(), view -> true));
-    assertTrue(found.wrong().startsWith("settled and at odds: "), found.toString());
+  void prematureConvergenceIsFound() {
+    Explorer.Violation found =
+        findViolation(
+            new MembershipSubject.Mutation(
+                word -> word, MembershipSubject.Mutation.NONE.incarnation(), view -> true));
+    assertTrue(found.description().startsWith("settled and at odds: "), found.toString());
   }
 
   /**
    * Facts put wrong: {@code latest} says which of two of one key and author stays, {@code bounded}
-   * and {@code forgets} what else is done.
+   * and {@code expires} what else is done.
    */
-  private static final class Wrong implements ReplicatedMapSubject.Holder {
-    private final Map<String, ReplicatedEntry<String, Integer>> held = new HashMap<>();
+  private static final class FaultyReplica implements ReplicatedMapSubject.Replica {
+    private final Map<String, ReplicatedEntry<String, Integer>> entriesByOwner = new HashMap<>();
     private final BinaryOperator<ReplicatedEntry<String, Integer>> latest;
     private final boolean bounded;
-    private final boolean forgets;
+    private final boolean expires;
 
-    Wrong(
+    FaultyReplica(
         BinaryOperator<ReplicatedEntry<String, Integer>> latest, boolean bounded, boolean forgets) {
       this.latest = latest;
       this.bounded = bounded;
-      this.forgets = forgets;
+      this.expires = forgets;
     }
 
     @Override
-    public void take(long nowUs, ReplicatedEntry<String, Integer> told) {
-      held.merge(told.key() + " " + told.origin(), told, latest);
-      List<ReplicatedEntry<String, Integer>> now = all();
-      held.values()
+    public void merge(long nowUs, ReplicatedEntry<String, Integer> told) {
+      entriesByOwner.merge(told.key() + " " + told.origin(), told, latest);
+      List<ReplicatedEntry<String, Integer>> now = entries();
+      entriesByOwner
+          .values()
           .removeIf(
               old ->
                   bounded
@@ -129,17 +135,19 @@
     }
 
     @Override
-    public void forget(long nowUs) {
-      held.values()
+    public void expire(long nowUs) {
+      entriesByOwner
+          .values()
           .removeIf(
               fact ->
-                  forgets
-                      && fact.timestampUs() <= nowUs - ReplicatedMapSubject.RULE.timeToLiveUs());
+                  expires
+                      && fact.timestampUs()
+                          <= nowUs - ReplicatedMapSubject.SETTINGS.timeToLiveUs());
     }
 
     @Override
-    public List<ReplicatedEntry<String, Integer>> all() {
-      return held.values().stream()
+    public List<ReplicatedEntry<String, Integer>> entries() {
+      return entriesByOwner.values().stream()
           .sorted(
               Comparator.<ReplicatedEntry<String, Integer>>comparingLong(
                       ReplicatedEntry::timestampUs)
@@ -156,16 +164,16 @@
     "false, false, true, 'holds 2 facts, 2 of them'",
     "false, true, false, still holds"
   })
-  void factsPutWrongAreFound(boolean byArrival, boolean bounded, boolean forgets, String wrong) {
+  void faultyReplicasAreFound(boolean byArrival, boolean bounded, boolean forgets, String wrong) {
     BinaryOperator<ReplicatedEntry<String, Integer>> latest =
         (one, other) -> byArrival || other.timestampUs() > one.timestampUs() ? other : one;
     ReplicatedMapSubject subject =
-        new ReplicatedMapSubject(() -> new Wrong(latest, bounded, forgets), 0, false);
+        new ReplicatedMapSubject(() -> new FaultyReplica(latest, bounded, forgets), 0, false);
     Explorer.Report report =
         Explorer.explore(
-            new Brokers<>(subject, new Brokers.Budget(0, 2, 2, 1, 1, 0, 1, 2)),
+            new ClusterModel<>(subject, new ClusterModel.Budget(0, 2, 2, 1, 1, 0, 1, 2)),
             new Explorer.Limits(5, 100_000));
-    assertTrue(report.found().orElseThrow().wrong().contains(wrong), report.toString());
+    assertTrue(report.violation().orElseThrow().description().contains(wrong), report.toString());
   }
 
   /** Two counters that are alike; wrong where they are 2 and 3. */
@@ -174,17 +182,17 @@
   private static final Model<Pair, String> COUNTERS =
       new Model<>() {
         @Override
-        public Pair start() {
+        public Pair initialState() {
           return new Pair(0, 0);
         }
 
         @Override
-        public List<String> moves(Pair state) {
+        public List<String> transitions(Pair state) {
           return List.of("one", "other");
         }
 
         @Override
-        public Pair after(Pair state, String move) {
+        public Pair successor(Pair state, String move) {
           return move.equals("one")
               ? new Pair(state.one() + 1, state.other())
               : new Pair(state.one(), state.other() + 1);
@@ -197,12 +205,12 @@
         }
 
         @Override
-        public Optional<String> broken(Pair state) {
+        public Optional<String> safetyViolation(Pair state) {
           return Optional.empty();
         }
 
         @Override
-        public Optional<String> unsettled(Pair state) {
+        public Optional<String> convergenceViolation(Pair state) {
           return state.one() * state.other() == 6 && state.one() + state.other() == 5
               ? Optional.of("2 and 3")
               : Optional.empty();
@@ -210,29 +218,31 @@
       };
 
   @Test
-  void eachStateIsSeenOnceAndTheTraceIsTheShortest() {
+  void statesAreVisitedOnceAndTheTraceIsShortest() {
     Explorer.Report whole = Explorer.explore(COUNTERS, new Explorer.Limits(4, 1_000));
     assertEquals(1 + 1 + 2 + 2 + 3, whole.states());
-    assertEquals(Optional.empty(), whole.found());
+    assertEquals(Optional.empty(), whole.violation());
     assertEquals(
         3, Explorer.explore(COUNTERS, new Explorer.Limits(9, 7)).depth(), "stopped by the states");
-    Explorer.Found found =
-        Explorer.explore(COUNTERS, new Explorer.Limits(9, 1_000)).found().orElseThrow();
-    assertEquals("after the calm ending: 2 and 3", found.wrong());
+    Explorer.Violation found =
+        Explorer.explore(COUNTERS, new Explorer.Limits(9, 1_000)).violation().orElseThrow();
+    assertEquals("after the calm ending: 2 and 3", found.description());
     assertEquals(5, found.trace().size());
   }
 
   @Test
-  void whatIsFoundIsTheSameEachTime() {
+  void explorationIsDeterministic() {
     Model<?, ?> first =
-        new Brokers<>(
+        new ClusterModel<>(
             new MembershipSubject(
                 1,
-                new MembershipSubject.Flaw(
-                    word -> word, now -> 1_000 - now, MembershipSubject.Flaw.NONE.settled())),
-            Models.view(4));
+                new MembershipSubject.Mutation(
+                    word -> word,
+                    now -> 1_000 - now,
+                    MembershipSubject.Mutation.NONE.convergence())),
+            Models.membershipBudget(4));
     Explorer.Report one = Explorer.explore(first, SHALLOW);
-    assertTrue(one.found().isPresent());
+    assertTrue(one.violation().isPresent());
     assertEquals(one, Explorer.explore(first, SHALLOW));
   }
 
@@ -240,21 +250,23 @@
    * Sets go by content, lists and what keeps its order by that too, names as they are exchanged.
    */
   @Test
-  void shapesTellApartWhatDiffers() {
+  void hashesDifferWhereStatesDiffer() {
     UnaryOperator<String> same = text -> text;
-    assertEquals(Shape.of(Set.of("a", "b", "c"), same), Shape.of(Set.of("c", "b", "a"), same));
-    assertNotEquals(Shape.of(List.of("a", "b"), same), Shape.of(List.of("b", "a"), same));
+    assertEquals(
+        StateHasher.of(Set.of("a", "b", "c"), same), StateHasher.of(Set.of("c", "b", "a"), same));
+    assertNotEquals(
+        StateHasher.of(List.of("a", "b"), same), StateHasher.of(List.of("b", "a"), same));
     assertNotEquals(
-        Shape.of(new LinkedHashSet<>(List.of("a", "b")), same),
-        Shape.of(new LinkedHashSet<>(List.of("b", "a")), same));
+        StateHasher.of(new LinkedHashSet<>(List.of("a", "b")), same),
+        StateHasher.of(new LinkedHashSet<>(List.of("b", "a")), same));
     assertEquals(
-        Shape.of(new Member("n0", "", "n0", 1, 7, Member.Status.DEAD), same),
-        Shape.of(
+        StateHasher.of(new Member("n0", "", "n0", 1, 7, Member.Status.DEAD), same),
+        StateHasher.of(
             new Member("n1", "", "n1", 1, 7, Member.Status.DEAD),
             text -> text.equals("n1") ? "n0" : text));
     assertNotEquals(
-        Shape.of(new ArrayList<>(List.of(1L)), same),
-        Shape.of(new ArrayDeque<>(List.of(2L)), same));
-    assertThrows(IllegalArgumentException.class, () -> Shape.of(new Object(), same));
+        StateHasher.of(new ArrayList<>(List.of(1L)), same),
+        StateHasher.of(new ArrayDeque<>(List.of(2L)), same));
+    assertThrows(IllegalArgumentException.class, () -> StateHasher.of(new Object(), same));
   }
 }
--- a/src/test/java/dunlinhitch/experiments/simulation/ScorerWorldTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/ScorerWorldTest.java
@@ -16,10 +16,10 @@
 
 class ScorerWorldTest {
   private static final long SECOND_US = 1_000_000;
-  private static final ScoringRule UNTILTED =
+  private static final ScoringRule UNDAMPED =
       new ScoringRule(ScoringRule.STANDARD.weights(), new DampingRule(0.1, 0.05, 0), 250_000, 64);
 
-  private static ScorerWorld played(Supplier<Scorer> scorer, ScoringRule rule, boolean shared) {
+  private static ScorerWorld simulate(Supplier<Scorer> scorer, ScoringRule rule, boolean shared) {
     ScorerWorld world =
         new ScorerWorld(
             new ScorerWorld.Plan(
@@ -30,7 +30,7 @@
   }
 
   /** Says nothing of any store. */
-  private static final class Silent implements Scorer {
+  private static final class NoOpinionScorer implements Scorer {
     @Override
     public int api() {
       return 1;
@@ -53,17 +53,17 @@
   }
 
   @Test
-  void withoutAScorerAndWithOneThatSaysNothingChoicesAreTheSame() {
-    List<Integer> without = played(null, UNTILTED, false).chosen();
+  void scorerWithoutJudgementsLeavesSelectionUnchanged() {
+    List<Integer> without = simulate(null, UNDAMPED, false).chosen();
     assertTrue(without.size() > 1_000);
-    assertEquals(without, played(Silent::new, UNTILTED, false).chosen());
+    assertEquals(without, simulate(NoOpinionScorer::new, UNDAMPED, false).chosen());
   }
 
   @Test
-  void storesThatAreSlowerThanTheyReportAreSentToLess() {
-    double alone = played(null, UNTILTED, false).worth(10 * SECOND_US, 18 * SECOND_US, false);
+  void sharedWeightsAvoidStoresThatUnderreportLatency() {
+    double alone = simulate(null, UNDAMPED, false).worth(10 * SECOND_US, 18 * SECOND_US, false);
     double shared =
-        played(StorePace::new, ScoringRule.STANDARD, true)
+        simulate(StorePace::new, ScoringRule.STANDARD, true)
             .worth(10 * SECOND_US, 18 * SECOND_US, false);
     assertTrue(shared > alone, shared + " against " + alone);
   }
--- a/src/test/java/dunlinhitch/experiments/simulation/StoriesTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
@@ -18,25 +18,25 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /** Simulated days: found breaches that were mended, fixed seeds, and that the checkers can fail. */
-class StoriesTest {
-  private static final Path STORIES = Path.of("src/test/resources/stories");
+class SimulationTest {
+  private static final Path SCHEDULES = Path.of("src/test/resources/stories");
 
-  static Stream<Path> stories() throws IOException {
-    try (Stream<Path> files = Files.list(STORIES)) {
+  static Stream<Path> schedules() throws IOException {
+    try (Stream<Path> files = Files.list(SCHEDULES)) {
       return files.filter(f -> f.toString().endsWith(".day")).sorted().toList().stream();
     }
   }
 
   @ParameterizedTest
   @MethodSource("stories")
-  void aMendedBreachStaysMended(Path story) throws IOException {
-    World.Result result = World.play(Days.read(story, null), false);
-    assertNull(result.breach(), () -> result.breach().rule() + "\n" + result.breach().story());
-    assertTrue(result.asked() > 0);
+  void recordedScheduleHasNoViolation(Path story) throws IOException {
+    Simulation.SimulationResult result = Simulation.play(Days.parse(story, null), false);
+    assertNull(result.breach(), () -> result.breach().rule() + "\n" + result.breach().trace());
+    assertTrue(result.offeredWeight() > 0);
   }
 
   @Test
-  void fiftySeedsKeepEveryRule() {
+  void fiftySeedsHaveNoViolation() {
     Days.Found found = Days.search(1, 50, Defect.NONE, false);
     assertEquals(
         List.of(),
@@ -47,17 +47,17 @@
 
   @ParameterizedTest
   @EnumSource(value = Defect.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
-  void everyDefectPutInIsFound(Defect defect) {
+  void everyInjectedDefectIsDetected(Defect defect) {
     assertTrue(!Days.search(1, 200, defect, true).breaches().isEmpty(), defect + " goes unseen");
   }
 
   /** The same lines from the same seed, here and in a process of its own. */
   @Test
-  void aSeedIsTheSameDayByteForByte() throws Exception {
-    World.Day day = Days.drawn(7, Defect.NONE);
-    World.Result one = World.play(day, true);
-    World.Result two = World.play(day, true);
-    assertEquals(one.lines(), two.lines());
+  void sameSeedGivesSameTrace() throws Exception {
+    Simulation.SimulatedDay day = Days.generate(7, Defect.NONE);
+    Simulation.SimulationResult one = Simulation.play(day, true);
+    Simulation.SimulationResult two = Simulation.play(day, true);
+    assertEquals(one.trace(), two.trace());
     assertEquals(one.digest(), two.digest());
     Process other =
         new ProcessBuilder(
@@ -76,24 +76,25 @@
   }
 
   @Test
-  void aBreachIsMadeShortAndAScriptIsReadAsItIsWritten() {
-    World.Day day = Days.drawn(3, Defect.WRONG_SHARD);
-    World.Day shrunk = Days.shrunk(day);
+  void shrinkingKeepsTheViolationAndFormatRoundTrips() {
+    Simulation.SimulatedDay day = Days.generate(3, Defect.WRONG_SHARD);
+    Simulation.SimulatedDay shrunk = Days.shrink(day);
     assertTrue(shrunk.faults().isEmpty() && shrunk.seconds() < 60, shrunk.toString());
-    World.Result result = World.play(shrunk, false);
+    Simulation.SimulationResult result = Simulation.play(shrunk, false);
     assertNotNull(result.breach());
     assertEquals("a part to a store that does not hold its shard", result.breach().rule());
-    assertTrue(result.breach().story().contains(result.breach().subject()));
-    World.Day again = Days.read(Path.of("x"), Days.written(day).lines().toList(), null);
-    assertEquals(World.play(day, false).digest(), World.play(again, false).digest());
+    assertTrue(result.breach().trace().contains(result.breach().subject()));
+    Simulation.SimulatedDay again =
+        Days.parse(Path.of("x"), Days.format(day).lines().toList(), null);
+    assertEquals(Simulation.play(day, false).digest(), Simulation.play(again, false).digest());
     assertTrue(
         assertThrows(
                 IllegalArgumentException.class,
-                () -> Fault.read(Path.of("x"), List.of("", "at 3s craash s1")))
+                () -> Fault.parse(Path.of("x"), List.of("", "at 3s craash s1")))
             .getMessage()
             .startsWith("x:2: at 3s craash s1: no such trouble"));
     assertTrue(
-        assertThrows(IllegalArgumentException.class, () -> Fault.read(Path.of("x"), List.of("at")))
+        assertThrows(IllegalArgumentException.class, () -> Fault.parse(Path.of("x"), List.of("at")))
             .getMessage()
             .contains("something is missing"));
   }
