--- a/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
@@ -15,23 +15,31 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Three brokers that run one module, and the words between them: each word may be delivered in any
- * order, lost or doubled; brokers crash and start anew, links are cut and heal, and time passes by
- * a step for all. How often there is trouble of each kind has a most.
+ * A model of three brokers that each run one module and exchange messages. Messages may be
+ * delivered in any order, dropped or duplicated; brokers crash and restart, links are partitioned
+ * and heal, and logical time advances by one step for all brokers at once. A {@link Budget} bounds
+ * the number of faults of each kind. States are immutable; all methods may be called from several
+ * threads.
+ *
+ * @param <W> the message type
+ * @param <V> the observation of a node
  */
 public final class ClusterModel<W, V>
     implements Model<ClusterModel.State<W, V>, ClusterModel.Transition<W>> {
+  /** The number of brokers in a model. */
   public static final int BROKER_COUNT = 3;
 
-  /** Words that the calm ending may deliver in one step. */
+  /**
+   * Upper bound of deliveries in one step of the convergence phase; more count as endless messages.
+   */
   private static final int MAX_DELIVERIES_PER_STEP = 2_000;
 
   /**
-   * The most of each.
+   * Upper bounds of the faults and updates in one execution.
    *
-   * @param warmUpSteps steps without trouble before the beginning
-   * @param maxDelaySteps steps that a word may be on its way; then it is lost
-   * @param maxInFlight on their way at once, for acts that say some
+   * @param warmUpSteps steps without faults before the initial state
+   * @param maxDelaySteps steps that a message may be in flight before it is lost
+   * @param maxInFlight messages in flight above which no action that only sends is offered
    */
   public record Budget(
       int warmUpSteps,
@@ -43,15 +51,19 @@
       int duplicates,
       int updates) {}
 
-  /** What of the budget is spent. */
+  /** The part of the budget that an execution has used. */
   private record UsedBudget(int crashes, int partitions, int losses, int duplicates, int updates) {
-    UsedBudget plus(int crash, int cut, int loss, int copy, int said) {
+    UsedBudget plus(int crash, int partition, int loss, int duplicate, int update) {
       return new UsedBudget(
-          crashes + crash, partitions + cut, losses + loss, duplicates + copy, updates + said);
+          crashes + crash,
+          partitions + partition,
+          losses + loss,
+          duplicates + duplicate,
+          updates + update);
     }
   }
 
-  /** A link that is cut, both ways; the lower number first. */
+  /** A bidirectional link between two brokers, the lower number first. */
   private record Link(int lower, int higher) implements Comparable<Link> {
     static Link of(int one, int other) {
       return new Link(Math.min(one, other), Math.max(one, other));
@@ -65,13 +77,18 @@
     }
   }
 
-  /** A word on its way. */
+  /** A message in flight, with its digest under each symmetry. */
   @SuppressWarnings(
       "ArrayRecordComponent") // the array is never changed, and flights are compared by identity
   private record InFlightMessage<W>(
       int from, int to, W message, int sentAt, boolean duplicated, Digest[] digests) {}
 
-  /** {@code downSince} of each broker: when it crashed, or -1. */
+  /**
+   * A global state.
+   *
+   * @param now logical time in steps
+   * @param downSince the step in which each broker crashed, or -1 while it is up
+   */
   public record State<W, V>(
       int now,
       List<NodeHistory<W, V>> histories,
@@ -88,6 +105,7 @@
     }
   }
 
+  /** What a transition does. */
   private enum TransitionKind {
     DELIVER,
     DROP,
@@ -100,7 +118,7 @@
     ACTION
   }
 
-  /** {@code message} or {@code action} as the kind has them, else null. */
+  /** One transition; {@code message} and {@code action} are null where the kind has none. */
   public record Transition<W>(
       TransitionKind kind, int first, int second, InFlightMessage<W> message, String action) {}
 
@@ -109,6 +127,7 @@
   private final List<int[]> symmetries;
   private final Map<Integer, NodeHistory<W, V>> initialHistories = new ConcurrentHashMap<>();
 
+  /** Creates a model of a module under a fault budget. */
   public ClusterModel(Subject<W, V> subject, Budget budget) {
     this.subject = subject;
     this.budget = budget;
@@ -116,8 +135,8 @@
   }
 
   /**
-   * All start at once, and go on without trouble for a while; each hears the next broker before the
-   * one after.
+   * Starts all brokers at once and runs the warm-up steps without faults. Each broker receives the
+   * messages of the next broker before those of the one after.
    */
   @Override
   public State<W, V> initialState() {
@@ -143,8 +162,8 @@
   }
 
   /**
-   * Delivers all that is on its way; what is said to it is on its way after. Alike for all but for
-   * their numbers.
+   * Delivers all messages in flight; the replies are in flight afterwards. The order of delivery is
+   * symmetric in the broker numbers.
    */
   private State<W, V> deliverRound(State<W, V> state) {
     List<InFlightMessage<W>> flights = state.inFlight();
@@ -190,7 +209,7 @@
             : text;
   }
 
-  /** The name and host of that broker. */
+  /** The name and host of the broker with that number. */
   static String name(int number) {
     return "n" + number;
   }
@@ -203,9 +222,9 @@
   public List<Transition<W>> transitions(State<W, V> state) {
     List<Transition<W>> moves = new ArrayList<>();
     UsedBudget spent = state.used();
-    Set<List<Object>> known = new HashSet<>();
+    Set<List<Object>> distinctMessages = new HashSet<>();
     for (InFlightMessage<W> flight : state.inFlight()) {
-      if (known.add(
+      if (distinctMessages.add(
           List.of(
               flight.from(),
               flight.to(),
@@ -351,7 +370,9 @@
     };
   }
 
-  /** Time passes by a step for all that are up; what is on its way for too long is lost. */
+  /**
+   * Advances time by one step for all brokers that are up; messages that exceed the delay are lost.
+   */
   private State<W, V> tick(State<W, V> state) {
     int now = state.now() + 1;
     List<InFlightMessage<W>> left =
@@ -389,14 +410,22 @@
         withMessages(state, List.copyOf(locals), state.inFlight(), state.used()), number);
   }
 
-  /** What that broker said last is on its way, if its link is whole and there is somebody. */
+  /**
+   * Puts the messages that a broker sent on its last input in flight, where the receiver is
+   * reachable.
+   */
   private State<W, V> enqueueOutgoing(State<W, V> state, int from) {
     List<InFlightMessage<W>> flights = new ArrayList<>(state.inFlight());
-    for (NodeHistory.OutgoingMessage<W> said : state.histories().get(from).sent()) {
-      if (said.to() != from && state.canReach(from, said.to())) {
+    for (NodeHistory.OutgoingMessage<W> outgoing : state.histories().get(from).sent()) {
+      if (outgoing.to() != from && state.canReach(from, outgoing.to())) {
         flights.add(
             new InFlightMessage<>(
-                from, said.to(), said.message(), state.now(), false, digests(said.message())));
+                from,
+                outgoing.to(),
+                outgoing.message(),
+                state.now(),
+                false,
+                digests(outgoing.message())));
       }
     }
     return withMessages(state, state.histories(), List.copyOf(flights), state.used());
@@ -426,8 +455,8 @@
   }
 
   /**
-   * The least of the digests under the symmetries, which is the same for all states that are the
-   * same but for names.
+   * The smallest digest under all symmetries, which is equal for states that differ only in the
+   * names of the brokers.
    */
   @Override
   public Digest digest(State<W, V> state) {
@@ -487,7 +516,7 @@
         state.histories().stream().map(NodeHistory::observation).toList(), reachableGroups(state));
   }
 
-  /** Those that are up, in groups that reach each other, be it by way of another. */
+  /** The brokers that are up, in groups connected directly or through other brokers. */
   private static <W, V> List<List<Integer>> reachableGroups(State<W, V> state) {
     List<List<Integer>> sides = new ArrayList<>();
     Set<Integer> placed = new HashSet<>();
@@ -510,8 +539,8 @@
   }
 
   /**
-   * Links are whole, all is delivered in the order in which it was said, and time passes; who is
-   * down stays so.
+   * Runs the convergence phase: all links heal, messages arrive in the order in which they were
+   * sent, time advances, and crashed brokers stay down.
    */
   @Override
   public Optional<String> convergenceViolation(State<W, V> state) {
@@ -522,7 +551,7 @@
       nodes.add(null);
       if (state.isUp(i)) {
         live.add(i);
-        boolean[] aloud = {false};
+        boolean[] sending = {false};
         int from = i;
         nodes.set(
             i,
@@ -530,13 +559,13 @@
                 .histories()
                 .get(i)
                 .replay(
-                    (to, word) -> {
-                      if (aloud[0] && to != from && state.isUp(to)) {
-                        queue.add(new NodeHistory.OutgoingMessage<>(to, word));
+                    (to, message) -> {
+                      if (sending[0] && to != from && state.isUp(to)) {
+                        queue.add(new NodeHistory.OutgoingMessage<>(to, message));
                       }
                     },
                     () -> {}));
-        aloud[0] = true;
+        sending[0] = true;
       }
     }
     state.inFlight().stream()
@@ -578,12 +607,12 @@
         .map(what -> what + ", " + subject.convergenceSteps() + " steps on");
   }
 
-  /** False where there is no end to it. */
+  /** Returns false where messages never end. */
   private boolean deliverQueue(
       int now, List<Node<W, V>> nodes, Deque<NodeHistory.OutgoingMessage<W>> queue) {
     for (int delivered = 0; delivered < MAX_DELIVERIES_PER_STEP && !queue.isEmpty(); delivered++) {
-      NodeHistory.OutgoingMessage<W> said = queue.remove();
-      nodes.get(said.to()).onMessage(now, said.message());
+      NodeHistory.OutgoingMessage<W> outgoing = queue.remove();
+      nodes.get(outgoing.to()).onMessage(now, outgoing.message());
     }
     return queue.isEmpty();
   }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ExploreCommand.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ExploreCommand.java
@@ -6,7 +6,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Goes through the states of a model. */
+/** The command that explores the states of a model and prints the first violation. */
 @Command(
     name = "explore",
     description =
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
@@ -9,16 +9,26 @@
 import java.util.Set;
 
 /**
- * Goes through the states of a model breadth first, each once, and checks each. So what it finds
- * has the fewest moves that lead to it, and where it finds nothing there is nothing up to that
- * depth. Successors and checks are reckoned on all cores, but taken in one order: the same model
+ * Explores the states of a model breadth first, each once, and checks each of them. A reported
+ * trace is therefore a shortest one, and a report without a violation covers all states up to its
+ * depth. Successors and checks are computed on all cores but merged in one order: the same model
  * and limits give the same report.
+ *
+ * @param <S> the state type
+ * @param <M> the transition type
  */
 public final class Explorer<S, M> {
+  /** States that are expanded in parallel before their results are merged. */
   private static final int CHUNK_STATES = 2_000;
 
-  /** How far it goes: so many moves deep, and so many states at the most. */
+  /**
+   * Bounds of an exploration.
+   *
+   * @param depth the maximum number of transitions from the initial state
+   * @param states the maximum number of distinct states
+   */
   public record Limits(int depth, int states) {
+    /** Rejects bounds that are out of range. */
     public Limits {
       if (depth < 0 || states < 1) {
         throw new IllegalArgumentException(
@@ -27,25 +37,29 @@
     }
   }
 
-  /** What is wrong, and the moves that lead to it, in words. */
+  /** A violated property and the transitions that lead to it, as text. */
   public record Violation(String description, List<String> trace) {}
 
   /**
-   * What was gone through.
+   * The result of an exploration.
    *
-   * @param states different ones
-   * @param transitions that were tried from them
-   * @param depth up to which all was gone through
-   * @param violation the first that is wrong, or empty
+   * @param states the number of distinct states
+   * @param transitions the number of transitions taken
+   * @param depth the depth up to which all states were explored
+   * @param violation the first violation, or empty
    */
   public record Report(int states, long transitions, int depth, Optional<Violation> violation) {}
 
-  /** How a state was come to; the beginning has no move. */
+  /**
+   * The predecessor and the transition that first reached a state; the initial state has no
+   * transition.
+   */
   private record Step<M>(int predecessor, M transition) {}
 
+  /** A state whose transitions have not been taken yet. */
   private record Unexplored<S>(int number, S state) {}
 
-  /** A successor, or what making it threw. */
+  /** A successor state, or the failure of computing it. */
   private record Successor<S, M>(
       int predecessor, M transition, S state, Digest digest, String failure) {}
 
@@ -61,6 +75,7 @@
     this.limits = limits;
   }
 
+  /** Explores a model within the limits and returns what was found. */
   public static <S, M> Report explore(Model<S, M> model, Limits limits) {
     return new Explorer<>(model, limits).run();
   }
@@ -123,14 +138,17 @@
       try {
         S state = model.successor(open.state(), move);
         all.add(new Successor<>(open.number(), move, state, model.digest(state), null));
-      } catch (RuntimeException e) {
+      } catch (RuntimeException e) { // a module that throws is a finding of the exploration
         all.add(new Successor<>(open.number(), move, null, null, "threw " + e));
       }
     }
     return all;
   }
 
-  /** Finds the first of these that is wrong; a move that threw comes after all of them. */
+  /**
+   * Records the first violation among these states; a failed transition is recorded only after
+   * them.
+   */
   private void checkStates(List<Unexplored<S>> fresh) {
     List<Optional<String>> wrongs =
         fresh.parallelStream().map(open -> findViolation(open.state())).toList();
@@ -149,7 +167,7 @@
           .or(
               () ->
                   model.convergenceViolation(state).map(what -> "after the calm ending: " + what));
-    } catch (RuntimeException e) {
+    } catch (RuntimeException e) { // a check that throws is a finding of the exploration
       return Optional.of("threw " + e);
     }
   }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
@@ -13,30 +13,32 @@
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 
-/** The brokers' view of each other, the module that serves. */
+/** The membership protocol of the production code. */
 public final class MembershipSubject
     implements Subject<GossipMessage, MembershipSubject.Observation> {
   /**
-   * A look every second step, an answer within one; suspected for two to four. One look that fails
-   * is enough, and an ill broker is ill by one, so that suspicions and health come up within a few
-   * moves.
+   * A ping every second step with a timeout of one step; suspicion lasts two to four steps. One
+   * failed ping is enough to suspect, and the local health multiplier reacts at once, so that both
+   * occur within a few transitions.
    */
   private static final MembershipProtocolSettings SETTINGS =
       new MembershipProtocolSettings(2, 1, 1, 2, 1_000, 16, 1, 1, 2, 1_200, 4_800, true);
 
   /**
-   * Between two starts a step apart: more than a broker gainsays in a life that is looked at here.
+   * The distance between the incarnations of restarts one step apart: larger than the refutations
+   * in one incarnation.
    */
   private static final long INCARNATION_STRIDE = 1_000;
 
+  /** The steps within which the views must converge. */
   private static final int CONVERGENCE_STEPS = 80;
 
   /**
-   * Where the module is put wrong on purpose.
+   * A deliberate defect of the module.
    *
-   * @param messageMutation what a broker makes of a word that it hears
-   * @param incarnation under which it starts, by the step
-   * @param convergence whether it counts its view for settled
+   * @param messageMutation changes each message that a broker receives
+   * @param incarnation the incarnation of a broker that starts in a step
+   * @param convergence whether a broker considers its view converged
    */
   record Mutation(
       UnaryOperator<GossipMessage> messageMutation,
@@ -44,19 +46,22 @@
       Predicate<MembershipProtocol> convergence) {
     static final Mutation NONE =
         new Mutation(
-            word -> word,
+            message -> message,
             now -> (now + 1) * INCARNATION_STRIDE,
             view -> view.snapshot().isConverged());
   }
 
-  /** What can be seen of one view. */
+  /** What is visible of the view of one broker. */
   public record Observation(
       Member self, Set<String> members, List<Member> peers, boolean converged, String violation) {}
 
   private final long seed;
   private final Mutation mutation;
 
-  /** {@code seed}: of the rows in which the brokers look at each other, the same for all. */
+  /**
+   * Creates a subject on the production module; {@code seed} determines the ping order of all
+   * brokers.
+   */
   public MembershipSubject(long seed) {
     this(seed, Mutation.NONE);
   }
@@ -66,7 +71,7 @@
     this.mutation = flaw;
   }
 
-  /** One broker's. */
+  /** The protocol instance of one broker. */
   private static final class MembershipNode implements Node<GossipMessage, Observation> {
     private final MembershipProtocol protocol;
     private final Mutation mutation;
@@ -86,8 +91,8 @@
     }
 
     @Override
-    public void onMessage(int now, GossipMessage word) {
-      protocol.onMessage(now, mutation.messageMutation().apply(word));
+    public void onMessage(int now, GossipMessage message) {
+      protocol.onMessage(now, mutation.messageMutation().apply(message));
       checkIncarnation();
     }
 
@@ -143,12 +148,12 @@
             SETTINGS,
             seed,
             now,
-            (host, port, word) -> mouth.send(ClusterModel.number(host), word),
+            (host, port, message) -> mouth.send(ClusterModel.number(host), message),
             bytes -> List.of()),
         mutation);
   }
 
-  /** None: digests and buckets are made of the names, so no two brokers are alike. */
+  /** Only the identity: digests and buckets depend on the names. */
   @Override
   public List<int[]> symmetries() {
     return List.of(new int[] {0, 1, 2});
@@ -216,9 +221,9 @@
     Set<String> all = new TreeSet<>();
     numbers.forEach(i -> all.add(ClusterModel.name(i)));
     for (Observation one : live) {
-      Optional<Member> doubted =
+      Optional<Member> suspected =
           one.peers().stream().filter(peer -> peer.status() == Member.Status.SUSPECT).findFirst();
-      if (!one.members().equals(all) || doubted.isPresent() || !one.converged()) {
+      if (!one.members().equals(all) || suspected.isPresent() || !one.converged()) {
         return Optional.of(
             one.self().name()
                 + " holds "
@@ -226,7 +231,7 @@
                 + " where "
                 + all
                 + " are up"
-                + doubted.map(peer -> ", and suspects " + peer.name()).orElse("")
+                + suspected.map(peer -> ", and suspects " + peer.name()).orElse("")
                 + (one.converged() ? "" : ", and is not settled"));
       }
     }
@@ -238,29 +243,30 @@
     return CONVERGENCE_STEPS;
   }
 
-  /** A whole round of looks. */
+  /** One complete round of pings. */
   @Override
   public int stableSteps() {
     return 4;
   }
 
   @Override
-  public String describe(GossipMessage word) {
-    StringBuilder told =
-        new StringBuilder(word.kind().name()).append(' ').append(word.sequenceNumber());
-    if (!word.subject().isEmpty()) {
-      told.append(" about ").append(word.subject());
+  public String describe(GossipMessage message) {
+    StringBuilder text =
+        new StringBuilder(message.kind().name()).append(' ').append(message.sequenceNumber());
+    if (!message.subject().isEmpty()) {
+      text.append(" about ").append(message.subject());
     }
-    told.append(", itself in ").append(word.from().incarnation());
-    word.memberUpdates()
+    text.append(", itself in ").append(message.from().incarnation());
+    message
+        .memberUpdates()
         .forEach(
             peer ->
-                told.append(", ")
+                text.append(", ")
                     .append(peer.name())
                     .append(' ')
                     .append(peer.status())
                     .append(" in ")
                     .append(peer.incarnation()));
-    return told.toString();
+    return text.toString();
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
@@ -4,27 +4,35 @@
 import java.util.Optional;
 
 /**
- * What an {@link Explorer} goes through: states that never change, and the moves that lead from one
- * to others. All methods are functions of their arguments and may be called from several threads.
+ * A transition system for an {@link Explorer}: immutable states and the transitions between them.
+ * All methods are pure functions and may be called from several threads.
+ *
+ * @param <S> the state type
+ * @param <M> the transition type
  */
 public interface Model<S, M> {
+  /** The state in which every execution begins. */
   S initialState();
 
-  /** All that can happen next, in an order of its own. */
+  /** The transitions enabled in a state, in a deterministic order. */
   List<M> transitions(S state);
 
+  /** The state after a transition. */
   S successor(S state, M move);
 
-  /** The same for states that are the same but for the names in them, and for no others. */
+  /** A digest that is equal exactly for states that differ only in the names of symmetric nodes. */
   Digest digest(S state);
 
-  /** What must hold in each state and does not, or empty. */
+  /** A safety property that the state violates, or empty. */
   Optional<String> safetyViolation(S state);
 
-  /** What is still wrong after the calm ending, in which troubles end and time passes, or empty. */
+  /**
+   * A property that still fails after the convergence phase, in which faults end and time advances,
+   * or empty.
+   */
   Optional<String> convergenceViolation(S state);
 
-  /** A move in words. */
+  /** A transition as text. */
   default String describe(M move) {
     return move.toString();
   }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
@@ -6,10 +6,13 @@
 import java.util.function.Supplier;
 
 /**
- * The models by name. A module of another package joins in by a {@link Subject} and a line here.
+ * The registry of models by name. A module of another package is added by a {@link Subject} and an
+ * entry here.
  */
 public final class Models {
+  /** How far the clock of one broker is ahead, in microseconds. */
   private static final long CLOCK_OFFSET_US = 500;
+
   private static final Map<String, Supplier<Model<?, ?>>> FACTORIES = new LinkedHashMap<>();
 
   static {
@@ -31,19 +34,28 @@
 
   private Models() {}
 
-  /** Views that have had so many steps to settle; 0: all start together. */
+  /**
+   * The fault budget of membership models; 0 warm-up steps: the exploration begins at the start of
+   * all brokers.
+   */
   static ClusterModel.Budget membershipBudget(int settled) {
     return new ClusterModel.Budget(settled, 3, 0, 1, 2, 1, 1, 0);
   }
 
+  /** The fault budget of models of the replicated map. */
   static ClusterModel.Budget replicatedMapBudget() {
     return new ClusterModel.Budget(0, 2, 2, 1, 1, 0, 1, 4);
   }
 
+  /** The names of all models. */
   public static List<String> names() {
     return List.copyOf(FACTORIES.keySet());
   }
 
+  /**
+   * Creates the model of that name, or throws an {@link IllegalArgumentException} that lists the
+   * names.
+   */
   public static Model<?, ?> create(String name) {
     Supplier<Model<?, ?>> model = FACTORIES.get(name);
     if (model == null) {
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
@@ -1,29 +1,34 @@
 package dunlinhitch.experiments.modelchecker;
 
 /**
- * The module of one broker as a model feeds it: {@code W} is a word to another, {@code V} what can
- * be seen of it. It may change with each call; the model makes copies by feeding a new one the
- * same. Times are steps of the model.
+ * The module of one broker as driven by a model. It is mutable; the model copies it by replaying
+ * its inputs on a new one. Times are steps of the model.
+ *
+ * @param <W> the message type
+ * @param <V> the observation of the node
  */
 public interface Node<W, V> {
-  /** Where its words go: to the broker of that number. */
+  /** Sends messages to the broker with a number. */
   interface MessageSender<W> {
-    void send(int to, W word);
+    /** Sends a message to that broker. */
+    void send(int to, W message);
   }
 
+  /** Time has advanced to that step. */
   void onTick(int now);
 
-  void onMessage(int now, W word);
+  /** A message has arrived. */
+  void onMessage(int now, W message);
 
   /**
-   * It does something of its own accord; {@code order} is the count of such acts of all brokers
-   * that said something new.
+   * Performs an action of its own; {@code order} is the number of updates that all brokers have
+   * published before.
    */
-  void perform(int now, int order, String what);
+  void perform(int now, int order, String action);
 
-  /** Does not change any more. */
+  /** An immutable snapshot of what is visible from outside. */
   V observe();
 
-  /** All that what it does next depends on, see {@link StateHasher}. */
+  /** All state that the future behaviour depends on, see {@link StateHasher}. */
   Object state();
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/NodeHistory.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/NodeHistory.java
@@ -7,10 +7,9 @@
 import java.util.function.Function;
 
 /**
- * One life of one broker's module: what it was fed since its start, what it said to the last of it,
- * and what can be seen of it now. A module changes as it is fed and can not be copied; a new one
- * that is fed the same is the copy. Lives that were fed the same are one object, whatever went on
- * elsewhere meanwhile, so each is made and reckoned once.
+ * The input history of one incarnation of a node, with the messages sent on the last input and the
+ * observation after it. A module is mutable and cannot be copied; replaying the history on a new
+ * module yields a copy. Equal histories share one object, so each is computed once. Thread-safe.
  */
 final class NodeHistory<W, V> {
   enum InputKind {
@@ -19,7 +18,7 @@
     ACTION
   }
 
-  /** What a module was fed; {@code message} and {@code action} as the kind has them, else null. */
+  /** An input to a node; {@code message} and {@code action} are null where the kind has none. */
   record Input<W>(InputKind kind, int now, W message, String action, int order) {
     void applyTo(Node<W, ?> node) {
       switch (kind) {
@@ -30,7 +29,7 @@
     }
   }
 
-  /** A word on its way out. */
+  /** A message to the broker with that number. */
   record OutgoingMessage<W>(int to, W message) {}
 
   private final Function<Node.MessageSender<W>, Node<W, V>> nodeFactory;
@@ -57,38 +56,38 @@
     this.stateDigests = digester;
     this.previous = before;
     this.lastInput = last;
-    List<OutgoingMessage<W>> words = new ArrayList<>();
+    List<OutgoingMessage<W>> messages = new ArrayList<>();
     Node<W, V> node =
-        replay((to, word) -> words.add(new OutgoingMessage<>(to, word)), words::clear);
-    sent = List.copyOf(words);
+        replay((to, message) -> messages.add(new OutgoingMessage<>(to, message)), messages::clear);
+    sent = List.copyOf(messages);
     observation = node.observe();
     digests = digester.apply(node.state());
   }
 
-  /** The same life with one thing more. */
+  /** Returns the history extended by one input. */
   NodeHistory<W, V> afterInput(Input<W> input) {
-    NodeHistory<W, V> known = successors.get(input);
-    if (known == null) {
+    NodeHistory<W, V> existing = successors.get(input);
+    if (existing == null) {
       NodeHistory<W, V> made = new NodeHistory<>(nodeFactory, stateDigests, this, input);
-      known = successors.putIfAbsent(input, made);
-      known = known == null ? made : known;
+      existing = successors.putIfAbsent(input, made);
+      existing = existing == null ? made : existing;
     }
-    return known;
+    return existing;
   }
 
   /**
-   * A module of its own, fed all of this; {@code quiet} is called before the last, for what was
-   * said until then was said before.
+   * Replays the history on a new module. {@code beforeLastInput} runs before the last input, so
+   * that a caller can discard messages that were sent earlier.
    */
-  Node<W, V> replay(Node.MessageSender<W> mouth, Runnable quiet) {
+  Node<W, V> replay(Node.MessageSender<W> mouth, Runnable beforeLastInput) {
     List<Input<W>> inputs = new ArrayList<>();
-    for (NodeHistory<W, V> at = this; at.lastInput != null; at = at.previous) {
-      inputs.add(at.lastInput);
+    for (NodeHistory<W, V> history = this; history.lastInput != null; history = history.previous) {
+      inputs.add(history.lastInput);
     }
     Node<W, V> node = nodeFactory.apply(mouth);
     for (int i = inputs.size() - 1; i >= 0; i--) {
       if (i == 0) {
-        quiet.run();
+        beforeLastInput.run();
       }
       inputs.get(i).applyTo(node);
     }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -14,10 +14,10 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** What brokers hold in common, the module that serves; a word tells all that its broker holds. */
+/** The replicated map of the production code; a message carries all entries of its sender. */
 public final class ReplicatedMapSubject
     implements Subject<List<ReplicatedEntry<String, Integer>>, ReplicatedMapSubject.Observation> {
-  /** A step of the model, in µs. */
+  /** The duration of one step of the model, in microseconds. */
   private static final long STEP_US = 1_000;
 
   static final ReplicatedMapSettings SETTINGS =
@@ -26,23 +26,23 @@
   private static final String PUBLISH_PREFIX = "says something of ";
   private static final String SEND_PREFIX = "tells ";
 
-  /** What holds facts: the module, or one put wrong on purpose. */
+  /** The map under test: the production module or a deliberately faulty one. */
   interface Replica {
-    void merge(long nowUs, ReplicatedEntry<String, Integer> told);
+    void merge(long nowUs, ReplicatedEntry<String, Integer> entry);
 
     void expire(long nowUs);
 
     List<ReplicatedEntry<String, Integer>> entries();
   }
 
-  /** The module that serves. */
+  /** The production module. */
   private static final class ProductionReplica implements Replica {
     private final ReplicatedMap<String, Integer> map =
         new ReplicatedMap<>(SETTINGS, Comparator.<String>naturalOrder());
 
     @Override
-    public void merge(long nowUs, ReplicatedEntry<String, Integer> told) {
-      map.merge(nowUs, told);
+    public void merge(long nowUs, ReplicatedEntry<String, Integer> entry) {
+      map.merge(nowUs, entry);
     }
 
     @Override
@@ -56,7 +56,7 @@
     }
   }
 
-  /** {@code clockUs}: what the broker's clock shows. */
+  /** What is visible of a broker; {@code clockUs} is the reading of its clock. */
   public record Observation(
       long clockUs, List<ReplicatedEntry<String, Integer>> entries, String violation) {}
 
@@ -65,8 +65,10 @@
   private final boolean simultaneousUpdates;
 
   /**
-   * @param aheadUs of n0's clock
-   * @param ties brokers may say things at the same moment; else no two ever do
+   * Creates a subject on the production module.
+   *
+   * @param clockOffsetUs how far the clock of n0 is ahead, in microseconds
+   * @param simultaneousUpdates whether brokers may publish at the same instant
    */
   public ReplicatedMapSubject(long aheadUs, boolean ties) {
     this(ProductionReplica::new, aheadUs, ties);
@@ -78,7 +80,7 @@
     this.simultaneousUpdates = ties;
   }
 
-  /** One broker's, and what it held once and does no more. */
+  /** One broker, with the entries that it once had and has removed. */
   private final class ReplicaNode
       implements Node<List<ReplicatedEntry<String, Integer>>, Observation> {
     private final String name;
@@ -107,15 +109,15 @@
       clockUs = clockUs(now);
       replica.expire(clockUs);
       replica.entries().stream()
-          .filter(fact -> fact.timestampUs() <= clockUs - SETTINGS.timeToLiveUs())
+          .filter(entry -> entry.timestampUs() <= clockUs - SETTINGS.timeToLiveUs())
           .findFirst()
-          .ifPresent(fact -> violation = name + " still holds " + fact);
+          .ifPresent(entry -> violation = name + " still holds " + entry);
       checkInvariants();
     }
 
     @Override
-    public void onMessage(int now, List<ReplicatedEntry<String, Integer>> word) {
-      word.forEach(fact -> replica.merge(clockUs, fact));
+    public void onMessage(int now, List<ReplicatedEntry<String, Integer>> message) {
+      message.forEach(entry -> replica.merge(clockUs, entry));
       checkInvariants();
     }
 
@@ -137,12 +139,12 @@
     private void checkInvariants() {
       List<ReplicatedEntry<String, Integer>> now = replica.entries();
       Set<ReplicatedEntry<String, Integer>> all = Set.copyOf(now);
-      previous.stream().filter(fact -> !all.contains(fact)).forEach(removed::add);
+      previous.stream().filter(entry -> !all.contains(entry)).forEach(removed::add);
       previous = now;
       now.stream()
           .filter(removed::contains)
           .findFirst()
-          .ifPresent(fact -> violation = name + " holds again what it had let go: " + fact);
+          .ifPresent(entry -> violation = name + " holds again what it had let go: " + entry);
       long most =
           now.stream()
               .collect(Collectors.groupingBy(ReplicatedEntry::origin, Collectors.counting()))
@@ -173,10 +175,7 @@
     return new ReplicaNode(number, now, mouth);
   }
 
-  /**
-   * Where two things may be said at a moment, the names decide which goes first, and no two brokers
-   * are alike.
-   */
+  /** With simultaneous updates the names break ties, so no two brokers are symmetric. */
   @Override
   public List<int[]> symmetries() {
     List<int[]> same = new ArrayList<>(List.of(new int[] {0, 1, 2}));
@@ -204,16 +203,16 @@
     return act.startsWith(PUBLISH_PREFIX);
   }
 
-  /** To tell each other. */
+  /** Each broker sends its entries to every other one. */
   @Override
   public List<String> convergenceActions(int number) {
-    List<String> tells = new ArrayList<>();
+    List<String> sendActions = new ArrayList<>();
     for (int i = 0; i < ClusterModel.BROKER_COUNT; i++) {
       if (i != number) {
-        tells.add(SEND_PREFIX + ClusterModel.name(i));
+        sendActions.add(SEND_PREFIX + ClusterModel.name(i));
       }
     }
-    return tells;
+    return sendActions;
   }
 
   @Override
@@ -225,34 +224,34 @@
         .findFirst();
   }
 
-  /** All hold the same, but for what a clock that is ahead has let go of. */
+  /** All have the same entries, except those that a clock ahead of the others has expired. */
   @Override
   public Optional<String> convergenceViolation(List<Observation> live, List<Integer> numbers) {
     long latest = live.stream().mapToLong(Observation::clockUs).max().orElse(0);
-    List<List<ReplicatedEntry<String, Integer>>> held =
+    List<List<ReplicatedEntry<String, Integer>>> entriesByBroker =
         live.stream()
             .map(
                 one ->
                     one.entries().stream()
-                        .filter(fact -> fact.timestampUs() > latest - SETTINGS.timeToLiveUs())
+                        .filter(entry -> entry.timestampUs() > latest - SETTINGS.timeToLiveUs())
                         .toList())
             .toList();
-    for (int i = 1; i < held.size(); i++) {
-      if (!held.get(i).equals(held.get(0))) {
+    for (int i = 1; i < entriesByBroker.size(); i++) {
+      if (!entriesByBroker.get(i).equals(entriesByBroker.get(0))) {
         return Optional.of(
             ClusterModel.name(numbers.get(0))
                 + " holds "
-                + held.get(0)
+                + entriesByBroker.get(0)
                 + ", "
                 + ClusterModel.name(numbers.get(i))
                 + " "
-                + held.get(i));
+                + entriesByBroker.get(i));
       }
     }
     return live.stream().map(Observation::violation).filter(wrong -> wrong != null).findFirst();
   }
 
-  /** At once: each tells each all. */
+  /** One exchange of all entries is enough. */
   @Override
   public int convergenceSteps() {
     return 0;
@@ -264,9 +263,9 @@
   }
 
   @Override
-  public String describe(List<ReplicatedEntry<String, Integer>> word) {
-    return word.stream()
-        .map(fact -> fact.origin() + " of " + fact.key() + " at " + fact.timestampUs())
+  public String describe(List<ReplicatedEntry<String, Integer>> message) {
+    return message.stream()
+        .map(entry -> entry.origin() + " of " + entry.key() + " at " + entry.timestampUs())
         .collect(Collectors.joining(", ", "[", "]"));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
@@ -18,12 +18,10 @@
 import java.util.function.UnaryOperator;
 
 /**
- * The digest of all that an object holds, so that a module need not say itself what its future
- * depends on, and none of it is forgotten when it changes. Fields are read where the class is the
- * project's own; of the JDK's, values and collections, sets and maps without an order of their own
- * by their content alone. Left out are functions, which are the edges of a module, and generators
- * of chance, whose state the JDK keeps to itself: states that differ only in draws to come count as
- * one.
+ * Hashes all state that an object holds, so that a module need not list what its behaviour depends
+ * on. Fields are read by reflection where the class belongs to the project; of the JDK, values and
+ * collections are supported, and unordered sets and maps are hashed by content alone. Functions and
+ * random generators are left out: states that differ only in future random draws count as one.
  */
 final class StateHasher {
   private static final String PROJECT_PACKAGE_PREFIX = "dunlinhitch.";
@@ -50,7 +48,7 @@
     this.nameMapping = names;
   }
 
-  /** {@code names}: each text goes in as this returns it. */
+  /** Returns the digest of a value; every string is first mapped by {@code nameMapping}. */
   static Digest of(Object value, UnaryOperator<String> names) {
     Hasher hasher = Digest.newHasher();
     new StateHasher(names).put(hasher, value);
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Subject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Subject.java
@@ -4,41 +4,46 @@
 import java.util.Optional;
 
 /**
- * What {@link ClusterModel} needs to know of a module to run it in each of a few brokers. Broker i
- * has the name {@code ni}, and its host is named the same.
+ * Adapts a module for {@link ClusterModel}, which runs it in each of a few brokers. Broker i has
+ * the name {@code ni} and the host of the same name.
+ *
+ * @param <W> the message type
+ * @param <V> the observation of a node
  */
 public interface Subject<W, V> {
-  /** A broker of that number starts, with nothing known. */
+  /** Starts the broker with that number and without any knowledge of the others. */
   Node<W, V> start(int number, int now, Node.MessageSender<W> mouth);
 
   /**
-   * Changes of the brokers' numbers after which all goes on as it would have but for the numbers:
-   * {@code p[i]} is what broker i becomes. The first changes nothing.
+   * Permutations of the broker numbers under which the behaviour is unchanged: {@code p[i]} is the
+   * new number of broker i. The first is the identity.
    */
   List<int[]> symmetries();
 
-  /** What a broker may do of its own accord. */
+  /** The actions that a broker may perform of its own. */
   List<String> actions(int number);
 
-  /** Whether that says something new: of those there is a most. */
+  /** Whether an action publishes an update; the budget bounds updates. */
   boolean isUpdate(String act);
 
-  /** What each does in each step of the calm ending. */
+  /** The actions of each broker in each step of the convergence phase. */
   List<String> convergenceActions(int number);
 
   /**
-   * What must hold and does not: {@code seen} of all brokers, of one that is down as it was last;
-   * {@code sides}: those that are up, by whom they reach.
+   * A safety property that is violated, or empty. A crashed broker counts with its last
+   * observation; {@code sides} groups the brokers that are up by reachability.
    */
-  Optional<String> safetyViolation(List<V> seen, List<List<Integer>> sides);
+  Optional<String> safetyViolation(List<V> observations, List<List<Integer>> sides);
 
-  /** What is not yet well of those that are up. */
-  Optional<String> convergenceViolation(List<V> live, List<Integer> numbers);
+  /** Why the live brokers have not converged, or empty. */
+  Optional<String> convergenceViolation(List<V> liveObservations, List<Integer> numbers);
 
-  /** Within so many steps all must have settled for {@code lasting} of them. */
+  /** The number of steps within which all must have converged for {@link #stableSteps} steps. */
   int convergenceSteps();
 
+  /** The number of steps for which convergence must last. */
   int stableSteps();
 
-  String describe(W word);
+  /** A message as text. */
+  String describe(W message);
 }
--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -15,8 +15,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Days from seeds, days from files, the search for a breach over many seeds, and a breach's day
- * made short.
+ * Generates days from seeds, reads and writes day files, searches many seeds for a violation and
+ * shrinks a day that has one.
  */
 public final class Days {
   private static final int DEFAULT_SECONDS = 60;
@@ -25,7 +25,7 @@
 
   private Days() {}
 
-  /** A drawn day: two to six troubles, at any time and over each other. */
+  /** Generates a random day with two to six faults that may overlap. */
   public static Simulation.SimulatedDay generate(long seed, Defect defect) {
     UniformRandomProvider random = new RandomStreams(seed).stream("day");
     List<Fault> faults = new ArrayList<>();
@@ -81,7 +81,10 @@
         seed, DEFAULT_SECONDS, DEFAULT_QUERIES_PER_SECOND, faults, defect);
   }
 
-  /** A file of troubles; a line {@code day seed 7 seconds 60 rate 38 defect X} may say the rest. */
+  /**
+   * Reads a day file; a line {@code day seed 7 seconds 60 rate 38 defect X} may set the other
+   * properties. A non-null seed takes precedence over that of the file.
+   */
   public static Simulation.SimulatedDay parse(Path file, Long seed) throws IOException {
     return parse(file, Files.readAllLines(file), seed);
   }
@@ -106,7 +109,7 @@
         Defect.valueOf(head.getOrDefault("defect", "NONE")));
   }
 
-  /** As a file has it. */
+  /** Formats a day as a day file. */
   public static String format(Simulation.SimulatedDay day) {
     StringBuilder out =
         new StringBuilder(
@@ -122,13 +125,20 @@
     return out.toString();
   }
 
-  /** What a search came to: seeds played, simulated seconds, and the breaches by seed. */
+  /**
+   * The result of a search.
+   *
+   * @param played the number of days simulated
+   * @param steps the number of scheduled tasks that ran
+   * @param meanShare mean share of the offered weight that was served
+   * @param breaches the days with a violation, by seed
+   */
   public record Found(
       int played, long steps, double meanShare, List<Simulation.SimulationResult> breaches) {}
 
   /**
-   * Plays the drawn days of so many seeds, on all cores; {@code first}: it ends with the first
-   * breach.
+   * Simulates the generated days of a range of seeds on all cores; with {@code first} it stops
+   * after the first violation.
    */
   public static Found search(long fromSeed, int seeds, Defect defect, boolean first) {
     ConcurrentLinkedQueue<Simulation.SimulationResult> breaches = new ConcurrentLinkedQueue<>();
@@ -162,8 +172,8 @@
   }
 
   /**
-   * The same breach from fewer troubles, a shorter day and fewer clients; each step is kept if the
-   * rule still breaks.
+   * Reduces the faults, the duration and the query rate of a day while the same invariant is
+   * violated.
    */
   public static Simulation.SimulatedDay shrink(Simulation.SimulatedDay day) {
     Simulation.SimulationResult whole = Simulation.play(day, false);
--- a/src/main/java/dunlinhitch/experiments/simulation/Defect.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Defect.java
@@ -1,6 +1,6 @@
 package dunlinhitch.experiments.simulation;
 
-/** A defect put in on purpose, at the broker's edges, to show that the checkers can fail. */
+/** A defect injected at the edges of the brokers to show that the checker detects violations. */
 public enum Defect {
   NONE,
   /** Now and then an answer is given twice. */
--- a/src/main/java/dunlinhitch/experiments/simulation/Fault.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Fault.java
@@ -56,7 +56,10 @@
     targets = List.copyOf(targets);
   }
 
-  /** Throws an IllegalArgumentException that names the line and what is wrong. */
+  /**
+   * Parses the lines of a day file; throws an {@link IllegalArgumentException} that names the line
+   * and the error.
+   */
   static List<Fault> parse(Path file, List<String> lines) {
     List<Fault> faults = new ArrayList<>();
     for (int i = 0; i < lines.size(); i++) {
--- a/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
@@ -11,18 +11,19 @@
 import java.util.Set;
 
 /**
- * The rules of the brief, checked at every step from outside the broker: by what crosses its edges,
- * not by its tables. The first breach is kept, with the last lines that name its query or store.
+ * Checks the required invariants at every step, from what crosses the edges of a broker and not
+ * from its internal state. Keeps the first violation with the recent trace lines that mention its
+ * query or endpoint.
  */
 public final class InvariantChecker {
-  /** Every limit is so much longer on the way. */
+  /** Tolerance of every time limit for network latency, in microseconds. */
   private static final long TIME_TOLERANCE_US = 50_000;
 
   private static final double WEIGHT_TOLERANCE = 0.001;
   private static final int MAX_ATTEMPTS = 4;
   private static final int RECENT_LINES = 400;
 
-  /** What broke, when, and what led to it. */
+  /** A violated invariant, its time and step, and the trace that led to it. */
   public record Violation(String rule, long atUs, long step, String subject, String trace) {}
 
   private static final class PartState {
@@ -68,11 +69,11 @@
 
   void reportViolation(String rule, String subject) {
     if (violation == null) {
-      StringBuilder story = new StringBuilder();
+      StringBuilder relevant = new StringBuilder();
       lines.stream()
           .filter(line -> line.contains(subject))
-          .forEach(line -> story.append(line).append('\n'));
-      violation = new Violation(rule, time.now(), time.steps(), subject, story.toString());
+          .forEach(line -> relevant.append(line).append('\n'));
+      violation = new Violation(rule, time.now(), time.steps(), subject, relevant.toString());
     }
   }
 
@@ -81,53 +82,56 @@
   }
 
   void clientDisconnected(String id) {
-    QueryState q = queries.get(id);
-    if (q != null) {
-      q.clientDisconnected = true;
+    QueryState query = queries.get(id);
+    if (query != null) {
+      query.clientDisconnected = true;
     }
   }
 
-  /** A broker died: what it had is no longer owed. */
+  /** A broker crashed: its queries need no answer any more. */
   void brokerCrashed(int broker) {
-    queries.values().removeIf(q -> q.broker == broker);
+    queries.values().removeIf(query -> query.broker == broker);
     unavailableSinceUs.keySet().removeIf(key -> key.startsWith(broker + " "));
     parts.keySet().removeIf(key -> key.startsWith(broker + " "));
   }
 
   void queryAnswered(String id, QueryResponse answer) {
-    QueryState q = queries.get(id);
-    if (q == null) {
+    QueryState query = queries.get(id);
+    if (query == null) {
       reportViolation("an answer to no query", id);
       return;
     }
-    if (++q.answers > 1) {
+    if (++query.answers > 1) {
       reportViolation("two final answers", id);
     }
-    if (time.now() > q.request.deadlineUs() + TIME_TOLERANCE_US) {
+    if (time.now() > query.request.deadlineUs() + TIME_TOLERANCE_US) {
       reportViolation("an answer after the client's time", id);
     }
     if (answer instanceof QueryResponse.Served served) {
-      double in = 0;
+      double servedShare = 0;
       for (QueryResponse.PartValue value : served.parts()) {
-        in +=
-            q.request.parts().stream()
-                .filter(p -> p.shard() == value.shard())
+        servedShare +=
+            query.request.parts().stream()
+                .filter(request -> request.shard() == value.shard())
                 .mapToDouble(QueryRequest.PartRequest::weight)
                 .sum();
-        if (!value.value().equals(Simulation.value(q.request.text(), value.shard()))) {
+        if (!value.value().equals(Simulation.value(query.request.text(), value.shard()))) {
           reportViolation("a value that no store made for this part", id);
         }
       }
-      if (in < q.request.queryClass().floor() - WEIGHT_TOLERANCE) {
+      if (servedShare < query.request.queryClass().floor() - WEIGHT_TOLERANCE) {
         reportViolation("an answer from less than the least share", id);
       }
-      if (served.complete() && in < q.request.queryClass().need() - WEIGHT_TOLERANCE) {
+      if (served.complete() && servedShare < query.request.queryClass().need() - WEIGHT_TOLERANCE) {
         reportViolation("an answer marked whole that is not", id);
       }
     }
   }
 
-  /** What the roster has told a broker of a store: from then on nothing new after the grace. */
+  /**
+   * Discovery has notified a broker of an endpoint; after a grace period an unavailable one may
+   * receive nothing new.
+   */
   void endpointNotified(int broker, String store, boolean takesWork) {
     String key = broker + " " + store;
     if (takesWork) {
@@ -137,7 +141,7 @@
     }
   }
 
-  /** A part left for a store. */
+  /** A broker sent an attempt. */
   void attemptSent(
       int broker,
       SimulatedStore store,
@@ -149,8 +153,8 @@
     if (store.cell != shard % cells) {
       reportViolation("a part to a store that does not hold its shard", partId);
     }
-    Long barred = unavailableSinceUs.get(broker + " " + store.name);
-    if (barred != null && time.now() > barred + 250_000 + TIME_TOLERANCE_US) {
+    Long unavailable = unavailableSinceUs.get(broker + " " + store.name);
+    if (unavailable != null && time.now() > unavailable + 250_000 + TIME_TOLERANCE_US) {
       reportViolation("work for a store that drains or is gone", partId);
     }
     PartState part = parts.computeIfAbsent(broker + " " + partId, k -> new PartState());
@@ -171,7 +175,7 @@
     part.possiblyExecutedUs = part.possiblyExecutedUs < 0 ? time.now() : part.possiblyExecutedUs;
   }
 
-  /** An attempt is over for the broker. */
+  /** An attempt has ended for the broker. */
   void attemptEnded(int broker, String partId, long attempt, boolean neverRan) {
     PartState part = parts.get(broker + " " + partId);
     if (part != null && endedAttempts.add(broker + " " + attempt)) {
@@ -182,11 +186,11 @@
     }
   }
 
-  /** The day is over and everything had its time: whatever was taken was answered once. */
+  /** The simulated day and its drain period are over: every accepted query must have one answer. */
   void simulationEnded(int openInBrokers) {
     queries.forEach(
-        (id, q) -> {
-          if (q.answers == 0 && !q.clientDisconnected) {
+        (id, query) -> {
+          if (query.answers == 0 && !query.clientDisconnected) {
             reportViolation("a query without an answer", id);
           }
         });
@@ -195,21 +199,21 @@
     }
   }
 
-  /** Within the day: what is overdue without an answer. */
+  /** Reports queries past their deadline without an answer and forgets completed ones. */
   void checkOverdueQueries() {
-    for (Map.Entry<String, QueryState> e : queries.entrySet()) {
-      QueryState q = e.getValue();
-      if (q.answers == 0
-          && !q.clientDisconnected
-          && time.now() > q.request.deadlineUs() + TIME_TOLERANCE_US) {
-        reportViolation("a query without an answer in its client's time", e.getKey());
+    for (Map.Entry<String, QueryState> entry : queries.entrySet()) {
+      QueryState query = entry.getValue();
+      if (query.answers == 0
+          && !query.clientDisconnected
+          && time.now() > query.request.deadlineUs() + TIME_TOLERANCE_US) {
+        reportViolation("a query without an answer in its client's time", entry.getKey());
       }
     }
     queries
         .values()
         .removeIf(
-            q ->
-                time.now() > q.request.deadlineUs() + 2_000_000
-                    && (q.answers > 0 || q.clientDisconnected));
+            query ->
+                time.now() > query.request.deadlineUs() + 2_000_000
+                    && (query.answers > 0 || query.clientDisconnected));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/simulation/RandomStreams.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/RandomStreams.java
@@ -6,7 +6,8 @@
 import org.apache.commons.statistics.distribution.LogNormalDistribution;
 
 /**
- * One stream of random numbers for each component, by its name: a change in one shifts no other.
+ * One random stream for each named component, so that a change in one component does not shift the
+ * draws of another.
  */
 final class RandomStreams {
   private final long seed;
@@ -28,12 +29,15 @@
     return from + (to - from) * random.nextDouble();
   }
 
-  /** Gaps of a Poisson stream. */
+  /** An exponential variate, such as a gap of a Poisson process. */
   static double exponential(UniformRandomProvider random, double mean) {
     return ExponentialDistribution.of(mean).createSampler(random).sample();
   }
 
-  /** With that median; {@code sigma} of its logarithm. */
+  /**
+   * A log-normal variate with that median; {@code sigma} is the standard deviation of its
+   * logarithm.
+   */
   static double logNormal(UniformRandomProvider random, double median, double sigma) {
     return LogNormalDistribution.of(Math.log(median), sigma).createSampler(random).sample();
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
@@ -1,10 +1,11 @@
 package dunlinhitch.experiments.simulation;
 
 import java.util.PriorityQueue;
+import java.util.function.BooleanSupplier;
 
 /**
- * Virtual time: what is due runs in the order of its moment and, at one moment, of its setting.
- * Microseconds.
+ * A discrete-event scheduler on virtual time in microseconds. Tasks run in the order of their time
+ * and, at the same time, in the order in which they were scheduled. One thread.
  */
 final class Scheduler {
   private record ScheduledTask(long atUs, long order, Runnable task)
@@ -28,7 +29,7 @@
     return nowUs;
   }
 
-  /** Things done so far. */
+  /** The number of tasks run so far. */
   long steps() {
     return steps;
   }
@@ -41,9 +42,9 @@
     scheduleAt(nowUs + Math.max(0, inUs), task);
   }
 
-  /** Does all that is due by then; false where a step said to stop. */
-  void runUntil(long endUs, java.util.function.BooleanSupplier goOn) {
-    while (!queue.isEmpty() && queue.peek().atUs() <= endUs && goOn.getAsBoolean()) {
+  /** Runs all tasks that are due by then, while {@code mayContinue} holds. */
+  void runUntil(long endUs, BooleanSupplier mayContinue) {
+    while (!queue.isEmpty() && queue.peek().atUs() <= endUs && mayContinue.getAsBoolean()) {
       ScheduledTask due = queue.poll();
       nowUs = due.atUs();
       steps++;
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
@@ -19,9 +19,10 @@
 import java.util.function.Supplier;
 
 /**
- * Many brokers with a scorer each before stores of which some are slower than they report, on
- * virtual time: Graham's rule with factors, first come first served at the stores, one part a
- * query. Less than a broker does: nothing is sent twice, refused or probed.
+ * Simulates many brokers with a scorer each in front of stores of which some are slower than they
+ * report. The brokers use Graham's rule with scorer factors, the stores serve first come, first
+ * served, and a query has one part. Hedging, rejection and health checks are not modelled. One
+ * thread, virtual time.
  */
 public final class ScorerWorld {
   /**
@@ -178,7 +179,7 @@
       scheduler.scheduleAt(nextUs, this::runScoringRound);
     }
 
-    /** Own words go to every other broker, each after a time of its own. */
+    /** Sends the own weights to every other broker, each after a random delay. */
     private void shareWeights() {
       String self = "n" + brokers.indexOf(this);
       List<ReplicatedEntry<WeightKey, Weight>> news =
@@ -214,6 +215,7 @@
   private final double meanGapUs;
   private static final long WINDOW_US = 1_000_000;
 
+  /** Creates the stores and the brokers of a plan. */
   public ScorerWorld(Plan plan, long seed) {
     this.plan = plan;
     this.seed = seed;
@@ -239,8 +241,8 @@
   }
 
   /**
-   * One more broker, which knows nothing; the others' words are told to it at once, as to any
-   * newcomer.
+   * Adds a broker without any weights; it receives those of the first broker at once, as any broker
+   * that joins.
    */
   public void join() {
     Broker fresh = new Broker(brokers.size());
@@ -269,6 +271,7 @@
         });
   }
 
+  /** Runs the simulation up to that virtual time, in microseconds. */
   public void playTo(long untilUs) {
     scheduler.runUntil(untilUs, () -> true);
   }
@@ -296,7 +299,7 @@
         / (double) Math.max(1, took.length);
   }
 
-  /** What all but one in a hundred took at the most, µs. */
+  /** The 99th percentile of the latency, in microseconds. */
   public double p99(long fromUs, long untilUs, boolean newest) {
     double[] took = latencies(fromUs, untilUs, newest);
     Arrays.sort(took);
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedBroker.java
@@ -9,8 +9,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * The real reducer, decisions and membership on virtual time; turns are gathered as the loop of a
- * broker in service does.
+ * The production reducer on virtual time; events are batched into turns as in the event loop of a
+ * serving broker.
  */
 final class SimulatedBroker {
   final int number;
@@ -67,8 +67,8 @@
     List<Event> events = pendingEvents;
     pendingEvents = new ArrayList<>();
     for (Effect effect : reducer.turn(lastTurnUs, events)) {
-      if (effect instanceof Effect.ScheduleWakeUp e) {
-        scheduleTurn(Math.max(e.dueUs(), lastTurnUs + reducer.settings().tickUs()));
+      if (effect instanceof Effect.ScheduleWakeUp wakeUp) {
+        scheduleTurn(Math.max(wakeUp.dueUs(), lastTurnUs + reducer.settings().tickUs()));
       } else {
         effectHandler.accept(this, effect);
       }
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
@@ -8,12 +8,12 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Model of a store: {@code CORES} cores and one queue of at most {@code QUEUE_LIMIT} parts. A
- * part's work is log-normal about its class's median; its time on a core is work x slow / warmth,
- * warmth rising evenly from {@code COLD_WEIGHT} to 1 in {@code SLOW_START_US} after a start. Sent
- * more than {@code OVERLOAD_FACTOR} times what it can do at that moment over {@code
- * OVERLOAD_WINDOW_US}, while cold, it falls over and stays down. Load reports are refreshed every
- * 140 to 740 ms. A keyed part that ran is not run again for 4 s.
+ * A store with {@code CORES} cores and one queue of at most {@code QUEUE_LIMIT} parts. The service
+ * time of a part is its work x slowdown / slow-start weight, and the weight rises linearly from
+ * {@code COLD_WEIGHT} to 1 within {@code SLOW_START_US} after a start. A warming store that
+ * receives more than {@code OVERLOAD_FACTOR} times its capacity within {@code OVERLOAD_WINDOW_US}
+ * collapses and stays down. Load reports are refreshed every 140 to 740 ms. A part with an
+ * idempotency key that ran is not run again for 4 s.
  */
 final class SimulatedStore {
   static final int CORES = 2;
@@ -24,10 +24,10 @@
   private static final int QUEUE_LIMIT = 200;
   private static final long DEDUPLICATION_WINDOW_US = 4_000_000;
 
-  /** A part that came: who sent it, and how its end is told, or not. */
+  /** A queued part with its idempotency key, or an empty one, and its completion callback. */
   private record Job(String key, long workUs, Runnable done) {}
 
-  /** How a part ends here at once. */
+  /** Whether a part was accepted. */
   enum Admission {
     ACCEPTED,
     REJECTED,
@@ -43,7 +43,7 @@
   boolean draining;
   boolean collapsed;
 
-  /** Counts its lives: what belongs to an earlier one ends without a word. */
+  /** Counts restarts: work of an earlier incarnation ends without a result. */
   int incarnation;
 
   double slowdown = 1;
@@ -84,11 +84,11 @@
             1, COLD_WEIGHT + (1 - COLD_WEIGHT) * (time.now() - startedUs) / (double) SLOW_START_US);
   }
 
-  boolean isCold() {
+  boolean isWarmingUp() {
     return startedUs > 0 && time.now() - startedUs < SLOW_START_US;
   }
 
-  /** Starts anew: what it had is gone, it is cold. */
+  /** Restarts the store, which is empty and warming up. */
   void start() {
     incarnation++;
     running = true;
@@ -109,12 +109,12 @@
     busy = 0;
   }
 
-  /** A part is here; {@code done} is called when its answer leaves. */
+  /** Submits a part; {@code done} runs when its result is sent. */
   Admission submit(String key, long workUs, Runnable done) {
     if (!running) {
       return Admission.DOWN;
     }
-    trackColdLoad(workUs);
+    trackWarmUpLoad(workUs);
     if (collapsed || !running) {
       return Admission.DOWN;
     }
@@ -126,9 +126,9 @@
     return Admission.ACCEPTED;
   }
 
-  /** The rule on cold stores: work sent within a window against what it can do in it. */
-  private void trackColdLoad(long workUs) {
-    if (!isCold()) {
+  /** Compares the work received within the window with the capacity of a warming store. */
+  private void trackWarmUpLoad(long workUs) {
+    if (!isWarmingUp()) {
       return;
     }
     recentWork.add(new long[] {time.now(), workUs});
@@ -136,8 +136,8 @@
     while (!recentWork.isEmpty() && recentWork.peek()[0] < time.now() - OVERLOAD_WINDOW_US) {
       recentWorkUs -= recentWork.poll()[1];
     }
-    double can = OVERLOAD_FACTOR * CORES * slowStartWeight() * OVERLOAD_WINDOW_US;
-    if (recentWorkUs > can) {
+    double capacityUs = OVERLOAD_FACTOR * CORES * slowStartWeight() * OVERLOAD_WINDOW_US;
+    if (recentWorkUs > capacityUs) {
       collapsed = true;
       running = false;
       incarnation++;
@@ -155,16 +155,16 @@
         continue;
       }
       busy++;
-      int mine = incarnation;
-      long took = (long) (job.workUs() * slowdown / slowStartWeight());
+      int startedIn = incarnation;
+      long serviceUs = (long) (job.workUs() * slowdown / slowStartWeight());
       time.scheduleAfter(
-          took,
+          serviceUs,
           () -> {
-            if (mine != incarnation) {
+            if (startedIn != incarnation) {
               return;
             }
             busy--;
-            smoothedLatencyMs = 0.8 * smoothedLatencyMs + 0.2 * took / 1e3;
+            smoothedLatencyMs = 0.8 * smoothedLatencyMs + 0.2 * serviceUs / 1e3;
             if (!job.key().isEmpty()) {
               completedAtUs.put(job.key(), time.now());
             }
@@ -174,7 +174,7 @@
     }
   }
 
-  /** {@code latency_ms} and {@code queue} as last refreshed. */
+  /** {@code latency_ms} and {@code queue} as of the last refresh. */
   float[] report() {
     if (time.now() >= reportAtUs) {
       reportedMs = (float) (smoothedLatencyMs * RandomStreams.uniform(random, 0.9, 1.1));
--- a/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -32,9 +32,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A day: brokers that are the real ones from the reducer inward, and models of all that is around
- * them. docs/simulation.md has the models and what is outside. One thread; the same seed, script
- * and build give the same lines byte for byte.
+ * Simulates a day: production brokers from the reducer inward, and models of the stores, the
+ * network, discovery and the clients. docs/simulation.md describes the models and their limits. One
+ * thread; the same seed, schedule and build give the same trace byte for byte.
  */
 public final class Simulation {
   static final int CELL_COUNT = 6;
@@ -46,7 +46,7 @@
   private static final long DRAIN_PERIOD_US = 8_000_000;
   private static final String DNS_SOURCE = "dns_sd day";
 
-  /** A day to be played; {@code queriesPerSecond} over all brokers. */
+  /** A day to simulate; {@code queriesPerSecond} is the rate over all brokers. */
   public record SimulatedDay(
       long seed, int seconds, double queriesPerSecond, List<Fault> faults, Defect defect) {
     public SimulatedDay {
@@ -62,7 +62,7 @@
     }
   }
 
-  /** How it went; {@code trace} only where they were asked for. */
+  /** The outcome of a day; {@code trace} is empty unless requested. */
   public record SimulationResult(
       SimulatedDay day,
       InvariantChecker.Violation breach,
@@ -79,7 +79,7 @@
   /** A store as one broker reaches it. */
   private record Route(SimulatedStore store, int port) {}
 
-  /** An attempt that is out. */
+  /** An attempt in flight. */
   private static final class OutstandingAttempt {
     private final SimulatedBroker broker;
     private final SimulatedStore store;
@@ -157,7 +157,7 @@
     return text + "/" + shard;
   }
 
-  /** As the deployment's, for three brokers. */
+  /** Settings as in the deployment, for three brokers. */
   static Settings settings(boolean bookings) {
     List<QueryClass> classes = new ArrayList<>();
     classes.add(
@@ -373,7 +373,7 @@
     tell(s, ServerState.GONE, false);
   }
 
-  /** What is out there ends with its connections. */
+  /** Attempts at a store fail with its connections. */
   private void reset(SimulatedStore s) {
     for (int i = 0; i < outstanding.size(); i++) {
       SimulatedBroker broker = allBrokers.get(i);
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
@@ -9,11 +9,11 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The commands of simulated days. */
+/** The commands that simulate days. */
 public final class SimulationCommands {
   private SimulationCommands() {}
 
-  /** Which day is meant: a file's, or the drawn one of a seed. */
+  /** The day to simulate: that of a file, or the generated one of a seed. */
   static final class DaySelection {
     @Parameters(
         arity = "0..1",
@@ -44,15 +44,15 @@
         result.steps(),
         result.digest().substring(0, 16));
     if (result.breach() != null) {
-      InvariantChecker.Violation b = result.breach();
+      InvariantChecker.Violation violation = result.breach();
       System.out.printf(
           Locale.ROOT,
           "broken: %s (%s) at step %d, %.6f s%n%s",
-          b.rule(),
-          b.subject(),
-          b.step(),
-          b.atUs() / 1e6 % 1e5,
-          b.trace());
+          violation.rule(),
+          violation.subject(),
+          violation.step(),
+          violation.atUs() / 1e6 % 1e5,
+          violation.trace());
     }
   }
 
@@ -113,10 +113,10 @@
       found.breaches().stream()
           .limit(10)
           .forEach(
-              r ->
+              result ->
                   System.out.printf(
                       "seed %d: %s (%s)%n",
-                      r.day().seed(), r.breach().rule(), r.breach().subject()));
+                      result.day().seed(), result.breach().rule(), result.breach().subject()));
       return found.breaches().isEmpty() ? 0 : 1;
     }
   }
