--- a/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
@@ -4,7 +4,7 @@
 import dunlinhitch.experiments.measurements.Measures;
 import dunlinhitch.experiments.modelchecker.ExploreCommand;
 import dunlinhitch.experiments.modelchecker.Models;
-import dunlinhitch.experiments.simulation.SimulationCommands;
+import dunlinhitch.experiments.simulation.SimCommands;
 import dunlinhitch.experiments.testbed.RigCommand;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -20,10 +20,10 @@
     mixinStandardHelpOptions = true,
     subcommands = {
       ExperimentsCommand.Measure.class,
-      SimulationCommands.Run.class,
-      SimulationCommands.Search.class,
-      SimulationCommands.Shrink.class,
-      SimulationCommands.Show.class,
+      SimCommands.Run.class,
+      SimCommands.Search.class,
+      SimCommands.Shrink.class,
+      SimCommands.Show.class,
       RigCommand.class,
       ExploreCommand.class,
       FloorsCommand.class
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -70,14 +70,14 @@
    * @param clockOffsetUs how far the clock of n0 is ahead, in microseconds
    * @param simultaneousUpdates whether brokers may publish at the same instant
    */
-  public ReplicatedMapSubject(long aheadUs, boolean ties) {
-    this(ProductionReplica::new, aheadUs, ties);
+  public ReplicatedMapSubject(long clockOffsetUs, boolean simultaneousUpdates) {
+    this(ProductionReplica::new, clockOffsetUs, simultaneousUpdates);
   }
 
-  ReplicatedMapSubject(Supplier<Replica> holders, long aheadUs, boolean ties) {
+  ReplicatedMapSubject(Supplier<Replica> holders, long clockOffsetUs, boolean simultaneousUpdates) {
     this.replicaFactory = holders;
-    this.clockOffsetUs = aheadUs;
-    this.simultaneousUpdates = ties;
+    this.clockOffsetUs = clockOffsetUs;
+    this.simultaneousUpdates = simultaneousUpdates;
   }
 
   /** One broker, with the entries that it once had and has removed. */
--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -26,7 +26,7 @@
   private Days() {}
 
   /** Generates a random day with two to six faults that may overlap. */
-  public static Simulation.SimulatedDay generate(long seed, Defect defect) {
+  public static SimulatedDay generate(long seed, Defect defect) {
     UniformRandomProvider random = new RandomStreams(seed).stream("day");
     List<Fault> faults = new ArrayList<>();
     int many = 2 + random.nextInt(MAX_FAULTS - 1);
@@ -77,19 +77,18 @@
             default -> new Fault(from, to, "", "settings", List.of(), 0);
           });
     }
-    return new Simulation.SimulatedDay(
-        seed, DEFAULT_SECONDS, DEFAULT_QUERIES_PER_SECOND, faults, defect);
+    return new SimulatedDay(seed, DEFAULT_SECONDS, DEFAULT_QUERIES_PER_SECOND, faults, defect);
   }
 
   /**
    * Reads a day file; a line {@code day seed 7 seconds 60 rate 38 defect X} may set the other
    * properties. A non-null seed takes precedence over that of the file.
    */
-  public static Simulation.SimulatedDay parse(Path file, Long seed) throws IOException {
+  public static SimulatedDay parse(Path file, Long seed) throws IOException {
     return parse(file, Files.readAllLines(file), seed);
   }
 
-  static Simulation.SimulatedDay parse(Path file, List<String> lines, Long seed) {
+  static SimulatedDay parse(Path file, List<String> lines, Long seed) {
     Map<String, String> head = new HashMap<>();
     List<String> rest = new ArrayList<>(lines);
     for (int i = 0; i < rest.size(); i++) {
@@ -101,7 +100,7 @@
         rest.set(i, "");
       }
     }
-    return new Simulation.SimulatedDay(
+    return new SimulatedDay(
         seed != null ? seed : Long.parseLong(head.getOrDefault("seed", "1")),
         Integer.parseInt(head.getOrDefault("seconds", String.valueOf(DEFAULT_SECONDS))),
         Double.parseDouble(head.getOrDefault("rate", String.valueOf(DEFAULT_QUERIES_PER_SECOND))),
@@ -110,7 +109,7 @@
   }
 
   /** Formats a day as a day file. */
-  public static String format(Simulation.SimulatedDay day) {
+  public static String format(SimulatedDay day) {
     StringBuilder out =
         new StringBuilder(
             "day seed "
@@ -133,15 +132,14 @@
    * @param meanShare mean share of the offered weight that was served
    * @param breaches the days with a violation, by seed
    */
-  public record Found(
-      int played, long steps, double meanShare, List<Simulation.SimulationResult> breaches) {}
+  public record Found(int played, long steps, double meanShare, List<SimulationResult> breaches) {}
 
   /**
    * Simulates the generated days of a range of seeds on all cores; with {@code first} it stops
    * after the first violation.
    */
   public static Found search(long fromSeed, int seeds, Defect defect, boolean first) {
-    ConcurrentLinkedQueue<Simulation.SimulationResult> breaches = new ConcurrentLinkedQueue<>();
+    ConcurrentLinkedQueue<SimulationResult> breaches = new ConcurrentLinkedQueue<>();
     AtomicInteger played = new AtomicInteger();
     AtomicLong steps = new AtomicLong();
     double share =
@@ -152,8 +150,7 @@
                   if (first && !breaches.isEmpty()) {
                     return Double.NaN;
                   }
-                  Simulation.SimulationResult result =
-                      Simulation.play(generate(fromSeed + i, defect), false);
+                  SimulationResult result = Simulation.play(generate(fromSeed + i, defect), false);
                   played.incrementAndGet();
                   steps.addAndGet(result.steps());
                   if (result.breach() != null) {
@@ -175,25 +172,25 @@
    * Reduces the faults, the duration and the query rate of a day while the same invariant is
    * violated.
    */
-  public static Simulation.SimulatedDay shrink(Simulation.SimulatedDay day) {
-    Simulation.SimulationResult whole = Simulation.play(day, false);
+  public static SimulatedDay shrink(SimulatedDay day) {
+    SimulationResult whole = Simulation.play(day, false);
     if (whole.breach() == null) {
       throw new IllegalArgumentException("no rule breaks on this day");
     }
     String rule = whole.breach().rule();
-    Predicate<Simulation.SimulatedDay> breaks =
+    Predicate<SimulatedDay> breaks =
         d -> {
-          Simulation.SimulationResult r = Simulation.play(d, false);
+          SimulationResult r = Simulation.play(d, false);
           return r.breach() != null && r.breach().rule().equals(rule);
         };
-    Simulation.SimulatedDay best = day;
+    SimulatedDay best = day;
     for (boolean smaller = true; smaller; ) {
       smaller = false;
       for (int i = 0; i < best.faults().size(); i++) {
         List<Fault> fewer = new ArrayList<>(best.faults());
         fewer.remove(i);
-        if (breaks.test(best.withChanges(fewer))) {
-          best = best.withChanges(fewer);
+        if (breaks.test(best.withFaults(fewer))) {
+          best = best.withFaults(fewer);
           smaller = true;
           i--;
         }
@@ -201,15 +198,15 @@
       for (int seconds : new int[] {best.seconds() / 2, best.seconds() - 5, best.seconds() - 1}) {
         if (seconds >= 1
             && seconds < best.seconds()
-            && breaks.test(best.withChanges(seconds, best.queriesPerSecond()))) {
-          best = best.withChanges(seconds, best.queriesPerSecond());
+            && breaks.test(best.withLoad(seconds, best.queriesPerSecond()))) {
+          best = best.withLoad(seconds, best.queriesPerSecond());
           smaller = true;
           break;
         }
       }
       double half = best.queriesPerSecond() / 2;
-      if (half >= 1 && breaks.test(best.withChanges(best.seconds(), half))) {
-        best = best.withChanges(best.seconds(), half);
+      if (half >= 1 && breaks.test(best.withLoad(best.seconds(), half))) {
+        best = best.withLoad(best.seconds(), half);
         smaller = true;
       }
     }
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimCommands.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Parameters;
 
 /** The commands that simulate days. */
-public final class SimulationCommands {
-  private SimulationCommands() {}
+public final class SimCommands {
+  private SimCommands() {}
 
   /** The day to simulate: that of a file, or the generated one of a seed. */
   static final class DaySelection {
@@ -30,12 +30,12 @@
         description = "for a drawn day: one of ${COMPLETION-CANDIDATES}")
     private Defect defect;
 
-    Simulation.SimulatedDay day() throws IOException {
+    SimulatedDay day() throws IOException {
       return file == null ? Days.generate(seed == null ? 1 : seed, defect) : Days.parse(file, seed);
     }
   }
 
-  private static void printResult(Simulation.SimulationResult result) {
+  private static void printResult(SimulationResult result) {
     System.out.printf(
         Locale.ROOT,
         "seed %d: worth %.3f of what was asked for, %d steps, digest %s%n",
@@ -66,9 +66,9 @@
 
     @Override
     public Integer call() throws IOException {
-      Simulation.SimulatedDay day = selection.day();
+      SimulatedDay day = selection.day();
       System.out.print(Days.format(day));
-      Simulation.SimulationResult result = Simulation.play(day, false);
+      SimulationResult result = Simulation.play(day, false);
       printResult(result);
       return result.breach() == null ? 0 : 1;
     }
@@ -130,7 +130,7 @@
 
     @Override
     public Integer call() throws IOException {
-      Simulation.SimulatedDay day = Days.shrink(selection.day());
+      SimulatedDay day = Days.shrink(selection.day());
       System.out.print(
           "# " + Simulation.play(day, false).breach().rule() + "\n" + Days.format(day));
       return 0;
@@ -152,7 +152,7 @@
 
     @Override
     public Integer call() throws IOException {
-      Simulation.SimulatedDay day = selection.day();
+      SimulatedDay day = selection.day();
       Simulation.play(day, true).trace().stream()
           .filter(
               line ->
--- a/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
@@ -28,9 +28,9 @@
   }
 
   @ParameterizedTest
-  @MethodSource("stories")
+  @MethodSource("schedules")
   void recordedScheduleHasNoViolation(Path story) throws IOException {
-    Simulation.SimulationResult result = Simulation.play(Days.parse(story, null), false);
+    SimulationResult result = Simulation.play(Days.parse(story, null), false);
     assertNull(result.breach(), () -> result.breach().rule() + "\n" + result.breach().trace());
     assertTrue(result.offeredWeight() > 0);
   }
@@ -54,9 +54,9 @@
   /** The same lines from the same seed, here and in a process of its own. */
   @Test
   void sameSeedGivesSameTrace() throws Exception {
-    Simulation.SimulatedDay day = Days.generate(7, Defect.NONE);
-    Simulation.SimulationResult one = Simulation.play(day, true);
-    Simulation.SimulationResult two = Simulation.play(day, true);
+    SimulatedDay day = Days.generate(7, Defect.NONE);
+    SimulationResult one = Simulation.play(day, true);
+    SimulationResult two = Simulation.play(day, true);
     assertEquals(one.trace(), two.trace());
     assertEquals(one.digest(), two.digest());
     Process other =
@@ -77,15 +77,14 @@
 
   @Test
   void shrinkingKeepsTheViolationAndFormatRoundTrips() {
-    Simulation.SimulatedDay day = Days.generate(3, Defect.WRONG_SHARD);
-    Simulation.SimulatedDay shrunk = Days.shrink(day);
+    SimulatedDay day = Days.generate(3, Defect.WRONG_SHARD);
+    SimulatedDay shrunk = Days.shrink(day);
     assertTrue(shrunk.faults().isEmpty() && shrunk.seconds() < 60, shrunk.toString());
-    Simulation.SimulationResult result = Simulation.play(shrunk, false);
+    SimulationResult result = Simulation.play(shrunk, false);
     assertNotNull(result.breach());
     assertEquals("a part to a store that does not hold its shard", result.breach().rule());
     assertTrue(result.breach().trace().contains(result.breach().subject()));
-    Simulation.SimulatedDay again =
-        Days.parse(Path.of("x"), Days.format(day).lines().toList(), null);
+    SimulatedDay again = Days.parse(Path.of("x"), Days.format(day).lines().toList(), null);
     assertEquals(Simulation.play(day, false).digest(), Simulation.play(again, false).digest());
     assertTrue(
         assertThrows(
