--- a/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
@@ -1,20 +1,22 @@
 package dunlinhitch.experiments.simulation;
 
 import java.util.PriorityQueue;
+import java.util.function.BooleanSupplier;
 
 /**
- * Virtual time: what is due runs in the order of its moment and, at one moment, of its setting.
- * Microseconds.
+ * A discrete-event scheduler on virtual time in microseconds. Tasks run in the order of their time
+ * and, at the same time, in the order in which they were scheduled. One thread.
  */
 final class Scheduler {
-  private record Due(long atUs, long order, Runnable task) implements Comparable<Due> {
+  private record ScheduledTask(long atUs, long order, Runnable task)
+      implements Comparable<ScheduledTask> {
     @Override
-    public int compareTo(Due other) {
+    public int compareTo(ScheduledTask other) {
       return atUs != other.atUs ? Long.compare(atUs, other.atUs) : Long.compare(order, other.order);
     }
   }
 
-  private final PriorityQueue<Due> dues = new PriorityQueue<>();
+  private final PriorityQueue<ScheduledTask> queue = new PriorityQueue<>();
   private long nowUs;
   private long order;
   private long steps;
@@ -27,23 +29,23 @@
     return nowUs;
   }
 
-  /** Things done so far. */
+  /** The number of tasks run so far. */
   long steps() {
     return steps;
   }
 
-  void at(long atUs, Runnable task) {
-    dues.add(new Due(Math.max(nowUs, atUs), ++order, task));
+  void scheduleAt(long atUs, Runnable task) {
+    queue.add(new ScheduledTask(Math.max(nowUs, atUs), ++order, task));
   }
 
-  void after(long inUs, Runnable task) {
-    at(nowUs + Math.max(0, inUs), task);
+  void scheduleAfter(long inUs, Runnable task) {
+    scheduleAt(nowUs + Math.max(0, inUs), task);
   }
 
-  /** Does all that is due by then; false where a step said to stop. */
-  void until(long endUs, java.util.function.BooleanSupplier goOn) {
-    while (!dues.isEmpty() && dues.peek().atUs() <= endUs && goOn.getAsBoolean()) {
-      Due due = dues.poll();
+  /** Runs all tasks that are due by then, while {@code mayContinue} holds. */
+  void runUntil(long endUs, BooleanSupplier mayContinue) {
+    while (!queue.isEmpty() && queue.peek().atUs() <= endUs && mayContinue.getAsBoolean()) {
+      ScheduledTask due = queue.poll();
       nowUs = due.atUs();
       steps++;
       due.task().run();
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -0,0 +1,541 @@
+package dunlinhitch.experiments.simulation;
+
+import dunlinhitch.balancer.AttemptOutcome;
+import dunlinhitch.balancer.ServerListKind;
+import dunlinhitch.balancer.ServerState;
+import dunlinhitch.balancer.settings.Idempotency;
+import dunlinhitch.balancer.settings.Settings;
+import dunlinhitch.core.Effect;
+import dunlinhitch.core.Event;
+import dunlinhitch.core.QueryRequest;
+import dunlinhitch.endpoints.Endpoint;
+import dunlinhitch.endpoints.Endpoint.Protocol;
+import dunlinhitch.endpoints.EndpointClaim;
+import dunlinhitch.endpoints.TimingWheel;
+import java.nio.charset.StandardCharsets;
+import java.security.MessageDigest;
+import java.security.NoSuchAlgorithmException;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HexFormat;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import org.apache.commons.rng.UniformRandomProvider;
+
+/**
+ * Simulates a day: production brokers from the reducer inward, and models of the stores, the
+ * network, discovery and the clients. docs/simulation.md describes the models and their limits. One
+ * thread; the same seed, schedule and build give the same trace byte for byte.
+ */
+public final class Simulation {
+  private static final int REPLICA_SETS = 3;
+  private static final int BROKER_COUNT = SimulationSettings.BROKER_COUNT;
+  static final long START_US = 1_700_000_000_000_000L;
+  private static final long SAME_ZONE_LATENCY_US = 100;
+  private static final long DRAIN_PERIOD_US = 8_000_000;
+  private static final String DNS_SOURCE = "dns_sd day";
+
+  /** A store as one broker reaches it. */
+  private record Route(SimulatedStore store, int port) {}
+
+  /** An attempt in flight. */
+  private static final class OutstandingAttempt {
+    private final SimulatedBroker broker;
+    private final SimulatedStore store;
+    private final Effect.AttemptRequest request;
+    private boolean ended;
+
+    OutstandingAttempt(SimulatedBroker broker, SimulatedStore store, Effect.AttemptRequest part) {
+      this.broker = broker;
+      this.store = store;
+      this.request = part;
+    }
+  }
+
+  private final SimulatedDay day;
+  private final FaultInjector faults;
+  private final SimulatedClients clients;
+  private final Scheduler time = new Scheduler(START_US);
+  private final RandomStreams streams;
+  private final InvariantChecker checker = new InvariantChecker(time);
+  private final Settings settings = SimulationSettings.create(true);
+  private final List<SimulatedStore> stores = new ArrayList<>();
+  private final SimulatedBroker[] slots = new SimulatedBroker[BROKER_COUNT];
+  private final List<Map<Integer, Route>> routes = new ArrayList<>();
+  private final List<Map<Long, OutstandingAttempt>> outstanding = new ArrayList<>();
+  private final List<SimulatedBroker> allBrokers = new ArrayList<>();
+  private final UniformRandomProvider network;
+  private final UniformRandomProvider work;
+  private final UniformRandomProvider discovery;
+  private final UniformRandomProvider defects;
+  private final boolean usesDnsSource;
+  private final boolean keepTrace;
+  private final List<String> trace = new ArrayList<>();
+  private final MessageDigest digest;
+  private final Map<Integer, Long> lastNotificationUs = new HashMap<>();
+  private boolean classDropped;
+  private int lastPort = 7000;
+  private int lastStore;
+
+  private Simulation(SimulatedDay day, boolean keepTrace) {
+    this.day = day;
+    this.keepTrace = keepTrace;
+    streams = new RandomStreams(day.seed());
+    faults = new FaultInjector(this, time, START_US);
+    clients =
+        new SimulatedClients(this, day, time, checker, faults, settings, streams.stream("clients"));
+    network = streams.stream("network");
+    work = streams.stream("work");
+    discovery = streams.stream("discovery");
+    defects = streams.stream("defects");
+    usesDnsSource = day.seed() % 2 == 1;
+    try {
+      digest = MessageDigest.getInstance("SHA-256");
+    } catch (NoSuchAlgorithmException e) {
+      throw new IllegalStateException(e);
+    }
+  }
+
+  /** Simulates the day to its end, or to the first violation. */
+  public static SimulationResult play(SimulatedDay day, boolean keepTrace) {
+    return new Simulation(day, keepTrace).run();
+  }
+
+  static String value(String text, int shard) {
+    return text + "/" + shard;
+  }
+
+  private SimulationResult run() {
+    for (int i = 0; i < SimulationSettings.CELL_COUNT * REPLICA_SETS; i++) {
+      addStore(i % SimulationSettings.CELL_COUNT, i / SimulationSettings.CELL_COUNT % 2, 0);
+    }
+    for (int slot = 0; slot < BROKER_COUNT; slot++) {
+      startBroker(slot);
+    }
+    for (Fault fault : day.faults()) {
+      if (fault.fromUs() >= 0) { // the others wait for their store to start
+        time.scheduleAt(START_US + fault.fromUs(), () -> faults.apply(fault));
+      }
+    }
+    time.scheduleAfter(500_000, clients::arrive);
+    time.scheduleAfter(100_000, this::checkOverdue);
+    long endUs = START_US + day.seconds() * 1_000_000L;
+    time.runUntil(endUs + DRAIN_PERIOD_US, () -> checker.violation() == null);
+    if (checker.violation() == null) {
+      int still = 0;
+      for (SimulatedBroker broker : allBrokers) {
+        still += broker.isCrashed() ? 0 : broker.reducer.openQueries();
+      }
+      checker.simulationEnded(still);
+    }
+    return new SimulationResult(
+        day,
+        checker.violation(),
+        clients.servedWeight(),
+        clients.offeredWeight(),
+        time.steps(),
+        HexFormat.of().formatHex(digest.digest()),
+        trace);
+  }
+
+  /** The broker that runs in a slot, or the crashed one that ran there last. */
+  SimulatedBroker broker(int slot) {
+    return slots[slot];
+  }
+
+  /** All stores, in the order in which they were added. */
+  List<SimulatedStore> stores() {
+    return stores;
+  }
+
+  /** Allocates a port that no store has used. */
+  int allocatePort() {
+    return ++lastPort;
+  }
+
+  /** Replaces the settings of all brokers, with or without the query class that books slots. */
+  void reloadSettings(boolean bookings) {
+    classDropped = !bookings;
+    Settings reloaded = bookings ? settings : SimulationSettings.create(false);
+    for (SimulatedBroker broker : slots) {
+      broker.accept(new Event.ConfigurationReloaded(reloaded, "10.0.0.9", 8500));
+    }
+  }
+
+  /**
+   * Crashes the broker in a slot; its outstanding attempts are lost. Returns false if it is down.
+   */
+  boolean crashBroker(int slot) {
+    SimulatedBroker broker = slots[slot];
+    if (broker.isCrashed()) {
+      return false;
+    }
+    broker.crash();
+    checker.brokerCrashed(broker.number);
+    outstanding.get(broker.number).clear();
+    return true;
+  }
+
+  void line(String text) {
+    checker.recordLine(text);
+    digest.update((time.now() + " " + text + "\n").getBytes(StandardCharsets.UTF_8));
+    if (keepTrace) {
+      trace.add(time.now() - START_US + " " + text);
+    }
+  }
+
+  private void checkOverdue() {
+    checker.checkOverdueQueries();
+    if (time.now() < START_US + day.seconds() * 1_000_000L + DRAIN_PERIOD_US) {
+      time.scheduleAfter(100_000, this::checkOverdue);
+    }
+  }
+
+  SimulatedStore addStore(int cell, int zone, long startedUs) {
+    String name = "s" + lastStore++;
+    SimulatedStore[] made = {null};
+    made[0] =
+        new SimulatedStore(
+            name,
+            cell,
+            zone,
+            ++lastPort,
+            time,
+            streams.stream("store " + name),
+            sentUs -> {
+              line("store " + name + " fell over after " + sentUs + " us of work");
+              checker.reportViolation("a cold store was pushed over", name);
+            });
+    made[0].startedUs = startedUs;
+    stores.add(made[0]);
+    return made[0];
+  }
+
+  SimulatedStore store(String name) {
+    return stores.stream()
+        .filter(s -> s.name.equals(name))
+        .findFirst()
+        .orElseThrow(() -> new IllegalArgumentException("no such store: " + name));
+  }
+
+  private Endpoint endpoint(SimulatedStore s, ServerState state) {
+    long started = day.defect() == Defect.COLD_FLOOD ? 0 : s.startedUs;
+    return new Endpoint(
+        s.name, "10.0.0.1", s.port, s.zone, s.cell, state, 1, started, Protocol.FRAMES);
+  }
+
+  void startBroker(int slot) {
+    SimulatedBroker broker =
+        new SimulatedBroker(
+            allBrokers.size(),
+            classDropped ? SimulationSettings.create(false) : settings,
+            day.seed() * 31 + allBrokers.size(),
+            time,
+            this::handleEffect);
+    allBrokers.add(broker);
+    routes.add(new HashMap<>());
+    outstanding.add(new LinkedHashMap<>());
+    slots[slot] = broker;
+    List<Endpoint> listed =
+        stores.stream()
+            .filter(s -> s.running && !s.draining)
+            .map(s -> endpoint(s, ServerState.READY))
+            .toList();
+    if (usesDnsSource) {
+      broker.accept(new Event.SourceRegistered(DNS_SOURCE, 1));
+      broker.accept(
+          new Event.SourceUpdated(DNS_SOURCE, true, listed.stream().map(this::claim).toList()));
+    } else {
+      broker.accept(new Event.EndpointsUpdated(ServerListKind.FULL, listed));
+    }
+  }
+
+  private EndpointClaim claim(Endpoint entry) {
+    return entry.state() == ServerState.GONE
+        ? EndpointClaim.withdrawal(entry.name(), time.now())
+        : new EndpointClaim(entry.name(), entry, time.now(), TimingWheel.NEVER);
+  }
+
+  /** Every broker is told after a delay of its own; {@code quick}: by a push of records. */
+  void notifyBrokers(SimulatedStore s, ServerState state, boolean quick) {
+    Endpoint entry = endpoint(s, state);
+    for (SimulatedBroker broker : slots) {
+      long delay =
+          (long)
+              (quick || usesDnsSource
+                  ? RandomStreams.uniform(discovery, 1_000, 60_000)
+                  : RandomStreams.uniform(discovery, 200_000, 3_000_000));
+      boolean late = day.defect() == Defect.LATE_DRAIN && state != ServerState.READY;
+      // one agent tells a broker, in the order of what happened
+      long atUs = Math.max(time.now() + delay, lastNotificationUs.getOrDefault(broker.number, 0L));
+      lastNotificationUs.put(broker.number, atUs);
+      time.scheduleAt(
+          atUs,
+          () -> {
+            if (broker.isCrashed()) {
+              return;
+            }
+            line("broker " + broker.number + " is told " + s.name + " " + state);
+            checker.endpointNotified(broker.number, s.name, state == ServerState.READY);
+            Event event =
+                usesDnsSource
+                    ? new Event.SourceUpdated(DNS_SOURCE, false, List.of(claim(entry)))
+                    : new Event.EndpointsUpdated(ServerListKind.DELTA, List.of(entry));
+            time.scheduleAfter(late ? 2_000_000 : 0, () -> broker.accept(event));
+          });
+    }
+  }
+
+  void crash(SimulatedStore s) {
+    line("store " + s.name + " dies");
+    s.stop();
+    failAttempts(s);
+    notifyBrokers(s, ServerState.GONE, false);
+  }
+
+  /** Attempts at a store fail with its connections. */
+  void failAttempts(SimulatedStore s) {
+    for (int i = 0; i < outstanding.size(); i++) {
+      SimulatedBroker broker = allBrokers.get(i);
+      for (OutstandingAttempt out : List.copyOf(outstanding.get(i).values())) {
+        if (out.store == s && !isCut(broker, s)) {
+          time.scheduleAfter(
+              latency(broker, s), () -> end(out, AttemptOutcome.RESET, new float[0], ""));
+        }
+      }
+    }
+  }
+
+  void restart(SimulatedStore s) {
+    s.start();
+    line("store " + s.name + " starts cold");
+    notifyBrokers(s, ServerState.READY, false);
+    for (Fault fault : day.faults()) {
+      if (fault.fromUs() < 0 && fault.coldStartOf().equals(s.name)) {
+        faults.apply(
+            new Fault(
+                time.now() - START_US,
+                time.now() - START_US + 3_000_000,
+                "",
+                fault.kind(),
+                fault.targets(),
+                fault.factor()));
+      }
+    }
+  }
+
+  private long latency(SimulatedBroker broker, SimulatedStore s) {
+    long route =
+        s.zone == broker.number % 2
+            ? SAME_ZONE_LATENCY_US
+            : (long) RandomStreams.uniform(network, 700, 1_300);
+    return route + (long) RandomStreams.exponential(network, 60);
+  }
+
+  private boolean isCut(SimulatedBroker broker, SimulatedStore s) {
+    for (int slot = 0; slot < BROKER_COUNT; slot++) {
+      if (slots[slot] == broker && faults.isPartitioned("b" + slot + " " + s.name)) {
+        return true;
+      }
+    }
+    return false;
+  }
+
+  boolean injects(Defect defect, double share) {
+    return day.defect() == defect && defects.nextDouble() < share;
+  }
+
+  private void handleEffect(SimulatedBroker broker, Effect effect) {
+    if (effect instanceof Effect.EndpointChanged e) {
+      if (e.endpoint().state() == ServerState.GONE) {
+        routes.get(broker.number).remove(e.number());
+      } else {
+        stores.stream()
+            .filter(s -> s.name.equals(e.endpoint().name()))
+            .findFirst()
+            .ifPresent(
+                s -> routes.get(broker.number).put(e.number(), new Route(s, e.endpoint().port())));
+      }
+    } else if (effect instanceof Effect.SendRequest e) {
+      Route route = routes.get(broker.number).get(e.endpoint());
+      e.parts().forEach(part -> send(broker, route, part));
+      broker.accept(new Event.AttemptsWritten(e.parts().size()));
+    } else if (effect instanceof Effect.CancelAttempt e) {
+      OutstandingAttempt out = outstanding.get(broker.number).remove(e.attempt());
+      if (out != null) {
+        out.ended = true;
+        checker.attemptEnded(broker.number, out.request.partId(), e.attempt(), false);
+      }
+    } else if (effect instanceof Effect.SendHealthCheck e) {
+      Route route = routes.get(broker.number).get(e.endpoint());
+      if (route != null && !isCut(broker, route.store())) {
+        time.scheduleAfter(
+            2 * latency(broker, route.store()) + 1_000,
+            () ->
+                broker.accept(
+                    route.store().running
+                        ? new Event.HealthCheckCompleted(
+                            e.healthCheck(), AttemptOutcome.OK, route.store().report())
+                        : new Event.HealthCheckCompleted(
+                            e.healthCheck(), AttemptOutcome.CONNECT_FAILED, new float[0])));
+      }
+    } else if (effect instanceof Effect.SendResponse e) {
+      clients.reply(broker, e.exchange(), e.response());
+    } else if (effect instanceof Effect.LogMessage e) {
+      line("broker " + broker.number + ": " + e.text());
+      if (e.text().startsWith("fault")) {
+        checker.reportViolation("a fault in the decisions", "broker " + broker.number);
+      }
+    }
+  }
+
+  private void send(SimulatedBroker broker, Route route, Effect.AttemptRequest part) {
+    if (route == null) {
+      time.scheduleAfter(
+          SAME_ZONE_LATENCY_US,
+          () ->
+              broker.accept(
+                  Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.CONNECT_FAILED)));
+      return;
+    }
+    SimulatedStore to = route.store();
+    if (injects(Defect.WRONG_SHARD, 0.005)) {
+      to = stores.get((stores.indexOf(to) + 1) % stores.size());
+    }
+    if (day.defect() == Defect.TO_THE_DRAINED) {
+      int cell = to.cell;
+      to = stores.stream().filter(s -> s.cell == cell && s.draining).findFirst().orElse(to);
+    }
+    SimulatedStore store = to;
+    OutstandingAttempt out = new OutstandingAttempt(broker, store, part);
+    outstanding.get(broker.number).put(part.attempt(), out);
+    String query = part.partId().substring(0, part.partId().indexOf('.'));
+    QueryRequest ask = clients.openRequest(query);
+    line(
+        "broker "
+            + broker.number
+            + " sends "
+            + part.partId()
+            + " to "
+            + store.name
+            + " attempt "
+            + part.attempt());
+    checker.attemptSent(
+        broker.number,
+        store,
+        ask,
+        part.partId(),
+        part.shard(),
+        part.attempt(),
+        SimulationSettings.CELL_COUNT);
+    if (injects(Defect.TWO_OUT, 0.002)) {
+      checker.attemptSent(
+          broker.number,
+          store,
+          ask,
+          part.partId(),
+          part.shard(),
+          part.attempt(),
+          SimulationSettings.CELL_COUNT);
+    }
+    if (ask != null
+        && ask.queryClass().idempotency() == Idempotency.GUARDED
+        && injects(Defect.AFTER_THE_WINDOW, 0.02)) {
+      time.scheduleAfter(
+          4_500_000,
+          () -> {
+            checker.attemptEnded(broker.number, part.partId(), part.attempt(), false);
+            checker.attemptSent(
+                broker.number,
+                store,
+                ask,
+                part.partId(),
+                part.shard(),
+                part.attempt(),
+                SimulationSettings.CELL_COUNT);
+          });
+    }
+    if (isCut(broker, store)) {
+      return; // nothing comes back; the broker gives it up
+    }
+    boolean booking = ask != null && ask.queryClass().idempotency() == Idempotency.GUARDED;
+    long workUs = (long) RandomStreams.logNormal(work, booking ? 67_000 : 84_000, 0.3) + 46_000 / 4;
+    int port = route.port();
+    time.scheduleAfter(
+        latency(broker, store),
+        () -> arrive(out, port, booking ? part.key() + "." + part.shard() : "", workUs));
+  }
+
+  private void arrive(OutstandingAttempt out, int port, String key, long workUs) {
+    if (out.store.port != port) {
+      answer(out, AttemptOutcome.CONNECT_FAILED, "");
+      return;
+    }
+    SimulatedStore.Admission taken =
+        out.store.submit(
+            key,
+            workUs,
+            () -> {
+              boolean spoilt =
+                  faults.corruptShare() > 0 && network.nextDouble() < faults.corruptShare();
+              answer(
+                  out,
+                  spoilt ? AttemptOutcome.RESET : AttemptOutcome.OK,
+                  value(out.request.text(), out.request.shard()));
+            });
+    if (taken == SimulatedStore.Admission.DOWN) {
+      answer(out, AttemptOutcome.CONNECT_FAILED, "");
+    } else if (taken == SimulatedStore.Admission.REJECTED) {
+      answer(out, AttemptOutcome.FULL, "");
+    }
+  }
+
+  private void answer(OutstandingAttempt out, AttemptOutcome outcome, String value) {
+    if (isCut(out.broker, out.store)) {
+      return;
+    }
+    float[] report =
+        faults.reportDelayUs() > 0 || outcome == AttemptOutcome.CONNECT_FAILED
+            ? new float[0]
+            : out.store.report();
+    time.scheduleAfter(latency(out.broker, out.store), () -> end(out, outcome, report, value));
+  }
+
+  private void end(OutstandingAttempt out, AttemptOutcome outcome, float[] report, String value) {
+    if (out.ended || out.broker.isCrashed()) {
+      return;
+    }
+    out.ended = true;
+    outstanding.get(out.broker.number).remove(out.request.attempt());
+    line(
+        "broker "
+            + out.broker.number
+            + " has "
+            + out.request.partId()
+            + " "
+            + outcome
+            + " of "
+            + out.store.name);
+    checker.attemptEnded(
+        out.broker.number, out.request.partId(), out.request.attempt(), outcome.neverExecuted());
+    if (injects(Defect.MANY_ATTEMPTS, 0.002)) {
+      for (int i = 0; i < 4; i++) {
+        checker.attemptSent(
+            out.broker.number,
+            out.store,
+            null,
+            out.request.partId(),
+            out.request.shard(),
+            -i,
+            SimulationSettings.CELL_COUNT);
+        checker.attemptEnded(
+            out.broker.number,
+            out.request.partId(),
+            -1 - (long) (defects.nextDouble() * 1e15),
+            false);
+      }
+    }
+    out.broker.accept(new Event.AttemptCompleted(out.request.attempt(), outcome, report, value));
+  }
+}
