--- a/src/main/java/dunlinhitch/experiments/dns/OldLookUp.java
+++ b/src/main/java/dunlinhitch/experiments/dns/BaselineResolver.java
@@ -38,47 +38,48 @@
 import java.util.function.LongSupplier;
 
 /**
- * The look-up of stores as it was before {@code DnsSource}, kept to measure against: the whole
- * service is asked for again when its shortest TTL has run out. Stores as DNS-SD has them (RFC
- * 6763): PTR names the instances of the service, SRV says where each is, TXT what it is ({@code id,
- * cell, zone, state, protocol, start}). A look-up lasts as long as its shortest TTL; an instance
- * that is absent then is gone. A server that does not answer changes nothing.
+ * The DNS-SD resolver that preceded {@code DnsSource}, as a baseline for measurements: it resolves
+ * the complete service again whenever the shortest TTL has expired. Instances are found by DNS-SD
+ * (RFC 6763): PTR has their names, SRV the address, TXT the attributes ({@code id, cell, zone,
+ * state, protocol, start}). An instance that is absent from a resolution is removed; a server that
+ * does not answer changes nothing.
  *
- * <p>Vert.x's DnsClient gives one PTR record of an answer and no TTL but SRV's, so PTR is asked by
- * the resolver beneath it, on the same event loop.
+ * <p>Vert.x's DnsClient returns one PTR record of an answer and no TTL but SRV's, so PTR goes
+ * through Netty's resolver on the same event loop.
  */
-public final class OldLookUp implements DiscoverySource {
-  private static final long QUERY_US = 1_000_000;
-  private static final long LEAST_TTL_US = 1_000_000;
-  private static final long MOST_TTL_US = 60_000_000;
-  private static final long FIRST_PAUSE_US = 200_000;
-  private static final int MOST_INSTANCES = 1024;
+public final class BaselineResolver implements DiscoverySource {
+  private static final long QUERY_TIMEOUT_US = 1_000_000;
+  private static final long MIN_TTL_US = 1_000_000;
+  private static final long MAX_TTL_US = 60_000_000;
+  private static final long INITIAL_BACKOFF_US = 200_000;
+  private static final int MAX_INSTANCES = 1024;
   private final Vertx vertx;
   private final String service;
   private final EndpointListReader reader;
   private final Consumer<Event> events;
   private final LongSupplier clock;
   private final DnsClient client;
-  private final DnsNameResolver browser;
+  private final DnsNameResolver pointerResolver;
 
-  /** Entries of the last look-up, under the names of their instances. */
-  private Map<String, Endpoint> last = new HashMap<>();
+  /** Endpoints of the last resolution by instance name. */
+  private Map<String, Endpoint> lastEndpoints = new HashMap<>();
 
-  private long pauseUs = FIRST_PAUSE_US;
+  private long backoffUs = INITIAL_BACKOFF_US;
   private long round;
   private boolean answered;
 
-  /** One look-up: what was found, and how long it may be kept. */
-  private static final class LookUp {
-    private final Map<String, Endpoint> found = new HashMap<>();
-    private long ttlUs = MOST_TTL_US;
+  /** One resolution: the endpoints and the shortest TTL. */
+  private static final class Resolution {
+    private final Map<String, Endpoint> endpoints = new HashMap<>();
+    private long ttlUs = MAX_TTL_US;
 
-    private void lasts(long seconds) {
-      ttlUs = Math.max(LEAST_TTL_US, Math.min(ttlUs, seconds * 1_000_000));
+    private void limitTtl(long seconds) {
+      ttlUs = Math.max(MIN_TTL_US, Math.min(ttlUs, seconds * 1_000_000));
     }
   }
 
-  public OldLookUp(
+  /** Resolves {@code service} at one name server; {@code events} gets the endpoint lists. */
+  public BaselineResolver(
       Vertx vertx,
       Context context,
       String host,
@@ -93,11 +94,11 @@
     this.events = events;
     this.clock = clock;
     long now = clock.getAsLong();
-    long queryMs = MicroClock.timerMs(now, now + QUERY_US);
+    long queryMs = MicroClock.timerMs(now, now + QUERY_TIMEOUT_US);
     client =
         vertx.createDnsClient(
             new DnsClientOptions().setHost(host).setPort(port).setQueryTimeout(queryMs));
-    browser =
+    pointerResolver =
         new DnsNameResolverBuilder(((ContextInternal) context).nettyEventLoop())
             .datagramChannelType(NioDatagramChannel.class)
             .resolveCache(NoopDnsCache.INSTANCE)
@@ -109,24 +110,24 @@
 
   @Override
   public void start() {
-    lookUp();
+    resolve();
   }
 
   @Override
   public void follow(String host, int port) {
-    // the records come from the server that the file of fronts names
+    // the name server is configured, so the address of discovery does not matter
   }
 
   @Override
   public void stop() {
     round++;
     client.close();
-    browser.close();
+    pointerResolver.close();
   }
 
   @Override
   public void resync() {
-    lookUp();
+    resolve();
   }
 
   @Override
@@ -134,59 +135,61 @@
     return answered;
   }
 
-  private void lookUp() {
-    long mine = ++round;
-    LookUp lookUp = new LookUp();
-    browse(lookUp)
-        .compose(names -> Future.join(names.stream().map(name -> instance(lookUp, name)).toList()))
+  private void resolve() {
+    long ownRound = ++round;
+    Resolution lookUp = new Resolution();
+    resolveInstanceNames(lookUp)
+        .compose(
+            names ->
+                Future.join(names.stream().map(name -> resolveInstance(lookUp, name)).toList()))
         .onComplete(
             done -> {
-              if (mine != round) {
+              if (ownRound != round) {
                 return;
               }
               if (done.succeeded()) {
                 publish(lookUp);
-                pauseUs = FIRST_PAUSE_US;
-                again(lookUp.ttlUs);
+                backoffUs = INITIAL_BACKOFF_US;
+                scheduleNext(lookUp.ttlUs);
               } else {
                 events.accept(new Event.ConditionCounted(Counter.SOURCES_UNAVAILABLE));
-                again(pauseUs);
-                pauseUs = Math.min(LEAST_TTL_US * 4, 2 * pauseUs);
+                scheduleNext(backoffUs);
+                backoffUs = Math.min(MIN_TTL_US * 4, 2 * backoffUs);
               }
             });
   }
 
-  private void again(long inUs) {
-    long mine = round;
+  private void scheduleNext(long inUs) {
+    long ownRound = round;
     long now = clock.getAsLong();
     vertx.setTimer(
         MicroClock.timerMs(now, now + inUs),
         t -> {
-          if (mine == round) {
-            lookUp();
+          if (ownRound == round) {
+            resolve();
           }
         });
   }
 
-  private void publish(LookUp lookUp) {
-    boolean changed = !answered || !lookUp.found.equals(last);
+  private void publish(Resolution lookUp) {
+    boolean changed = !answered || !lookUp.endpoints.equals(lastEndpoints);
     answered = true;
-    last = lookUp.found;
+    lastEndpoints = lookUp.endpoints;
     if (changed) {
       events.accept(
-          new Event.EndpointsUpdated(ServerListKind.FULL, List.copyOf(lookUp.found.values())));
+          new Event.EndpointsUpdated(ServerListKind.FULL, List.copyOf(lookUp.endpoints.values())));
     }
   }
 
   /** The instances of the service; none where the name does not exist. */
-  private Future<List<String>> browse(LookUp lookUp) {
+  private Future<List<String>> resolveInstanceNames(Resolution lookUp) {
     Promise<List<String>> names = Promise.promise();
-    browser
+    pointerResolver
         .resolveAll(new DefaultDnsQuestion(service, DnsRecordType.PTR))
         .addListener(
             done -> {
               if (!done.isSuccess()) {
-                if (notThere(done.cause())) {
+                if (isNonexistentDomain(done.cause())) {
                   names.complete(List.of());
                 } else {
                   names.fail(done.cause());
@@ -195,9 +198,9 @@
               }
               List<String> found = new ArrayList<>();
               for (Object record : (List<?>) done.getNow()) {
-                if (record instanceof DnsPtrRecord ptr && found.size() < MOST_INSTANCES) {
+                if (record instanceof DnsPtrRecord ptr && found.size() < MAX_INSTANCES) {
                   found.add(ptr.hostname());
-                  lookUp.lasts(((DnsRecord) ptr).timeToLive());
+                  lookUp.limitTtl(((DnsRecord) ptr).timeToLive());
                 }
                 ReferenceCountUtil.release(record);
               }
@@ -206,8 +209,8 @@
     return names.future();
   }
 
-  /** Where an instance is and what it is; one that is not there or can not be used is left out. */
-  private Future<Void> instance(LookUp lookUp, String name) {
+  /** Resolves one instance; one that does not exist or is invalid is left out. */
+  private Future<Void> resolveInstance(Resolution lookUp, String name) {
     return client
         .resolveSRV(name)
         .compose(
@@ -220,61 +223,63 @@
                             return Future.succeededFuture();
                           }
                           SrvRecord srv = records.get(0);
-                          lookUp.lasts(srv.ttl());
+                          lookUp.limitTtl(srv.ttl());
                           return client
                               .resolveA(srv.target())
                               .map(
                                   addresses -> {
-                                    take(lookUp, name, addresses.get(0) + ":" + srv.port(), texts);
+                                    addEndpoint(
+                                        lookUp, name, addresses.get(0) + ":" + srv.port(), texts);
                                     return (Void) null;
                                   });
                         }))
-        .recover(e -> notThere(e) ? Future.succeededFuture() : keep(lookUp, name, e));
+        .recover(
+            e -> isNonexistentDomain(e) ? Future.succeededFuture() : retainLast(lookUp, name, e));
   }
 
-  /** No answer about an instance that was known leaves it as it was. */
-  private Future<Void> keep(LookUp lookUp, String name, Throwable cause) {
-    Endpoint old = last.get(name);
-    if (old == null) {
+  /** Retains the last endpoint of an instance whose resolution failed. */
+  private Future<Void> retainLast(Resolution lookUp, String name, Throwable cause) {
+    Endpoint lastEndpoint = lastEndpoints.get(name);
+    if (lastEndpoint == null) {
       return Future.failedFuture(cause);
     }
-    lookUp.found.put(name, old);
-    lookUp.lasts(0);
+    lookUp.endpoints.put(name, lastEndpoint);
+    lookUp.limitTtl(0);
     return Future.succeededFuture();
   }
 
-  private void take(LookUp lookUp, String name, String hostPort, List<String> texts) {
-    Map<String, String> words = new HashMap<>();
+  private void addEndpoint(Resolution lookUp, String name, String hostPort, List<String> texts) {
+    Map<String, String> attributes = new HashMap<>();
     for (String text : texts) {
       int equals = text.indexOf('=');
       if (equals > 0) { // RFC 6763: the first of a key counts, and case does not
-        words.putIfAbsent(
+        attributes.putIfAbsent(
             text.substring(0, equals).toLowerCase(Locale.ROOT), text.substring(equals + 1));
       }
     }
     try {
-      lookUp.found.put(
+      lookUp.endpoints.put(
           name,
           reader.endpoint(
-              words.getOrDefault("id", ""),
+              attributes.getOrDefault("id", ""),
               hostPort,
-              words.getOrDefault("zone", ""),
-              Integer.parseInt(words.getOrDefault("cell", "")),
-              words.getOrDefault("state", "ready"),
+              attributes.getOrDefault("zone", ""),
+              Integer.parseInt(attributes.getOrDefault("cell", "")),
+              attributes.getOrDefault("state", "ready"),
               1,
-              Long.parseLong(words.getOrDefault("start", "0")),
-              words.getOrDefault("protocol", "")));
+              Long.parseLong(attributes.getOrDefault("start", "0")),
+              attributes.getOrDefault("protocol", "")));
     } catch (IllegalArgumentException e) {
       events.accept(new Event.ConditionCounted(Counter.ENDPOINT_ENTRIES_INVALID));
     }
   }
 
   @SuppressWarnings("ReferenceEquality") // Netty has one instance of each code
-  private static boolean notThere(Throwable e) {
-    if (e instanceof DnsException dns) {
+  private static boolean isNonexistentDomain(Throwable failure) {
+    if (failure instanceof DnsException dns) {
       return dns.code() == io.vertx.core.dns.DnsResponseCode.NXDOMAIN;
     }
-    for (Throwable cause = e; cause != null; cause = cause.getCause()) {
+    for (Throwable cause = failure; cause != null; cause = cause.getCause()) {
       if (cause instanceof DnsErrorCauseException dns) {
         return dns.getCode() == DnsResponseCode.NXDOMAIN;
       }
--- a/src/main/java/dunlinhitch/experiments/dns/Responder.java
+++ b/src/main/java/dunlinhitch/experiments/dns/Responder.java
@@ -20,6 +20,7 @@
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -38,65 +39,76 @@
 import org.xbill.DNS.Section;
 
 /**
- * A stand-in name server on loopback: authoritative for one {@link Zone}, over UDP and TCP on one
- * port, and where asked for over TLS with push notifications; it misbehaves as its script says.
- * Scripts go by the question.
+ * A fake name server on loopback, authoritative for one {@link Zone}: UDP and TCP on one port, and
+ * on demand DNS push notifications over TLS. A script injects faults by question.
+ *
+ * <p>Serves on the Vert.x event loop; tests read its counters and set its script from other
+ * threads.
  */
 public final class Responder implements AutoCloseable {
-  /** What becomes of an answer. */
+  /** A fault of an answer. */
   public enum Fault {
-    /** As it should be. */
+    /** No fault. */
     NONE,
-    /** 1.5 s after the question; the asker has given up. */
+    /** Sent 1.5 s after the query, when the resolver has timed out. */
     LATE,
     LOST,
     DOUBLED,
-    /** Marked as cut off, over UDP; over TCP it is whole. */
+    /** Truncated (TC) over UDP; complete over TCP. */
     TRUNCATED,
-    /** An answer with another id before the right one, which never comes. */
+    /** Sent with a wrong message id only. */
     FORGED_ID,
-    /** From another port, which empties the zone; the right one never comes. */
+    /** An empty answer sent from another port only. */
     FORGED_PORT,
-    /** The message ends in the middle. */
+    /** The second half of the message is missing. */
     HALF,
-    /** Without AA, and with nothing in it. */
+    /** Without AA and without records. */
     NO_AUTHORITY,
     SERVFAIL,
     REFUSED,
     NOISE
   }
 
-  private static final long LATE_MS = 1_500;
-  private static final int UDP_BYTES = 1232;
-  private static final int TCP_BYTES = 65_535;
+  private static final long LATE_ANSWER_MS = 1_500;
+  private static final int MAX_UDP_BYTES = 1232;
+
+  /** The TC flag within the third byte of a message. */
+  private static final int TRUNCATED_BIT = 2;
+
+  /** Changes in one push message, far below the limit of its length. */
+  private static final int MAX_CHANGES_PER_MESSAGE = 200;
+
+  private static final int MAX_TCP_BYTES = 65_535;
   private final Vertx vertx;
   private final Zone zone;
   private final DatagramSocket udp;
-  private final DatagramSocket other;
+  private final DatagramSocket spoofingSocket;
   private final NetServer tcp;
   private NetServer push;
   private Path trust;
   private final Set<Session> sessions = ConcurrentHashMap.newKeySet();
 
-  /** Questions as they came. */
+  /** Questions in order of arrival. */
   public final BlockingQueue<Question> asked = new LinkedBlockingQueue<>();
 
-  /** Bytes that went out over UDP and TCP. */
+  /** Bytes of answers sent over UDP and TCP. */
   public final AtomicLong bytesOut = new AtomicLong();
 
+  /** The fault for each question. */
   public volatile Function<Question, Fault> script = question -> Fault.NONE;
 
-  /** Milliseconds between a change and its push. */
+  /** Milliseconds between a change and its push notification. */
   public volatile long pushDelayMs;
 
+  /** Listens on a free loopback port. */
   public Responder(Vertx vertx, Zone zone) throws Exception {
     this.vertx = vertx;
     this.zone = zone;
     udp = vertx.createDatagramSocket();
-    other = vertx.createDatagramSocket();
+    spoofingSocket = vertx.createDatagramSocket();
     udp.handler(
         packet ->
-            question(
+            onQuery(
                 packet.data().getBytes(),
                 false,
                 answer ->
@@ -107,10 +119,10 @@
             .createNetServer()
             .connectHandler(
                 socket ->
-                    framed(
+                    readFrames(
                         socket,
                         bytes ->
-                            question(
+                            onQuery(
                                 bytes,
                                 true,
                                 answer ->
@@ -119,36 +131,40 @@
                                             .appendUnsignedShort(answer.length)
                                             .appendBytes(answer)),
                                 null)));
-    // one port for both: the first try may find it taken by somebody else
-    for (int tries = 0; ; tries++) {
+    // both need the same port, which may be in use for UDP: choose another one then
+    for (int attempts = 0; ; attempts++) {
       await(tcp.listen(0, "127.0.0.1"));
       try {
         await(udp.listen(tcp.actualPort(), "127.0.0.1"));
         break;
       } catch (Exception e) {
-        if (tries > 5) {
+        if (attempts > 5) {
           throw e;
         }
       }
     }
-    await(other.listen(0, "127.0.0.1"));
+    await(spoofingSocket.listen(0, "127.0.0.1"));
   }
 
   private static <T> T await(io.vertx.core.Future<T> future) throws Exception {
     return future.toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
+  /** The port of UDP and TCP. */
   public int port() {
     return tcp.actualPort();
   }
 
+  /** The zone that it serves. */
   public Zone zone() {
     return zone;
   }
 
   /**
-   * Listens for push sessions too, under a certificate of its own for localhost; the result is the
-   * port.
+   * Listens for push sessions with a self-signed certificate for localhost.
+   *
+   * @param folder directory for the certificate
+   * @return the port
    */
   public int startPush(Path folder) throws Exception {
     X509Bundle bundle =
@@ -172,20 +188,22 @@
     return push.actualPort();
   }
 
-  /** Who vouches for the push listener, as PEM. */
+  /** The PEM file with the trust anchor of the push listener; null before {@link #startPush}. */
   public Path trust() {
     return trust;
   }
 
+  /** The number of open push sessions. */
   public int sessions() {
     return sessions.size();
   }
 
+  /** The number of subscriptions in all push sessions. */
   public int subscriptions() {
-    return sessions.stream().mapToInt(s -> s.byId.size()).sum();
+    return sessions.stream().mapToInt(s -> s.subscriptionsById.size()).sum();
   }
 
-  /** Ends all push sessions: after half a message, or with the word when to come back. */
+  /** Closes all push sessions, in the middle of a message if {@code half}. */
   public void cutSessions(boolean half) {
     sessions.forEach(
         s ->
@@ -194,16 +212,17 @@
                 .onComplete(v -> s.socket.close()));
   }
 
+  /** Sends a retry delay to all push sessions. */
   public void retryDelay(long ms) {
     sessions.forEach(s -> s.socket.write(Dso.write(new Head(0, false, 0), Dso.retryDelay(ms))));
   }
 
-  /** Bytes as they are, to all sessions. */
+  /** Sends raw bytes to all push sessions. */
   public void pushRaw(Buffer bytes) {
     sessions.forEach(s -> s.socket.write(bytes));
   }
 
-  private static void framed(NetSocket socket, Consumer<byte[]> messages) {
+  private static void readFrames(NetSocket socket, Consumer<byte[]> messages) {
     Buffer[] rest = {Buffer.buffer()};
     socket.exceptionHandler(e -> {});
     socket.handler(
@@ -218,7 +237,7 @@
         });
   }
 
-  private void question(byte[] bytes, boolean stream, Consumer<byte[]> reply, SocketAddress from) {
+  private void onQuery(byte[] bytes, boolean stream, Consumer<byte[]> reply, SocketAddress from) {
     Message query;
     try {
       query = new Message(bytes);
@@ -232,77 +251,104 @@
         query.getHeader().getOpcode() == Opcode.UPDATE
             ? zone.update(query, bytes)
             : zone.answer(query);
+    applyFault(fault, answer, new Exchange(query, stream, reply, from));
+  }
+
+  /**
+   * Where an answer goes.
+   *
+   * @param stream true for TCP, false for UDP
+   * @param from the sender of a UDP query; null for TCP
+   */
+  private record Exchange(
+      Message query, boolean stream, Consumer<byte[]> reply, SocketAddress from) {
+    byte[] encode(Message answer) {
+      return answer.toWire(stream ? MAX_TCP_BYTES : MAX_UDP_BYTES);
+    }
+  }
+
+  private void applyFault(Fault fault, Message answer, Exchange exchange) {
     switch (fault) {
-      case NONE -> send(answer, stream, reply);
-      case LATE -> vertx.setTimer(LATE_MS, t -> send(answer, stream, reply));
+      case NONE -> send(answer, exchange);
+      case LATE -> vertx.setTimer(LATE_ANSWER_MS, t -> send(answer, exchange));
       case DOUBLED -> {
-        send(answer, stream, reply);
-        send(answer, stream, reply);
+        send(answer, exchange);
+        send(answer, exchange);
       }
       case TRUNCATED -> {
-        if (!stream) {
+        if (!exchange.stream()) {
           answer.getHeader().setFlag(Flags.TC);
-          answer.removeAllRecords(Section.ANSWER);
-          answer.removeAllRecords(Section.ADDITIONAL);
+          removeRecords(answer);
         }
-        send(answer, stream, reply);
+        send(answer, exchange);
       }
       case FORGED_ID -> {
         answer.getHeader().setID(answer.getHeader().getID() ^ 1);
         answer.removeAllRecords(Section.ANSWER);
-        send(answer, stream, reply);
-      }
-      case FORGED_PORT -> {
-        answer.removeAllRecords(Section.ANSWER);
-        if (from != null) {
-          other.send(Buffer.buffer(answer.toWire()), from.port(), from.host());
-        }
+        send(answer, exchange);
       }
+      case FORGED_PORT -> sendFromOtherPort(answer, exchange.from());
       case HALF -> {
-        byte[] whole = answer.toWire(stream ? TCP_BYTES : UDP_BYTES);
-        reply.accept(java.util.Arrays.copyOf(whole, whole.length / 2));
+        byte[] complete = exchange.encode(answer);
+        exchange.reply().accept(Arrays.copyOf(complete, complete.length / 2));
       }
       case NO_AUTHORITY -> {
         answer.getHeader().unsetFlag(Flags.AA);
-        answer.removeAllRecords(Section.ANSWER);
-        answer.removeAllRecords(Section.ADDITIONAL);
-        send(answer, stream, reply);
-      }
-      case SERVFAIL, REFUSED -> {
-        Message no = new Message(answer.getHeader().getID());
-        no.getHeader().setFlag(Flags.QR);
-        no.getHeader().setRcode(fault == Fault.SERVFAIL ? Rcode.SERVFAIL : Rcode.REFUSED);
-        no.addRecord(query.getQuestion(), Section.QUESTION);
-        send(no, stream, reply);
-      }
-      case NOISE -> {
-        byte[] noise = answer.toWire(stream ? TCP_BYTES : UDP_BYTES);
-        for (int i = 3; i < noise.length; i += 2) {
-          noise[i] = (byte) (noise[i] * 31 + i * 17);
-        }
-        reply.accept(noise);
+        removeRecords(answer);
+        send(answer, exchange);
       }
+      case SERVFAIL -> sendError(Rcode.SERVFAIL, answer, exchange);
+      case REFUSED -> sendError(Rcode.REFUSED, answer, exchange);
+      case NOISE -> exchange.reply().accept(corrupt(exchange.encode(answer)));
       case LOST -> {}
     }
   }
 
+  private static void removeRecords(Message answer) {
+    answer.removeAllRecords(Section.ANSWER);
+    answer.removeAllRecords(Section.ADDITIONAL);
+  }
+
+  private void sendFromOtherPort(Message answer, SocketAddress receiver) {
+    answer.removeAllRecords(Section.ANSWER);
+    if (receiver != null) {
+      spoofingSocket.send(Buffer.buffer(answer.toWire()), receiver.port(), receiver.host());
+    }
+  }
+
+  private void sendError(int rcode, Message answer, Exchange exchange) {
+    Message error = new Message(answer.getHeader().getID());
+    error.getHeader().setFlag(Flags.QR);
+    error.getHeader().setRcode(rcode);
+    error.addRecord(exchange.query().getQuestion(), Section.QUESTION);
+    send(error, exchange);
+  }
+
+  private static byte[] corrupt(byte[] wire) {
+    for (int i = 3; i < wire.length; i += 2) {
+      wire[i] = (byte) (wire[i] * 31 + i * 17);
+    }
+    return wire;
+  }
+
   /**
-   * Additional records go first where it is too long; what still does not fit is marked as cut off.
+   * Sends an answer; where it is too long, without additional records, and truncated (TC) if that
+   * does not suffice.
    */
-  private void send(Message answer, boolean stream, Consumer<byte[]> reply) {
-    byte[] wire = answer.toWire(stream ? TCP_BYTES : UDP_BYTES);
-    if ((wire[2] & 2) != 0) {
+  private void send(Message answer, Exchange exchange) {
+    byte[] wire = exchange.encode(answer);
+    if ((wire[2] & TRUNCATED_BIT) != 0) {
       answer.removeAllRecords(Section.ADDITIONAL);
-      wire = answer.toWire(stream ? TCP_BYTES : UDP_BYTES);
+      wire = exchange.encode(answer);
     }
     bytesOut.addAndGet(wire.length);
-    reply.accept(wire);
+    exchange.reply().accept(wire);
   }
 
   /** A push session with one client. */
   private final class Session {
     private final NetSocket socket;
-    private final Map<Integer, Question> byId = new HashMap<>();
+    private final Map<Integer, Question> subscriptionsById = new HashMap<>();
     private final Consumer<List<PushChange>> listener;
 
     Session(NetSocket socket) {
@@ -313,9 +359,9 @@
               context.runOnContext(
                   v -> {
                     if (pushDelayMs > 0) {
-                      vertx.setTimer(pushDelayMs, t -> tell(changes));
+                      vertx.setTimer(pushDelayMs, t -> onZoneChanged(changes));
                     } else {
-                      tell(changes);
+                      onZoneChanged(changes);
                     }
                   });
       zone.listen(listener);
@@ -325,31 +371,33 @@
             sessions.remove(this);
             zone.unlisten(listener);
           });
-      framed(socket, this::message);
+      readFrames(socket, this::onMessage);
     }
 
-    private void tell(List<PushChange> changes) {
-      List<PushChange> wanted = new ArrayList<>();
-      Set<Question> keys = Set.copyOf(byId.values());
+    private void onZoneChanged(List<PushChange> changes) {
+      List<PushChange> subscribed = new ArrayList<>();
+      Set<Question> keys = Set.copyOf(subscriptionsById.values());
       for (PushChange change : changes) {
         if (keys.contains(change.key())) {
-          wanted.add(change);
+          subscribed.add(change);
         }
       }
-      send(wanted);
+      push(subscribed);
     }
 
-    /** Several messages where one would be too long. */
-    private void send(List<PushChange> changes) {
-      for (int from = 0; from < changes.size(); from += 200) {
+    /** Sends changes in as many messages as needed. */
+    private void push(List<PushChange> changes) {
+      for (int from = 0; from < changes.size(); from += MAX_CHANGES_PER_MESSAGE) {
         socket.write(
             Dso.write(
                 new Head(0, false, 0),
-                Dso.push(changes.subList(from, Math.min(changes.size(), from + 200)))));
+                Dso.push(
+                    changes.subList(
+                        from, Math.min(changes.size(), from + MAX_CHANGES_PER_MESSAGE)))));
       }
     }
 
-    private void message(byte[] bytes) {
+    private void onMessage(byte[] bytes) {
       try {
         DsoMessage message = Dso.read(bytes);
         Tlv first = message.tlvs().get(0);
@@ -359,15 +407,15 @@
               socket.write(Dso.write(new Head(id, true, 0), Dso.keepalive(15_000, 15_000)));
           case Dso.SUBSCRIBE -> {
             Question key = Dso.subscribed(first);
-            byId.put(id, key);
+            subscriptionsById.put(id, key);
             socket.write(Dso.write(new Head(id, true, 0)));
-            send(zone.get(key).stream().map(record -> new PushChange(false, key, record)).toList());
+            push(zone.get(key).stream().map(record -> new PushChange(false, key, record)).toList());
           }
           case Dso.UNSUBSCRIBE ->
-              byId.remove((first.data()[0] & 0xff) << 8 | (first.data()[1] & 0xff));
+              subscriptionsById.remove((first.data()[0] & 0xff) << 8 | (first.data()[1] & 0xff));
           default -> socket.write(Dso.write(new Head(id, true, 11)));
         }
-      } catch (IOException | RuntimeException e) {
+      } catch (IOException | RuntimeException e) { // malformed input of any kind ends the session
         socket.close();
       }
     }
@@ -376,7 +424,7 @@
   @Override
   public void close() {
     udp.close();
-    other.close();
+    spoofingSocket.close();
     tcp.close();
     if (push != null) {
       push.close();
--- a/src/main/java/dunlinhitch/experiments/dns/Zone.java
+++ b/src/main/java/dunlinhitch/experiments/dns/Zone.java
@@ -27,69 +27,76 @@
 import org.xbill.DNS.TXTRecord;
 import org.xbill.DNS.Type;
 
-/** The records of one zone, its serial, and who wants to hear of changes. Any thread may use it. */
+/** The records of one authoritative DNS zone, its serial and its change listeners. Thread-safe. */
 public final class Zone {
   private final Name origin;
-  private final Map<Question, Set<Record>> sets = new HashMap<>();
+  private final Map<Question, Set<Record>> recordSets = new HashMap<>();
   private final List<Consumer<List<PushChange>>> listeners = new ArrayList<>();
   private long serial = 1;
   private TSIG updateKey;
 
-  /** Leases granted, in seconds, are no longer than this. */
-  private long mostLeaseS = 3600;
+  /** Longest lease granted to an update, in seconds. */
+  private long maxLeaseS = 3600;
 
+  /** Creates an empty zone. */
   public Zone(String origin) {
     this.origin = Names.parse(origin);
   }
 
+  /** The apex of the zone. */
   public Name origin() {
     return origin;
   }
 
+  /** The serial, which grows with each change. */
   public synchronized long serial() {
     return serial;
   }
 
-  /** Updates are taken if signed by this key. */
+  /** Enables updates signed by this key, with leases up to a limit. */
   public synchronized void updatesBy(TSIG key, long mostLeaseSeconds) {
     updateKey = key;
-    mostLeaseS = mostLeaseSeconds;
+    maxLeaseS = mostLeaseSeconds;
   }
 
-  /** Every later change, in one list for what changed together. */
+  /**
+   * Registers a listener, which gets each later change as one list, on the thread that makes it.
+   */
   public synchronized void listen(Consumer<List<PushChange>> listener) {
     listeners.add(listener);
   }
 
+  /** Removes a listener. */
   public synchronized void unlisten(Consumer<List<PushChange>> listener) {
     listeners.remove(listener);
   }
 
+  /** The records of a name and type; empty if there are none. */
   public synchronized List<Record> get(Question key) {
-    return List.copyOf(sets.getOrDefault(key, Set.of()));
+    return List.copyOf(recordSets.getOrDefault(key, Set.of()));
   }
 
   private synchronized boolean exists(Name name) {
-    return sets.keySet().stream()
+    return recordSets.keySet().stream()
         .anyMatch(key -> key.name().equals(name) || key.name().subdomain(name));
   }
 
-  /** Removes and adds in one step, with one serial. */
+  /** Removes and adds records atomically, with one serial. */
   public synchronized void change(List<Record> removed, List<Record> added) {
     List<PushChange> changes = new ArrayList<>();
     for (Record record : removed) {
       Question key = new Question(record.getName(), record.getType());
-      Set<Record> set = sets.getOrDefault(key, Set.of());
+      Set<Record> set = recordSets.getOrDefault(key, Set.of());
       if (set.remove(record)) {
         changes.add(new PushChange(true, key, record));
       }
       if (set.isEmpty()) {
-        sets.remove(key);
+        recordSets.remove(key);
       }
     }
     for (Record record : added) {
       Question key = new Question(record.getName(), record.getType());
-      Set<Record> set = sets.computeIfAbsent(key, k -> new LinkedHashSet<>());
+      Set<Record> set = recordSets.computeIfAbsent(key, k -> new LinkedHashSet<>());
       set.remove(record);
       set.add(record);
       changes.add(new PushChange(false, key, record));
@@ -100,33 +107,33 @@
     }
   }
 
+  /** Adds records. */
   public void add(Record... records) {
     change(List.of(), List.of(records));
   }
 
+  /** Removes records. */
   public void remove(Record... records) {
     change(List.of(records), List.of());
   }
 
-  /** All of a name, of one type or (type 255) of any. */
+  /** The records of a name, of one type or of any (type 255). */
   public synchronized List<Record> all(Name name, int type) {
-    return sets.entrySet().stream()
+    return recordSets.entrySet().stream()
         .filter(
             e -> e.getKey().name().equals(name) && (type == Type.ANY || e.getKey().type() == type))
         .flatMap(e -> e.getValue().stream())
         .toList();
   }
 
-  /** Everything goes, but for the zone itself. */
+  /** Removes all records. */
   public synchronized void empty() {
-    change(sets.values().stream().flatMap(Set::stream).toList(), List.of());
+    change(recordSets.values().stream().flatMap(Set::stream).toList(), List.of());
   }
 
-  // ---- stores
-
-  /** The records of a store of that service, under one name, as a store announces itself. */
+  /** The DNS-SD records of a store: PTR, SRV, TXT and A. */
   public static List<Record> store(
-      String service, String instance, String host, int port, long ttlS, String... words) {
+      String service, String instance, String host, int port, long ttlS, String... attributes) {
     Name type = Names.parse(service);
     Name name = Names.parse(instance + "." + service);
     Name target =
@@ -135,21 +142,19 @@
       return List.of(
           new PTRRecord(type, DClass.IN, ttlS, name),
           new SRVRecord(name, DClass.IN, ttlS, 0, 0, port, target),
-          new TXTRecord(name, DClass.IN, ttlS, List.of(words)),
+          new TXTRecord(name, DClass.IN, ttlS, List.of(attributes)),
           new ARecord(target, DClass.IN, ttlS, InetAddress.getByName(host)));
     } catch (UnknownHostException e) {
       throw new IllegalArgumentException(e);
     }
   }
 
-  /** The PTR record alone: without it a store is withdrawn. */
+  /** The PTR record of a store; removing it withdraws the store. */
   public static Record pointer(String service, String instance, long ttlS) {
     return new PTRRecord(
         Names.parse(service), DClass.IN, ttlS, Names.parse(instance + "." + service));
   }
 
-  // ---- answers
-
   private SOARecord soa() {
     return new SOARecord(
         origin,
@@ -164,43 +169,43 @@
         5);
   }
 
-  /** What an authoritative server of this zone says, without regard to size. */
+  /** The authoritative answer to a query, without regard to size. */
   public synchronized Message answer(Message query) {
     Message answer = new Message(query.getHeader().getID());
     answer.getHeader().setFlag(Flags.QR);
     answer.getHeader().setOpcode(query.getHeader().getOpcode());
-    Record asked = query.getQuestion();
-    answer.addRecord(asked, Section.QUESTION);
-    if (!asked.getName().subdomain(origin)) {
+    Record question = query.getQuestion();
+    answer.addRecord(question, Section.QUESTION);
+    if (!question.getName().subdomain(origin)) {
       answer.getHeader().setRcode(Rcode.REFUSED);
       return answer;
     }
     answer.getHeader().setFlag(Flags.AA);
-    if (asked.getType() == Type.SOA && asked.getName().equals(origin)) {
+    if (question.getType() == Type.SOA && question.getName().equals(origin)) {
       answer.addRecord(soa(), Section.ANSWER);
       return answer;
     }
-    List<Record> found = get(new Question(asked.getName(), asked.getType()));
+    List<Record> found = get(new Question(question.getName(), question.getType()));
     found.forEach(record -> answer.addRecord(record, Section.ANSWER));
     if (found.isEmpty()) {
-      answer.getHeader().setRcode(exists(asked.getName()) ? Rcode.NOERROR : Rcode.NXDOMAIN);
+      answer.getHeader().setRcode(exists(question.getName()) ? Rcode.NOERROR : Rcode.NXDOMAIN);
       answer.addRecord(soa(), Section.AUTHORITY);
     }
-    if (asked.getType() == Type.PTR) { // RFC 6763 section 12.1
-      Set<Record> beside = new LinkedHashSet<>();
+    if (question.getType() == Type.PTR) { // RFC 6763 section 12.1
+      Set<Record> additional = new LinkedHashSet<>();
       for (Record pointer : found) {
         Name instance = ((PTRRecord) pointer).getTarget();
         List<Record> srv = get(new Question(instance, Type.SRV));
-        beside.addAll(srv);
-        beside.addAll(get(new Question(instance, Type.TXT)));
-        srv.forEach(s -> beside.addAll(get(new Question(((SRVRecord) s).getTarget(), Type.A))));
+        additional.addAll(srv);
+        additional.addAll(get(new Question(instance, Type.TXT)));
+        srv.forEach(s -> additional.addAll(get(new Question(((SRVRecord) s).getTarget(), Type.A))));
       }
-      beside.forEach(record -> answer.addRecord(record, Section.ADDITIONAL));
+      additional.forEach(record -> answer.addRecord(record, Section.ADDITIONAL));
     }
     return answer;
   }
 
-  /** Carries out an update (RFC 2136) and answers it; its lease is granted as far as allowed. */
+  /** Applies a signed update (RFC 2136) and returns the response with the granted lease. */
   public synchronized Message update(Message update, byte[] wire) {
     Message answer = new Message(update.getHeader().getID());
     answer.getHeader().setFlag(Flags.QR);
@@ -219,7 +224,7 @@
         removed.addAll(all(record.getName(), record.getType()));
       } else if (record.getDClass() == DClass.NONE) {
         all(record.getName(), record.getType()).stream()
-            .filter(held -> held.rdataToString().equals(record.rdataToString()))
+            .filter(present -> present.rdataToString().equals(record.rdataToString()))
             .forEach(removed::add);
       } else {
         added.add(record);
@@ -237,7 +242,7 @@
                   new org.xbill.DNS.GenericEDNSOption(
                       2,
                       io.vertx.core.buffer.Buffer.buffer()
-                          .appendUnsignedInt(mostLeaseS)
+                          .appendUnsignedInt(maxLeaseS)
                           .getBytes()))),
           Section.ADDITIONAL);
     }
--- a/src/main/java/dunlinhitch/experiments/fakes/Client.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Client.java
@@ -22,17 +22,24 @@
 import org.apache.arrow.flight.Ticket;
 import org.apache.arrow.memory.RootAllocator;
 
-/** A client of either front; both word an answer alike here. */
+/** A test client of a broker over HTTP or Arrow Flight, with one form of response for both. */
 public interface Client {
-  /** {@code end}: whole, partial, refused, failed, late or bad. */
-  record Got(String end, Map<Integer, String> parts, String retryAfter) {}
+  /**
+   * A response.
+   *
+   * @param outcome whole, partial, refused, failed, late or bad
+   * @param parts the values by shard
+   * @param retryAfter the broker's advice, or empty
+   */
+  record Response(String outcome, Map<Integer, String> parts, String retryAfter) {}
 
-  /** Asks without waiting; cancelling the future leaves the broker. */
-  CompletableFuture<Got> ask(String queryClass, Map<String, String> headers, String body);
+  /** Sends a query; cancelling the future cancels the request. */
+  CompletableFuture<Response> send(String queryClass, Map<String, String> headers, String body);
 
+  /** Closes the connections. */
   void close() throws Exception;
 
-  /** A query for these shards, all of the same weight. */
+  /** The body of a query for these shards, with equal weights. */
   static String body(int... shards) {
     StringBuilder ranges = new StringBuilder();
     for (int shard : shards) {
@@ -47,12 +54,12 @@
     return "{\"ranges\":[" + ranges + "],\"predicate\":\"tenors é\"}";
   }
 
-  /** Over HTTP/1.1. */
+  /** A client over HTTP/1.1 to a loopback port. */
   static Client http(int port) {
     HttpClient client = HttpClient.newBuilder().version(HttpClient.Version.HTTP_1_1).build();
     return new Client() {
       @Override
-      public CompletableFuture<Got> ask(
+      public CompletableFuture<Response> send(
           String queryClass, Map<String, String> headers, String body) {
         HttpRequest.Builder request =
             HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + port + "/" + queryClass))
@@ -60,7 +67,7 @@
         headers.forEach(request::header);
         CompletableFuture<HttpResponse<String>> sent =
             client.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
-        CompletableFuture<Got> got = sent.thenApply(Client::got);
+        CompletableFuture<Response> got = sent.thenApply(Client::got);
         var unused =
             got.whenComplete(
                 (g, e) -> {
@@ -73,12 +80,12 @@
 
       @Override
       public void close() {
-        // its connections go with it
+        // the JDK client closes its connections when it is collected
       }
     };
   }
 
-  private static Got got(HttpResponse<String> response) {
+  private static Response got(HttpResponse<String> response) {
     Map<Integer, String> parts = new TreeMap<>();
     String end =
         switch (response.statusCode()) {
@@ -88,24 +95,24 @@
           default -> response.statusCode() < 500 ? "bad" : "failed";
         };
     if (end.isEmpty()) {
-      JsonObject o = Json.parse(response.body()).asObject();
-      o.get("answers")
+      JsonObject root = Json.parse(response.body()).asObject();
+      root.get("answers")
           .asArray()
           .forEach(
               p -> parts.put(p.asObject().getInt("range", -1), p.asObject().getString("blob", "")));
-      end = o.getBoolean("total", false) ? "whole" : "partial";
+      end = root.getBoolean("total", false) ? "whole" : "partial";
     }
-    return new Got(end, parts, response.headers().firstValue("retry-after").orElse(""));
+    return new Response(end, parts, response.headers().firstValue("retry-after").orElse(""));
   }
 
-  /** Over Arrow Flight. */
+  /** A client over Arrow Flight to a loopback port. */
   static Client flight(int port) {
     RootAllocator allocator = new RootAllocator(8 << 20);
     FlightClient client =
         FlightClient.builder(allocator, Location.forGrpcInsecure("127.0.0.1", port)).build();
     return new Client() {
       @Override
-      public CompletableFuture<Got> ask(
+      public CompletableFuture<Response> send(
           String queryClass, Map<String, String> headers, String body) {
         FlightCallHeaders sent = new FlightCallHeaders();
         headers.forEach(sent::insert);
@@ -115,7 +122,7 @@
                 new Ticket(body.getBytes(StandardCharsets.UTF_8)),
                 new HeaderCallOption(sent),
                 CallOptions.timeout(10, TimeUnit.SECONDS));
-        CompletableFuture<Got> got = CompletableFuture.supplyAsync(() -> got(stream));
+        CompletableFuture<Response> got = CompletableFuture.supplyAsync(() -> got(stream));
         var unused =
             got.whenComplete(
                 (g, e) -> {
@@ -133,7 +140,7 @@
     };
   }
 
-  private static Got got(FlightStream stream) {
+  private static Response got(FlightStream stream) {
     Map<Integer, String> parts = new TreeMap<>();
     try {
       while (stream.next()) {
@@ -145,11 +152,11 @@
       }
       String total = stream.getSchema().getCustomMetadata().get("total");
       stream.close();
-      return new Got(total.equals("true") ? "whole" : "partial", parts, "");
+      return new Response(total.equals("true") ? "whole" : "partial", parts, "");
     } catch (FlightRuntimeException e) {
       boolean advised =
           e.status().metadata() != null && e.status().metadata().containsKey("retry-after");
-      return new Got(
+      return new Response(
           switch (e.status().code()) {
             case UNAVAILABLE -> "refused";
             case INTERNAL -> "failed";
--- a/src/main/java/dunlinhitch/experiments/fakes/Discovery.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Discovery.java
@@ -11,25 +11,27 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** Discovery: each watch gets the list as it stands, and what is told after. */
+/** A fake discovery service: a watch gets the full list and then the changes, over HTTP. */
 public final class Discovery implements AutoCloseable {
-  /** What watches asked for, in order. */
-  public final BlockingQueue<String> asked = new LinkedBlockingQueue<>();
+  /** URIs of the requests in order of arrival. */
+  public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
 
+  /** Responses of the watches in order. */
   public final List<HttpServerResponse> watches = new CopyOnWriteArrayList<>();
 
-  /** Lists come over several lines each. */
+  /** True: lists are sent pretty-printed over several lines. */
   public volatile boolean indented;
 
   private final HttpServer server;
-  private volatile String first = "";
+  private volatile String fullList = "";
   private int generation;
 
+  /** Listens on a free loopback port. */
   public Discovery(Vertx vertx) throws Exception {
     this(vertx, 0);
   }
 
-  /** At a port that is known before. */
+  /** Listens on a loopback port; 0 chooses a free one. */
   public Discovery(Vertx vertx, int port) throws Exception {
     server =
         vertx
@@ -39,11 +41,11 @@
                   HttpServerResponse response = request.response().setChunked(true);
                   if (request.uri().contains("follow=1")) {
                     watches.add(response);
-                    response.write(first + "\n");
+                    response.write(fullList + "\n");
                   } else {
-                    response.end(first);
+                    response.end(fullList);
                   }
-                  asked.add(request.uri());
+                  requests.add(request.uri());
                 })
             .listen(port, "127.0.0.1")
             .toCompletionStage()
@@ -51,11 +53,12 @@
             .get(5, TimeUnit.SECONDS);
   }
 
+  /** The loopback port that it listens on. */
   public int port() {
     return server.actualPort();
   }
 
-  /** An entry in discovery's form. */
+  /** Formats an endpoint for {@link #setList} and {@link #pushChange}. */
   public static String entry(
       String name, int port, String zone, int cell, String lifecycle, String protocol) {
     return "{\"instanceId\":\"%s\",\"hostPort\":\"127.0.0.1:%d\",\"zone\":\"%s\",\"cell\":%d,\"lifecycle\":\"%s\","
@@ -65,27 +68,30 @@
         + "\"}";
   }
 
+  /** Formats a fake store, with two passes if it has first-pass answers. */
   public static String entry(Store store, String zone, int cell, String lifecycle) {
     String entry = entry(store.name, store.port(), zone, cell, lifecycle, store.protocol());
-    return store.first == null ? entry : entry.substring(0, entry.length() - 1) + ",\"phases\":2}";
+    return store.firstAnswer == null
+        ? entry
+        : entry.substring(0, entry.length() - 1) + ",\"phases\":2}";
   }
 
-  /** The list that a new watch begins with. */
-  public void list(String... entries) {
-    first = line(true, entries);
+  /** Sets the full list that later watches and requests get. */
+  public void setList(String... entries) {
+    fullList = line(true, entries);
   }
 
-  /** A change, told to all that watch. */
-  public void change(String... entries) {
+  /** Sends a change to all watches. */
+  public void pushChange(String... entries) {
     String line = line(false, entries);
     watches.forEach(watch -> watch.write(line + "\n"));
   }
 
-  /** The same, and who begins a watch from now on is told the whole list of that generation. */
-  public void change(List<String> whole, String... entries) {
-    change(entries);
+  /** Sends a change to all watches and sets the full list with the same generation. */
+  public void pushChange(List<String> allEntries, String... entries) {
+    pushChange(entries);
     generation--;
-    list(whole.toArray(String[]::new));
+    setList(allEntries.toArray(String[]::new));
   }
 
   private String line(boolean reset, String... entries) {
--- a/src/main/java/dunlinhitch/experiments/fakes/FlightStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/FlightStore.java
@@ -24,7 +24,7 @@
 import org.apache.arrow.vector.types.pojo.Field;
 import org.apache.arrow.vector.types.pojo.Schema;
 
-/** A store that speaks Arrow Flight: a row for each part, each in a batch of its own. */
+/** A fake store with Arrow Flight: one row for each part, each in its own batch. */
 public final class FlightStore extends Store {
   private static final Schema SCHEMA =
       new Schema(
@@ -33,7 +33,7 @@
               .toList());
 
   /**
-   * Of all stand-ins: one that ended with its server would throw at what is still under way there.
+   * Shared by all fakes: a pool that ended with its server would reject the calls still in flight.
    */
   private static final ExecutorService POOL =
       Executors.newCachedThreadPool(
@@ -46,6 +46,7 @@
   private final BufferAllocator allocator = new RootAllocator(8 << 20);
   private final FlightServer server;
 
+  /** Listens on a free loopback port. */
   public FlightStore(String name) throws Exception {
     super(name);
     server =
@@ -58,28 +59,28 @@
   private final class Producer extends NoOpFlightProducer {
     @Override
     public void getStream(CallContext context, Ticket ticket, ServerStreamListener listener) {
-      CountDownLatch left = new CountDownLatch(1);
-      listener.setOnCancelHandler(left::countDown);
+      CountDownLatch cancelled = new CountDownLatch(1);
+      listener.setOnCancelHandler(cancelled::countDown);
       try (VectorSchemaRoot root = VectorSchemaRoot.create(SCHEMA, allocator)) {
         listener.start(root);
-        boolean silent = false;
-        if (answerAfterMs > 0) {
-          Thread.sleep(answerAfterMs);
+        boolean answerMissing = false;
+        if (answerDelayMs > 0) {
+          Thread.sleep(answerDelayMs);
         }
-        for (Seen part : parts(ticket.getBytes())) {
-          Do how = take(part);
-          if (how == Do.CUT) {
+        for (ReceivedPart part : parseParts(ticket.getBytes())) {
+          Behavior behavior = receive(part);
+          if (behavior == Behavior.CUT) {
             listener.error(CallStatus.UNAVAILABLE.withDescription("cut").toRuntimeException());
             return;
           }
-          silent |= how == Do.NOTHING;
-          Row row = row(part, how);
-          for (int copies = how == Do.NOTHING ? 0 : how == Do.TWICE ? 2 : 1; copies > 0; copies--) {
+          answerMissing |= behavior == Behavior.NOTHING;
+          Row row = answerRow(part, behavior);
+          for (int copies = copies(behavior); copies > 0; copies--) {
             fill(root, row);
             listener.putNext();
           }
         }
-        if (silent && !left.await(10, TimeUnit.SECONDS)) {
+        if (answerMissing && !cancelled.await(10, TimeUnit.SECONDS)) {
           throw new IllegalStateException("the broker never gave up");
         }
         listener.completed();
@@ -90,23 +91,23 @@
 
     @Override
     public FlightInfo getFlightInfo(CallContext context, FlightDescriptor descriptor) {
-      Seen part = parts(descriptor.getCommand()).get(0);
-      firstSeen.add(part);
-      First said = first.apply(part);
+      ReceivedPart part = parseParts(descriptor.getCommand()).get(0);
+      firstPasses.add(part);
+      FirstAnswer first = firstAnswer.apply(part);
       try {
-        Thread.sleep(said == null ? 2_000 : firstAfterMs);
+        Thread.sleep(first == null ? 2_000 : firstAnswerDelayMs);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
-      First answer = said == null ? new First(0, "late", "") : said;
+      FirstAnswer answer = first == null ? new FirstAnswer(0, "late", "") : first;
       byte[] metadata =
           (answer.version() + " latency_ms=1,queue=0 " + answer.emptyValue())
               .getBytes(StandardCharsets.UTF_8);
-      List<FlightEndpoint> where =
+      List<FlightEndpoint> endpoints =
           answer.records() == 0
               ? List.of()
               : List.of(new FlightEndpoint(new Ticket(descriptor.getCommand())));
-      return FlightInfo.builder(SCHEMA, descriptor, where)
+      return FlightInfo.builder(SCHEMA, descriptor, endpoints)
           .setRecords(answer.records())
           .setBytes(-1)
           .setAppMetadata(metadata)
@@ -117,12 +118,12 @@
     public void doAction(CallContext context, Action action, StreamListener<Result> listener) {
       String body = new String(action.getBody(), StandardCharsets.UTF_8);
       if (action.getType().equals("give-up")) {
-        givenUp.add(body);
-      } else if (mute) {
+        cancelledParts.add(body);
+      } else if (unresponsive) {
         return;
       } else {
-        checks.add(name);
-        probes.add(name);
+        livenessChecks.add(name);
+        healthChecks.add(name);
         listener.onNext(new Result("latency_ms=5,queue=0".getBytes(StandardCharsets.UTF_8)));
       }
       listener.onCompleted();
@@ -131,11 +132,12 @@
 
   private static void fill(VectorSchemaRoot root, Row row) {
     root.clear();
-    List<String> words = List.of(row.id(), row.end(), row.score(), row.report());
-    for (int i = 0; i < words.size(); i++) {
-      ((VarCharVector) root.getVector(i)).setSafe(0, words.get(i).getBytes(StandardCharsets.UTF_8));
+    List<String> fields = List.of(row.id(), row.end(), row.score(), row.report());
+    for (int i = 0; i < fields.size(); i++) {
+      ((VarCharVector) root.getVector(i))
+          .setSafe(0, fields.get(i).getBytes(StandardCharsets.UTF_8));
     }
-    ((VarCharVector) root.getVector(words.size())).setSafe(0, row.value());
+    ((VarCharVector) root.getVector(fields.size())).setSafe(0, row.value());
     root.setRowCount(1);
   }
 
--- a/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
@@ -10,102 +10,108 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** A store that speaks frames. */
+/** A fake store with the frame protocol. Serves on the Vert.x event loop. */
 public class FrameStore extends Store {
-  /** Connections as they came, for scripts that say something of their own. */
+  /** Types of the frames that the store reads and writes. */
+  private static final char CANCEL = 'n';
+
+  private static final char LIVENESS_CHECK = 'o';
+  private static final char HEALTH_CHECK = 'p';
+  private static final char FIRST_PASS = 's';
+  private static final char FIRST_PASS_ANSWER = 't';
+  private static final char ANSWER = 'q';
+
+  /** Accepted connections in order, for tests that write to them directly. */
   public final List<NetSocket> sockets = new CopyOnWriteArrayList<>();
 
   private final Vertx vertx;
   private final NetServer server;
 
+  /** Listens on a free loopback port. */
   public FrameStore(Vertx vertx, String name) throws Exception {
     super(name);
     this.vertx = vertx;
     server =
         vertx
             .createNetServer()
-            .connectHandler(this::serve)
+            .connectHandler(this::onConnect)
             .listen(0, "127.0.0.1")
             .toCompletionStage()
             .toCompletableFuture()
             .get(5, TimeUnit.SECONDS);
   }
 
-  private void serve(NetSocket socket) {
+  private void onConnect(NetSocket socket) {
     sockets.add(socket);
     RecordParser parser = RecordParser.newFixed(4);
-    boolean[] head = {true};
+    boolean[] readsLength = {true};
     parser.handler(
         bytes -> {
-          if (head[0]) {
+          if (readsLength[0]) {
             parser.fixedSizeMode((int) bytes.getUnsignedIntLE(0));
           } else {
             parser.fixedSizeMode(4);
-            frame(socket, (char) bytes.getByte(0), bytes.getBytes(1, bytes.length()));
+            onFrame(socket, (char) bytes.getByte(0), bytes.getBytes(1, bytes.length()));
           }
-          head[0] = !head[0];
+          readsLength[0] = !readsLength[0];
         });
     socket.handler(parser);
   }
 
-  private void frame(NetSocket socket, char letter, byte[] rest) {
-    if (letter == 'n') {
-      String partId = new String(rest, StandardCharsets.UTF_8);
-      givenUp.add(partId);
-      dropped(partId);
-    } else if (letter == 'o') {
-      checks.add(name);
-      if (!mute) {
-        socket.write(frame('o', "good"));
+  private void onFrame(NetSocket socket, char type, byte[] body) {
+    switch (type) {
+      case CANCEL -> {
+        String partId = new String(body, StandardCharsets.UTF_8);
+        cancelledParts.add(partId);
+        onCancelled(partId);
       }
-    } else if (letter == 'p') {
-      probes.add(name);
-      socket.write(frame('p', "latency_ms=5,queue=0"));
-    } else if (letter == 's') {
-      for (Seen part : parts(rest)) {
-        firstSeen.add(part);
-        First said = first.apply(part);
-        if (said != null) {
-          String report = report();
-          Buffer frame =
-              frame(
-                  't',
-                  part.id()
-                      + " good 1 "
-                      + report
-                      + " "
-                      + said.records()
-                      + " "
-                      + said.version()
-                      + "\n"
-                      + said.emptyValue());
-          work(part, true, () -> socket.write(frame));
+      case LIVENESS_CHECK -> {
+        livenessChecks.add(name);
+        if (!unresponsive) {
+          socket.write(frame(LIVENESS_CHECK, "good"));
         }
       }
-    } else {
-      for (Seen part : parts(rest)) {
-        Do how = take(part);
-        if (how == Do.CUT) {
-          Buffer whole = frame('q', part.id() + " good 1 -\n" + value(part));
-          socket.write(whole.getBuffer(0, whole.length() - 3)).onComplete(v -> socket.close());
-          return;
-        }
-        Row row = row(part, how);
-        Buffer frame =
-            frame(
-                'q',
-                Buffer.buffer(
-                        row.id() + " " + row.end() + " " + row.score() + " " + row.report() + "\n")
-                    .appendBytes(row.value()));
-        int copies = how == Do.NOTHING ? 0 : how == Do.TWICE ? 2 : 1;
-        work(part, false, () -> write(socket, frame, copies));
+      case HEALTH_CHECK -> {
+        healthChecks.add(name);
+        socket.write(frame(HEALTH_CHECK, "latency_ms=5,queue=0"));
+      }
+      case FIRST_PASS -> onFirstPass(socket, body);
+      default -> onQuery(socket, body);
+    }
+  }
+
+  private void onFirstPass(NetSocket socket, byte[] body) {
+    for (ReceivedPart part : parseParts(body)) {
+      firstPasses.add(part);
+      FirstAnswer first = firstAnswer.apply(part);
+      if (first != null) {
+        String header =
+            part.id() + " good 1 " + loadReport() + " " + first.records() + " " + first.version();
+        Buffer frame = frame(FIRST_PASS_ANSWER, header + "\n" + first.emptyValue());
+        work(part, true, () -> socket.write(frame));
+      }
+    }
+  }
+
+  private void onQuery(NetSocket socket, byte[] body) {
+    for (ReceivedPart part : parseParts(body)) {
+      Behavior behavior = receive(part);
+      if (behavior == Behavior.CUT) {
+        Buffer complete = frame(ANSWER, part.id() + " good 1 -\n" + value(part));
+        socket.write(complete.getBuffer(0, complete.length() - 3)).onComplete(v -> socket.close());
+        return;
       }
+      Row row = answerRow(part, behavior);
+      String header = row.id() + " " + row.end() + " " + row.score() + " " + row.report() + "\n";
+      Buffer frame = frame(ANSWER, Buffer.buffer(header).appendBytes(row.value()));
+      int copies = copies(behavior);
+      work(part, false, () -> write(socket, frame, copies));
     }
   }
 
-  /** Does a part's work, and then what is to be done with its answer. */
-  protected void work(Seen part, boolean onlyFirst, Runnable done) {
-    int ms = onlyFirst ? Math.max(1, firstAfterMs) : answerAfterMs;
+  /** Simulates the work of a part; {@code done} sends its answer. */
+  protected void work(ReceivedPart part, boolean onlyFirst, Runnable done) {
+    int ms = onlyFirst ? Math.max(1, firstAnswerDelayMs) : answerDelayMs;
     if (ms > 0) {
       vertx.setTimer(ms, t -> done.run());
     } else {
@@ -113,13 +119,13 @@
     }
   }
 
-  /** Nobody waits for that part any more. */
-  protected void dropped(String partId) {
-    // what is under way here is answered all the same
+  /** Handles the cancellation of a part. */
+  protected void onCancelled(String partId) {
+    // this fake answers cancelled parts too
   }
 
-  /** Its load, as it stands. */
-  protected String report() {
+  /** The current load report. */
+  protected String loadReport() {
     return "latency_ms=1,queue=0";
   }
 
@@ -129,14 +135,15 @@
     }
   }
 
-  public static Buffer frame(char letter, String rest) {
-    return frame(letter, Buffer.buffer(rest));
+  /** Encodes a frame: length (4 bytes, little endian), type and text. */
+  public static Buffer frame(char type, String rest) {
+    return frame(type, Buffer.buffer(rest));
   }
 
-  private static Buffer frame(char letter, Buffer bytes) {
+  private static Buffer frame(char type, Buffer bytes) {
     return Buffer.buffer()
         .appendUnsignedIntLE(1 + bytes.length())
-        .appendByte((byte) letter)
+        .appendByte((byte) type)
         .appendBuffer(bytes);
   }
 
@@ -152,7 +159,7 @@
 
   @Override
   public void close() throws Exception {
-    // over before the loop is: a connection that is accepted after that has none to go to
+    // wait for the end: a connection accepted after the event loop ended would be lost
     server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     sockets.forEach(NetSocket::close);
   }
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/fakes/QueueingStore.java
@@ -0,0 +1,87 @@
+package dunlinhitch.experiments.fakes;
+
+import io.vertx.core.Vertx;
+import java.util.ArrayDeque;
+import java.util.Deque;
+
+/**
+ * A fake store with several cores and one FIFO queue (M/D/c): each part occupies a core for its
+ * service time. A cancelled part leaves the queue; one in service is finished.
+ */
+public class QueueingStore extends FrameStore {
+  private record Job(String id, long us, Runnable done) {}
+
+  private final Vertx vertx;
+  private final int cores;
+  private final long workUs;
+  private final double firstPassShare;
+  private final Deque<Job> queue = new ArrayDeque<>();
+  private int busyCores;
+  private volatile long workedUs;
+
+  /**
+   * Accumulated timer delay; subtracted from the next service time so that the mean service rate is
+   * exact.
+   */
+  private double timerLagUs;
+
+  /**
+   * Listens on a free loopback port.
+   *
+   * @param workUs service time of a part in microseconds
+   * @param firstPassShare service time of a first pass, as a share of {@code workUs}
+   */
+  public QueueingStore(Vertx vertx, String name, int cores, long workUs, double firstPassShare)
+      throws Exception {
+    super(vertx, name);
+    this.vertx = vertx;
+    this.cores = cores;
+    this.workUs = workUs;
+    this.firstPassShare = firstPassShare;
+  }
+
+  /** Service time of all started parts so far, over all cores, in microseconds. */
+  public long workedUs() {
+    return workedUs;
+  }
+
+  @Override
+  protected void work(ReceivedPart part, boolean onlyFirst, Runnable done) {
+    queue.add(new Job(part.id(), onlyFirst ? (long) (firstPassShare * workUs) : workUs, done));
+    startJobs();
+  }
+
+  @Override
+  protected void onCancelled(String partId) {
+    queue.removeIf(job -> job.id().equals(partId));
+  }
+
+  @Override
+  protected String loadReport() {
+    return "latency_ms=" + workUs / 1000 + ",queue=" + queue.size();
+  }
+
+  @SuppressWarnings("NonAtomicVolatileUpdate") // written by the event loop alone, read by others
+  private void startJobs() {
+    while (busyCores < cores && !queue.isEmpty()) {
+      Job job = queue.poll();
+      busyCores++;
+      long startNanos = System.nanoTime();
+      workedUs += job.us();
+      long ms = Math.max(0, Math.round((job.us() - timerLagUs) / 1000));
+      Runnable finish =
+          () -> {
+            timerLagUs += (System.nanoTime() - startNanos) / 1e3 - job.us();
+            timerLagUs = Math.max((double) -workUs, Math.min((double) (4 * workUs), timerLagUs));
+            busyCores--;
+            job.done().run();
+            startJobs();
+          };
+      if (ms == 0) {
+        vertx.runOnContext(v -> finish.run());
+      } else {
+        vertx.setTimer(ms, t -> finish.run());
+      }
+    }
+  }
+}
--- a/src/main/java/dunlinhitch/experiments/fakes/Stage.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Stage.java
@@ -23,7 +23,11 @@
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 
-/** A broker among stand-ins on loopback: two cells, each shard on both; both fronts on. */
+/**
+ * A broker with fakes on loopback: two cells, each shard on both, both frontends enabled. Broker
+ * and fakes share one event loop, so a broker that blocked it would get no answer. Fields that
+ * configure the broker are read by {@link #start}.
+ */
 public final class Stage {
   public final Vertx vertx;
   public final Discovery discovery;
@@ -32,34 +36,36 @@
   public int httpPort;
   public volatile int adminPort;
 
-  /** Descriptors that the broker may hold. */
-  public int sockets = Config.DEFAULT_SOCKETS;
+  /** Maximum number of sockets of the broker. */
+  public int maxSockets = Config.DEFAULT_SOCKETS;
 
-  /**
-   * Where the last known state is kept, what is announced, and the times of the membership, or
-   * null.
-   */
-  public Path stateDir;
+  /** Directory of the last known state, or null. */
+  public Path stateDirectory;
 
+  /** What the broker registers in DNS, or null. */
   public Product.Announcement announcement;
-  public Product.MembershipTimes times;
-  public List<Product.TwoPhaseClass> phases = List.of();
 
-  /** What the broker logged. */
-  public final List<String> log = new java.util.concurrent.CopyOnWriteArrayList<>();
+  /** Times of endpoint handling, or null for the defaults. */
+  public Product.MembershipTimes membershipTimes;
+
+  /** Classes that are queried in two passes. */
+  public List<Product.TwoPhaseClass> twoPhaseClasses = List.of();
 
-  /** Told of each line as it is logged, on the broker's loop. */
-  public java.util.function.Consumer<String> onLog = line -> {};
+  /** Lines that the broker logged. */
+  public final List<String> logLines = new java.util.concurrent.CopyOnWriteArrayList<>();
 
-  /** The folder that processes of the broker share. */
-  public Path scratch;
+  /** Receives each logged line on the broker's event loop. */
+  public java.util.function.Consumer<String> logListener = line -> {};
 
-  /** The peers share the broker's loop: a broker that blocked it would get no answer at all. */
+  /** Directory shared by the processes of a broker, or null. */
+  public Path scratchDirectory;
+
+  /** Creates the fakes; the broker will open its own listening socket. */
   public Stage() throws Exception {
     this(new ClientListener(null));
   }
 
-  /** The broker accepts from that socket. */
+  /** Creates the fakes; the broker will accept from that socket. */
   public Stage(ClientListener listener) throws Exception {
     this.listener = listener;
     vertx =
@@ -71,10 +77,11 @@
   }
 
   /**
-   * As the deployment's, with shorter times: aim 0.7 s, deadlines 1.1 s; {@code held} bounds what
-   * is open.
+   * Settings like a deployment's, with shorter times: latency objective 0.7 s, deadlines 1.1 s.
+   *
+   * @param maxOpen limit of open queries
    */
-  public static Settings settings(int held) {
+  public static Settings settings(int maxOpen) {
     return new Settings(
         1,
         List.of("a", "b"),
@@ -112,7 +119,7 @@
         List.of(),
         0.1,
         new ShardLayout(2, 2, 24, 8, 46_000),
-        new Limits(4, held, true, true, false, true, 500_000, 250_000, 32, 15_000_000),
+        new Limits(4, maxOpen, true, true, false, true, 500_000, 250_000, 32, 15_000_000),
         new Rules(20_000, 10_000_000, -1, 0, 0, 0.15, 17_000_000, 3, 1_500_000, 250_000),
         new Prices(0, 0.012, 0.11, 0.03),
         false,
@@ -123,35 +130,35 @@
   }
 
   /**
-   * The same with a class {@code report} of two steps, the second of two parts, whose answer wants
-   * all of both; and with two tenants.
+   * The settings of {@link #settings} with two tenants and a two-step class {@code report}, whose
+   * answer needs all parts of both steps.
    */
-  public static Settings twoSteps(int held) {
-    Settings one = settings(held);
-    List<QueryClass> classes = new java.util.ArrayList<>(one.classes());
+  public static Settings twoSteps(int maxOpen) {
+    Settings base = settings(maxOpen);
+    List<QueryClass> classes = new java.util.ArrayList<>(base.classes());
     classes.add(
         new QueryClass(
             "report", 700_000, 0, 1_100_000, Idempotency.FREE, 0.1, 0, 3, false, 2, 1, 1, 0.9));
     return new Settings(
-        one.brokers(),
-        one.zones(),
-        one.zone(),
-        one.tickUs(),
+        base.brokers(),
+        base.zones(),
+        base.zone(),
+        base.tickUs(),
         classes,
         List.of(new Tenant("north", 10, 0.6), new Tenant("south", 5, 0.4)),
-        one.overQuotaWeight(),
-        one.layout(),
-        one.limits(),
-        one.rules(),
-        one.prices(),
-        one.mustPollServerList(),
-        one.reportsInAnswers(),
-        one.reportsInHealthChecks(),
-        one.reportFields(),
-        one.clientsMarkRetries());
+        base.overQuotaWeight(),
+        base.layout(),
+        base.limits(),
+        base.rules(),
+        base.prices(),
+        base.mustPollServerList(),
+        base.reportsInAnswers(),
+        base.reportsInHealthChecks(),
+        base.reportFields(),
+        base.clientsMarkRetries());
   }
 
-  /** Starts the broker on ports of its own and waits until it is ready. */
+  /** Starts the broker on free ports and waits until it is ready. */
   public void start(Settings settings, Product.DnsService dns) throws Exception {
     Address any = new Address("127.0.0.1", 0);
     Config config =
@@ -162,10 +169,10 @@
             new Address("127.0.0.1", discovery.port()),
             7,
             Json.object(),
-            sockets,
+            maxSockets,
             settings,
             product(any, dns),
-            scratch,
+            scratchDirectory,
             0);
     Context context = vertx.getOrCreateContext();
     CompletableFuture<Integer> port = new CompletableFuture<>();
@@ -178,8 +185,8 @@
                     context,
                     config,
                     line -> {
-                      log.add(line);
-                      onLog.accept(line);
+                      logLines.add(line);
+                      logListener.accept(line);
                     },
                     listener);
             broker
@@ -201,23 +208,23 @@
         dns == null,
         dns == null ? List.of() : List.of(dns),
         announcement,
-        stateDir,
-        times,
-        phases,
+        stateDirectory,
+        membershipTimes,
+        twoPhaseClasses,
         null);
   }
 
-  /** Both stores hold every shard; their zone is the broker's, so that neither costs more. */
-  public void list(Store... stores) {
+  /** Lists the stores alternately in both cells, all in the broker's zone, at equal cost. */
+  public void publishStores(Store... stores) {
     String[] entries = new String[stores.length];
     for (int i = 0; i < stores.length; i++) {
       entries[i] = Discovery.entry(stores[i], "a", i % 2, "ready");
     }
-    discovery.list(entries);
+    discovery.setList(entries);
   }
 
-  /** A value of the broker's counters. */
-  public long count(String name) {
+  /** The value of a broker's counter; fails if there is none of that name. */
+  public long counter(String name) {
     return broker
         .counters()
         .lines()
@@ -227,16 +234,14 @@
         .orElseThrow();
   }
 
+  /** Starts a graceful shutdown; completes with its end. */
   public CompletableFuture<Void> stop() {
     CompletableFuture<Void> ended = new CompletableFuture<>();
     vertx.runOnContext(v -> broker.stop().onComplete(done -> ended.complete(null)));
     return ended;
   }
 
-  /**
-   * The broker ends as it would without clients, so that no channel of its own is left; then the
-   * loop.
-   */
+  /** Closes the broker, so that none of its channels stays open, and then the event loop. */
   public void close() throws Exception {
     if (broker != null) {
       CompletableFuture<Void> ended = new CompletableFuture<>();
--- a/src/main/java/dunlinhitch/experiments/fakes/Store.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Store.java
@@ -8,17 +8,21 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.function.Function;
 
-/** A store that does as its script says, on whichever wire. */
+/**
+ * A scripted fake store, independent of the protocol; subclasses add the protocol. Tests read the
+ * queues and set the script from their own threads while the store serves on its own.
+ */
 public abstract class Store {
-  /** A part as it came. */
-  public record Seen(String id, int shard, String list, String text) {}
+  /** A part of a query as the store received it. */
+  public record ReceivedPart(String id, int shard, String list, String text) {}
 
   /**
-   * What to do with a part: {@code CUT} breaks the answer off in the middle of the part's row.
-   * Spoilt: a value that is no UTF-8, the id of no part, an end that there is none of. Good with
-   * more than belongs to it: a report that can not be read, a second copy.
+   * How the store answers a part. {@code CUT} ends the connection in the middle of the part's row.
+   * Malformed: {@code NO_TEXT}, a value that is no UTF-8; {@code NO_PART}, the id of no part;
+   * {@code NO_END}, an unknown status. Valid with an irregularity: {@code NO_REPORT}, a malformed
+   * load report; {@code TWICE}, a duplicate.
    */
-  public enum Do {
+  public enum Behavior {
     GOOD,
     BAD,
     LATER,
@@ -31,69 +35,88 @@
     TWICE
   }
 
-  /** An answer as it is to be written. */
+  /** The fields of an answer as they are written. */
   @SuppressWarnings("ArrayRecordComponent") // written once and never compared
   protected record Row(String id, String end, String score, String report, byte[] value) {}
 
-  protected Row row(Seen part, Do how) {
-    boolean fails = how == Do.BAD || how == Do.LATER;
+  /** The answer to a part under a behavior. */
+  protected Row answerRow(ReceivedPart part, Behavior behavior) {
+    boolean fails = behavior == Behavior.BAD || behavior == Behavior.LATER;
     byte[] value = (fails ? "" : value(part)).getBytes(StandardCharsets.UTF_8);
-    if (how == Do.NO_TEXT) {
+    if (behavior == Behavior.NO_TEXT) {
       value[value.length - 1] = (byte) 0xc3;
     }
     return new Row(
-        how == Do.NO_PART ? "x" + part.id() : part.id(),
-        fails ? how.name().toLowerCase(Locale.ROOT) : how == Do.NO_END ? "fine" : "good",
+        behavior == Behavior.NO_PART ? "x" + part.id() : part.id(),
+        fails
+            ? behavior.name().toLowerCase(Locale.ROOT)
+            : behavior == Behavior.NO_END ? "fine" : "good",
         score.apply(part),
-        how == Do.NO_REPORT ? "latency_ms==;\u0007 queue" : "latency_ms=5,queue=0",
+        behavior == Behavior.NO_REPORT ? "latency_ms==;\u0007 queue" : "latency_ms=5,queue=0",
         value);
   }
 
-  /** A first answer; null: none comes. */
-  public record First(long records, String version, String emptyValue) {}
+  /** The answer to a first pass. */
+  public record FirstAnswer(long records, String version, String emptyValue) {}
 
-  /** What the store says first of a part; null: it knows a single phase. */
-  public volatile Function<Seen, First> first;
+  /**
+   * The first-pass answer to a part; a null result sends none. Null if the store supports a single
+   * pass only.
+   */
+  public volatile Function<ReceivedPart, FirstAnswer> firstAnswer;
 
-  /** How long a first answer takes. */
-  public volatile int firstAfterMs;
+  /** Milliseconds until a first-pass answer. */
+  public volatile int firstAnswerDelayMs;
 
-  /** First passes as they came. */
-  public final BlockingQueue<Seen> firstSeen = new LinkedBlockingQueue<>();
+  /** First passes in order of arrival. */
+  public final BlockingQueue<ReceivedPart> firstPasses = new LinkedBlockingQueue<>();
 
+  /** Instance name, also in each value. */
   public final String name;
-  public final BlockingQueue<Seen> seen = new LinkedBlockingQueue<>();
-  public final BlockingQueue<String> givenUp = new LinkedBlockingQueue<>();
-  public final BlockingQueue<String> probes = new LinkedBlockingQueue<>();
 
-  /** Checks that came; a mute store answers none. */
-  public final BlockingQueue<String> checks = new LinkedBlockingQueue<>();
+  /** Parts in order of arrival. */
+  public final BlockingQueue<ReceivedPart> receivedParts = new LinkedBlockingQueue<>();
+
+  /** Ids of cancelled parts in order of arrival. */
+  public final BlockingQueue<String> cancelledParts = new LinkedBlockingQueue<>();
+
+  /** One entry for each health check. */
+  public final BlockingQueue<String> healthChecks = new LinkedBlockingQueue<>();
+
+  /** One entry for each liveness check of a connection. */
+  public final BlockingQueue<String> livenessChecks = new LinkedBlockingQueue<>();
 
-  public volatile boolean mute;
+  /** True: liveness checks get no answer. */
+  public volatile boolean unresponsive;
 
-  /** How long a part takes. */
-  public volatile int answerAfterMs;
+  /** Milliseconds until a part is answered. */
+  public volatile int answerDelayMs;
 
-  /** When the last part came, by System.nanoTime; 0: none did. */
-  public volatile long lastSeenNanos;
+  /** Arrival of the last part, by System.nanoTime; 0 before the first. */
+  public volatile long lastReceivedNanos;
 
-  public volatile Function<Seen, Do> script = part -> Do.GOOD;
+  /** The behavior for each part. */
+  public volatile Function<ReceivedPart, Behavior> script = part -> Behavior.GOOD;
 
-  /** What a part is ranked by: one word. */
-  public volatile Function<Seen, String> score = part -> "1";
+  /** The score in the answer to a part; has no blanks. */
+  public volatile Function<ReceivedPart, String> score = part -> "1";
 
+  /** Has no script: all parts get a good answer at once. */
   protected Store(String name) {
     this.name = name;
   }
 
+  /** The loopback port that it listens on. */
   public abstract int port();
 
+  /** The name of its protocol in endpoint lists. */
   public abstract String protocol();
 
+  /** Stops listening and waits for that. */
   public abstract void close() throws Exception;
 
-  /** Of a second step's part another than of the first's. */
-  public String value(Seen part) {
+  /** The value that answers a part; it differs between the steps of a two-step query. */
+  public String value(ReceivedPart part) {
     return name
         + "/"
         + part.shard()
@@ -102,28 +125,40 @@
         + (part.id().endsWith(".r") ? "/again" : "");
   }
 
-  protected Do take(Seen part) {
-    lastSeenNanos = System.nanoTime();
-    seen.add(part);
+  /** Records a part and looks up its behavior. */
+  protected Behavior receive(ReceivedPart part) {
+    lastReceivedNanos = System.nanoTime();
+    receivedParts.add(part);
     return script.apply(part);
   }
 
-  /** The parts of a call: lines {@code ID SHARD LIST LENGTH}, each with so many bytes behind it. */
-  protected static List<Seen> parts(byte[] call) {
-    List<Seen> parts = new ArrayList<>();
+  /** How often the answer to a part is written. */
+  static int copies(Behavior behavior) {
+    return switch (behavior) {
+      case NOTHING -> 0;
+      case TWICE -> 2;
+      default -> 1;
+    };
+  }
+
+  /**
+   * Parses a request: lines {@code ID SHARD LIST LENGTH}, each followed by LENGTH bytes of text.
+   */
+  protected static List<ReceivedPart> parseParts(byte[] call) {
+    List<ReceivedPart> parts = new ArrayList<>();
     int at = 0;
     while (at < call.length) {
       int line = at;
       while (call[line] != '\n') {
         line++;
       }
-      String[] words = new String(call, at, line - at, StandardCharsets.UTF_8).split(" ", 0);
-      int length = Integer.parseInt(words[3]);
+      String[] fields = new String(call, at, line - at, StandardCharsets.UTF_8).split(" ", 0);
+      int length = Integer.parseInt(fields[3]);
       parts.add(
-          new Seen(
-              words[0],
-              Integer.parseInt(words[1]),
-              words[2],
+          new ReceivedPart(
+              fields[0],
+              Integer.parseInt(fields[1]),
+              fields[2],
               new String(call, line + 1, length, StandardCharsets.UTF_8)));
       at = line + 1 + length;
     }
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -3,10 +3,10 @@
 import com.eclipsesource.json.Json;
 import dunlinhitch.config.Product;
 import dunlinhitch.experiments.fakes.Client;
+import dunlinhitch.experiments.fakes.QueueingStore;
 import dunlinhitch.experiments.fakes.Stage;
-import dunlinhitch.experiments.fakes.Store.First;
-import dunlinhitch.experiments.fakes.Store.Seen;
-import dunlinhitch.experiments.fakes.WorkingStore;
+import dunlinhitch.experiments.fakes.Store.FirstAnswer;
+import dunlinhitch.experiments.fakes.Store.ReceivedPart;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import java.io.PrintStream;
@@ -103,28 +103,28 @@
       throws Exception {
     Vertx peers = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Stage stage = new Stage();
-    stage.phases =
+    stage.twoPhaseClasses =
         twoPhases
             ? List.of(
                 new Product.TwoPhaseClass("free-search", 0.3, 3, 0.02, 0.02, 0.05, 60_000_000))
             : List.of();
-    List<WorkingStore> stores = new ArrayList<>();
+    List<QueueingStore> stores = new ArrayList<>();
     for (int i = 0; i < STORES; i++) {
-      WorkingStore store =
-          new WorkingStore(peers, "s-" + i, CORES, WORK_US, price) {
+      QueueingStore store =
+          new QueueingStore(peers, "s-" + i, CORES, WORK_US, price) {
             @Override
-            public String value(Seen part) {
+            public String value(ReceivedPart part) {
               return isEmpty(part.text(), part.shard(), empty) ? NONE : "{\"free\":3}";
             }
           };
-      store.first =
+      store.firstAnswer =
           part ->
               isEmpty(part.text(), part.shard(), empty)
-                  ? new First(0, "v1", NONE)
-                  : new First(3, "v1", "");
+                  ? new FirstAnswer(0, "v1", NONE)
+                  : new FirstAnswer(3, "v1", "");
       stores.add(store);
     }
-    stage.list(stores.toArray(WorkingStore[]::new));
+    stage.publishStores(stores.toArray(QueueingStore[]::new));
     stage.start(Stage.settings(2_000), null);
     Client client = Client.http(stage.httpPort);
     double perSecond = load * STORES * CORES * 1e6 / WORK_US / PARTS;
@@ -144,7 +144,7 @@
       LockSupport.parkNanos(due - System.nanoTime());
       boolean counts = due - begin >= warmNanos;
       if (counts && counted++ == 0) {
-        workedBefore = stores.stream().mapToLong(WorkingStore::workedUs).sum();
+        workedBefore = stores.stream().mapToLong(QueueingStore::workedUs).sum();
       }
       int firstShard = random.nextInt(24);
       StringBuilder ranges = new StringBuilder();
@@ -163,13 +163,16 @@
       open.incrementAndGet();
       var unused =
           client
-              .ask("free-search", Map.of("X-Trace-Id", "m" + i, "X-Expires-In", "1.100"), body)
+              .send("free-search", Map.of("X-Trace-Id", "m" + i, "X-Expires-In", "1.100"), body)
               .whenComplete(
                   (got, e) -> {
                     long us = (System.nanoTime() - from) / 1000;
-                    if (got != null && (got.end().equals("whole") || got.end().equals("partial"))) {
+                    if (got != null
+                        && (got.outcome().equals("whole") || got.outcome().equals("partial"))) {
                       double share =
-                          got.end().equals("whole") ? 1 : SHORT_WORTH * got.parts().size() / PARTS;
+                          got.outcome().equals("whole")
+                              ? 1
+                              : SHORT_WORTH * got.parts().size() / PARTS;
                       if (counts) {
                         worth.add(us <= AIM_US ? share : LATE_WORTH * share);
                         took.recordValue(Math.min(us, 9_000_000));
@@ -189,11 +192,11 @@
     while (open.get() > 0 && System.nanoTime() < until) {
       Thread.sleep(5);
     }
-    long worked = stores.stream().mapToLong(WorkingStore::workedUs).sum() - workedBefore;
-    long two = stage.count("queries_in_two_phases");
-    long one = stage.count("queries_in_one_phase");
+    long worked = stores.stream().mapToLong(QueueingStore::workedUs).sum() - workedBefore;
+    long two = stage.counter("queries_in_two_phases");
+    long one = stage.counter("queries_in_one_phase");
     client.close();
-    for (WorkingStore store : stores) {
+    for (QueueingStore store : stores) {
       store.close();
     }
     stage.close();
--- a/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
@@ -6,7 +6,7 @@
 import dunlinhitch.core.MicroClock;
 import dunlinhitch.discovery.EndpointListReader;
 import dunlinhitch.endpoints.Endpoint;
-import dunlinhitch.experiments.dns.OldLookUp;
+import dunlinhitch.experiments.dns.BaselineResolver;
 import dunlinhitch.experiments.dns.Responder;
 import dunlinhitch.experiments.dns.Zone;
 import dunlinhitch.experiments.fakes.Client;
@@ -124,17 +124,18 @@
     Zone zone = new Zone("rooms.example.org.");
     Responder responder = new Responder(dns, zone);
     Stage stage = new Stage();
-    stage.times = new Product.MembershipTimes(10_000_000, 3_600_000_000L, 0, 0, 1_000_000);
+    stage.membershipTimes =
+        new Product.MembershipTimes(10_000_000, 3_600_000_000L, 0, 0, 1_000_000);
     Vertx peers = Vertx.vertx();
     List<Store> stores = new ArrayList<>();
     for (int i = 0; i < STORES; i++) {
       Store store = flight ? new FlightStore("s-" + i) : new FrameStore(peers, "s-" + i);
-      store.answerAfterMs = WORK_MS;
+      store.answerDelayMs = WORK_MS;
       stores.add(store);
       zone.change(List.of(), records(store, i % 2, 120));
     }
     Map<String, Long> seenNanos = new ConcurrentHashMap<>();
-    stage.onLog =
+    stage.logListener =
         line -> {
           if (line.contains(" is withdrawn")) {
             seenNanos.put(line.split(" ", 0)[1], System.nanoTime());
@@ -185,13 +186,14 @@
       for (Store store : out2) {
         long at = seenNanos.get(store.name);
         seen.recordValue((at - from) / 1000);
-        last.recordValue(Math.max(0, (store.lastSeenNanos - at) / 1000));
+        last.recordValue(Math.max(0, (store.lastReceivedNanos - at) / 1000));
         zone.add(Zone.pointer(SERVICE, store.name, 120));
         done++;
       }
       long backFrom = System.nanoTime();
       for (Store store : out2) { // back in use before the next
-        while (store.lastSeenNanos < backFrom && System.nanoTime() - backFrom < 1_000_000_000L) {
+        while (store.lastReceivedNanos < backFrom
+            && System.nanoTime() - backFrom < 1_000_000_000L) {
           Thread.sleep(1);
         }
       }
@@ -200,7 +202,7 @@
     load.join();
     row(out, way, seen, last);
     stage.close();
-    long least = stores.stream().mapToLong(store -> store.seen.size()).min().orElse(0);
+    long least = stores.stream().mapToLong(store -> store.receivedParts.size()).min().orElse(0);
     for (Store store : stores) {
       store.close();
     }
@@ -226,11 +228,12 @@
                 int first = random.nextInt(20);
                 var unused =
                     client
-                        .ask(
+                        .send(
                             "free-search",
                             Map.of("X-Trace-Id", "l" + i, "X-Expires-In", "1.000"),
                             Client.body(first, first + 1, first + 2, first + 3))
-                        .thenAccept(got -> answered.addAndGet(got.end().equals("whole") ? 1 : 0));
+                        .thenAccept(
+                            got -> answered.addAndGet(got.outcome().equals("whole") ? 1 : 0));
                 due += gap;
                 java.util.concurrent.locks.LockSupport.parkNanos(due - System.nanoTime());
               }
@@ -262,7 +265,7 @@
     Context context = vertx.getOrCreateContext();
     context.runOnContext(
         v ->
-            new OldLookUp(
+            new BaselineResolver(
                     vertx,
                     context,
                     "127.0.0.1",
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
@@ -0,0 +1,127 @@
+package dunlinhitch.experiments.testbed;
+
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Locale;
+import java.util.concurrent.TimeUnit;
+import java.util.function.BiPredicate;
+import java.util.function.Consumer;
+
+/** Injects the faults of a schedule into a test bed in real time, on the caller's thread. */
+final class FaultInjector {
+  private interface Action {
+    void run() throws Exception;
+  }
+
+  private record Step(long atMs, String text, Action action) {}
+
+  private final Rig rig;
+  private final Consumer<String> log;
+
+  /** Injects into {@code rig}; {@code log} gets one line for each step as it is taken. */
+  FaultInjector(Rig rig, Consumer<String> log) {
+    this.rig = rig;
+    this.log = log;
+  }
+
+  /** Runs all steps at their times from now on; returns after the last one. */
+  void run(List<ScheduledFault> faults) throws Exception {
+    List<Step> steps = new ArrayList<>();
+    for (ScheduledFault fault : faults) {
+      if (fault.kind().isLasting()) {
+        addLastingFault(steps, fault);
+      } else {
+        Rig.Node node = findBroker(fault.targets().get(0));
+        steps.add(new Step(fault.fromMs(), fault.text(), () -> apply(fault.kind(), node)));
+      }
+    }
+    steps.sort(Comparator.comparingLong(Step::atMs));
+    long startNanos = System.nanoTime();
+    for (Step step : steps) {
+      long waitMs = step.atMs() - (System.nanoTime() - startNanos) / 1_000_000;
+      TimeUnit.MILLISECONDS.sleep(Math.max(0, waitMs));
+      double elapsedS = (System.nanoTime() - startNanos) / 1e9;
+      log.accept(String.format(Locale.ROOT, "%6.2f s  %s", elapsedS, step.text()));
+      step.action().run();
+    }
+  }
+
+  private void addLastingFault(List<Step> steps, ScheduledFault fault) {
+    Links.Rule[] rule = {null};
+    steps.add(
+        new Step(
+            fault.fromMs(),
+            fault.text(),
+            () ->
+                rule[0] =
+                    rig.links.add(
+                        directionsOf(fault), harmOf(fault), fault.delayMs(), fault.share())));
+    steps.add(
+        new Step(
+            fault.toMs(),
+            "over: " + fault.text(),
+            () -> {
+              rig.links.remove(rule[0]);
+              resetStalledConnections(fault);
+            }));
+  }
+
+  /** Resets the connections that stalled during the fault, as a network does that is back. */
+  private void resetStalledConnections(ScheduledFault fault) throws Exception {
+    for (Rig.Node node : rig.nodes()) {
+      if (fault.targets().contains(node.name) || fault.kind() == FaultKind.CUT) {
+        rig.resetSilent(node);
+      }
+    }
+  }
+
+  private Rig.Node findBroker(String name) {
+    return rig.nodes().stream().filter(node -> node.name.equals(name)).findFirst().orElseThrow();
+  }
+
+  private void apply(FaultKind kind, Rig.Node node) throws Exception {
+    switch (kind) {
+      case RESET -> rig.reset(node);
+      case KILL -> {
+        if (node.isUp()) {
+          node.kill();
+        }
+      }
+      case END -> {
+        if (node.isUp()) {
+          node.terminate();
+        }
+      }
+      case START -> {
+        if (!node.isUp()) {
+          node.start();
+        }
+      }
+      default -> throw new IllegalArgumentException("not an instant fault: " + kind);
+    }
+  }
+
+  private static Links.Harm harmOf(ScheduledFault fault) {
+    return switch (fault.kind()) {
+      case LATE -> Links.Harm.LATE;
+      case SLOW -> Links.Harm.SLOW;
+      default -> Links.Harm.LOST;
+    };
+  }
+
+  /** Accepts the names of sender and receiver that the fault applies to. */
+  private static BiPredicate<String, String> directionsOf(ScheduledFault fault) {
+    List<String> targets = fault.targets();
+    return switch (fault.kind()) {
+      case CUT -> (from, to) -> targets.contains(from) != targets.contains(to);
+      case ALONE ->
+          (from, to) ->
+              from.startsWith("n")
+                  && to.startsWith("n")
+                  && targets.contains(from) != targets.contains(to);
+      case MUTE -> (from, to) -> from.equals(targets.get(0)) && to.equals(targets.get(1));
+      default -> (from, to) -> targets.contains(from) && targets.contains(to);
+    };
+  }
+}
--- a/src/main/java/dunlinhitch/experiments/testbed/FleetWorld.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FleetWorld.java
@@ -14,126 +14,133 @@
 import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.TreeSet;
 
 /**
- * Many brokers' fleet modules on virtual time: the real module, a model of the network between
- * them. A word takes 0.2 to 2 ms, is lost with {@code loss}, and crosses no cut. Brokers' clocks of
- * the day differ by up to 20 ms. One seed, one course of events.
+ * A discrete-event model of a cluster: the real {@link ClusterCoordinator} of each broker, virtual
+ * time and a simulated network. A message takes 0.2 to 2 ms, is lost with probability {@code loss}
+ * and crosses no partition. Wall clocks differ by up to 20 ms. A seed determines the whole run.
+ *
+ * <p>Not thread-safe.
  */
 public final class FleetWorld {
-  private static final long LEAST_DELAY_US = 200;
-  private static final long MOST_DELAY_US = 2_000;
-  private static final long MOST_OFFSET_US = 20_000;
-  private static final int PORT = 7000;
+  private static final long MIN_DELAY_US = 200;
+  private static final long MAX_DELAY_US = 2_000;
+  private static final long MAX_CLOCK_OFFSET_US = 20_000;
+  private static final int BASE_PORT = 7000;
 
-  /** The day's clock at the beginning: any time will do. */
-  private static final long DAY_US = 1_796_000_000_000_000L;
+  /** Wall clock at the start of a run, in microseconds since 1970; an arbitrary time. */
+  private static final long WALL_CLOCK_START_US = 1_796_000_000_000_000L;
 
-  private record Step(long atUs, long order, Runnable what) {}
+  private record Step(long atUs, long order, Runnable task) {}
 
-  /** One broker. */
+  /** One broker of the model. */
   public final class Node implements ClusterCoordinator.Out {
     public final String name;
     private final int number;
-    private final long offsetUs;
+    private final long clockOffsetUs;
     private ClusterCoordinator fleet;
     private boolean up;
-    private long wakeUs = Long.MAX_VALUE;
-    private int group;
+    private long timerUs = Long.MAX_VALUE;
+    private int partition;
 
-    /** Probes that it made, by store. */
+    /** Stores that it health-checked, in order. */
     private final List<String> probed = new ArrayList<>();
 
-    /** Probes that it left to others and that came to a report, and to nothing. */
+    /** Health checks left to other brokers that ended with a report. */
     private int told;
 
-    private int untold;
+    /** Health checks left to other brokers that ended without a report. */
+    private int unreportedHealthChecks;
 
     private Node(int number) {
       this.number = number;
       name = "n" + number;
-      offsetUs = random.nextLong(-MOST_OFFSET_US, MOST_OFFSET_US);
+      clockOffsetUs = random.nextLong(-MAX_CLOCK_OFFSET_US, MAX_CLOCK_OFFSET_US);
     }
 
+    /** The coordinator of its current process; null before the first start. */
     public ClusterCoordinator fleet() {
       return fleet;
     }
 
+    /** True while the broker runs. */
     public boolean isUp() {
       return up;
     }
 
-    /** Probes that were left to others and came to a report. */
+    /** Health checks left to other brokers that ended with a report. */
     public int told() {
       return told;
     }
 
-    public int untold() {
-      return untold;
+    /** Health checks left to other brokers that ended without a report. */
+    public int unreportedHealthChecks() {
+      return unreportedHealthChecks;
     }
 
-    private long dayUs() {
-      return DAY_US + now + offsetUs;
+    private long wallClockUs() {
+      return WALL_CLOCK_START_US + now + clockOffsetUs;
     }
 
-    private void passed() {
+    private void onTimer() {
       if (up) {
-        fleet.onTime(now, dayUs());
-        wake();
+        fleet.onTime(now, wallClockUs());
+        scheduleTimer();
       }
     }
 
-    private void wake() {
-      long next = Math.max(now + 1, fleet.nextUs(now, dayUs()));
-      if (next < wakeUs) {
-        wakeUs = next;
-        ClusterCoordinator of = fleet;
+    private void scheduleTimer() {
+      long next = Math.max(now + 1, fleet.nextUs(now, wallClockUs()));
+      if (next < timerUs) {
+        timerUs = next;
+        ClusterCoordinator scheduledFor = fleet;
         at(
             next,
             () -> {
-              if (fleet == of && wakeUs == next) {
-                wakeUs = Long.MAX_VALUE;
-                passed();
+              if (fleet == scheduledFor && timerUs == next) {
+                timerUs = Long.MAX_VALUE;
+                onTimer();
               }
             });
       }
     }
 
-    private void heard(GossipMessage word) {
+    private void onMessage(GossipMessage message) {
       if (up) {
-        fleet.onMessage(now, dayUs(), word);
-        wake();
+        fleet.onMessage(now, wallClockUs(), message);
+        scheduleTimer();
       }
     }
 
-    /** The decisions want that store probed. */
+    /** Requests a health check, as the load balancer does. */
     public void wantProbe(String store) {
       if (up) {
-        if (fleet.mayHealthCheck(dayUs(), store)) {
+        if (fleet.mayHealthCheck(wallClockUs(), store)) {
           startHealthCheck(store);
         }
-        wake();
+        scheduleTimer();
       }
     }
 
-    /** An attempt at that store came to an end. */
+    /** Reports the end of an attempt at a store. */
     public void saw(String store, boolean answered) {
       if (up) {
-        fleet.onAttempt(dayUs(), store, answered, answered ? List.of(5f, 1f) : List.of());
-        wake();
+        fleet.onAttempt(wallClockUs(), store, answered, answered ? List.of(5f, 1f) : List.of());
+        scheduleTimer();
       }
     }
 
     @Override
-    public void send(String host, int port, GossipMessage word) {
-      Node to = nodes.get(port - PORT);
-      words++;
-      if (group == to.group && random.nextDouble() >= loss) {
+    public void send(String host, int port, GossipMessage message) {
+      Node to = nodes.get(port - BASE_PORT);
+      messageCount++;
+      if (partition == to.partition && random.nextDouble() >= loss) {
         at(
-            now + random.nextLong(LEAST_DELAY_US, MOST_DELAY_US),
+            now + random.nextLong(MIN_DELAY_US, MAX_DELAY_US),
             () -> {
-              if (group == to.group) {
-                to.heard(word);
+              if (partition == to.partition) {
+                to.onMessage(message);
               }
             });
       }
@@ -141,36 +148,36 @@
 
     @Override
     public void selectEndpoints(Set<String> stores) {
-      // asked of the module where it is wanted
+      // callers read the coordinator's selection instead
     }
 
     @Override
     public void startHealthCheck(String store) {
       probed.add(store);
       probes.add(new Probe(now, store, name));
-      boolean answers = answering;
+      boolean answers = healthChecksSucceed;
       at(
-          now + MOST_DELAY_US,
+          now + MAX_DELAY_US,
           () -> {
             if (up) {
               fleet.onHealthCheckCompleted(
-                  dayUs(), store, answers, answers ? List.of(5f, 1f) : List.of());
-              wake();
+                  wallClockUs(), store, answers, answers ? List.of(5f, 1f) : List.of());
+              scheduleTimer();
             }
           });
     }
 
     @Override
-    public void healthCheckEnded(String store, EndpointObservation seen) {
-      if (seen == null) {
-        untold++;
+    public void healthCheckEnded(String store, EndpointObservation observation) {
+      if (observation == null) {
+        unreportedHealthChecks++;
       } else {
         told++;
       }
     }
   }
 
-  /** A probe that a broker made. */
+  /** A health check that a broker made. */
   public record Probe(long atUs, String store, String by) {}
 
   private final SplittableRandom random;
@@ -181,12 +188,12 @@
   private final List<Probe> probes = new ArrayList<>();
   private final Map<String, ClusterCoordinator.ListedEndpoint> stores = new LinkedHashMap<>();
   private final double loss;
-  private boolean answering = true;
+  private boolean healthChecksSucceed = true;
   private long now;
   private long order;
-  private long words;
+  private long messageCount;
 
-  /** So many brokers, none of them started. */
+  /** Creates brokers without starting them. */
   public FleetWorld(long seed, int brokers, double loss, ClusterSettings settings) {
     random = new SplittableRandom(seed);
     this.settings = settings;
@@ -196,29 +203,32 @@
     }
   }
 
+  /** All brokers, whether they run or not. */
   public List<Node> nodes() {
     return nodes;
   }
 
+  /** All health checks so far, in order. */
   public List<Probe> probes() {
     return probes;
   }
 
+  /** Virtual time in microseconds. */
   public long nowUs() {
     return now;
   }
 
-  /** Words sent so far. */
+  /** Messages sent so far, lost ones included. */
   public long words() {
-    return words;
+    return messageCount;
   }
 
-  /** Whether stores answer probes. */
-  public void answering(boolean does) {
-    answering = does;
+  /** Sets whether stores answer health checks that start from now on. */
+  public void healthChecksSucceed(boolean succeed) {
+    healthChecksSucceed = succeed;
   }
 
-  /** So many cells of so many stores, known to all that start from now on. */
+  /** Adds cells with {@code each} stores, listed to all brokers that start from now on. */
   public void stores(int cells, int each) {
     for (int cell = 0; cell < cells; cell++) {
       for (int i = 0; i < each; i++) {
@@ -228,19 +238,20 @@
     }
   }
 
+  /** The names of all stores. */
   public Set<String> stores() {
     return stores.keySet();
   }
 
-  /** Starts a broker, or starts it again with nothing known. */
+  /** Starts a broker, or restarts it without its earlier state. */
   public void start(int number) {
     Node node = nodes.get(number);
     node.up = true;
-    node.wakeUs = Long.MAX_VALUE;
+    node.timerUs = Long.MAX_VALUE;
     List<MembershipProtocol.Seed> seeds =
         nodes.stream()
             .limit(8)
-            .map(n -> new MembershipProtocol.Seed("127.0.0.1", PORT + n.number))
+            .map(n -> new MembershipProtocol.Seed("127.0.0.1", BASE_PORT + n.number))
             .toList();
     node.fleet =
         new ClusterCoordinator(
@@ -248,8 +259,8 @@
                 node.name,
                 "",
                 "127.0.0.1",
-                PORT + number,
-                (DAY_US + now) / 1000,
+                BASE_PORT + number,
+                (WALL_CLOCK_START_US + now) / 1000,
                 Member.Status.ALIVE),
             seeds,
             settings,
@@ -257,50 +268,50 @@
             now,
             node);
     node.fleet.onEndpointsChanged(now, stores.values(), List.of());
-    node.wake();
+    node.scheduleTimer();
   }
 
-  /** Kills it: it says nothing any more. */
+  /** Crashes a broker. */
   public void kill(int number) {
     nodes.get(number).up = false;
   }
 
-  /** It ends as asked. */
+  /** Stops a broker gracefully. */
   public void leave(int number) {
     nodes.get(number).fleet.leave();
     nodes.get(number).up = false;
   }
 
-  /** From now on it hears only those of the same group. */
+  /** Moves a broker into a partition; messages between partitions are lost. */
   public void group(int number, int group) {
-    nodes.get(number).group = group;
+    nodes.get(number).partition = group;
   }
 
-  /** Something to do at that time. */
-  public void at(long atUs, Runnable what) {
-    steps.add(new Step(atUs, ++order, what));
+  /** Schedules a task at a virtual time. */
+  public void at(long atUs, Runnable task) {
+    steps.add(new Step(atUs, ++order, task));
   }
 
-  /** Plays on up to that time. */
+  /** Runs all tasks up to that virtual time. */
   public void playTo(long untilUs) {
     while (!steps.isEmpty() && steps.peek().atUs() <= untilUs) {
       Step step = steps.poll();
       now = Math.max(now, step.atUs());
-      step.what().run();
+      step.task().run();
     }
     now = untilUs;
   }
 
-  /** True where all that are up, of one group, hold exactly each other for those that take part. */
+  /** True if all running brokers of a partition see exactly each other as members. */
   public boolean agree(int group) {
-    Set<String> all = new java.util.TreeSet<>();
-    nodes.stream().filter(n -> n.up && n.group == group).forEach(n -> all.add(n.name));
+    Set<String> all = new TreeSet<>();
+    nodes.stream().filter(n -> n.up && n.partition == group).forEach(n -> all.add(n.name));
     return nodes.stream()
-        .filter(n -> n.up && n.group == group)
+        .filter(n -> n.up && n.partition == group)
         .allMatch(n -> n.fleet.members().equals(all));
   }
 
-  /** Brokers that keep to each store. */
+  /** The number of running brokers that have each store in their subset. */
   public Map<String, Integer> load() {
     Map<String, Integer> load = new LinkedHashMap<>();
     stores.keySet().forEach(store -> load.put(store, 0));
@@ -311,28 +322,28 @@
     return load;
   }
 
-  /** The most at one store over the mean. */
+  /** The maximum load of a store over the mean load. */
   public static double unevenness(Map<String, Integer> load) {
     double mean = load.values().stream().mapToInt(i -> i).average().orElse(0);
     return mean == 0 ? 1 : load.values().stream().mapToInt(i -> i).max().orElse(0) / mean;
   }
 
   /**
-   * Connections of the larger fleet that the smaller has not, by the share of one broker of the
-   * larger.
+   * Connections of the larger cluster that the smaller one lacks, as a multiple of the mean number
+   * of connections of one broker of the larger.
    */
   public static double moved(Map<String, Set<String>> larger, Map<String, Set<String>> smaller) {
     long lost = 0;
     long all = 0;
     for (Map.Entry<String, Set<String>> broker : larger.entrySet()) {
       all += broker.getValue().size();
-      Set<String> kept = smaller.getOrDefault(broker.getKey(), Set.of());
-      lost += broker.getValue().stream().filter(store -> !kept.contains(store)).count();
+      Set<String> retained = smaller.getOrDefault(broker.getKey(), Set.of());
+      lost += broker.getValue().stream().filter(store -> !retained.contains(store)).count();
     }
     return lost / ((double) all / larger.size());
   }
 
-  /** The most probes of one store within any second, from that time on. */
+  /** The maximum number of health checks of one store within any second from that time on. */
   public long mostProbesInASecond(long fromUs) {
     long most = 0;
     for (Probe first : probes) {
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/testbed/GossipProxy.java
@@ -0,0 +1,84 @@
+package dunlinhitch.experiments.testbed;
+
+import io.vertx.core.Vertx;
+import io.vertx.core.datagram.DatagramPacket;
+import io.vertx.core.datagram.DatagramSocket;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.concurrent.TimeUnit;
+
+/**
+ * Forwards gossip datagrams to one broker and applies the faults that {@link Links} holds. The
+ * sender of a datagram is recognised by its UDP source port.
+ *
+ * <p>The test bed owns it; datagrams are handled on the Vert.x event loop.
+ */
+public final class GossipProxy {
+  private final Vertx vertx;
+  private final Links links;
+  private final String receiver;
+  private final int receiverPort;
+  private final DatagramSocket socket;
+  private final Map<Integer, String> sendersByPort = new HashMap<>();
+  private long forwarded;
+  private long dropped;
+
+  /**
+   * Binds a free loopback port.
+   *
+   * @param receiver name of the broker that the datagrams are for
+   * @param receiverPort UDP port on which that broker listens
+   */
+  public GossipProxy(Vertx vertx, Links links, String receiver, int receiverPort) throws Exception {
+    this.vertx = vertx;
+    this.links = links;
+    this.receiver = receiver;
+    this.receiverPort = receiverPort;
+    socket = vertx.createDatagramSocket().handler(this::onPacket);
+    socket
+        .listen(0, "127.0.0.1")
+        .toCompletionStage()
+        .toCompletableFuture()
+        .get(5, TimeUnit.SECONDS);
+  }
+
+  /** The UDP port that peers send to. */
+  public int port() {
+    return socket.localAddress().port();
+  }
+
+  /** Registers the source port of a broker, so that rules by name apply to what it sends. */
+  public void registerSender(String name, int senderPort) {
+    vertx.runOnContext(v -> sendersByPort.put(senderPort, name));
+  }
+
+  /** Datagrams forwarded so far. */
+  public long forwarded() {
+    return forwarded;
+  }
+
+  /** Datagrams dropped so far because of a rule. */
+  public long dropped() {
+    return dropped;
+  }
+
+  private void onPacket(DatagramPacket packet) {
+    String from = sendersByPort.getOrDefault(packet.sender().port(), "?");
+    Links.Rule rule = links.of(from, receiver);
+    if (rule != null && rule.harm() == Links.Harm.LOST) {
+      dropped++;
+      return;
+    }
+    forwarded++;
+    if (rule != null && rule.ms() > 0) {
+      vertx.setTimer(rule.ms(), t -> socket.send(packet.data(), receiverPort, "127.0.0.1"));
+    } else {
+      socket.send(packet.data(), receiverPort, "127.0.0.1");
+    }
+  }
+
+  /** Closes the socket. */
+  public void close() {
+    socket.close();
+  }
+}
--- a/src/main/java/dunlinhitch/experiments/testbed/Links.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/Links.java
@@ -6,15 +6,16 @@
 import java.util.function.BiPredicate;
 
 /**
- * What is wrong between whom: rules by the names of both ends, asked by the proxies for each piece
- * that passes. Names are those of brokers (n0), stores (s0-1) and discovery (d). Used by one loop,
- * changed by any thread.
+ * The fault rules of the simulated network, by the names of both ends. The proxies look up the rule
+ * for each chunk or datagram that they forward. Names are those of brokers (n0), stores (s0-1) and
+ * discovery (d).
+ *
+ * <p>Thread-safe: the proxies' event loop reads the rules, any thread may change them.
  */
 public final class Links {
   /**
-   * What happens to what goes from the one to the other. LOST: it never comes, and nobody is told.
-   * RESET: the connection is reset as it comes. SLOW: it comes in pieces of a few bytes. LATE: it
-   * comes later.
+   * The effect on traffic from one end to the other. LOST: it is dropped silently. RESET: the
+   * connection is reset. SLOW: it arrives in chunks of a few bytes. LATE: it is delayed.
    */
   public enum Harm {
     LOST,
@@ -24,19 +25,23 @@
   }
 
   /**
-   * One rule; {@code ms}: how late, for LATE and between the pieces of SLOW; {@code share}: of what
-   * passes, the rest is let through.
+   * One rule.
+   *
+   * @param between accepts the names of sender and receiver to which the rule applies
+   * @param ms delay of LATE traffic, and the pause between two chunks of SLOW traffic
+   * @param share probability with which the rule applies to a chunk or datagram
    */
   public record Rule(BiPredicate<String, String> between, Harm harm, int ms, double share) {}
 
   private final List<Rule> rules = new ArrayList<>();
   private final SplittableRandom random;
 
+  /** Has no rules; {@code seed} determines which traffic a rule with a share applies to. */
   public Links(long seed) {
     random = new SplittableRandom(seed);
   }
 
-  /** Adds a rule; it goes before those that were there. */
+  /** Adds a rule, which takes precedence over earlier ones. */
   public synchronized Rule add(
       BiPredicate<String, String> between, Harm harm, int ms, double share) {
     Rule rule = new Rule(between, harm, ms, share);
@@ -44,25 +49,27 @@
     return rule;
   }
 
-  /** Both ways between these and all others. */
+  /** Partitions these names from all others, in both directions. */
   public Rule cut(List<String> names) {
     return add((from, to) -> names.contains(from) != names.contains(to), Harm.LOST, 0, 1);
   }
 
-  /** One way only. */
+  /** Drops all traffic in one direction. */
   public Rule cutOneWay(String from, String to) {
-    return add((a, b) -> a.equals(from) && b.equals(to), Harm.LOST, 0, 1);
+    return add((sender, receiver) -> sender.equals(from) && receiver.equals(to), Harm.LOST, 0, 1);
   }
 
+  /** Removes a rule; does nothing if it is not there. */
   public synchronized void remove(Rule rule) {
     rules.remove(rule);
   }
 
+  /** Removes all rules. */
   public synchronized void clear() {
     rules.clear();
   }
 
-  /** The rule that holds for what goes from the one to the other now, or null. */
+  /** The first rule that applies to one chunk or datagram now, or null. */
   synchronized Rule of(String from, String to) {
     for (Rule rule : rules) {
       if (rule.between().test(from, to)
--- a/src/main/java/dunlinhitch/experiments/testbed/Rig.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/Rig.java
@@ -16,20 +16,30 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
+import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.TimeUnit;
 import java.util.function.Predicate;
 
 /**
- * Several processes of the real program on loopback, with stand-in stores and discovery, and a
- * proxy between every pair that can come to harm: broker and store, broker and discovery, broker
- * and broker. Every process is ended by its own id; nothing else is touched.
+ * A multi-process test bed: brokers as processes of the real program on loopback, with fake stores
+ * and discovery, and a fault-injecting proxy between broker and store, broker and discovery, and
+ * broker and broker. Only processes that it started are ended.
+ *
+ * <p>Its methods are for the thread of the test; proxies and fakes run on the event loop, see
+ * {@link #onLoop}.
  */
 public final class Rig implements AutoCloseable {
-  private static final int READY_S = 40;
-  private static final int LINES = 4_000;
+  /** Time in which a broker must listen after its start. */
+  private static final int READY_TIMEOUT_S = 40;
 
-  /** In the settings' form: two classes, short times, {@code %d} brokers, cells and shards. */
-  @SuppressWarnings("InlineFormatString") // a text of its own reads better than within the call
+  /** Brokers that each broker has as seeds. */
+  private static final int SEED_COUNT = 3;
+
+  /** Output lines retained for each broker. */
+  private static final int MAX_OUTPUT_LINES = 4_000;
+
+  /** Settings file with two classes and short times; filled with brokers, cells and shards. */
+  @SuppressWarnings("InlineFormatString") // the text block reads better outside the call
   private static final String SETTINGS =
       """
             {"ReplicasOfMe":%d,"FailureDomains":["here"],"MyZone":0,"TickUs":5000,
@@ -42,16 +52,16 @@
               "DrainGraceUs":250000},
              "Report":{"Via":"answers","Fields":["recent_ms","backlog"]}}""";
 
-  /** One broker. */
+  /** One broker process with its own discovery and proxies. */
   public final class Node {
     public final String name;
     public final int httpPort;
-    private final int wordPort;
-    private final Path folder;
+    private final int gossipPort;
+    private final Path workingDirectory;
     private final Discovery discovery;
-    private final StreamProxy toDiscovery;
-    private final Map<String, StreamProxy> toStores = new LinkedHashMap<>();
-    private final WordProxy ear;
+    private final StreamProxy discoveryProxy;
+    private final Map<String, StreamProxy> storeProxies = new LinkedHashMap<>();
+    private final GossipProxy gossipProxy;
     private final List<String> lines = Collections.synchronizedList(new ArrayList<>());
     private Process process;
     private volatile boolean killed;
@@ -59,39 +69,39 @@
     private Node(int number) throws Exception {
       name = "n" + number;
       httpPort = FreePorts.tcp();
-      wordPort = FreePorts.udp();
-      folder = Files.createDirectory(dir.resolve(name));
+      gossipPort = FreePorts.udp();
+      workingDirectory = Files.createDirectory(directory.resolve(name));
       discovery = new Discovery(vertx);
-      toDiscovery = new StreamProxy(vertx, links, name, "d", discovery.port());
+      discoveryProxy = new StreamProxy(vertx, links, name, "d", discovery.port());
       for (FrameStore store : stores) {
-        toStores.put(store.name, new StreamProxy(vertx, links, name, store.name, store.port()));
+        storeProxies.put(store.name, new StreamProxy(vertx, links, name, store.name, store.port()));
       }
-      ear = new WordProxy(vertx, links, name, wordPort);
-      discovery.list(entries().toArray(String[]::new));
+      gossipProxy = new GossipProxy(vertx, links, name, gossipPort);
+      discovery.setList(endpointEntries().toArray(String[]::new));
     }
 
-    private List<String> entries() {
-      return stores.stream().map(store -> entry(store.name)).toList();
+    private List<String> endpointEntries() {
+      return stores.stream().map(store -> endpointEntry(store.name)).toList();
     }
 
-    private String entry(String store) {
+    private String endpointEntry(String store) {
       return Discovery.entry(
           store,
-          toStores.get(store).port(),
+          storeProxies.get(store).port(),
           "here",
           cells.get(store),
-          states.getOrDefault(store, "ready"),
+          lifecycles.getOrDefault(store, "ready"),
           "frames");
     }
 
-    /** What it said so far, the oldest lines dropped where they are many. */
+    /** Its output so far; at most the last 4000 lines. */
     public List<String> lines() {
       synchronized (lines) {
         return List.copyOf(lines);
       }
     }
 
-    /** Its last line of what it keeps to, or empty. */
+    /** Its last line about the cluster and its subset of stores, or empty. */
     public String fleetLine() {
       List<String> all = lines();
       for (int i = all.size() - 1; i >= 0; i--) {
@@ -102,7 +112,7 @@
       return "";
     }
 
-    /** The stores that it says it keeps to. */
+    /** The stores of its subset, by its last cluster line. */
     public List<String> kept() {
       String line = fleetLine();
       int at = line.lastIndexOf(" stores: ");
@@ -111,7 +121,7 @@
           : Arrays.asList(line.substring(at + " stores: ".length()).split(" "));
     }
 
-    /** The brokers that it says take part. */
+    /** The cluster members, by its last cluster line. */
     public List<String> members() {
       String line = fleetLine();
       int from = line.indexOf(": ");
@@ -121,41 +131,23 @@
           : Arrays.asList(line.substring(from + 2, to).split(" "));
     }
 
+    /** True while the process runs and {@link #kill} was not called. */
     public boolean isUp() {
       return process != null && process.isAlive() && !killed;
     }
 
-    /** Connections that it holds to that store. */
-    public int openTo(String store) throws Exception {
-      return onLoop(() -> toStores.get(store).open());
+    /** Its open connections to a store. */
+    public int openConnections(String store) throws Exception {
+      return onLoop(() -> storeProxies.get(store).open());
     }
 
+    /** Starts the process; does not wait until it listens. */
     public void start() throws IOException {
       lines.clear();
-      Path config = folder.resolve("config.json");
-      Files.writeString(
-          config,
-          String.format(
-              Locale.ROOT,
-              "{\"name\":\"%s\",\"listen\":\"127.0.0.1:%d\",\"discovery\":\"127.0.0.1:%d\","
-                  + "\"seed\":\"%x\",\"limits\":{\"sockets\":512},\"settings\":%s}",
-              name,
-              httpPort,
-              toDiscovery.port(),
-              seed + httpPort,
-              String.format(Locale.ROOT, SETTINGS, nodes.size(), cellCount, cellCount)));
-      Path conf = folder.resolve("dunlinhitch.conf");
-      StringBuilder own =
-          new StringBuilder(
-              "[fleet]\nlisten 127.0.0.1:"
-                  + wordPort
-                  + "\nadvertise 127.0.0.1:"
-                  + ear.port()
-                  + "\n");
-      nodes.stream()
-          .limit(3)
-          .forEach(other -> own.append("peer 127.0.0.1:").append(other.ear.port()).append('\n'));
-      Files.writeString(conf, own + extra);
+      Path config = workingDirectory.resolve("config.json");
+      Files.writeString(config, configText());
+      Path conf = workingDirectory.resolve("dunlinhitch.conf");
+      Files.writeString(conf, clusterSection() + extraClusterLines);
       ProcessBuilder builder =
           new ProcessBuilder(
                   Path.of(System.getProperty("java.home"), "bin", "java").toString(),
@@ -171,72 +163,107 @@
                   "--conf",
                   conf.toString())
               .redirectErrorStream(true);
-      builder.environment().put("TMPDIR", folder.toString());
+      builder.environment().put("TMPDIR", workingDirectory.toString());
       process = builder.start();
       killed = false;
-      Process of = process;
-      Thread reader = new Thread(() -> read(of), "lines of " + name);
+      Process started = process;
+      Thread reader = new Thread(() -> readOutput(started), "lines of " + name);
       reader.setDaemon(true);
       reader.start();
     }
 
-    private void read(Process of) {
-      try (BufferedReader reader = of.inputReader()) {
+    private String configText() {
+      return String.format(
+          Locale.ROOT,
+          "{\"name\":\"%s\",\"listen\":\"127.0.0.1:%d\",\"discovery\":\"127.0.0.1:%d\","
+              + "\"seed\":\"%x\",\"limits\":{\"sockets\":512},\"settings\":%s}",
+          name,
+          httpPort,
+          discoveryProxy.port(),
+          seed + httpPort,
+          String.format(Locale.ROOT, SETTINGS, nodes.size(), cellCount, cellCount));
+    }
+
+    private String clusterSection() {
+      StringBuilder section =
+          new StringBuilder(
+              "[fleet]\nlisten 127.0.0.1:"
+                  + gossipPort
+                  + "\nadvertise 127.0.0.1:"
+                  + gossipProxy.port()
+                  + "\n");
+      nodes.stream()
+          .limit(SEED_COUNT)
+          .forEach(
+              seedNode ->
+                  section
+                      .append("peer 127.0.0.1:")
+                      .append(seedNode.gossipProxy.port())
+                      .append('\n'));
+      return section.toString();
+    }
+
+    private void readOutput(Process source) {
+      try (BufferedReader reader = source.inputReader()) {
         for (String line = reader.readLine(); line != null; line = reader.readLine()) {
           synchronized (lines) {
-            if (lines.size() >= LINES) {
+            if (lines.size() >= MAX_OUTPUT_LINES) {
               lines.remove(0);
             }
             lines.add(line);
           }
         }
       } catch (IOException e) {
-        // it was killed within a line
+        // the process was killed while it wrote a line
       }
     }
 
-    /** SIGKILL. */
+    /** Ends the process with SIGKILL and waits for its end. */
     public void kill() throws InterruptedException {
-      killed = true; // before its connections end
+      killed = true; // set first: clients ask isUp when their connections close
       process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
     }
 
-    /** SIGTERM. */
+    /** Sends SIGTERM; does not wait. */
     public void terminate() {
       process.destroy();
     }
   }
 
-  private final Path dir;
+  private final Path directory;
   private final long seed;
   private final int cellCount;
-  private final String extra;
+  private final String extraClusterLines;
   private final Vertx vertx;
   public final Links links;
   private final List<FrameStore> stores = new ArrayList<>();
   private final Map<String, Integer> cells = new LinkedHashMap<>();
 
-  /** What discovery says of stores that are not ready. */
-  private final Map<String, String> states = new LinkedHashMap<>();
+  /** Lifecycle that discovery announces, for stores that are not ready. */
+  private final Map<String, String> lifecycles = new LinkedHashMap<>();
 
   private final List<Node> nodes = new ArrayList<>();
 
   /**
-   * So many brokers, none started, before so many cells of so many stores; {@code extra}: further
-   * lines of {@code [fleet]}.
+   * Starts the fakes and proxies, but no broker.
+   *
+   * @param directory parent of the brokers' working directories
+   * @param seed of the brokers and of the injected faults
+   * @param each stores of a cell
+   * @param extra further lines of the section {@code [fleet]} of each broker's configuration
    */
-  public Rig(Path dir, long seed, int brokers, int cellCount, int each, String extra)
+  public Rig(Path directory, long seed, int brokers, int cellCount, int each, String extra)
       throws Exception {
-    this.dir = dir;
+    this.directory = directory;
     this.seed = seed;
     this.cellCount = cellCount;
-    this.extra = extra;
+    this.extraClusterLines = extra;
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
     links = new Links(seed);
     for (int cell = 0; cell < cellCount; cell++) {
       for (int i = 0; i < each; i++) {
         FrameStore store = new FrameStore(vertx, "s" + cell + "-" + i);
-        store.answerAfterMs = 5;
+        store.answerDelayMs = 5;
         stores.add(store);
         cells.put(store.name, cell);
       }
@@ -245,27 +272,31 @@
       nodes.add(new Node(i));
     }
     for (Node to : nodes) {
-      nodes.forEach(from -> to.ear.speaks(from.name, from.wordPort));
+      nodes.forEach(from -> to.gossipProxy.registerSender(from.name, from.gossipPort));
     }
   }
 
+  /** The Vert.x instance of proxies and fakes; it has one event loop. */
   public Vertx vertx() {
     return vertx;
   }
 
+  /** All brokers, whether they run or not. */
   public List<Node> nodes() {
     return nodes;
   }
 
+  /** All fake stores. */
   public List<FrameStore> stores() {
     return stores;
   }
 
+  /** The number of cells. */
   public int cells() {
     return cellCount;
   }
 
-  /** Starts those and waits until all of them serve. */
+  /** Starts these brokers and waits until all of them listen. */
   public void start(List<Node> some) throws Exception {
     for (Node node : some) {
       node.start();
@@ -273,7 +304,7 @@
     for (Node node : some) {
       await(
           node.name + " serves",
-          READY_S,
+          READY_TIMEOUT_S,
           () -> {
             if (!node.isUp()) {
               throw new IllegalStateException(node.name + " ended: " + node.lines());
@@ -284,10 +315,17 @@
     }
   }
 
-  /** Waits until that is so, and says what it waited for if it never is. Seconds it took. */
-  public static double await(String what, int atMostS, Callable<Boolean> so) throws Exception {
+  /**
+   * Polls a condition until it holds.
+   *
+   * @param what names the condition in the exception
+   * @return seconds until the condition held
+   * @throws IllegalStateException if it does not hold within {@code atMostS} seconds
+   */
+  public static double await(String what, int atMostS, Callable<Boolean> condition)
+      throws Exception {
     long from = System.nanoTime();
-    while (!so.call()) {
+    while (!condition.call()) {
       if (System.nanoTime() - from > atMostS * 1_000_000_000L) {
         throw new IllegalStateException("not within " + atMostS + " s: " + what);
       }
@@ -296,13 +334,13 @@
     return (System.nanoTime() - from) / 1e9;
   }
 
-  /** True where all of those say that exactly they take part. */
+  /** True if each of these brokers sees exactly these as cluster members. */
   public static boolean agree(List<Node> some) {
     List<String> names = some.stream().map(node -> node.name).sorted().toList();
     return some.stream().allMatch(node -> node.members().equals(names));
   }
 
-  /** Brokers of those that say they keep to each store. */
+  /** The number of matching brokers that have each store in their subset. */
   public Map<String, Integer> load(Predicate<Node> who) {
     Map<String, Integer> load = new LinkedHashMap<>();
     stores.forEach(store -> load.put(store.name, 0));
@@ -313,47 +351,48 @@
   }
 
   /**
-   * Every broker's discovery says that this store is in that state from now on, where word of it
-   * can pass.
+   * Announces a new lifecycle of a store through every broker's discovery; an injected fault may
+   * keep it from a broker.
    */
   public void change(String store, String lifecycle) throws Exception {
     onLoop(
         () -> {
-          states.put(store, lifecycle);
-          nodes.forEach(node -> node.discovery.change(node.entries(), node.entry(store)));
+          lifecycles.put(store, lifecycle);
+          nodes.forEach(
+              node -> node.discovery.pushChange(node.endpointEntries(), node.endpointEntry(store)));
           return null;
         });
   }
 
-  /** Resets the connections of that broker to stores and discovery. */
+  /** Resets a broker's connections to stores and discovery. */
   public void reset(Node node) throws Exception {
     onLoop(
         () -> {
-          node.toStores.values().forEach(StreamProxy::reset);
-          node.toDiscovery.reset();
+          node.storeProxies.values().forEach(StreamProxy::reset);
+          node.discoveryProxy.reset();
           return null;
         });
   }
 
-  /** Resets those of its connections that lost something, as a link does that comes back. */
+  /** Resets those of its connections that lost bytes, as after the end of a partition. */
   public void resetSilent(Node node) throws Exception {
     onLoop(
         () -> {
-          node.toStores.values().forEach(StreamProxy::resetSilent);
-          node.toDiscovery.resetSilent();
+          node.storeProxies.values().forEach(StreamProxy::resetStalled);
+          node.discoveryProxy.resetStalled();
           return null;
         });
   }
 
-  /** Does that on the loop of the proxies and stores. */
-  public <T> T onLoop(Callable<T> what) throws Exception {
-    java.util.concurrent.CompletableFuture<T> done = new java.util.concurrent.CompletableFuture<>();
+  /** Runs a task on the event loop of proxies and fakes and waits up to 10 s for its result. */
+  public <T> T onLoop(Callable<T> task) throws Exception {
+    CompletableFuture<T> done = new CompletableFuture<>();
     vertx
         .getOrCreateContext()
         .runOnContext(
             v -> {
               try {
-                done.complete(what.call());
+                done.complete(task.call());
               } catch (Exception e) {
                 done.completeExceptionally(e);
               }
@@ -364,13 +403,13 @@
   @Override
   public void close() {
     try {
-      end();
+      stopAll();
     } catch (Exception e) {
       throw new IllegalStateException("the rig did not end: " + e, e);
     }
   }
 
-  private void end() throws Exception {
+  private void stopAll() throws Exception {
     for (Node node : nodes) {
       if (node.isUp()) {
         node.kill();
@@ -379,9 +418,9 @@
     onLoop(
         () -> {
           for (Node node : nodes) {
-            node.toStores.values().forEach(StreamProxy::close);
-            node.toDiscovery.close();
-            node.ear.close();
+            node.storeProxies.values().forEach(StreamProxy::close);
+            node.discoveryProxy.close();
+            node.gossipProxy.close();
             node.discovery.close();
           }
           return null;
--- a/src/main/java/dunlinhitch/experiments/testbed/RigClients.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/RigClients.java
@@ -1,72 +1,84 @@
 package dunlinhitch.experiments.testbed;
 
+import com.eclipsesource.json.Json;
+import com.eclipsesource.json.JsonObject;
+import com.eclipsesource.json.JsonValue;
 import dunlinhitch.experiments.fakes.Client;
 import io.vertx.core.buffer.Buffer;
 import io.vertx.core.net.NetClient;
 import io.vertx.core.net.NetSocket;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.TreeMap;
 
 /**
- * Clients of a rig: at each broker that is up one query every so often, over a connection of its
- * own, and what became of each. A query that a running broker took is owed an answer by its time
- * and half a second; one whose broker was killed meanwhile is not.
+ * The clients of a test bed: at a fixed interval they send one query to each running broker, each
+ * over its own connection, and count the outcomes. A running broker must answer within {@link
+ * #ANSWER_TIMEOUT_MS}; a broker that was killed meanwhile need not.
+ *
+ * <p>Its state belongs to the test bed's event loop; the public methods are for other threads.
  */
 public final class RigClients {
-  private static final int TIME_MS = 1_000;
-  private static final int OWED_MS = 1_500;
-  private static final int MOST = 20_000;
+  /** Deadline that each query carries. */
+  private static final int QUERY_DEADLINE_MS = 1_000;
 
-  /** What became of a query. */
+  /** Time in which a running broker must answer: the deadline and half a second. */
+  private static final int ANSWER_TIMEOUT_MS = 1_500;
+
+  private static final int MAX_QUERIES = 20_000;
+  private static final int MAX_NOTES = 50;
+
+  /** Characters of an answer that a note quotes. */
+  private static final int NOTE_ANSWER_LENGTH = 60;
+
+  private static final String CONTENT_LENGTH = "content-length: ";
+  private static final String END_OF_HEAD = "\r\n\r\n";
+
+  /** The outcome of a query; reports print the names. */
   public enum End {
+    /** Answered with values of the right stores. */
     SERVED,
+    /** Rejected with 503. */
     REFUSED,
+    /** Answered with another status. */
     FAILED,
+    /** Answered after the timeout. */
     LATE,
+    /** Not answered by a running broker. */
     LOST,
+    /** Not answered, and the broker was killed. */
     BROKER_KILLED,
+    /** The broker did not accept the connection. */
     NOT_LET_IN,
+    /** Answered with a value that no store of the shard's cell made. */
     WRONG
   }
 
   private final Rig rig;
   private final NetClient client;
-  private final int everyMs;
+  private final int intervalMs;
   private final Map<End, Integer> ends = new TreeMap<>();
   private final List<String> notes = new ArrayList<>();
   private long timer = -1;
-  private int asked;
+  private int sent;
   private int open;
 
-  public RigClients(Rig rig, int everyMs) {
+  /** Sends nothing before {@link #start}. */
+  public RigClients(Rig rig, int intervalMs) {
     this.rig = rig;
-    this.everyMs = everyMs;
+    this.intervalMs = intervalMs;
     client = rig.vertx().createNetClient();
   }
 
-  /** Begins to ask, at most {@code MOST} queries. */
+  /** Starts to send queries, {@link #MAX_QUERIES} at most. */
   public void start() throws Exception {
-    rig.onLoop(
-        () ->
-            timer =
-                rig.vertx()
-                    .setPeriodic(
-                        everyMs,
-                        t ->
-                            rig.nodes().stream()
-                                .filter(Rig.Node::isUp)
-                                .filter(
-                                    node ->
-                                        node.lines().stream()
-                                            .anyMatch(
-                                                line ->
-                                                    line.startsWith(node.name + " listens on ")))
-                                .forEach(this::ask)));
+    rig.onLoop(() -> timer = rig.vertx().setPeriodic(intervalMs, id -> sendQueries()));
   }
 
-  /** Asks no more and waits for what is open; how many came to each end. */
+  /** Stops sending and waits for the open queries; the number of queries by outcome. */
   public Map<End, Integer> stop() throws Exception {
     rig.onLoop(() -> rig.vertx().cancelTimer(timer));
     Rig.await("all queries came to an end", 10, () -> rig.onLoop(() -> open == 0));
@@ -77,108 +89,130 @@
         });
   }
 
-  /** Queries that came to an end so far. */
+  /** The number of completed queries so far. */
   public int ended() throws Exception {
-    return rig.onLoop(() -> asked - open);
+    return rig.onLoop(() -> sent - open);
   }
 
-  /** How many came to that end so far. */
+  /** The number of queries with that outcome so far. */
   public int ended(End end) throws Exception {
     return rig.onLoop(() -> ends.getOrDefault(end, 0));
   }
 
-  /** What is worth a look, a line each. */
+  /** One line for each query that was neither served nor rejected; the first 50. */
   public List<String> notes() throws Exception {
     return rig.onLoop(() -> List.copyOf(notes));
   }
 
-  /** What a broker that runs must never do to a query. */
+  /** True for outcomes that a running broker must never cause. */
   public static boolean isBreach(End end) {
     return end == End.LOST || end == End.LATE || end == End.WRONG;
   }
 
-  private void ask(Rig.Node node) {
-    if (asked >= MOST) {
-      return;
+  private void sendQueries() {
+    for (Rig.Node node : rig.nodes()) {
+      if (node.isUp() && isListening(node) && sent < MAX_QUERIES) {
+        new Query(node, ++sent).send();
+      }
+    }
+  }
+
+  private static boolean isListening(Rig.Node node) {
+    return node.lines().stream().anyMatch(line -> line.startsWith(node.name + " listens on "));
+  }
+
+  /** One query over its own connection. */
+  private final class Query {
+    private final Rig.Node node;
+    private final int number;
+    private final String id;
+    private final StringBuilder answer = new StringBuilder();
+    private long startNanos;
+    private boolean ended;
+
+    Query(Rig.Node node, int number) {
+      this.node = node;
+      this.number = number;
+      id = "q" + number;
+    }
+
+    void send() {
+      open++;
+      startNanos = System.nanoTime();
+      client
+          .connect(node.httpPort, "127.0.0.1")
+          .onComplete(
+              connected -> {
+                if (connected.failed()) {
+                  end(End.NOT_LET_IN, id + " was not let in: " + connected.cause());
+                } else {
+                  onConnected(connected.result());
+                }
+              });
+    }
+
+    private void onConnected(NetSocket socket) {
+      socket.exceptionHandler(e -> {}); // the close handler follows
+      socket.closeHandler(v -> endWithoutAnswer(id + " was closed on"));
+      socket.handler(bytes -> onBytes(socket, bytes));
+      rig.vertx()
+          .setTimer(
+              ANSWER_TIMEOUT_MS,
+              timerId -> {
+                if (!ended) {
+                  endWithoutAnswer(id + " got no answer");
+                  socket.close();
+                }
+              });
+      socket.write(request());
+    }
+
+    private void onBytes(NetSocket socket, Buffer bytes) {
+      answer.append(bytes.toString());
+      if (isComplete(answer)) {
+        long elapsedMs = (System.nanoTime() - startNanos) / 1_000_000;
+        String quoted = answer.substring(0, Math.min(NOTE_ANSWER_LENGTH, answer.length()));
+        end(classify(answer, elapsedMs), id + " " + quoted.replace("\r\n", " "));
+        socket.close();
+      }
+    }
+
+    private Buffer request() {
+      boolean search = number % 2 == 0;
+      String body = search ? Client.body(allShards()) : Client.body(number % rig.cells());
+      return Buffer.buffer(
+          "POST /"
+              + (search ? "free-search" : "slot-booking")
+              + " HTTP/1.1\r\nHost: rig\r\nX-Trace-Id: "
+              + id
+              + "\r\nIdempotency-Key: k"
+              + number
+              + "\r\nX-Expires-In: "
+              + QUERY_DEADLINE_MS / 1000.0
+              + "\r\nContent-Length: "
+              + Buffer.buffer(body).length()
+              + END_OF_HEAD
+              + body);
+    }
+
+    private void endWithoutAnswer(String note) {
+      end(node.isUp() ? End.LOST : End.BROKER_KILLED, note);
+    }
+
+    private void end(End end, String note) {
+      if (ended) {
+        return;
+      }
+      ended = true;
+      open--;
+      ends.merge(end, 1, Integer::sum);
+      if (end != End.SERVED && end != End.REFUSED && notes.size() < MAX_NOTES) {
+        notes.add(node.name + ": " + end + " " + note);
+      }
     }
-    int number = ++asked;
-    open++;
-    int shard = number % rig.cells();
-    boolean search = number % 2 == 0;
-    String body = search ? Client.body(all()) : Client.body(shard);
-    String id = "q" + number;
-    boolean[] ended = {false};
-    StringBuilder answer = new StringBuilder();
-    long fromNanos = System.nanoTime();
-    client
-        .connect(node.httpPort, "127.0.0.1")
-        .onComplete(
-            made -> {
-              if (made.failed()) {
-                end(
-                    ended,
-                    End.NOT_LET_IN,
-                    node,
-                    id + " was not let in: " + made.cause()); // nobody took it
-                return;
-              }
-              NetSocket socket = made.result();
-              socket.exceptionHandler(e -> {});
-              socket.closeHandler(
-                  v ->
-                      end(
-                          ended,
-                          node.isUp() ? End.LOST : End.BROKER_KILLED,
-                          node,
-                          id + " was closed on"));
-              socket.handler(
-                  bytes -> {
-                    answer.append(bytes.toString());
-                    if (whole(answer)) {
-                      long ms = (System.nanoTime() - fromNanos) / 1_000_000;
-                      end(
-                          ended,
-                          how(answer, ms),
-                          node,
-                          id
-                              + " "
-                              + answer
-                                  .substring(0, Math.min(60, answer.length()))
-                                  .replace("\r\n", " "));
-                      socket.close();
-                    }
-                  });
-              rig.vertx()
-                  .setTimer(
-                      OWED_MS,
-                      t -> {
-                        if (!ended[0]) {
-                          end(
-                              ended,
-                              node.isUp() ? End.LOST : End.BROKER_KILLED,
-                              node,
-                              id + " got no answer");
-                          socket.close();
-                        }
-                      });
-              socket.write(
-                  Buffer.buffer(
-                      "POST /"
-                          + (search ? "free-search" : "slot-booking")
-                          + " HTTP/1.1\r\nHost: rig\r\nX-Trace-Id: "
-                          + id
-                          + "\r\nIdempotency-Key: k"
-                          + number
-                          + "\r\nX-Expires-In: "
-                          + TIME_MS / 1000.0
-                          + "\r\nContent-Length: "
-                          + Buffer.buffer(body).length()
-                          + "\r\n\r\n"
-                          + body));
-            });
   }
 
-  private int[] all() {
+  private int[] allShards() {
     int[] shards = new int[rig.cells()];
     for (int i = 0; i < shards.length; i++) {
       shards[i] = i;
@@ -186,51 +220,41 @@
     return shards;
   }
 
-  private static boolean whole(StringBuilder answer) {
-    int head = answer.indexOf("\r\n\r\n");
-    int at = answer.toString().toLowerCase(java.util.Locale.ROOT).indexOf("content-length: ");
-    if (head < 0 || at < 0 || at > head) {
+  private static boolean isComplete(StringBuilder answer) {
+    int headEnd = answer.indexOf(END_OF_HEAD);
+    int lengthAt = answer.toString().toLowerCase(Locale.ROOT).indexOf(CONTENT_LENGTH);
+    if (headEnd < 0 || lengthAt < 0 || lengthAt > headEnd) {
       return false;
     }
-    int length = Integer.parseInt(answer.substring(at + 16, answer.indexOf("\r\n", at)).trim());
-    return answer.substring(head + 4).getBytes(java.nio.charset.StandardCharsets.UTF_8).length
-        >= length;
+    int valueAt = lengthAt + CONTENT_LENGTH.length();
+    int length =
+        Integer.parseInt(answer.substring(valueAt, answer.indexOf("\r\n", lengthAt)).trim());
+    String body = answer.substring(headEnd + END_OF_HEAD.length());
+    return body.getBytes(StandardCharsets.UTF_8).length >= length;
   }
 
-  private End how(StringBuilder answer, long ms) {
-    String status = answer.substring(9, 12);
-    if (ms > OWED_MS) {
+  private static End classify(StringBuilder answer, long elapsedMs) {
+    if (elapsedMs > ANSWER_TIMEOUT_MS) {
       return End.LATE;
     }
+    String status = answer.substring(9, 12);
     return switch (status) {
-      case "200" -> isTrue(answer) ? End.SERVED : End.WRONG;
+      case "200" -> hasExpectedValues(answer) ? End.SERVED : End.WRONG;
       case "503" -> End.REFUSED;
       default -> End.FAILED;
     };
   }
 
-  /** Each value was made by a store of the shard's own cell. */
-  private static boolean isTrue(StringBuilder answer) {
-    var root =
-        com.eclipsesource.json.Json.parse(answer.substring(answer.indexOf("\r\n\r\n") + 4))
-            .asObject();
-    for (var part : root.get("answers").asArray()) {
-      int shard = part.asObject().getInt("range", -1);
-      if (!part.asObject().getString("blob", "").matches("s" + shard + "-\\d+/" + shard + "/.*")) {
+  /** True if each value was made by a store of the shard's own cell. */
+  private static boolean hasExpectedValues(StringBuilder answer) {
+    String body = answer.substring(answer.indexOf(END_OF_HEAD) + END_OF_HEAD.length());
+    for (JsonValue part : Json.parse(body).asObject().get("answers").asArray()) {
+      JsonObject fields = part.asObject();
+      int shard = fields.getInt("range", -1);
+      if (!fields.getString("blob", "").matches("s" + shard + "-\\d+/" + shard + "/.*")) {
         return false;
       }
     }
     return true;
   }
-
-  private void end(boolean[] ended, End how, Rig.Node node, String note) {
-    if (!ended[0]) {
-      ended[0] = true;
-      open--;
-      ends.merge(how, 1, Integer::sum);
-      if (how != End.SERVED && how != End.REFUSED && notes.size() < 50) {
-        notes.add(node.name + ": " + how + " " + note);
-      }
-    }
-  }
 }
--- a/src/main/java/dunlinhitch/experiments/testbed/RigCommand.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/RigCommand.java
@@ -14,7 +14,10 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** Plays a script, or a drawn one, on processes of the real program. */
+/**
+ * Command that injects the faults of a schedule, from a file or random, into a {@link Rig} under
+ * load.
+ */
 @Command(
     name = "rig",
     description =
@@ -22,10 +25,17 @@
             + "query is lost or gets what no store made, or if those that are up do not agree in the end.",
     mixinStandardHelpOptions = true)
 public final class RigCommand implements Callable<Integer> {
-  private static final int MOST_BROKERS = 16;
-  private static final int MOST_STORES = 64;
-  private static final int AGREE_S = 40;
-  private static final int AFTER_MS = 1_000;
+  private static final int MAX_BROKERS = 16;
+  private static final int MAX_STORES = 64;
+  private static final int CONVERGENCE_TIMEOUT_S = 40;
+  private static final int MIN_SECONDS = 4;
+  private static final int MAX_SECONDS = 60;
+
+  /** Time between two queries to one broker. */
+  private static final int QUERY_INTERVAL_MS = 100;
+
+  /** Load that goes on after the brokers agree again. */
+  private static final int SETTLE_MS = 1_000;
 
   @Parameters(
       arity = "0..1",
@@ -65,64 +75,81 @@
 
   @Override
   public Integer call() throws Exception {
-    if (brokers < 1
-        || brokers > MOST_BROKERS
-        || cells < 1
-        || each < 1
-        || cells * each > MOST_STORES
-        || seconds < 4
-        || seconds > 60) {
+    checkOptions();
+    FaultSchedule schedule = schedule();
+    schedule.lines().forEach(System.out::println);
+    Path directory = Files.createTempDirectory("rig");
+    try (Rig rig = new Rig(directory, seed, brokers, cells, each, "")) {
+      return play(rig, schedule);
+    } finally {
+      clear(directory);
+    }
+  }
+
+  private void checkOptions() {
+    boolean brokersValid = brokers >= 1 && brokers <= MAX_BROKERS;
+    boolean storesValid = cells >= 1 && each >= 1 && cells * each <= MAX_STORES;
+    boolean secondsValid = seconds >= MIN_SECONDS && seconds <= MAX_SECONDS;
+    if (!brokersValid || !storesValid || !secondsValid) {
       throw new IllegalArgumentException(
           "a rig has 1 to "
-              + MOST_BROKERS
+              + MAX_BROKERS
               + " brokers, 1 to "
-              + MOST_STORES
-              + " stores and 4 to 60 seconds");
+              + MAX_STORES
+              + " stores and "
+              + MIN_SECONDS
+              + " to "
+              + MAX_SECONDS
+              + " seconds");
     }
-    List<String> names = new ArrayList<>();
+  }
+
+  private FaultSchedule schedule() throws IOException {
+    List<String> brokerNames = new ArrayList<>();
     for (int i = 0; i < brokers; i++) {
-      names.add("n" + i);
+      brokerNames.add("n" + i);
     }
-    List<String> stores = new ArrayList<>();
+    List<String> storeNames = new ArrayList<>();
     for (int cell = 0; cell < cells; cell++) {
       for (int i = 0; i < each; i++) {
-        stores.add("s" + cell + "-" + i);
+        storeNames.add("s" + cell + "-" + i);
       }
     }
-    List<String> all = new ArrayList<>(names);
-    all.addAll(stores);
-    all.add("d");
-    RigScript script =
-        file == null
-            ? RigScript.drawn(seed, seconds, names, stores)
-            : RigScript.read(file.toString(), Files.readAllLines(file), all);
-    script.lines().forEach(System.out::println);
-    Path dir = Files.createTempDirectory("rig");
-    try (Rig rig = new Rig(dir, seed, brokers, cells, each, "")) {
-      rig.start(rig.nodes());
-      Rig.await("the brokers agree at the start", AGREE_S, () -> Rig.agree(rig.nodes()));
-      RigClients clients = new RigClients(rig, 100);
-      clients.start();
-      script.play(rig, System.out::println);
-      List<Rig.Node> up = rig.nodes().stream().filter(Rig.Node::isUp).toList();
-      double took = Rig.await("those that are up agree in the end", AGREE_S, () -> Rig.agree(up));
-      TimeUnit.MILLISECONDS.sleep(AFTER_MS);
-      Map<RigClients.End, Integer> ends = clients.stop();
-      clients.notes().forEach(note -> System.out.println("  " + note));
-      System.out.printf(
-          "agree %.2f s after the last trouble; brokers at each store %s%n",
-          took, rig.load(up::contains));
-      System.out.println("queries " + ends);
-      return ends.keySet().stream().anyMatch(RigClients::isBreach) ? 1 : 0;
-    } finally {
-      clear(dir);
+    if (file == null) {
+      return FaultSchedule.random(seed, seconds, brokerNames, storeNames);
     }
+    List<String> allNames = new ArrayList<>(brokerNames);
+    allNames.addAll(storeNames);
+    allNames.add("d");
+    return FaultSchedule.parse(file.toString(), Files.readAllLines(file), allNames);
+  }
+
+  /** Injects the faults under load and prints a report; the exit code. */
+  private static int play(Rig rig, FaultSchedule schedule) throws Exception {
+    rig.start(rig.nodes());
+    Rig.await(
+        "the brokers agree at the start", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(rig.nodes()));
+    RigClients clients = new RigClients(rig, QUERY_INTERVAL_MS);
+    clients.start();
+    schedule.play(rig, System.out::println);
+    List<Rig.Node> running = rig.nodes().stream().filter(Rig.Node::isUp).toList();
+    double convergenceS =
+        Rig.await(
+            "those that are up agree in the end", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(running));
+    TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
+    Map<RigClients.End, Integer> ends = clients.stop();
+    clients.notes().forEach(note -> System.out.println("  " + note));
+    System.out.printf(
+        "agree %.2f s after the last trouble; brokers at each store %s%n",
+        convergenceS, rig.load(running::contains));
+    System.out.println("queries " + ends);
+    return ends.keySet().stream().anyMatch(RigClients::isBreach) ? 1 : 0;
   }
 
-  /** Takes away what a rig wrote. */
-  public static void clear(Path dir) throws IOException {
-    try (Stream<Path> all = Files.walk(dir)) {
-      for (Path path : all.sorted(Comparator.reverseOrder()).toList()) {
+  /** Deletes a test bed's directory with all that is in it. */
+  public static void clear(Path directory) throws IOException {
+    try (Stream<Path> paths = Files.walk(directory)) {
+      for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
         Files.deleteIfExists(path);
       }
     }
--- a/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -16,106 +16,116 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Between one broker and one place that it connects to. What passes keeps its order in each
- * direction; a connection that met a loss stays open and silent that way until the proxy is told to
- * reset those, as one through a link that was cut does.
+ * A TCP proxy between one broker and one peer (a store or discovery) that injects the faults of
+ * {@link Links}. Bytes keep their order in each direction. A connection that lost bytes stays open
+ * and stalled in that direction until {@link #resetStalled}, as over a partitioned network.
+ *
+ * <p>Not thread-safe: all methods but the constructor belong to the Vert.x event loop of the proxy.
  */
 public final class StreamProxy {
-  private static final int PIECE = 7;
+  /** Chunk size under a SLOW rule. */
+  private static final int SLOW_CHUNK_BYTES = 7;
 
-  /** One direction of one connection. */
-  private final class Way {
+  /** One direction of one connection: a queue of chunks and the delay between them. */
+  private final class Direction {
     private final String from;
     private final String to;
-    private final NetSocket out;
-    private final NetSocket broker;
-    private final Deque<Buffer> waiting = new ArrayDeque<>();
-    private boolean busy;
-    private boolean silent;
-    private boolean ending;
-
-    Way(String from, String to, NetSocket out, NetSocket broker) {
+    private final NetSocket destination;
+    private final NetSocket brokerSocket;
+    private final Deque<Buffer> queue = new ArrayDeque<>();
+    private boolean timerPending;
+    private boolean stalled;
+    private boolean sourceClosed;
+
+    Direction(String from, String to, NetSocket out, NetSocket broker) {
       this.from = from;
       this.to = to;
-      this.out = out;
-      this.broker = broker;
+      this.destination = out;
+      this.brokerSocket = broker;
     }
 
-    void pass(Buffer bytes) {
+    void forward(Buffer bytes) {
       Links.Rule rule = links.of(from, to);
-      if (silent || (rule != null && rule.harm() == Links.Harm.LOST)) {
-        silent = true;
-        fellSilent.add(broker); // what was lost of a stream never comes, so nothing behind it does
+      if (stalled || (rule != null && rule.harm() == Links.Harm.LOST)) {
+        stalled = true;
+        stalledConnections.add(brokerSocket); // a stream delivers nothing behind lost bytes
         return;
       }
       if (rule != null && rule.harm() == Links.Harm.RESET) {
-        reset(Set.of(broker));
+        reset(Set.of(brokerSocket));
         return;
       }
-      int size = rule != null && rule.harm() == Links.Harm.SLOW ? PIECE : bytes.length();
+      int size = rule != null && rule.harm() == Links.Harm.SLOW ? SLOW_CHUNK_BYTES : bytes.length();
       for (int at = 0; at < bytes.length(); at += size) {
-        waiting.add(bytes.getBuffer(at, Math.min(bytes.length(), at + size)));
+        queue.add(bytes.getBuffer(at, Math.min(bytes.length(), at + size)));
       }
-      next(rule == null ? 0 : rule.ms());
+      drainQueue(rule == null ? 0 : rule.ms());
     }
 
-    private void next(int ms) {
-      if (busy) {
+    private void drainQueue(int ms) {
+      if (timerPending) {
         return;
       }
-      if (waiting.isEmpty()) {
-        if (ending) {
-          out.close();
+      if (queue.isEmpty()) {
+        if (sourceClosed) {
+          destination.close();
         }
         return;
       }
-      Buffer piece = waiting.poll();
+      Buffer chunk = queue.poll();
       if (ms <= 0) {
-        out.write(piece);
-        next(0);
+        destination.write(chunk);
+        drainQueue(0);
       } else {
-        busy = true;
+        timerPending = true;
         vertx.setTimer(
             ms,
             t -> {
-              busy = false;
-              out.write(piece);
-              next(ms);
+              timerPending = false;
+              destination.write(chunk);
+              drainQueue(ms);
             });
       }
     }
 
-    void end() {
-      ending = true;
-      if (!silent) {
-        next(0);
+    void onSourceClosed() {
+      sourceClosed = true;
+      if (!stalled) {
+        drainQueue(0);
       }
     }
   }
 
   private final Vertx vertx;
   private final Links links;
-  private final String near;
-  private final String far;
-  private final int port;
+  private final String broker;
+  private final String peer;
+  private final int peerPort;
   private final NetServer server;
   private final NetClient client;
 
-  /** The broker's ends of connections that lost something. */
-  private final Set<NetSocket> fellSilent = new LinkedHashSet<>();
+  /** The broker's ends of connections that lost bytes or were never established. */
+  private final Set<NetSocket> stalledConnections = new LinkedHashSet<>();
 
   private final Set<NetSocket> open = new LinkedHashSet<>();
-  private int opened;
-
-  /** Listens on a port of its own on loopback; connects to {@code port} there. */
-  public StreamProxy(Vertx vertx, Links links, String near, String far, int port) throws Exception {
+  private int acceptedCount;
+
+  /**
+   * Listens on a free loopback port.
+   *
+   * @param broker name of the broker that connects
+   * @param peer name of the peer
+   * @param peerPort loopback port of the peer
+   */
+  public StreamProxy(Vertx vertx, Links links, String broker, String peer, int peerPort)
+      throws Exception {
     this.vertx = vertx;
     this.links = links;
-    this.near = near;
-    this.far = far;
-    this.port = port;
+    this.broker = broker;
+    this.peer = peer;
+    this.peerPort = peerPort;
     client = vertx.createNetClient(new NetClientOptions().setConnectTimeout(2_000));
-    server = vertx.createNetServer().connectHandler(this::accepted);
+    server = vertx.createNetServer().connectHandler(this::onConnect);
     server
         .listen(0, "127.0.0.1")
         .toCompletionStage()
@@ -123,72 +133,75 @@
         .get(5, TimeUnit.SECONDS);
   }
 
+  /** The loopback port that the broker connects to. */
   public int port() {
     return server.actualPort();
   }
 
-  /** Connections that the broker opened so far, and holds now. Of the proxy's loop. */
-  public int opened() {
-    return opened;
+  /** Connections accepted from the broker so far. */
+  public int acceptedCount() {
+    return acceptedCount;
   }
 
+  /** Connections that the broker has open now. */
   public int open() {
     return open.size();
   }
 
-  private void accepted(NetSocket socket) {
-    opened++;
+  private void onConnect(NetSocket socket) {
+    acceptedCount++;
     open.add(socket);
     socket.closeHandler(
         v -> {
           open.remove(socket);
-          fellSilent.remove(socket);
+          stalledConnections.remove(socket);
         });
     socket.exceptionHandler(e -> {});
-    Links.Rule rule = links.of(near, far);
+    Links.Rule rule = links.of(broker, peer);
     if (rule != null && rule.harm() == Links.Harm.LOST) {
-      fellSilent.add(socket); // it never comes up, as far as one who asks can tell
+      stalledConnections.add(socket); // the client sees a connection attempt without an answer
       return;
     }
     socket.pause();
     client
-        .connect(port, "127.0.0.1")
+        .connect(peerPort, "127.0.0.1")
         .onComplete(
-            made -> {
-              if (made.failed()) {
+            connected -> {
+              if (connected.failed()) {
                 socket.close();
                 return;
               }
-              NetSocket there = made.result();
-              Way forth = new Way(near, far, there, socket);
-              Way back = new Way(far, near, socket, socket);
-              there.exceptionHandler(e -> {});
-              socket.handler(forth::pass);
-              there.handler(back::pass);
+              NetSocket peerSocket = connected.result();
+              Direction toPeer = new Direction(broker, peer, peerSocket, socket);
+              Direction toBroker = new Direction(peer, broker, socket, socket);
+              peerSocket.exceptionHandler(e -> {});
+              socket.handler(toPeer::forward);
+              peerSocket.handler(toBroker::forward);
               socket.closeHandler(
                   v -> {
                     open.remove(socket);
-                    fellSilent.remove(socket);
-                    forth.end();
+                    stalledConnections.remove(socket);
+                    toPeer.onSourceClosed();
                   });
-              there.closeHandler(v -> back.end());
+              peerSocket.closeHandler(v -> toBroker.onSourceClosed());
               socket.resume();
             });
   }
 
-  /** Those that lost something, or never came up, are reset. */
-  public void resetSilent() {
-    reset(fellSilent);
-    fellSilent.clear();
+  /** Resets the connections that lost bytes or were never established. */
+  public void resetStalled() {
+    reset(stalledConnections);
+    stalledConnections.clear();
   }
 
-  /** All connections are reset: without lingering a close is one. */
+  /** Resets all connections. */
   public void reset() {
     reset(open);
   }
 
-  private static void reset(Set<NetSocket> some) {
-    for (NetSocket socket : Set.copyOf(some)) {
+  /** Closes with SO_LINGER 0, which sends RST instead of FIN. */
+  private static void reset(Set<NetSocket> sockets) {
+    for (NetSocket socket : Set.copyOf(sockets)) {
       try {
         ((NetSocketInternal) socket)
             .channelHandlerContext()
@@ -196,12 +209,13 @@
             .config()
             .setOption(ChannelOption.SO_LINGER, 0);
       } catch (ChannelException e) {
-        continue; // the other end was quicker
+        continue; // already closed by the other end
       }
       socket.close();
     }
   }
 
+  /** Resets all connections and stops listening. */
   public void close() {
     reset();
     server.close();
--- a/src/main/java/dunlinhitch/experiments/testbed/ViewBounds.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ViewBounds.java
@@ -3,52 +3,68 @@
 import dunlinhitch.cluster.MembershipProtocolSettings;
 
 /**
- * The bounds of docs/view.md as formulas of the settings, the fleet's size and nothing else; in
- * microseconds and bytes.
+ * The convergence and traffic bounds of docs/view.md, as formulas of the membership protocol's
+ * settings and the cluster's size alone. Times are in microseconds. Stateless.
  */
 public final class ViewBounds {
-  /** What one broker comes to in a page, with names and addresses as the model has them. */
+  /** Size of one broker in an anti-entropy page, with the names and addresses of the model. */
   private static final int BROKER_BYTES = 48;
 
+  /** Most pings that a broker sends in one protocol period. */
+  private static final int PINGS_PER_PERIOD = 3;
+
+  /** IP and UDP headers of one datagram. */
+  private static final int DATAGRAM_HEADER_BYTES = 28;
+
   private ViewBounds() {}
 
-  /** News to all: twice the logarithm of the fleet, in periods. */
-  private static double news(MembershipProtocolSettings s, int brokers) {
-    return 2 * s.periodUs() * Math.log(brokers + 1) / Math.log(2);
+  /** Time in which an update reaches all: 2 log2 of the cluster size, in protocol periods. */
+  private static double disseminationUs(MembershipProtocolSettings settings, int brokers) {
+    return 2 * settings.periodUs() * Math.log(brokers + 1) / Math.log(2);
   }
 
-  private static double pages(MembershipProtocolSettings s, int brokers) {
-    return 4.0 * s.periodUs() * Math.ceil((double) brokers * BROKER_BYTES / s.antiEntropyBytes());
+  /** Time in which anti-entropy passes through all pages. */
+  private static double antiEntropyUs(MembershipProtocolSettings settings, int brokers) {
+    return 4.0
+        * settings.periodUs()
+        * Math.ceil((double) brokers * BROKER_BYTES / settings.antiEntropyBytes());
   }
 
-  /** Some leave as asked, and one or more of the others heard it. */
-  public static long leaveUs(MembershipProtocolSettings s, int brokers) {
-    return (long) (4 * s.periodUs() + 2 * news(s, brokers));
+  /** Convergence after graceful leaves that at least one other broker received. */
+  public static long leaveUs(MembershipProtocolSettings settings, int brokers) {
+    return (long) (4 * settings.periodUs() + 2 * disseminationUs(settings, brokers));
   }
 
-  /** Some join, or a cut is over, or both. */
-  public static long joinUs(MembershipProtocolSettings s, int brokers) {
-    return (long) (8 * s.periodUs() + 2 * news(s, brokers) + pages(s, brokers));
+  /** Convergence after joins, after the end of a partition, or both. */
+  public static long joinUs(MembershipProtocolSettings settings, int brokers) {
+    return (long)
+        (8 * settings.periodUs()
+            + 2 * disseminationUs(settings, brokers)
+            + antiEntropyUs(settings, brokers));
   }
 
-  /** Some die, or are cut off. */
-  public static long dieUs(MembershipProtocolSettings s, int brokers) {
-    double longest =
-        s.suspicionMultiplier() * s.suspicionTimeoutUs() * Math.max(1, Math.log10(brokers));
+  /** Convergence after crashes or the start of a partition. */
+  public static long dieUs(MembershipProtocolSettings settings, int brokers) {
+    double suspicionUs =
+        settings.suspicionMultiplier()
+            * settings.suspicionTimeoutUs()
+            * Math.max(1, Math.log10(brokers));
     return (long)
-        ((s.pingAttempts() + 4) * s.periodUs()
-            + longest
-            + 2 * news(s, brokers)
-            + pages(s, brokers));
+        ((settings.pingAttempts() + 4) * settings.periodUs()
+            + suspicionUs
+            + 2 * disseminationUs(settings, brokers)
+            + antiEntropyUs(settings, brokers));
   }
 
   /**
-   * Bytes that one broker sends in a second, on the mean over the brokers, whatever fails: with
-   * every word as large as it may be.
+   * Upper bound of the bytes that one broker sends in a second, on the mean over the brokers,
+   * whatever fails: every message has its maximum size.
    */
-  public static double bytesPerS(MembershipProtocolSettings s) {
-    int looks = 3;
-    int words = looks * (4 + 4 * s.indirectProbes()) + 2;
-    return (words * (s.maxMessageBytes() + 28.0) + s.antiEntropyBytes()) * 1e6 / s.periodUs();
+  public static double bytesPerS(MembershipProtocolSettings settings) {
+    int messages = PINGS_PER_PERIOD * (4 + 4 * settings.indirectProbes()) + 2;
+    return (messages * (settings.maxMessageBytes() + (double) DATAGRAM_HEADER_BYTES)
+            + settings.antiEntropyBytes())
+        * 1e6
+        / settings.periodUs();
   }
 }
--- a/src/main/java/dunlinhitch/experiments/testbed/ViewWorld.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ViewWorld.java
@@ -18,36 +18,43 @@
 import java.util.function.ToLongBiFunction;
 
 /**
- * Many views of each other on virtual time, and nothing else: the real {@code MembershipProtocol},
- * and a network that loses, delays and cuts words by direction. A word takes 0.2 to 2 ms and what
- * is added. One seed, one course of events.
+ * A discrete-event model of the membership protocol alone: the real {@link MembershipProtocol} of
+ * each broker, virtual time and a network that loses, delays and drops messages by direction. A
+ * message takes 0.2 to 2 ms plus the added delay. A seed determines the whole run.
+ *
+ * <p>Not thread-safe.
  */
 public final class ViewWorld {
-  private static final long LEAST_DELAY_US = 200;
-  private static final long MOST_DELAY_US = 2_000;
-  private static final int PORT = 7000;
+  private static final long MIN_DELAY_US = 200;
+  private static final long MAX_DELAY_US = 2_000;
+  private static final int BASE_PORT = 7000;
 
-  /** Addresses that a broker may move to: one row of ports for each move. */
-  private static final int MOVE = 1_000;
+  /** Distance between the ports of a broker before and after it moved. */
+  private static final int RELOCATION_PORT_OFFSET = 1_000;
 
+  /** Seeds of each broker: the first places. */
   private static final int SEEDS = 8;
-  private static final long DAY_MS = 1_796_000_000_000L;
 
-  private record Step(long atUs, long order, Runnable what) {}
+  private static final long WALL_CLOCK_START_MS = 1_796_000_000_000L;
 
-  /** One process: where it listens, its view, and whether it runs. */
+  /** IP and UDP headers of one datagram. */
+  private static final int DATAGRAM_HEADER_BYTES = 28;
+
+  private record Step(long atUs, long order, Runnable task) {}
+
+  /** One broker process. */
   public final class Node {
     public final String name;
     private final int port;
     private MembershipProtocol view;
     private boolean up;
-    private long stillUntilUs;
-    private long wakeUs = Long.MAX_VALUE;
-    private final List<GossipMessage> kept = new ArrayList<>();
-    private Set<String> names = Set.of();
-    private ClusterSnapshot shown;
+    private long pausedUntilUs;
+    private long timerUs = Long.MAX_VALUE;
+    private final List<GossipMessage> receiveBuffer = new ArrayList<>();
+    private Set<String> lastNames = Set.of();
+    private ClusterSnapshot lastSnapshot;
 
-    /** Names that went out of its view though their brokers ran and were not cut off from it. */
+    /** Members that it removed although they ran and no fault was injected. */
     private long falseDeaths;
 
     private Node(String name, int port) {
@@ -55,55 +62,57 @@
       this.port = port;
     }
 
+    /** Its membership protocol. */
     public MembershipProtocol view() {
       return view;
     }
 
+    /** True while the process runs, paused or not. */
     public boolean isUp() {
       return up;
     }
 
-    private void passed() {
-      if (up && now >= stillUntilUs) {
+    private void onTimer() {
+      if (up && now >= pausedUntilUs) {
         view.onTime(now);
-        after();
+        afterEvent();
       }
     }
 
-    private void heard(GossipMessage word) {
+    private void onMessage(GossipMessage message) {
       if (!up) {
         return;
       }
-      if (now < stillUntilUs) {
-        kept.add(word); // the socket's buffer
+      if (now < pausedUntilUs) {
+        receiveBuffer.add(message); // as in the socket's receive buffer
       } else {
-        view.onMessage(now, word);
-        after();
+        view.onMessage(now, message);
+        afterEvent();
       }
     }
 
     @SuppressWarnings("ReferenceEquality") // a snapshot is replaced, never changed
-    private void after() {
-      ClusterSnapshot seen = view.snapshot();
-      if (seen != shown) {
-        Set<String> held = seen.names();
-        if (!held.equals(names)) {
-          names.stream()
-              .filter(gone -> !held.contains(gone) && runs(gone) && !harmed)
-              .forEach(gone -> falseDeaths++);
-          names = held;
+    private void afterEvent() {
+      ClusterSnapshot snapshot = view.snapshot();
+      if (snapshot != lastSnapshot) {
+        Set<String> visible = snapshot.names();
+        if (!visible.equals(lastNames)) {
+          lastNames.stream()
+              .filter(removed -> !visible.contains(removed) && isRunning(removed) && !harmed)
+              .forEach(removed -> falseDeaths++);
+          lastNames = visible;
         }
-        shown = seen;
+        lastSnapshot = snapshot;
       }
       long next = Math.max(now + 1, view.nextUs());
-      if (next < wakeUs) {
-        wakeUs = next;
+      if (next < timerUs) {
+        timerUs = next;
         at(
             next,
             () -> {
-              if (wakeUs == next) {
-                wakeUs = Long.MAX_VALUE;
-                passed();
+              if (timerUs == next) {
+                timerUs = Long.MAX_VALUE;
+                onTimer();
               }
             });
       }
@@ -120,73 +129,74 @@
   private BiPredicate<Node, Node> cut = (from, to) -> false;
   private ToLongBiFunction<Node, Node> late = (from, to) -> 0;
 
-  /** While an injected trouble is on, who is out of a view may be so by right. */
+  /** True while a fault is injected: removed members then are no false positives. */
   private boolean harmed;
 
   private long now;
   private long order;
-  private long words;
+  private long messageCount;
   private long bytes;
-  private int largestWord;
+  private int largestMessage;
 
+  /** Creates a cluster without brokers; {@code loss} is the probability of message loss. */
   public ViewWorld(long seed, double loss, MembershipProtocolSettings settings) {
     random = new SplittableRandom(seed);
     this.loss = loss;
     this.settings = settings;
   }
 
+  /** Virtual time in microseconds. */
   public long nowUs() {
     return now;
   }
 
+  /** All running processes. */
   public List<Node> nodes() {
     return nodes;
   }
 
-  /**
-   * Words that were sent, and what they come to; a header of 28 bytes for each datagram is in it.
-   */
+  /** Messages sent so far, lost ones included. */
   public long words() {
-    return words;
+    return messageCount;
   }
 
+  /** Bytes sent so far, with 28 bytes of headers for each datagram. */
   public long bytes() {
     return bytes;
   }
 
+  /** Size of the largest message so far, in bytes without headers. */
   public int largestWord() {
-    return largestWord;
+    return largestMessage;
   }
 
+  /** False positives of failure detection over all running brokers. */
   public long falseDeaths() {
     return nodes.stream().mapToLong(node -> node.falseDeaths).sum();
   }
 
   /**
-   * Brokers n0, n1 and on, at as many as are asked for; all but the first eight begin with the
-   * first eight.
+   * Starts the brokers from n{@code first} up to, but without, n{@code last}. The first eight
+   * places are everyone's seeds.
    */
   public void start(int first, int last) {
     for (int i = first; i < last; i++) {
-      start("n" + i, i, dayMs());
+      start("n" + i, i, wallClockMs());
     }
   }
 
-  private long dayMs() {
-    return DAY_MS + now / 1000;
+  private long wallClockMs() {
+    return WALL_CLOCK_START_MS + now / 1000;
   }
 
-  /** The incarnation of a start at this moment, with a clock that is so much ahead. */
+  /** The incarnation of a process that starts now with a clock that is ahead. */
   public long incarnation(long aheadMs) {
-    return dayMs() + aheadMs;
+    return wallClockMs() + aheadMs;
   }
 
-  /**
-   * Starts a process of that name at that place, with nothing known. A place has one process: what
-   * ran there is killed.
-   */
+  /** Starts a process without earlier state at an address, and crashes the one that ran there. */
   public Node start(String name, int place, long incarnation) {
-    Node node = new Node(name, PORT + place);
+    Node node = new Node(name, BASE_PORT + place);
     Node before = byPort.put(node.port, node);
     if (before != null) {
       before.up = false;
@@ -195,7 +205,7 @@
     nodes.add(node);
     List<MembershipProtocol.Seed> seeds = new ArrayList<>();
     for (int i = 0; i < SEEDS; i++) {
-      seeds.add(new MembershipProtocol.Seed("10.0.0.1", PORT + i));
+      seeds.add(new MembershipProtocol.Seed("10.0.0.1", BASE_PORT + i));
     }
     node.up = true;
     node.view =
@@ -205,115 +215,123 @@
             settings,
             random.nextLong(),
             now,
-            (host, port, word) -> send(node, port, word),
+            (host, port, message) -> send(node, port, message),
             room -> List.of());
-    node.after();
+    node.afterEvent();
     return node;
   }
 
-  /** The same broker at its place again, with a clock that is so much ahead. */
+  /** Restarts a broker at the same address, with a clock that is ahead. */
   public void restart(int number, long aheadMs) {
     start("n" + number, number, incarnation(aheadMs));
   }
 
-  /** It ends and begins again at another address. */
+  /** Restarts a broker at another address, with a clock that is ahead. */
   public void move(int number, long aheadMs) {
     kill(number);
-    start("n" + number, number + MOVE, incarnation(aheadMs));
+    start("n" + number, number + RELOCATION_PORT_OFFSET, incarnation(aheadMs));
   }
 
+  /** The broker at its first address, or null. */
   public Node node(int number) {
-    return byPort.get(PORT + number);
+    return byPort.get(BASE_PORT + number);
   }
 
+  /** Crashes a broker. */
   public void kill(int number) {
-    Node node = byPort.remove(PORT + number);
+    Node node = byPort.remove(BASE_PORT + number);
     node.up = false;
     nodes.remove(node);
   }
 
+  /** Stops a broker gracefully. */
   public void leave(int number) {
     node(number).view.leave();
     kill(number);
   }
 
   /**
-   * Its process stands still for so long; then it has at once all that came meanwhile, {@code
-   * wordsFirst} or after its timers.
+   * Pauses a process. On resumption it handles all messages that arrived meanwhile, before its
+   * timers if {@code messagesFirst}, else after them.
    */
-  public void still(int number, long forUs, boolean wordsFirst) {
+  public void still(int number, long forUs, boolean messagesFirst) {
     Node node = node(number);
-    node.stillUntilUs = now + forUs;
+    node.pausedUntilUs = now + forUs;
     at(
-        node.stillUntilUs,
+        node.pausedUntilUs,
         () -> {
-          if (!wordsFirst) {
-            node.passed();
+          if (!messagesFirst) {
+            node.onTimer();
           }
-          List<GossipMessage> kept = List.copyOf(node.kept);
-          node.kept.clear();
-          kept.forEach(node::heard);
-          node.passed();
+          List<GossipMessage> buffered = List.copyOf(node.receiveBuffer);
+          node.receiveBuffer.clear();
+          buffered.forEach(node::onMessage);
+          node.onTimer();
         });
   }
 
-  /** Words from the one to the other are lost where this holds. */
+  /** Sets the partition: messages are lost where the rule accepts sender and receiver. */
   public void cut(BiPredicate<Node, Node> rule) {
     cut = rule;
   }
 
-  /** Words from the one to the other take so much longer. */
+  /** Sets the added delay in microseconds by sender and receiver. */
   public void late(ToLongBiFunction<Node, Node> rule) {
     late = rule;
   }
 
-  /** From now on who goes out of a view may do so by right; or may not. */
+  /** Sets whether a fault is injected, so that removed members count as no false positives. */
   public void harmed(boolean is) {
     harmed = is;
   }
 
+  /** The number in a broker's name. */
   public static int number(Node node) {
     return Integer.parseInt(node.name.substring(1));
   }
 
-  private void send(Node from, int port, GossipMessage word) {
-    words++;
-    int size = word.bytes();
-    largestWord = Math.max(largestWord, size);
-    bytes += 28 + size;
+  private void send(Node from, int port, GossipMessage message) {
+    messageCount++;
+    int size = message.bytes();
+    largestMessage = Math.max(largestMessage, size);
+    bytes += DATAGRAM_HEADER_BYTES + size;
     Node to = byPort.get(port);
     if (to != null && !cut.test(from, to) && random.nextDouble() >= loss) {
       at(
-          now + random.nextLong(LEAST_DELAY_US, MOST_DELAY_US) + late.applyAsLong(from, to),
-          () -> to.heard(word));
+          now + random.nextLong(MIN_DELAY_US, MAX_DELAY_US) + late.applyAsLong(from, to),
+          () -> to.onMessage(message));
     }
   }
 
-  private boolean runs(String name) {
+  private boolean isRunning(String name) {
     return nodes.stream()
-        .anyMatch(node -> node.name.equals(name) && node.up && now >= node.stillUntilUs);
+        .anyMatch(node -> node.name.equals(name) && node.up && now >= node.pausedUntilUs);
   }
 
-  public void at(long atUs, Runnable what) {
-    steps.add(new Step(atUs, ++order, what));
+  /** Schedules a task at a virtual time. */
+  public void at(long atUs, Runnable task) {
+    steps.add(new Step(atUs, ++order, task));
   }
 
+  /** Runs all tasks up to that virtual time. */
   public void playTo(long untilUs) {
     while (!steps.isEmpty() && steps.peek().atUs() <= untilUs) {
       Step step = steps.poll();
       now = Math.max(now, step.atUs());
-      step.what().run();
+      step.task().run();
     }
     now = untilUs;
   }
 
+  /** Runs on for that long, in microseconds. */
   public void play(long forUs) {
     playTo(now + forUs);
   }
 
   /**
-   * Plays on until all that run hold exactly those that run, or time is up; how long that took,
-   * below 0: it did not.
+   * Runs until all running brokers agree on the members.
+   *
+   * @return microseconds until then, or -1 if they do not agree within the limit
    */
   public long untilAgree(long withinUs) {
     long from = now;
@@ -326,7 +344,11 @@
     return -1;
   }
 
-  /** The same, and all of them know it. */
+  /**
+   * Runs until all running brokers agree and each has detected the convergence.
+   *
+   * @return microseconds until then, or -1 if that does not happen within the limit
+   */
   public long untilSettled(long withinUs) {
     long from = now;
     while (now <= from + withinUs) {
@@ -338,12 +360,12 @@
     return -1;
   }
 
-  /** True where all that run hold exactly the names that run, at one digest. */
+  /** True if all running brokers see exactly the running ones, with one digest. */
   public boolean agree() {
     return agree(nodes);
   }
 
-  /** True where these hold exactly each other. */
+  /** True if these see exactly each other. */
   public static boolean agree(List<Node> among) {
     if (among.isEmpty()) {
       return true;
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -15,7 +15,7 @@
 import dunlinhitch.endpoints.Endpoint;
 import dunlinhitch.experiments.fakes.FlightStore;
 import dunlinhitch.experiments.fakes.Stage;
-import dunlinhitch.experiments.fakes.Store.Do;
+import dunlinhitch.experiments.fakes.Store.Behavior;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.util.List;
@@ -139,7 +139,7 @@
         });
     expectCompletion(1, AttemptOutcome.CONNECT_FAILED);
     expectCompletion(2, AttemptOutcome.CONNECT_FAILED);
-    assertEquals(0, store.seen.size());
+    assertEquals(0, store.receivedParts.size());
     store.close();
     onLoop(() -> open(port).send(List.of(part(3, 0))));
     expectCompletion(3, AttemptOutcome.CONNECT_FAILED);
@@ -166,7 +166,7 @@
     BackendTransport transport = open(store.port());
     onLoop(() -> transport.send(List.of(part(1, 0))));
     expectCompletion(1, AttemptOutcome.OK);
-    store.seen.clear();
+    store.receivedParts.clear();
     released = new CountDownLatch(1);
     blockedThread = "flight-reader";
     onLoop(
@@ -197,21 +197,21 @@
           released.countDown();
         });
     expectCompletion(3, AttemptOutcome.CONNECT_FAILED);
-    assertEquals(0, store.seen.size() + store.firstSeen.size());
+    assertEquals(0, store.receivedParts.size() + store.firstPasses.size());
   }
 
   /** A busy store replies to a liveness check; without a reply the attempts in flight are lost. */
   @Test
   void leavesChannelOnlyIfLivenessCheckIsUnanswered() throws Exception {
     BackendTransport transport = open(store.port());
-    store.script = part -> part.shard() == 0 ? Do.NOTHING : Do.GOOD;
+    store.script = part -> part.shard() == 0 ? Behavior.NOTHING : Behavior.GOOD;
     onLoop(() -> transport.send(List.of(part(1, 0))));
     for (int i = 0; i < 3; i++) {
-      assertTrue(store.checks.poll(5, TimeUnit.SECONDS) != null);
+      assertTrue(store.livenessChecks.poll(5, TimeUnit.SECONDS) != null);
     }
-    store.mute = true;
+    store.unresponsive = true;
     expectCompletion(1, AttemptOutcome.RESET);
-    store.mute = false;
+    store.unresponsive = false;
     onLoop(() -> transport.send(List.of(part(2, 1))));
     expectCompletion(2, AttemptOutcome.OK);
   }
@@ -220,9 +220,9 @@
   @Test
   void unresponsiveConnectionGetsNoNewCalls() throws Exception {
     BackendTransport transport = open(store.port());
-    store.script = part -> part.shard() == 0 ? Do.NOTHING : Do.GOOD;
+    store.script = part -> part.shard() == 0 ? Behavior.NOTHING : Behavior.GOOD;
     onLoop(() -> transport.send(List.of(part(1, 0))));
-    assertTrue(store.seen.poll(5, TimeUnit.SECONDS) != null);
+    assertTrue(store.receivedParts.poll(5, TimeUnit.SECONDS) != null);
     advancedUs = 1_500_000;
     events.clear();
     released = new CountDownLatch(1);
@@ -235,6 +235,6 @@
         });
     assertEquals(new Event.ConditionCounted(Counter.CONNECTIONS_OPENED), nextEvent());
     expectCompletion(2, AttemptOutcome.OK);
-    assertEquals("q.0", store.givenUp.poll(5, TimeUnit.SECONDS));
+    assertEquals("q.0", store.cancelledParts.poll(5, TimeUnit.SECONDS));
   }
 }
--- a/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
@@ -7,7 +7,7 @@
 import dunlinhitch.balancer.AttemptOutcome;
 import dunlinhitch.core.Event;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Store.Do;
+import dunlinhitch.experiments.fakes.Store.Behavior;
 import io.vertx.core.buffer.Buffer;
 import java.net.InetAddress;
 import java.net.ServerSocket;
@@ -30,17 +30,17 @@
    */
   @Test
   void closesConnectionOnlyIfLivenessCheckIsUnanswered() throws Exception {
-    store.script = part -> part.shard() == 0 ? Do.NOTHING : Do.GOOD;
+    store.script = part -> part.shard() == 0 ? Behavior.NOTHING : Behavior.GOOD;
     onLoop(() -> transport.send(List.of(part(1, 0))));
     for (int i = 0; i < 3; i++) {
-      assertTrue(store.checks.poll(5, TimeUnit.SECONDS) != null);
+      assertTrue(store.livenessChecks.poll(5, TimeUnit.SECONDS) != null);
     }
     assertEquals(0, completions.size());
-    store.mute = true;
+    store.unresponsive = true;
     Event.AttemptCompleted lost = nextCompletion();
     assertEquals(1, lost.attempt());
     assertEquals(AttemptOutcome.RESET, lost.outcome());
-    store.mute = false;
+    store.unresponsive = false;
     onLoop(() -> transport.send(List.of(part(2, 1))));
     assertEquals(AttemptOutcome.OK, nextCompletion().outcome());
     assertEquals(2, store.sockets.size());
@@ -51,16 +51,16 @@
    */
   @Test
   void unresponsiveConnectionGetsNoNewCalls() throws Exception {
-    store.script = part -> Do.NOTHING;
+    store.script = part -> Behavior.NOTHING;
     onLoop(() -> transport.send(List.of(part(1, 0), part(2, 1))));
-    store.seen.poll(5, TimeUnit.SECONDS);
+    store.receivedParts.poll(5, TimeUnit.SECONDS);
     advancedUs.set(1_500_000);
     onLoop(
         () -> {
           transport.cancel(1);
           transport.send(List.of(part(3, 2)));
         });
-    while (store.seen.poll(5, TimeUnit.SECONDS).shard() != 2) {
+    while (store.receivedParts.poll(5, TimeUnit.SECONDS).shard() != 2) {
       assertTrue(store.sockets.size() <= 2);
     }
     assertEquals(2, store.sockets.size());
@@ -69,9 +69,9 @@
   /** A malformed frame ends the connection: every attempt in flight on it may have run. */
   @Test
   void malformedFrameResetsAttemptsInFlight() throws Exception {
-    store.script = part -> Do.NOTHING;
+    store.script = part -> Behavior.NOTHING;
     onLoop(() -> transport.send(List.of(part(1, 0), part(2, 1))));
-    store.seen.poll(5, TimeUnit.SECONDS);
+    store.receivedParts.poll(5, TimeUnit.SECONDS);
     store.sockets.get(0).write(Buffer.buffer(new byte[] {-1, -1, -1, 127, 'q'}));
     assertEquals(AttemptOutcome.RESET, nextCompletion().outcome());
     assertEquals(AttemptOutcome.RESET, nextCompletion().outcome());
@@ -80,9 +80,9 @@
   /** Complete frames ahead of a malformed one count, also when they were read together. */
   @Test
   void framesAheadOfMalformedFrameAreHandled() throws Exception {
-    store.script = part -> Do.NOTHING;
+    store.script = part -> Behavior.NOTHING;
     onLoop(() -> transport.send(List.of(part(1, 0), part(2, 1))));
-    store.seen.poll(5, TimeUnit.SECONDS);
+    store.receivedParts.poll(5, TimeUnit.SECONDS);
     store
         .sockets
         .get(0)
@@ -98,10 +98,10 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void incompleteFrameTimesOutAsReset(boolean checked) throws Exception {
-    store.script = part -> Do.NOTHING;
+    store.script = part -> Behavior.NOTHING;
     FrameTransport target = checked ? transport : withoutLivenessChecks(store.port(), 1);
     onLoop(() -> target.send(List.of(part(1, 0), part(2, 1))));
-    store.seen.poll(5, TimeUnit.SECONDS);
+    store.receivedParts.poll(5, TimeUnit.SECONDS);
     store
         .sockets
         .get(0)
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
@@ -10,7 +10,7 @@
 import dunlinhitch.core.Event;
 import dunlinhitch.experiments.fakes.FrameStore;
 import dunlinhitch.experiments.fakes.Stage;
-import dunlinhitch.experiments.fakes.Store.Do;
+import dunlinhitch.experiments.fakes.Store.Behavior;
 import dunlinhitch.server.OwnTransport;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
@@ -55,9 +55,9 @@
    */
   @Test
   void disabledStoreGetsNoNewRequests() throws Exception {
-    store.script = part -> Do.NOTHING;
+    store.script = part -> Behavior.NOTHING;
     onLoop(() -> transport.send(List.of(part(1, 0))));
-    assertTrue(store.seen.poll(5, TimeUnit.SECONDS) != null);
+    assertTrue(store.receivedParts.poll(5, TimeUnit.SECONDS) != null);
     onLoop(
         () -> {
           transport.setDisabled(true);
@@ -67,14 +67,16 @@
     Event.AttemptCompleted barred = nextCompletion();
     assertEquals(2, barred.attempt());
     assertEquals(AttemptOutcome.CONNECT_FAILED, barred.outcome());
-    int checks = store.checks.size();
+    int checks = store.livenessChecks.size();
     onLoop(
         () -> {
           transport.setDisabled(false);
           transport.send(List.of(part(3, 2)));
         });
-    assertTrue(store.seen.poll(5, TimeUnit.SECONDS) != null);
-    assertTrue(checks <= 1 && store.probes.isEmpty() && store.seen.isEmpty(), "checks " + checks);
+    assertTrue(store.receivedParts.poll(5, TimeUnit.SECONDS) != null);
+    assertTrue(
+        checks <= 1 && store.healthChecks.isEmpty() && store.receivedParts.isEmpty(),
+        "checks " + checks);
   }
 
   /**
@@ -83,7 +85,7 @@
    */
   @Test
   void doesNotOpenMoreConnectionsThanAllowed() throws Exception {
-    store.script = part -> Do.NOTHING;
+    store.script = part -> Behavior.NOTHING;
     onLoop(
         () -> {
           for (int i = 0; i <= 96; i++) { // three connections of 32 parts
@@ -119,7 +121,7 @@
         });
     assertEquals(AttemptOutcome.CONNECT_FAILED, nextCompletion().outcome());
     assertEquals(AttemptOutcome.CONNECT_FAILED, nextCompletion().outcome());
-    assertEquals(0, store.seen.size());
+    assertEquals(0, store.receivedParts.size());
   }
 
   /**
@@ -128,16 +130,16 @@
    */
   @Test
   void lateReplyOfCancelledAttemptIsNotTakenForRetry() throws Exception {
-    store.script = part -> Do.NOTHING;
+    store.script = part -> Behavior.NOTHING;
     onLoop(() -> transport.send(List.of(part(1, 0))));
-    store.seen.poll(5, TimeUnit.SECONDS);
+    store.receivedParts.poll(5, TimeUnit.SECONDS);
     onLoop(
         () -> {
           transport.cancel(1);
           transport.send(List.of(part(2, 0)));
         });
-    assertEquals("q.0", store.givenUp.poll(5, TimeUnit.SECONDS));
-    store.seen.poll(5, TimeUnit.SECONDS);
+    assertEquals("q.0", store.cancelledParts.poll(5, TimeUnit.SECONDS));
+    store.receivedParts.poll(5, TimeUnit.SECONDS);
     assertEquals(2, store.sockets.size());
     store.sockets.get(0).write(FrameStore.frame('q', "q.0 good 1 -\nof the first"));
     store.sockets.get(1).write(FrameStore.frame('q', "q.0 good 1 -\nof the second"));
@@ -163,7 +165,7 @@
   /** A call beyond the capacity of the connection goes over a second one. */
   @Test
   void callBeyondConnectionCapacityUsesSecondConnection() throws Exception {
-    store.script = part -> Do.NOTHING;
+    store.script = part -> Behavior.NOTHING;
     onLoop(
         () -> {
           for (int call = 0; call < 5; call++) {
@@ -175,7 +177,7 @@
           }
         });
     for (int i = 0; i < 40; i++) {
-      assertTrue(store.seen.poll(5, TimeUnit.SECONDS) != null);
+      assertTrue(store.receivedParts.poll(5, TimeUnit.SECONDS) != null);
     }
     assertEquals(2, store.sockets.size());
   }
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
@@ -8,7 +8,7 @@
 import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Event;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Store.Do;
+import dunlinhitch.experiments.fakes.Store.Behavior;
 import java.io.DataInputStream;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -167,7 +167,7 @@
     assertEquals(
         advanceUs > 30_000_000 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK,
         second.outcome());
-    assertEquals(advanceUs > 30_000_000 ? 0 : 1, store.seen.size());
+    assertEquals(advanceUs > 30_000_000 ? 0 : 1, store.receivedParts.size());
   }
 
   /**
@@ -185,13 +185,13 @@
     assertEquals(1, back.attempt());
     assertEquals(AttemptOutcome.MOOT, back.outcome());
     assertEquals(AttemptOutcome.OK, nextCompletion().outcome());
-    store.script = part -> Do.NOTHING;
+    store.script = part -> Behavior.NOTHING;
     onLoop(() -> transport.send(List.of(part(3, 2))));
-    assertEquals(1, store.seen.poll(5, TimeUnit.SECONDS).shard());
-    assertEquals(2, store.seen.poll(5, TimeUnit.SECONDS).shard());
+    assertEquals(1, store.receivedParts.poll(5, TimeUnit.SECONDS).shard());
+    assertEquals(2, store.receivedParts.poll(5, TimeUnit.SECONDS).shard());
     onLoop(() -> transport.withdraw(3));
     store.sockets.get(0).write(FrameStore.frame('q', "q.2 good 1 -\nv"));
     assertEquals(AttemptOutcome.OK, nextCompletion().outcome());
-    assertTrue(store.givenUp.isEmpty());
+    assertTrue(store.cancelledParts.isEmpty());
   }
 }
