--- a/src/test/java/dunlinhitch/cli/ServeCommandTest.java
+++ b/src/test/java/dunlinhitch/cli/ServeCommandTest.java
@@ -59,7 +59,7 @@
   void loadsNoClassOfUnusedFeaturesAndEndsOnSigterm() throws Exception {
     Vertx vertx = Vertx.vertx();
     try (Discovery discovery = new Discovery(vertx)) {
-      discovery.list();
+      discovery.setList();
       Path file = dir.resolve("config.json");
       Files.writeString(file, ServeProcess.config(discovery));
       Process broker = ServeProcess.start(file, discovery);
@@ -88,7 +88,7 @@
     Vertx vertx = Vertx.vertx();
     Path file = dir.resolve("config.json");
     try (Discovery discovery = new Discovery(vertx)) {
-      discovery.list();
+      discovery.setList();
       Files.writeString(file, ServeProcess.config(discovery));
       Process broker = ServeProcess.startWithoutOptions(file);
       try (var reader = broker.inputReader()) {
@@ -128,7 +128,7 @@
     assumeTrue(Files.isDirectory(Path.of("/proc/self/task")), "threads are read in /proc");
     Vertx vertx = Vertx.vertx();
     try (Discovery discovery = new Discovery(vertx)) {
-      discovery.list();
+      discovery.setList();
       Path file = dir.resolve("config.json");
       Files.writeString(file, ServeProcess.config(discovery));
       Process broker = ServeProcess.start(file, discovery);
@@ -240,8 +240,8 @@
         idleClients.add(new Socket(InetAddress.getLoopbackAddress(), clients));
       }
       try (Discovery discovery = new Discovery(vertx, port)) {
-        discovery.list(Discovery.entry(store, "a", 0, "ready"));
-        assertTrue(discovery.asked.poll(10, TimeUnit.SECONDS) != null, "discovery is reached");
+        discovery.setList(Discovery.entry(store, "a", 0, "ready"));
+        assertTrue(discovery.requests.poll(10, TimeUnit.SECONDS) != null, "discovery is reached");
         String body = Client.body(0);
         String output = "";
         for (int i = 0; i < 40 && !output.startsWith("HTTP/1.1 200"); i++) {
--- a/src/test/java/dunlinhitch/cli/SighupTest.java
+++ b/src/test/java/dunlinhitch/cli/SighupTest.java
@@ -65,7 +65,7 @@
     String before = run.substring(run.indexOf("exec ") + 5, run.indexOf("java "));
     Vertx vertx = Vertx.vertx();
     try (Discovery discovery = new Discovery(vertx)) {
-      discovery.list();
+      discovery.setList();
       Path file = dir.resolve("config.json");
       Files.writeString(file, ServeProcess.config(discovery));
       List<String> lines = startIgnoringSighup(file, before, "the configuration was taken", true);
@@ -89,23 +89,25 @@
     try (Discovery old = new Discovery(vertx);
         Discovery moved = new Discovery(vertx)) {
       for (int generation = 0; generation < 3; generation++) {
-        old.list();
+        old.setList();
       }
-      moved.list();
+      moved.setList();
       Path file = dir.resolve("config.json");
       Files.writeString(file, ServeProcess.config(moved));
       Process broker = ServeProcess.start(file, old);
       try (var reader = broker.inputReader()) {
         ServeProcess.read(reader, "n1 listens");
-        assertEquals("/registry/instances?follow=1&since=0", old.asked.poll(5, TimeUnit.SECONDS));
+        assertEquals(
+            "/registry/instances?follow=1&since=0", old.requests.poll(5, TimeUnit.SECONDS));
         String complete = Files.readString(file);
         Files.writeString(file, complete.substring(0, 60));
         ServeProcess.sendSighup(broker);
         ServeProcess.read(reader, "the configuration stays as it was");
         Files.writeString(file, complete);
         ServeProcess.sendSighup(broker);
-        assertEquals("/registry/instances", moved.asked.poll(5, TimeUnit.SECONDS));
-        assertEquals("/registry/instances?follow=1&since=1", moved.asked.poll(5, TimeUnit.SECONDS));
+        assertEquals("/registry/instances", moved.requests.poll(5, TimeUnit.SECONDS));
+        assertEquals(
+            "/registry/instances?follow=1&since=1", moved.requests.poll(5, TimeUnit.SECONDS));
         broker.toHandle().destroy();
         List<String> lines = ServeProcess.read(reader, "faults");
         assertTrue(lines.contains("discovery_moved 1") && lines.contains("bad_configurations 1"));
@@ -128,8 +130,8 @@
     Process broker = ServeProcess.startOnPipe(pipe);
     try (Discovery old = new Discovery(vertx);
         Discovery moved = new Discovery(vertx)) {
-      old.list();
-      moved.list();
+      old.setList();
+      moved.setList();
       try (OutputStream first = ServeProcess.openWhenRead(pipe, broker)) {
         Files.delete(pipe); // the next reading has a pipe of its own
         assertEquals(0, new ProcessBuilder("mkfifo", pipe.toString()).start().waitFor());
@@ -139,7 +141,7 @@
       try (OutputStream second = ServeProcess.openWhenRead(pipe, broker)) {
         second.write(ServeProcess.config(moved).getBytes(StandardCharsets.UTF_8));
       }
-      assertEquals("/registry/instances", moved.asked.poll(10, TimeUnit.SECONDS));
+      assertEquals("/registry/instances", moved.requests.poll(10, TimeUnit.SECONDS));
     } finally {
       broker.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
       vertx.close();
--- a/src/test/java/dunlinhitch/experiments/testbed/RigScriptTest.java
+++ b/src/test/java/dunlinhitch/experiments/testbed/FaultScheduleTest.java
@@ -7,11 +7,11 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-class RigScriptTest {
+class FaultScheduleTest {
   private static final List<String> NAMES = List.of("n0", "n1", "s0-0", "d");
 
   @Test
-  void allThatItKnowsIsRead() {
+  void parsesEveryKindOfFault() {
     List<String> lines =
         List.of(
             "at 2s..7s cut n0 s0-0",
@@ -24,15 +24,15 @@
             "at 4s kill n1",
             "at 4s end n0",
             "at 8s start n1");
-    RigScript script = RigScript.read("f", lines, NAMES);
-    assertEquals(lines, script.lines());
-    assertEquals(9_000, script.lastMs());
-    assertEquals(List.of(), RigScript.read("f", List.of("# nothing", ""), NAMES).lines());
+    FaultSchedule schedule = FaultSchedule.parse("f", lines, NAMES);
+    assertEquals(lines, schedule.lines());
+    assertEquals(9_000, schedule.lastMs());
+    assertEquals(List.of(), FaultSchedule.parse("f", List.of("# nothing", ""), NAMES).lines());
   }
 
-  /** Each says which line, and what would do. */
+  /** Each message has the line and what is expected. */
   @Test
-  void whatItCanNotUseIsNamed() {
+  void rejectsInvalidLinesWithPlaceAndRemedy() {
     for (String[] bad :
         new String[][] {
           {"at 2 kill n1", "at TIME"},
@@ -47,25 +47,26 @@
           {"at 2s kill s0-0", "only a broker"},
           {"at 2s..500s cut n1", "within 120 s"}
         }) {
-      String said =
+      String message =
           assertThrows(
                   IllegalArgumentException.class,
-                  () -> RigScript.read("f", List.of("# a comment", bad[0]), NAMES))
+                  () -> FaultSchedule.parse("f", List.of("# a comment", bad[0]), NAMES))
               .getMessage();
-      assertTrue(said.startsWith("f:2: " + bad[0]) && said.contains(bad[1]), said);
+      assertTrue(message.startsWith("f:2: " + bad[0]) && message.contains(bad[1]), message);
     }
   }
 
-  /** A drawn one is the same for the same seed, over before its end, and leaves every broker up. */
+  /** Same seed, same schedule; it is over in time and starts every broker that it kills. */
   @Test
-  void aDrawnOneEndsWell() {
+  void randomScheduleIsReproducibleAndEndsWithAllBrokersRunning() {
     for (long seed = 0; seed < 200; seed++) {
-      RigScript script = RigScript.drawn(seed, 12, List.of("n0", "n1"), List.of("s0-0"));
+      FaultSchedule schedule = FaultSchedule.random(seed, 12, List.of("n0", "n1"), List.of("s0-0"));
       assertEquals(
-          script.lines(), RigScript.drawn(seed, 12, List.of("n0", "n1"), List.of("s0-0")).lines());
-      assertTrue(script.lastMs() < 12_000, script.lines().toString());
-      long kills = script.lines().stream().filter(line -> line.contains("kill")).count();
-      assertEquals(kills, script.lines().stream().filter(line -> line.contains("start")).count());
+          schedule.lines(),
+          FaultSchedule.random(seed, 12, List.of("n0", "n1"), List.of("s0-0")).lines());
+      assertTrue(schedule.lastMs() < 12_000, schedule.lines().toString());
+      long kills = schedule.lines().stream().filter(line -> line.contains("kill")).count();
+      assertEquals(kills, schedule.lines().stream().filter(line -> line.contains("start")).count());
     }
   }
 }
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -31,8 +31,8 @@
   @BeforeEach
   void setUp() throws Exception {
     stage = new Stage();
-    stage.sockets = 64;
-    stage.discovery.list();
+    stage.maxSockets = 64;
+    stage.discovery.setList();
     stage.start(Stage.settings(300), null);
   }
 
@@ -79,10 +79,10 @@
     blocked.await();
     List<Socket> many = new ArrayList<>();
     int maxOpen =
-        stage.sockets
-            - stage.sockets / 4
+        stage.maxSockets
+            - stage.maxSockets / 4
             - 24; // the remainder after the stores' share and the program's own
-    for (int i = 0; i < 2 * stage.sockets; i++) {
+    for (int i = 0; i < 2 * stage.maxSockets; i++) {
       many.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
     }
     long endMs = System.currentTimeMillis() + 5_000;
@@ -127,7 +127,7 @@
             untilClosed(socket).matches("(?s)HTTP/1.1 4[0-9][0-9] (?!.*HTTP/1.1).*"), framing);
       }
     }
-    assertEquals(0, stage.count("queries_taken"));
+    assertEquals(0, stage.counter("queries_taken"));
   }
 
   /** A tenant that is named twice must be the same; a header as long as a body is rejected. */
@@ -135,23 +135,23 @@
   void repeatedTenantHeaderIsUnknownUnlessEqual() throws Exception {
     tearDown();
     stage = new Stage();
-    stage.discovery.list();
+    stage.discovery.setList();
     stage.start(Stage.twoSteps(300), null);
     String twice =
         "X-Trace-Id: a%d\r\nX-Expires-In: 0.050\r\nX-Customer: north\r\nX-Customer: %s\r\nContent-Length: "
             + Client.body(1).getBytes(StandardCharsets.UTF_8).length
             + "\r\n";
     status(post("/free-search", twice.formatted(1, "north"), Client.body(1)));
-    assertEquals(0, stage.count("tenants_unknown"));
+    assertEquals(0, stage.counter("tenants_unknown"));
     status(post("/free-search", twice.formatted(2, "south"), Client.body(1)));
-    assertEquals(1, stage.count("tenants_unknown"));
+    assertEquals(1, stage.counter("tenants_unknown"));
     assertEquals(
         431,
         status(
             "POST /free-search HTTP/1.1\r\nHost: x\r\nX-Customer: "
                 + "n".repeat(60_000)
                 + "\r\n\r\n"));
-    assertEquals(2, stage.count("queries_taken"));
+    assertEquals(2, stage.counter("queries_taken"));
   }
 
   /** A silent connection, and a head or a body that never ends, are closed within 3 s. */
@@ -211,11 +211,11 @@
       assertTrue(socket.getInputStream().read() >= 0);
       socket.setSoLinger(true, 0); // with the rest unread and no linger, its close is a reset
       socket.close();
-      while (stage.count("clients_reset") < 1 && lines.isEmpty()) {
+      while (stage.counter("clients_reset") < 1 && lines.isEmpty()) {
         Thread.onSpinWait();
       }
       assertEquals(List.of(), lines);
-      assertEquals(0, stage.count("faults"));
+      assertEquals(0, stage.counter("faults"));
     } finally {
       Logger.getLogger("").removeHandler(handler);
     }
@@ -225,11 +225,11 @@
   @Test
   void silentConnectionsAreEvictedForAQuery() throws IOException {
     List<Socket> silent = new ArrayList<>();
-    for (int i = 0; i < 2 * stage.sockets; i++) {
+    for (int i = 0; i < 2 * stage.maxSockets; i++) {
       silent.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
     }
     assertEquals(200, status("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"));
-    assertTrue(stage.count("clients_crowded_out") >= stage.sockets);
+    assertTrue(stage.counter("clients_crowded_out") >= stage.maxSockets);
     for (Socket socket : silent) {
       socket.close();
     }
@@ -277,10 +277,10 @@
                     + Client.body(1).getBytes(StandardCharsets.UTF_8).length
                     + "\r\n",
                 Client.body(1))));
-    while (stage.count("bad_requests") < 8) { // counted in the turn that follows the answer
+    while (stage.counter("bad_requests") < 8) { // counted in the turn that follows the answer
       Thread.onSpinWait();
     }
-    assertEquals(0, stage.count("queries_taken"));
+    assertEquals(0, stage.counter("queries_taken"));
   }
 
   @Test
@@ -292,7 +292,7 @@
             "X-Trace-Id: a\r\nX-Expires-In: 0.1\r\nTransfer-Encoding: chunked\r\n",
             Integer.toHexString(body.length) + "\r\n" + Client.body(1) + "\r\n0\r\n\r\n");
     assertEquals(503, status(text), "no store holds the range: refused in time");
-    assertEquals(1, stage.count("queries_taken"));
+    assertEquals(1, stage.counter("queries_taken"));
   }
 
   /**
@@ -342,7 +342,7 @@
   @Test
   void disconnectBehindPipelinedRequestsIsDetected() throws Exception {
     for (int more : List.of(1, 40, 2_000)) {
-      long left = stage.count("client_left");
+      long left = stage.counter("client_left");
       StringBuilder text = new StringBuilder(query("first" + more, 1.0, ""));
       for (int i = 0; i < more; i++) {
         text.append(query("more" + more + "." + i, 1.0, ""));
@@ -350,11 +350,11 @@
       try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
         socket.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
       }
-      while (stage.count("client_left") == left
-          && stage.count("refused") + stage.count("out_of_time") == 0) {
+      while (stage.counter("client_left") == left
+          && stage.counter("refused") + stage.counter("out_of_time") == 0) {
         Thread.onSpinWait();
       }
-      assertEquals(left + 1, stage.count("client_left"), more + " more");
+      assertEquals(left + 1, stage.counter("client_left"), more + " more");
     }
   }
 
@@ -389,50 +389,51 @@
   /** A watch without any sign of life is reopened, and the cached list stays valid. */
   @Test
   void unresponsiveWatchIsReopened() throws Exception {
-    stage.discovery.change(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
-    assertTrue(stage.discovery.asked.poll(5, TimeUnit.SECONDS) != null);
+    stage.discovery.pushChange(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
+    assertTrue(stage.discovery.requests.poll(5, TimeUnit.SECONDS) != null);
     assertEquals(
-        "/registry/instances?follow=1&since=2", stage.discovery.asked.poll(12, TimeUnit.SECONDS));
-    assertEquals(1, stage.count("roster_lost"));
+        "/registry/instances?follow=1&since=2",
+        stage.discovery.requests.poll(12, TimeUnit.SECONDS));
+    assertEquals(1, stage.counter("roster_lost"));
   }
 
   @Test
   void watchResumesFromItsRevision() throws Exception {
-    String asked = stage.discovery.asked.poll(5, TimeUnit.SECONDS);
+    String asked = stage.discovery.requests.poll(5, TimeUnit.SECONDS);
     assertEquals("/registry/instances?follow=1&since=0", asked);
-    stage.discovery.change(
+    stage.discovery.pushChange(
         Discovery.entry("s-9", 9, "a", 0, "ready", ""),
         "{\"instanceId\":\"bad\"}",
         Discovery.entry("s-8", 8, "nowhere", 0, "ready", ""));
-    while (stage.count("bad_roster_entries") < 2) {
+    while (stage.counter("bad_roster_entries") < 2) {
       Thread.onSpinWait();
     }
     stage.discovery.watches.get(0).reset();
     assertEquals(
-        "/registry/instances?follow=1&since=2", stage.discovery.asked.poll(5, TimeUnit.SECONDS));
-    assertTrue(stage.count("roster_lost") >= 1);
+        "/registry/instances?follow=1&since=2", stage.discovery.requests.poll(5, TimeUnit.SECONDS));
+    assertTrue(stage.counter("roster_lost") >= 1);
   }
 
   /** Lists may be indented, so that a line end is no end of a list. */
   @Test
   void indentedListIsParsed() throws Exception {
     assertEquals(
-        "/registry/instances?follow=1&since=0", stage.discovery.asked.poll(5, TimeUnit.SECONDS));
+        "/registry/instances?follow=1&since=0", stage.discovery.requests.poll(5, TimeUnit.SECONDS));
     stage.discovery.indented = true;
-    stage.discovery.change(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
-    stage.discovery.list(Discovery.entry("s-8", 8, "a", 0, "ready", ""));
-    while (stage.count("roster_news") < 2) {
+    stage.discovery.pushChange(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
+    stage.discovery.setList(Discovery.entry("s-8", 8, "a", 0, "ready", ""));
+    while (stage.counter("roster_news") < 2) {
       Thread.onSpinWait();
     }
     stage.discovery.watches.get(0).reset();
     assertEquals(
-        "/registry/instances?follow=1&since=2", stage.discovery.asked.poll(5, TimeUnit.SECONDS));
-    while (stage.count("roster_news") < 3) {
+        "/registry/instances?follow=1&since=2", stage.discovery.requests.poll(5, TimeUnit.SECONDS));
+    while (stage.counter("roster_news") < 3) {
       Thread.onSpinWait();
     }
     stage.discovery.watches.get(1).reset();
     assertEquals(
-        "/registry/instances?follow=1&since=3", stage.discovery.asked.poll(5, TimeUnit.SECONDS));
-    assertEquals(0, stage.count("bad_roster_entries"));
+        "/registry/instances?follow=1&since=3", stage.discovery.requests.poll(5, TimeUnit.SECONDS));
+    assertEquals(0, stage.counter("bad_roster_entries"));
   }
 }
--- a/src/test/java/dunlinhitch/server/AdminTest.java
+++ b/src/test/java/dunlinhitch/server/AdminTest.java
@@ -69,7 +69,7 @@
   void countsRequestsOfBothProtocolsInTheSameMetrics() throws Exception {
     FrameStore frames = new FrameStore(stage.vertx, "f");
     FlightStore flight = new FlightStore("g");
-    stage.list(frames, flight);
+    stage.publishStores(frames, flight);
     stage.start(Stage.settings(100), null);
     Client http = Client.http(stage.httpPort);
     Client arrow = Client.flight(stage.broker.flightPort());
@@ -77,21 +77,21 @@
       assertEquals(
           "whole",
           (i % 2 == 0 ? http : arrow)
-              .ask(
+              .send(
                   "free-search",
                   Map.of("X-Trace-Id", "q" + i, "X-Expires-In", "1.0"),
                   Client.body(0, 1))
               .get(5, TimeUnit.SECONDS)
-              .end());
+              .outcome());
     }
     assertEquals(
         "refused",
-        http.ask(
+        http.send(
                 "slot-booking",
                 Map.of("X-Trace-Id", "late", "Idempotency-Key", "k", "X-Expires-In", "0"),
                 Client.body(0))
             .get(5, TimeUnit.SECONDS)
-            .end());
+            .outcome());
     String free = "{category=\"free-search\"}";
     assertEquals(4, metric("passed" + free));
     assertEquals(0, metric("dropped" + free));
@@ -124,10 +124,10 @@
    */
   @Test
   void disabledEndpointReceivesNothingUntilEnabled() throws Exception {
-    stage.scratch = dir;
+    stage.scratchDirectory = dir;
     FrameStore frames = new FrameStore(stage.vertx, "s/1 é");
     FlightStore flight = new FlightStore("g");
-    stage.list(frames, flight);
+    stage.publishStores(frames, flight);
     stage.start(Stage.settings(100), null);
     Client http = Client.http(stage.httpPort);
     for (Store disabled : List.of(frames, flight)) {
@@ -136,32 +136,32 @@
       disable(id, true, 200);
       assertEquals(1, disabledEndpointCount());
       assertEquals(1, metric("skipped_calendar_stores"));
-      stage.list(frames, flight);
-      disabled.seen.clear();
-      disabled.probes.clear();
+      stage.publishStores(frames, flight);
+      disabled.receivedParts.clear();
+      disabled.healthChecks.clear();
       for (int i = 0; i < 10; i++) {
         assertEquals(
             "whole",
-            http.ask(
+            http.send(
                     "free-search",
                     Map.of("X-Trace-Id", disabled.name.charAt(0) + "q" + i, "X-Expires-In", "1.0"),
                     Client.body(0, 1))
                 .get(5, TimeUnit.SECONDS)
-                .end());
+                .outcome());
       }
-      assertEquals(0, disabled.seen.size() + disabled.probes.size());
+      assertEquals(0, disabled.receivedParts.size() + disabled.healthChecks.size());
       disable(id, false, 200);
       disable(id, false, 200);
       assertEquals(0, disabledEndpointCount());
       long endMs = System.currentTimeMillis() + 5_000;
-      for (int i = 0; disabled.seen.isEmpty() && System.currentTimeMillis() < endMs; i++) {
-        http.ask(
+      for (int i = 0; disabled.receivedParts.isEmpty() && System.currentTimeMillis() < endMs; i++) {
+        http.send(
                 "free-search",
                 Map.of("X-Trace-Id", disabled.name.charAt(0) + "b" + i, "X-Expires-In", "1.0"),
                 Client.body(0, 1))
             .get(5, TimeUnit.SECONDS);
       }
-      assertTrue(disabled.seen.size() > 0, disabled.name + " is not used again");
+      assertTrue(disabled.receivedParts.size() > 0, disabled.name + " is not used again");
     }
     disable("nobody", true, 404);
     disable("nobody", false, 404);
@@ -205,16 +205,16 @@
    */
   @Test
   void reportsAnErrorWhenDisablingCannotBePersisted() throws Exception {
-    stage.scratch = Files.createFile(dir.resolve("no-folder"));
+    stage.scratchDirectory = Files.createFile(dir.resolve("no-folder"));
     FrameStore store = new FrameStore(stage.vertx, "s");
-    stage.list(store);
+    stage.publishStores(store);
     stage.start(Stage.settings(100), null);
     assertEquals(
         "whole",
         Client.http(stage.httpPort)
-            .ask("free-search", Map.of("X-Trace-Id", "q", "X-Expires-In", "1.0"), Client.body(0))
+            .send("free-search", Map.of("X-Trace-Id", "q", "X-Expires-In", "1.0"), Client.body(0))
             .get(5, TimeUnit.SECONDS)
-            .end());
+            .outcome());
     disable("s", true, 500);
   }
 
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -8,7 +8,7 @@
 import dunlinhitch.balancer.settings.QueryClass;
 import dunlinhitch.balancer.settings.Settings;
 import dunlinhitch.experiments.fakes.Client;
-import dunlinhitch.experiments.fakes.Client.Got;
+import dunlinhitch.experiments.fakes.Client.Response;
 import dunlinhitch.experiments.fakes.FrameStore;
 import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
@@ -130,8 +130,8 @@
     }
   }
 
-  private static CompletableFuture<Got> ask(Client client, String id) {
-    return client.ask(
+  private static CompletableFuture<Response> ask(Client client, String id) {
+    return client.send(
         "free-search", Map.of("X-Trace-Id", id, "X-Expires-In", "25"), Client.body(0));
   }
 
@@ -140,24 +140,24 @@
   void partOfADepartedClientIsNotSentOnceConnected(boolean mayCancel) throws Exception {
     Stage stage = new Stage();
     try (LateStore store = new LateStore()) {
-      stage.list(store);
+      stage.publishStores(store);
       stage.start(longDeadlines(mayCancel), null);
       Client client = Client.http(stage.httpPort);
-      await(() -> stage.count("roster_news") > 0);
-      CompletableFuture<Got> departed = ask(client, "q1");
-      await(() -> stage.count("attempts_sent") == 1);
+      await(() -> stage.counter("roster_news") > 0);
+      CompletableFuture<Response> departed = ask(client, "q1");
+      await(() -> stage.counter("attempts_sent") == 1);
       departed.cancel(true);
-      await(() -> stage.count("client_left") == 1);
-      CompletableFuture<Got> remaining = ask(client, "q2");
-      await(() -> stage.count("attempts_sent") == 2);
+      await(() -> stage.counter("client_left") == 1);
+      CompletableFuture<Response> remaining = ask(client, "q2");
+      await(() -> stage.counter("attempts_sent") == 2);
       try (Socket accepted = store.accept()) {
         accepted.setSoTimeout(10_000);
         DataInputStream in = new DataInputStream(accepted.getInputStream());
         byte[] frame = in.readNBytes(Integer.reverseBytes(in.readInt()));
         assertEquals("mq2.0 ", new String(frame, 0, 6, StandardCharsets.US_ASCII));
         accepted.getOutputStream().write(FrameStore.frame('q', "q2.0 good 1 -\nv").getBytes());
-        assertEquals("whole", remaining.get(10, TimeUnit.SECONDS).end());
-        assertEquals(1, stage.count("attempts_written"));
+        assertEquals("whole", remaining.get(10, TimeUnit.SECONDS).outcome());
+        assertEquals(1, stage.counter("attempts_written"));
       }
       client.close();
     } finally {
@@ -172,14 +172,14 @@
     Stage stage = new Stage();
     FrameStore store = new FrameStore(stage.vertx, "s-0");
     try {
-      stage.list(store);
+      stage.publishStores(store);
       stage.start(longDeadlines(true), null);
-      await(() -> stage.count("roster_news") > 0);
+      await(() -> stage.counter("roster_news") > 0);
       CountDownLatch blocked = new CountDownLatch(1);
       CountDownLatch resume = new CountDownLatch(1);
       try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
         Client.http(stage.httpPort)
-            .ask("none", Map.of(), "")
+            .send("none", Map.of(), "")
             .get(10, TimeUnit.SECONDS); // so both connections are made
         stage.vertx.runOnContext(
             v -> {
@@ -204,9 +204,9 @@
         socket.setSoLinger(reset, 0);
       }
       resume.countDown();
-      await(() -> stage.count("client_left") == 1);
-      assertEquals(0, stage.count("attempts_sent"));
-      assertEquals(1, stage.count("queries_taken"));
+      await(() -> stage.counter("client_left") == 1);
+      assertEquals(0, stage.counter("attempts_sent"));
+      assertEquals(1, stage.counter("queries_taken"));
     } finally {
       store.close();
       stage.close();
--- a/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
+++ b/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
@@ -11,7 +11,7 @@
 import dunlinhitch.experiments.dns.Responder.Fault;
 import dunlinhitch.experiments.dns.Zone;
 import dunlinhitch.experiments.fakes.Client;
-import dunlinhitch.experiments.fakes.Client.Got;
+import dunlinhitch.experiments.fakes.Client.Response;
 import dunlinhitch.experiments.fakes.FlightStore;
 import dunlinhitch.experiments.fakes.FrameStore;
 import dunlinhitch.experiments.fakes.Stage;
@@ -61,7 +61,7 @@
   private void prepare(Wire wire) throws Exception {
     responder = new Responder(dns, zone);
     stage = new Stage();
-    stage.times =
+    stage.membershipTimes =
         new Product.MembershipTimes(2_000_000, 3_600_000_000L, 500_000, 4_000_000, 60_000_000);
     one = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-0") : new FlightStore("s-0");
     two = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-1") : new FlightStore("s-1");
@@ -128,10 +128,10 @@
     }
   }
 
-  private Got ask(int... shards) throws Exception {
+  private Response ask(int... shards) throws Exception {
     String id = "q" + ++asked;
     return client
-        .ask("free-search", Map.of("X-Trace-Id", id, "X-Expires-In", "1.000"), Client.body(shards))
+        .send("free-search", Map.of("X-Trace-Id", id, "X-Expires-In", "1.000"), Client.body(shards))
         .get(5, TimeUnit.SECONDS);
   }
 
@@ -152,25 +152,25 @@
   void withdrawnEndpointReceivesNothingAndResumesUnchanged(Wire wire) throws Exception {
     prepare(wire);
     start(true, 0);
-    assertEquals("whole", ask(0, 1, 2, 3).end());
-    assertTrue(one.seen.size() > 0 && two.seen.size() > 0, "both are known");
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
+    assertTrue(one.receivedParts.size() > 0 && two.receivedParts.size() > 0, "both are known");
     zone.remove(pointer(one));
-    await(() -> stage.count("members_withdrawn") == 1);
-    one.seen.clear();
+    await(() -> stage.counter("members_withdrawn") == 1);
+    one.receivedParts.clear();
     for (int i = 0; i < 5; i++) {
-      assertEquals("whole", ask(0, 1, 2, 3).end());
+      assertEquals("whole", ask(0, 1, 2, 3).outcome());
     }
-    assertEquals(0, one.seen.size(), "nothing new");
+    assertEquals(0, one.receivedParts.size(), "nothing new");
     zone.add(pointer(one));
     await(
         () -> {
           try {
-            return ask(0, 1, 2, 3).end().equals("whole") && one.seen.size() > 0;
+            return ask(0, 1, 2, 3).outcome().equals("whole") && one.receivedParts.size() > 0;
           } catch (Exception e) {
             throw new IllegalStateException(e);
           }
         });
-    assertEquals(0, stage.count("members_gone"), "back before it was gone");
+    assertEquals(0, stage.counter("members_gone"), "back before it was gone");
   }
 
   /** A part that waits for a connection to a withdrawn endpoint is never sent there. */
@@ -181,29 +181,29 @@
     start(true, 0);
     zone.remove(pointer(one));
     zone.remove(pointer(two));
-    await(() -> stage.count("members_withdrawn") == 2);
-    one.seen.clear();
-    two.seen.clear();
+    await(() -> stage.counter("members_withdrawn") == 2);
+    one.receivedParts.clear();
+    two.receivedParts.clear();
     var open =
-        client.ask(
+        client.send(
             "free-search",
             Map.of("X-Trace-Id", "open", "X-Expires-In", "1.000"),
             Client.body(0, 1));
-    await(() -> stage.count("queries_taken") == 1);
+    await(() -> stage.counter("queries_taken") == 1);
     zone.add(pointer(two));
-    Got got = open.get(5, TimeUnit.SECONDS);
-    assertTrue(List.of("whole", "refused").contains(got.end()), got.toString());
-    assertEquals(0, one.seen.size());
+    Response got = open.get(5, TimeUnit.SECONDS);
+    assertTrue(List.of("whole", "refused").contains(got.outcome()), got.toString());
+    assertEquals(0, one.receivedParts.size());
   }
 
   @Test
   void followsTheZoneSerialWithoutPush() throws Exception {
     prepare(Wire.FRAMES);
     start(false, 100_000);
-    assertEquals("whole", ask(0, 1, 2, 3).end());
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> responder.asked.stream().anyMatch(q -> q.type() == Type.SOA));
     zone.remove(pointer(one)); // its records hold for 120 s, but the serial has changed
-    await(() -> stage.count("members_withdrawn") == 1);
+    await(() -> stage.counter("members_withdrawn") == 1);
   }
 
   @ParameterizedTest
@@ -223,18 +223,18 @@
   void lostAndForgedAnswersWithdrawNothing(Fault fault) throws Exception {
     prepare(Wire.FRAMES);
     start(false, 50_000);
-    assertEquals("whole", ask(0, 1, 2, 3).end());
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
     responder.script = q -> q.type() == Type.SOA ? Fault.NONE : fault;
     responder.asked.clear();
     zone.empty(); // nobody can tell it now
     await(() -> responder.asked.stream().filter(q -> q.type() == Type.PTR).count() >= 2);
-    one.seen.clear();
-    two.seen.clear();
-    assertEquals("whole", ask(0, 1, 2, 3).end());
-    assertEquals(4, one.seen.size() + two.seen.size());
-    assertEquals(0, stage.count("members_withdrawn"));
+    one.receivedParts.clear();
+    two.receivedParts.clear();
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
+    assertEquals(4, one.receivedParts.size() + two.receivedParts.size());
+    assertEquals(0, stage.counter("members_withdrawn"));
     responder.script = q -> Fault.NONE; // now the same empty zone is said with authority
-    await(() -> stage.count("members_withdrawn") == 2);
+    await(() -> stage.counter("members_withdrawn") == 2);
   }
 
   @ParameterizedTest
@@ -245,8 +245,8 @@
     prepare(Wire.FRAMES);
     responder.script = q -> fault;
     start(false, 0);
-    await(() -> stage.count("roster_news") >= 1);
-    assertEquals("whole", ask(0, 1, 2, 3).end());
+    await(() -> stage.counter("roster_news") >= 1);
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
   }
 
   @Test
@@ -254,11 +254,11 @@
     prepare(Wire.FRAMES);
     start(true, 0);
     responder.cutSessions(true);
-    await(() -> stage.count("push_ended") >= 1);
-    assertEquals("whole", ask(0, 1, 2, 3).end());
+    await(() -> stage.counter("push_ended") >= 1);
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> responder.subscriptions() >= 6);
     zone.remove(pointer(two));
-    await(() -> stage.count("members_withdrawn") == 1);
+    await(() -> stage.counter("members_withdrawn") == 1);
   }
 
   /** Malformed push messages; malformed answers are among the faults above. */
@@ -277,10 +277,10 @@
       }
       responder.pushRaw(Buffer.buffer().appendUnsignedShort(noise.length).appendBytes(noise));
     }
-    await(() -> stage.count("push_ended") >= 1);
-    assertEquals("whole", ask(0, 1, 2, 3).end());
-    assertEquals(0, stage.count("faults"));
-    assertEquals(0, stage.count("members_withdrawn"));
+    await(() -> stage.counter("push_ended") >= 1);
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
+    assertEquals(0, stage.counter("faults"));
+    assertEquals(0, stage.counter("members_withdrawn"));
   }
 
   /** Two contradicting records for one id: nothing is sent to it until one is withdrawn. */
@@ -299,17 +299,17 @@
             "cell=0",
             "zone=a");
     zone.change(List.of(), other);
-    await(() -> stage.count("members_disputed") == 1);
-    one.seen.clear();
+    await(() -> stage.counter("members_disputed") == 1);
+    one.receivedParts.clear();
     for (int i = 0; i < 3; i++) {
-      assertEquals("whole", ask(0, 1, 2, 3).end());
+      assertEquals("whole", ask(0, 1, 2, 3).outcome());
     }
-    assertEquals(0, one.seen.size());
+    assertEquals(0, one.receivedParts.size());
     zone.remove(Zone.pointer(SERVICE, "Impostor", 120));
     await(
         () -> {
           try {
-            return ask(0, 1).end().equals("whole") && one.seen.size() > 0;
+            return ask(0, 1).outcome().equals("whole") && one.receivedParts.size() > 0;
           } catch (Exception e) {
             throw new IllegalStateException(e);
           }
@@ -334,20 +334,21 @@
   @Test
   void restartWithDnsDownServesFromTheSavedState() throws Exception {
     prepare(Wire.FRAMES);
-    stage.stateDir = folder.resolve("state");
+    stage.stateDirectory = folder.resolve("state");
     start(false, 0);
-    assertEquals("whole", ask(0, 1, 2, 3).end());
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> Files.exists(folder.resolve("state/roster.state")));
     stage.stop().get(10, TimeUnit.SECONDS);
     client.close();
     responder.script = q -> Fault.LOST;
     Stage again = new Stage();
-    again.stateDir = stage.stateDir;
+    again.stateDirectory = stage.stateDirectory;
     again.start(Stage.settings(300), serviceWithoutPush());
     client = Client.http(again.httpPort);
-    assertEquals("whole", ask(0, 1, 2, 3).end());
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
     assertTrue(
-        again.log.stream().anyMatch(line -> line.contains("2 claims from")), again.log.toString());
+        again.logLines.stream().anyMatch(line -> line.contains("2 claims from")),
+        again.logLines.toString());
     again.close();
     // a damaged file is set aside, and said so once
     Path file = folder.resolve("state/roster.state");
@@ -355,9 +356,9 @@
     bytes[bytes.length / 2] ^= 4;
     Files.write(file, bytes);
     Stage third = new Stage();
-    third.stateDir = stage.stateDir;
+    third.stateDirectory = stage.stateDirectory;
     third.start(Stage.settings(300), serviceWithoutPush());
-    assertEquals(1, third.log.stream().filter(line -> line.contains("set aside")).count());
+    assertEquals(1, third.logLines.stream().filter(line -> line.contains("set aside")).count());
     assertTrue(Files.exists(folder.resolve("state/roster.state.damaged")));
     third.close();
   }
@@ -396,6 +397,6 @@
         () ->
             zone.get(new Question(service, Type.PTR)).isEmpty()
                 && zone.all(instance, Type.ANY).isEmpty());
-    assertEquals("whole", ask(0, 1).end(), "who is connected is still served");
+    assertEquals("whole", ask(0, 1).outcome(), "who is connected is still served");
   }
 }
--- a/src/test/java/dunlinhitch/server/NoDelayTest.java
+++ b/src/test/java/dunlinhitch/server/NoDelayTest.java
@@ -66,12 +66,12 @@
     Stage stage = new Stage();
     FrameStore store = new FrameStore(stage.vertx, "s-0");
     try {
-      stage.list(store);
+      stage.publishStores(store);
       stage.start(Stage.settings(300), null);
       Client client = Client.http(stage.httpPort);
-      while (stage.count("attempts_written") == 0) {
+      while (stage.counter("attempts_written") == 0) {
         client
-            .ask("free-search", Map.of("X-Trace-Id", "q", "X-Expires-In", "1"), Client.body(0))
+            .send("free-search", Map.of("X-Trace-Id", "q", "X-Expires-In", "1"), Client.body(0))
             .get(10, TimeUnit.SECONDS);
       }
       try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort)) {
--- a/src/test/java/dunlinhitch/server/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -28,7 +28,7 @@
         new Address("127.0.0.1", stage.discovery.port()),
         7,
         Json.object(),
-        stage.sockets,
+        stage.maxSockets,
         settings,
         Product.NONE,
         null,
@@ -49,14 +49,14 @@
   void lastReadConfigurationApplies(boolean slow) throws Exception {
     Stage stage = new Stage();
     try {
-      stage.list();
+      stage.publishStores();
       stage.start(Stage.settings(40), null);
       CompletableFuture<Void> bothApplied = new CompletableFuture<>();
       CountDownLatch anyLogged = new CountDownLatch(1);
-      stage.onLog =
+      stage.logListener =
           line -> {
             anyLogged.countDown();
-            if (stage.log.stream().filter(one -> one.startsWith(APPLIED)).count() == 2) {
+            if (stage.logLines.stream().filter(one -> one.startsWith(APPLIED)).count() == 2) {
               bothApplied.complete(null);
             }
           };
@@ -81,7 +81,7 @@
           List.of(
               APPLIED + "[free-search, slot-booking]",
               APPLIED + "[free-search, slot-booking, report]"),
-          stage.log.stream().filter(one -> one.startsWith(APPLIED)).toList());
+          stage.logLines.stream().filter(one -> one.startsWith(APPLIED)).toList());
     } finally {
       stage.close();
     }
--- a/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
+++ b/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
@@ -7,14 +7,14 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinhitch.experiments.fakes.Client;
-import dunlinhitch.experiments.fakes.Client.Got;
+import dunlinhitch.experiments.fakes.Client.Response;
 import dunlinhitch.experiments.fakes.Discovery;
 import dunlinhitch.experiments.fakes.FlightStore;
 import dunlinhitch.experiments.fakes.FrameStore;
 import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
-import dunlinhitch.experiments.fakes.Store.Do;
-import dunlinhitch.experiments.fakes.Store.Seen;
+import dunlinhitch.experiments.fakes.Store.Behavior;
+import dunlinhitch.experiments.fakes.Store.ReceivedPart;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -62,10 +62,10 @@
     stage = new Stage();
     one = path.store(stage, 0);
     two = path.store(stage, 1);
-    stage.list(one, two);
+    stage.publishStores(one, two);
     stage.start(Stage.twoSteps(maximumInFlight), null);
     client = path.client(stage);
-    assertNotNull(stage.discovery.asked.poll(5, TimeUnit.SECONDS));
+    assertNotNull(stage.discovery.requests.poll(5, TimeUnit.SECONDS));
   }
 
   @AfterEach
@@ -76,26 +76,26 @@
     stage.close();
   }
 
-  private CompletableFuture<Got> ask(String queryClass, int... shards) {
+  private CompletableFuture<Response> ask(String queryClass, int... shards) {
     String id = "q" + ++asked;
-    return client.ask(
+    return client.send(
         queryClass,
         Map.of("X-Trace-Id", id, "X-Expires-In", "1.100", "Idempotency-Key", "key-" + id),
         Client.body(shards));
   }
 
-  private CompletableFuture<Got> askUnder(String key, String id) {
-    return client.ask(
+  private CompletableFuture<Response> askUnder(String key, String id) {
+    return client.send(
         "slot-booking",
         Map.of("X-Trace-Id", id, "X-Expires-In", "1.100", "Idempotency-Key", key),
         Client.body(2));
   }
 
-  private static Got wait(CompletableFuture<Got> answer) throws Exception {
+  private static Response wait(CompletableFuture<Response> answer) throws Exception {
     return answer.get(5, TimeUnit.SECONDS);
   }
 
-  private void script(java.util.function.Function<Seen, Do> script) {
+  private void script(java.util.function.Function<ReceivedPart, Behavior> script) {
     one.script = script;
     two.script = script;
   }
@@ -104,15 +104,16 @@
   @EnumSource(Path.class)
   void completeAnswerHoldsTheBackendsValues(Path path) throws Exception {
     begin(path, 300);
-    Got got = wait(ask("free-search", 0, 1, 2, 3, 4, 5));
-    assertEquals("whole", got.end());
+    Response got = wait(ask("free-search", 0, 1, 2, 3, 4, 5));
+    assertEquals("whole", got.outcome());
     assertEquals(6, got.parts().size());
     got.parts()
         .forEach(
             (shard, value) -> assertTrue(value.matches("s-[01]/" + shard + "/tenors é"), value));
     assertTrue(
-        one.seen.size() > 0 && two.seen.size() > 0, "both hold the shards, and both were asked");
-    for (Seen part : one.seen) {
+        one.receivedParts.size() > 0 && two.receivedParts.size() > 0,
+        "both hold the shards, and both were asked");
+    for (ReceivedPart part : one.receivedParts) {
       assertTrue(
           part.list().matches("d=[0-9]+") && part.id().equals("q1." + part.shard()),
           part.toString());
@@ -124,16 +125,16 @@
   void interruptedStreamRetriesOnlyTheMissingParts(Path path) throws Exception {
     begin(path, 300);
     AtomicInteger taken = new AtomicInteger();
-    one.script = part -> taken.incrementAndGet() == 2 ? Do.CUT : Do.GOOD;
-    Got got = wait(ask("free-search", 0, 1, 2, 3, 4, 5, 6, 7));
-    assertEquals("whole", got.end());
-    String first = one.seen.peek().id();
+    one.script = part -> taken.incrementAndGet() == 2 ? Behavior.CUT : Behavior.GOOD;
+    Response got = wait(ask("free-search", 0, 1, 2, 3, 4, 5, 6, 7));
+    assertEquals("whole", got.outcome());
+    String first = one.receivedParts.peek().id();
     assertTrue(
-        got.parts().get(one.seen.peek().shard()).startsWith("s-0/"),
+        got.parts().get(one.receivedParts.peek().shard()).startsWith("s-0/"),
         "the row that came whole is in");
-    assertEquals(1, one.seen.stream().filter(p -> p.id().equals(first)).count());
-    assertTrue(two.seen.stream().noneMatch(p -> p.id().equals(first)));
-    assertTrue(stage.count("attempts_reset") >= 1);
+    assertEquals(1, one.receivedParts.stream().filter(p -> p.id().equals(first)).count());
+    assertTrue(two.receivedParts.stream().noneMatch(p -> p.id().equals(first)));
+    assertTrue(stage.counter("attempts_reset") >= 1);
   }
 
   /**
@@ -144,15 +145,15 @@
   @EnumSource(Path.class)
   void malformedAnswerIsAFailureAndNeverForwarded(Path path) throws Exception {
     begin(path, 300);
-    for (Do how : List.of(Do.NO_TEXT, Do.NO_PART, Do.NO_END)) {
+    for (Behavior how : List.of(Behavior.NO_TEXT, Behavior.NO_PART, Behavior.NO_END)) {
       AtomicInteger taken = new AtomicInteger();
-      script(part -> taken.incrementAndGet() == 1 ? how : Do.GOOD);
-      Got got = wait(ask("slot-booking", 5));
-      assertEquals("whole", got.end(), how.name());
+      script(part -> taken.incrementAndGet() == 1 ? how : Behavior.GOOD);
+      Response got = wait(ask("slot-booking", 5));
+      assertEquals("whole", got.outcome(), how.name());
       assertTrue(got.parts().get(5).matches("s-[01]/5/tenors é"), how.name());
       assertEquals(2, taken.get(), how.name());
     }
-    assertEquals(3, stage.count("bad_frames"));
+    assertEquals(3, stage.counter("bad_frames"));
   }
 
   /** What comes beside a good answer spoils neither it nor what follows. */
@@ -160,28 +161,29 @@
   @EnumSource(Path.class)
   void duplicateOrBadLoadReportDoesNotFailTheAnswer(Path path) throws Exception {
     begin(path, 300);
-    for (Do how : List.of(Do.TWICE, Do.NO_REPORT)) {
+    for (Behavior how : List.of(Behavior.TWICE, Behavior.NO_REPORT)) {
       script(part -> how);
       for (int i = 0; i < 3; i++) {
-        assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).end(), how.name());
+        assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).outcome(), how.name());
       }
     }
-    assertEquals(24, stage.count("attempts_sent"));
-    assertEquals(24, stage.count("attempts_served"));
-    assertEquals(0, stage.count("bad_frames"));
+    assertEquals(24, stage.counter("attempts_sent"));
+    assertEquals(24, stage.counter("attempts_served"));
+    assertEquals(0, stage.counter("bad_frames"));
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
   void partialAnswerReachesTheMinimumAndIsNotMarkedComplete(Path path) throws Exception {
     begin(path, 300);
-    script(part -> part.shard() == 3 ? Do.NOTHING : Do.GOOD);
-    Got got = wait(ask("free-search", 0, 1, 2, 3));
-    assertEquals("partial", got.end());
+    script(part -> part.shard() == 3 ? Behavior.NOTHING : Behavior.GOOD);
+    Response got = wait(ask("free-search", 0, 1, 2, 3));
+    assertEquals("partial", got.outcome());
     assertEquals(Set.of(0, 1, 2), got.parts().keySet());
-    script(part -> part.shard() >= 2 ? Do.NOTHING : Do.GOOD);
+    script(part -> part.shard() >= 2 ? Behavior.NOTHING : Behavior.GOOD);
     got = wait(ask("free-search", 0, 1, 2, 3));
-    assertTrue(List.of("refused", "late").contains(got.end()), "half is under the floor: " + got);
+    assertTrue(
+        List.of("refused", "late").contains(got.outcome()), "half is under the floor: " + got);
   }
 
   @ParameterizedTest
@@ -189,17 +191,19 @@
   void partWithIdempotencyKeyIsRetriedWithItOneAtATime(Path path) throws Exception {
     begin(path, 300);
     AtomicInteger taken = new AtomicInteger();
-    script(part -> taken.incrementAndGet() == 1 ? Do.BAD : Do.GOOD);
-    assertEquals("whole", wait(ask("slot-booking", 5)).end());
-    assertEquals(2, one.seen.size() + two.seen.size());
+    script(part -> taken.incrementAndGet() == 1 ? Behavior.BAD : Behavior.GOOD);
+    assertEquals("whole", wait(ask("slot-booking", 5)).outcome());
+    assertEquals(2, one.receivedParts.size() + two.receivedParts.size());
     for (Store store : List.of(one, two)) {
-      store.seen.forEach(p -> assertTrue(p.list().endsWith(",k=key-q1"), p.list()));
+      store.receivedParts.forEach(p -> assertTrue(p.list().endsWith(",k=key-q1"), p.list()));
     }
-    script(part -> Do.BAD);
-    one.seen.clear();
-    two.seen.clear();
-    assertEquals("failed", wait(ask("slot-booking", 5)).end());
-    assertTrue(one.seen.size() + two.seen.size() <= 4, "no more attempts than the settings allow");
+    script(part -> Behavior.BAD);
+    one.receivedParts.clear();
+    two.receivedParts.clear();
+    assertEquals("failed", wait(ask("slot-booking", 5)).outcome());
+    assertTrue(
+        one.receivedParts.size() + two.receivedParts.size() <= 4,
+        "no more attempts than the settings allow");
   }
 
   /**
@@ -210,57 +214,58 @@
   @EnumSource(Path.class)
   void repeatedIdempotencyKeyInFlightIsASeparateQuery(Path path) throws Exception {
     begin(path, 300);
-    script(part -> part.id().startsWith("q1.") ? Do.NOTHING : Do.GOOD);
+    script(part -> part.id().startsWith("q1.") ? Behavior.NOTHING : Behavior.GOOD);
     var unused = askUnder("same", "q1"); // never answered
-    while (one.seen.isEmpty() && two.seen.isEmpty()) {
+    while (one.receivedParts.isEmpty() && two.receivedParts.isEmpty()) {
       Thread.onSpinWait();
     }
-    assertEquals("whole", wait(askUnder("same", "q2")).end());
-    List<Seen> seen = new ArrayList<>(one.seen);
-    seen.addAll(two.seen);
-    assertEquals(Set.of("q1.2", "q2.2"), seen.stream().map(Seen::id).collect(Collectors.toSet()));
+    assertEquals("whole", wait(askUnder("same", "q2")).outcome());
+    List<ReceivedPart> seen = new ArrayList<>(one.receivedParts);
+    seen.addAll(two.receivedParts);
+    assertEquals(
+        Set.of("q1.2", "q2.2"), seen.stream().map(ReceivedPart::id).collect(Collectors.toSet()));
     assertTrue(seen.stream().allMatch(part -> part.list().endsWith(",k=same")), seen.toString());
-    assertEquals(0, stage.count("sends_barred") + stage.count("turned_away"));
+    assertEquals(0, stage.counter("sends_barred") + stage.counter("turned_away"));
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
   void rejectedPartIsRetriedAtAnotherEndpoint(Path path) throws Exception {
     begin(path, 300);
-    one.script = part -> Do.LATER;
-    assertEquals("whole", wait(ask("slot-booking", 1)).end());
-    assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).end());
-    assertEquals(0, stage.count("sends_barred"));
+    one.script = part -> Behavior.LATER;
+    assertEquals("whole", wait(ask("slot-booking", 1)).outcome());
+    assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).outcome());
+    assertEquals(0, stage.counter("sends_barred"));
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
   void drainingEndpointReceivesNothingNew(Path path) throws Exception {
     begin(path, 300);
-    assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).end());
-    stage.discovery.change(Discovery.entry(one, "a", 0, "draining"));
-    while (stage.count("roster_news") < 2) {
+    assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).outcome());
+    stage.discovery.pushChange(Discovery.entry(one, "a", 0, "draining"));
+    while (stage.counter("roster_news") < 2) {
       Thread.onSpinWait();
     }
-    one.seen.clear();
+    one.receivedParts.clear();
     for (int i = 0; i < 5; i++) {
-      assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).end());
+      assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).outcome());
     }
-    assertNull(one.seen.poll());
-    stage.discovery.change(Discovery.entry(one, "a", 0, "gone"));
-    assertEquals("whole", wait(ask("slot-booking", 0)).end());
-    assertNull(one.seen.poll());
+    assertNull(one.receivedParts.poll());
+    stage.discovery.pushChange(Discovery.entry(one, "a", 0, "gone"));
+    assertEquals("whole", wait(ask("slot-booking", 0)).outcome());
+    assertNull(one.receivedParts.poll());
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
   void finalAnswerPrecedesTheClientsDeadline(Path path) throws Exception {
     begin(path, 300);
-    script(part -> Do.NOTHING);
+    script(part -> Behavior.NOTHING);
     long from = System.nanoTime();
-    Got got = wait(ask("slot-booking", 2));
+    Response got = wait(ask("slot-booking", 2));
     long elapsedMs = (System.nanoTime() - from) / 1_000_000;
-    assertEquals("late", got.end());
+    assertEquals("late", got.outcome());
     assertTrue(elapsedMs >= 800 && elapsedMs < 1_500, "after ms: " + elapsedMs);
   }
 
@@ -268,37 +273,38 @@
   @EnumSource(Path.class)
   void clientDisconnectCancelsTheAttempt(Path path) throws Exception {
     begin(path, 300);
-    script(part -> Do.NOTHING);
-    CompletableFuture<Got> answer = ask("slot-booking", 2);
-    Seen part = null;
+    script(part -> Behavior.NOTHING);
+    CompletableFuture<Response> answer = ask("slot-booking", 2);
+    ReceivedPart part = null;
     while (part == null) {
-      part = one.seen.poll(10, TimeUnit.MILLISECONDS);
-      part = part == null ? two.seen.poll(10, TimeUnit.MILLISECONDS) : part;
+      part = one.receivedParts.poll(10, TimeUnit.MILLISECONDS);
+      part = part == null ? two.receivedParts.poll(10, TimeUnit.MILLISECONDS) : part;
     }
     answer.cancel(true);
     String cancelled = null;
     while (cancelled == null) {
-      cancelled = one.givenUp.poll(10, TimeUnit.MILLISECONDS);
-      cancelled = cancelled == null ? two.givenUp.poll(10, TimeUnit.MILLISECONDS) : cancelled;
+      cancelled = one.cancelledParts.poll(10, TimeUnit.MILLISECONDS);
+      cancelled =
+          cancelled == null ? two.cancelledParts.poll(10, TimeUnit.MILLISECONDS) : cancelled;
     }
     assertEquals(part.id(), cancelled);
-    assertEquals(1, stage.count("client_left"));
+    assertEquals(1, stage.counter("client_left"));
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
   void rejectionIsImmediateWithRetryAfter(Path path) throws Exception {
     begin(path, 4);
-    script(part -> Do.NOTHING);
-    CompletableFuture<Got> admitted = ask("slot-booking", 2);
-    while (stage.count("queries_taken") < 1) {
+    script(part -> Behavior.NOTHING);
+    CompletableFuture<Response> admitted = ask("slot-booking", 2);
+    while (stage.counter("queries_taken") < 1) {
       Thread.onSpinWait();
     }
-    Got got = wait(ask("free-search", 0, 1, 2));
-    assertEquals("refused", got.end());
+    Response got = wait(ask("free-search", 0, 1, 2));
+    assertEquals("refused", got.outcome());
     assertTrue(Double.parseDouble(got.retryAfter()) > 0);
     assertFalse(admitted.isDone());
-    assertEquals("late", wait(admitted).end());
+    assertEquals("late", wait(admitted).outcome());
   }
 
   @ParameterizedTest
@@ -314,22 +320,25 @@
             Client.body(1, 1),
             Client.body(1).replace("1.0", "0.6"),
             "{\"ranges\":[{\"range\":1,\"portion\":1}]}")) {
-      assertEquals("bad", wait(ask("free-search", body)).end(), body);
+      assertEquals("bad", wait(ask("free-search", body)).outcome(), body);
     }
     assertEquals(
-        "bad", wait(client.ask("free-search", Map.of("X-Trace-Id", "a b"), Client.body(1))).end());
+        "bad",
+        wait(client.send("free-search", Map.of("X-Trace-Id", "a b"), Client.body(1))).outcome());
     assertEquals(
-        "bad", wait(client.ask("slot-booking", Map.of("X-Trace-Id", "a"), Client.body(1))).end());
-    assertEquals("bad", wait(client.ask("other", Map.of("X-Trace-Id", "a"), Client.body(1))).end());
-    assertEquals(0, stage.count("queries_taken"));
+        "bad",
+        wait(client.send("slot-booking", Map.of("X-Trace-Id", "a"), Client.body(1))).outcome());
+    assertEquals(
+        "bad", wait(client.send("other", Map.of("X-Trace-Id", "a"), Client.body(1))).outcome());
+    assertEquals(0, stage.counter("queries_taken"));
   }
 
-  private CompletableFuture<Got> ask(String queryClass, String body) {
-    return client.ask(queryClass, Map.of("X-Trace-Id", "q" + ++asked), body);
+  private CompletableFuture<Response> ask(String queryClass, String body) {
+    return client.send(queryClass, Map.of("X-Trace-Id", "q" + ++asked), body);
   }
 
-  private List<Seen> secondParts() {
-    return java.util.stream.Stream.concat(one.seen.stream(), two.seen.stream())
+  private List<ReceivedPart> secondParts() {
+    return java.util.stream.Stream.concat(one.receivedParts.stream(), two.receivedParts.stream())
         .filter(p -> p.id().endsWith(".r"))
         .toList();
   }
@@ -344,20 +353,20 @@
     begin(path, 300);
     one.score = part -> part.shard() == 3 ? "much" : "" + 1840277000L * (1 + part.shard());
     two.score = one.score;
-    Got got = wait(ask("report", 0, 1, 2, 3));
-    assertEquals("whole", got.end());
+    Response got = wait(ask("report", 0, 1, 2, 3));
+    assertEquals("whole", got.outcome());
     assertEquals(Set.of(1, 2), got.parts().keySet());
     got.parts()
         .forEach(
             (shard, value) ->
                 assertTrue(value.matches("s-[01]/" + shard + "/tenors é/again"), value));
     assertEquals(2, secondParts().size());
-    for (Seen part : secondParts()) {
+    for (ReceivedPart part : secondParts()) {
       assertEquals("q1." + part.shard() + ".r", part.id());
       assertTrue(part.list().matches("d=[0-9]+,from=0\\+1\\+2\\+3,whole=1"), part.list());
     }
-    assertEquals(1, stage.count("second_steps"));
-    assertEquals(1, stage.count("bad_scores"));
+    assertEquals(1, stage.counter("second_steps"));
+    assertEquals(1, stage.counter("bad_scores"));
   }
 
   /**
@@ -368,9 +377,9 @@
   @EnumSource(Path.class)
   void incompleteSecondStepIsNoAnswer(Path path) throws Exception {
     begin(path, 300);
-    script(part -> part.id().equals("q1.0.r") ? Do.BAD : Do.GOOD);
-    Got got = wait(ask("report", 0, 1));
-    assertTrue(List.of("refused", "late", "failed").contains(got.end()), got.toString());
+    script(part -> part.id().equals("q1.0.r") ? Behavior.BAD : Behavior.GOOD);
+    Response got = wait(ask("report", 0, 1));
+    assertTrue(List.of("refused", "late", "failed").contains(got.outcome()), got.toString());
     long attempts = secondParts().stream().filter(p -> p.id().equals("q1.0.r")).count();
     assertTrue(
         attempts >= 2 && attempts <= 4,
@@ -378,9 +387,11 @@
     AtomicInteger rejections = new AtomicInteger();
     script(
         part ->
-            part.id().equals("q2.0.r") && rejections.getAndIncrement() == 0 ? Do.LATER : Do.GOOD);
+            part.id().equals("q2.0.r") && rejections.getAndIncrement() == 0
+                ? Behavior.LATER
+                : Behavior.GOOD);
     assertEquals(
-        "whole", wait(ask("report", 0, 1)).end(), "what is turned away is asked elsewhere");
+        "whole", wait(ask("report", 0, 1)).outcome(), "what is turned away is asked elsewhere");
     assertEquals(2, rejections.get());
   }
 
@@ -388,9 +399,9 @@
   @EnumSource(Path.class)
   void incompleteFirstStepHasNoSecondStep(Path path) throws Exception {
     begin(path, 300);
-    script(part -> part.shard() == 3 ? Do.NOTHING : Do.GOOD);
-    Got got = wait(ask("report", 0, 1, 2, 3));
-    assertTrue(List.of("refused", "late").contains(got.end()), got.toString());
+    script(part -> part.shard() == 3 ? Behavior.NOTHING : Behavior.GOOD);
+    Response got = wait(ask("report", 0, 1, 2, 3));
+    assertTrue(List.of("refused", "late").contains(got.outcome()), got.toString());
     assertEquals(List.of(), secondParts());
   }
 
@@ -410,25 +421,28 @@
         headers.put("X-Customer", customer);
       }
       assertEquals(
-          "whole", wait(client.ask("free-search", headers, Client.body(0, 1))).end(), customer);
+          "whole",
+          wait(client.send("free-search", headers, Client.body(0, 1))).outcome(),
+          customer);
     }
-    assertEquals(4, stage.count("tenants_unknown"));
+    assertEquals(4, stage.counter("tenants_unknown"));
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
   void queriesAdmittedBeforeShutdownAreAnswered(Path path) throws Exception {
     begin(path, 300);
-    script(part -> Do.NOTHING);
-    CompletableFuture<Got> open = ask("slot-booking", 2);
-    while (stage.count("attempts_sent") < 1) {
+    script(part -> Behavior.NOTHING);
+    CompletableFuture<Response> open = ask("slot-booking", 2);
+    while (stage.counter("attempts_sent") < 1) {
       Thread.onSpinWait();
     }
     CompletableFuture<Void> ended = stage.stop();
-    script(part -> Do.GOOD);
-    assertEquals("whole", wait(ask("free-search", 0, 1)).end(), "the grace still takes queries");
+    script(part -> Behavior.GOOD);
+    assertEquals(
+        "whole", wait(ask("free-search", 0, 1)).outcome(), "the grace still takes queries");
     assertTrue(
-        List.of("whole", "late").contains(wait(open).end()), "what was open gets its answer");
+        List.of("whole", "late").contains(wait(open).outcome()), "what was open gets its answer");
     ended.get(10, TimeUnit.SECONDS);
   }
 }
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -137,7 +137,7 @@
           200, withoutDiscovery(other, port, "{\"generation\":3,\"instances\":[" + entry + "]}"));
       assertEquals(503, withoutDiscovery(stage, port, "{\"generation\":3,\"instances\":[]}"));
       try (Discovery discovery = new Discovery(stage.vertx, port)) {
-        discovery.list(entry);
+        discovery.setList(entry);
         int status = 503;
         for (int i = 0; i < 1_000 && status != 200; i++) {
           Thread.sleep(10);
--- a/src/test/java/dunlinhitch/server/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -5,15 +5,15 @@
 
 import dunlinhitch.config.Product;
 import dunlinhitch.experiments.fakes.Client;
-import dunlinhitch.experiments.fakes.Client.Got;
+import dunlinhitch.experiments.fakes.Client.Response;
 import dunlinhitch.experiments.fakes.Discovery;
 import dunlinhitch.experiments.fakes.FlightStore;
 import dunlinhitch.experiments.fakes.FrameStore;
 import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
-import dunlinhitch.experiments.fakes.Store.Do;
-import dunlinhitch.experiments.fakes.Store.First;
-import dunlinhitch.experiments.fakes.Store.Seen;
+import dunlinhitch.experiments.fakes.Store.Behavior;
+import dunlinhitch.experiments.fakes.Store.FirstAnswer;
+import dunlinhitch.experiments.fakes.Store.ReceivedPart;
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
@@ -44,38 +44,38 @@
 
   private void begin(Wire wire, double audit, boolean mixed) throws Exception {
     stage = new Stage();
-    stage.phases =
+    stage.twoPhaseClasses =
         List.of(new Product.TwoPhaseClass("free-search", 0.4, 2, 1, audit, 0.05, 60_000_000));
     one = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-0") : new FlightStore("s-0");
     two = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-1") : new FlightStore("s-1");
-    first(part -> new First(part.shard() % 2 == 0 ? 0 : 3, "v1", NONE));
+    first(part -> new FirstAnswer(part.shard() % 2 == 0 ? 0 : 3, "v1", NONE));
     if (mixed) {
-      two.first = null;
+      two.firstAnswer = null;
     }
-    stage.list(one, two);
+    stage.publishStores(one, two);
     stage.start(Stage.settings(300), null);
     client = Client.http(stage.httpPort);
   }
 
-  private void first(Function<Seen, First> summary) {
-    one.first = summary;
-    two.first = summary;
+  private void first(Function<ReceivedPart, FirstAnswer> summary) {
+    one.firstAnswer = summary;
+    two.firstAnswer = summary;
   }
 
-  private CompletableFuture<Got> open(int... shards) {
+  private CompletableFuture<Response> open(int... shards) {
     String id = "q" + ++asked;
-    return client.ask(
+    return client.send(
         "free-search",
         Map.of("X-Trace-Id", id, "X-Expires-In", "1.100", "X-Show-Pruned", "1"),
         Client.body(shards));
   }
 
-  private Got ask(int... shards) throws Exception {
+  private Response ask(int... shards) throws Exception {
     return open(shards).get(5, TimeUnit.SECONDS);
   }
 
   private long secondPassParts() {
-    return (long) one.seen.size() + two.seen.size();
+    return (long) one.receivedParts.size() + two.receivedParts.size();
   }
 
   private static void await(BooleanSupplier condition) {
@@ -98,30 +98,30 @@
   @EnumSource(Wire.class)
   void emptyBlocksArePrunedAndTheAnswerIsComplete(Wire wire) throws Exception {
     begin(wire, 0, false);
-    Got got = ask(0, 1, 2, 3, 4, 5);
-    assertEquals("whole", got.end());
+    Response got = ask(0, 1, 2, 3, 4, 5);
+    assertEquals("whole", got.outcome());
     assertEquals(Set.of(0, 1, 2, 3, 4, 5), got.parts().keySet());
     assertEquals(NONE, got.parts().get(0), "the store's own empty value");
     assertTrue(got.parts().get(1).matches("s-[01]/1/tenors é"));
     assertEquals(3, secondPassParts());
-    assertEquals(6, one.firstSeen.size() + two.firstSeen.size());
-    assertEquals(3, stage.count("blocks_pruned"));
+    assertEquals(6, one.firstPasses.size() + two.firstPasses.size());
+    assertEquals(3, stage.counter("blocks_pruned"));
     got = ask(0, 2, 4);
-    assertEquals("whole", got.end(), "all of them empty");
+    assertEquals("whole", got.outcome(), "all of them empty");
     assertEquals(3, secondPassParts());
-    assertEquals(0, stage.count("sends_barred"));
-    assertEquals(0, stage.count("faults"));
+    assertEquals(0, stage.counter("sends_barred"));
+    assertEquals(0, stage.counter("faults"));
   }
 
   @ParameterizedTest
   @EnumSource(Wire.class)
   void oneBlockAndMixedBackendsUseOnePhase(Wire wire) throws Exception {
     begin(wire, 0, true);
-    assertEquals("whole", ask(0, 1, 2, 3).end());
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
     assertEquals(4, secondPassParts(), "a store that knows one phase is never pruned");
-    assertEquals("whole", ask(0).end());
-    assertEquals(0, one.firstSeen.size());
-    assertEquals(2, stage.count("queries_in_one_phase"));
+    assertEquals("whole", ask(0).outcome());
+    assertEquals(0, one.firstPasses.size());
+    assertEquals(2, stage.counter("queries_in_one_phase"));
   }
 
   /**
@@ -132,14 +132,14 @@
   @EnumSource(Wire.class)
   void lateFirstPassLeavesTimeForTheSecond(Wire wire) throws Exception {
     begin(wire, 0, false);
-    first(part -> part.shard() < 2 ? null : new First(0, "v1", NONE));
+    first(part -> part.shard() < 2 ? null : new FirstAnswer(0, "v1", NONE));
     long from = System.nanoTime();
-    Got got = ask(0, 1, 2, 3);
+    Response got = ask(0, 1, 2, 3);
     long elapsedMs = (System.nanoTime() - from) / 1_000_000;
-    assertEquals("whole", got.end());
+    assertEquals("whole", got.outcome());
     assertTrue(elapsedMs >= 250 && elapsedMs < 1_000, "after ms: " + elapsedMs);
     assertEquals(2, secondPassParts());
-    assertEquals(1, stage.count("first_passes_late"));
+    assertEquals(1, stage.counter("first_passes_late"));
     assertTrue(got.parts().get(0).startsWith("s-"), "what had no first answer is asked in full");
   }
 
@@ -148,17 +148,18 @@
   @EnumSource(Wire.class)
   void wrongSummaryDisablesPruning(Wire wire) throws Exception {
     begin(wire, 1, false);
-    Got got = ask(0, 1, 2, 3);
-    assertEquals("whole", got.end());
+    Response got = ask(0, 1, 2, 3);
+    assertEquals("whole", got.outcome());
     assertEquals(4, secondPassParts(), "all that would be spared is audited");
     assertTrue(got.parts().get(0).startsWith("s-"), "the full answer counts");
-    await(() -> stage.count("audits_bad") >= 1);
+    await(() -> stage.counter("audits_bad") >= 1);
     assertTrue(
-        stage.log.stream().anyMatch(line -> line.startsWith("pruning is closed for free-search")));
-    one.firstSeen.clear();
-    two.firstSeen.clear();
-    assertEquals("whole", ask(0, 1, 2, 3).end());
-    assertEquals(0, one.firstSeen.size() + two.firstSeen.size(), "closed: one phase");
+        stage.logLines.stream()
+            .anyMatch(line -> line.startsWith("pruning is closed for free-search")));
+    one.firstPasses.clear();
+    two.firstPasses.clear();
+    assertEquals("whole", ask(0, 1, 2, 3).outcome());
+    assertEquals(0, one.firstPasses.size() + two.firstPasses.size(), "closed: one phase");
   }
 
   /**
@@ -169,32 +170,32 @@
   @EnumSource(Wire.class)
   void endpointDrainingBetweenPhasesReceivesNoSecondPass(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.firstAfterMs = 200;
-    two.firstAfterMs = 200;
-    CompletableFuture<Got> open = open(0, 1, 2, 3);
-    await(() -> one.firstSeen.size() + two.firstSeen.size() == 4);
-    stage.discovery.change(Discovery.entry(one, "a", 0, "draining"));
-    Got got = open.get(5, TimeUnit.SECONDS);
-    assertEquals("whole", got.end());
-    assertEquals(0, one.seen.size());
-    assertEquals(2, two.seen.size());
+    one.firstAnswerDelayMs = 200;
+    two.firstAnswerDelayMs = 200;
+    CompletableFuture<Response> open = open(0, 1, 2, 3);
+    await(() -> one.firstPasses.size() + two.firstPasses.size() == 4);
+    stage.discovery.pushChange(Discovery.entry(one, "a", 0, "draining"));
+    Response got = open.get(5, TimeUnit.SECONDS);
+    assertEquals("whole", got.outcome());
+    assertEquals(0, one.receivedParts.size());
+    assertEquals(2, two.receivedParts.size());
   }
 
   @ParameterizedTest
   @EnumSource(Wire.class)
   void clientDisconnectBetweenPhasesEndsTheQuery(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.firstAfterMs = 300;
-    two.firstAfterMs = 300;
-    CompletableFuture<Got> open = open(0, 1, 2, 3);
-    await(() -> one.firstSeen.size() + two.firstSeen.size() == 4);
+    one.firstAnswerDelayMs = 300;
+    two.firstAnswerDelayMs = 300;
+    CompletableFuture<Response> open = open(0, 1, 2, 3);
+    await(() -> one.firstPasses.size() + two.firstPasses.size() == 4);
     open.cancel(true);
-    await(() -> stage.count("client_left") == 1);
-    one.firstAfterMs = 1;
-    two.firstAfterMs = 1;
-    assertEquals("whole", ask(0, 1).end());
+    await(() -> stage.counter("client_left") == 1);
+    one.firstAnswerDelayMs = 1;
+    two.firstAnswerDelayMs = 1;
+    assertEquals("whole", ask(0, 1).outcome());
     assertEquals(1, secondPassParts(), "only of the second query");
-    assertEquals(0, stage.count("faults"));
+    assertEquals(0, stage.counter("faults"));
   }
 
   /** Attempts of both phases count together, and never are two out for a part. */
@@ -202,14 +203,17 @@
   @EnumSource(Wire.class)
   void attemptsOfBothPhasesStayWithinTheLimit(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.script = part -> Do.BAD;
-    two.script = part -> Do.BAD;
-    Got got = ask(1, 3);
-    assertTrue(List.of("failed", "late", "refused").contains(got.end()), got.toString());
+    one.script = part -> Behavior.BAD;
+    two.script = part -> Behavior.BAD;
+    Response got = ask(1, 3);
+    assertTrue(List.of("failed", "late", "refused").contains(got.outcome()), got.toString());
     for (int shard : new int[] {1, 3}) {
       long attempts =
           List.of(one, two).stream()
-              .flatMap(s -> java.util.stream.Stream.concat(s.seen.stream(), s.firstSeen.stream()))
+              .flatMap(
+                  s ->
+                      java.util.stream.Stream.concat(
+                          s.receivedParts.stream(), s.firstPasses.stream()))
               .filter(p -> p.shard() == shard)
               .count();
       assertTrue(attempts <= 4, "attempts for shard " + shard + ": " + attempts);
@@ -221,13 +225,13 @@
   @EnumSource(Wire.class)
   void partialAnswerCountsPrunedBlocks(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.script = part -> part.shard() == 1 ? Do.NOTHING : Do.GOOD;
+    one.script = part -> part.shard() == 1 ? Behavior.NOTHING : Behavior.GOOD;
     two.script = one.script;
-    Got got = ask(0, 1, 2, 4);
-    assertEquals("partial", got.end());
+    Response got = ask(0, 1, 2, 4);
+    assertEquals("partial", got.outcome());
     assertEquals(Set.of(0, 2, 4), got.parts().keySet());
     got = ask(1, 3, 5, 7);
-    assertEquals("partial", got.end());
+    assertEquals("partial", got.outcome());
     assertEquals(Set.of(3, 5, 7), got.parts().keySet());
   }
 
@@ -236,18 +240,18 @@
   @EnumSource(Wire.class)
   void lateSummaryChangesNothing(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.firstAfterMs = 450;
-    two.firstAfterMs = 450;
-    one.answerAfterMs = 300;
-    two.answerAfterMs = 300;
-    Got got = ask(0, 1, 2, 3);
-    assertEquals("whole", got.end());
+    one.firstAnswerDelayMs = 450;
+    two.firstAnswerDelayMs = 450;
+    one.answerDelayMs = 300;
+    two.answerDelayMs = 300;
+    Response got = ask(0, 1, 2, 3);
+    assertEquals("whole", got.outcome());
     got.parts()
         .forEach(
             (shard, value) -> assertTrue(value.startsWith("s-"), "shard " + shard + ": " + value));
     assertEquals(4, secondPassParts());
-    assertEquals(0, stage.count("bad_frames"));
-    assertEquals(0, stage.count("blocks_pruned"));
+    assertEquals(0, stage.counter("bad_frames"));
+    assertEquals(0, stage.counter("blocks_pruned"));
   }
 
   /**
@@ -261,13 +265,13 @@
     assertEquals(NONE, ask(0, 2, 4).parts().get(2));
     first(
         part ->
-            new First(
+            new FirstAnswer(
                 part.shard() == 2 ? 5 : 0,
                 "v1",
                 NONE)); // restarted with other data, under the same version
-    Got got = ask(0, 2, 4);
+    Response got = ask(0, 2, 4);
     assertTrue(got.parts().get(2).startsWith("s-"), got.toString());
-    first(part -> new First(0, "v2", NONE)); // and emptied by a booking
+    first(part -> new FirstAnswer(0, "v2", NONE)); // and emptied by a booking
     assertEquals(NONE, ask(0, 2, 4).parts().get(0));
   }
 
@@ -276,18 +280,18 @@
   @EnumSource(Wire.class)
   void endpointFailingBetweenPhasesLosesNothing(Wire wire) throws Exception {
     begin(wire, 0, false);
-    two.firstAfterMs = 150;
-    one.firstAfterMs = 150;
-    CompletableFuture<Got> open = open(0, 1, 2, 3, 5, 7);
-    await(() -> one.firstSeen.size() + two.firstSeen.size() == 6);
+    two.firstAnswerDelayMs = 150;
+    one.firstAnswerDelayMs = 150;
+    CompletableFuture<Response> open = open(0, 1, 2, 3, 5, 7);
+    await(() -> one.firstPasses.size() + two.firstPasses.size() == 6);
     one.close();
-    Got got = open.get(5, TimeUnit.SECONDS);
-    assertTrue(List.of("whole", "partial").contains(got.end()), got.toString());
+    Response got = open.get(5, TimeUnit.SECONDS);
+    assertTrue(List.of("whole", "partial").contains(got.outcome()), got.toString());
     got.parts()
         .forEach(
             (shard, value) ->
                 assertTrue(value.equals(NONE) ? shard % 2 == 0 : value.startsWith("s-"), value));
-    assertEquals(0, stage.count("faults"));
+    assertEquals(0, stage.counter("faults"));
   }
 
   /**
@@ -299,24 +303,24 @@
   void clientRetryBetweenPhasesIsASeparateQuery(Wire wire) throws Exception {
     begin(wire, 0, false);
     for (int i = 0; i < 5; i++) { // what a part takes is known then, and admission has no doubts
-      assertEquals("whole", ask(0, 1).end());
+      assertEquals("whole", ask(0, 1).outcome());
     }
-    one.firstSeen.clear();
-    two.firstSeen.clear();
-    one.seen.clear();
-    two.seen.clear();
-    one.firstAfterMs = 100;
-    two.firstAfterMs = 100;
-    CompletableFuture<Got> before = open(0, 1, 2, 3);
-    await(() -> one.firstSeen.size() + two.firstSeen.size() == 4);
-    CompletableFuture<Got> again =
-        client.ask(
+    one.firstPasses.clear();
+    two.firstPasses.clear();
+    one.receivedParts.clear();
+    two.receivedParts.clear();
+    one.firstAnswerDelayMs = 100;
+    two.firstAnswerDelayMs = 100;
+    CompletableFuture<Response> before = open(0, 1, 2, 3);
+    await(() -> one.firstPasses.size() + two.firstPasses.size() == 4);
+    CompletableFuture<Response> again =
+        client.send(
             "free-search",
             Map.of("X-Trace-Id", "again", "X-Expires-In", "1.000", "X-Second-Try", "1"),
             Client.body(0, 1, 2, 3));
-    assertEquals("whole", before.get(5, TimeUnit.SECONDS).end());
-    assertEquals("whole", again.get(5, TimeUnit.SECONDS).end());
+    assertEquals("whole", before.get(5, TimeUnit.SECONDS).outcome());
+    assertEquals("whole", again.get(5, TimeUnit.SECONDS).outcome());
     assertEquals(4, secondPassParts());
-    assertEquals(0, stage.count("sends_barred"));
+    assertEquals(0, stage.counter("sends_barred"));
   }
 }
--- a/src/test/java/dunlinhitch/server/UpgradeTest.java
+++ b/src/test/java/dunlinhitch/server/UpgradeTest.java
@@ -23,7 +23,7 @@
 class UpgradeTest {
   private static Stage stage(ServerSocketChannel listener) throws Exception {
     Stage stage = new Stage(new ClientListener(listener));
-    stage.list(new FrameStore(stage.vertx, "a"), new FrameStore(stage.vertx, "b"));
+    stage.publishStores(new FrameStore(stage.vertx, "a"), new FrameStore(stage.vertx, "b"));
     stage.start(Stage.settings(100), null);
     return stage;
   }
@@ -82,11 +82,11 @@
             answer(fresh);
           }
         }
-        assertEquals(20, next.count("queries_taken"));
+        assertEquals(20, next.counter("queries_taken"));
         ask(connected, "q21");
         assertTrue(answer(connected).toLowerCase(Locale.ROOT).contains("connection: close"));
         assertEquals(-1, connected.getInputStream().read());
-        assertEquals(2, old.count("queries_taken"));
+        assertEquals(2, old.counter("queries_taken"));
         ended.get(8, TimeUnit.SECONDS);
         old.close();
         try (Socket fresh = new Socket(InetAddress.getLoopbackAddress(), port)) {
