--- a/src/main/java/dunlinhitch/experiments/dns/Responder.java
+++ b/src/main/java/dunlinhitch/experiments/dns/Responder.java
@@ -275,6 +275,16 @@
         send(answer, exchange);
         send(answer, exchange);
       }
+      case LOST -> {}
+      case SERVFAIL -> sendError(Rcode.SERVFAIL, answer, exchange);
+      case REFUSED -> sendError(Rcode.REFUSED, answer, exchange);
+      default -> sendAltered(fault, answer, exchange);
+    }
+  }
+
+  /** Sends an answer whose content or source port the fault alters. */
+  private void sendAltered(Fault fault, Message answer, Exchange exchange) {
+    switch (fault) {
       case TRUNCATED -> {
         if (!exchange.stream()) {
           answer.getHeader().setFlag(Flags.TC);
@@ -297,10 +307,8 @@
         removeRecords(answer);
         send(answer, exchange);
       }
-      case SERVFAIL -> sendError(Rcode.SERVFAIL, answer, exchange);
-      case REFUSED -> sendError(Rcode.REFUSED, answer, exchange);
       case NOISE -> exchange.reply().accept(corrupt(exchange.encode(answer)));
-      case LOST -> {}
+      default -> throw new IllegalArgumentException("no altered answer: " + fault);
     }
   }
 
--- a/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
@@ -21,6 +21,12 @@
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
     worst = 0;
     int times = quick ? 1 : 3;
+    measureSavings(out, seed, times, quick ? new double[] {1600} : new double[] {400, 1600});
+    measureFaults(out, seed, times);
+    return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
+  }
+
+  private void measureSavings(PrintStream out, long seed, int times, double[] rates) {
     out.printf(
         "%8s %8s %-6s %5s %8s %8s %9s %8s %6s %5s %8s %9s %9s%n",
         "brokers",
@@ -37,12 +43,15 @@
         "p50 ms",
         "p99 ms");
     for (int brokers : FLEETS) {
-      for (double rate : quick ? new double[] {1600} : new double[] {400, 1600}) {
+      for (double rate : rates) {
         for (int i = 0; i < times; i++) {
           fetches(out, seed + i, brokers, rate);
         }
       }
     }
+  }
+
+  private void measureFaults(PrintStream out, long seed, int times) {
     out.printf(
         "%nwords: 1 %% lost, 1 %% doubled; fetches: 1 %% fail; cut: two halves for 10 s%n%8s %-22s %5s %9s %8s %10s %6s %5s %8s  %s%n",
         "brokers",
@@ -75,7 +84,6 @@
             "one turns false, cut");
       }
     }
-    return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
   }
 
   private void figure(double value, double bound) {
@@ -113,7 +121,13 @@
   }
 
   private static void row(
-      PrintStream out, long seed, int brokers, double rate, String keys, Result r, Result exact) {
+      PrintStream out,
+      long seed,
+      int brokers,
+      double rate,
+      String keys,
+      Result result,
+      Result exact) {
     out.printf(
         Locale.ROOT,
         "%8d %8.0f %-6s %5d %8d %8d %8.2fx %8d %6s %5d %8d %9.1f %9.1f%n",
@@ -121,34 +135,34 @@
         rate,
         keys,
         seed,
-        r.asks(),
-        r.fetches(),
-        (double) exact.fetches() / r.fetches(),
-        r.trials(),
-        keys.equals("rules") ? Long.toString(r.again()) : "-",
-        r.wrong(),
-        r.unended(),
-        r.p50Us() / 1e3,
-        r.p99Us() / 1e3);
+        result.asks(),
+        result.fetches(),
+        (double) exact.fetches() / result.fetches(),
+        result.trials(),
+        keys.equals("rules") ? Long.toString(result.again()) : "-",
+        result.wrong(),
+        result.unended(),
+        result.p50Us() / 1e3,
+        result.p99Us() / 1e3);
   }
 
   private void faults(PrintStream out, Setup setup, String what) {
-    Result r = new KeysWorld(setup).play();
-    double bound = setup.turnsFalse() ? r.mayBeWrong() : 0;
-    figure((double) r.wrong(), bound);
-    figure((double) (r.old() + r.unended()), 0);
+    Result result = new KeysWorld(setup).play();
+    double bound = setup.turnsFalse() ? result.mayBeWrong() : 0;
+    figure((double) result.wrong(), bound);
+    figure((double) (result.old() + result.unended()), 0);
     out.printf(
         Locale.ROOT,
         "%8d %-22s %5d %9d %8d %10.0f %6s %5d %8d  %s%n",
         setup.brokers(),
         what,
         setup.seed(),
-        r.fetches(),
-        r.wrong(),
+        result.fetches(),
+        result.wrong(),
         bound,
-        r.restedUs() < 0 ? "-" : String.format(Locale.ROOT, "%.2f", r.restedUs() / 1e6),
-        r.old(),
-        r.unended(),
-        r.states());
+        result.restedUs() < 0 ? "-" : String.format(Locale.ROOT, "%.2f", result.restedUs() / 1e6),
+        result.old(),
+        result.unended(),
+        result.states());
   }
 }
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
@@ -18,118 +18,136 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Eight processes of the real program and a ninth that comes later, on loopback: what one cut off
- * for 5 s, one killed with SIGKILL and one new do to the brokers at each store, how long until all
- * agree, what a change moves, and what becomes of every query meanwhile.
+ * Measures the cluster on eight broker processes and a ninth that joins later: after a 5 s
+ * partition of one broker, a SIGKILL and a join, it reports the load balance of the stores, the
+ * convergence time, the moved connections and the outcome of all queries meanwhile.
  */
 final class FleetRigMeasure implements Measures.Measure {
   private static final int BROKERS = 8;
   private static final int CELLS = 4;
-  private static final int EACH = 3;
-  private static final int WAIT_S = 40;
-  private static final int CUT_MS = 5_000;
-  private static final double MOST_UNEVEN = 1.3;
-  private static final double MOST_MOVED = 1.5;
+  private static final int STORES_PER_CELL = 3;
+  private static final int QUERY_INTERVAL_MS = 100;
+  private static final int CONVERGENCE_TIMEOUT_S = 40;
+  private static final int PARTITION_MS = 5_000;
+
+  /** Bound of the maximum load of a store over the mean. */
+  private static final double MAX_UNEVENNESS = 1.3;
+
+  /** Bound of the moved connections, as a multiple of one broker's. */
+  private static final double MAX_MOVED = 1.5;
 
   /**
-   * Two rounds of looks, an answer's wait, the suspicion, and the news to all; see docs/subsets.md.
+   * Bound of the convergence time: two protocol periods, a ping timeout, the suspicion and the
+   * dissemination; see docs/subsets.md.
    */
-  private static final double MOST_S = 6;
+  private static final double MAX_CONVERGENCE_S = 6;
 
+  /** The largest ratio of a figure to its bound in this run. */
   private double worst;
 
   @Override
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) throws Exception {
     worst = 0;
-    Path dir = Files.createTempDirectory("rig");
-    try (Rig rig = new Rig(dir, seed, BROKERS + 1, CELLS, EACH, "")) {
+    Path directory = Files.createTempDirectory("rig");
+    try (Rig rig = new Rig(directory, seed, BROKERS + 1, CELLS, STORES_PER_CELL, "")) {
       List<Rig.Node> first = rig.nodes().subList(0, BROKERS);
       out.printf(
           "%-34s %8s %10s %12s %14s%n",
           "what happens", "brokers", "agree, s", "max/mean", "moved, ideal 1");
       rig.start(first);
-      Rig.await("the first agree", WAIT_S, () -> Rig.agree(first));
-      show(out, rig, "eight started", first, 0, -1);
-      RigClients clients = new RigClients(rig, 100);
+      Rig.await("the first agree", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(first));
+      report(out, rig, "eight started", first, 0, -1);
+      RigClients clients = new RigClients(rig, QUERY_INTERVAL_MS);
       clients.start();
+      Map<String, Set<String>> before = subsets(first);
+      partitionAndHeal(out, rig, first, before);
+      List<Rig.Node> survivors = kill(out, rig, first, before);
+      join(out, rig, survivors);
+      reportQueries(out, clients);
+    } finally {
+      RigCommand.clear(directory);
+    }
+    return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
+  }
 
-      Map<String, Set<String>> before = kept(first);
-      Links.Rule cut =
-          rig.links.add(
-              (from, to) ->
-                  from.startsWith("n")
-                      && to.startsWith("n")
-                      && from.equals("n7") != to.equals("n7"),
-              Links.Harm.LOST,
-              0,
-              1);
-      List<Rig.Node> without = first.subList(0, BROKERS - 1);
-      double out7 = Rig.await("the others go on without n7", WAIT_S, () -> Rig.agree(without));
-      show(
-          out,
-          rig,
-          "one cut off, the other seven",
-          without,
-          out7,
-          FleetWorld.moved(before, kept(without)));
-      TimeUnit.MILLISECONDS.sleep(Math.max(0, CUT_MS - (long) (1000 * out7)));
-      rig.links.remove(cut);
-      double back = Rig.await("n7 is back", WAIT_S, () -> Rig.agree(first));
-      show(out, rig, "the cut is over", first, back, FleetWorld.moved(before, kept(first)));
+  private void partitionAndHeal(
+      PrintStream out, Rig rig, List<Rig.Node> first, Map<String, Set<String>> before)
+      throws Exception {
+    Links.Rule partition =
+        rig.links.add(
+            (from, to) ->
+                from.startsWith("n") && to.startsWith("n") && from.equals("n7") != to.equals("n7"),
+            Links.Harm.LOST,
+            0,
+            1);
+    List<Rig.Node> others = first.subList(0, BROKERS - 1);
+    double removalS =
+        Rig.await("the others go on without n7", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(others));
+    double movedAtRemoval = FleetWorld.moved(before, subsets(others));
+    report(out, rig, "one cut off, the other seven", others, removalS, movedAtRemoval);
+    TimeUnit.MILLISECONDS.sleep(Math.max(0, PARTITION_MS - (long) (1000 * removalS)));
+    rig.links.remove(partition);
+    double healingS = Rig.await("n7 is back", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(first));
+    double movedAfter = FleetWorld.moved(before, subsets(first));
+    report(out, rig, "the cut is over", first, healingS, movedAfter);
+  }
 
-      first.get(1).kill();
-      List<Rig.Node> left = new ArrayList<>(first);
-      left.remove(1);
-      double gone = Rig.await("the others go on without n1", WAIT_S, () -> Rig.agree(left));
-      show(out, rig, "one killed (SIGKILL)", left, gone, FleetWorld.moved(before, kept(left)));
+  /** Kills one broker; the others. */
+  private List<Rig.Node> kill(
+      PrintStream out, Rig rig, List<Rig.Node> first, Map<String, Set<String>> before)
+      throws Exception {
+    first.get(1).kill();
+    List<Rig.Node> survivors = new ArrayList<>(first);
+    survivors.remove(1);
+    double removalS =
+        Rig.await("the others go on without n1", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(survivors));
+    double moved = FleetWorld.moved(before, subsets(survivors));
+    report(out, rig, "one killed (SIGKILL)", survivors, removalS, moved);
+    return survivors;
+  }
 
-      Map<String, Set<String>> seven = kept(left);
-      List<Rig.Node> eight = new ArrayList<>(left);
-      eight.add(rig.nodes().get(BROKERS));
-      rig.start(List.of(rig.nodes().get(BROKERS)));
-      double come = Rig.await("the new one is known", WAIT_S, () -> Rig.agree(eight));
-      show(
-          out,
-          rig,
-          "a new one (from its readiness on)",
-          eight,
-          come,
-          FleetWorld.moved(kept(eight), seven));
+  private void join(PrintStream out, Rig rig, List<Rig.Node> survivors) throws Exception {
+    Map<String, Set<String>> before = subsets(survivors);
+    Rig.Node joining = rig.nodes().get(BROKERS);
+    List<Rig.Node> all = new ArrayList<>(survivors);
+    all.add(joining);
+    rig.start(List.of(joining));
+    double joinS = Rig.await("the new one is known", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(all));
+    double moved = FleetWorld.moved(subsets(all), before);
+    report(out, rig, "a new one (from its readiness on)", all, joinS, moved);
+  }
 
-      Map<RigClients.End, Integer> ends = clients.stop();
-      int lost =
-          ends.entrySet().stream()
-              .filter(e -> RigClients.isBreach(e.getKey()))
-              .mapToInt(Map.Entry::getValue)
-              .sum();
-      out.println("queries: " + ends);
-      clients.notes().forEach(note -> out.println("  " + note));
-      worst = Math.max(worst, lost > 0 ? 1 + lost : 0);
-    } finally {
-      RigCommand.clear(dir);
-    }
-    return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
+  private void reportQueries(PrintStream out, RigClients clients) throws Exception {
+    Map<RigClients.End, Integer> ends = clients.stop();
+    int breaches =
+        ends.entrySet().stream()
+            .filter(entry -> RigClients.isBreach(entry.getKey()))
+            .mapToInt(Map.Entry::getValue)
+            .sum();
+    out.println("queries: " + ends);
+    clients.notes().forEach(note -> out.println("  " + note));
+    worst = Math.max(worst, breaches > 0 ? 1 + breaches : 0);
   }
 
-  private static Map<String, Set<String>> kept(List<Rig.Node> nodes) {
-    Map<String, Set<String>> kept = new LinkedHashMap<>();
-    nodes.forEach(node -> kept.put(node.name, new HashSet<>(node.kept())));
-    return kept;
+  /** The stores of each broker's subset, by broker. */
+  private static Map<String, Set<String>> subsets(List<Rig.Node> nodes) {
+    Map<String, Set<String>> subsets = new LinkedHashMap<>();
+    nodes.forEach(node -> subsets.put(node.name, new HashSet<>(node.kept())));
+    return subsets;
   }
 
-  private void show(
-      PrintStream out, Rig rig, String what, List<Rig.Node> nodes, double seconds, double moved) {
-    double uneven = FleetWorld.unevenness(rig.load(nodes::contains));
-    worst =
-        Math.max(
-            worst, Math.max(uneven / MOST_UNEVEN, Math.max(seconds / MOST_S, moved / MOST_MOVED)));
+  private void report(
+      PrintStream out, Rig rig, String event, List<Rig.Node> nodes, double seconds, double moved) {
+    double unevenness = FleetWorld.unevenness(rig.load(nodes::contains));
+    double slowness = Math.max(seconds / MAX_CONVERGENCE_S, moved / MAX_MOVED);
+    worst = Math.max(worst, Math.max(unevenness / MAX_UNEVENNESS, slowness));
     out.printf(
         Locale.ROOT,
         "%-34s %8d %10.2f %12.3f %14s%n",
-        what,
+        event,
         nodes.size(),
         seconds,
-        uneven,
+        unevenness,
         moved < 0 ? "" : String.format(Locale.ROOT, "%.2f", moved));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
@@ -17,15 +17,15 @@
 final class FleetViewMeasure implements Measures.Measure {
   private static final long SECOND_US = 1_000_000;
 
-  /** The old view is waited for so many bounds; it may never get there. */
-  private static final int PATIENCE = 4;
+  /** Time limit as a multiple of the bound; earlier settings may never converge. */
+  private static final int TIMEOUT_FACTOR = 4;
 
   private static final double FALSE_DEATHS_IN_1000_HOURS = 1;
   private static final MembershipProtocolSettings NEW = MembershipProtocolSettings.STANDARD;
   private static final MembershipProtocolSettings OLD = NEW.baseline();
 
-  /** Something that befalls a settled fleet. */
-  private enum Trouble {
+  /** A fault or change in a converged cluster; the table prints the names. */
+  private enum Fault {
     START,
     CRASH,
     LEAVE,
@@ -35,24 +35,26 @@
     CUT_IS_OVER,
     ONE_MOVES;
 
-    long boundUs(MembershipProtocolSettings s, int brokers) {
+    long boundUs(MembershipProtocolSettings settings, int brokers) {
       return switch (this) {
-        case START, AND_ARE_BACK, CUT_IS_OVER, ONE_MOVES -> ViewBounds.joinUs(s, brokers);
-        case LEAVE -> ViewBounds.leaveUs(s, brokers);
-        case CRASH, SEVEN_IN_TEN_DIE, CUT_IN_HALVES -> ViewBounds.dieUs(s, brokers);
+        case START, AND_ARE_BACK, CUT_IS_OVER, ONE_MOVES -> ViewBounds.joinUs(settings, brokers);
+        case LEAVE -> ViewBounds.leaveUs(settings, brokers);
+        case CRASH, SEVEN_IN_TEN_DIE, CUT_IN_HALVES -> ViewBounds.dieUs(settings, brokers);
       };
     }
   }
 
   /**
-   * Microseconds until all agree, below 0: not within its patience; bytes a second and broker
-   * meanwhile.
+   * One run.
+   *
+   * @param convergenceUs microseconds until all agree; below 0 if they did not within the limit
+   * @param bytesPerS bytes sent by a broker in a second meanwhile, on the mean
    */
-  private record Course(long tookUs, double bytesPerS, int largestWord) {}
+  private record Course(long convergenceUs, double bytesPerS, int largestWord) {}
 
-  private record Case(int brokers, double loss, Trouble trouble) {}
+  private record Scenario(int brokers, double loss, Fault fault) {}
 
-  private record Rest(long falseDeaths, double hours, double bytesPerS) {}
+  private record StableResult(long falseDeaths, double hours, double bytesPerS) {}
 
   private double worst;
 
@@ -68,43 +70,43 @@
             + "%n",
         seeds,
         seed,
-        PATIENCE);
+        TIMEOUT_FACTOR);
     out.printf(
         "%8s %5s %-18s %8s %8s %8s %10s %10s%n",
         "brokers", "loss", "trouble", "new", "bound", "old", "new B/s", "old B/s");
-    List<Case> cases = new ArrayList<>();
+    List<Scenario> scenarios = new ArrayList<>();
     for (int brokers : sizes) {
       for (double loss : losses) {
-        for (Trouble trouble : Trouble.values()) {
-          cases.add(new Case(brokers, loss, trouble));
+        for (Fault fault : Fault.values()) {
+          scenarios.add(new Scenario(brokers, loss, fault));
         }
       }
     }
     int largestWord = 0;
-    for (Case c : cases) {
+    for (Scenario scenario : scenarios) {
       List<Course> courses =
           IntStream.range(0, 2 * seeds)
               .parallel()
-              .mapToObj(i -> course(c, seed + i % seeds, i < seeds ? NEW : OLD))
+              .mapToObj(i -> course(scenario, seed + i % seeds, i < seeds ? NEW : OLD))
               .toList();
-      List<Course> fresh = courses.subList(0, seeds);
-      List<Course> old = courses.subList(seeds, 2 * seeds);
-      double bound = c.trouble().boundUs(NEW, c.brokers()) / 1e6;
-      figure(fresh.stream().anyMatch(run -> run.tookUs() < 0) ? 2 : most(fresh) / bound);
-      figure(bytes(fresh) / ViewBounds.bytesPerS(NEW));
+      List<Course> current = courses.subList(0, seeds);
+      List<Course> previous = courses.subList(seeds, 2 * seeds);
+      double bound = scenario.fault().boundUs(NEW, scenario.brokers()) / 1e6;
+      figure(current.stream().anyMatch(run -> run.convergenceUs() < 0) ? 2 : most(current) / bound);
+      figure(bytes(current) / ViewBounds.bytesPerS(NEW));
       largestWord =
-          Math.max(largestWord, fresh.stream().mapToInt(Course::largestWord).max().orElse(0));
+          Math.max(largestWord, current.stream().mapToInt(Course::largestWord).max().orElse(0));
       out.printf(
           Locale.ROOT,
           "%8d %4.0f%% %-18s %8s %8.2f %8s %10.0f %10.0f%n",
-          c.brokers(),
-          100 * c.loss(),
-          c.trouble().name().toLowerCase(Locale.ROOT).replace('_', ' '),
-          shown(fresh),
+          scenario.brokers(),
+          100 * scenario.loss(),
+          scenario.fault().name().toLowerCase(Locale.ROOT).replace('_', ' '),
+          formatSeconds(current),
           bound,
-          shown(old),
-          bytes(fresh),
-          bytes(old));
+          formatSeconds(previous),
+          bytes(current),
+          bytes(previous));
     }
     figure((double) largestWord / NEW.maxMessageBytes());
     out.printf(
@@ -113,11 +115,12 @@
         largestWord,
         NEW.maxMessageBytes(),
         ViewBounds.bytesPerS(NEW));
-    atRest(out, seed, quick, sizes, losses);
+    measureStableCluster(out, seed, quick, sizes, losses);
     return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
   }
 
-  private void atRest(PrintStream out, long seed, boolean quick, int[] sizes, double[] losses) {
+  private void measureStableCluster(
+      PrintStream out, long seed, boolean quick, int[] sizes, double[] losses) {
     out.printf(
         "%8s %5s %10s %14s %14s %10s %10s%n",
         "brokers", "loss", "hours", "false deaths", "old, in hours", "new B/s", "old B/s");
@@ -126,10 +129,10 @@
       for (double loss : losses) {
         double hours = quick ? 8 : loss >= 0.2 ? 1_200 : loss > 0 ? 120 : 8;
         double oldHours = Math.min(hours, 8);
-        List<Rest> fresh = rest(runs, seed, brokers, loss, NEW, hours / runs);
-        List<Rest> old = rest(runs, seed, brokers, loss, OLD, oldHours / runs);
-        long deaths = fresh.stream().mapToLong(Rest::falseDeaths).sum();
-        double played = fresh.stream().mapToDouble(Rest::hours).sum();
+        List<StableResult> current = rest(runs, seed, brokers, loss, NEW, hours / runs);
+        List<StableResult> previous = rest(runs, seed, brokers, loss, OLD, oldHours / runs);
+        long deaths = current.stream().mapToLong(StableResult::falseDeaths).sum();
+        double played = current.stream().mapToDouble(StableResult::hours).sum();
         if (loss < 0.2) {
           figure(deaths == 0 ? 0 : 2);
         } else if (!quick) {
@@ -142,15 +145,15 @@
             100 * loss,
             played,
             deaths,
-            old.stream().mapToLong(Rest::falseDeaths).sum(),
-            old.stream().mapToDouble(Rest::hours).sum(),
-            fresh.stream().mapToDouble(Rest::bytesPerS).average().orElse(0),
-            old.stream().mapToDouble(Rest::bytesPerS).average().orElse(0));
+            previous.stream().mapToLong(StableResult::falseDeaths).sum(),
+            previous.stream().mapToDouble(StableResult::hours).sum(),
+            current.stream().mapToDouble(StableResult::bytesPerS).average().orElse(0),
+            previous.stream().mapToDouble(StableResult::bytesPerS).average().orElse(0));
       }
     }
   }
 
-  private static List<Rest> rest(
+  private static List<StableResult> rest(
       int runs,
       long seed,
       int brokers,
@@ -170,7 +173,7 @@
               long bytes = world.bytes();
               long us = (long) (hours * 3600 * SECOND_US / brokers);
               world.play(us);
-              return new Rest(
+              return new StableResult(
                   world.falseDeaths(), hours, (world.bytes() - bytes) / (us / 1e6) / brokers);
             })
         .toList();
@@ -181,11 +184,11 @@
   }
 
   private static double most(List<Course> courses) {
-    return courses.stream().mapToLong(Course::tookUs).max().orElse(0) / 1e6;
+    return courses.stream().mapToLong(Course::convergenceUs).max().orElse(0) / 1e6;
   }
 
-  private static String shown(List<Course> courses) {
-    return courses.stream().anyMatch(run -> run.tookUs() < 0)
+  private static String formatSeconds(List<Course> courses) {
+    return courses.stream().anyMatch(run -> run.convergenceUs() < 0)
         ? "-"
         : String.format(Locale.ROOT, "%.2f", most(courses));
   }
@@ -194,60 +197,69 @@
     return courses.stream().mapToDouble(Course::bytesPerS).max().orElse(0);
   }
 
-  private static Course course(Case c, long seed, MembershipProtocolSettings settings) {
-    int brokers = c.brokers();
-    ViewWorld world = new ViewWorld(seed, c.loss(), settings);
+  private static Course course(Scenario scenario, long seed, MembershipProtocolSettings settings) {
+    int brokers = scenario.brokers();
+    ViewWorld world = new ViewWorld(seed, scenario.loss(), settings);
     world.start(0, brokers);
-    long patience = PATIENCE * c.trouble().boundUs(NEW, brokers);
-    if (c.trouble() != Trouble.START) {
-      world.untilAgree(PATIENCE * ViewBounds.joinUs(NEW, brokers));
+    long timeoutUs = TIMEOUT_FACTOR * scenario.fault().boundUs(NEW, brokers);
+    if (scenario.fault() != Fault.START) {
+      world.untilAgree(TIMEOUT_FACTOR * ViewBounds.joinUs(NEW, brokers));
       world.play(2 * SECOND_US);
     }
-    int dying = Math.min(brokers - 2, (int) Math.ceil(0.7 * brokers)); // one alone could not know
-    switch (c.trouble()) {
+    inject(scenario.fault(), world, brokers);
+    long bytesBefore = world.bytes();
+    long startUs = world.nowUs();
+    long convergenceUs =
+        scenario.fault() == Fault.CUT_IN_HALVES
+            ? untilHalvesAgree(world, brokers, timeoutUs)
+            : world.untilAgree(timeoutUs);
+    double seconds = Math.max(1, world.nowUs() - startUs) / 1e6;
+    return new Course(
+        convergenceUs,
+        seconds < 0.2 ? 0 : (world.bytes() - bytesBefore) / seconds / world.nodes().size(),
+        world.largestWord());
+  }
+
+  private static void inject(Fault fault, ViewWorld world, int brokers) {
+    switch (fault) {
       case START -> {
-        // it has just been
+        // the brokers have just been started
       }
       case CRASH -> world.kill(brokers - 1);
       case LEAVE -> world.leave(brokers - 1);
       case ONE_MOVES -> world.move(brokers - 1, 0);
-      case SEVEN_IN_TEN_DIE, AND_ARE_BACK -> {
-        for (int i = 0; i < dying; i++) {
-          world.kill(i);
-        }
-        for (int i = 0; i < dying && c.trouble() == Trouble.AND_ARE_BACK; i++) {
-          world.restart(i, 0);
-        }
-      }
+      case SEVEN_IN_TEN_DIE, AND_ARE_BACK -> crash(world, brokers, fault == Fault.AND_ARE_BACK);
       case CUT_IN_HALVES, CUT_IS_OVER -> {
         world.cut((from, to) -> half(from, brokers) != half(to, brokers));
-        if (c.trouble() == Trouble.CUT_IS_OVER) {
+        if (fault == Fault.CUT_IS_OVER) {
           world.play(ViewBounds.dieUs(NEW, brokers));
           world.cut((from, to) -> false);
         }
       }
     }
-    long bytes = world.bytes();
-    long words = world.nowUs();
-    long took =
-        c.trouble() == Trouble.CUT_IN_HALVES
-            ? untilHalvesAgree(world, brokers, patience)
-            : world.untilAgree(patience);
-    double seconds = Math.max(1, world.nowUs() - words) / 1e6;
-    return new Course(
-        took,
-        seconds < 0.2 ? 0 : (world.bytes() - bytes) / seconds / world.nodes().size(),
-        world.largestWord());
+  }
+
+  /**
+   * Crashes seven in ten brokers, but not all but one: that one would have nobody to agree with.
+   */
+  private static void crash(ViewWorld world, int brokers, boolean restart) {
+    int crashing = Math.min(brokers - 2, (int) Math.ceil(0.7 * brokers));
+    for (int i = 0; i < crashing; i++) {
+      world.kill(i);
+    }
+    for (int i = 0; i < crashing && restart; i++) {
+      world.restart(i, 0);
+    }
   }
 
   private static boolean half(ViewWorld.Node node, int brokers) {
     return ViewWorld.number(node) < Math.max(2, brokers / 2);
   }
 
-  /** Of 3 the one that is alone keeps what it knew. */
-  private static long untilHalvesAgree(ViewWorld world, int brokers, long patience) {
+  /** Of three brokers the isolated one retains its members, so only the majority is compared. */
+  private static long untilHalvesAgree(ViewWorld world, int brokers, long timeoutUs) {
     long from = world.nowUs();
-    while (world.nowUs() - from <= patience) {
+    while (world.nowUs() - from <= timeoutUs) {
       List<ViewWorld.Node> one =
           world.nodes().stream().filter(node -> half(node, brokers)).toList();
       List<ViewWorld.Node> other =
--- a/src/main/java/dunlinhitch/experiments/measurements/Measures.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/Measures.java
@@ -8,16 +8,18 @@
 
 /** The measurements by name. Each prints a table and ends in a verdict. */
 public final class Measures {
-  /** One measurement: prints its table and says what it comes to. */
+  /** One measurement: prints its table and returns a figure with its bound. */
   interface Measure {
     Verdict run(long seed, boolean quick, PrintStream out) throws Exception;
   }
 
   /**
-   * A figure against its bound; {@code most}: the bound is the most that it may be, else the least.
+   * A figure and its bound.
+   *
+   * @param most true if the bound is an upper one, false if it is a lower one
    */
   record Verdict(String figure, double value, String unit, double bound, boolean most) {
-    boolean held() {
+    boolean isWithinBound() {
       return most ? value <= bound : value >= bound;
     }
   }
@@ -40,11 +42,17 @@
 
   private Measures() {}
 
+  /** The names of all measurements, in the order of help. */
   public static List<String> names() {
     return List.copyOf(ALL.keySet());
   }
 
-  /** True where the bound was held. */
+  /**
+   * Runs a measurement; true if the figure is within its bound.
+   *
+   * @param quick true for a short run with fewer cases
+   * @throws IllegalArgumentException if there is no measurement of that name
+   */
   public static boolean run(String name, long seed, boolean quick, PrintStream out)
       throws Exception {
     Measure measure = ALL.get(name);
@@ -70,7 +78,7 @@
         verdict.value(),
         verdict.unit(),
         verdict.bound(),
-        verdict.held() ? "held" : "missed");
-    return verdict.held();
+        verdict.isWithinBound() ? "held" : "missed");
+    return verdict.isWithinBound();
   }
 }
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -89,15 +89,16 @@
     return all;
   }
 
-  private static String address(int i) {
-    return "127." + (1 + i / 62_500) + "." + i / 250 % 250 + "." + (1 + i % 250);
+  private static String address(int number) {
+    return "127." + (1 + number / 62_500) + "." + number / 250 % 250 + "." + (1 + number % 250);
   }
 
-  private static Endpoint entry(int i, ServerState state) {
-    return new Endpoint("s-" + i, address(i), 7000, 0, i % 2, state, 1, 0, Protocol.FRAMES);
+  private static Endpoint entry(int number, ServerState state) {
+    return new Endpoint(
+        "s-" + number, address(number), 7000, 0, number % 2, state, 1, 0, Protocol.FRAMES);
   }
 
-  /** Microseconds and kilobytes of a change, the median. */
+  /** The median cost of a change, in microseconds and kilobytes. */
   private static Cost one(int size, int changes, long seed) throws Exception {
     RecordsBenchmark records =
         new RecordsBenchmark(new EndpointListReader(List.of("a"), e -> {}), seed);
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -23,19 +23,20 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Worth served with and without two phases, the same queries on the same stand-in stores: by load,
- * by the share of empty blocks and by the price of a first pass. Open loop: a query's time counts
- * from when it was due.
+ * Compares the value of the answers with and without a first pass, for the same queries on the same
+ * fake stores: by load, by the share of empty blocks and by the cost of a first pass. Open loop: a
+ * query's latency counts from the time at which it was due.
  */
 final class PhasesMeasure implements Measures.Measure {
   private static final int STORES = 4;
   private static final int CORES = 2;
   private static final long WORK_US = 20_000;
   private static final int PARTS = 6;
-  private static final long AIM_US = 700_000;
-  private static final double SHORT_WORTH = 0.9;
-  private static final double LATE_WORTH = 0.1;
-  private static final String NONE = "{}";
+  private static final int SHARDS = 24;
+  private static final long OBJECTIVE_US = 700_000;
+  private static final double PARTIAL_VALUE = 0.9;
+  private static final double LATE_VALUE = 0.1;
+  private static final String EMPTY_ANSWER = "{}";
 
   private record Result(
       double worth, double lost, double workMs, double p50Ms, double p99Ms, long two, long one) {}
@@ -86,8 +87,8 @@
         Locale.ROOT,
         "worth: of 1 a query (late %.1f, partial %.1f of its share); work: a query, of the stores; lost: blocks "
             + "answered as empty that had something%nwhere it does not pay (empty <= price) the least ratio is %.3f (wanted 0.98)%n",
-        LATE_WORTH,
-        SHORT_WORTH,
+        LATE_VALUE,
+        PARTIAL_VALUE,
         least);
     return new Measures.Verdict(
         "worth-by-one-phase-at-1.3-0.6-0.1", lost > 0 ? 0 : target, "times", 1.25, false);
@@ -101,113 +102,156 @@
   private static Result day(
       double load, double empty, double price, boolean twoPhases, double seconds, long seed)
       throws Exception {
-    Vertx peers = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+    Vertx storeVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Stage stage = new Stage();
     stage.twoPhaseClasses =
         twoPhases
             ? List.of(
                 new Product.TwoPhaseClass("free-search", 0.3, 3, 0.02, 0.02, 0.05, 60_000_000))
             : List.of();
+    List<QueueingStore> stores = startStores(storeVertx, empty, price);
+    stage.publishStores(stores.toArray(QueueingStore[]::new));
+    stage.start(Stage.settings(2_000), null);
+    Client client = Client.http(stage.httpPort);
+    double perSecond = load * STORES * CORES * 1e6 / WORK_US / PARTS;
+    long warmUpNanos = (long) (seconds * 0.4e9);
+    long endNanos = (long) (seconds * 1.4e9);
+    SplittableRandom random = new SplittableRandom(seed);
+    Responses responses = new Responses(empty);
+    long startNanos = System.nanoTime();
+    long dueNanos = startNanos;
+    int counted = 0;
+    long workedBeforeUs = 0;
+    for (int i = 0; dueNanos - startNanos < endNanos; i++) {
+      dueNanos += (long) (-Math.log(1 - random.nextDouble()) * 1e9 / perSecond);
+      LockSupport.parkNanos(dueNanos - System.nanoTime());
+      boolean counts = dueNanos - startNanos >= warmUpNanos;
+      if (counts && counted++ == 0) {
+        workedBeforeUs = workedUs(stores);
+      }
+      int firstShard = random.nextInt(SHARDS);
+      String predicate = "p" + random.nextInt(100_000);
+      responses.send(client, i, body(firstShard, predicate), predicate, dueNanos, counts);
+    }
+    responses.await();
+    long workedUs = workedUs(stores) - workedBeforeUs;
+    long two = stage.counter("queries_in_two_phases");
+    long one = stage.counter("queries_in_one_phase");
+    client.close();
+    for (QueueingStore store : stores) {
+      store.close();
+    }
+    stage.close();
+    storeVertx.close();
+    return new Result(
+        responses.worth.sum() / counted,
+        responses.lost.get(),
+        workedUs / 1e3 / counted,
+        responses.latency.getValueAtPercentile(50) / 1e3,
+        responses.latency.getValueAtPercentile(99) / 1e3,
+        two,
+        one);
+  }
+
+  private static List<QueueingStore> startStores(Vertx vertx, double empty, double price)
+      throws Exception {
     List<QueueingStore> stores = new ArrayList<>();
     for (int i = 0; i < STORES; i++) {
       QueueingStore store =
-          new QueueingStore(peers, "s-" + i, CORES, WORK_US, price) {
+          new QueueingStore(vertx, "s-" + i, CORES, WORK_US, price) {
             @Override
             public String value(ReceivedPart part) {
-              return isEmpty(part.text(), part.shard(), empty) ? NONE : "{\"free\":3}";
+              return isEmpty(part.text(), part.shard(), empty) ? EMPTY_ANSWER : "{\"free\":3}";
             }
           };
       store.firstAnswer =
           part ->
               isEmpty(part.text(), part.shard(), empty)
-                  ? new FirstAnswer(0, "v1", NONE)
+                  ? new FirstAnswer(0, "v1", EMPTY_ANSWER)
                   : new FirstAnswer(3, "v1", "");
       stores.add(store);
     }
-    stage.publishStores(stores.toArray(QueueingStore[]::new));
-    stage.start(Stage.settings(2_000), null);
-    Client client = Client.http(stage.httpPort);
-    double perSecond = load * STORES * CORES * 1e6 / WORK_US / PARTS;
-    long warmNanos = (long) (seconds * 0.4e9);
-    long endNanos = (long) (seconds * 1.4e9);
-    SplittableRandom random = new SplittableRandom(seed);
-    DoubleAdder worth = new DoubleAdder();
-    AtomicLong lost = new AtomicLong();
-    AtomicLong open = new AtomicLong();
-    Histogram took = new ConcurrentHistogram(10_000_000, 3);
-    long begin = System.nanoTime();
-    long due = begin;
-    int counted = 0;
-    long workedBefore = 0;
-    for (int i = 0; due - begin < endNanos; i++) {
-      due += (long) (-Math.log(1 - random.nextDouble()) * 1e9 / perSecond);
-      LockSupport.parkNanos(due - System.nanoTime());
-      boolean counts = due - begin >= warmNanos;
-      if (counts && counted++ == 0) {
-        workedBefore = stores.stream().mapToLong(QueueingStore::workedUs).sum();
-      }
-      int firstShard = random.nextInt(24);
-      StringBuilder ranges = new StringBuilder();
-      for (int p = 0; p < PARTS; p++) {
-        ranges
-            .append(p == 0 ? "" : ",")
-            .append("{\"range\":")
-            .append((firstShard + p) % 24)
-            .append(",\"portion\":")
-            .append(1.0 / PARTS)
-            .append('}');
-      }
-      String predicate = "p" + random.nextInt(100_000);
-      String body = "{\"ranges\":[" + ranges + "],\"predicate\":" + Json.value(predicate) + "}";
-      long from = due;
+    return stores;
+  }
+
+  private static long workedUs(List<QueueingStore> stores) {
+    return stores.stream().mapToLong(QueueingStore::workedUs).sum();
+  }
+
+  private static String body(int firstShard, String predicate) {
+    StringBuilder ranges = new StringBuilder();
+    for (int i = 0; i < PARTS; i++) {
+      ranges
+          .append(i == 0 ? "" : ",")
+          .append("{\"range\":")
+          .append((firstShard + i) % SHARDS)
+          .append(",\"portion\":")
+          .append(1.0 / PARTS)
+          .append('}');
+    }
+    return "{\"ranges\":[" + ranges + "],\"predicate\":" + Json.value(predicate) + "}";
+  }
+
+  /** Sends queries and sums up their responses. Thread-safe: responses come on other threads. */
+  private static final class Responses {
+    private final double empty;
+    private final DoubleAdder worth = new DoubleAdder();
+
+    /** Blocks answered as empty that were not, or the reverse. */
+    private final AtomicLong lost = new AtomicLong();
+
+    private final AtomicLong open = new AtomicLong();
+    private final Histogram latency = new ConcurrentHistogram(10_000_000, 3);
+
+    Responses(double empty) {
+      this.empty = empty;
+    }
+
+    /** Sends a query; {@code counts} is false during warm-up. */
+    void send(
+        Client client, int number, String body, String predicate, long dueNanos, boolean counts) {
       open.incrementAndGet();
       var unused =
           client
-              .send("free-search", Map.of("X-Trace-Id", "m" + i, "X-Expires-In", "1.100"), body)
+              .send(
+                  "free-search", Map.of("X-Trace-Id", "m" + number, "X-Expires-In", "1.100"), body)
               .whenComplete(
-                  (got, e) -> {
-                    long us = (System.nanoTime() - from) / 1000;
-                    if (got != null
-                        && (got.outcome().equals("whole") || got.outcome().equals("partial"))) {
-                      double share =
-                          got.outcome().equals("whole")
-                              ? 1
-                              : SHORT_WORTH * got.parts().size() / PARTS;
-                      if (counts) {
-                        worth.add(us <= AIM_US ? share : LATE_WORTH * share);
-                        took.recordValue(Math.min(us, 9_000_000));
-                      }
-                      got.parts()
-                          .forEach(
-                              (shard, value) -> {
-                                if (value.equals(NONE) != isEmpty(predicate, shard, empty)) {
-                                  lost.incrementAndGet();
-                                }
-                              });
+                  (response, failure) -> {
+                    long latencyUs = (System.nanoTime() - dueNanos) / 1000;
+                    if (response != null) {
+                      onResponse(response, predicate, latencyUs, counts);
                     }
                     open.decrementAndGet();
                   });
     }
-    long until = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
-    while (open.get() > 0 && System.nanoTime() < until) {
-      Thread.sleep(5);
+
+    private void onResponse(
+        Client.Response response, String predicate, long latencyUs, boolean counts) {
+      boolean complete = response.outcome().equals("whole");
+      if (!complete && !response.outcome().equals("partial")) {
+        return;
+      }
+      double share = complete ? 1 : PARTIAL_VALUE * response.parts().size() / PARTS;
+      if (counts) {
+        worth.add(latencyUs <= OBJECTIVE_US ? share : LATE_VALUE * share);
+        latency.recordValue(Math.min(latencyUs, 9_000_000));
+      }
+      response
+          .parts()
+          .forEach(
+              (shard, value) -> {
+                if (value.equals(EMPTY_ANSWER) != isEmpty(predicate, shard, empty)) {
+                  lost.incrementAndGet();
+                }
+              });
     }
-    long worked = stores.stream().mapToLong(QueueingStore::workedUs).sum() - workedBefore;
-    long two = stage.counter("queries_in_two_phases");
-    long one = stage.counter("queries_in_one_phase");
-    client.close();
-    for (QueueingStore store : stores) {
-      store.close();
+
+    /** Waits until no query is open, 3 s at most. */
+    void await() throws InterruptedException {
+      long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
+      while (open.get() > 0 && System.nanoTime() < untilNanos) {
+        Thread.sleep(5);
+      }
     }
-    stage.close();
-    peers.close();
-    return new Result(
-        worth.sum() / counted,
-        lost.get(),
-        worked / 1e3 / counted,
-        took.getValueAtPercentile(50) / 1e3,
-        took.getValueAtPercentile(99) / 1e3,
-        two,
-        one);
   }
 }
--- a/src/main/java/dunlinhitch/experiments/measurements/SummariesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/SummariesMeasure.java
@@ -8,14 +8,33 @@
 import java.util.SplittableRandom;
 
 /**
- * What blocks are known to have nothing of: bitmaps over blocks against a plain map for each block.
+ * Compares the block summaries, bitmaps of blocks without matches by predicate, with a plain map
+ * for each block: memory, and time to record and to look up. Single-threaded.
  */
 final class SummariesMeasure implements Measures.Measure {
   private static final int PREDICATES = 16;
+  private static final int[] BLOCK_COUNTS = {100, 10_000, 1_000_000};
+
+  /** Percentage of the recorded pairs of block and predicate without matches. */
+  private static final int EMPTY_PERCENT = 60;
+
+  private static final String[] TEXTS = new String[PREDICATES];
+  private static final int[] FEATURES = new int[PREDICATES];
+
+  static {
+    for (int i = 0; i < PREDICATES; i++) {
+      TEXTS[i] = "altos " + i;
+      FEATURES[i] = BlockSummaries.hash(TEXTS[i]);
+    }
+  }
+
+  /** Cost of one structure: heap bytes in total, nanoseconds of one recording and one look-up. */
+  private record Cost(long bytes, double recordNs, double lookUpNs) {}
+
+  private record Costs(Cost bitmaps, Cost maps) {}
 
   @Override
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
-    int[] sizes = {100, 10_000, 1_000_000};
     out.printf(
         "%10s %16s %16s %14s %14s %14s %14s%n",
         "blocks",
@@ -26,80 +45,105 @@
         "ask ns",
         "map ask ns");
     double ratio = 0;
-    for (int size : sizes) {
-      String[] texts = new String[PREDICATES];
-      int[] features = new int[PREDICATES];
-      for (int p = 0; p < PREDICATES; p++) {
-        texts[p] = "altos " + p;
-        features[p] = BlockSummaries.hash(texts[p]);
-      }
-      int passes = Math.max(1, (quick ? 200_000 : 2_000_000) / size / PREDICATES);
-      SplittableRandom random = new SplittableRandom(seed);
-      long before = used();
-      BlockSummaries bitmaps = new BlockSummaries(1 << 20, 256, Long.MAX_VALUE);
-      long from = System.nanoTime();
-      for (int pass = 0; pass < passes; pass++) {
-        for (int block = 0; block < size; block++) {
-          for (int p = 0; p < PREDICATES; p++) {
-            bitmaps.record(1, block, "v", features[p], random.nextInt(100) < 60);
-          }
-        }
-      }
-      double tell = (System.nanoTime() - from) / (double) passes / size / PREDICATES;
-      long bitmapBytes = used() - before;
-      before = used();
-      Map<Integer, Map<String, Boolean>> plain = new HashMap<>();
-      random = new SplittableRandom(seed);
-      from = System.nanoTime();
-      for (int pass = 0; pass < passes; pass++) {
-        for (int block = 0; block < size; block++) {
-          for (int p = 0; p < PREDICATES; p++) {
-            plain
-                .computeIfAbsent(block, b -> new HashMap<>())
-                .put(texts[p], random.nextInt(100) < 60);
-          }
-        }
-      }
-      double plainTell = (System.nanoTime() - from) / (double) passes / size / PREDICATES;
-      long plainBytes = used() - before;
-      int asks = quick ? 500_000 : 5_000_000;
-      int found = 0;
-      from = System.nanoTime();
-      for (int i = 0; i < asks; i++) {
-        found +=
-            bitmaps.hint(2, random.nextInt(size), features[i % PREDICATES])
-                    == BlockSummaries.Hint.NOTHING
-                ? 1
-                : 0;
-      }
-      double ask = (System.nanoTime() - from) / (double) asks;
-      from = System.nanoTime();
-      for (int i = 0; i < asks; i++) {
-        found -=
-            Boolean.TRUE.equals(plain.get(random.nextInt(size)).get(texts[i % PREDICATES])) ? 1 : 0;
-      }
-      double plainAsk = (System.nanoTime() - from) / (double) asks;
-      if (Math.abs(found) > asks / 10) {
-        throw new IllegalStateException("the two do not agree: " + found);
-      }
-      ratio = (double) plainBytes / bitmapBytes;
+    for (int blocks : BLOCK_COUNTS) {
+      Costs costs = measure(blocks, seed, quick);
+      ratio = (double) costs.maps().bytes() / costs.bitmaps().bytes();
       out.printf(
           Locale.ROOT,
           "%10d %16.1f %16.1f %14.1f %14.1f %14.1f %14.1f%n",
-          size,
-          (double) bitmapBytes / size,
-          (double) plainBytes / size,
-          tell,
-          plainTell,
-          ask,
-          plainAsk);
+          blocks,
+          (double) costs.bitmaps().bytes() / blocks,
+          (double) costs.maps().bytes() / blocks,
+          costs.bitmaps().recordNs(),
+          costs.maps().recordNs(),
+          costs.bitmaps().lookUpNs(),
+          costs.maps().lookUpNs());
     }
     out.println(
         PREDICATES + " predicates told of each block; bytes are of the heap after a collection");
     return new Measures.Verdict("map-by-bitmaps-at-1000000", ratio, "times the memory", 10, false);
   }
 
-  private static long used() {
+  private static Costs measure(int blocks, long seed, boolean quick) {
+    int passes = Math.max(1, (quick ? 200_000 : 2_000_000) / blocks / PREDICATES);
+    double recordings = (double) passes * blocks * PREDICATES;
+    long usedBefore = usedBytes();
+    BlockSummaries bitmaps = new BlockSummaries(1 << 20, 256, Long.MAX_VALUE);
+    long startNanos = System.nanoTime();
+    recordInBitmaps(bitmaps, passes, blocks, new SplittableRandom(seed));
+    double bitmapRecordNs = (System.nanoTime() - startNanos) / recordings;
+    long bitmapBytes = usedBytes() - usedBefore;
+
+    usedBefore = usedBytes();
+    Map<Integer, Map<String, Boolean>> maps = new HashMap<>();
+    SplittableRandom random = new SplittableRandom(seed);
+    startNanos = System.nanoTime();
+    recordInMaps(maps, passes, blocks, random);
+    double mapRecordNs = (System.nanoTime() - startNanos) / recordings;
+    long mapBytes = usedBytes() - usedBefore;
+
+    int lookUps = quick ? 500_000 : 5_000_000;
+    startNanos = System.nanoTime();
+    int emptyInBitmaps = lookUpInBitmaps(bitmaps, lookUps, blocks, random);
+    double bitmapLookUpNs = (System.nanoTime() - startNanos) / (double) lookUps;
+    startNanos = System.nanoTime();
+    int emptyInMaps = lookUpInMaps(maps, lookUps, blocks, random);
+    double mapLookUpNs = (System.nanoTime() - startNanos) / (double) lookUps;
+    int difference = emptyInBitmaps - emptyInMaps;
+    if (Math.abs(difference) > lookUps / 10) {
+      throw new IllegalStateException("the two do not agree: " + difference);
+    }
+    return new Costs(
+        new Cost(bitmapBytes, bitmapRecordNs, bitmapLookUpNs),
+        new Cost(mapBytes, mapRecordNs, mapLookUpNs));
+  }
+
+  private static void recordInBitmaps(
+      BlockSummaries bitmaps, int passes, int blocks, SplittableRandom random) {
+    for (int pass = 0; pass < passes; pass++) {
+      for (int block = 0; block < blocks; block++) {
+        for (int i = 0; i < PREDICATES; i++) {
+          bitmaps.record(1, block, "v", FEATURES[i], random.nextInt(100) < EMPTY_PERCENT);
+        }
+      }
+    }
+  }
+
+  private static void recordInMaps(
+      Map<Integer, Map<String, Boolean>> maps, int passes, int blocks, SplittableRandom random) {
+    for (int pass = 0; pass < passes; pass++) {
+      for (int block = 0; block < blocks; block++) {
+        for (int i = 0; i < PREDICATES; i++) {
+          maps.computeIfAbsent(block, key -> new HashMap<>())
+              .put(TEXTS[i], random.nextInt(100) < EMPTY_PERCENT);
+        }
+      }
+    }
+  }
+
+  /** The number of look-ups that found a block without matches. */
+  private static int lookUpInBitmaps(
+      BlockSummaries bitmaps, int lookUps, int blocks, SplittableRandom random) {
+    int found = 0;
+    for (int i = 0; i < lookUps; i++) {
+      BlockSummaries.Hint hint = bitmaps.hint(2, random.nextInt(blocks), FEATURES[i % PREDICATES]);
+      found += hint == BlockSummaries.Hint.NOTHING ? 1 : 0;
+    }
+    return found;
+  }
+
+  /** The number of look-ups that found a block without matches. */
+  private static int lookUpInMaps(
+      Map<Integer, Map<String, Boolean>> maps, int lookUps, int blocks, SplittableRandom random) {
+    int found = 0;
+    for (int i = 0; i < lookUps; i++) {
+      Boolean empty = maps.get(random.nextInt(blocks)).get(TEXTS[i % PREDICATES]);
+      found += Boolean.TRUE.equals(empty) ? 1 : 0;
+    }
+    return found;
+  }
+
+  private static long usedBytes() {
     for (int i = 0; i < 3; i++) {
       System.gc();
     }
--- a/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
@@ -35,9 +35,9 @@
 import org.xbill.DNS.Record;
 
 /**
- * Stores are withdrawn under load, one after the other, and come back: how long after a withdrawal
- * was seen a part still came to the store, and how long it took to be seen, by push, by the zone's
- * serial, and by the look-up there was before.
+ * Withdraws stores under load and lists them again: the time until a broker detects a withdrawal,
+ * and the time from then until the last part that the store received; by DNS push, by polling of
+ * the zone's serial, and by the baseline resolver.
  */
 final class WithdrawalMeasure implements Measures.Measure {
   private static final String SERVICE = "_calendar._tcp.rooms.example.org.";
@@ -46,10 +46,10 @@
   private static final int PARTS = 4;
   private static final int WORK_MS = 25;
   private static final long SOA_US = 100_000;
-  private static final int OLD_TTL_S = 2;
+  private static final int BASELINE_TTL_S = 2;
 
-  /** A store is watched for so long after it was withdrawn. */
-  private static final long WATCHED_NANOS = 300_000_000;
+  /** Time after a withdrawal during which parts at the store are observed. */
+  private static final long OBSERVATION_NANOS = 300_000_000;
 
   private static final long BOUND_US = 250_000;
 
@@ -61,12 +61,14 @@
         "way", "n", "seen p50", "p99", "most", "last p50", "p99", "most");
     double worst = 0;
     for (boolean flight : new boolean[] {false, true}) {
-      worst = Math.max(worst, withBroker("push, " + wire(flight), true, flight, times, seed, out));
+      worst =
+          Math.max(worst, measureBroker("push, " + wire(flight), true, flight, times, seed, out));
       worst =
           Math.max(
-              worst, withBroker("serial 100 ms, " + wire(flight), false, flight, times, seed, out));
+              worst,
+              measureBroker("serial 100 ms, " + wire(flight), false, flight, times, seed, out));
     }
-    old(quick ? 5 : 60, seed, out);
+    measureBaseline(quick ? 5 : 60, seed, out);
     out.println(
         "ms; seen: from the change of the zone to the broker's roster; last: from then to the last part that came "
             + "to the store, 0 where none did; "
@@ -84,18 +86,18 @@
     return flight ? "flight" : "frames";
   }
 
-  private static void row(PrintStream out, String way, Histogram seen, Histogram last) {
+  private static void row(PrintStream out, String label, Histogram detection, Histogram lastSend) {
     out.printf(
         Locale.ROOT,
         "%-28s %6d %10.1f %10.1f %10.1f   %10s %10s %10s%n",
-        way,
-        seen.getTotalCount(),
-        seen.getValueAtPercentile(50) / 1e3,
-        seen.getValueAtPercentile(99) / 1e3,
-        seen.getMaxValue() / 1e3,
-        last == null ? "-" : ms(last.getValueAtPercentile(50)),
-        last == null ? "-" : ms(last.getValueAtPercentile(99)),
-        last == null ? "-" : ms(last.getMaxValue()));
+        label,
+        detection.getTotalCount(),
+        detection.getValueAtPercentile(50) / 1e3,
+        detection.getValueAtPercentile(99) / 1e3,
+        detection.getMaxValue() / 1e3,
+        lastSend == null ? "-" : ms(lastSend.getValueAtPercentile(50)),
+        lastSend == null ? "-" : ms(lastSend.getValueAtPercentile(99)),
+        lastSend == null ? "-" : ms(lastSend.getMaxValue()));
   }
 
   private static String ms(long us) {
@@ -115,116 +117,157 @@
         "protocol=" + store.protocol());
   }
 
-  /** The most microseconds between seen and the last send. */
-  private double withBroker(
-      String way, boolean push, boolean flight, int times, long seed, PrintStream out)
+  /** The maximum time from the detection of a withdrawal to the last part, in microseconds. */
+  private double measureBroker(
+      String label, boolean push, boolean flight, int times, long seed, PrintStream out)
       throws Exception {
-    Path folder = Files.createTempDirectory("withdrawal");
-    Vertx dns = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
+    Path directory = Files.createTempDirectory("withdrawal");
+    Vertx dnsVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Zone zone = new Zone("rooms.example.org.");
-    Responder responder = new Responder(dns, zone);
+    Responder responder = new Responder(dnsVertx, zone);
     Stage stage = new Stage();
     stage.membershipTimes =
         new Product.MembershipTimes(10_000_000, 3_600_000_000L, 0, 0, 1_000_000);
-    Vertx peers = Vertx.vertx();
-    List<Store> stores = new ArrayList<>();
-    for (int i = 0; i < STORES; i++) {
-      Store store = flight ? new FlightStore("s-" + i) : new FrameStore(peers, "s-" + i);
-      store.answerDelayMs = WORK_MS;
-      stores.add(store);
-      zone.change(List.of(), records(store, i % 2, 120));
-    }
-    Map<String, Long> seenNanos = new ConcurrentHashMap<>();
+    Vertx storeVertx = Vertx.vertx();
+    List<Store> stores = startStores(flight, storeVertx, zone);
+    Map<String, Long> detectionNanos = new ConcurrentHashMap<>();
     stage.logListener =
         line -> {
           if (line.contains(" is withdrawn")) {
-            seenNanos.put(line.split(" ", 0)[1], System.nanoTime());
+            detectionNanos.put(line.split(" ", 0)[1], System.nanoTime());
           }
         };
-    Address pushed = push ? new Address("localhost", responder.startPush(folder)) : null;
-    stage.start(
-        Stage.settings(300),
-        new Product.DnsService(
-            "main",
-            List.of(new Address("127.0.0.1", responder.port())),
-            SERVICE,
-            List.of(),
-            1,
-            null,
-            push ? 0 : SOA_US,
-            pushed,
-            push ? responder.trust() : null,
-            null,
-            4096));
+    Address pushAddress = push ? new Address("localhost", responder.startPush(directory)) : null;
+    stage.start(Stage.settings(300), dnsService(responder, pushAddress));
     while (push && responder.subscriptions() < 2 * STORES + 2) {
       Thread.onSpinWait();
     }
-    AtomicBoolean over = new AtomicBoolean();
+    AtomicBoolean stopped = new AtomicBoolean();
     AtomicLong answered = new AtomicLong();
-    Thread load = load(stage.httpPort, seed, over, answered);
-    Histogram seen = new Histogram(60_000_000, 3);
-    Histogram last = new Histogram(60_000_000, 3);
-    SplittableRandom random = new SplittableRandom(seed);
-    Thread.sleep(300);
-    for (int done = 0; done < times; ) {
-      // two at a time, one of each cell, so that each block keeps stores
-      List<Store> out2 =
-          List.of(
-              stores.get(2 * random.nextInt(STORES / 2)),
-              stores.get(2 * random.nextInt(STORES / 2) + 1));
-      Thread.sleep(random.nextInt(20));
-      seenNanos.clear();
-      long from = System.nanoTime();
-      out2.forEach(store -> zone.remove(Zone.pointer(SERVICE, store.name, 120)));
-      while (seenNanos.size() < out2.size() && System.nanoTime() - from < 10_000_000_000L) {
+    Thread load = load(stage.httpPort, seed, stopped, answered);
+    Withdrawals withdrawals = new Withdrawals(zone, stores, detectionNanos);
+    withdrawals.run(times, seed);
+    stopped.set(true);
+    load.join();
+    row(out, label, withdrawals.detection, withdrawals.lastSend);
+    stage.close();
+    long leastParts =
+        stores.stream().mapToLong(store -> store.receivedParts.size()).min().orElse(0);
+    for (Store store : stores) {
+      store.close();
+    }
+    responder.close();
+    dnsVertx.close();
+    storeVertx.close();
+    if (answered.get() == 0 || leastParts == 0) {
+      throw new IllegalStateException("there was no load, or a store without any");
+    }
+    return withdrawals.lastSend.getMaxValue();
+  }
+
+  private static List<Store> startStores(boolean flight, Vertx vertx, Zone zone) throws Exception {
+    List<Store> stores = new ArrayList<>();
+    for (int i = 0; i < STORES; i++) {
+      Store store = flight ? new FlightStore("s-" + i) : new FrameStore(vertx, "s-" + i);
+      store.answerDelayMs = WORK_MS;
+      stores.add(store);
+      zone.change(List.of(), records(store, i % 2, 120));
+    }
+    return stores;
+  }
+
+  /** Discovery by push, or by polling the serial where {@code pushAddress} is null. */
+  private static Product.DnsService dnsService(Responder responder, Address pushAddress) {
+    boolean push = pushAddress != null;
+    return new Product.DnsService(
+        "main",
+        List.of(new Address("127.0.0.1", responder.port())),
+        SERVICE,
+        List.of(),
+        1,
+        null,
+        push ? 0 : SOA_US,
+        pushAddress,
+        push ? responder.trust() : null,
+        null,
+        4096);
+  }
+
+  /** Withdraws stores and lists them again, and records what the broker does. */
+  private static final class Withdrawals {
+    /** Time from the change of the zone to its detection, in microseconds. */
+    private final Histogram detection = new Histogram(60_000_000, 3);
+
+    /** Time from the detection to the last part that the store received, in microseconds. */
+    private final Histogram lastSend = new Histogram(60_000_000, 3);
+
+    private final Zone zone;
+    private final List<Store> stores;
+    private final Map<String, Long> detectionNanos;
+
+    Withdrawals(Zone zone, List<Store> stores, Map<String, Long> detectionNanos) {
+      this.zone = zone;
+      this.stores = stores;
+      this.detectionNanos = detectionNanos;
+    }
+
+    void run(int times, long seed) throws InterruptedException {
+      SplittableRandom random = new SplittableRandom(seed);
+      Thread.sleep(300);
+      for (int done = 0; done < times; done += 2) {
+        // two at a time, one of each cell, so that each shard has stores left
+        List<Store> withdrawn =
+            List.of(
+                stores.get(2 * random.nextInt(STORES / 2)),
+                stores.get(2 * random.nextInt(STORES / 2) + 1));
+        Thread.sleep(random.nextInt(20));
+        withdraw(withdrawn);
+        awaitRecovery(withdrawn);
+      }
+    }
+
+    private void withdraw(List<Store> withdrawn) throws InterruptedException {
+      detectionNanos.clear();
+      long startNanos = System.nanoTime();
+      withdrawn.forEach(store -> zone.remove(Zone.pointer(SERVICE, store.name, 120)));
+      while (detectionNanos.size() < withdrawn.size()
+          && System.nanoTime() - startNanos < 10_000_000_000L) {
         Thread.sleep(1);
       }
-      if (seenNanos.size() < out2.size()) {
+      if (detectionNanos.size() < withdrawn.size()) {
         throw new IllegalStateException("a withdrawal was not seen within 10 s");
       }
-      Thread.sleep(WATCHED_NANOS / 1_000_000);
-      for (Store store : out2) {
-        long at = seenNanos.get(store.name);
-        seen.recordValue((at - from) / 1000);
-        last.recordValue(Math.max(0, (store.lastReceivedNanos - at) / 1000));
+      Thread.sleep(OBSERVATION_NANOS / 1_000_000);
+      for (Store store : withdrawn) {
+        long detectedNanos = detectionNanos.get(store.name);
+        detection.recordValue((detectedNanos - startNanos) / 1000);
+        lastSend.recordValue(Math.max(0, (store.lastReceivedNanos - detectedNanos) / 1000));
         zone.add(Zone.pointer(SERVICE, store.name, 120));
-        done++;
       }
-      long backFrom = System.nanoTime();
-      for (Store store : out2) { // back in use before the next
-        while (store.lastReceivedNanos < backFrom
-            && System.nanoTime() - backFrom < 1_000_000_000L) {
+    }
+
+    /** Waits until the stores receive parts again, a second at most. */
+    private static void awaitRecovery(List<Store> listed) throws InterruptedException {
+      long startNanos = System.nanoTime();
+      for (Store store : listed) {
+        while (store.lastReceivedNanos < startNanos
+            && System.nanoTime() - startNanos < 1_000_000_000L) {
           Thread.sleep(1);
         }
       }
     }
-    over.set(true);
-    load.join();
-    row(out, way, seen, last);
-    stage.close();
-    long least = stores.stream().mapToLong(store -> store.receivedParts.size()).min().orElse(0);
-    for (Store store : stores) {
-      store.close();
-    }
-    responder.close();
-    dns.close();
-    peers.close();
-    if (answered.get() == 0 || least == 0) {
-      throw new IllegalStateException("there was no load, or a store without any");
-    }
-    return last.getMaxValue();
   }
 
-  /** Queries at a fixed rate, whatever becomes of those before. */
-  private static Thread load(int port, long seed, AtomicBoolean over, AtomicLong answered) {
+  /** Starts a thread that sends queries at a fixed rate (open loop). */
+  private static Thread load(int port, long seed, AtomicBoolean stopped, AtomicLong answered) {
     Client client = Client.http(port);
     Thread thread =
         new Thread(
             () -> {
               SplittableRandom random = new SplittableRandom(seed);
-              long gap = 1_000_000_000L / QUERIES_A_SECOND;
-              long due = System.nanoTime();
-              for (int i = 0; !over.get(); i++) {
+              long intervalNanos = 1_000_000_000L / QUERIES_A_SECOND;
+              long dueNanos = System.nanoTime();
+              for (int i = 0; !stopped.get(); i++) {
                 int first = random.nextInt(20);
                 var unused =
                     client
@@ -234,8 +277,8 @@
                             Client.body(first, first + 1, first + 2, first + 3))
                         .thenAccept(
                             got -> answered.addAndGet(got.outcome().equals("whole") ? 1 : 0));
-                due += gap;
-                java.util.concurrent.locks.LockSupport.parkNanos(due - System.nanoTime());
+                dueNanos += intervalNanos;
+                java.util.concurrent.locks.LockSupport.parkNanos(dueNanos - System.nanoTime());
               }
             },
             "load");
@@ -243,25 +286,29 @@
     return thread;
   }
 
-  /**
-   * The look-up before this, with a TTL that is short for a zone: only how long it took to see a
-   * change.
-   */
-  private static void old(int times, long seed, PrintStream out) throws Exception {
-    Vertx dns = Vertx.vertx();
+  /** Measures the baseline resolver, with a short TTL: only the time until it detects a change. */
+  private static void measureBaseline(int times, long seed, PrintStream out) throws Exception {
+    Vertx dnsVertx = Vertx.vertx();
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Zone zone = new Zone("rooms.example.org.");
-    Responder responder = new Responder(dns, zone);
+    Responder responder = new Responder(dnsVertx, zone);
     Map<String, Record> pointers = new HashMap<>();
     for (int i = 0; i < STORES; i++) {
       List<Record> records =
           Zone.store(
-              SERVICE, "s-" + i, "127.0.0.1", 7000 + i, OLD_TTL_S, "id=s-" + i, "cell=0", "zone=a");
+              SERVICE,
+              "s-" + i,
+              "127.0.0.1",
+              7000 + i,
+              BASELINE_TTL_S,
+              "id=s-" + i,
+              "cell=0",
+              "zone=a");
       pointers.put("s-" + i, records.get(0));
       zone.change(List.of(), records);
     }
     Set<String> listed = ConcurrentHashMap.newKeySet();
-    AtomicLong newsNanos = new AtomicLong();
+    AtomicLong updateNanos = new AtomicLong();
     Context context = vertx.getOrCreateContext();
     context.runOnContext(
         v ->
@@ -273,35 +320,35 @@
                     SERVICE,
                     new EndpointListReader(List.of("a"), e -> {}),
                     event -> {
-                      if (event instanceof Event.EndpointsUpdated news) {
+                      if (event instanceof Event.EndpointsUpdated update) {
                         Set<String> names =
-                            new HashSet<>(news.endpoints().stream().map(Endpoint::name).toList());
+                            new HashSet<>(update.endpoints().stream().map(Endpoint::name).toList());
                         listed.addAll(names);
                         listed.retainAll(names);
-                        newsNanos.set(System.nanoTime());
+                        updateNanos.set(System.nanoTime());
                       }
                     },
                     new MicroClock())
                 .start());
-    Histogram seen = new Histogram(60_000_000, 3);
+    Histogram detection = new Histogram(60_000_000, 3);
     SplittableRandom random = new SplittableRandom(seed);
     for (int i = 0; i < times; i++) {
       while (listed.size() < STORES) {
         Thread.sleep(1);
       }
-      Thread.sleep(random.nextInt(OLD_TTL_S * 500));
+      Thread.sleep(random.nextInt(BASELINE_TTL_S * 500));
       String name = "s-" + random.nextInt(STORES);
-      long from = System.nanoTime();
+      long startNanos = System.nanoTime();
       zone.remove(pointers.get(name));
       while (listed.contains(name)) {
         Thread.sleep(1);
       }
-      seen.recordValue((newsNanos.get() - from) / 1000);
+      detection.recordValue((updateNanos.get() - startNanos) / 1000);
       zone.add(pointers.get(name));
     }
-    row(out, "before: TTL " + OLD_TTL_S + " s", seen, null);
+    row(out, "before: TTL " + BASELINE_TTL_S + " s", detection, null);
     vertx.close();
-    dns.close();
+    dnsVertx.close();
     responder.close();
   }
 }
