--- a/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
@@ -74,14 +74,7 @@
     out.printf(
         "%8s %5s %-18s %8s %8s %8s %10s %10s%n",
         "brokers", "loss", "trouble", "new", "bound", "old", "new B/s", "old B/s");
-    List<Scenario> scenarios = new ArrayList<>();
-    for (int brokers : sizes) {
-      for (double loss : losses) {
-        for (Fault fault : Fault.values()) {
-          scenarios.add(new Scenario(brokers, loss, fault));
-        }
-      }
-    }
+    List<Scenario> scenarios = scenarios(sizes, losses);
     int largestWord = 0;
     for (Scenario scenario : scenarios) {
       List<Course> courses =
@@ -119,6 +112,18 @@
     return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
   }
 
+  private static List<Scenario> scenarios(int[] sizes, double[] losses) {
+    List<Scenario> scenarios = new ArrayList<>();
+    for (int brokers : sizes) {
+      for (double loss : losses) {
+        for (Fault fault : Fault.values()) {
+          scenarios.add(new Scenario(brokers, loss, fault));
+        }
+      }
+    }
+    return scenarios;
+  }
+
   private void measureStableCluster(
       PrintStream out, long seed, boolean quick, int[] sizes, double[] losses) {
     out.printf(
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -60,23 +60,7 @@
         for (double price : prices) {
           Result two = day(load, empty, price, true, seconds, seed);
           double ratio = two.worth() / one.worth();
-          out.printf(
-              Locale.ROOT,
-              "%5.1f %6.1f %6.2f | %8.3f %8.1f %8.1f %8.1f | %8.3f %8.1f %8.1f %8.1f %6.0f%% | %6.3f %6.0f%n",
-              load,
-              empty,
-              price,
-              one.worth(),
-              one.workMs(),
-              one.p50Ms(),
-              one.p99Ms(),
-              two.worth(),
-              two.workMs(),
-              two.p50Ms(),
-              two.p99Ms(),
-              100.0 * two.two() / Math.max(1, two.two() + two.one()),
-              ratio,
-              two.lost());
+          printRow(out, new Setting(load, empty, price), one, two);
           target = load == 1.3 && empty == 0.6 && price == 0.1 ? ratio : target;
           least = empty <= price ? Math.min(least, ratio) : least;
           lost += two.lost() + one.lost();
@@ -94,6 +78,36 @@
         "worth-by-one-phase-at-1.3-0.6-0.1", lost > 0 ? 0 : target, "times", 1.25, false);
   }
 
+  private record Setting(double load, double empty, double price) {}
+
+  private static void printRow(PrintStream out, Setting setting, Result one, Result two) {
+    out.printf(
+        Locale.ROOT,
+        "%5.1f %6.1f %6.2f | %8.3f %8.1f %8.1f %8.1f | %8.3f %8.1f %8.1f %8.1f %6.0f%% | %6.3f %6.0f%n",
+        setting.load(),
+        setting.empty(),
+        setting.price(),
+        one.worth(),
+        one.workMs(),
+        one.p50Ms(),
+        one.p99Ms(),
+        two.worth(),
+        two.workMs(),
+        two.p50Ms(),
+        two.p99Ms(),
+        100.0 * two.two() / Math.max(1, two.two() + two.one()),
+        two.worth() / one.worth(),
+        two.lost());
+  }
+
+  /** The class of the queries, where it is queried in two phases. */
+  private static List<Product.TwoPhaseClass> twoPhaseClasses(boolean twoPhases) {
+    if (!twoPhases) {
+      return List.of();
+    }
+    return List.of(new Product.TwoPhaseClass("free-search", 0.3, 3, 0.02, 0.02, 0.05, 60_000_000));
+  }
+
   private static boolean isEmpty(String predicate, int shard, double share) {
     long hash = new SplittableRandom(predicate.hashCode() * 31L + shard).nextLong(1_000);
     return hash < share * 1_000;
@@ -104,11 +118,7 @@
       throws Exception {
     Vertx storeVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Stage stage = new Stage();
-    stage.twoPhaseClasses =
-        twoPhases
-            ? List.of(
-                new Product.TwoPhaseClass("free-search", 0.3, 3, 0.02, 0.02, 0.05, 60_000_000))
-            : List.of();
+    stage.twoPhaseClasses = twoPhaseClasses(twoPhases);
     List<QueueingStore> stores = startStores(storeVertx, empty, price);
     stage.publishStores(stores.toArray(QueueingStore[]::new));
     stage.start(Stage.settings(2_000), null);
--- a/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
@@ -309,27 +309,7 @@
     }
     Set<String> listed = ConcurrentHashMap.newKeySet();
     AtomicLong updateNanos = new AtomicLong();
-    Context context = vertx.getOrCreateContext();
-    context.runOnContext(
-        v ->
-            new BaselineResolver(
-                    vertx,
-                    context,
-                    "127.0.0.1",
-                    responder.port(),
-                    SERVICE,
-                    new EndpointListReader(List.of("a"), e -> {}),
-                    event -> {
-                      if (event instanceof Event.EndpointsUpdated update) {
-                        Set<String> names =
-                            new HashSet<>(update.endpoints().stream().map(Endpoint::name).toList());
-                        listed.addAll(names);
-                        listed.retainAll(names);
-                        updateNanos.set(System.nanoTime());
-                      }
-                    },
-                    new MicroClock())
-                .start());
+    startBaseline(vertx, responder.port(), listed, updateNanos);
     Histogram detection = new Histogram(60_000_000, 3);
     SplittableRandom random = new SplittableRandom(seed);
     for (int i = 0; i < times; i++) {
@@ -351,4 +331,30 @@
     dnsVertx.close();
     responder.close();
   }
+
+  /** Starts the baseline resolver; it maintains the listed instances and the time of the update. */
+  private static void startBaseline(
+      Vertx vertx, int port, Set<String> listed, AtomicLong updateNanos) {
+    Context context = vertx.getOrCreateContext();
+    context.runOnContext(
+        v ->
+            new BaselineResolver(
+                    vertx,
+                    context,
+                    "127.0.0.1",
+                    port,
+                    SERVICE,
+                    new EndpointListReader(List.of("a"), e -> {}),
+                    event -> {
+                      if (event instanceof Event.EndpointsUpdated update) {
+                        Set<String> names =
+                            new HashSet<>(update.endpoints().stream().map(Endpoint::name).toList());
+                        listed.addAll(names);
+                        listed.retainAll(names);
+                        updateNanos.set(System.nanoTime());
+                      }
+                    },
+                    new MicroClock())
+                .start());
+  }
 }
