--- a/src/main/java/dunlinhitch/cluster/GossipMessage.java
+++ b/src/main/java/dunlinhitch/cluster/GossipMessage.java
@@ -10,8 +10,8 @@
  * @param from the sender as it announces itself
  * @param sequenceNumber the sequence number of the ping that it belongs to, which an ack repeats;
  *     with buckets {@link #COMPARE} or {@link #COMPARED}
- * @param subject the member to ping, for {@link Kind#PING_REQUEST}; for the ack of one the member
- *     that acked; else empty
+ * @param subject the member to ping, for {@link QueryClass#PING_REQUEST}; for the ack of one the
+ *     member that acked; else empty
  * @param versions the versions that the sender acts on, or null
  * @param memberUpdates piggybacked updates of members
  * @param observations piggybacked observations of endpoints
--- a/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
@@ -4,8 +4,8 @@
 import dunlinhitch.experiments.measurements.Measures;
 import dunlinhitch.experiments.modelchecker.ExploreCommand;
 import dunlinhitch.experiments.modelchecker.Models;
-import dunlinhitch.experiments.simulation.SimCommands;
-import dunlinhitch.experiments.testbed.RigCommand;
+import dunlinhitch.experiments.simulation.SimulationCommands;
+import dunlinhitch.experiments.testbed.TestBedCommand;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
@@ -20,11 +20,11 @@
     mixinStandardHelpOptions = true,
     subcommands = {
       ExperimentsCommand.Measure.class,
-      SimCommands.Run.class,
-      SimCommands.Search.class,
-      SimCommands.Shrink.class,
-      SimCommands.Show.class,
-      RigCommand.class,
+      SimulationCommands.Run.class,
+      SimulationCommands.Search.class,
+      SimulationCommands.Shrink.class,
+      SimulationCommands.Show.class,
+      TestBedCommand.class,
       ExploreCommand.class,
       FloorsCommand.class
     })
--- a/src/main/java/dunlinhitch/experiments/answerkeys/KeysWorld.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
@@ -18,7 +18,7 @@
  * ought to be, so that it counts wrong ones. Rule {@code forms} is true; rule {@code language} is
  * true until the answers come to depend on the language, where the setup asks for that.
  */
-public final class KeysWorld {
+public final class AnswerKeySimulation {
   /** What is shared. */
   public enum Mode {
     /** Nothing. */
@@ -34,9 +34,9 @@
    *
    * @param perSecond queries a second
    * @param loss the probability that a message between brokers is lost
-   * @param failing the probability that a fetch fails
-   * @param cut a network partition into two halves for 10 s
-   * @param turnsFalse answers depend on the language from 24 s on, during the partition
+   * @param failureProbability the probability that a fetch fails
+   * @param partitioned a network partition into two halves for 10 s
+   * @param ruleBecomesFalse answers depend on the language from 24 s on, during the partition
    */
   public record Setup(
       long seed,
@@ -44,31 +44,31 @@
       Mode mode,
       double perSecond,
       double loss,
-      double failing,
-      boolean cut,
-      boolean turnsFalse) {}
+      double failureProbability,
+      boolean partitioned,
+      boolean ruleBecomesFalse) {}
 
   /**
    * What was counted, after the first 15 s.
    *
-   * @param again fetches of an answer within its age, of the same data
-   * @param wrong answers of another topic or language
-   * @param old answers from data that had ended longer ago than the age
+   * @param repeatedFetches fetches of an answer within its age, of the same data
+   * @param wrongAnswers answers of another topic or language
+   * @param outdatedAnswers answers from data that had ended longer ago than the age
    * @param unended queries that did not end, or twice, or late
-   * @param mayBeWrong the bound of {@code wrong}
-   * @param restedUs from the change of the data until all brokers stopped to apply the false rule;
-   *     -1 where that did not happen
+   * @param wrongAnswersBound the bound of {@code wrongAnswers}
+   * @param demotedAfterUs from the change of the data until all brokers stopped to apply the false
+   *     rule; -1 where that did not happen
    */
   public record Result(
-      long asks,
+      long queries,
       long fetches,
       long trials,
-      long again,
-      long wrong,
-      long old,
+      long repeatedFetches,
+      long wrongAnswers,
+      long outdatedAnswers,
       long unended,
-      double mayBeWrong,
-      long restedUs,
+      double wrongAnswersBound,
+      long demotedAfterUs,
       long p50Us,
       long p99Us,
       String states) {}
@@ -125,7 +125,7 @@
   private long demotedAfterUs = -1;
 
   /** Makes a world at its start. */
-  public KeysWorld(Setup setup) {
+  public AnswerKeySimulation(Setup setup) {
     this.setup = setup;
     random = new SplittableRandom(setup.seed());
   }
@@ -152,7 +152,7 @@
   }
 
   /** Runs the simulation; once for each world. */
-  public Result play() {
+  public Result run() {
     startBrokers();
     for (int shard = 0; shard < Workload.SHARDS; shard++) {
       scheduleDataChange(shard);
@@ -198,13 +198,13 @@
   }
 
   private void scheduleFaults() {
-    if (setup.cut()) {
+    if (setup.partitioned()) {
       schedule(PARTITION_START_US, () -> partitioned = true);
       schedule(PARTITION_START_US + CONVERGENCE_US, () -> updateMembers(true));
       schedule(PARTITION_END_US, () -> partitioned = false);
       schedule(PARTITION_END_US + CONVERGENCE_US, () -> updateMembers(false));
     }
-    if (setup.turnsFalse()) {
+    if (setup.ruleBecomesFalse()) {
       schedule(RULE_FALSE_FROM_US, () -> data.startDependingOnLanguage(nowUs()));
     }
   }
@@ -214,7 +214,7 @@
    * false rule, and the answers until all brokers have received that.
    */
   private double wrongAnswersBound(double acrossLanguagesPerSecond) {
-    int sides = setup.cut() ? 2 : 1;
+    int sides = setup.partitioned() ? 2 : 1;
     double verdicts = 0.5 * Math.exp(-SimulatedBroker.MAX_AGE_US / 1e6 / STATED_CHANGE_S);
     double convergenceS =
         (Math.ceil(Math.log(setup.brokers()) / Math.log(2)) + 2) * GOSSIP_INTERVAL_US / 1e6;
@@ -253,7 +253,7 @@
 
   private void gossipPeriodically(SimulatedBroker broker) {
     broker.gossip(GOSSIP_FANOUT);
-    if (setup.turnsFalse()
+    if (setup.ruleBecomesFalse()
         && nowUs() > RULE_FALSE_FROM_US
         && demotedAfterUs < 0
         && brokers.stream().allMatch(SimulatedBroker::hasDemotedLanguageRule)) {
@@ -365,7 +365,7 @@
     schedule(
         nowUs() + MIN_FETCH_US + random.nextLong(MAX_FETCH_US - MIN_FETCH_US),
         () -> {
-          boolean fails = random.nextDouble() < setup.failing();
+          boolean fails = random.nextDouble() < setup.failureProbability();
           consumer.accept(fails ? null : data.answer(store, query.request));
         });
   }
--- a/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
@@ -72,7 +72,7 @@
   final int side;
 
   final AnswerKeyModule module;
-  private final KeysWorld world;
+  private final AnswerKeySimulation world;
   private final Map<Long, SimulatedQuery> queries = new HashMap<>();
 
   /** For each other broker the version of the evidence that was gossiped to it. */
@@ -80,14 +80,15 @@
 
   private long wakeUpUs = Long.MAX_VALUE;
 
-  SimulatedBroker(KeysWorld world, KeysWorld.Setup setup, int number) {
+  SimulatedBroker(AnswerKeySimulation world, AnswerKeySimulation.Setup setup, int number) {
     this.world = world;
     name = "n" + number;
     side = number % 2;
     module =
         new AnswerKeyModule(
             new RuleSet(
-                List.of(CLASS_POLICY), setup.mode() == KeysWorld.Mode.RULES ? RULES : List.of()),
+                List.of(CLASS_POLICY),
+                setup.mode() == AnswerKeySimulation.Mode.RULES ? RULES : List.of()),
             SETTINGS,
             name,
             new SplittableRandom(setup.seed() * SEED_FACTOR + number),
--- a/src/main/java/dunlinhitch/experiments/dns/Responder.java
+++ b/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
@@ -45,7 +45,7 @@
  * <p>Serves on the Vert.x event loop; tests read its counters and set its script from other
  * threads.
  */
-public final class Responder implements AutoCloseable {
+public final class FakeNameServer implements AutoCloseable {
   /** A fault of an answer. */
   public enum Fault {
     /** No fault. */
@@ -89,7 +89,7 @@
   private final Set<Session> sessions = ConcurrentHashMap.newKeySet();
 
   /** Questions in order of arrival. */
-  public final BlockingQueue<Question> asked = new LinkedBlockingQueue<>();
+  public final BlockingQueue<Question> queries = new LinkedBlockingQueue<>();
 
   /** Bytes of answers sent over UDP and TCP. */
   public final AtomicLong bytesOut = new AtomicLong();
@@ -101,7 +101,7 @@
   public volatile long pushDelayMs;
 
   /** Listens on a free loopback port. */
-  public Responder(Vertx vertx, Zone zone) throws Exception {
+  public FakeNameServer(Vertx vertx, Zone zone) throws Exception {
     this.vertx = vertx;
     this.zone = zone;
     udp = vertx.createDatagramSocket();
@@ -245,7 +245,7 @@
       return;
     }
     Question question = new Question(query.getQuestion().getName(), query.getQuestion().getType());
-    asked.add(question);
+    queries.add(question);
     Fault fault = script.apply(question);
     Message answer =
         query.getHeader().getOpcode() == Opcode.UPDATE
--- a/src/main/java/dunlinhitch/experiments/fakes/Stage.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/BrokerFixture.java
@@ -28,7 +28,7 @@
  * and fakes share one event loop, so a broker that blocked it would get no answer. Fields that
  * configure the broker are read by {@link #start}.
  */
-public final class Stage {
+public final class BrokerFixture {
   public final Vertx vertx;
   public final Discovery discovery;
   public final ClientListener listener;
@@ -61,12 +61,12 @@
   public Path scratchDirectory;
 
   /** Creates the fakes; the broker will open its own listening socket. */
-  public Stage() throws Exception {
+  public BrokerFixture() throws Exception {
     this(new ClientListener(null));
   }
 
   /** Creates the fakes; the broker will accept from that socket. */
-  public Stage(ClientListener listener) throws Exception {
+  public BrokerFixture(ClientListener listener) throws Exception {
     this.listener = listener;
     vertx =
         Vertx.builder()
--- a/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
@@ -1,9 +1,9 @@
 package dunlinhitch.experiments.measurements;
 
-import dunlinhitch.experiments.answerkeys.KeysWorld;
-import dunlinhitch.experiments.answerkeys.KeysWorld.Mode;
-import dunlinhitch.experiments.answerkeys.KeysWorld.Result;
-import dunlinhitch.experiments.answerkeys.KeysWorld.Setup;
+import dunlinhitch.experiments.answerkeys.AnswerKeySimulation;
+import dunlinhitch.experiments.answerkeys.AnswerKeySimulation.Mode;
+import dunlinhitch.experiments.answerkeys.AnswerKeySimulation.Result;
+import dunlinhitch.experiments.answerkeys.AnswerKeySimulation.Setup;
 import java.io.PrintStream;
 import java.util.Locale;
 
@@ -96,11 +96,14 @@
    */
   private void fetches(PrintStream out, long seed, int brokers, double rate) {
     Result none =
-        new KeysWorld(new Setup(seed, brokers, Mode.NONE, rate, 0, 0, false, false)).play();
+        new AnswerKeySimulation(new Setup(seed, brokers, Mode.NONE, rate, 0, 0, false, false))
+            .run();
     Result exact =
-        new KeysWorld(new Setup(seed, brokers, Mode.EXACT, rate, 0, 0, false, false)).play();
+        new AnswerKeySimulation(new Setup(seed, brokers, Mode.EXACT, rate, 0, 0, false, false))
+            .run();
     Result rules =
-        new KeysWorld(new Setup(seed, brokers, Mode.RULES, rate, 0, 0, false, false)).play();
+        new AnswerKeySimulation(new Setup(seed, brokers, Mode.RULES, rate, 0, 0, false, false))
+            .run();
     row(out, seed, brokers, rate, "none", none, exact);
     row(out, seed, brokers, rate, "exact", exact, exact);
     row(out, seed, brokers, rate, "rules", rules, exact);
@@ -108,13 +111,13 @@
       figure(LEAST_SAVED * rules.fetches(), (double) exact.fetches());
     }
     figure((double) rules.p99Us(), 1.05 * none.p99Us());
-    figure((double) rules.again(), 0);
+    figure((double) rules.repeatedFetches(), 0);
     figure(
         (double)
-            (rules.wrong()
-                + exact.wrong()
-                + rules.old()
-                + exact.old()
+            (rules.wrongAnswers()
+                + exact.wrongAnswers()
+                + rules.outdatedAnswers()
+                + exact.outdatedAnswers()
                 + rules.unended()
                 + exact.unended()),
         0);
@@ -135,22 +138,22 @@
         rate,
         keys,
         seed,
-        result.asks(),
+        result.queries(),
         result.fetches(),
         (double) exact.fetches() / result.fetches(),
         result.trials(),
-        keys.equals("rules") ? Long.toString(result.again()) : "-",
-        result.wrong(),
+        keys.equals("rules") ? Long.toString(result.repeatedFetches()) : "-",
+        result.wrongAnswers(),
         result.unended(),
         result.p50Us() / 1e3,
         result.p99Us() / 1e3);
   }
 
   private void faults(PrintStream out, Setup setup, String what) {
-    Result result = new KeysWorld(setup).play();
-    double bound = setup.turnsFalse() ? result.mayBeWrong() : 0;
-    figure((double) result.wrong(), bound);
-    figure((double) (result.old() + result.unended()), 0);
+    Result result = new AnswerKeySimulation(setup).run();
+    double bound = setup.ruleBecomesFalse() ? result.wrongAnswersBound() : 0;
+    figure((double) result.wrongAnswers(), bound);
+    figure((double) (result.outdatedAnswers() + result.unended()), 0);
     out.printf(
         Locale.ROOT,
         "%8d %-22s %5d %9d %8d %10.0f %6s %5d %8d  %s%n",
@@ -158,10 +161,12 @@
         what,
         setup.seed(),
         result.fetches(),
-        result.wrong(),
+        result.wrongAnswers(),
         bound,
-        result.restedUs() < 0 ? "-" : String.format(Locale.ROOT, "%.2f", result.restedUs() / 1e6),
-        result.old(),
+        result.demotedAfterUs() < 0
+            ? "-"
+            : String.format(Locale.ROOT, "%.2f", result.demotedAfterUs() / 1e6),
+        result.outdatedAnswers(),
         result.unended(),
         result.states());
   }
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
@@ -1,10 +1,10 @@
 package dunlinhitch.experiments.measurements;
 
-import dunlinhitch.experiments.testbed.FleetWorld;
-import dunlinhitch.experiments.testbed.Links;
-import dunlinhitch.experiments.testbed.Rig;
-import dunlinhitch.experiments.testbed.RigClients;
-import dunlinhitch.experiments.testbed.RigCommand;
+import dunlinhitch.experiments.testbed.ClusterSimulation;
+import dunlinhitch.experiments.testbed.NetworkFaults;
+import dunlinhitch.experiments.testbed.QueryLoad;
+import dunlinhitch.experiments.testbed.TestBed;
+import dunlinhitch.experiments.testbed.TestBedCommand;
 import java.io.PrintStream;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -49,79 +49,83 @@
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) throws Exception {
     worst = 0;
     Path directory = Files.createTempDirectory("rig");
-    try (Rig rig = new Rig(directory, seed, BROKERS + 1, CELLS, STORES_PER_CELL, "")) {
-      List<Rig.Node> first = rig.nodes().subList(0, BROKERS);
+    try (TestBed rig = new TestBed(directory, seed, BROKERS + 1, CELLS, STORES_PER_CELL, "")) {
+      List<TestBed.Node> first = rig.nodes().subList(0, BROKERS);
       out.printf(
           "%-34s %8s %10s %12s %14s%n",
           "what happens", "brokers", "agree, s", "max/mean", "moved, ideal 1");
       rig.start(first);
-      Rig.await("the first agree", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(first));
+      TestBed.await("the first agree", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(first));
       report(out, rig, "eight started", first, 0, -1);
-      RigClients clients = new RigClients(rig, QUERY_INTERVAL_MS);
+      QueryLoad clients = new QueryLoad(rig, QUERY_INTERVAL_MS);
       clients.start();
       Map<String, Set<String>> before = subsets(first);
       partitionAndHeal(out, rig, first, before);
-      List<Rig.Node> survivors = kill(out, rig, first, before);
+      List<TestBed.Node> survivors = kill(out, rig, first, before);
       join(out, rig, survivors);
       reportQueries(out, clients);
     } finally {
-      RigCommand.clear(directory);
+      TestBedCommand.clear(directory);
     }
     return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
   }
 
   private void partitionAndHeal(
-      PrintStream out, Rig rig, List<Rig.Node> first, Map<String, Set<String>> before)
+      PrintStream out, TestBed rig, List<TestBed.Node> first, Map<String, Set<String>> before)
       throws Exception {
-    Links.Rule partition =
+    NetworkFaults.Rule partition =
         rig.links.add(
             (from, to) ->
                 from.startsWith("n") && to.startsWith("n") && from.equals("n7") != to.equals("n7"),
-            Links.Harm.LOST,
+            NetworkFaults.Harm.LOST,
             0,
             1);
-    List<Rig.Node> others = first.subList(0, BROKERS - 1);
+    List<TestBed.Node> others = first.subList(0, BROKERS - 1);
     double removalS =
-        Rig.await("the others go on without n7", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(others));
-    double movedAtRemoval = FleetWorld.moved(before, subsets(others));
+        TestBed.await(
+            "the others go on without n7", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(others));
+    double movedAtRemoval = ClusterSimulation.moved(before, subsets(others));
     report(out, rig, "one cut off, the other seven", others, removalS, movedAtRemoval);
     TimeUnit.MILLISECONDS.sleep(Math.max(0, PARTITION_MS - (long) (1000 * removalS)));
     rig.links.remove(partition);
-    double healingS = Rig.await("n7 is back", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(first));
-    double movedAfter = FleetWorld.moved(before, subsets(first));
+    double healingS =
+        TestBed.await("n7 is back", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(first));
+    double movedAfter = ClusterSimulation.moved(before, subsets(first));
     report(out, rig, "the cut is over", first, healingS, movedAfter);
   }
 
   /** Kills one broker; the others. */
-  private List<Rig.Node> kill(
-      PrintStream out, Rig rig, List<Rig.Node> first, Map<String, Set<String>> before)
+  private List<TestBed.Node> kill(
+      PrintStream out, TestBed rig, List<TestBed.Node> first, Map<String, Set<String>> before)
       throws Exception {
     first.get(1).kill();
-    List<Rig.Node> survivors = new ArrayList<>(first);
+    List<TestBed.Node> survivors = new ArrayList<>(first);
     survivors.remove(1);
     double removalS =
-        Rig.await("the others go on without n1", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(survivors));
-    double moved = FleetWorld.moved(before, subsets(survivors));
+        TestBed.await(
+            "the others go on without n1", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(survivors));
+    double moved = ClusterSimulation.moved(before, subsets(survivors));
     report(out, rig, "one killed (SIGKILL)", survivors, removalS, moved);
     return survivors;
   }
 
-  private void join(PrintStream out, Rig rig, List<Rig.Node> survivors) throws Exception {
+  private void join(PrintStream out, TestBed rig, List<TestBed.Node> survivors) throws Exception {
     Map<String, Set<String>> before = subsets(survivors);
-    Rig.Node joining = rig.nodes().get(BROKERS);
-    List<Rig.Node> all = new ArrayList<>(survivors);
+    TestBed.Node joining = rig.nodes().get(BROKERS);
+    List<TestBed.Node> all = new ArrayList<>(survivors);
     all.add(joining);
     rig.start(List.of(joining));
-    double joinS = Rig.await("the new one is known", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(all));
-    double moved = FleetWorld.moved(subsets(all), before);
+    double joinS =
+        TestBed.await("the new one is known", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(all));
+    double moved = ClusterSimulation.moved(subsets(all), before);
     report(out, rig, "a new one (from its readiness on)", all, joinS, moved);
   }
 
-  private void reportQueries(PrintStream out, RigClients clients) throws Exception {
-    Map<RigClients.End, Integer> ends = clients.stop();
+  private void reportQueries(PrintStream out, QueryLoad clients) throws Exception {
+    Map<QueryLoad.End, Integer> ends = clients.stop();
     int breaches =
         ends.entrySet().stream()
-            .filter(entry -> RigClients.isBreach(entry.getKey()))
+            .filter(entry -> QueryLoad.isBreach(entry.getKey()))
             .mapToInt(Map.Entry::getValue)
             .sum();
     out.println("queries: " + ends);
@@ -130,15 +134,20 @@
   }
 
   /** The stores of each broker's subset, by broker. */
-  private static Map<String, Set<String>> subsets(List<Rig.Node> nodes) {
+  private static Map<String, Set<String>> subsets(List<TestBed.Node> nodes) {
     Map<String, Set<String>> subsets = new LinkedHashMap<>();
     nodes.forEach(node -> subsets.put(node.name, new HashSet<>(node.kept())));
     return subsets;
   }
 
   private void report(
-      PrintStream out, Rig rig, String event, List<Rig.Node> nodes, double seconds, double moved) {
-    double unevenness = FleetWorld.unevenness(rig.load(nodes::contains));
+      PrintStream out,
+      TestBed rig,
+      String event,
+      List<TestBed.Node> nodes,
+      double seconds,
+      double moved) {
+    double unevenness = ClusterSimulation.unevenness(rig.load(nodes::contains));
     double slowness = Math.max(seconds / MAX_CONVERGENCE_S, moved / MAX_MOVED);
     worst = Math.max(worst, Math.max(unevenness / MAX_UNEVENNESS, slowness));
     out.printf(
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
@@ -3,7 +3,7 @@
 import dunlinhitch.cluster.ClusterSettings;
 import dunlinhitch.cluster.SubsetSettings;
 import dunlinhitch.cluster.Subsetting;
-import dunlinhitch.experiments.testbed.FleetWorld;
+import dunlinhitch.experiments.testbed.ClusterSimulation;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -88,7 +88,7 @@
         .values()
         .forEach(kept -> kept.forEach(s -> load.merge(s, 1, Integer::sum)));
     int all = load.values().stream().mapToInt(i -> i).sum();
-    double uneven = FleetWorld.unevenness(load);
+    double uneven = ClusterSimulation.unevenness(load);
     figure(uneven, MOST_UNEVEN);
     out.printf(
         Locale.ROOT,
@@ -112,7 +112,7 @@
     for (int i = brokers - 1; i >= least; i--) {
       there.remove("n" + i);
       Map<String, Set<String>> after = chosen(there, cells, each, seed);
-      double moved = FleetWorld.moved(before, after);
+      double moved = ClusterSimulation.moved(before, after);
       sum += moved;
       most = Math.max(most, moved);
       changes++;
@@ -121,7 +121,7 @@
     for (int i = least; i < brokers; i++) {
       there.add("n" + i);
       Map<String, Set<String>> after = chosen(there, cells, each, seed);
-      double moved = FleetWorld.moved(after, before);
+      double moved = ClusterSimulation.moved(after, before);
       sum += moved;
       most = Math.max(most, moved);
       changes++;
@@ -144,7 +144,7 @@
    * for 5 s, one is killed.
    */
   private void probes(PrintStream out, long seed, int brokers, boolean cut) {
-    FleetWorld world = new FleetWorld(seed, brokers, 0.01, ClusterSettings.STANDARD);
+    ClusterSimulation world = new ClusterSimulation(seed, brokers, 0.01, ClusterSettings.STANDARD);
     world.stores(1, 3);
     for (int i = 0; i < brokers; i++) {
       world.start(i);
@@ -152,8 +152,8 @@
     long settled = 8 * SECOND_US;
     long end = settled + 15 * SECOND_US;
     for (long at = settled; at < end; at += SECOND_US / 10) {
-      for (FleetWorld.Node node : world.nodes()) {
-        world.at(at + 37L * node.name.hashCode() % 90_000, () -> node.wantProbe("s0-0"));
+      for (ClusterSimulation.Node node : world.nodes()) {
+        world.at(at + 37L * node.name.hashCode() % 90_000, () -> node.requestHealthCheck("s0-0"));
       }
     }
     if (cut) {
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
@@ -1,8 +1,8 @@
 package dunlinhitch.experiments.measurements;
 
 import dunlinhitch.cluster.MembershipProtocolSettings;
-import dunlinhitch.experiments.testbed.ViewBounds;
-import dunlinhitch.experiments.testbed.ViewWorld;
+import dunlinhitch.experiments.testbed.MembershipBounds;
+import dunlinhitch.experiments.testbed.MembershipSimulation;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -37,9 +37,10 @@
 
     long boundUs(MembershipProtocolSettings settings, int brokers) {
       return switch (this) {
-        case START, AND_ARE_BACK, CUT_IS_OVER, ONE_MOVES -> ViewBounds.joinUs(settings, brokers);
-        case LEAVE -> ViewBounds.leaveUs(settings, brokers);
-        case CRASH, SEVEN_IN_TEN_DIE, CUT_IN_HALVES -> ViewBounds.dieUs(settings, brokers);
+        case START, AND_ARE_BACK, CUT_IS_OVER, ONE_MOVES ->
+            MembershipBounds.joinUs(settings, brokers);
+        case LEAVE -> MembershipBounds.leaveUs(settings, brokers);
+        case CRASH, SEVEN_IN_TEN_DIE, CUT_IN_HALVES -> MembershipBounds.dieUs(settings, brokers);
       };
     }
   }
@@ -86,7 +87,7 @@
       List<Course> previous = courses.subList(seeds, 2 * seeds);
       double bound = scenario.fault().boundUs(NEW, scenario.brokers()) / 1e6;
       figure(current.stream().anyMatch(run -> run.convergenceUs() < 0) ? 2 : most(current) / bound);
-      figure(bytes(current) / ViewBounds.bytesPerS(NEW));
+      figure(bytes(current) / MembershipBounds.bytesPerS(NEW));
       largestWord =
           Math.max(largestWord, current.stream().mapToInt(Course::largestWord).max().orElse(0));
       out.printf(
@@ -107,7 +108,7 @@
         "largest word %d bytes of %d; bytes a second and broker at most %.0f%n%n",
         largestWord,
         NEW.maxMessageBytes(),
-        ViewBounds.bytesPerS(NEW));
+        MembershipBounds.bytesPerS(NEW));
     measureStableCluster(out, seed, quick, sizes, losses);
     return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
   }
@@ -169,17 +170,18 @@
         .parallel()
         .mapToObj(
             i -> {
-              ViewWorld world = new ViewWorld(seed + 1_000 + i, loss, settings);
+              MembershipSimulation world =
+                  new MembershipSimulation(seed + 1_000 + i, loss, settings);
               world.harmed(true);
               world.start(0, brokers);
-              world.untilAgree(ViewBounds.joinUs(NEW, brokers));
+              world.untilAgree(MembershipBounds.joinUs(NEW, brokers));
               world.play(10 * SECOND_US);
               world.harmed(false);
               long bytes = world.bytes();
               long us = (long) (hours * 3600 * SECOND_US / brokers);
               world.play(us);
               return new StableResult(
-                  world.falseDeaths(), hours, (world.bytes() - bytes) / (us / 1e6) / brokers);
+                  world.falsePositives(), hours, (world.bytes() - bytes) / (us / 1e6) / brokers);
             })
         .toList();
   }
@@ -204,11 +206,11 @@
 
   private static Course course(Scenario scenario, long seed, MembershipProtocolSettings settings) {
     int brokers = scenario.brokers();
-    ViewWorld world = new ViewWorld(seed, scenario.loss(), settings);
+    MembershipSimulation world = new MembershipSimulation(seed, scenario.loss(), settings);
     world.start(0, brokers);
     long timeoutUs = TIMEOUT_FACTOR * scenario.fault().boundUs(NEW, brokers);
     if (scenario.fault() != Fault.START) {
-      world.untilAgree(TIMEOUT_FACTOR * ViewBounds.joinUs(NEW, brokers));
+      world.untilAgree(TIMEOUT_FACTOR * MembershipBounds.joinUs(NEW, brokers));
       world.play(2 * SECOND_US);
     }
     inject(scenario.fault(), world, brokers);
@@ -222,10 +224,10 @@
     return new Course(
         convergenceUs,
         seconds < 0.2 ? 0 : (world.bytes() - bytesBefore) / seconds / world.nodes().size(),
-        world.largestWord());
+        world.largestMessage());
   }
 
-  private static void inject(Fault fault, ViewWorld world, int brokers) {
+  private static void inject(Fault fault, MembershipSimulation world, int brokers) {
     switch (fault) {
       case START -> {
         // the brokers have just been started
@@ -237,7 +239,7 @@
       case CUT_IN_HALVES, CUT_IS_OVER -> {
         world.cut((from, to) -> half(from, brokers) != half(to, brokers));
         if (fault == Fault.CUT_IS_OVER) {
-          world.play(ViewBounds.dieUs(NEW, brokers));
+          world.play(MembershipBounds.dieUs(NEW, brokers));
           world.cut((from, to) -> false);
         }
       }
@@ -247,7 +249,7 @@
   /**
    * Crashes seven in ten brokers, but not all but one: that one would have nobody to agree with.
    */
-  private static void crash(ViewWorld world, int brokers, boolean restart) {
+  private static void crash(MembershipSimulation world, int brokers, boolean restart) {
     int crashing = Math.min(brokers - 2, (int) Math.ceil(0.7 * brokers));
     for (int i = 0; i < crashing; i++) {
       world.kill(i);
@@ -257,19 +259,20 @@
     }
   }
 
-  private static boolean half(ViewWorld.Node node, int brokers) {
-    return ViewWorld.number(node) < Math.max(2, brokers / 2);
+  private static boolean half(MembershipSimulation.Node node, int brokers) {
+    return MembershipSimulation.number(node) < Math.max(2, brokers / 2);
   }
 
   /** Of three brokers the isolated one retains its members, so only the majority is compared. */
-  private static long untilHalvesAgree(ViewWorld world, int brokers, long timeoutUs) {
+  private static long untilHalvesAgree(MembershipSimulation world, int brokers, long timeoutUs) {
     long from = world.nowUs();
     while (world.nowUs() - from <= timeoutUs) {
-      List<ViewWorld.Node> one =
+      List<MembershipSimulation.Node> one =
           world.nodes().stream().filter(node -> half(node, brokers)).toList();
-      List<ViewWorld.Node> other =
+      List<MembershipSimulation.Node> other =
           world.nodes().stream().filter(node -> !half(node, brokers)).toList();
-      if (ViewWorld.agree(one) && (other.size() == 1 || ViewWorld.agree(other))) {
+      if (MembershipSimulation.agree(one)
+          && (other.size() == 1 || MembershipSimulation.agree(other))) {
         return world.nowUs() - from;
       }
       world.play(SECOND_US / 20);
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -11,7 +11,7 @@
 import dunlinhitch.endpoints.Endpoint.Protocol;
 import dunlinhitch.endpoints.EndpointClaim;
 import dunlinhitch.experiments.dns.Zone;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.io.PrintStream;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
@@ -102,7 +102,7 @@
   private static Cost one(int size, int changes, long seed) throws Exception {
     RecordsBenchmark records =
         new RecordsBenchmark(new EndpointListReader(List.of("a"), e -> {}), seed);
-    Reducer reducer = new Reducer(Stage.settings(300), seed, 0);
+    Reducer reducer = new Reducer(BrokerFixture.settings(300), seed, 0);
     long now = 1_000_000;
     reducer.turn(now, List.of(new Event.SourceRegistered(SOURCE, 1)));
     reducer.turn(
@@ -130,7 +130,7 @@
   }
 
   private static Cost swap(int size, int changes, long seed) {
-    Reducer reducer = new Reducer(Stage.settings(300), seed, 0);
+    Reducer reducer = new Reducer(BrokerFixture.settings(300), seed, 0);
     SplittableRandom random = new SplittableRandom(seed);
     List<Endpoint> all = new ArrayList<>();
     for (int i = 0; i < size; i++) {
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -2,9 +2,9 @@
 
 import com.eclipsesource.json.Json;
 import dunlinhitch.config.Product;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.QueueingStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store.FirstAnswer;
 import dunlinhitch.experiments.fakes.Store.ReceivedPart;
 import io.vertx.core.Vertx;
@@ -117,11 +117,11 @@
       double load, double empty, double price, boolean twoPhases, double seconds, long seed)
       throws Exception {
     Vertx storeVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-    Stage stage = new Stage();
+    BrokerFixture stage = new BrokerFixture();
     stage.twoPhaseClasses = twoPhaseClasses(twoPhases);
     List<QueueingStore> stores = startStores(storeVertx, empty, price);
     stage.publishStores(stores.toArray(QueueingStore[]::new));
-    stage.start(Stage.settings(2_000), null);
+    stage.start(BrokerFixture.settings(2_000), null);
     Client client = Client.http(stage.httpPort);
     double perSecond = load * STORES * CORES * 1e6 / WORK_US / PARTS;
     long warmUpNanos = (long) (seconds * 0.4e9);
--- a/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
@@ -1,13 +1,13 @@
 package dunlinhitch.experiments.measurements;
 
-import dunlinhitch.experiments.simulation.ScorerWorld;
-import dunlinhitch.scoring.DampingRule;
+import dunlinhitch.experiments.simulation.ScorerSimulation;
+import dunlinhitch.scoring.DampingSettings;
+import dunlinhitch.scoring.EndpointSnapshot;
 import dunlinhitch.scoring.FactorTable;
 import dunlinhitch.scoring.ScorerIdentity;
 import dunlinhitch.scoring.Scoring;
-import dunlinhitch.scoring.ScoringRule;
-import dunlinhitch.scoring.Sight;
-import dunlinhitch.scoring.WeightRule;
+import dunlinhitch.scoring.ScoringSettings;
+import dunlinhitch.scoring.WeightMergeSettings;
 import dunlinhitch.scoring.api.Candidate;
 import dunlinhitch.scoring.api.Ending;
 import dunlinhitch.scoring.api.FleetWeight;
@@ -30,9 +30,13 @@
  */
 final class ScorersMeasure implements Measures.Measure {
   private static final long SECOND_US = 1_000_000;
-  private static final ScoringRule RULE = ScoringRule.STANDARD;
-  private static final ScoringRule NAIVE =
-      new ScoringRule(WeightRule.STANDARD, DampingRule.NAIVE, RULE.roundUs(), RULE.endingsMost());
+  private static final ScoringSettings RULE = ScoringSettings.STANDARD;
+  private static final ScoringSettings NAIVE =
+      new ScoringSettings(
+          WeightMergeSettings.STANDARD,
+          DampingSettings.NAIVE,
+          RULE.roundUs(),
+          RULE.maxAttemptsPerRound());
   private static final double COST_NS = 5_000;
   private double worst;
 
@@ -100,9 +104,9 @@
     String[] names = {"Graham alone", "store-pace, each for itself", "store-pace, shared"};
     for (int i = 0; i < names.length; i++) {
       Supplier<Scorer> scorer = i == 0 ? null : StorePace::new;
-      ScorerWorld world =
-          new ScorerWorld(
-              new ScorerWorld.Plan(
+      ScorerSimulation world =
+          new ScorerSimulation(
+              new ScorerSimulation.Plan(
                   10, 10, 6, 20_000, 1.0 / 6, 0.7, scorer, RULE, i == 2, false, 2 * SECOND_US),
               seed);
       world.playTo(joinUs);
@@ -133,7 +137,8 @@
   /** One cell of six stores, one of them slow; weights up to 2 s old. */
   private void herd(PrintStream out, long seed, boolean quick) {
     long endUs = (quick ? 25 : 60) * SECOND_US;
-    double more = Math.expm1(DampingRule.STANDARD.mostWithin(2 * SECOND_US, RULE.roundUs()));
+    double more =
+        Math.expm1(DampingSettings.STANDARD.maxChangeWithin(2 * SECOND_US, RULE.roundUs()));
     out.printf(
         Locale.ROOT,
         "%nload of a store from second to second, rms by its mean; damped: at most %.2f above Graham alone%n",
@@ -151,9 +156,9 @@
       for (int i = 0; i < swing.length; i++) {
         Supplier<Scorer> scorer = i == 0 ? null : i < 3 ? Newest::new : StorePace::new;
         boolean naive = i == 1 || i == 3;
-        ScorerWorld world =
-            new ScorerWorld(
-                new ScorerWorld.Plan(
+        ScorerSimulation world =
+            new ScorerSimulation(
+                new ScorerSimulation.Plan(
                     brokers,
                     1,
                     6,
@@ -193,12 +198,12 @@
             "n",
             new ScorerIdentity("store-pace", "1", "{}"),
             RULE,
-            List.of(new Scoring.Kind("a", 400_000)),
+            List.of(new Scoring.QueryClass("a", 400_000)),
             seed);
-    List<Sight> sights = new ArrayList<>();
+    List<EndpointSnapshot> sights = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
       sights.add(
-          new Sight(
+          new EndpointSnapshot(
               i, "s" + i, i / 10, "", true, 1, 0, random.nextDouble() * 1e5, List.of(1.0), 0));
     }
     Scorer scorer = new StorePace();
@@ -206,12 +211,12 @@
     int rounds = quick ? 400 : 2_000;
     for (int r = 0; r < 2 * rounds; r++) {
       long from = System.nanoTime();
-      scoring.seen(sights);
+      scoring.updateEndpoints(sights);
       List<Round> asked = scoring.rounds(r * 250_000L, r * 250_000L);
-      scoring.judged(r * 250_000L, asked, List.of(scorer.judge(asked.get(0))));
+      scoring.applyJudgements(r * 250_000L, asked, List.of(scorer.judge(asked.get(0))));
       round += r < rounds ? 0 : System.nanoTime() - from;
       for (int i = 0; i < 200; i++) {
-        scoring.ended(
+        scoring.onAttemptCompleted(
             "s" + i, 0, new Ending(Ending.Outcome.ANSWERED, r * 250_000L + 20_000, 20_000, 10_000));
       }
     }
@@ -220,7 +225,7 @@
             0, "a", 400_000, scoring.rounds(1L << 40, 1L << 40).get(0).candidates().subList(0, 10));
     double[] loads = random.doubles(4_096).toArray();
     double none = choose(loads, FactorTable.NONE, null, null, quick);
-    double table = choose(loads, scoring.table(), null, null, quick);
+    double table = choose(loads, scoring.factors(), null, null, quick);
     double onLoop = choose(loads, FactorTable.NONE, scorer, ten, quick);
     out.printf(
         Locale.ROOT,
--- a/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
@@ -17,7 +17,7 @@
     int seeds = quick ? 100 : 1_000;
     Days.search(seed + 100_000, 16, Defect.NONE, false); // compiled before it counts
     long begin = System.nanoTime();
-    Days.Found found = Days.search(seed, seeds, Defect.NONE, false);
+    Days.SearchResult found = Days.search(seed, seeds, Defect.NONE, false);
     double took = (System.nanoTime() - begin) / 1e9;
     out.printf(
         Locale.ROOT,
@@ -28,13 +28,14 @@
         found.played() * 60 / took,
         found.steps(),
         found.meanShare(),
-        found.breaches().size());
-    found.breaches().stream()
+        found.violations().size());
+    found.violations().stream()
         .limit(5)
         .forEach(
             r ->
                 out.printf(
-                    "seed %d: %s (%s)%n", r.day().seed(), r.breach().rule(), r.breach().subject()));
+                    "seed %d: %s (%s)%n",
+                    r.day().seed(), r.violation().rule(), r.violation().subject()));
     out.printf("%-20s %6s  %s%n", "defect put in", "seeds", "found as");
     int missed = 0;
     for (Defect defect : Defect.values()) {
@@ -42,10 +43,10 @@
         int needed = 0;
         String rule = "not found";
         for (int i = 0; i < MOST && rule.equals("not found"); i += 8) {
-          Days.Found some = Days.search(seed + i, 8, defect, false);
-          if (!some.breaches().isEmpty()) {
-            rule = some.breaches().get(0).breach().rule();
-            needed = (int) (some.breaches().get(0).day().seed() - seed + 1);
+          Days.SearchResult some = Days.search(seed + i, 8, defect, false);
+          if (!some.violations().isEmpty()) {
+            rule = some.violations().get(0).violation().rule();
+            needed = (int) (some.violations().get(0).day().seed() - seed + 1);
           }
         }
         missed += rule.equals("not found") ? 1 : 0;
@@ -55,7 +56,7 @@
     out.printf("%d defects not found within %d seeds%n", missed, MOST);
     return new Measures.Verdict(
         "minutes-for-1000-seeds",
-        missed > 0 || !found.breaches().isEmpty() ? 99 : took / 60 * 1_000 / found.played(),
+        missed > 0 || !found.violations().isEmpty() ? 99 : took / 60 * 1_000 / found.played(),
         "min",
         5,
         true);
--- a/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
@@ -7,12 +7,12 @@
 import dunlinhitch.discovery.EndpointListReader;
 import dunlinhitch.endpoints.Endpoint;
 import dunlinhitch.experiments.dns.BaselineResolver;
-import dunlinhitch.experiments.dns.Responder;
+import dunlinhitch.experiments.dns.FakeNameServer;
 import dunlinhitch.experiments.dns.Zone;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.FlightStore;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
@@ -124,8 +124,8 @@
     Path directory = Files.createTempDirectory("withdrawal");
     Vertx dnsVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Zone zone = new Zone("rooms.example.org.");
-    Responder responder = new Responder(dnsVertx, zone);
-    Stage stage = new Stage();
+    FakeNameServer responder = new FakeNameServer(dnsVertx, zone);
+    BrokerFixture stage = new BrokerFixture();
     stage.membershipTimes =
         new Product.MembershipTimes(10_000_000, 3_600_000_000L, 0, 0, 1_000_000);
     Vertx storeVertx = Vertx.vertx();
@@ -138,7 +138,7 @@
           }
         };
     Address pushAddress = push ? new Address("localhost", responder.startPush(directory)) : null;
-    stage.start(Stage.settings(300), dnsService(responder, pushAddress));
+    stage.start(BrokerFixture.settings(300), dnsService(responder, pushAddress));
     while (push && responder.subscriptions() < 2 * STORES + 2) {
       Thread.onSpinWait();
     }
@@ -177,7 +177,7 @@
   }
 
   /** Discovery by push, or by polling the serial where {@code pushAddress} is null. */
-  private static Product.DnsService dnsService(Responder responder, Address pushAddress) {
+  private static Product.DnsService dnsService(FakeNameServer responder, Address pushAddress) {
     boolean push = pushAddress != null;
     return new Product.DnsService(
         "main",
@@ -291,7 +291,7 @@
     Vertx dnsVertx = Vertx.vertx();
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Zone zone = new Zone("rooms.example.org.");
-    Responder responder = new Responder(dnsVertx, zone);
+    FakeNameServer responder = new FakeNameServer(dnsVertx, zone);
     Map<String, Record> pointers = new HashMap<>();
     for (int i = 0; i < STORES; i++) {
       List<Record> records =
--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -130,15 +130,16 @@
    * @param played the number of days simulated
    * @param steps the number of scheduled tasks that ran
    * @param meanShare mean share of the offered weight that was served
-   * @param breaches the days with a violation, by seed
+   * @param violations the days with a violation, by seed
    */
-  public record Found(int played, long steps, double meanShare, List<SimulationResult> breaches) {}
+  public record SearchResult(
+      int played, long steps, double meanShare, List<SimulationResult> violations) {}
 
   /**
    * Simulates the generated days of a range of seeds on all cores; with {@code first} it stops
    * after the first violation.
    */
-  public static Found search(long fromSeed, int seeds, Defect defect, boolean first) {
+  public static SearchResult search(long fromSeed, int seeds, Defect defect, boolean first) {
     ConcurrentLinkedQueue<SimulationResult> breaches = new ConcurrentLinkedQueue<>();
     AtomicInteger played = new AtomicInteger();
     AtomicLong steps = new AtomicLong();
@@ -153,7 +154,7 @@
                   SimulationResult result = Simulation.play(generate(fromSeed + i, defect), false);
                   played.incrementAndGet();
                   steps.addAndGet(result.steps());
-                  if (result.breach() != null) {
+                  if (result.violation() != null) {
                     breaches.add(result);
                   }
                   return result.share();
@@ -161,7 +162,7 @@
             .filter(s -> !Double.isNaN(s))
             .average()
             .orElse(0);
-    return new Found(
+    return new SearchResult(
         played.get(),
         steps.get(),
         share,
@@ -174,14 +175,14 @@
    */
   public static SimulatedDay shrink(SimulatedDay day) {
     SimulationResult whole = Simulation.play(day, false);
-    if (whole.breach() == null) {
+    if (whole.violation() == null) {
       throw new IllegalArgumentException("no rule breaks on this day");
     }
-    String rule = whole.breach().rule();
+    String rule = whole.violation().rule();
     Predicate<SimulatedDay> breaks =
         d -> {
           SimulationResult r = Simulation.play(d, false);
-          return r.breach() != null && r.breach().rule().equals(rule);
+          return r.violation() != null && r.violation().rule().equals(rule);
         };
     SimulatedDay best = day;
     for (boolean smaller = true; smaller; ) {
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerWorld.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
@@ -1,11 +1,11 @@
 package dunlinhitch.experiments.simulation;
 
 import dunlinhitch.cluster.ReplicatedEntry;
+import dunlinhitch.scoring.EndpointSnapshot;
 import dunlinhitch.scoring.FactorTable;
 import dunlinhitch.scoring.ScorerIdentity;
 import dunlinhitch.scoring.Scoring;
-import dunlinhitch.scoring.ScoringRule;
-import dunlinhitch.scoring.Sight;
+import dunlinhitch.scoring.ScoringSettings;
 import dunlinhitch.scoring.Weight;
 import dunlinhitch.scoring.WeightKey;
 import dunlinhitch.scoring.api.Ending;
@@ -24,7 +24,7 @@
  * served, and a query has one part. Hedging, rejection and health checks are not modelled. One
  * thread, virtual time.
  */
-public final class ScorerWorld {
+public final class ScorerSimulation {
   /**
    * What one run is made of.
    *
@@ -45,7 +45,7 @@
       double slowShare,
       double load,
       Supplier<Scorer> scorer,
-      ScoringRule rule,
+      ScoringSettings rule,
       boolean shared,
       boolean together,
       long staleUs) {}
@@ -86,7 +86,7 @@
                   "n" + number,
                   new ScorerIdentity(scorer.name(), scorer.version(), "{}"),
                   plan.rule(),
-                  List.of(new Scoring.Kind("a", latencyObjectiveUs())),
+                  List.of(new Scoring.QueryClass("a", latencyObjectiveUs())),
                   seed + number);
     }
 
@@ -135,7 +135,7 @@
             long tookUs = scheduler.now() - sentUs;
             finished.add(new Finished(this, sentUs, tookUs));
             if (scoring != null) {
-              scoring.ended(
+              scoring.onAttemptCompleted(
                   store.name,
                   QUERY_CLASS,
                   new Ending(Ending.Outcome.ANSWERED, scheduler.now(), tookUs, foreseenUs));
@@ -144,10 +144,10 @@
     }
 
     private void runScoringRound() {
-      List<Sight> sights = new ArrayList<>();
+      List<EndpointSnapshot> sights = new ArrayList<>();
       for (int i = 0; i < stores.size(); i++) {
         sights.add(
-            new Sight(
+            new EndpointSnapshot(
                 i,
                 stores.get(i).name,
                 i / plan.replicas(),
@@ -159,16 +159,16 @@
                 List.of(reported[i]),
                 scheduler.now() - reportedAtUs[i]));
       }
-      scoring.seen(sights);
+      scoring.updateEndpoints(sights);
       long dayUs = CLOCK_START_US + scheduler.now();
       List<Round> rounds = scoring.rounds(scheduler.now(), dayUs);
       List<List<Judgement>> said = new ArrayList<>();
       rounds.forEach(round -> said.add(scorer.judge(round)));
-      String wrong = scoring.judged(dayUs, rounds, said);
+      String wrong = scoring.applyJudgements(dayUs, rounds, said);
       if (!wrong.isEmpty()) {
         throw new IllegalStateException(wrong);
       }
-      factors = scoring.table();
+      factors = scoring.factors();
       if (plan.shared()) {
         shareWeights();
       }
@@ -195,7 +195,7 @@
                 () ->
                     news.forEach(
                         fact ->
-                            other.scoring.weights().told(CLOCK_START_US + scheduler.now(), fact)));
+                            other.scoring.weights().merge(CLOCK_START_US + scheduler.now(), fact)));
           }
         }
       }
@@ -216,7 +216,7 @@
   private static final long WINDOW_US = 1_000_000;
 
   /** Creates the stores and the brokers of a plan. */
-  public ScorerWorld(Plan plan, long seed) {
+  public ScorerSimulation(Plan plan, long seed) {
     this.plan = plan;
     this.seed = seed;
     random = new SplittableRandom(seed);
@@ -254,7 +254,7 @@
             .scoring
             .weights()
             .since(0, Integer.MAX_VALUE)
-            .forEach(fact -> fresh.scoring.weights().told(CLOCK_START_US + scheduler.now(), fact));
+            .forEach(fact -> fresh.scoring.weights().merge(CLOCK_START_US + scheduler.now(), fact));
       }
       scheduler.scheduleAfter(
           plan.together() ? 0 : random.nextLong(plan.rule().roundUs()), fresh::runScoringRound);
--- a/src/main/java/dunlinhitch/experiments/simulation/SimCommands.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
@@ -10,8 +10,8 @@
 import picocli.CommandLine.Parameters;
 
 /** The commands that simulate days. */
-public final class SimCommands {
-  private SimCommands() {}
+public final class SimulationCommands {
+  private SimulationCommands() {}
 
   /** The day to simulate: that of a file, or the generated one of a seed. */
   static final class DaySelection {
@@ -43,8 +43,8 @@
         result.share(),
         result.steps(),
         result.digest().substring(0, 16));
-    if (result.breach() != null) {
-      InvariantChecker.Violation violation = result.breach();
+    if (result.violation() != null) {
+      InvariantChecker.Violation violation = result.violation();
       System.out.printf(
           Locale.ROOT,
           "broken: %s (%s) at step %d, %.6f s%n%s",
@@ -70,7 +70,7 @@
       System.out.print(Days.format(day));
       SimulationResult result = Simulation.play(day, false);
       printResult(result);
-      return result.breach() == null ? 0 : 1;
+      return result.violation() == null ? 0 : 1;
     }
   }
 
@@ -101,7 +101,7 @@
     @Override
     public Integer call() {
       long begin = System.nanoTime();
-      Days.Found found = Days.search(from, seeds, defect, false);
+      Days.SearchResult found = Days.search(from, seeds, defect, false);
       System.out.printf(
           Locale.ROOT,
           "%d seeds in %.1f s, %d steps, worth %.3f of what was asked for, %d breaches%n",
@@ -109,15 +109,17 @@
           (System.nanoTime() - begin) / 1e9,
           found.steps(),
           found.meanShare(),
-          found.breaches().size());
-      found.breaches().stream()
+          found.violations().size());
+      found.violations().stream()
           .limit(10)
           .forEach(
               result ->
                   System.out.printf(
                       "seed %d: %s (%s)%n",
-                      result.day().seed(), result.breach().rule(), result.breach().subject()));
-      return found.breaches().isEmpty() ? 0 : 1;
+                      result.day().seed(),
+                      result.violation().rule(),
+                      result.violation().subject()));
+      return found.violations().isEmpty() ? 0 : 1;
     }
   }
 
@@ -132,7 +134,7 @@
     public Integer call() throws IOException {
       SimulatedDay day = Days.shrink(selection.day());
       System.out.print(
-          "# " + Simulation.play(day, false).breach().rule() + "\n" + Days.format(day));
+          "# " + Simulation.play(day, false).violation().rule() + "\n" + Days.format(day));
       return 0;
     }
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationResult.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationResult.java
@@ -5,7 +5,7 @@
 /** The outcome of a day; {@code trace} is empty unless requested. */
 public record SimulationResult(
     SimulatedDay day,
-    InvariantChecker.Violation breach,
+    InvariantChecker.Violation violation,
     double servedWeight,
     double offeredWeight,
     long steps,
--- a/src/main/java/dunlinhitch/experiments/testbed/FleetWorld.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
@@ -23,7 +23,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class FleetWorld {
+public final class ClusterSimulation {
   private static final long MIN_DELAY_US = 200;
   private static final long MAX_DELAY_US = 2_000;
   private static final long MAX_CLOCK_OFFSET_US = 20_000;
@@ -48,7 +48,7 @@
     private final List<String> probed = new ArrayList<>();
 
     /** Health checks left to other brokers that ended with a report. */
-    private int told;
+    private int reportedHealthChecks;
 
     /** Health checks left to other brokers that ended without a report. */
     private int unreportedHealthChecks;
@@ -70,8 +70,8 @@
     }
 
     /** Health checks left to other brokers that ended with a report. */
-    public int told() {
-      return told;
+    public int reportedHealthChecks() {
+      return reportedHealthChecks;
     }
 
     /** Health checks left to other brokers that ended without a report. */
@@ -114,7 +114,7 @@
     }
 
     /** Requests a health check, as the load balancer does. */
-    public void wantProbe(String store) {
+    public void requestHealthCheck(String store) {
       if (up) {
         if (fleet.mayHealthCheck(wallClockUs(), store)) {
           startHealthCheck(store);
@@ -124,7 +124,7 @@
     }
 
     /** Reports the end of an attempt at a store. */
-    public void saw(String store, boolean answered) {
+    public void onAttempt(String store, boolean answered) {
       if (up) {
         fleet.onAttempt(wallClockUs(), store, answered, answered ? List.of(5f, 1f) : List.of());
         scheduleTimer();
@@ -154,7 +154,7 @@
     @Override
     public void startHealthCheck(String store) {
       probed.add(store);
-      probes.add(new Probe(now, store, name));
+      probes.add(new HealthCheck(now, store, name));
       boolean answers = healthChecksSucceed;
       at(
           now + MAX_DELAY_US,
@@ -172,20 +172,20 @@
       if (observation == null) {
         unreportedHealthChecks++;
       } else {
-        told++;
+        reportedHealthChecks++;
       }
     }
   }
 
   /** A health check that a broker made. */
-  public record Probe(long atUs, String store, String by) {}
+  public record HealthCheck(long atUs, String store, String by) {}
 
   private final SplittableRandom random;
   private final ClusterSettings settings;
   private final PriorityQueue<Step> steps =
       new PriorityQueue<>(Comparator.comparingLong(Step::atUs).thenComparingLong(Step::order));
   private final List<Node> nodes = new ArrayList<>();
-  private final List<Probe> probes = new ArrayList<>();
+  private final List<HealthCheck> probes = new ArrayList<>();
   private final Map<String, ClusterCoordinator.ListedEndpoint> stores = new LinkedHashMap<>();
   private final double loss;
   private boolean healthChecksSucceed = true;
@@ -194,7 +194,7 @@
   private long messageCount;
 
   /** Creates brokers without starting them. */
-  public FleetWorld(long seed, int brokers, double loss, ClusterSettings settings) {
+  public ClusterSimulation(long seed, int brokers, double loss, ClusterSettings settings) {
     random = new SplittableRandom(seed);
     this.settings = settings;
     this.loss = loss;
@@ -209,7 +209,7 @@
   }
 
   /** All health checks so far, in order. */
-  public List<Probe> probes() {
+  public List<HealthCheck> probes() {
     return probes;
   }
 
@@ -219,7 +219,7 @@
   }
 
   /** Messages sent so far, lost ones included. */
-  public long words() {
+  public long messageCount() {
     return messageCount;
   }
 
@@ -346,7 +346,7 @@
   /** The maximum number of health checks of one store within any second from that time on. */
   public long mostProbesInASecond(long fromUs) {
     long most = 0;
-    for (Probe first : probes) {
+    for (HealthCheck first : probes) {
       if (first.atUs() >= fromUs) {
         most =
             Math.max(
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
@@ -16,11 +16,11 @@
 
   private record Step(long atMs, String text, Action action) {}
 
-  private final Rig rig;
+  private final TestBed rig;
   private final Consumer<String> log;
 
   /** Injects into {@code rig}; {@code log} gets one line for each step as it is taken. */
-  FaultInjector(Rig rig, Consumer<String> log) {
+  FaultInjector(TestBed rig, Consumer<String> log) {
     this.rig = rig;
     this.log = log;
   }
@@ -32,7 +32,7 @@
       if (fault.kind().isLasting()) {
         addLastingFault(steps, fault);
       } else {
-        Rig.Node node = findBroker(fault.targets().get(0));
+        TestBed.Node node = findBroker(fault.targets().get(0));
         steps.add(new Step(fault.fromMs(), fault.text(), () -> apply(fault.kind(), node)));
       }
     }
@@ -48,7 +48,7 @@
   }
 
   private void addLastingFault(List<Step> steps, ScheduledFault fault) {
-    Links.Rule[] rule = {null};
+    NetworkFaults.Rule[] rule = {null};
     steps.add(
         new Step(
             fault.fromMs(),
@@ -69,18 +69,18 @@
 
   /** Resets the connections that stalled during the fault, as a network does that is back. */
   private void resetStalledConnections(ScheduledFault fault) throws Exception {
-    for (Rig.Node node : rig.nodes()) {
+    for (TestBed.Node node : rig.nodes()) {
       if (fault.targets().contains(node.name) || fault.kind() == FaultKind.CUT) {
-        rig.resetSilent(node);
+        rig.resetStalled(node);
       }
     }
   }
 
-  private Rig.Node findBroker(String name) {
+  private TestBed.Node findBroker(String name) {
     return rig.nodes().stream().filter(node -> node.name.equals(name)).findFirst().orElseThrow();
   }
 
-  private void apply(FaultKind kind, Rig.Node node) throws Exception {
+  private void apply(FaultKind kind, TestBed.Node node) throws Exception {
     switch (kind) {
       case RESET -> rig.reset(node);
       case KILL -> {
@@ -102,11 +102,11 @@
     }
   }
 
-  private static Links.Harm harmOf(ScheduledFault fault) {
+  private static NetworkFaults.Harm harmOf(ScheduledFault fault) {
     return switch (fault.kind()) {
-      case LATE -> Links.Harm.LATE;
-      case SLOW -> Links.Harm.SLOW;
-      default -> Links.Harm.LOST;
+      case LATE -> NetworkFaults.Harm.LATE;
+      case SLOW -> NetworkFaults.Harm.SLOW;
+      default -> NetworkFaults.Harm.LOST;
     };
   }
 
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultSchedule.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultSchedule.java
@@ -110,7 +110,7 @@
   }
 
   /** Injects the faults in real time from now on; {@code log} gets a line for each step taken. */
-  public void play(Rig rig, Consumer<String> log) throws Exception {
+  public void play(TestBed rig, Consumer<String> log) throws Exception {
     new FaultInjector(rig, log).run(faults);
   }
 }
--- a/src/main/java/dunlinhitch/experiments/testbed/GossipProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/GossipProxy.java
@@ -8,14 +8,14 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Forwards gossip datagrams to one broker and applies the faults that {@link Links} holds. The
- * sender of a datagram is recognised by its UDP source port.
+ * Forwards gossip datagrams to one broker and applies the faults that {@link NetworkFaults} holds.
+ * The sender of a datagram is recognised by its UDP source port.
  *
  * <p>The test bed owns it; datagrams are handled on the Vert.x event loop.
  */
 public final class GossipProxy {
   private final Vertx vertx;
-  private final Links links;
+  private final NetworkFaults links;
   private final String receiver;
   private final int receiverPort;
   private final DatagramSocket socket;
@@ -29,7 +29,8 @@
    * @param receiver name of the broker that the datagrams are for
    * @param receiverPort UDP port on which that broker listens
    */
-  public GossipProxy(Vertx vertx, Links links, String receiver, int receiverPort) throws Exception {
+  public GossipProxy(Vertx vertx, NetworkFaults links, String receiver, int receiverPort)
+      throws Exception {
     this.vertx = vertx;
     this.links = links;
     this.receiver = receiver;
@@ -64,8 +65,8 @@
 
   private void onPacket(DatagramPacket packet) {
     String from = sendersByPort.getOrDefault(packet.sender().port(), "?");
-    Links.Rule rule = links.of(from, receiver);
-    if (rule != null && rule.harm() == Links.Harm.LOST) {
+    NetworkFaults.Rule rule = links.of(from, receiver);
+    if (rule != null && rule.harm() == NetworkFaults.Harm.LOST) {
       dropped++;
       return;
     }
--- a/src/main/java/dunlinhitch/experiments/testbed/ViewBounds.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipBounds.java
@@ -6,7 +6,7 @@
  * The convergence and traffic bounds of docs/view.md, as formulas of the membership protocol's
  * settings and the cluster's size alone. Times are in microseconds. Stateless.
  */
-public final class ViewBounds {
+public final class MembershipBounds {
   /** Size of one broker in an anti-entropy page, with the names and addresses of the model. */
   private static final int BROKER_BYTES = 48;
 
@@ -16,7 +16,7 @@
   /** IP and UDP headers of one datagram. */
   private static final int DATAGRAM_HEADER_BYTES = 28;
 
-  private ViewBounds() {}
+  private MembershipBounds() {}
 
   /** Time in which an update reaches all: 2 log2 of the cluster size, in protocol periods. */
   private static double disseminationUs(MembershipProtocolSettings settings, int brokers) {
--- a/src/main/java/dunlinhitch/experiments/testbed/ViewWorld.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
@@ -24,7 +24,7 @@
  *
  * <p>Not thread-safe.
  */
-public final class ViewWorld {
+public final class MembershipSimulation {
   private static final long MIN_DELAY_US = 200;
   private static final long MAX_DELAY_US = 2_000;
   private static final int BASE_PORT = 7000;
@@ -139,7 +139,7 @@
   private int largestMessage;
 
   /** Creates a cluster without brokers; {@code loss} is the probability of message loss. */
-  public ViewWorld(long seed, double loss, MembershipProtocolSettings settings) {
+  public MembershipSimulation(long seed, double loss, MembershipProtocolSettings settings) {
     random = new SplittableRandom(seed);
     this.loss = loss;
     this.settings = settings;
@@ -156,7 +156,7 @@
   }
 
   /** Messages sent so far, lost ones included. */
-  public long words() {
+  public long messageCount() {
     return messageCount;
   }
 
@@ -166,12 +166,12 @@
   }
 
   /** Size of the largest message so far, in bytes without headers. */
-  public int largestWord() {
+  public int largestMessage() {
     return largestMessage;
   }
 
   /** False positives of failure detection over all running brokers. */
-  public long falseDeaths() {
+  public long falsePositives() {
     return nodes.stream().mapToLong(node -> node.falseDeaths).sum();
   }
 
--- a/src/main/java/dunlinhitch/experiments/testbed/Links.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
@@ -12,7 +12,7 @@
  *
  * <p>Thread-safe: the proxies' event loop reads the rules, any thread may change them.
  */
-public final class Links {
+public final class NetworkFaults {
   /**
    * The effect on traffic from one end to the other. LOST: it is dropped silently. RESET: the
    * connection is reset. SLOW: it arrives in chunks of a few bytes. LATE: it is delayed.
@@ -37,7 +37,7 @@
   private final SplittableRandom random;
 
   /** Has no rules; {@code seed} determines which traffic a rule with a share applies to. */
-  public Links(long seed) {
+  public NetworkFaults(long seed) {
     random = new SplittableRandom(seed);
   }
 
--- a/src/main/java/dunlinhitch/experiments/testbed/RigClients.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
@@ -21,7 +21,7 @@
  *
  * <p>Its state belongs to the test bed's event loop; the public methods are for other threads.
  */
-public final class RigClients {
+public final class QueryLoad {
   /** Deadline that each query carries. */
   private static final int QUERY_DEADLINE_MS = 1_000;
 
@@ -57,7 +57,7 @@
     WRONG
   }
 
-  private final Rig rig;
+  private final TestBed rig;
   private final NetClient client;
   private final int intervalMs;
   private final Map<End, Integer> ends = new TreeMap<>();
@@ -67,7 +67,7 @@
   private int open;
 
   /** Sends nothing before {@link #start}. */
-  public RigClients(Rig rig, int intervalMs) {
+  public QueryLoad(TestBed rig, int intervalMs) {
     this.rig = rig;
     this.intervalMs = intervalMs;
     client = rig.vertx().createNetClient();
@@ -81,7 +81,7 @@
   /** Stops sending and waits for the open queries; the number of queries by outcome. */
   public Map<End, Integer> stop() throws Exception {
     rig.onLoop(() -> rig.vertx().cancelTimer(timer));
-    Rig.await("all queries came to an end", 10, () -> rig.onLoop(() -> open == 0));
+    TestBed.await("all queries came to an end", 10, () -> rig.onLoop(() -> open == 0));
     return rig.onLoop(
         () -> {
           client.close();
@@ -110,27 +110,27 @@
   }
 
   private void sendQueries() {
-    for (Rig.Node node : rig.nodes()) {
+    for (TestBed.Node node : rig.nodes()) {
       if (node.isUp() && isListening(node) && sent < MAX_QUERIES) {
         new Query(node, ++sent).send();
       }
     }
   }
 
-  private static boolean isListening(Rig.Node node) {
+  private static boolean isListening(TestBed.Node node) {
     return node.lines().stream().anyMatch(line -> line.startsWith(node.name + " listens on "));
   }
 
   /** One query over its own connection. */
   private final class Query {
-    private final Rig.Node node;
+    private final TestBed.Node node;
     private final int number;
     private final String id;
     private final StringBuilder answer = new StringBuilder();
     private long startNanos;
     private boolean ended;
 
-    Query(Rig.Node node, int number) {
+    Query(TestBed.Node node, int number) {
       this.node = node;
       this.number = number;
       id = "q" + number;
--- a/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -17,8 +17,9 @@
 
 /**
  * A TCP proxy between one broker and one peer (a store or discovery) that injects the faults of
- * {@link Links}. Bytes keep their order in each direction. A connection that lost bytes stays open
- * and stalled in that direction until {@link #resetStalled}, as over a partitioned network.
+ * {@link NetworkFaults}. Bytes keep their order in each direction. A connection that lost bytes
+ * stays open and stalled in that direction until {@link #resetStalled}, as over a partitioned
+ * network.
  *
  * <p>Not thread-safe: all methods but the constructor belong to the Vert.x event loop of the proxy.
  */
@@ -45,17 +46,20 @@
     }
 
     void forward(Buffer bytes) {
-      Links.Rule rule = links.of(from, to);
-      if (stalled || (rule != null && rule.harm() == Links.Harm.LOST)) {
+      NetworkFaults.Rule rule = links.of(from, to);
+      if (stalled || (rule != null && rule.harm() == NetworkFaults.Harm.LOST)) {
         stalled = true;
         stalledConnections.add(brokerSocket); // a stream delivers nothing behind lost bytes
         return;
       }
-      if (rule != null && rule.harm() == Links.Harm.RESET) {
+      if (rule != null && rule.harm() == NetworkFaults.Harm.RESET) {
         reset(Set.of(brokerSocket));
         return;
       }
-      int size = rule != null && rule.harm() == Links.Harm.SLOW ? SLOW_CHUNK_BYTES : bytes.length();
+      int size =
+          rule != null && rule.harm() == NetworkFaults.Harm.SLOW
+              ? SLOW_CHUNK_BYTES
+              : bytes.length();
       for (int at = 0; at < bytes.length(); at += size) {
         queue.add(bytes.getBuffer(at, Math.min(bytes.length(), at + size)));
       }
@@ -97,7 +101,7 @@
   }
 
   private final Vertx vertx;
-  private final Links links;
+  private final NetworkFaults links;
   private final String broker;
   private final String peer;
   private final int peerPort;
@@ -117,7 +121,7 @@
    * @param peer name of the peer
    * @param peerPort loopback port of the peer
    */
-  public StreamProxy(Vertx vertx, Links links, String broker, String peer, int peerPort)
+  public StreamProxy(Vertx vertx, NetworkFaults links, String broker, String peer, int peerPort)
       throws Exception {
     this.vertx = vertx;
     this.links = links;
@@ -157,8 +161,8 @@
           stalledConnections.remove(socket);
         });
     socket.exceptionHandler(e -> {});
-    Links.Rule rule = links.of(broker, peer);
-    if (rule != null && rule.harm() == Links.Harm.LOST) {
+    NetworkFaults.Rule rule = links.of(broker, peer);
+    if (rule != null && rule.harm() == NetworkFaults.Harm.LOST) {
       stalledConnections.add(socket); // the client sees a connection attempt without an answer
       return;
     }
--- a/src/main/java/dunlinhitch/experiments/testbed/Rig.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
@@ -28,7 +28,7 @@
  * <p>Its methods are for the thread of the test; proxies and fakes run on the event loop, see
  * {@link #onLoop}.
  */
-public final class Rig implements AutoCloseable {
+public final class TestBed implements AutoCloseable {
   /** Time in which a broker must listen after its start. */
   private static final int READY_TIMEOUT_S = 40;
 
@@ -235,7 +235,7 @@
   private final int cellCount;
   private final String extraClusterLines;
   private final Vertx vertx;
-  public final Links links;
+  public final NetworkFaults links;
   private final List<FrameStore> stores = new ArrayList<>();
   private final Map<String, Integer> cells = new LinkedHashMap<>();
 
@@ -252,14 +252,14 @@
    * @param each stores of a cell
    * @param extra further lines of the section {@code [fleet]} of each broker's configuration
    */
-  public Rig(Path directory, long seed, int brokers, int cellCount, int each, String extra)
+  public TestBed(Path directory, long seed, int brokers, int cellCount, int each, String extra)
       throws Exception {
     this.directory = directory;
     this.seed = seed;
     this.cellCount = cellCount;
     this.extraClusterLines = extra;
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1).setWorkerPoolSize(1));
-    links = new Links(seed);
+    links = new NetworkFaults(seed);
     for (int cell = 0; cell < cellCount; cell++) {
       for (int i = 0; i < each; i++) {
         FrameStore store = new FrameStore(vertx, "s" + cell + "-" + i);
@@ -375,7 +375,7 @@
   }
 
   /** Resets those of its connections that lost bytes, as after the end of a partition. */
-  public void resetSilent(Node node) throws Exception {
+  public void resetStalled(Node node) throws Exception {
     onLoop(
         () -> {
           node.storeProxies.values().forEach(StreamProxy::resetStalled);
--- a/src/main/java/dunlinhitch/experiments/testbed/RigCommand.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
@@ -15,8 +15,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Command that injects the faults of a schedule, from a file or random, into a {@link Rig} under
- * load.
+ * Command that injects the faults of a schedule, from a file or random, into a {@link TestBed}
+ * under load.
  */
 @Command(
     name = "rig",
@@ -24,7 +24,7 @@
         "Brokers as processes on loopback, with faults between them by a script or a seed; exit code 1 if a "
             + "query is lost or gets what no store made, or if those that are up do not agree in the end.",
     mixinStandardHelpOptions = true)
-public final class RigCommand implements Callable<Integer> {
+public final class TestBedCommand implements Callable<Integer> {
   private static final int MAX_BROKERS = 16;
   private static final int MAX_STORES = 64;
   private static final int CONVERGENCE_TIMEOUT_S = 40;
@@ -79,7 +79,7 @@
     FaultSchedule schedule = schedule();
     schedule.lines().forEach(System.out::println);
     Path directory = Files.createTempDirectory("rig");
-    try (Rig rig = new Rig(directory, seed, brokers, cells, each, "")) {
+    try (TestBed rig = new TestBed(directory, seed, brokers, cells, each, "")) {
       return play(rig, schedule);
     } finally {
       clear(directory);
@@ -125,25 +125,27 @@
   }
 
   /** Injects the faults under load and prints a report; the exit code. */
-  private static int play(Rig rig, FaultSchedule schedule) throws Exception {
+  private static int play(TestBed rig, FaultSchedule schedule) throws Exception {
     rig.start(rig.nodes());
-    Rig.await(
-        "the brokers agree at the start", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(rig.nodes()));
-    RigClients clients = new RigClients(rig, QUERY_INTERVAL_MS);
+    TestBed.await(
+        "the brokers agree at the start", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(rig.nodes()));
+    QueryLoad clients = new QueryLoad(rig, QUERY_INTERVAL_MS);
     clients.start();
     schedule.play(rig, System.out::println);
-    List<Rig.Node> running = rig.nodes().stream().filter(Rig.Node::isUp).toList();
+    List<TestBed.Node> running = rig.nodes().stream().filter(TestBed.Node::isUp).toList();
     double convergenceS =
-        Rig.await(
-            "those that are up agree in the end", CONVERGENCE_TIMEOUT_S, () -> Rig.agree(running));
+        TestBed.await(
+            "those that are up agree in the end",
+            CONVERGENCE_TIMEOUT_S,
+            () -> TestBed.agree(running));
     TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
-    Map<RigClients.End, Integer> ends = clients.stop();
+    Map<QueryLoad.End, Integer> ends = clients.stop();
     clients.notes().forEach(note -> System.out.println("  " + note));
     System.out.printf(
         "agree %.2f s after the last trouble; brokers at each store %s%n",
         convergenceS, rig.load(running::contains));
     System.out.println("queries " + ends);
-    return ends.keySet().stream().anyMatch(RigClients::isBreach) ? 1 : 0;
+    return ends.keySet().stream().anyMatch(QueryLoad::isBreach) ? 1 : 0;
   }
 
   /** Deletes a test bed's directory with all that is in it. */
--- a/src/main/java/dunlinhitch/scoring/Sight.java
+++ b/src/main/java/dunlinhitch/scoring/EndpointSnapshot.java
@@ -6,29 +6,29 @@
  * Snapshot of one endpoint, the input of a scorer.
  *
  * @param server its number with the load balancer
- * @param store its name
+ * @param endpoint its name
  * @param cell the cell whose blocks it holds
  * @param near true if it is in the zone of this broker
- * @param warmth slow-start weight, from 0 to 1
+ * @param slowStartWeight slow-start weight, from 0 to 1
  * @param startedMs start of its present incarnation in Unix milliseconds; 0 if long ago
- * @param workUs predicted outstanding work in microseconds, of this broker and, by the load report,
- *     of others
- * @param report the last load report; empty if there is none
+ * @param outstandingWorkUs predicted outstanding work in microseconds, of this broker and, by the
+ *     load report, of others
+ * @param loadReport the last load report; empty if there is none
  * @param reportAgeUs age of the load report in microseconds
  */
-public record Sight(
+public record EndpointSnapshot(
     int server,
-    String store,
+    String endpoint,
     int cell,
     String zone,
     boolean near,
-    double warmth,
+    double slowStartWeight,
     long startedMs,
-    double workUs,
-    List<Double> report,
+    double outstandingWorkUs,
+    List<Double> loadReport,
     long reportAgeUs) {
   /** Copies the load report. */
-  public Sight {
-    report = List.copyOf(report);
+  public EndpointSnapshot {
+    loadReport = List.copyOf(loadReport);
   }
 }
--- a/src/main/java/dunlinhitch/scoring/FactorDamping.java
+++ b/src/main/java/dunlinhitch/scoring/FactorDamping.java
@@ -10,12 +10,12 @@
   /** The smallest gain that a broker draws, as a share of the mean gain; the range is 1 wide. */
   private static final double MIN_GAIN_SHARE = 0.5;
 
-  private final DampingRule rule;
+  private final DampingSettings rule;
   private final double gain;
   private final long tiltSeed;
 
   /** Draws the broker's own gain and the seed of its offsets, in this order. */
-  FactorDamping(DampingRule rule, SplittableRandom random) {
+  FactorDamping(DampingSettings rule, SplittableRandom random) {
     this.rule = rule;
     gain = rule.gain() < 1 ? rule.gain() * (MIN_GAIN_SHARE + random.nextDouble()) : 1;
     tiltSeed = random.nextLong();
@@ -30,6 +30,6 @@
   /** The factor of a target with this broker's offset, which is constant for its lifetime. */
   double factor(WeightTarget target, double presentLog) {
     double offset = new SplittableRandom(tiltSeed ^ target.hashCode()).nextDouble() * 2 - 1;
-    return Math.exp(presentLog + rule.tilt() * offset);
+    return Math.exp(presentLog + rule.maxOffset() * offset);
   }
 }
--- a/src/main/java/dunlinhitch/scoring/Scoring.java
+++ b/src/main/java/dunlinhitch/scoring/Scoring.java
@@ -25,9 +25,9 @@
   /**
    * A query class.
    *
-   * @param aimUs its latency objective in microseconds
+   * @param latencyObjectiveUs its latency objective in microseconds
    */
-  public record Kind(String name, long aimUs) {}
+  public record QueryClass(String name, long latencyObjectiveUs) {}
 
   /** The shortest time from round to round, as a share of the mean. */
   private static final double MIN_ROUND_SHARE = 0.8;
@@ -36,13 +36,13 @@
   private static final double ROUND_JITTER = 0.4;
 
   private final ScorerIdentity scorer;
-  private final ScoringRule rule;
-  private final List<Kind> queryClasses;
+  private final ScoringSettings rule;
+  private final List<QueryClass> queryClasses;
   private final SplittableRandom random;
   private final FactorDamping damping;
   private final SharedWeights weights;
   private final Map<WeightTarget, TargetState> states = new HashMap<>();
-  private Map<Integer, Sight> endpoints = new TreeMap<>();
+  private Map<Integer, EndpointSnapshot> endpoints = new TreeMap<>();
   private FactorTable factors = FactorTable.NONE;
 
   /**
@@ -52,7 +52,11 @@
    * @param seed of all random draws
    */
   public Scoring(
-      String self, ScorerIdentity scorer, ScoringRule rule, List<Kind> queryClasses, long seed) {
+      String self,
+      ScorerIdentity scorer,
+      ScoringSettings rule,
+      List<QueryClass> queryClasses,
+      long seed) {
     this.scorer = scorer;
     this.rule = rule;
     this.queryClasses = List.copyOf(queryClasses);
@@ -72,9 +76,9 @@
   }
 
   /** Replaces the endpoints; the state of removed ones and of earlier incarnations is dropped. */
-  public void seen(List<Sight> snapshots) {
-    Map<Integer, Sight> byServer = new TreeMap<>();
-    for (Sight endpoint : snapshots) {
+  public void updateEndpoints(List<EndpointSnapshot> snapshots) {
+    Map<Integer, EndpointSnapshot> byServer = new TreeMap<>();
+    for (EndpointSnapshot endpoint : snapshots) {
       byServer.put(endpoint.server(), endpoint);
     }
     Map<String, Long> incarnations = incarnations(snapshots);
@@ -87,10 +91,10 @@
     endpoints = byServer;
   }
 
-  private static Map<String, Long> incarnations(Iterable<Sight> snapshots) {
+  private static Map<String, Long> incarnations(Iterable<EndpointSnapshot> snapshots) {
     Map<String, Long> incarnations = new HashMap<>();
-    for (Sight endpoint : snapshots) {
-      incarnations.put(endpoint.store(), endpoint.startedMs());
+    for (EndpointSnapshot endpoint : snapshots) {
+      incarnations.put(endpoint.endpoint(), endpoint.startedMs());
     }
     return incarnations;
   }
@@ -99,10 +103,10 @@
    * Records a completed attempt. Only the latest of a round are retained; an attempt sent to an
    * earlier incarnation of the endpoint is ignored.
    */
-  public void ended(String store, int queryClass, Ending attempt) {
+  public void onAttemptCompleted(String store, int queryClass, Ending attempt) {
     TargetState state = states.get(new WeightTarget(store, queryClasses.get(queryClass).name()));
     if (state != null) {
-      state.add(attempt, rule.endingsMost());
+      state.add(attempt, rule.maxAttemptsPerRound());
     }
   }
 
@@ -110,10 +114,10 @@
   public List<Round> rounds(long nowUs, long dayUs) {
     Map<WeightTarget, FleetWeight> merged = weights.merged(dayUs, incarnations(endpoints.values()));
     List<Round> rounds = new ArrayList<>();
-    for (Kind queryClass : queryClasses) {
+    for (QueryClass queryClass : queryClasses) {
       List<Candidate> candidates = new ArrayList<>();
-      for (Sight endpoint : endpoints.values()) {
-        WeightTarget target = new WeightTarget(endpoint.store(), queryClass.name());
+      for (EndpointSnapshot endpoint : endpoints.values()) {
+        WeightTarget target = new WeightTarget(endpoint.endpoint(), queryClass.name());
         TargetState state =
             states.computeIfAbsent(target, key -> new TargetState(endpoint.startedMs(), nowUs));
         candidates.add(
@@ -122,22 +126,22 @@
                 state.drain(nowUs, rule.weights()),
                 merged.getOrDefault(target, FleetWeight.NONE)));
       }
-      rounds.add(new Round(nowUs, queryClass.name(), queryClass.aimUs(), candidates));
+      rounds.add(new Round(nowUs, queryClass.name(), queryClass.latencyObjectiveUs(), candidates));
     }
     return rounds;
   }
 
   private static Candidate candidate(
-      Sight endpoint, List<Ending> attempts, FleetWeight fleetWeight) {
+      EndpointSnapshot endpoint, List<Ending> attempts, FleetWeight fleetWeight) {
     return new Candidate(
-        endpoint.store(),
+        endpoint.endpoint(),
         endpoint.cell(),
         endpoint.zone(),
         endpoint.near(),
-        endpoint.warmth(),
+        endpoint.slowStartWeight(),
         endpoint.startedMs(),
-        endpoint.workUs(),
-        endpoint.report(),
+        endpoint.outstandingWorkUs(),
+        endpoint.loadReport(),
         endpoint.reportAgeUs(),
         attempts,
         fleetWeight);
@@ -149,7 +153,7 @@
    *
    * @return what is invalid, or an empty string
    */
-  public String judged(long dayUs, List<Round> rounds, List<List<Judgement>> judgements) {
+  public String applyJudgements(long dayUs, List<Round> rounds, List<List<Judgement>> judgements) {
     String problem = JudgementValidator.findProblem(rounds, judgements);
     if (!problem.isEmpty()) {
       return problem;
@@ -180,7 +184,7 @@
 
   private void apply(long dayUs, WeightTarget target, TargetState state, Judgement judgement) {
     state.moveFactor(Math.log(clamp(judgement.factor())), damping);
-    double maxEvidence = Math.min(state.shownEvidence(), rule.weights().evidenceMost());
+    double maxEvidence = Math.min(state.shownEvidence(), rule.weights().maxEvidence());
     double evidence = Math.min(judgement.evidence(), maxEvidence);
     weights.recordOwn(
         dayUs, target, new Weight(clamp(judgement.weight()), evidence, state.startedMs()));
@@ -196,7 +200,7 @@
           for (int column = 0; column < columns; column++) {
             values[server * columns + column] =
                 factorByTarget.getOrDefault(
-                    new WeightTarget(endpoint.store(), queryClasses.get(column).name()), 1.0);
+                    new WeightTarget(endpoint.endpoint(), queryClasses.get(column).name()), 1.0);
           }
         });
     return new FactorTable(columns, values);
@@ -208,7 +212,7 @@
   }
 
   /** The factors after the last valid round. */
-  public FactorTable table() {
+  public FactorTable factors() {
     return factors;
   }
 
--- a/src/main/java/dunlinhitch/scoring/SharedWeights.java
+++ b/src/main/java/dunlinhitch/scoring/SharedWeights.java
@@ -50,7 +50,7 @@
 
   private final String self;
   private final ScorerIdentity scorer;
-  private final WeightRule rule;
+  private final WeightMergeSettings rule;
   private final ReplicatedMap<WeightKey, Weight> entries;
   private final Map<MergeResult, Long> counts = new EnumMap<>(MergeResult.class);
 
@@ -60,7 +60,7 @@
    * @param self name of this broker, the origin of its own entries
    * @param scorer the only scorer whose weights are merged
    */
-  public SharedWeights(String self, ScorerIdentity scorer, WeightRule rule) {
+  public SharedWeights(String self, ScorerIdentity scorer, WeightMergeSettings rule) {
     this.self = self;
     this.scorer = scorer;
     this.rule = rule;
@@ -68,13 +68,13 @@
   }
 
   /** Merges an entry received by gossip, from its origin or forwarded. */
-  public MergeResult told(long dayUs, ReplicatedEntry<WeightKey, Weight> entry) {
-    MergeResult result = merge(dayUs, entry);
+  public MergeResult merge(long dayUs, ReplicatedEntry<WeightKey, Weight> entry) {
+    MergeResult result = mergeUncounted(dayUs, entry);
     counts.merge(result, 1L, Long::sum);
     return result;
   }
 
-  private MergeResult merge(long dayUs, ReplicatedEntry<WeightKey, Weight> entry) {
+  private MergeResult mergeUncounted(long dayUs, ReplicatedEntry<WeightKey, Weight> entry) {
     if (entry.origin().equals(self)) {
       return MergeResult.OWN;
     }
@@ -106,7 +106,7 @@
     Weight previous = entry.value();
     return previous.startedMs() == weight.startedMs()
         && dayUs - entry.timestampUs() < rule.halfLifeUs() / REFRESHES_PER_HALF_LIFE
-        && Math.abs(Math.log(weight.value() / previous.value())) < rule.tellStep()
+        && Math.abs(Math.log(weight.value() / previous.value())) < rule.updateThreshold()
         && weight.evidence() < EVIDENCE_GROWTH * previous.evidence();
   }
 
@@ -121,7 +121,7 @@
     Map<WeightTarget, List<WeightReport>> reports = new HashMap<>();
     for (ReplicatedEntry<WeightKey, Weight> entry : entries.all()) {
       if (isRelevant(entry, startedMs.get(entry.key().store()))) {
-        double evidence = rule.faded(entry.value().evidence(), dayUs - entry.timestampUs());
+        double evidence = rule.decayed(entry.value().evidence(), dayUs - entry.timestampUs());
         reports
             .computeIfAbsent(
                 new WeightTarget(entry.key().store(), entry.key().queryClass()),
--- a/src/main/java/dunlinhitch/scoring/TargetState.java
+++ b/src/main/java/dunlinhitch/scoring/TargetState.java
@@ -51,8 +51,8 @@
   }
 
   /** Removes and returns the attempts completed since the last round, and counts them as shown. */
-  List<Ending> drain(long nowUs, WeightRule rule) {
-    shownEvidence = rule.faded(shownEvidence, nowUs - decayedAtUs) + completedAttempts.size();
+  List<Ending> drain(long nowUs, WeightMergeSettings rule) {
+    shownEvidence = rule.decayed(shownEvidence, nowUs - decayedAtUs) + completedAttempts.size();
     decayedAtUs = nowUs;
     List<Ending> drained = List.copyOf(completedAttempts);
     completedAttempts.clear();
--- a/src/main/java/dunlinhitch/scoring/TrimmedMean.java
+++ b/src/main/java/dunlinhitch/scoring/TrimmedMean.java
@@ -7,7 +7,8 @@
 
 /**
  * The merge of the brokers' weights of one target: a trimmed mean of logarithms, weighted by
- * evidence. The trimming bounds the influence of one broker to {@link WeightRule#mostStep}.
+ * evidence. The trimming bounds the influence of one broker to {@link
+ * WeightMergeSettings#maxInfluence}.
  */
 final class TrimmedMean {
   /**
@@ -21,9 +22,9 @@
   private TrimmedMean() {}
 
   /** Merges the reports; evidence missing to the minimum of origins counts as a weight of 1. */
-  static FleetWeight of(List<WeightReport> reports, WeightRule rule) {
+  static FleetWeight of(List<WeightReport> reports, WeightMergeSettings rule) {
     double reported = reports.stream().mapToDouble(WeightReport::evidence).sum();
-    double total = Math.max(reported, rule.authorsLeast() * rule.evidenceMost());
+    double total = Math.max(reported, rule.minOrigins() * rule.maxEvidence());
     List<WeightReport> sorted = new ArrayList<>(reports);
     sorted.add(new WeightReport(0, total - reported));
     sorted.sort(
--- a/src/main/java/dunlinhitch/scoring/Weight.java
+++ b/src/main/java/dunlinhitch/scoring/Weight.java
@@ -11,11 +11,11 @@
  */
 public record Weight(double value, double evidence, long startedMs) {
   /** False for what no correct broker sends. Each comparison is written so that NaN fails it. */
-  boolean isValid(WeightRule rule) {
+  boolean isValid(WeightMergeSettings rule) {
     return value >= ScoringApi.LEAST_FACTOR
         && value <= ScoringApi.MOST_FACTOR
         && evidence > 0
-        && evidence <= rule.evidenceMost()
+        && evidence <= rule.maxEvidence()
         && startedMs >= 0;
   }
 }
--- a/src/main/java/dunlinhitch/scoring/WeightRule.java
+++ b/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
@@ -7,14 +7,14 @@
  * Settings of the merge of the brokers' weights.
  *
  * @param halfLifeUs half-life of evidence in microseconds
- * @param evidenceMost maximum evidence of one broker's weight, in attempts
- * @param authorsLeast minimum number of origins with full evidence; what is missing counts as
+ * @param maxEvidence maximum evidence of one broker's weight, in attempts
+ * @param minOrigins minimum number of origins with full evidence; what is missing counts as
  *     evidence for a weight of 1
  * @param trim share of the evidence that is trimmed at either end
- * @param tellStep how far the logarithm of an own weight moves before it is replicated again
+ * @param updateThreshold how far the logarithm of an own weight moves before it is replicated again
  */
-public record WeightRule(
-    long halfLifeUs, double evidenceMost, int authorsLeast, double trim, double tellStep) {
+public record WeightMergeSettings(
+    long halfLifeUs, double maxEvidence, int minOrigins, double trim, double updateThreshold) {
   /** Clock skew between brokers that is tolerated, in microseconds. */
   private static final long SKEW_US = 2_000_000;
 
@@ -28,26 +28,27 @@
   private static final int MAX_ENTRIES_PER_ORIGIN = 2_000;
 
   /** The settings of a broker. */
-  public static final WeightRule STANDARD = new WeightRule(30_000_000, 64, 8, 0.125, 0.1);
+  public static final WeightMergeSettings STANDARD =
+      new WeightMergeSettings(30_000_000, 64, 8, 0.125, 0.1);
 
   /** Validates the settings. */
-  public WeightRule {
+  public WeightMergeSettings {
     if (halfLifeUs <= 0
-        || !(evidenceMost > 0)
-        || authorsLeast < 1
+        || !(maxEvidence > 0)
+        || minOrigins < 1
         || !(trim >= 0 && trim < 0.5)
-        || !(tellStep > 0)) {
+        || !(updateThreshold > 0)) {
       throw new IllegalArgumentException(
           "weights fade, count for something and are cut by less than half: "
               + halfLifeUs
               + ", "
-              + evidenceMost
+              + maxEvidence
               + ", "
-              + authorsLeast
+              + minOrigins
               + ", "
               + trim
               + ", "
-              + tellStep);
+              + updateThreshold);
     }
   }
 
@@ -58,13 +59,13 @@
   }
 
   /** The most that one broker, whatever it sends, moves the logarithm of a merged weight. */
-  public double mostStep() {
+  public double maxInfluence() {
     return Math.log(ScoringApi.MOST_FACTOR / ScoringApi.LEAST_FACTOR)
-        / (authorsLeast * (1 - 2 * trim));
+        / (minOrigins * (1 - 2 * trim));
   }
 
   /** Evidence decayed by its age; a negative age counts as 0. */
-  double faded(double evidence, long ageUs) {
+  double decayed(double evidence, long ageUs) {
     return evidence * Math.pow(0.5, Math.max(0, ageUs) / (double) halfLifeUs);
   }
 }
--- a/src/main/java/dunlinhitch/scoring/host/HostConfiguration.java
+++ b/src/main/java/dunlinhitch/scoring/host/HostConfiguration.java
@@ -2,7 +2,7 @@
 
 import dunlinhitch.scoring.ScorerSettings;
 import dunlinhitch.scoring.Scoring;
-import dunlinhitch.scoring.ScoringRule;
+import dunlinhitch.scoring.ScoringSettings;
 import java.util.List;
 
 /**
@@ -17,9 +17,9 @@
 public record HostConfiguration(
     String self,
     ScorerSettings scorer,
-    ScoringRule rule,
+    ScoringSettings rule,
     HostLimits limits,
-    List<Scoring.Kind> queryClasses,
+    List<Scoring.QueryClass> queryClasses,
     long seed) {
   /** Copies the query classes. */
   public HostConfiguration {
--- a/src/main/java/dunlinhitch/scoring/host/ScorerHost.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerHost.java
@@ -1,11 +1,11 @@
 package dunlinhitch.scoring.host;
 
 import dunlinhitch.cluster.ReplicatedEntry;
+import dunlinhitch.scoring.EndpointSnapshot;
 import dunlinhitch.scoring.FactorTable;
 import dunlinhitch.scoring.Failure;
 import dunlinhitch.scoring.ScorerIdentity;
 import dunlinhitch.scoring.ScorerSettings;
-import dunlinhitch.scoring.Sight;
 import dunlinhitch.scoring.Weight;
 import dunlinhitch.scoring.WeightKey;
 import dunlinhitch.scoring.api.Ending;
@@ -40,7 +40,7 @@
   }
 
   /** Replaces the endpoint snapshots; the next round takes the latest. */
-  public void updateEndpoints(List<Sight> endpoints) {
+  public void updateEndpoints(List<EndpointSnapshot> endpoints) {
     sharedState.setEndpoints(endpoints);
   }
 
--- a/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
@@ -108,13 +108,13 @@
 
   void onAttemptCompleted(String store, int queryClass, Ending attempt) {
     if (scoring != null) {
-      scoring.ended(store, queryClass, attempt);
+      scoring.onAttemptCompleted(store, queryClass, attempt);
     }
   }
 
   void onWeightReceived(ReplicatedEntry<WeightKey, Weight> weight) {
     if (scoring != null) {
-      scoring.weights().told(dayUs(), weight);
+      scoring.weights().merge(dayUs(), weight);
     }
   }
 
@@ -217,7 +217,7 @@
   }
 
   private void startRound(long nowUs) {
-    scoring.seen(sharedState.endpoints());
+    scoring.updateEndpoints(sharedState.endpoints());
     List<Round> rounds = scoring.rounds(nowUs, dayUs());
     ScorerCall<List<List<Judgement>>> call =
         new ScorerCall<>(
@@ -261,7 +261,7 @@
     } else if (slow && circuitBreaker.onSlowRound()) {
       eject(nowUs, Failure.SLOW, call.cpuTimeUs() + " µs in one round, not for the first time");
     } else {
-      String problem = scoring.judged(dayUs, round.rounds, call.result());
+      String problem = scoring.applyJudgements(dayUs, round.rounds, call.result());
       if (problem.isEmpty()) {
         onValidRound(slow);
       } else {
@@ -272,7 +272,7 @@
 
   private void onValidRound(boolean slow) {
     publisher.onValidRound();
-    sharedState.setFactors(scoring.table());
+    sharedState.setFactors(scoring.factors());
     if (!slow) {
       circuitBreaker.onSuccess();
     }
--- a/src/main/java/dunlinhitch/scoring/host/SharedState.java
+++ b/src/main/java/dunlinhitch/scoring/host/SharedState.java
@@ -1,7 +1,7 @@
 package dunlinhitch.scoring.host;
 
+import dunlinhitch.scoring.EndpointSnapshot;
 import dunlinhitch.scoring.FactorTable;
-import dunlinhitch.scoring.Sight;
 import java.util.List;
 
 /**
@@ -9,16 +9,16 @@
  * counts.
  */
 final class SharedState {
-  private volatile List<Sight> endpoints = List.of();
+  private volatile List<EndpointSnapshot> endpoints = List.of();
   private volatile FactorTable factors = FactorTable.NONE;
   private volatile PendingGossip pendingGossip = PendingGossip.NONE;
   private volatile HostStatistics statistics = HostStatistics.NONE;
 
-  List<Sight> endpoints() {
+  List<EndpointSnapshot> endpoints() {
     return endpoints;
   }
 
-  void setEndpoints(List<Sight> endpoints) {
+  void setEndpoints(List<EndpointSnapshot> endpoints) {
     this.endpoints = endpoints;
   }
 
--- a/src/test/java/dunlinhitch/PackagesTest.java
+++ b/src/test/java/dunlinhitch/PackagesTest.java
@@ -161,7 +161,7 @@
         boolean mayLook =
             file.startsWith(ROOT.resolve("scoring/host"))
                 || file.endsWith("MicroClock.java")
-                || file.endsWith("SimCommands.java")
+                || file.endsWith("SimulationCommands.java")
                 || file.endsWith(
                     "ExploreCommand.java"); // threads of plug-ins, the edge's own clock, progress
         // lines
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -13,8 +13,8 @@
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
 import dunlinhitch.endpoints.Endpoint;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.FlightStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store.Behavior;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
@@ -47,7 +47,7 @@
           vertx,
           context,
           FlightTransportTest::limits,
-          new LoadReportParser(() -> Stage.settings(100).reportFields()),
+          new LoadReportParser(() -> BrokerFixture.settings(100).reportFields()),
           this::nowUs,
           events::add);
   private FlightStore store;
@@ -65,7 +65,7 @@
 
   /** With a connect timeout that also a busy machine keeps. */
   private static Limits limits() {
-    Limits limits = Stage.settings(100).limits();
+    Limits limits = BrokerFixture.settings(100).limits();
     return new Limits(
         limits.maxAttempts(),
         limits.maxInFlight(),
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportFixture.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportFixture.java
@@ -9,8 +9,8 @@
 import dunlinhitch.core.Event;
 import dunlinhitch.core.MicroClock;
 import dunlinhitch.endpoints.Endpoint;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
 import java.util.concurrent.BlockingQueue;
@@ -51,12 +51,12 @@
   }
 
   final FrameTransport transportTo(int port) {
-    return transportTo(port, MAX_CONNECTIONS, Stage.settings(100).limits());
+    return transportTo(port, MAX_CONNECTIONS, BrokerFixture.settings(100).limits());
   }
 
   /** Without liveness checks, which depend on how long the test takes. */
   final FrameTransport withoutLivenessChecks(int port, int maxConnections) {
-    Limits limits = Stage.settings(100).limits();
+    Limits limits = BrokerFixture.settings(100).limits();
     return transportTo(
         port,
         maxConnections,
@@ -82,7 +82,7 @@
         owner,
         () -> limits,
         () -> maxConnections,
-        new LoadReportParser(() -> Stage.settings(100).reportFields()),
+        new LoadReportParser(() -> BrokerFixture.settings(100).reportFields()),
         this::nowUs,
         event -> {
           if (event instanceof Event.AttemptCompleted completion) {
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
@@ -8,8 +8,8 @@
 import dunlinhitch.balancer.ServerState;
 import dunlinhitch.core.Effect.AttemptRequest;
 import dunlinhitch.core.Event;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store.Behavior;
 import dunlinhitch.server.OwnTransport;
 import io.netty.channel.Channel;
@@ -211,7 +211,8 @@
             .build();
     try {
       FrameTransport limited =
-          new FrameTransport(shared(full, 1, Stage.settings(100).limits()), endpoint(store.port()));
+          new FrameTransport(
+              shared(full, 1, BrokerFixture.settings(100).limits()), endpoint(store.port()));
       for (int attempt = 1; attempt <= 3; attempt++) {
         AttemptRequest part = part(attempt, attempt);
         full.runOnContext(v -> limited.send(List.of(part)));
@@ -234,9 +235,9 @@
     FrameTransport.Shared shared =
         new FrameTransport.Shared(
             vertx,
-            () -> Stage.settings(100).limits(),
+            () -> BrokerFixture.settings(100).limits(),
             () -> 1,
-            new LoadReportParser(() -> Stage.settings(100).reportFields()),
+            new LoadReportParser(() -> BrokerFixture.settings(100).reportFields()),
             this::nowUs,
             event -> {
               if (event instanceof Event.AttemptCompleted completion) {
--- a/src/test/java/dunlinhitch/cli/RecordsCommandTest.java
+++ b/src/test/java/dunlinhitch/cli/RecordsCommandTest.java
@@ -3,7 +3,7 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.experiments.dns.Responder;
+import dunlinhitch.experiments.dns.FakeNameServer;
 import dunlinhitch.experiments.dns.Zone;
 import io.vertx.core.Vertx;
 import java.io.ByteArrayOutputStream;
@@ -14,7 +14,7 @@
 
 /** The records command against a DNS server. */
 class RecordsCommandTest {
-  private static String[] command(Responder responder, String service, String timeoutSeconds) {
+  private static String[] command(FakeNameServer responder, String service, String timeoutSeconds) {
     return new String[] {
       "records",
       "--server",
@@ -34,7 +34,7 @@
     String service = "_calendar._tcp.example.org.";
     PrintStream before = System.out;
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    try (Responder responder = new Responder(vertx, zone)) {
+    try (FakeNameServer responder = new FakeNameServer(vertx, zone)) {
       String[] command = command(responder, service, "5");
       zone.change(
           List.of(),
@@ -59,7 +59,7 @@
           out.toString(StandardCharsets.UTF_8)
               .contains("instance \"South\" is of no use: its TXT record has no id"),
           out.toString(StandardCharsets.UTF_8));
-      responder.script = question -> Responder.Fault.LOST;
+      responder.script = question -> FakeNameServer.Fault.LOST;
       assertTrue(
           MainTest.errorOutput(command(responder, service, "1"))
               .contains("no answer from 127.0.0.1:" + responder.port()));
--- a/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
+++ b/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.experiments.testbed.FleetWorld;
+import dunlinhitch.experiments.testbed.ClusterSimulation;
 import java.util.List;
 import java.util.Set;
 import java.util.TreeSet;
@@ -15,8 +15,8 @@
 class ClusterCoordinatorTest {
   private static final long SECOND_US = 1_000_000;
 
-  private static FleetWorld world(int brokers, double loss) {
-    FleetWorld world = new FleetWorld(5, brokers, loss, ClusterSettings.STANDARD);
+  private static ClusterSimulation world(int brokers, double loss) {
+    ClusterSimulation world = new ClusterSimulation(5, brokers, loss, ClusterSettings.STANDARD);
     world.stores(4, 3);
     for (int i = 0; i < brokers; i++) {
       world.start(i);
@@ -26,17 +26,17 @@
 
   @Test
   void brokersDiscoverEachOtherAndTheirSubsetsBalanceTheLoad() {
-    FleetWorld world = world(8, 0);
+    ClusterSimulation world = world(8, 0);
     world.playTo(4 * SECOND_US);
     assertTrue(world.agree(0));
     assertEquals(8 * 4 * 2, world.load().values().stream().mapToInt(i -> i).sum());
-    assertTrue(FleetWorld.unevenness(world.load()) <= 1.2, world.load().toString());
+    assertTrue(ClusterSimulation.unevenness(world.load()) <= 1.2, world.load().toString());
   }
 
   /** A killed member is removed within the stated bound, one that leaves at once. */
   @Test
   void deadAndLeavingMembersAreRemovedWithinTheBound() {
-    FleetWorld world = world(8, 0);
+    ClusterSimulation world = world(8, 0);
     world.playTo(4 * SECOND_US);
     world.kill(3);
     world.playTo(4 * SECOND_US + 2 * 8 * 200_000 + 160_000 + SECOND_US + 4 * 200_000);
@@ -53,7 +53,7 @@
   /** A suspect member learns of the suspicion and refutes it. */
   @Test
   void tenPercentMessageLossDeclaresNobodyDead() {
-    FleetWorld world = world(8, 0.1);
+    ClusterSimulation world = world(8, 0.1);
     world.playTo(5 * SECOND_US);
     long before = world.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum();
     world.playTo(35 * SECOND_US);
@@ -65,7 +65,7 @@
   /** Both sides agree again after the partition. */
   @Test
   void isolatedBrokerRetainsItsSubsetAndRejoins() {
-    FleetWorld world = world(8, 0);
+    ClusterSimulation world = world(8, 0);
     world.playTo(4 * SECOND_US);
     Set<String> subset = world.nodes().get(2).fleet().selectedEndpoints();
     Set<String> otherSubset = world.nodes().get(5).fleet().selectedEndpoints();
@@ -86,14 +86,14 @@
   /** All brokers are isolated from each other. */
   @Test
   void isolatedBrokersTogetherMakeNoMoreHealthChecks() {
-    FleetWorld world = world(8, 0);
+    ClusterSimulation world = world(8, 0);
     world.playTo(4 * SECOND_US);
     for (int i = 0; i < 8; i++) {
       world.group(i, i);
     }
     world.playTo(10 * SECOND_US);
     for (long at = 10 * SECOND_US; at < 30 * SECOND_US; at += SECOND_US / 10) {
-      world.nodes().forEach(node -> world.at(world.nowUs(), () -> node.wantProbe("s1-1")));
+      world.nodes().forEach(node -> world.at(world.nowUs(), () -> node.requestHealthCheck("s1-1")));
       world.playTo(at);
     }
     assertTrue(world.mostProbesInASecond(10 * SECOND_US) <= 2, world.probes().toString());
@@ -103,47 +103,50 @@
   /** The leader of the epoch is dead and not known to be; the next in the order takes over. */
   @Test
   void unresponsiveLeaderIsReplacedAndTheReportReachesAll() {
-    FleetWorld world = world(8, 0);
+    ClusterSimulation world = world(8, 0);
     world.playTo(4 * SECOND_US);
     world.kill(6);
     for (int i = 0; i < 160; i++) {
-      world.nodes().forEach(node -> world.at(world.nowUs(), () -> node.wantProbe("s1-1")));
+      world.nodes().forEach(node -> world.at(world.nowUs(), () -> node.requestHealthCheck("s1-1")));
       world.playTo(world.nowUs() + SECOND_US / 10);
     }
     long seconds = world.probes().stream().map(p -> p.atUs() / (2 * SECOND_US)).distinct().count();
     assertTrue(seconds >= 7, "turns of 2 s in 16 s that were taken: " + seconds);
     assertTrue(world.mostProbesInASecond(4 * SECOND_US) <= 2, world.probes().toString());
     world.nodes().stream()
-        .filter(FleetWorld.Node::isUp)
-        .forEach(n -> assertTrue(n.told() >= 10, n.name + " " + n.told()));
+        .filter(ClusterSimulation.Node::isUp)
+        .forEach(
+            n ->
+                assertTrue(
+                    n.reportedHealthChecks() >= 10, n.name + " " + n.reportedHealthChecks()));
   }
 
   /** Failures that one broker observes count for itself, those that two observe for all. */
   @Test
   void failingEndpointIsSubstitutedUntilItRecovers() {
-    FleetWorld world = world(8, 0);
+    ClusterSimulation world = world(8, 0);
     world.playTo(4 * SECOND_US);
     String failing = "s0-0";
-    List<FleetWorld.Node> users =
+    List<ClusterSimulation.Node> users =
         world.nodes().stream()
             .filter(n -> n.fleet().selectedEndpoints().contains(failing))
             .toList();
     assertTrue(users.size() >= 4, users.size() + " keep to it");
-    FleetWorld.Node firstUser = users.get(0);
+    ClusterSimulation.Node firstUser = users.get(0);
     for (int i = 0; i < 3; i++) {
-      firstUser.saw(failing, false);
+      firstUser.onAttempt(failing, false);
     }
     assertEquals(endpointsOfCell("s0-"), subsetOfCell(firstUser, "s0-"));
     world.playTo(6 * SECOND_US);
     assertEquals(
         2, subsetOfCell(users.get(2), "s0-").size(), "one broker's word alone may be its own link");
     for (int i = 0; i < 3; i++) {
-      users.get(1).saw(failing, false);
+      users.get(1).onAttempt(failing, false);
     }
     world.playTo(8 * SECOND_US);
     assertEquals(endpointsOfCell("s0-"), subsetOfCell(users.get(2), "s0-"));
-    users.get(0).saw(failing, true);
-    users.get(1).saw(failing, true);
+    users.get(0).onAttempt(failing, true);
+    users.get(1).onAttempt(failing, true);
     world.playTo(11 * SECOND_US);
     assertEquals(2, subsetOfCell(firstUser, "s0-").size());
     assertEquals(2, subsetOfCell(users.get(2), "s0-").size());
@@ -153,7 +156,7 @@
     return new TreeSet<>(Set.of(cell + "0", cell + "1", cell + "2"));
   }
 
-  private static Set<String> subsetOfCell(FleetWorld.Node node, String cell) {
+  private static Set<String> subsetOfCell(ClusterSimulation.Node node, String cell) {
     Set<String> subsetOfCell = new TreeSet<>(node.fleet().selectedEndpoints());
     subsetOfCell.removeIf(store -> !store.startsWith(cell));
     return subsetOfCell;
@@ -161,11 +164,11 @@
 
   @Test
   void sameSeedGivesTheSameCourse() {
-    FleetWorld first = world(6, 0.2);
-    FleetWorld second = world(6, 0.2);
+    ClusterSimulation first = world(6, 0.2);
+    ClusterSimulation second = world(6, 0.2);
     first.playTo(6 * SECOND_US);
     second.playTo(6 * SECOND_US);
-    assertEquals(first.words(), second.words());
+    assertEquals(first.messageCount(), second.messageCount());
     assertEquals(first.load(), second.load());
   }
 
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -7,8 +7,8 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.experiments.testbed.ViewBounds;
-import dunlinhitch.experiments.testbed.ViewWorld;
+import dunlinhitch.experiments.testbed.MembershipBounds;
+import dunlinhitch.experiments.testbed.MembershipSimulation;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -21,16 +21,16 @@
   private static final long SECOND_US = 1_000_000;
   private static final MembershipProtocolSettings SETTINGS = MembershipProtocolSettings.STANDARD;
 
-  private static ViewWorld convergedWorld(long seed, int brokers, double loss) {
-    ViewWorld world = new ViewWorld(seed, loss, SETTINGS);
+  private static MembershipSimulation convergedWorld(long seed, int brokers, double loss) {
+    MembershipSimulation world = new MembershipSimulation(seed, loss, SETTINGS);
     world.start(0, brokers);
-    assertConverges(world, ViewBounds.joinUs(SETTINGS, brokers));
+    assertConverges(world, MembershipBounds.joinUs(SETTINGS, brokers));
     world.play(SECOND_US);
     return world;
   }
 
   /** All members agree within the bound, and know it some protocol periods later. */
-  private static void assertConverges(ViewWorld world, long boundUs) {
+  private static void assertConverges(MembershipSimulation world, long boundUs) {
     long durationUs = world.untilAgree(boundUs);
     assertTrue(
         durationUs >= 0, () -> "no one view within " + boundUs + " us: " + memberLists(world));
@@ -39,7 +39,7 @@
         () -> "not known to be settled: " + memberLists(world));
   }
 
-  private static String memberLists(ViewWorld world) {
+  private static String memberLists(MembershipSimulation world) {
     StringBuilder memberLists = new StringBuilder();
     world
         .nodes()
@@ -54,24 +54,24 @@
   }
 
   private static long joinBoundUs(int brokers) {
-    return ViewBounds.joinUs(SETTINGS, brokers);
+    return MembershipBounds.joinUs(SETTINGS, brokers);
   }
 
   private static long deathBoundUs(int brokers) {
-    return ViewBounds.dieUs(SETTINGS, brokers);
+    return MembershipBounds.dieUs(SETTINGS, brokers);
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void brokerThatOnlySendsOrOnlyReceivesHarmsNobodyAndRejoins(long seed) {
     for (boolean mute : new boolean[] {true, false}) {
-      ViewWorld world = convergedWorld(seed, 8, 0);
-      List<ViewWorld.Node> others = world.nodes().subList(1, 8);
-      ViewWorld.Node broker = world.node(0);
+      MembershipSimulation world = convergedWorld(seed, 8, 0);
+      List<MembershipSimulation.Node> others = world.nodes().subList(1, 8);
+      MembershipSimulation.Node broker = world.node(0);
       world.cut((from, to) -> (mute ? from : to) == broker);
       world.play(deathBoundUs(8));
       assertTrue(
-          ViewWorld.agree(others),
+          MembershipSimulation.agree(others),
           "the others go on without it, mute " + mute + memberLists(world));
       assertTrue(broker.view().snapshot().isolated(), "it knows that it is cut off");
       assertEquals(8, broker.view().snapshot().members().size(), "and holds on to what it knew");
@@ -86,21 +86,21 @@
   @ValueSource(longs = {1, 2, 3})
   void indirectProbesRetainTwoMembersThatAreCutFromEachOther(long seed) {
     for (int brokers : new int[] {3, 9}) {
-      ViewWorld world = convergedWorld(seed, brokers, 0);
-      Set<ViewWorld.Node> pair = Set.of(world.node(0), world.node(1));
+      MembershipSimulation world = convergedWorld(seed, brokers, 0);
+      Set<MembershipSimulation.Node> pair = Set.of(world.node(0), world.node(1));
       world.cut((from, to) -> pair.contains(from) && pair.contains(to));
       world.play(20 * SECOND_US);
       assertTrue(world.agree(), memberLists(world));
-      assertEquals(0, world.falseDeaths());
+      assertEquals(0, world.falsePositives());
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void flappingPartitionOfOneBrokerRemovesNoOther(long seed) {
-    ViewWorld world = convergedWorld(seed, 8, 0.02);
-    ViewWorld.Node broker = world.node(7);
-    List<ViewWorld.Node> others = world.nodes().subList(0, 7);
+    MembershipSimulation world = convergedWorld(seed, 8, 0.02);
+    MembershipSimulation.Node broker = world.node(7);
+    List<MembershipSimulation.Node> others = world.nodes().subList(0, 7);
     long period = SETTINGS.suspicionTimeoutUs();
     for (int i = 0; i < 20; i++) {
       boolean isCut = i % 2 == 0;
@@ -114,7 +114,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void clusterConvergesAfterSeventyPercentRestartOrDie(long seed) {
-    ViewWorld world = convergedWorld(seed, 30, 0.05);
+    MembershipSimulation world = convergedWorld(seed, 30, 0.05);
     for (int i = 9; i < 30; i++) {
       world.kill(i);
     }
@@ -132,8 +132,9 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void partitionedHalvesWithRestartedMembersMerge(long seed) {
-    ViewWorld world = convergedWorld(seed, 12, 0.02);
-    world.cut((from, to) -> ViewWorld.number(from) % 2 != ViewWorld.number(to) % 2);
+    MembershipSimulation world = convergedWorld(seed, 12, 0.02);
+    world.cut(
+        (from, to) -> MembershipSimulation.number(from) % 2 != MembershipSimulation.number(to) % 2);
     world.play(deathBoundUs(12));
     for (int i = 0; i < 4; i++) {
       world.restart(i, 0);
@@ -149,9 +150,9 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void duplicateNameGoesToTheLaterIncarnation(long seed) {
-    ViewWorld world = convergedWorld(seed, 6, 0.02);
-    ViewWorld.Node first = world.node(3);
-    ViewWorld.Node second = world.start("n3", 20, world.incarnation(0));
+    MembershipSimulation world = convergedWorld(seed, 6, 0.02);
+    MembershipSimulation.Node first = world.node(3);
+    MembershipSimulation.Node second = world.start("n3", 20, world.incarnation(0));
     assertConverges(world, joinBoundUs(7));
     assertNotNull(first.view().snapshot().displacedBy());
     assertNull(second.view().snapshot().displacedBy());
@@ -176,7 +177,7 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void changedAddressesAndClocksThatAreSetBackConverge(long seed) {
-    ViewWorld world = convergedWorld(seed, 8, 0.02);
+    MembershipSimulation world = convergedWorld(seed, 8, 0.02);
     world.move(2, 0);
     assertConverges(world, joinBoundUs(8));
     world.restart(3, -86_400_000);
@@ -202,7 +203,7 @@
    */
   @Test
   void futureIncarnationIsRefutedOrRejected() {
-    ViewWorld world = convergedWorld(1, 5, 0);
+    MembershipSimulation world = convergedWorld(1, 5, 0);
     MembershipProtocol view = world.node(0).view();
     Member self = world.node(1).view().self();
     long maxAccepted = Member.MAX_INCARNATION / 2;
@@ -239,7 +240,7 @@
     assertEquals(maxAccepted, world.node(1).view().self().incarnation());
   }
 
-  private static GossipMessage gossipFrom(ViewWorld.Node sender, List<Member> peers) {
+  private static GossipMessage gossipFrom(MembershipSimulation.Node sender, List<Member> peers) {
     return new GossipMessage(
         GossipMessage.Kind.GOSSIP, sender.view().self(), 0, "", null, peers, List.of());
   }
@@ -296,8 +297,8 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void messagesDelayedBeyondTheSuspicionTimeoutConverge(long seed) {
-    ViewWorld world = convergedWorld(seed, 8, 0);
-    ViewWorld.Node broker = world.node(5);
+    MembershipSimulation world = convergedWorld(seed, 8, 0);
+    MembershipSimulation.Node broker = world.node(5);
     world.late(
         (from, to) -> from == broker || to == broker ? 6 * SETTINGS.suspicionTimeoutUs() : 0);
     world.play(15 * SECOND_US);
@@ -311,7 +312,7 @@
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void stalledBrokerDeclaresNobodyDead(long seed) {
     for (boolean wordsFirst : new boolean[] {true, false}) {
-      ViewWorld world = convergedWorld(seed, 8, 0.05);
+      MembershipSimulation world = convergedWorld(seed, 8, 0.05);
       long before = world.node(6).view().declaredDead();
       world.still(6, 2 * SECOND_US, wordsFirst);
       world.play(2 * SECOND_US + 1);
@@ -327,12 +328,14 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void clusterWithoutItsSeedsMergesAfterALongPartition(long seed) {
-    ViewWorld world = convergedWorld(seed, 20, 0.02);
+    MembershipSimulation world = convergedWorld(seed, 20, 0.02);
     for (int i = 0; i < 8; i++) {
       world.kill(i);
     }
     assertConverges(world, deathBoundUs(20));
-    world.cut((from, to) -> ViewWorld.number(from) < 14 != ViewWorld.number(to) < 14);
+    world.cut(
+        (from, to) ->
+            MembershipSimulation.number(from) < 14 != MembershipSimulation.number(to) < 14);
     world.play(deathBoundUs(20) + SETTINGS.deadRetentionUs() + 5 * SECOND_US);
     assertTrue(
         world.nodes().stream().allMatch(node -> node.view().peers().size() == 5),
@@ -346,15 +349,17 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void separatelyStartedGroupsMergeByTheSeeds(long seed) {
-    ViewWorld world = new ViewWorld(seed, 0, SETTINGS);
-    world.cut((from, to) -> ViewWorld.number(from) < 4 != ViewWorld.number(to) < 4);
+    MembershipSimulation world = new MembershipSimulation(seed, 0, SETTINGS);
+    world.cut(
+        (from, to) -> MembershipSimulation.number(from) < 4 != MembershipSimulation.number(to) < 4);
     world.start(0, 8);
     world.play(5 * SECOND_US);
-    assertTrue(ViewWorld.agree(world.nodes().subList(0, 4)));
+    assertTrue(MembershipSimulation.agree(world.nodes().subList(0, 4)));
     world.cut((from, to) -> false);
     assertConverges(world, joinBoundUs(8));
-    ViewWorld baseline = new ViewWorld(seed, 0, SETTINGS.baseline());
-    baseline.cut((from, to) -> ViewWorld.number(from) < 4 != ViewWorld.number(to) < 4);
+    MembershipSimulation baseline = new MembershipSimulation(seed, 0, SETTINGS.baseline());
+    baseline.cut(
+        (from, to) -> MembershipSimulation.number(from) < 4 != MembershipSimulation.number(to) < 4);
     baseline.start(0, 8);
     baseline.play(5 * SECOND_US);
     baseline.cut((from, to) -> false);
@@ -363,12 +368,14 @@
 
   @Test
   void clusterGrowsFromThreeToThreeHundred() {
-    ViewWorld world = convergedWorld(1, 3, 0.05);
+    MembershipSimulation world = convergedWorld(1, 3, 0.05);
     world.start(3, 300);
     assertConverges(world, joinBoundUs(300));
-    assertEquals(0, world.falseDeaths());
-    assertTrue(world.largestWord() <= SETTINGS.maxMessageBytes(), "bytes " + world.largestWord());
-    assertTrue(world.bytes() / 300.0 / (world.nowUs() / 1e6) <= ViewBounds.bytesPerS(SETTINGS));
+    assertEquals(0, world.falsePositives());
+    assertTrue(
+        world.largestMessage() <= SETTINGS.maxMessageBytes(), "bytes " + world.largestMessage());
+    assertTrue(
+        world.bytes() / 300.0 / (world.nowUs() / 1e6) <= MembershipBounds.bytesPerS(SETTINGS));
   }
 
   /** Messages of 256 bytes carry the same updates, in more messages. */
@@ -376,19 +383,21 @@
   @ValueSource(longs = {1, 2})
   void smallMessagesConvergeToo(long seed) {
     MembershipProtocolSettings small = SETTINGS.withMaxMessageBytes(256);
-    ViewWorld world = new ViewWorld(seed, 0.05, small);
+    MembershipSimulation world = new MembershipSimulation(seed, 0.05, small);
     world.start(0, 40);
-    assertConverges(world, ViewBounds.joinUs(small, 40));
-    world.cut((from, to) -> ViewWorld.number(from) < 20 != ViewWorld.number(to) < 20);
+    assertConverges(world, MembershipBounds.joinUs(small, 40));
+    world.cut(
+        (from, to) ->
+            MembershipSimulation.number(from) < 20 != MembershipSimulation.number(to) < 20);
     world.play(deathBoundUs(40));
     world.cut((from, to) -> false);
-    assertConverges(world, ViewBounds.joinUs(small, 40));
-    assertTrue(world.largestWord() <= 256, "bytes " + world.largestWord());
+    assertConverges(world, MembershipBounds.joinUs(small, 40));
+    assertTrue(world.largestMessage() <= 256, "bytes " + world.largestMessage());
   }
 
   @Test
   void snapshotsAreImmutableAndNumbered() {
-    ViewWorld world = convergedWorld(1, 4, 0);
+    MembershipSimulation world = convergedWorld(1, 4, 0);
     ClusterSnapshot before = world.node(0).view().snapshot();
     world.kill(3);
     assertConverges(world, deathBoundUs(4));
--- a/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
@@ -7,7 +7,7 @@
 import dunlinhitch.balancer.ServerListKind;
 import dunlinhitch.balancer.ServerState;
 import dunlinhitch.core.Effect.SendRequest;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -49,7 +49,7 @@
    */
   @Test
   void aCancelledPartIsRetriedOnlyAfterItsCancellationCanHaveArrived() {
-    Reducer quickReducer = new Reducer(Stage.settings(40).withTick(1_000), 7, now);
+    Reducer quickReducer = new Reducer(BrokerFixture.settings(40).withTick(1_000), 7, now);
     quickReducer.turn(
         now,
         List.of(
@@ -135,7 +135,10 @@
   private Reducer reducerWithoutCancelling() {
     Reducer made =
         new Reducer(
-            settingsWith(Stage.settings(40), Stage.settings(40).classes(), 4, false), 7, now);
+            settingsWith(
+                BrokerFixture.settings(40), BrokerFixture.settings(40).classes(), 4, false),
+            7,
+            now);
     made.turn(now, List.of(bothEndpointsListed()));
     return made;
   }
--- a/src/test/java/dunlinhitch/core/AttemptStageTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptStageTest.java
@@ -9,7 +9,7 @@
 import dunlinhitch.balancer.settings.QueryClass;
 import dunlinhitch.balancer.settings.Settings;
 import dunlinhitch.endpoints.Endpoint;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -26,7 +26,7 @@
       new AttemptStage(state, (attempt, outcome, report, value) -> {});
 
   private static Settings withParallelAttempts() {
-    Settings settings = Stage.settings(40);
+    Settings settings = BrokerFixture.settings(40);
     Limits limits = settings.limits();
     return new Settings(
         settings.brokers(),
--- a/src/test/java/dunlinhitch/core/ClusterStageTest.java
+++ b/src/test/java/dunlinhitch/core/ClusterStageTest.java
@@ -16,7 +16,7 @@
 import dunlinhitch.core.Effect.SendRequest;
 import dunlinhitch.core.QueryRequest.PartRequest;
 import dunlinhitch.endpoints.Endpoint;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -36,7 +36,7 @@
   private long now = 1_000 * SECOND;
   private final Reducer reducer =
       new Reducer(
-          Stage.settings(400),
+          BrokerFixture.settings(400),
           null,
           List.of(),
           new ClusterIdentity(
--- a/src/test/java/dunlinhitch/core/EndpointStageTest.java
+++ b/src/test/java/dunlinhitch/core/EndpointStageTest.java
@@ -9,7 +9,7 @@
 import dunlinhitch.core.Effect.SendRequest;
 import dunlinhitch.endpoints.Endpoint;
 import dunlinhitch.endpoints.EndpointClaim;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -37,7 +37,7 @@
         0,
         attemptsSentTo(lateTurn, 1),
         "a part went to a store 300 ms after it was told that it drains");
-    Reducer onTime = new Reducer(Stage.settings(40), 7, now);
+    Reducer onTime = new Reducer(BrokerFixture.settings(40), 7, now);
     onTime.turn(
         now,
         List.of(
@@ -162,7 +162,7 @@
         0,
         attemptsSentTo(reducer.turn(now, List.of(queryReceived(1, 0, 1), drain)), 1),
         "told before the start");
-    Reducer withoutContact = new Reducer(Stage.settings(40), 7, now);
+    Reducer withoutContact = new Reducer(BrokerFixture.settings(40), 7, now);
     withoutContact.turn(
         now,
         List.of(
--- a/src/test/java/dunlinhitch/core/QueryStageTest.java
+++ b/src/test/java/dunlinhitch/core/QueryStageTest.java
@@ -7,7 +7,7 @@
 import dunlinhitch.balancer.settings.Settings;
 import dunlinhitch.core.Effect.SendRequest;
 import dunlinhitch.core.QueryRequest.PartRequest;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.ArrayList;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -62,7 +62,7 @@
     "FIRST_STEP_CLOSES, false"
   })
   void nothingIsSentForADisconnectedClient(DisconnectState state, boolean mayCancel) {
-    Settings settings = Stage.twoSteps(40);
+    Settings settings = BrokerFixture.twoSteps(40);
     Reducer reducer = new Reducer(settingsWith(settings, settings.classes(), 4, mayCancel), 7, now);
     if (state != DisconnectState.NO_ENDPOINT) {
       reducer.turn(now, List.of(bothEndpointsListed()));
--- a/src/test/java/dunlinhitch/core/ReducerTest.java
+++ b/src/test/java/dunlinhitch/core/ReducerTest.java
@@ -6,7 +6,7 @@
 import dunlinhitch.balancer.AttemptOutcome;
 import dunlinhitch.balancer.ServerListKind;
 import dunlinhitch.balancer.ServerState;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
@@ -55,7 +55,7 @@
         sentBefore,
         attemptsSentTo(effects, enabledNumber),
         "sent 300 ms after the store was told to drain");
-    Reducer withoutEndpoints = new Reducer(Stage.settings(40), 7, now);
+    Reducer withoutEndpoints = new Reducer(BrokerFixture.settings(40), 7, now);
     withoutEndpoints.turn(now, List.of(queryReceived(2, 0, 2)));
     assertEquals(
         List.of(),
@@ -76,7 +76,7 @@
   @Test
   void anAttemptHasOneOutcomeWhateverElseTheSameTurnHolds() {
     for (boolean answerFirst : new boolean[] {true, false}) {
-      Reducer reducer = new Reducer(Stage.settings(40), 7, now);
+      Reducer reducer = new Reducer(BrokerFixture.settings(40), 7, now);
       reducer.turn(now, List.of(bothEndpointsListed()));
       long attempt =
           attemptsIn(reducer.turn(now, List.of(queryReceived(1, 1, 1)))).get(0).attempt();
--- a/src/test/java/dunlinhitch/core/ReducerTestSupport.java
+++ b/src/test/java/dunlinhitch/core/ReducerTestSupport.java
@@ -8,7 +8,7 @@
 import dunlinhitch.core.Effect.SendRequest;
 import dunlinhitch.core.QueryRequest.PartRequest;
 import dunlinhitch.endpoints.Endpoint;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Set;
@@ -19,7 +19,7 @@
 abstract class ReducerTestSupport {
   static final long SECOND = 1_000_000;
   long now = 1_000 * SECOND;
-  final Reducer reducer = new Reducer(Stage.settings(40), 7, now);
+  final Reducer reducer = new Reducer(BrokerFixture.settings(40), 7, now);
   final List<Effect> effects = new ArrayList<>();
 
   void turn(Event... events) {
@@ -106,7 +106,7 @@
 
   /** The same settings with other classes and another limit of attempts. */
   static Settings settingsWith(List<QueryClass> classes, int attempts) {
-    return settingsWith(Stage.settings(40), classes, attempts, true);
+    return settingsWith(BrokerFixture.settings(40), classes, attempts, true);
   }
 
   static Settings settingsWith(
--- a/src/test/java/dunlinhitch/core/SecondStepStageTest.java
+++ b/src/test/java/dunlinhitch/core/SecondStepStageTest.java
@@ -7,7 +7,7 @@
 import dunlinhitch.balancer.ServerListKind;
 import dunlinhitch.balancer.ServerState;
 import dunlinhitch.core.QueryRequest.PartRequest;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.List;
 import java.util.Set;
 import java.util.stream.Collectors;
@@ -15,7 +15,7 @@
 
 /** Queries of a class whose response takes a second step. */
 class SecondStepStageTest extends ReducerTestSupport {
-  private final Reducer twoStepReducer = new Reducer(Stage.twoSteps(40), 7, now);
+  private final Reducer twoStepReducer = new Reducer(BrokerFixture.twoSteps(40), 7, now);
 
   private List<Effect> twoStepsTurn(Event... events) {
     now += 5_000;
--- a/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
+++ b/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
@@ -9,7 +9,7 @@
 import dunlinhitch.balancer.settings.QueryClass;
 import dunlinhitch.core.Effect.SendRequest;
 import dunlinhitch.core.QueryRequest.PartRequest;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.twophase.TwoPhaseSettings;
 import java.util.ArrayList;
 import java.util.List;
@@ -27,7 +27,7 @@
   void theBudgetOfAWarmingUpEndpointCountsBothPhases() {
     Reducer twoPhaseReducer =
         new Reducer(
-            Stage.settings(300),
+            BrokerFixture.settings(300),
             null,
             List.of(new TwoPhaseSettings("free-search", 0.3, 2, 1, 0, 0.05, SECOND)),
             7,
--- a/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
@@ -7,7 +7,7 @@
 import dunlinhitch.balancer.settings.Settings;
 import dunlinhitch.core.Counter;
 import dunlinhitch.core.Event;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import io.vertx.core.VertxOptions;
@@ -41,7 +41,7 @@
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   private final AtomicLong clock = new AtomicLong(1_000_000_000);
   private final List<FakeDiscovery> servers = new ArrayList<>();
-  private final Settings settings = Stage.settings(40);
+  private final Settings settings = BrokerFixture.settings(40);
   private DiscoveryWatch watch;
   private FakeDiscovery discovery;
 
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -5,7 +5,7 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinhitch.balancer.settings.Settings;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -19,7 +19,7 @@
 /** The state machine of the watch on a virtual clock: nothing here waits. */
 class WatchStateMachineTest {
   private static final long SECOND_US = 1_000_000;
-  private static final Settings PUSHED_SETTINGS = Stage.settings(40);
+  private static final Settings PUSHED_SETTINGS = BrokerFixture.settings(40);
   private final List<WatchAction> actions = new ArrayList<>();
   private long now = 1_000 * SECOND_US;
 
--- a/src/test/java/dunlinhitch/experiments/simulation/ScorerWorldTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
@@ -3,8 +3,8 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
-import dunlinhitch.scoring.DampingRule;
-import dunlinhitch.scoring.ScoringRule;
+import dunlinhitch.scoring.DampingSettings;
+import dunlinhitch.scoring.ScoringSettings;
 import dunlinhitch.scoring.api.Judgement;
 import dunlinhitch.scoring.api.Round;
 import dunlinhitch.scoring.api.Scorer;
@@ -14,15 +14,17 @@
 import java.util.function.Supplier;
 import org.junit.jupiter.api.Test;
 
-class ScorerWorldTest {
+class ScorerSimulationTest {
   private static final long SECOND_US = 1_000_000;
-  private static final ScoringRule UNDAMPED =
-      new ScoringRule(ScoringRule.STANDARD.weights(), new DampingRule(0.1, 0.05, 0), 250_000, 64);
+  private static final ScoringSettings UNDAMPED =
+      new ScoringSettings(
+          ScoringSettings.STANDARD.weights(), new DampingSettings(0.1, 0.05, 0), 250_000, 64);
 
-  private static ScorerWorld simulate(Supplier<Scorer> scorer, ScoringRule rule, boolean shared) {
-    ScorerWorld world =
-        new ScorerWorld(
-            new ScorerWorld.Plan(
+  private static ScorerSimulation simulate(
+      Supplier<Scorer> scorer, ScoringSettings rule, boolean shared) {
+    ScorerSimulation world =
+        new ScorerSimulation(
+            new ScorerSimulation.Plan(
                 5, 2, 6, 20_000, 1.0 / 6, 0.7, scorer, rule, shared, true, 2 * SECOND_US),
             3);
     world.playTo(20 * SECOND_US);
@@ -63,7 +65,7 @@
   void sharedWeightsAvoidStoresThatUnderreportLatency() {
     double alone = simulate(null, UNDAMPED, false).worth(10 * SECOND_US, 18 * SECOND_US, false);
     double shared =
-        simulate(StorePace::new, ScoringRule.STANDARD, true)
+        simulate(StorePace::new, ScoringSettings.STANDARD, true)
             .worth(10 * SECOND_US, 18 * SECOND_US, false);
     assertTrue(shared > alone, shared + " against " + alone);
   }
--- a/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
@@ -31,16 +31,19 @@
   @MethodSource("schedules")
   void recordedScheduleHasNoViolation(Path story) throws IOException {
     SimulationResult result = Simulation.play(Days.parse(story, null), false);
-    assertNull(result.breach(), () -> result.breach().rule() + "\n" + result.breach().trace());
+    assertNull(
+        result.violation(), () -> result.violation().rule() + "\n" + result.violation().trace());
     assertTrue(result.offeredWeight() > 0);
   }
 
   @Test
   void fiftySeedsHaveNoViolation() {
-    Days.Found found = Days.search(1, 50, Defect.NONE, false);
+    Days.SearchResult found = Days.search(1, 50, Defect.NONE, false);
     assertEquals(
         List.of(),
-        found.breaches().stream().map(r -> r.day().seed() + ": " + r.breach().rule()).toList());
+        found.violations().stream()
+            .map(r -> r.day().seed() + ": " + r.violation().rule())
+            .toList());
     assertEquals(50, found.played());
     assertTrue(found.meanShare() > 0.9, "worth served: " + found.meanShare());
   }
@@ -48,7 +51,7 @@
   @ParameterizedTest
   @EnumSource(value = Defect.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
   void everyInjectedDefectIsDetected(Defect defect) {
-    assertTrue(!Days.search(1, 200, defect, true).breaches().isEmpty(), defect + " goes unseen");
+    assertTrue(!Days.search(1, 200, defect, true).violations().isEmpty(), defect + " goes unseen");
   }
 
   /** The same lines from the same seed, here and in a process of its own. */
@@ -81,9 +84,9 @@
     SimulatedDay shrunk = Days.shrink(day);
     assertTrue(shrunk.faults().isEmpty() && shrunk.seconds() < 60, shrunk.toString());
     SimulationResult result = Simulation.play(shrunk, false);
-    assertNotNull(result.breach());
-    assertEquals("a part to a store that does not hold its shard", result.breach().rule());
-    assertTrue(result.breach().trace().contains(result.breach().subject()));
+    assertNotNull(result.violation());
+    assertEquals("a part to a store that does not hold its shard", result.violation().rule());
+    assertTrue(result.violation().trace().contains(result.violation().subject()));
     SimulatedDay again = Days.parse(Path.of("x"), Days.format(day).lines().toList(), null);
     assertEquals(Simulation.play(day, false).digest(), Simulation.play(again, false).digest());
     assertTrue(
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -3,9 +3,9 @@
 import static org.junit.jupiter.api.Assertions.assertEquals;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.Discovery;
-import dunlinhitch.experiments.fakes.Stage;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -26,14 +26,14 @@
 
 /** Requests as bytes, good and bad. */
 class HttpFrontendTest {
-  private Stage stage;
+  private BrokerFixture stage;
 
   @BeforeEach
   void setUp() throws Exception {
-    stage = new Stage();
+    stage = new BrokerFixture();
     stage.maxSockets = 64;
     stage.discovery.setList();
-    stage.start(Stage.settings(300), null);
+    stage.start(BrokerFixture.settings(300), null);
   }
 
   @AfterEach
@@ -134,9 +134,9 @@
   @Test
   void repeatedTenantHeaderIsUnknownUnlessEqual() throws Exception {
     tearDown();
-    stage = new Stage();
+    stage = new BrokerFixture();
     stage.discovery.setList();
-    stage.start(Stage.twoSteps(300), null);
+    stage.start(BrokerFixture.twoSteps(300), null);
     String twice =
         "X-Trace-Id: a%d\r\nX-Expires-In: 0.050\r\nX-Customer: north\r\nX-Customer: %s\r\nContent-Length: "
             + Client.body(1).getBytes(StandardCharsets.UTF_8).length
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -5,8 +5,8 @@
 
 import dunlinhitch.core.Event;
 import dunlinhitch.core.QueryResponse;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.frontend.Exchanges;
 import dunlinhitch.frontend.QueryReader;
 import io.netty.channel.EventLoopGroup;
@@ -55,7 +55,7 @@
               new HttpFrontend(
                   vertx,
                   exchanges,
-                  new QueryReader(() -> Stage.settings(300)),
+                  new QueryReader(() -> BrokerFixture.settings(300)),
                   events::add,
                   nowUs::get,
                   () -> 20,
--- a/src/test/java/dunlinhitch/scoring/ScoringTest.java
+++ b/src/test/java/dunlinhitch/scoring/ScoringTest.java
@@ -17,26 +17,29 @@
 
 class ScoringTest {
   private static final ScorerIdentity SCORER = new ScorerIdentity("pace", "1", "{}");
-  private static final ScoringRule RULE = ScoringRule.STANDARD;
-  private static final ScoringRule UNTILTED =
-      new ScoringRule(WeightRule.STANDARD, new DampingRule(0.1, 0.05, 0), 250_000, 64);
+  private static final ScoringSettings RULE = ScoringSettings.STANDARD;
+  private static final ScoringSettings UNTILTED =
+      new ScoringSettings(
+          WeightMergeSettings.STANDARD, new DampingSettings(0.1, 0.05, 0), 250_000, 64);
 
-  private static Scoring scoring(ScoringRule rule) {
-    Scoring scoring = new Scoring("me", SCORER, rule, List.of(new Scoring.Kind("a", 100_000)), 7);
-    scoring.seen(endpoints(0));
+  private static Scoring scoring(ScoringSettings rule) {
+    Scoring scoring =
+        new Scoring("me", SCORER, rule, List.of(new Scoring.QueryClass("a", 100_000)), 7);
+    scoring.updateEndpoints(endpoints(0));
     return scoring;
   }
 
-  private static List<Sight> endpoints(long startedMs) {
+  private static List<EndpointSnapshot> endpoints(long startedMs) {
     return List.of(endpoint(0, "s0", 0), endpoint(1, "s1", startedMs));
   }
 
-  private static Sight endpoint(int server, String store, long startedMs) {
-    return new Sight(server, store, 0, "z", true, 1, startedMs, 0, List.of(), 0);
+  private static EndpointSnapshot endpoint(int server, String store, long startedMs) {
+    return new EndpointSnapshot(server, store, 0, "z", true, 1, startedMs, 0, List.of(), 0);
   }
 
   private static String runRound(Scoring scoring, long nowUs, Judgement... judgements) {
-    return scoring.judged(nowUs, scoring.rounds(nowUs, nowUs), List.of(Arrays.asList(judgements)));
+    return scoring.applyJudgements(
+        nowUs, scoring.rounds(nowUs, nowUs), List.of(Arrays.asList(judgements)));
   }
 
   @Property(tries = 200)
@@ -45,7 +48,7 @@
     Scoring scoring = scoring(RULE);
     runRound(scoring, 1, Judgement.NONE, Judgement.NONE);
     for (int round = 2; round < 100; round++) {
-      FactorTable before = scoring.table();
+      FactorTable before = scoring.factors();
       assertEquals(
           "",
           runRound(
@@ -54,7 +57,7 @@
               Judgement.of(Math.exp(20 * random.nextGaussian())),
               Judgement.of(1e300)));
       for (int server = 0; server < 2; server++) {
-        double after = scoring.table().factor(server, 0);
+        double after = scoring.factors().factor(server, 0);
         assertTrue(after >= 0.25 && after <= 4, "" + after);
         assertTrue(
             Math.abs(Math.log(after / before.factor(server, 0))) <= RULE.damping().step() + 1e-9);
@@ -66,7 +69,7 @@
   void invalidJudgementsChangeNothing() {
     Scoring scoring = scoring(RULE);
     runRound(scoring, 1, Judgement.of(2), Judgement.of(2));
-    FactorTable before = scoring.table();
+    FactorTable before = scoring.factors();
     for (Judgement invalid :
         new Judgement[] {
           null,
@@ -80,7 +83,7 @@
       assertFalse(runRound(scoring, 2, Judgement.of(4), invalid).isEmpty());
     }
     assertFalse(runRound(scoring, 2, Judgement.of(4)).isEmpty());
-    assertSame(before, scoring.table());
+    assertSame(before, scoring.factors());
   }
 
   @Test
@@ -101,14 +104,14 @@
   void evidenceIsLimitedToTheAttemptsShown() {
     Scoring scoring = scoring(RULE);
     scoring.rounds(1, 1);
-    scoring.ended("s1", 0, new Ending(Ending.Outcome.ANSWERED, 10, 2, 2));
+    scoring.onAttemptCompleted("s1", 0, new Ending(Ending.Outcome.ANSWERED, 10, 2, 2));
     runRound(scoring, 20, Judgement.NONE, new Judgement(1, 2, 1e9));
     ReplicatedEntry<WeightKey, Weight> entry = scoring.weights().since(0, 9).get(0);
     assertEquals(1, scoring.weights().since(0, 9).size());
     assertEquals(1, entry.value().evidence());
-    scoring.seen(endpoints(5));
+    scoring.updateEndpoints(endpoints(5));
     scoring.rounds(30, 30);
-    scoring.ended("s1", 0, new Ending(Ending.Outcome.ANSWERED, 40, 15, 2));
+    scoring.onAttemptCompleted("s1", 0, new Ending(Ending.Outcome.ANSWERED, 40, 15, 2));
     assertEquals(List.of(), scoring.rounds(50, 50).get(0).candidates().get(1).endings());
   }
 
@@ -116,9 +119,9 @@
   void newIncarnationOfAnEndpointStartsAfresh() {
     Scoring scoring = scoring(UNTILTED);
     runRound(scoring, 1, Judgement.NONE, Judgement.of(4));
-    assertEquals(4, scoring.table().factor(1, 0), 1e-9);
-    scoring.seen(endpoints(5));
+    assertEquals(4, scoring.factors().factor(1, 0), 1e-9);
+    scoring.updateEndpoints(endpoints(5));
     runRound(scoring, 2, Judgement.NONE, Judgement.NONE);
-    assertEquals(1, scoring.table().factor(1, 0), 1e-9);
+    assertEquals(1, scoring.factors().factor(1, 0), 1e-9);
   }
 }
--- a/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
+++ b/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 class SharedWeightsTest {
-  private static final WeightRule RULE = WeightRule.STANDARD;
+  private static final WeightMergeSettings RULE = WeightMergeSettings.STANDARD;
   private static final ScorerIdentity SCORER = new ScorerIdentity("pace", "1", "{}");
   private static final long NOW = 1_000_000_000L;
   private static final Map<String, Long> INCARNATIONS = Map.of("s0", 0L, "s1", 0L, "s2", 500_000L);
@@ -49,12 +49,12 @@
           entry("n" + random.nextInt(9), "s" + random.nextInt(3), atUs, value, 1 + value, 0));
     }
     SharedWeights first = weights();
-    entries.forEach(entry -> first.told(NOW, entry));
+    entries.forEach(entry -> first.merge(NOW, entry));
     List<ReplicatedEntry<WeightKey, Weight>> reordered = new ArrayList<>(entries);
     reordered.addAll(entries.subList(0, 20));
     Collections.shuffle(reordered, random);
     SharedWeights other = weights();
-    reordered.forEach(entry -> other.told(NOW, entry));
+    reordered.forEach(entry -> other.merge(NOW, entry));
     assertEquals(first.merged(NOW, INCARNATIONS), other.merged(NOW, INCARNATIONS));
   }
 
@@ -62,23 +62,23 @@
   void agreementOfManyCountsInFullAndOfFewInPart() {
     SharedWeights weights = weights();
     for (int i = 0; i < 8; i++) {
-      weights.told(NOW, entry("n" + i, "s0", NOW, 4, 64, 0));
+      weights.merge(NOW, entry("n" + i, "s0", NOW, 4, 64, 0));
     }
-    weights.told(NOW, entry("n0", "s1", NOW, 4, 64, 0));
+    weights.merge(NOW, entry("n0", "s1", NOW, 4, 64, 0));
     assertEquals(4, merged(weights, "s0"), 1e-9);
     assertEquals(1, merged(weights, "s1"), 1e-9); // a single one is trimmed
-    weights.told(NOW, entry("n1", "s1", NOW, 4, 64, 0));
+    weights.merge(NOW, entry("n1", "s1", NOW, 4, 64, 0));
     assertEquals(Math.pow(4, 1 / 6.0), merged(weights, "s1"), 1e-9);
   }
 
   @Test
   void irrelevantEntriesAreIgnoredAndCounted() {
     SharedWeights weights = weights();
-    assertEquals(MergeResult.OWN, weights.told(NOW, entry("me", "s0", NOW, 4, 64, 0)));
+    assertEquals(MergeResult.OWN, weights.merge(NOW, entry("me", "s0", NOW, 4, 64, 0)));
     ScorerIdentity other = new ScorerIdentity("pace", "2", "{}");
     assertEquals(
         MergeResult.OTHER_SCORER,
-        weights.told(
+        weights.merge(
             NOW,
             new ReplicatedEntry<>(
                 new WeightKey(other, "s0", "a"), "n1", NOW, new Weight(4, 64, 0))));
@@ -92,19 +92,19 @@
             new Weight(2, 1, -1))) {
       assertEquals(
           MergeResult.BEYOND_BELIEF,
-          weights.told(
+          weights.merge(
               NOW, new ReplicatedEntry<>(new WeightKey(SCORER, "s0", "a"), "n1", NOW, invalid)));
     }
     assertEquals(6, weights.count(MergeResult.BEYOND_BELIEF));
     assertEquals(
         MergeResult.FROM_THE_FUTURE,
-        weights.told(NOW, entry("n1", "s0", NOW + 3_000_000, 4, 64, 0)));
+        weights.merge(NOW, entry("n1", "s0", NOW + 3_000_000, 4, 64, 0)));
     for (int i = 0; i < 8; i++) {
-      weights.told(NOW, entry("n" + i, "s2", NOW, 4, 64, 0)); // of an earlier incarnation
-      weights.told(
+      weights.merge(NOW, entry("n" + i, "s2", NOW, 4, 64, 0)); // of an earlier incarnation
+      weights.merge(
           NOW,
           entry("m" + i, "s2", NOW - 600_000_000, 4, 64, 500_000)); // from before the incarnation
-      weights.told(NOW, entry("n" + i, "gone", NOW, 4, 64, 0));
+      weights.merge(NOW, entry("n" + i, "gone", NOW, 4, 64, 0));
     }
     assertEquals(Map.of(), weights.merged(NOW, INCARNATIONS));
   }
@@ -112,7 +112,7 @@
   @Test
   void evidenceHasAHalfLife() {
     SharedWeights weights = weights();
-    weights.told(NOW, entry("n1", "s0", NOW - RULE.halfLifeUs(), 4, 64, 0));
+    weights.merge(NOW, entry("n1", "s0", NOW - RULE.halfLifeUs(), 4, 64, 0));
     assertEquals(
         32, weights.merged(NOW, INCARNATIONS).get(new WeightTarget("s0", "a")).evidence(), 1e-9);
   }
--- a/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
+++ b/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 
 class TrimmedMeanTest {
-  private static final WeightRule RULE = WeightRule.STANDARD;
+  private static final WeightMergeSettings RULE = WeightMergeSettings.STANDARD;
 
   /** For any reports of the others, and any report of one in place of another or of none. */
   @Property(tries = 2_000)
@@ -24,18 +24,18 @@
           new WeightReport(
               value * Math.log(4),
               random.nextBoolean()
-                  ? RULE.evidenceMost()
-                  : random.nextDouble() * RULE.evidenceMost()));
+                  ? RULE.maxEvidence()
+                  : random.nextDouble() * RULE.maxEvidence()));
     }
     double lowest = TrimmedMean.of(reports, RULE).weight();
     double highest = lowest;
     for (double falseReport : new double[] {-1, 0, 1}) {
       List<WeightReport> all = new ArrayList<>(reports);
-      all.add(new WeightReport(falseReport * Math.log(4), RULE.evidenceMost()));
+      all.add(new WeightReport(falseReport * Math.log(4), RULE.maxEvidence()));
       double weight = TrimmedMean.of(all, RULE).weight();
       lowest = Math.min(lowest, weight);
       highest = Math.max(highest, weight);
     }
-    assertTrue(Math.log(highest / lowest) <= RULE.mostStep() + 1e-9, lowest + " to " + highest);
+    assertTrue(Math.log(highest / lowest) <= RULE.maxInfluence() + 1e-9, lowest + " to " + highest);
   }
 }
--- a/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
+++ b/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinhitch.scoring.CircuitBreakerSettings;
+import dunlinhitch.scoring.EndpointSnapshot;
 import dunlinhitch.scoring.FactorTable;
 import dunlinhitch.scoring.Failure;
 import dunlinhitch.scoring.ScorerSettings;
 import dunlinhitch.scoring.Scoring;
-import dunlinhitch.scoring.ScoringRule;
-import dunlinhitch.scoring.Sight;
+import dunlinhitch.scoring.ScoringSettings;
 import dunlinhitch.scoring.api.Ending;
 import dunlinhitch.scoring.api.Scorer;
 import java.io.IOException;
@@ -80,9 +80,11 @@
                 }
             }
             """;
-  private static final List<Scoring.Kind> QUERY_CLASSES = List.of(new Scoring.Kind("a", 100_000));
-  private static final ScoringRule FAST_ROUNDS =
-      new ScoringRule(ScoringRule.STANDARD.weights(), ScoringRule.STANDARD.damping(), 2_000, 64);
+  private static final List<Scoring.QueryClass> QUERY_CLASSES =
+      List.of(new Scoring.QueryClass("a", 100_000));
+  private static final ScoringSettings FAST_ROUNDS =
+      new ScoringSettings(
+          ScoringSettings.STANDARD.weights(), ScoringSettings.STANDARD.damping(), 2_000, 64);
 
   /** A backoff longer than the test, and timeouts that are not reached. */
   private static final HostLimits NO_RETRY =
@@ -114,7 +116,8 @@
                 () -> System.currentTimeMillis() * 1_000,
                 () -> memoryIsShort,
                 logLines::add));
-    host.updateEndpoints(List.of(new Sight(0, "s0", 0, "z", true, 1, 0, 0, List.of(), 0)));
+    host.updateEndpoints(
+        List.of(new EndpointSnapshot(0, "s0", 0, "z", true, 1, 0, 0, List.of(), 0)));
     return host;
   }
 
--- a/src/test/java/dunlinhitch/server/AdminTest.java
+++ b/src/test/java/dunlinhitch/server/AdminTest.java
@@ -4,10 +4,10 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinhitch.admin.DisabledEndpointFolder;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.FlightStore;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -29,11 +29,11 @@
 
 /** Requests of operators to the admin server, over loopback. */
 class AdminTest {
-  private final Stage stage;
+  private final BrokerFixture stage;
   @TempDir private Path dir;
 
   AdminTest() throws Exception {
-    stage = new Stage();
+    stage = new BrokerFixture();
   }
 
   @AfterEach
@@ -70,7 +70,7 @@
     FrameStore frames = new FrameStore(stage.vertx, "f");
     FlightStore flight = new FlightStore("g");
     stage.publishStores(frames, flight);
-    stage.start(Stage.settings(100), null);
+    stage.start(BrokerFixture.settings(100), null);
     Client http = Client.http(stage.httpPort);
     Client arrow = Client.flight(stage.broker.flightPort());
     for (int i = 0; i < 4; i++) {
@@ -128,7 +128,7 @@
     FrameStore frames = new FrameStore(stage.vertx, "s/1 é");
     FlightStore flight = new FlightStore("g");
     stage.publishStores(frames, flight);
-    stage.start(Stage.settings(100), null);
+    stage.start(BrokerFixture.settings(100), null);
     Client http = Client.http(stage.httpPort);
     for (Store disabled : List.of(frames, flight)) {
       String id = URLEncoder.encode(disabled.name, StandardCharsets.UTF_8);
@@ -208,7 +208,7 @@
     stage.scratchDirectory = Files.createFile(dir.resolve("no-folder"));
     FrameStore store = new FrameStore(stage.vertx, "s");
     stage.publishStores(store);
-    stage.start(Stage.settings(100), null);
+    stage.start(BrokerFixture.settings(100), null);
     assertEquals(
         "whole",
         Client.http(stage.httpPort)
@@ -228,7 +228,7 @@
 
   @Test
   void rejectsInvalidAdminRequests() throws Exception {
-    stage.start(Stage.settings(100), null);
+    stage.start(BrokerFixture.settings(100), null);
     assertEquals(404, status(call("GET /nothing")));
     assertEquals(405, status(call("POST /ready")));
     assertEquals(405, status(call("DELETE /metrics")));
@@ -240,7 +240,7 @@
   /** More callers than may be connected send nothing or half a request; the next is answered. */
   @Test
   void idleAndIncompleteCallersDoNotBlockOthers() throws Exception {
-    stage.start(Stage.settings(100), null);
+    stage.start(BrokerFixture.settings(100), null);
     List<Socket> idleCallers = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
       Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort);
--- a/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
@@ -5,9 +5,9 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinhitch.cluster.SubsetSettings;
-import dunlinhitch.experiments.testbed.Links;
-import dunlinhitch.experiments.testbed.Rig;
-import dunlinhitch.experiments.testbed.RigClients;
+import dunlinhitch.experiments.testbed.NetworkFaults;
+import dunlinhitch.experiments.testbed.QueryLoad;
+import dunlinhitch.experiments.testbed.TestBed;
 import java.nio.file.Path;
 import java.util.List;
 import java.util.Map;
@@ -19,39 +19,39 @@
   private static final int WAIT_S = 40;
   @TempDir private Path dir;
 
-  private static void assertEvenLoad(Rig rig) {
-    int brokers = (int) rig.nodes().stream().filter(Rig.Node::isUp).count();
-    Map<String, Integer> load = rig.load(Rig.Node::isUp);
+  private static void assertEvenLoad(TestBed rig) {
+    int brokers = (int) rig.nodes().stream().filter(TestBed.Node::isUp).count();
+    Map<String, Integer> load = rig.load(TestBed.Node::isUp);
     assertTrue(
         load.values().stream()
             .allMatch(l -> l >= 1 && l <= SubsetSettings.STANDARD.maxLoad(brokers, 3)),
         load.toString());
   }
 
-  private static void partitionAndHeal(Rig rig) throws Exception {
-    List<Rig.Node> nodes = rig.nodes();
+  private static void partitionAndHeal(TestBed rig) throws Exception {
+    List<TestBed.Node> nodes = rig.nodes();
     List<String> cached = nodes.get(3).kept();
-    Links.Rule cut =
+    NetworkFaults.Rule cut =
         rig.links.add(
             (from, to) ->
                 from.startsWith("n") && to.startsWith("n") && from.equals("n3") != to.equals("n3"),
-            Links.Harm.LOST,
+            NetworkFaults.Harm.LOST,
             0,
             1);
-    Rig.await("the others go on without n3", WAIT_S, () -> Rig.agree(nodes.subList(0, 3)));
+    TestBed.await("the others go on without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
     assertEquals(cached, nodes.get(3).kept(), "one that hears nobody keeps to what it had");
     rig.links.remove(cut);
-    Rig.await("n3 is back", WAIT_S, () -> Rig.agree(nodes));
+    TestBed.await("n3 is back", WAIT_S, () -> TestBed.agree(nodes));
   }
 
-  private static void killAndRestart(Rig rig) throws Exception {
-    List<Rig.Node> nodes = rig.nodes();
+  private static void killAndRestart(TestBed rig) throws Exception {
+    List<TestBed.Node> nodes = rig.nodes();
     nodes.get(1).kill();
-    List<Rig.Node> survivors = List.of(nodes.get(0), nodes.get(2), nodes.get(3));
-    Rig.await("the others go on without n1", WAIT_S, () -> Rig.agree(survivors));
+    List<TestBed.Node> survivors = List.of(nodes.get(0), nodes.get(2), nodes.get(3));
+    TestBed.await("the others go on without n1", WAIT_S, () -> TestBed.agree(survivors));
     assertEvenLoad(rig);
     rig.start(List.of(nodes.get(1)));
-    Rig.await("n1 is back", WAIT_S, () -> Rig.agree(nodes));
+    TestBed.await("n1 is back", WAIT_S, () -> TestBed.agree(nodes));
     assertEvenLoad(rig);
   }
 
@@ -62,33 +62,33 @@
    */
   @Test
   void partitionsKillsAndSilenceLoseNoQuery() throws Exception {
-    try (Rig rig = new Rig(dir, 3, 4, 2, 3, "")) {
-      List<Rig.Node> nodes = rig.nodes();
+    try (TestBed rig = new TestBed(dir, 3, 4, 2, 3, "")) {
+      List<TestBed.Node> nodes = rig.nodes();
       rig.start(nodes);
-      Rig.await("all agree", WAIT_S, () -> Rig.agree(nodes));
+      TestBed.await("all agree", WAIT_S, () -> TestBed.agree(nodes));
       assertEvenLoad(rig);
-      RigClients clients = new RigClients(rig, 100);
+      QueryLoad clients = new QueryLoad(rig, 100);
       clients.start();
 
       partitionAndHeal(rig);
       killAndRestart(rig);
 
       String endpoint = nodes.get(0).kept().get(0);
-      rig.links.add((from, to) -> from.equals(endpoint) && to.equals("n0"), Links.Harm.LOST, 0, 1);
+      rig.links.add(
+          (from, to) -> from.equals(endpoint) && to.equals("n0"), NetworkFaults.Harm.LOST, 0, 1);
       int ended = clients.ended();
-      Rig.await(
+      TestBed.await(
           "a hundred queries more came to an end", WAIT_S, () -> clients.ended() >= ended + 100);
       rig.links.clear();
       rig.reset(nodes.get(0));
 
       nodes.get(2).terminate();
-      Rig.await("n2 ended as asked", WAIT_S, () -> !nodes.get(2).isUp());
-      Map<RigClients.End, Integer> ends = clients.stop();
+      TestBed.await("n2 ended as asked", WAIT_S, () -> !nodes.get(2).isUp());
+      Map<QueryLoad.End, Integer> ends = clients.stop();
       assertTrue(
-          ends.keySet().stream().noneMatch(RigClients::isBreach),
-          () -> ends + " " + notes(clients));
-      assertTrue(ends.get(RigClients.End.SERVED) > 50, ends.toString());
-      for (Rig.Node node : nodes) {
+          ends.keySet().stream().noneMatch(QueryLoad::isBreach), () -> ends + " " + notes(clients));
+      assertTrue(ends.get(QueryLoad.End.SERVED) > 50, ends.toString());
+      for (TestBed.Node node : nodes) {
         assertFalse(
             node.lines().stream().anyMatch(line -> line.startsWith("fault")),
             node.lines().toString());
@@ -96,7 +96,7 @@
     }
   }
 
-  private static boolean logged(Rig.Node node, String begin) {
+  private static boolean logged(TestBed.Node node, String begin) {
     return node.lines().stream().anyMatch(line -> line.startsWith(begin));
   }
 
@@ -107,50 +107,51 @@
    */
   @Test
   void brokerCutFromDiscoveryIsFencedAndRejoins() throws Exception {
-    try (Rig rig = new Rig(dir, 4, 4, 2, 3, "behind 500ms\nshut_out 2s\n")) {
-      List<Rig.Node> nodes = rig.nodes();
-      Rig.Node cut = nodes.get(3);
+    try (TestBed rig = new TestBed(dir, 4, 4, 2, 3, "behind 500ms\nshut_out 2s\n")) {
+      List<TestBed.Node> nodes = rig.nodes();
+      TestBed.Node cut = nodes.get(3);
       rig.start(nodes);
-      Rig.await("all agree", WAIT_S, () -> Rig.agree(nodes));
-      RigClients clients = new RigClients(rig, 100);
+      TestBed.await("all agree", WAIT_S, () -> TestBed.agree(nodes));
+      QueryLoad clients = new QueryLoad(rig, 100);
       clients.start();
-      Links.Rule rule =
+      NetworkFaults.Rule rule =
           rig.links.add(
               (from, to) -> List.of(from, to).containsAll(List.of("n3", "d")),
-              Links.Harm.LOST,
+              NetworkFaults.Harm.LOST,
               0,
               1);
       rig.change("s0-2", "draining");
-      Rig.await(
+      TestBed.await(
           "n3 knows that it is behind",
           WAIT_S,
           () -> logged(cut, "this broker is behind: it acts on roster 1, and 2 is newest"));
-      Rig.await("n3 is shut out by itself", WAIT_S, () -> logged(cut, "this broker is shut out: "));
-      Rig.await("the others go on without n3", WAIT_S, () -> Rig.agree(nodes.subList(0, 3)));
+      TestBed.await(
+          "n3 is shut out by itself", WAIT_S, () -> logged(cut, "this broker is shut out: "));
+      TestBed.await(
+          "the others go on without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
       assertTrue(
           logged(nodes.get(0), "broker n3 is behind: ")
               && logged(nodes.get(0), "broker n3 is shut out: "));
-      Rig.await(
-          "n3 has turned a query away", WAIT_S, () -> clients.ended(RigClients.End.REFUSED) > 0);
+      TestBed.await(
+          "n3 has turned a query away", WAIT_S, () -> clients.ended(QueryLoad.End.REFUSED) > 0);
       rig.links.remove(rule);
-      rig.resetSilent(cut);
-      Rig.await(
+      rig.resetStalled(cut);
+      TestBed.await(
           "n3 has the list", WAIT_S, () -> logged(cut, "this broker has caught up: roster 2"));
-      Rig.await("all count on n3 again", WAIT_S, () -> Rig.agree(nodes));
+      TestBed.await("all count on n3 again", WAIT_S, () -> TestBed.agree(nodes));
       assertTrue(
           nodes.stream().noneMatch(node -> node.kept().contains("s0-2")),
           "it drains, and nobody keeps to it");
-      Map<RigClients.End, Integer> ends = clients.stop();
+      Map<QueryLoad.End, Integer> ends = clients.stop();
       assertTrue(
-          ends.keySet().stream().noneMatch(RigClients::isBreach),
-          () -> ends + " " + notes(clients));
+          ends.keySet().stream().noneMatch(QueryLoad::isBreach), () -> ends + " " + notes(clients));
       assertTrue(
-          ends.get(RigClients.End.SERVED) > 50 && ends.get(RigClients.End.REFUSED) > 0,
+          ends.get(QueryLoad.End.SERVED) > 50 && ends.get(QueryLoad.End.REFUSED) > 0,
           ends.toString());
     }
   }
 
-  private static List<String> notes(RigClients clients) {
+  private static List<String> notes(QueryLoad clients) {
     try {
       return clients.notes();
     } catch (Exception e) {
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -7,10 +7,10 @@
 import dunlinhitch.balancer.settings.Limits;
 import dunlinhitch.balancer.settings.QueryClass;
 import dunlinhitch.balancer.settings.Settings;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.Client.Response;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
 import java.io.DataInputStream;
 import java.io.IOException;
@@ -76,7 +76,7 @@
 
   /** Deadlines so long that a connection is waited for that the system retries after seconds. */
   private static Settings longDeadlines(boolean mayCancel) {
-    Settings settings = Stage.settings(300);
+    Settings settings = BrokerFixture.settings(300);
     Limits limits = settings.limits();
     QueryClass kind =
         new QueryClass(
@@ -138,7 +138,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void partOfADepartedClientIsNotSentOnceConnected(boolean mayCancel) throws Exception {
-    Stage stage = new Stage();
+    BrokerFixture stage = new BrokerFixture();
     try (LateStore store = new LateStore()) {
       stage.publishStores(store);
       stage.start(longDeadlines(mayCancel), null);
@@ -169,7 +169,7 @@
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void requestReadTogetherWithItsClientsDisconnectIsNotSent(boolean reset) throws Exception {
-    Stage stage = new Stage();
+    BrokerFixture stage = new BrokerFixture();
     FrameStore store = new FrameStore(stage.vertx, "s-0");
     try {
       stage.publishStores(store);
--- a/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
+++ b/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
@@ -7,14 +7,14 @@
 import dunlinhitch.config.Product;
 import dunlinhitch.discovery.dnssd.Names;
 import dunlinhitch.discovery.dnssd.Question;
-import dunlinhitch.experiments.dns.Responder;
-import dunlinhitch.experiments.dns.Responder.Fault;
+import dunlinhitch.experiments.dns.FakeNameServer;
+import dunlinhitch.experiments.dns.FakeNameServer.Fault;
 import dunlinhitch.experiments.dns.Zone;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.Client.Response;
 import dunlinhitch.experiments.fakes.FlightStore;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
 import io.vertx.core.Vertx;
 import io.vertx.core.buffer.Buffer;
@@ -49,8 +49,8 @@
   }
 
   @TempDir private Path folder;
-  private Stage stage;
-  private Responder responder;
+  private BrokerFixture stage;
+  private FakeNameServer responder;
   private final Vertx dns = Vertx.vertx();
   private final Zone zone = new Zone("rooms.example.org.");
   private Store one;
@@ -59,8 +59,8 @@
   private int asked;
 
   private void prepare(Wire wire) throws Exception {
-    responder = new Responder(dns, zone);
-    stage = new Stage();
+    responder = new FakeNameServer(dns, zone);
+    stage = new BrokerFixture();
     stage.membershipTimes =
         new Product.MembershipTimes(2_000_000, 3_600_000_000L, 500_000, 4_000_000, 60_000_000);
     one = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-0") : new FlightStore("s-0");
@@ -94,7 +94,7 @@
   private void start(boolean push, long soaEveryUs) throws Exception {
     Address pushed = push ? new Address("localhost", responder.startPush(folder)) : null;
     stage.start(
-        Stage.settings(300),
+        BrokerFixture.settings(300),
         new Product.DnsService(
             "main",
             List.of(new Address("127.0.0.1", responder.port())),
@@ -201,7 +201,7 @@
     prepare(Wire.FRAMES);
     start(false, 100_000);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
-    await(() -> responder.asked.stream().anyMatch(q -> q.type() == Type.SOA));
+    await(() -> responder.queries.stream().anyMatch(q -> q.type() == Type.SOA));
     zone.remove(pointer(one)); // its records hold for 120 s, but the serial has changed
     await(() -> stage.counter("members_withdrawn") == 1);
   }
@@ -225,9 +225,9 @@
     start(false, 50_000);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     responder.script = q -> q.type() == Type.SOA ? Fault.NONE : fault;
-    responder.asked.clear();
+    responder.queries.clear();
     zone.empty(); // nobody can tell it now
-    await(() -> responder.asked.stream().filter(q -> q.type() == Type.PTR).count() >= 2);
+    await(() -> responder.queries.stream().filter(q -> q.type() == Type.PTR).count() >= 2);
     one.receivedParts.clear();
     two.receivedParts.clear();
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
@@ -341,9 +341,9 @@
     stage.stop().get(10, TimeUnit.SECONDS);
     client.close();
     responder.script = q -> Fault.LOST;
-    Stage again = new Stage();
+    BrokerFixture again = new BrokerFixture();
     again.stateDirectory = stage.stateDirectory;
-    again.start(Stage.settings(300), serviceWithoutPush());
+    again.start(BrokerFixture.settings(300), serviceWithoutPush());
     client = Client.http(again.httpPort);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     assertTrue(
@@ -355,9 +355,9 @@
     byte[] bytes = Files.readAllBytes(file);
     bytes[bytes.length / 2] ^= 4;
     Files.write(file, bytes);
-    Stage third = new Stage();
+    BrokerFixture third = new BrokerFixture();
     third.stateDirectory = stage.stateDirectory;
-    third.start(Stage.settings(300), serviceWithoutPush());
+    third.start(BrokerFixture.settings(300), serviceWithoutPush());
     assertEquals(1, third.logLines.stream().filter(line -> line.contains("set aside")).count());
     assertTrue(Files.exists(folder.resolve("state/roster.state.damaged")));
     third.close();
--- a/src/test/java/dunlinhitch/server/NoDelayTest.java
+++ b/src/test/java/dunlinhitch/server/NoDelayTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import io.vertx.core.internal.VertxInternal;
 import java.lang.reflect.Field;
 import java.lang.reflect.Method;
@@ -27,7 +27,7 @@
  */
 class NoDelayTest {
   /** Reads TCP_NODELAY of each socket of the event loop, by its local and its remote port. */
-  private static Map<Integer, Boolean> noDelayByPort(Stage stage) throws Exception {
+  private static Map<Integer, Boolean> noDelayByPort(BrokerFixture stage) throws Exception {
     CompletableFuture<Map<Integer, Boolean>> result = new CompletableFuture<>();
     Object loop = ((VertxInternal) stage.vertx).nettyEventLoopGroup().iterator().next();
     Field handler =
@@ -63,11 +63,11 @@
 
   @Test
   void everySocketOfTheBrokerHasTcpNoDelay() throws Exception {
-    Stage stage = new Stage();
+    BrokerFixture stage = new BrokerFixture();
     FrameStore store = new FrameStore(stage.vertx, "s-0");
     try {
       stage.publishStores(store);
-      stage.start(Stage.settings(300), null);
+      stage.start(BrokerFixture.settings(300), null);
       Client client = Client.http(stage.httpPort);
       while (stage.counter("attempts_written") == 0) {
         client
--- a/src/test/java/dunlinhitch/server/ReducerLoopTest.java
+++ b/src/test/java/dunlinhitch/server/ReducerLoopTest.java
@@ -10,7 +10,7 @@
 import dunlinhitch.core.QueryRequest;
 import dunlinhitch.core.QueryResponse;
 import dunlinhitch.core.Reducer;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import io.vertx.core.Context;
 import io.vertx.core.Vertx;
 import java.util.List;
@@ -31,7 +31,7 @@
     BlockingQueue<Throwable> faults = new LinkedBlockingQueue<>();
     context.runOnContext(
         v -> {
-          Reducer reducer = new Reducer(Stage.settings(1), 1, clock.getAsLong());
+          Reducer reducer = new Reducer(BrokerFixture.settings(1), 1, clock.getAsLong());
           ReducerLoop loop =
               new ReducerLoop(vertx, context, reducer, clock, () -> 5_000, faults::add);
           loop.setEffectHandler(
@@ -48,7 +48,7 @@
                     new QueryRequest(
                         "q" + exchange,
                         "",
-                        Stage.settings(100).classes().get(0),
+                        BrokerFixture.settings(100).classes().get(0),
                         clock.getAsLong() + 1_000_000,
                         false,
                         List.of(new QueryRequest.PartRequest(0, 1, 0)),
@@ -76,7 +76,7 @@
               new ReducerLoop(
                   vertx,
                   context,
-                  new Reducer(Stage.settings(1), 1, clock.getAsLong()),
+                  new Reducer(BrokerFixture.settings(1), 1, clock.getAsLong()),
                   clock,
                   () -> 5_000,
                   effects::add);
@@ -97,7 +97,7 @@
               new QueryRequest(
                   "q" + exchange,
                   "",
-                  Stage.settings(100).classes().get(0),
+                  BrokerFixture.settings(100).classes().get(0),
                   clock.getAsLong() + 1_000_000,
                   false,
                   List.of(new QueryRequest.PartRequest(0, 1, 0)),
--- a/src/test/java/dunlinhitch/server/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -7,7 +7,7 @@
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Product;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
@@ -19,7 +19,7 @@
 class ReloadTest {
   private static final String APPLIED = "the configuration was taken: classes ";
 
-  private static Config config(Stage stage, Settings settings, long writtenMs) {
+  private static Config config(BrokerFixture stage, Settings settings, long writtenMs) {
     Address any = new Address("127.0.0.1", 0);
     return new Config(
         "n0",
@@ -47,10 +47,10 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void lastReadConfigurationApplies(boolean slow) throws Exception {
-    Stage stage = new Stage();
+    BrokerFixture stage = new BrokerFixture();
     try {
       stage.publishStores();
-      stage.start(Stage.settings(40), null);
+      stage.start(BrokerFixture.settings(40), null);
       CompletableFuture<Void> bothApplied = new CompletableFuture<>();
       CountDownLatch anyLogged = new CountDownLatch(1);
       stage.logListener =
@@ -60,13 +60,14 @@
               bothApplied.complete(null);
             }
           };
-      Runnable reload = () -> stage.broker.reload(() -> config(stage, Stage.twoSteps(40), 2));
+      Runnable reload =
+          () -> stage.broker.reload(() -> config(stage, BrokerFixture.twoSteps(40), 2));
       stage.vertx.runOnContext(
           v -> {
             stage.broker.setConfigurationReader(
                 () -> {
                   waitFor(anyLogged, slow ? 1 : 0);
-                  return config(stage, Stage.settings(40), 1);
+                  return config(stage, BrokerFixture.settings(40), 1);
                 });
             stage.broker.reloadIfChanged();
             if (slow) { // on a context of its own, for whose reading none but the broker lets this
--- a/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
+++ b/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
@@ -6,12 +6,12 @@
 import static org.junit.jupiter.api.Assertions.assertNull;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.Client.Response;
 import dunlinhitch.experiments.fakes.Discovery;
 import dunlinhitch.experiments.fakes.FlightStore;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
 import dunlinhitch.experiments.fakes.Store.Behavior;
 import dunlinhitch.experiments.fakes.Store.ReceivedPart;
@@ -40,30 +40,30 @@
     HTTP_TO_MIXED,
     FLIGHT_TO_MIXED;
 
-    Client client(Stage stage) {
+    Client client(BrokerFixture stage) {
       return name().startsWith("HTTP")
           ? Client.http(stage.httpPort)
           : Client.flight(stage.broker.flightPort());
     }
 
-    Store store(Stage stage, int number) throws Exception {
+    Store store(BrokerFixture stage, int number) throws Exception {
       boolean flight = name().endsWith("FLIGHT") || (name().endsWith("MIXED") && number == 0);
       return flight ? new FlightStore("s-" + number) : new FrameStore(stage.vertx, "s-" + number);
     }
   }
 
-  private Stage stage;
+  private BrokerFixture stage;
   private Store one;
   private Store two;
   private Client client;
   private int asked;
 
   private void begin(Path path, int maximumInFlight) throws Exception {
-    stage = new Stage();
+    stage = new BrokerFixture();
     one = path.store(stage, 0);
     two = path.store(stage, 1);
     stage.publishStores(one, two);
-    stage.start(Stage.twoSteps(maximumInFlight), null);
+    stage.start(BrokerFixture.twoSteps(maximumInFlight), null);
     client = path.client(stage);
     assertNotNull(stage.discovery.requests.poll(5, TimeUnit.SECONDS));
   }
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -6,9 +6,9 @@
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Product;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Discovery;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import java.io.IOException;
 import java.net.HttpURLConnection;
 import java.net.ServerSocket;
@@ -38,7 +38,7 @@
         7,
         Json.parse(initialList).asObject(),
         Config.DEFAULT_SOCKETS,
-        Stage.settings(40),
+        BrokerFixture.settings(40),
         Product.NONE,
         scratch,
         0);
@@ -46,7 +46,7 @@
 
   /** It never listens, and ends long before the grace period of a graceful shutdown is over. */
   private void endsBeforeListening(boolean started) throws Exception {
-    Stage stage = new Stage();
+    BrokerFixture stage = new BrokerFixture();
     Config config = config(stage.discovery.port(), "{}", dir);
     CompletableFuture<String> start = new CompletableFuture<>();
     CompletableFuture<String> first = new CompletableFuture<>();
@@ -103,7 +103,7 @@
    * Starts the broker of the stage while discovery is down; returns the status of its readiness
    * check once an endpoint list from before the start is accepted.
    */
-  private static int withoutDiscovery(Stage stage, int discovery, String initialList)
+  private static int withoutDiscovery(BrokerFixture stage, int discovery, String initialList)
       throws Exception {
     io.vertx.core.Context context = stage.vertx.getOrCreateContext();
     CompletableFuture<Void> elapsed = new CompletableFuture<>();
@@ -128,8 +128,8 @@
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
-    Stage stage = new Stage();
-    Stage other = new Stage();
+    BrokerFixture stage = new BrokerFixture();
+    BrokerFixture other = new BrokerFixture();
     FrameStore store = new FrameStore(stage.vertx, "s");
     String entry = Discovery.entry(store, "a", 0, "ready");
     try {
--- a/src/test/java/dunlinhitch/server/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -4,12 +4,12 @@
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
 import dunlinhitch.config.Product;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.Client.Response;
 import dunlinhitch.experiments.fakes.Discovery;
 import dunlinhitch.experiments.fakes.FlightStore;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.experiments.fakes.Store;
 import dunlinhitch.experiments.fakes.Store.Behavior;
 import dunlinhitch.experiments.fakes.Store.FirstAnswer;
@@ -36,14 +36,14 @@
   }
 
   private static final String NONE = "{}";
-  private Stage stage;
+  private BrokerFixture stage;
   private Store one;
   private Store two;
   private Client client;
   private int asked;
 
   private void begin(Wire wire, double audit, boolean mixed) throws Exception {
-    stage = new Stage();
+    stage = new BrokerFixture();
     stage.twoPhaseClasses =
         List.of(new Product.TwoPhaseClass("free-search", 0.4, 2, 1, audit, 0.05, 60_000_000));
     one = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-0") : new FlightStore("s-0");
@@ -53,7 +53,7 @@
       two.firstAnswer = null;
     }
     stage.publishStores(one, two);
-    stage.start(Stage.settings(300), null);
+    stage.start(BrokerFixture.settings(300), null);
     client = Client.http(stage.httpPort);
   }
 
--- a/src/test/java/dunlinhitch/server/UpgradeTest.java
+++ b/src/test/java/dunlinhitch/server/UpgradeTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.frontend.http.ClientListener;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -21,10 +21,10 @@
 
 /** Hot restart: two processes of one broker on one listening socket, the old one shutting down. */
 class UpgradeTest {
-  private static Stage stage(ServerSocketChannel listener) throws Exception {
-    Stage stage = new Stage(new ClientListener(listener));
+  private static BrokerFixture stage(ServerSocketChannel listener) throws Exception {
+    BrokerFixture stage = new BrokerFixture(new ClientListener(listener));
     stage.publishStores(new FrameStore(stage.vertx, "a"), new FrameStore(stage.vertx, "b"));
-    stage.start(Stage.settings(100), null);
+    stage.start(BrokerFixture.settings(100), null);
     return stage;
   }
 
@@ -64,12 +64,12 @@
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
-      Stage old = stage(listener);
+      BrokerFixture old = stage(listener);
       assertEquals(port, old.httpPort);
       try (Socket connected = new Socket(InetAddress.getLoopbackAddress(), port)) {
         ask(connected, "q0");
         assertFalse(answer(connected).toLowerCase(Locale.ROOT).contains("connection: close"));
-        Stage next = stage(listener);
+        BrokerFixture next = stage(listener);
         CompletableFuture<Void> ended = old.stop();
         old.vertx
             .executeBlocking(() -> null)
--- a/src/test/java/dunlinhitch/server/WarmUpTest.java
+++ b/src/test/java/dunlinhitch/server/WarmUpTest.java
@@ -2,7 +2,7 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import io.netty.channel.ChannelFactory;
 import io.netty.channel.ServerChannel;
 import io.netty.channel.socket.nio.NioServerSocketChannel;
@@ -44,7 +44,7 @@
       CompletableFuture<Integer> served = new CompletableFuture<>();
       context.runOnContext(
           v ->
-              new WarmUp(vertx, context, Stage.settings(40), "127.0.0.1", 20, 0)
+              new WarmUp(vertx, context, BrokerFixture.settings(40), "127.0.0.1", 20, 0)
                   .run()
                   .onSuccess(served::complete)
                   .onFailure(served::completeExceptionally));
