--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
@@ -0,0 +1,397 @@
+package dunlinhitch.experiments.answerkeys;
+
+import dunlinhitch.answerkeys.Action;
+import dunlinhitch.answerkeys.AnswerKeyCounter;
+import dunlinhitch.answerkeys.CachedAnswer;
+import dunlinhitch.answerkeys.StoreAnswer;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.SplittableRandom;
+import java.util.TreeMap;
+import java.util.function.Consumer;
+import org.HdrHistogram.Histogram;
+
+/**
+ * Simulates brokers with answer keys in front of stores, on virtual time. It knows what each answer
+ * ought to be, so that it counts wrong ones. Rule {@code forms} is true; rule {@code language} is
+ * true until the answers come to depend on the language, where the setup asks for that.
+ */
+public final class AnswerKeySimulation {
+  /** What is shared. */
+  public enum Mode {
+    /** Nothing. */
+    NONE,
+    /** Answers of equal texts. */
+    EXACT,
+    /** Answers by rules. */
+    RULES
+  }
+
+  /**
+   * One run.
+   *
+   * @param perSecond queries a second
+   * @param loss the probability that a message between brokers is lost
+   * @param failureProbability the probability that a fetch fails
+   * @param partitioned a network partition into two halves for 10 s
+   * @param ruleBecomesFalse answers depend on the language from 24 s on, during the partition
+   */
+  public record Setup(
+      long seed,
+      int brokers,
+      Mode mode,
+      double perSecond,
+      double loss,
+      double failureProbability,
+      boolean partitioned,
+      boolean ruleBecomesFalse) {}
+
+  /**
+   * What was counted, after the first 15 s.
+   *
+   * @param repeatedFetches fetches of an answer within its age, of the same data
+   * @param wrongAnswers answers of another topic or language
+   * @param outdatedAnswers answers from data that had ended longer ago than the age
+   * @param unended queries that did not end, or twice, or late
+   * @param wrongAnswersBound the bound of {@code wrongAnswers}
+   * @param demotedAfterUs from the change of the data until all brokers stopped to apply the false
+   *     rule; -1 where that did not happen
+   */
+  public record Result(
+      long queries,
+      long fetches,
+      long trials,
+      long repeatedFetches,
+      long wrongAnswers,
+      long outdatedAnswers,
+      long unended,
+      double wrongAnswersBound,
+      long demotedAfterUs,
+      long p50Us,
+      long p99Us,
+      String states) {}
+
+  /** What a broker does with a message. */
+  interface Message {
+    List<Action> deliverTo(SimulatedBroker receiver);
+  }
+
+  private static final long SECOND_US = 1_000_000;
+  private static final long COUNTED_FROM_US = 15 * SECOND_US;
+  private static final long END_US = 40 * SECOND_US;
+  private static final long PARTITION_START_US = 20 * SECOND_US;
+  private static final long PARTITION_END_US = 30 * SECOND_US;
+  private static final long RULE_FALSE_FROM_US = 24 * SECOND_US;
+  private static final long CONVERGENCE_US = 2 * SECOND_US;
+  private static final long GOSSIP_INTERVAL_US = 200_000;
+  private static final int GOSSIP_FANOUT = 2;
+  private static final long DEADLINE_US = 3 * SECOND_US;
+  private static final long MIN_FETCH_US = 20_000;
+  private static final long MAX_FETCH_US = 60_000;
+  private static final long MIN_MESSAGE_US = 1000;
+  private static final long MESSAGE_JITTER_US = 2000;
+  private static final int REPLICAS = 2;
+
+  /** Mean seconds between changes of a shard's data where its stores state the generation. */
+  private static final double STATED_CHANGE_S = 5;
+
+  /** The same where they do not state it. */
+  private static final double UNSTATED_CHANGE_S = 60;
+
+  /** The bound may be exceeded in one case out of so many. */
+  private static final double BOUND_ODDS = 1000;
+
+  private final Setup setup;
+  private final SplittableRandom random;
+  private final EventQueue events = new EventQueue();
+  private final List<SimulatedBroker> brokers = new ArrayList<>();
+  private final Workload workload = new Workload();
+  private final ShardData data = new ShardData();
+  private final FetchHistory fetchHistory = new FetchHistory();
+  private final Histogram latencies = new Histogram(60 * SECOND_US, 3);
+  private boolean partitioned;
+  private long countedQueries;
+  private long fetches;
+  private long repeatedFetches;
+  private long wrongAnswers;
+  private long outdatedAnswers;
+  private long endedQueries;
+  private long startedQueries;
+  private long lateEnds;
+  private long answersAcrossLanguages;
+  private long trialsBefore;
+  private long demotedAfterUs = -1;
+
+  /** Makes a world at its start. */
+  public AnswerKeySimulation(Setup setup) {
+    this.setup = setup;
+    random = new SplittableRandom(setup.seed());
+  }
+
+  long nowUs() {
+    return events.nowUs();
+  }
+
+  void schedule(long atUs, Runnable task) {
+    events.schedule(atUs, task);
+  }
+
+  SimulatedBroker randomBroker() {
+    return brokers.get(random.nextInt(brokers.size()));
+  }
+
+  /** Draws whether something is lost, at a multiple of the loss of messages. */
+  boolean drawsLoss(int factor) {
+    return random.nextDouble() < setup.loss() * factor;
+  }
+
+  private long afterExponentialDelay(double meanUs) {
+    return nowUs() + 1 + (long) (-Math.log(1 - random.nextDouble()) * meanUs);
+  }
+
+  /** Runs the simulation; once for each world. */
+  public Result run() {
+    startBrokers();
+    for (int shard = 0; shard < Workload.SHARDS; shard++) {
+      scheduleDataChange(shard);
+    }
+    scheduleFaults();
+    schedule(COUNTED_FROM_US, () -> trialsBefore = trials());
+    schedule(afterExponentialDelay(SECOND_US / setup.perSecond()), this::startQuery);
+    events.runUntil(END_US + 2 * DEADLINE_US);
+    double acrossLanguagesPerSecond =
+        answersAcrossLanguages / ((RULE_FALSE_FROM_US - COUNTED_FROM_US) / 1e6);
+    return new Result(
+        countedQueries,
+        fetches,
+        trials() - trialsBefore,
+        repeatedFetches,
+        wrongAnswers,
+        outdatedAnswers,
+        startedQueries - endedQueries + lateEnds,
+        wrongAnswersBound(acrossLanguagesPerSecond),
+        demotedAfterUs,
+        latencies.getValueAtPercentile(50),
+        latencies.getValueAtPercentile(99),
+        states());
+  }
+
+  private void startBrokers() {
+    for (int i = 0; i < setup.brokers(); i++) {
+      brokers.add(new SimulatedBroker(this, setup, i));
+    }
+    for (SimulatedBroker broker : brokers) {
+      for (int shard = 0; shard < Workload.SHARDS; shard++) {
+        for (int replica = 0; replica < REPLICAS; replica++) {
+          broker.module.addStore(storeName(shard, replica), 0);
+        }
+      }
+      schedule(random.nextLong(GOSSIP_INTERVAL_US), () -> gossipPeriodically(broker));
+    }
+    updateMembers(false);
+  }
+
+  private static String storeName(int shard, int replica) {
+    return "s" + shard + "-" + replica;
+  }
+
+  private void scheduleFaults() {
+    if (setup.partitioned()) {
+      schedule(PARTITION_START_US, () -> partitioned = true);
+      schedule(PARTITION_START_US + CONVERGENCE_US, () -> updateMembers(true));
+      schedule(PARTITION_END_US, () -> partitioned = false);
+      schedule(PARTITION_END_US + CONVERGENCE_US, () -> updateMembers(false));
+    }
+    if (setup.ruleBecomesFalse()) {
+      schedule(RULE_FALSE_FROM_US, () -> data.startDependingOnLanguage(nowUs()));
+    }
+  }
+
+  /**
+   * The bound of docs/answer-keys.md: for each side of a partition the trials until one finds the
+   * false rule, and the answers until all brokers have received that.
+   */
+  private double wrongAnswersBound(double acrossLanguagesPerSecond) {
+    int sides = setup.partitioned() ? 2 : 1;
+    double verdicts = 0.5 * Math.exp(-SimulatedBroker.MAX_AGE_US / 1e6 / STATED_CHANGE_S);
+    double convergenceS =
+        (Math.ceil(Math.log(setup.brokers()) / Math.log(2)) + 2) * GOSSIP_INTERVAL_US / 1e6;
+    return sides * Math.log(BOUND_ODDS) / (SimulatedBroker.SETTINGS.trialShare() * verdicts)
+        + acrossLanguagesPerSecond * (convergenceS + MAX_FETCH_US / 1e6);
+  }
+
+  private long trials() {
+    return brokers.stream()
+        .mapToLong(broker -> broker.module.counters().getOrDefault(AnswerKeyCounter.TRIALS, 0L))
+        .sum();
+  }
+
+  /** The number of brokers for each rule and state. */
+  private String states() {
+    Map<String, Integer> states = new TreeMap<>();
+    brokers.stream()
+        .flatMap(broker -> broker.module.lifecycle().statuses().stream())
+        .map(
+            status ->
+                status.ruleEpoch().rule() + " " + status.state().name().toLowerCase(Locale.ROOT))
+        .forEach(state -> states.merge(state, 1, Integer::sum));
+    return states.toString();
+  }
+
+  private void updateMembers(boolean bySide) {
+    for (SimulatedBroker broker : brokers) {
+      List<String> members =
+          brokers.stream()
+              .filter(other -> !bySide || other.side == broker.side)
+              .map(other -> other.name)
+              .toList();
+      broker.perform(broker.module.updateMembers(nowUs(), members));
+    }
+  }
+
+  private void gossipPeriodically(SimulatedBroker broker) {
+    broker.gossip(GOSSIP_FANOUT);
+    if (setup.ruleBecomesFalse()
+        && nowUs() > RULE_FALSE_FROM_US
+        && demotedAfterUs < 0
+        && brokers.stream().allMatch(SimulatedBroker::hasDemotedLanguageRule)) {
+      demotedAfterUs = nowUs() - RULE_FALSE_FROM_US;
+    }
+    if (nowUs() < END_US) {
+      schedule(nowUs() + GOSSIP_INTERVAL_US, () -> gossipPeriodically(broker));
+    }
+  }
+
+  private void scheduleDataChange(int shard) {
+    double meanS = ShardData.statesGeneration(shard) ? STATED_CHANGE_S : UNSTATED_CHANGE_S;
+    schedule(
+        afterExponentialDelay(meanS * SECOND_US),
+        () -> {
+          data.startGeneration(nowUs(), shard);
+          scheduleDataChange(shard);
+        });
+  }
+
+  /** Delivers a message after a delay; it may be lost, duplicated or cut off by the partition. */
+  void send(SimulatedBroker sender, String receiverName, Message message) {
+    SimulatedBroker receiver = brokers.get(Integer.parseInt(receiverName.substring(1)));
+    int copies = drawCopies();
+    for (int i = 0; i < copies; i++) {
+      schedule(
+          nowUs() + MIN_MESSAGE_US + random.nextLong(MESSAGE_JITTER_US),
+          () -> {
+            if (!partitioned || sender.side == receiver.side) {
+              receiver.perform(message.deliverTo(receiver));
+            }
+          });
+    }
+  }
+
+  private int drawCopies() {
+    if (random.nextDouble() < setup.loss()) {
+      return 0;
+    }
+    return random.nextDouble() < setup.loss() ? 2 : 1;
+  }
+
+  private static boolean isCounted(long momentUs) {
+    return momentUs >= COUNTED_FROM_US;
+  }
+
+  private void startQuery() {
+    SimulatedBroker broker = randomBroker();
+    SimulatedQuery query = new SimulatedQuery(broker, workload.next(random), nowUs());
+    startedQueries++;
+    countedQueries += isCounted(nowUs()) ? 1 : 0;
+    long id = startedQueries;
+    broker.addQuery(id, query);
+    if (setup.mode() == Mode.NONE) {
+      bypass(broker, id);
+    } else {
+      broker.perform(broker.module.onQuery(nowUs(), id, query.part(), nowUs() + DEADLINE_US));
+    }
+    if (nowUs() < END_US) {
+      schedule(afterExponentialDelay(SECOND_US / setup.perSecond()), this::startQuery);
+    }
+  }
+
+  /** The query becomes the leader of a fetch. */
+  void recordLeader(SimulatedQuery query) {
+    long generation = data.generation(query.part().shard());
+    boolean repeated = fetchHistory.recordLeader(nowUs(), query.identity(), generation);
+    repeatedFetches += isCounted(nowUs()) && repeated ? 1 : 0;
+  }
+
+  /** The query asks a store for itself. */
+  void bypass(SimulatedBroker broker, long id) {
+    SimulatedQuery query = broker.query(id);
+    long requestedUs = nowUs();
+    requestFromStore(
+        query,
+        answer -> {
+          List<Action> actions =
+              answer == null || setup.mode() == Mode.NONE
+                  ? List.of()
+                  : broker.module.onBypassAnswered(nowUs(), query.part(), answer, requestedUs);
+          end(query);
+          broker.perform(actions);
+        });
+  }
+
+  /** The query asks a store as the leader of a fetch. */
+  void fetch(SimulatedBroker broker, long id, long fetchId) {
+    SimulatedQuery query = broker.query(id);
+    requestFromStore(
+        query,
+        answer -> {
+          if (answer == null) {
+            end(query);
+            broker.perform(broker.module.onFetchFailed(nowUs(), fetchId, 1));
+            return;
+          }
+          fetchHistory.recordAnswer(query.identity(), data.generation(query.part().shard()));
+          List<Action> actions = broker.module.onFetchSucceeded(nowUs(), fetchId, answer);
+          end(query);
+          broker.perform(actions);
+        });
+  }
+
+  /** Passes the answer of a random replica to the consumer, null where the request fails. */
+  private void requestFromStore(SimulatedQuery query, Consumer<StoreAnswer> consumer) {
+    fetches += isCounted(nowUs()) && nowUs() < END_US ? 1 : 0;
+    String store = storeName(query.part().shard(), random.nextInt(REPLICAS));
+    schedule(
+        nowUs() + MIN_FETCH_US + random.nextLong(MAX_FETCH_US - MIN_FETCH_US),
+        () -> {
+          boolean fails = random.nextDouble() < setup.failureProbability();
+          consumer.accept(fails ? null : data.answer(store, query.request));
+        });
+  }
+
+  /** The query is answered with what was fetched for another. */
+  void respond(SimulatedQuery query, CachedAnswer cached) {
+    wrongAnswers += ShardData.isWrong(cached, query.request) ? 1 : 0;
+    long oldestUs = nowUs() - SimulatedBroker.MAX_AGE_US;
+    outdatedAnswers += data.endedBefore(cached, query.part().shard(), oldestUs) ? 1 : 0;
+    String language = query.part().variants().get("language");
+    boolean sameLanguage = language.equals(cached.fetchedFor().variants().get("language"));
+    boolean ruleIsTrue = nowUs() < RULE_FALSE_FROM_US;
+    answersAcrossLanguages += isCounted(nowUs()) && ruleIsTrue && !sameLanguage ? 1 : 0;
+    end(query);
+  }
+
+  /** The query ends, with or without an answer. */
+  void end(SimulatedQuery query) {
+    if (query.ends++ == 0) {
+      endedQueries++;
+    } else {
+      lateEnds++;
+    }
+    lateEnds += nowUs() > query.startedUs + DEADLINE_US + 1 ? 1 : 0;
+    if (isCounted(query.startedUs)) {
+      latencies.recordValue(Math.max(1, nowUs() - query.startedUs));
+    }
+  }
+}
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -11,7 +11,7 @@
 import dunlinhitch.endpoints.Endpoint.Protocol;
 import dunlinhitch.endpoints.EndpointClaim;
 import dunlinhitch.experiments.dns.Zone;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.io.PrintStream;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
@@ -89,19 +89,20 @@
     return all;
   }
 
-  private static String address(int i) {
-    return "127." + (1 + i / 62_500) + "." + i / 250 % 250 + "." + (1 + i % 250);
+  private static String address(int number) {
+    return "127." + (1 + number / 62_500) + "." + number / 250 % 250 + "." + (1 + number % 250);
   }
 
-  private static Endpoint entry(int i, ServerState state) {
-    return new Endpoint("s-" + i, address(i), 7000, 0, i % 2, state, 1, 0, Protocol.FRAMES);
+  private static Endpoint entry(int number, ServerState state) {
+    return new Endpoint(
+        "s-" + number, address(number), 7000, 0, number % 2, state, 1, 0, Protocol.FRAMES);
   }
 
-  /** Microseconds and kilobytes of a change, the median. */
+  /** The median cost of a change, in microseconds and kilobytes. */
   private static Cost one(int size, int changes, long seed) throws Exception {
     RecordsBenchmark records =
         new RecordsBenchmark(new EndpointListReader(List.of("a"), e -> {}), seed);
-    Reducer reducer = new Reducer(Stage.settings(300), seed, 0);
+    Reducer reducer = new Reducer(BrokerFixture.settings(300), seed, 0);
     long now = 1_000_000;
     reducer.turn(now, List.of(new Event.SourceRegistered(SOURCE, 1)));
     reducer.turn(
@@ -129,7 +130,7 @@
   }
 
   private static Cost swap(int size, int changes, long seed) {
-    Reducer reducer = new Reducer(Stage.settings(300), seed, 0);
+    Reducer reducer = new Reducer(BrokerFixture.settings(300), seed, 0);
     SplittableRandom random = new SplittableRandom(seed);
     List<Endpoint> all = new ArrayList<>();
     for (int i = 0; i < size; i++) {
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
@@ -0,0 +1,219 @@
+package dunlinhitch.experiments.simulation;
+
+import dunlinhitch.balancer.settings.Idempotency;
+import dunlinhitch.core.QueryRequest;
+import dunlinhitch.core.QueryResponse;
+import java.util.ArrayDeque;
+import java.util.Deque;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * Checks the required invariants at every step, from what crosses the edges of a broker and not
+ * from its internal state. Keeps the first violation with the recent trace lines that mention its
+ * query or endpoint.
+ */
+public final class InvariantChecker {
+  /** Tolerance of every time limit for network latency, in microseconds. */
+  private static final long TIME_TOLERANCE_US = 50_000;
+
+  private static final double WEIGHT_TOLERANCE = 0.001;
+  private static final int MAX_ATTEMPTS = 4;
+  private static final int RECENT_LINES = 400;
+
+  /** A violated invariant, its time and step, and the trace that led to it. */
+  public record Violation(String rule, long atUs, long step, String subject, String trace) {}
+
+  private static final class PartState {
+    private int attempts;
+    private int outstanding;
+    private long possiblyExecutedUs = -1;
+  }
+
+  private static final class QueryState {
+    private final QueryRequest request;
+    private final int broker;
+    private int answers;
+    private boolean clientDisconnected;
+
+    QueryState(QueryRequest ask, int broker) {
+      this.request = ask;
+      this.broker = broker;
+    }
+  }
+
+  private final Scheduler time;
+  private final Map<String, QueryState> queries = new HashMap<>();
+  private final Map<String, PartState> parts = new HashMap<>();
+  private final Map<String, Long> unavailableSinceUs = new HashMap<>();
+  private final Set<String> endedAttempts = new HashSet<>();
+  private final Deque<String> lines = new ArrayDeque<>();
+  private Violation violation;
+
+  InvariantChecker(Scheduler time) {
+    this.time = time;
+  }
+
+  Violation violation() {
+    return violation;
+  }
+
+  void recordLine(String text) {
+    lines.add(time.now() + " " + text);
+    if (lines.size() > RECENT_LINES) {
+      lines.poll();
+    }
+  }
+
+  void reportViolation(String rule, String subject) {
+    if (violation == null) {
+      StringBuilder relevant = new StringBuilder();
+      lines.stream()
+          .filter(line -> line.contains(subject))
+          .forEach(line -> relevant.append(line).append('\n'));
+      violation = new Violation(rule, time.now(), time.steps(), subject, relevant.toString());
+    }
+  }
+
+  void queryAccepted(int broker, QueryRequest ask) {
+    queries.put(ask.id(), new QueryState(ask, broker));
+  }
+
+  void clientDisconnected(String id) {
+    QueryState query = queries.get(id);
+    if (query != null) {
+      query.clientDisconnected = true;
+    }
+  }
+
+  /** A broker crashed: its queries need no answer any more. */
+  void brokerCrashed(int broker) {
+    queries.values().removeIf(query -> query.broker == broker);
+    unavailableSinceUs.keySet().removeIf(key -> key.startsWith(broker + " "));
+    parts.keySet().removeIf(key -> key.startsWith(broker + " "));
+  }
+
+  void queryAnswered(String id, QueryResponse answer) {
+    QueryState query = queries.get(id);
+    if (query == null) {
+      reportViolation("an answer to no query", id);
+      return;
+    }
+    if (++query.answers > 1) {
+      reportViolation("two final answers", id);
+    }
+    if (time.now() > query.request.deadlineUs() + TIME_TOLERANCE_US) {
+      reportViolation("an answer after the client's time", id);
+    }
+    if (answer instanceof QueryResponse.Served served) {
+      double servedShare = 0;
+      for (QueryResponse.PartValue value : served.parts()) {
+        servedShare +=
+            query.request.parts().stream()
+                .filter(request -> request.shard() == value.shard())
+                .mapToDouble(QueryRequest.PartRequest::weight)
+                .sum();
+        if (!value.value().equals(Simulation.value(query.request.text(), value.shard()))) {
+          reportViolation("a value that no store made for this part", id);
+        }
+      }
+      if (servedShare < query.request.queryClass().floor() - WEIGHT_TOLERANCE) {
+        reportViolation("an answer from less than the least share", id);
+      }
+      if (served.complete() && servedShare < query.request.queryClass().need() - WEIGHT_TOLERANCE) {
+        reportViolation("an answer marked whole that is not", id);
+      }
+    }
+  }
+
+  /**
+   * Discovery has notified a broker of an endpoint; after a grace period an unavailable one may
+   * receive nothing new.
+   */
+  void endpointNotified(int broker, String store, boolean takesWork) {
+    String key = broker + " " + store;
+    if (takesWork) {
+      unavailableSinceUs.remove(key);
+    } else {
+      unavailableSinceUs.putIfAbsent(key, time.now());
+    }
+  }
+
+  /** A broker sent an attempt. */
+  void attemptSent(
+      int broker,
+      SimulatedStore store,
+      QueryRequest ask,
+      String partId,
+      int shard,
+      long attempt,
+      int cells) {
+    if (store.cell != shard % cells) {
+      reportViolation("a part to a store that does not hold its shard", partId);
+    }
+    Long unavailable = unavailableSinceUs.get(broker + " " + store.name);
+    if (unavailable != null && time.now() > unavailable + 250_000 + TIME_TOLERANCE_US) {
+      reportViolation("work for a store that drains or is gone", partId);
+    }
+    PartState part = parts.computeIfAbsent(broker + " " + partId, k -> new PartState());
+    if (part.outstanding > 0) {
+      reportViolation("two attempts out for a part", partId);
+    }
+    part.outstanding++;
+    if (++part.attempts > MAX_ATTEMPTS) {
+      reportViolation("more attempts than allowed", partId);
+    }
+    if (ask != null
+        && ask.queryClass().idempotency() == Idempotency.GUARDED
+        && part.possiblyExecutedUs >= 0
+        && time.now()
+            > part.possiblyExecutedUs + ask.queryClass().dedupWindowUs() + TIME_TOLERANCE_US) {
+      reportViolation("a repeat after its window", partId);
+    }
+    part.possiblyExecutedUs = part.possiblyExecutedUs < 0 ? time.now() : part.possiblyExecutedUs;
+  }
+
+  /** An attempt has ended for the broker. */
+  void attemptEnded(int broker, String partId, long attempt, boolean neverRan) {
+    PartState part = parts.get(broker + " " + partId);
+    if (part != null && endedAttempts.add(broker + " " + attempt)) {
+      part.outstanding--;
+      if (neverRan && part.attempts == 1) {
+        part.possiblyExecutedUs = -1;
+      }
+    }
+  }
+
+  /** The simulated day and its drain period are over: every accepted query must have one answer. */
+  void simulationEnded(int openInBrokers) {
+    queries.forEach(
+        (id, query) -> {
+          if (query.answers == 0 && !query.clientDisconnected) {
+            reportViolation("a query without an answer", id);
+          }
+        });
+    if (openInBrokers > 0) {
+      reportViolation("queries that are still open", openInBrokers + " ");
+    }
+  }
+
+  /** Reports queries past their deadline without an answer and forgets completed ones. */
+  void checkOverdueQueries() {
+    for (Map.Entry<String, QueryState> entry : queries.entrySet()) {
+      QueryState query = entry.getValue();
+      if (query.answers == 0
+          && !query.clientDisconnected
+          && time.now() > query.request.deadlineUs() + TIME_TOLERANCE_US) {
+        reportViolation("a query without an answer in its client's time", entry.getKey());
+      }
+    }
+    queries
+        .values()
+        .removeIf(
+            query ->
+                time.now() > query.request.deadlineUs() + 2_000_000
+                    && (query.answers > 0 || query.clientDisconnected));
+  }
+}
--- a/src/main/java/dunlinhitch/experiments/simulation/Streams.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/RandomStreams.java
@@ -6,16 +6,17 @@
 import org.apache.commons.statistics.distribution.LogNormalDistribution;
 
 /**
- * One stream of random numbers for each component, by its name: a change in one shifts no other.
+ * One random stream for each named component, so that a change in one component does not shift the
+ * draws of another.
  */
-final class Streams {
+final class RandomStreams {
   private final long seed;
 
-  Streams(long seed) {
+  RandomStreams(long seed) {
     this.seed = seed;
   }
 
-  UniformRandomProvider of(String component) {
+  UniformRandomProvider stream(String component) {
     long hash = 0xcbf29ce484222325L;
     for (int i = 0; i < component.length(); i++) {
       hash = (hash ^ component.charAt(i)) * 0x100000001b3L;
@@ -24,16 +25,19 @@
         new long[] {seed * 0x9E3779B97F4A7C15L + 1, hash});
   }
 
-  static double between(UniformRandomProvider random, double from, double to) {
+  static double uniform(UniformRandomProvider random, double from, double to) {
     return from + (to - from) * random.nextDouble();
   }
 
-  /** Gaps of a Poisson stream. */
+  /** An exponential variate, such as a gap of a Poisson process. */
   static double exponential(UniformRandomProvider random, double mean) {
     return ExponentialDistribution.of(mean).createSampler(random).sample();
   }
 
-  /** With that median; {@code sigma} of its logarithm. */
+  /**
+   * A log-normal variate with that median; {@code sigma} is the standard deviation of its
+   * logarithm.
+   */
   static double logNormal(UniformRandomProvider random, double median, double sigma) {
     return LogNormalDistribution.of(Math.log(median), sigma).createSampler(random).sample();
   }
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
@@ -0,0 +1,365 @@
+package dunlinhitch.experiments.testbed;
+
+import dunlinhitch.cluster.ClusterCoordinator;
+import dunlinhitch.cluster.ClusterSettings;
+import dunlinhitch.cluster.EndpointObservation;
+import dunlinhitch.cluster.GossipMessage;
+import dunlinhitch.cluster.Member;
+import dunlinhitch.cluster.MembershipProtocol;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeSet;
+
+/**
+ * A discrete-event model of a cluster: the real {@link ClusterCoordinator} of each broker, virtual
+ * time and a simulated network. A message takes 0.2 to 2 ms, is lost with probability {@code loss}
+ * and crosses no partition. Wall clocks differ by up to 20 ms. A seed determines the whole run.
+ *
+ * <p>Not thread-safe.
+ */
+public final class ClusterSimulation {
+  private static final long MIN_DELAY_US = 200;
+  private static final long MAX_DELAY_US = 2_000;
+  private static final long MAX_CLOCK_OFFSET_US = 20_000;
+  private static final int BASE_PORT = 7000;
+
+  /** Wall clock at the start of a run, in microseconds since 1970; an arbitrary time. */
+  private static final long WALL_CLOCK_START_US = 1_796_000_000_000_000L;
+
+  private record Step(long atUs, long order, Runnable task) {}
+
+  /** One broker of the model. */
+  public final class Node implements ClusterCoordinator.Out {
+    public final String name;
+    private final int number;
+    private final long clockOffsetUs;
+    private ClusterCoordinator fleet;
+    private boolean up;
+    private long timerUs = Long.MAX_VALUE;
+    private int partition;
+
+    /** Stores that it health-checked, in order. */
+    private final List<String> probed = new ArrayList<>();
+
+    /** Health checks left to other brokers that ended with a report. */
+    private int reportedHealthChecks;
+
+    /** Health checks left to other brokers that ended without a report. */
+    private int unreportedHealthChecks;
+
+    private Node(int number) {
+      this.number = number;
+      name = "n" + number;
+      clockOffsetUs = random.nextLong(-MAX_CLOCK_OFFSET_US, MAX_CLOCK_OFFSET_US);
+    }
+
+    /** The coordinator of its current process; null before the first start. */
+    public ClusterCoordinator fleet() {
+      return fleet;
+    }
+
+    /** True while the broker runs. */
+    public boolean isUp() {
+      return up;
+    }
+
+    /** Health checks left to other brokers that ended with a report. */
+    public int reportedHealthChecks() {
+      return reportedHealthChecks;
+    }
+
+    /** Health checks left to other brokers that ended without a report. */
+    public int unreportedHealthChecks() {
+      return unreportedHealthChecks;
+    }
+
+    private long wallClockUs() {
+      return WALL_CLOCK_START_US + now + clockOffsetUs;
+    }
+
+    private void onTimer() {
+      if (up) {
+        fleet.onTime(now, wallClockUs());
+        scheduleTimer();
+      }
+    }
+
+    private void scheduleTimer() {
+      long next = Math.max(now + 1, fleet.nextUs(now, wallClockUs()));
+      if (next < timerUs) {
+        timerUs = next;
+        ClusterCoordinator scheduledFor = fleet;
+        at(
+            next,
+            () -> {
+              if (fleet == scheduledFor && timerUs == next) {
+                timerUs = Long.MAX_VALUE;
+                onTimer();
+              }
+            });
+      }
+    }
+
+    private void onMessage(GossipMessage message) {
+      if (up) {
+        fleet.onMessage(now, wallClockUs(), message);
+        scheduleTimer();
+      }
+    }
+
+    /** Requests a health check, as the load balancer does. */
+    public void requestHealthCheck(String store) {
+      if (up) {
+        if (fleet.mayHealthCheck(wallClockUs(), store)) {
+          startHealthCheck(store);
+        }
+        scheduleTimer();
+      }
+    }
+
+    /** Reports the end of an attempt at a store. */
+    public void onAttempt(String store, boolean answered) {
+      if (up) {
+        fleet.onAttempt(wallClockUs(), store, answered, answered ? List.of(5f, 1f) : List.of());
+        scheduleTimer();
+      }
+    }
+
+    @Override
+    public void send(String host, int port, GossipMessage message) {
+      Node to = nodes.get(port - BASE_PORT);
+      messageCount++;
+      if (partition == to.partition && random.nextDouble() >= loss) {
+        at(
+            now + random.nextLong(MIN_DELAY_US, MAX_DELAY_US),
+            () -> {
+              if (partition == to.partition) {
+                to.onMessage(message);
+              }
+            });
+      }
+    }
+
+    @Override
+    public void selectEndpoints(Set<String> stores) {
+      // callers read the coordinator's selection instead
+    }
+
+    @Override
+    public void startHealthCheck(String store) {
+      probed.add(store);
+      probes.add(new HealthCheck(now, store, name));
+      boolean answers = healthChecksSucceed;
+      at(
+          now + MAX_DELAY_US,
+          () -> {
+            if (up) {
+              fleet.onHealthCheckCompleted(
+                  wallClockUs(), store, answers, answers ? List.of(5f, 1f) : List.of());
+              scheduleTimer();
+            }
+          });
+    }
+
+    @Override
+    public void healthCheckEnded(String store, EndpointObservation observation) {
+      if (observation == null) {
+        unreportedHealthChecks++;
+      } else {
+        reportedHealthChecks++;
+      }
+    }
+  }
+
+  /** A health check that a broker made. */
+  public record HealthCheck(long atUs, String store, String by) {}
+
+  private final SplittableRandom random;
+  private final ClusterSettings settings;
+  private final PriorityQueue<Step> steps =
+      new PriorityQueue<>(Comparator.comparingLong(Step::atUs).thenComparingLong(Step::order));
+  private final List<Node> nodes = new ArrayList<>();
+  private final List<HealthCheck> probes = new ArrayList<>();
+  private final Map<String, ClusterCoordinator.ListedEndpoint> stores = new LinkedHashMap<>();
+  private final double loss;
+  private boolean healthChecksSucceed = true;
+  private long now;
+  private long order;
+  private long messageCount;
+
+  /** Creates brokers without starting them. */
+  public ClusterSimulation(long seed, int brokers, double loss, ClusterSettings settings) {
+    random = new SplittableRandom(seed);
+    this.settings = settings;
+    this.loss = loss;
+    for (int i = 0; i < brokers; i++) {
+      nodes.add(new Node(i));
+    }
+  }
+
+  /** All brokers, whether they run or not. */
+  public List<Node> nodes() {
+    return nodes;
+  }
+
+  /** All health checks so far, in order. */
+  public List<HealthCheck> probes() {
+    return probes;
+  }
+
+  /** Virtual time in microseconds. */
+  public long nowUs() {
+    return now;
+  }
+
+  /** Messages sent so far, lost ones included. */
+  public long messageCount() {
+    return messageCount;
+  }
+
+  /** Sets whether stores answer health checks that start from now on. */
+  public void healthChecksSucceed(boolean succeed) {
+    healthChecksSucceed = succeed;
+  }
+
+  /** Adds cells with {@code each} stores, listed to all brokers that start from now on. */
+  public void stores(int cells, int each) {
+    for (int cell = 0; cell < cells; cell++) {
+      for (int i = 0; i < each; i++) {
+        String name = "s" + cell + "-" + i;
+        stores.put(name, new ClusterCoordinator.ListedEndpoint(name, "c" + cell, "", 0, true));
+      }
+    }
+  }
+
+  /** The names of all stores. */
+  public Set<String> stores() {
+    return stores.keySet();
+  }
+
+  /** Starts a broker, or restarts it without its earlier state. */
+  public void start(int number) {
+    Node node = nodes.get(number);
+    node.up = true;
+    node.timerUs = Long.MAX_VALUE;
+    List<MembershipProtocol.Seed> seeds =
+        nodes.stream()
+            .limit(8)
+            .map(n -> new MembershipProtocol.Seed("127.0.0.1", BASE_PORT + n.number))
+            .toList();
+    node.fleet =
+        new ClusterCoordinator(
+            new Member(
+                node.name,
+                "",
+                "127.0.0.1",
+                BASE_PORT + number,
+                (WALL_CLOCK_START_US + now) / 1000,
+                Member.Status.ALIVE),
+            seeds,
+            settings,
+            random.nextLong(),
+            now,
+            node);
+    node.fleet.onEndpointsChanged(now, stores.values(), List.of());
+    node.scheduleTimer();
+  }
+
+  /** Crashes a broker. */
+  public void kill(int number) {
+    nodes.get(number).up = false;
+  }
+
+  /** Stops a broker gracefully. */
+  public void leave(int number) {
+    nodes.get(number).fleet.leave();
+    nodes.get(number).up = false;
+  }
+
+  /** Moves a broker into a partition; messages between partitions are lost. */
+  public void group(int number, int group) {
+    nodes.get(number).partition = group;
+  }
+
+  /** Schedules a task at a virtual time. */
+  public void at(long atUs, Runnable task) {
+    steps.add(new Step(atUs, ++order, task));
+  }
+
+  /** Runs all tasks up to that virtual time. */
+  public void playTo(long untilUs) {
+    while (!steps.isEmpty() && steps.peek().atUs() <= untilUs) {
+      Step step = steps.poll();
+      now = Math.max(now, step.atUs());
+      step.task().run();
+    }
+    now = untilUs;
+  }
+
+  /** True if all running brokers of a partition see exactly each other as members. */
+  public boolean agree(int group) {
+    Set<String> all = new TreeSet<>();
+    nodes.stream().filter(n -> n.up && n.partition == group).forEach(n -> all.add(n.name));
+    return nodes.stream()
+        .filter(n -> n.up && n.partition == group)
+        .allMatch(n -> n.fleet.members().equals(all));
+  }
+
+  /** The number of running brokers that have each store in their subset. */
+  public Map<String, Integer> load() {
+    Map<String, Integer> load = new LinkedHashMap<>();
+    stores.keySet().forEach(store -> load.put(store, 0));
+    nodes.stream()
+        .filter(n -> n.up)
+        .forEach(
+            n -> n.fleet.selectedEndpoints().forEach(store -> load.merge(store, 1, Integer::sum)));
+    return load;
+  }
+
+  /** The maximum load of a store over the mean load. */
+  public static double unevenness(Map<String, Integer> load) {
+    double mean = load.values().stream().mapToInt(i -> i).average().orElse(0);
+    return mean == 0 ? 1 : load.values().stream().mapToInt(i -> i).max().orElse(0) / mean;
+  }
+
+  /**
+   * Connections of the larger cluster that the smaller one lacks, as a multiple of the mean number
+   * of connections of one broker of the larger.
+   */
+  public static double moved(Map<String, Set<String>> larger, Map<String, Set<String>> smaller) {
+    long lost = 0;
+    long all = 0;
+    for (Map.Entry<String, Set<String>> broker : larger.entrySet()) {
+      all += broker.getValue().size();
+      Set<String> retained = smaller.getOrDefault(broker.getKey(), Set.of());
+      lost += broker.getValue().stream().filter(store -> !retained.contains(store)).count();
+    }
+    return lost / ((double) all / larger.size());
+  }
+
+  /** The maximum number of health checks of one store within any second from that time on. */
+  public long mostProbesInASecond(long fromUs) {
+    long most = 0;
+    for (HealthCheck first : probes) {
+      if (first.atUs() >= fromUs) {
+        most =
+            Math.max(
+                most,
+                probes.stream()
+                    .filter(
+                        p ->
+                            p.store().equals(first.store())
+                                && p.atUs() >= first.atUs()
+                                && p.atUs() < first.atUs() + 1_000_000)
+                    .count());
+      }
+    }
+    return most;
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
@@ -0,0 +1,379 @@
+package dunlinhitch.experiments.testbed;
+
+import dunlinhitch.cluster.ClusterSnapshot;
+import dunlinhitch.cluster.GossipMessage;
+import dunlinhitch.cluster.Member;
+import dunlinhitch.cluster.MembershipProtocol;
+import dunlinhitch.cluster.MembershipProtocolSettings;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.PriorityQueue;
+import java.util.Set;
+import java.util.SplittableRandom;
+import java.util.TreeSet;
+import java.util.function.BiPredicate;
+import java.util.function.ToLongBiFunction;
+
+/**
+ * A discrete-event model of the membership protocol alone: the real {@link MembershipProtocol} of
+ * each broker, virtual time and a network that loses, delays and drops messages by direction. A
+ * message takes 0.2 to 2 ms plus the added delay. A seed determines the whole run.
+ *
+ * <p>Not thread-safe.
+ */
+public final class MembershipSimulation {
+  private static final long MIN_DELAY_US = 200;
+  private static final long MAX_DELAY_US = 2_000;
+  private static final int BASE_PORT = 7000;
+
+  /** Distance between the ports of a broker before and after it moved. */
+  private static final int RELOCATION_PORT_OFFSET = 1_000;
+
+  /** Seeds of each broker: the first places. */
+  private static final int SEEDS = 8;
+
+  private static final long WALL_CLOCK_START_MS = 1_796_000_000_000L;
+
+  /** IP and UDP headers of one datagram. */
+  private static final int DATAGRAM_HEADER_BYTES = 28;
+
+  private record Step(long atUs, long order, Runnable task) {}
+
+  /** One broker process. */
+  public final class Node {
+    public final String name;
+    private final int port;
+    private MembershipProtocol view;
+    private boolean up;
+    private long pausedUntilUs;
+    private long timerUs = Long.MAX_VALUE;
+    private final List<GossipMessage> receiveBuffer = new ArrayList<>();
+    private Set<String> lastNames = Set.of();
+    private ClusterSnapshot lastSnapshot;
+
+    /** Members that it removed although they ran and no fault was injected. */
+    private long falseDeaths;
+
+    private Node(String name, int port) {
+      this.name = name;
+      this.port = port;
+    }
+
+    /** Its membership protocol. */
+    public MembershipProtocol view() {
+      return view;
+    }
+
+    /** True while the process runs, paused or not. */
+    public boolean isUp() {
+      return up;
+    }
+
+    private void onTimer() {
+      if (up && now >= pausedUntilUs) {
+        view.onTime(now);
+        afterEvent();
+      }
+    }
+
+    private void onMessage(GossipMessage message) {
+      if (!up) {
+        return;
+      }
+      if (now < pausedUntilUs) {
+        receiveBuffer.add(message); // as in the socket's receive buffer
+      } else {
+        view.onMessage(now, message);
+        afterEvent();
+      }
+    }
+
+    @SuppressWarnings("ReferenceEquality") // a snapshot is replaced, never changed
+    private void afterEvent() {
+      ClusterSnapshot snapshot = view.snapshot();
+      if (snapshot != lastSnapshot) {
+        Set<String> visible = snapshot.names();
+        if (!visible.equals(lastNames)) {
+          lastNames.stream()
+              .filter(removed -> !visible.contains(removed) && isRunning(removed) && !harmed)
+              .forEach(removed -> falseDeaths++);
+          lastNames = visible;
+        }
+        lastSnapshot = snapshot;
+      }
+      long next = Math.max(now + 1, view.nextUs());
+      if (next < timerUs) {
+        timerUs = next;
+        at(
+            next,
+            () -> {
+              if (timerUs == next) {
+                timerUs = Long.MAX_VALUE;
+                onTimer();
+              }
+            });
+      }
+    }
+  }
+
+  private final SplittableRandom random;
+  private final MembershipProtocolSettings settings;
+  private final double loss;
+  private final PriorityQueue<Step> steps =
+      new PriorityQueue<>(Comparator.comparingLong(Step::atUs).thenComparingLong(Step::order));
+  private final List<Node> nodes = new ArrayList<>();
+  private final Map<Integer, Node> byPort = new HashMap<>();
+  private BiPredicate<Node, Node> cut = (from, to) -> false;
+  private ToLongBiFunction<Node, Node> late = (from, to) -> 0;
+
+  /** True while a fault is injected: removed members then are no false positives. */
+  private boolean harmed;
+
+  private long now;
+  private long order;
+  private long messageCount;
+  private long bytes;
+  private int largestMessage;
+
+  /** Creates a cluster without brokers; {@code loss} is the probability of message loss. */
+  public MembershipSimulation(long seed, double loss, MembershipProtocolSettings settings) {
+    random = new SplittableRandom(seed);
+    this.loss = loss;
+    this.settings = settings;
+  }
+
+  /** Virtual time in microseconds. */
+  public long nowUs() {
+    return now;
+  }
+
+  /** All running processes. */
+  public List<Node> nodes() {
+    return nodes;
+  }
+
+  /** Messages sent so far, lost ones included. */
+  public long messageCount() {
+    return messageCount;
+  }
+
+  /** Bytes sent so far, with 28 bytes of headers for each datagram. */
+  public long bytes() {
+    return bytes;
+  }
+
+  /** Size of the largest message so far, in bytes without headers. */
+  public int largestMessage() {
+    return largestMessage;
+  }
+
+  /** False positives of failure detection over all running brokers. */
+  public long falsePositives() {
+    return nodes.stream().mapToLong(node -> node.falseDeaths).sum();
+  }
+
+  /**
+   * Starts the brokers from n{@code first} up to, but without, n{@code last}. The first eight
+   * places are everyone's seeds.
+   */
+  public void start(int first, int last) {
+    for (int i = first; i < last; i++) {
+      start("n" + i, i, wallClockMs());
+    }
+  }
+
+  private long wallClockMs() {
+    return WALL_CLOCK_START_MS + now / 1000;
+  }
+
+  /** The incarnation of a process that starts now with a clock that is ahead. */
+  public long incarnation(long aheadMs) {
+    return wallClockMs() + aheadMs;
+  }
+
+  /** Starts a process without earlier state at an address, and crashes the one that ran there. */
+  public Node start(String name, int place, long incarnation) {
+    Node node = new Node(name, BASE_PORT + place);
+    Node before = byPort.put(node.port, node);
+    if (before != null) {
+      before.up = false;
+      nodes.remove(before);
+    }
+    nodes.add(node);
+    List<MembershipProtocol.Seed> seeds = new ArrayList<>();
+    for (int i = 0; i < SEEDS; i++) {
+      seeds.add(new MembershipProtocol.Seed("10.0.0.1", BASE_PORT + i));
+    }
+    node.up = true;
+    node.view =
+        new MembershipProtocol(
+            new Member(name, "", "10.0.0.1", node.port, incarnation, Member.Status.ALIVE),
+            seeds,
+            settings,
+            random.nextLong(),
+            now,
+            (host, port, message) -> send(node, port, message),
+            room -> List.of());
+    node.afterEvent();
+    return node;
+  }
+
+  /** Restarts a broker at the same address, with a clock that is ahead. */
+  public void restart(int number, long aheadMs) {
+    start("n" + number, number, incarnation(aheadMs));
+  }
+
+  /** Restarts a broker at another address, with a clock that is ahead. */
+  public void move(int number, long aheadMs) {
+    kill(number);
+    start("n" + number, number + RELOCATION_PORT_OFFSET, incarnation(aheadMs));
+  }
+
+  /** The broker at its first address, or null. */
+  public Node node(int number) {
+    return byPort.get(BASE_PORT + number);
+  }
+
+  /** Crashes a broker. */
+  public void kill(int number) {
+    Node node = byPort.remove(BASE_PORT + number);
+    node.up = false;
+    nodes.remove(node);
+  }
+
+  /** Stops a broker gracefully. */
+  public void leave(int number) {
+    node(number).view.leave();
+    kill(number);
+  }
+
+  /**
+   * Pauses a process. On resumption it handles all messages that arrived meanwhile, before its
+   * timers if {@code messagesFirst}, else after them.
+   */
+  public void still(int number, long forUs, boolean messagesFirst) {
+    Node node = node(number);
+    node.pausedUntilUs = now + forUs;
+    at(
+        node.pausedUntilUs,
+        () -> {
+          if (!messagesFirst) {
+            node.onTimer();
+          }
+          List<GossipMessage> buffered = List.copyOf(node.receiveBuffer);
+          node.receiveBuffer.clear();
+          buffered.forEach(node::onMessage);
+          node.onTimer();
+        });
+  }
+
+  /** Sets the partition: messages are lost where the rule accepts sender and receiver. */
+  public void cut(BiPredicate<Node, Node> rule) {
+    cut = rule;
+  }
+
+  /** Sets the added delay in microseconds by sender and receiver. */
+  public void late(ToLongBiFunction<Node, Node> rule) {
+    late = rule;
+  }
+
+  /** Sets whether a fault is injected, so that removed members count as no false positives. */
+  public void harmed(boolean is) {
+    harmed = is;
+  }
+
+  /** The number in a broker's name. */
+  public static int number(Node node) {
+    return Integer.parseInt(node.name.substring(1));
+  }
+
+  private void send(Node from, int port, GossipMessage message) {
+    messageCount++;
+    int size = message.bytes();
+    largestMessage = Math.max(largestMessage, size);
+    bytes += DATAGRAM_HEADER_BYTES + size;
+    Node to = byPort.get(port);
+    if (to != null && !cut.test(from, to) && random.nextDouble() >= loss) {
+      at(
+          now + random.nextLong(MIN_DELAY_US, MAX_DELAY_US) + late.applyAsLong(from, to),
+          () -> to.onMessage(message));
+    }
+  }
+
+  private boolean isRunning(String name) {
+    return nodes.stream()
+        .anyMatch(node -> node.name.equals(name) && node.up && now >= node.pausedUntilUs);
+  }
+
+  /** Schedules a task at a virtual time. */
+  public void at(long atUs, Runnable task) {
+    steps.add(new Step(atUs, ++order, task));
+  }
+
+  /** Runs all tasks up to that virtual time. */
+  public void playTo(long untilUs) {
+    while (!steps.isEmpty() && steps.peek().atUs() <= untilUs) {
+      Step step = steps.poll();
+      now = Math.max(now, step.atUs());
+      step.task().run();
+    }
+    now = untilUs;
+  }
+
+  /** Runs on for that long, in microseconds. */
+  public void play(long forUs) {
+    playTo(now + forUs);
+  }
+
+  /**
+   * Runs until all running brokers agree on the members.
+   *
+   * @return microseconds until then, or -1 if they do not agree within the limit
+   */
+  public long untilAgree(long withinUs) {
+    long from = now;
+    while (now <= from + withinUs) {
+      if (agree()) {
+        return now - from;
+      }
+      play(settings.periodUs() / 4);
+    }
+    return -1;
+  }
+
+  /**
+   * Runs until all running brokers agree and each has detected the convergence.
+   *
+   * @return microseconds until then, or -1 if that does not happen within the limit
+   */
+  public long untilSettled(long withinUs) {
+    long from = now;
+    while (now <= from + withinUs) {
+      if (agree() && nodes.stream().allMatch(node -> node.view.snapshot().isConverged())) {
+        return now - from;
+      }
+      play(settings.periodUs() / 4);
+    }
+    return -1;
+  }
+
+  /** True if all running brokers see exactly the running ones, with one digest. */
+  public boolean agree() {
+    return agree(nodes);
+  }
+
+  /** True if these see exactly each other. */
+  public static boolean agree(List<Node> among) {
+    if (among.isEmpty()) {
+      return true;
+    }
+    Set<String> all = new TreeSet<>();
+    among.forEach(node -> all.add(node.name));
+    long digest = among.get(0).view.snapshot().digest();
+    return among.stream().allMatch(node -> node.view.snapshot().digest() == digest)
+        && among.get(0).view.snapshot().names().equals(all);
+  }
+}
--- /dev/null
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
@@ -0,0 +1,159 @@
+package dunlinhitch.experiments.testbed;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.Comparator;
+import java.util.List;
+import java.util.Map;
+import java.util.concurrent.Callable;
+import java.util.concurrent.TimeUnit;
+import java.util.stream.Stream;
+import picocli.CommandLine.Command;
+import picocli.CommandLine.Option;
+import picocli.CommandLine.Parameters;
+
+/**
+ * Command that injects the faults of a schedule, from a file or random, into a {@link TestBed}
+ * under load.
+ */
+@Command(
+    name = "rig",
+    description =
+        "Brokers as processes on loopback, with faults between them by a script or a seed; exit code 1 if a "
+            + "query is lost or gets what no store made, or if those that are up do not agree in the end.",
+    mixinStandardHelpOptions = true)
+public final class TestBedCommand implements Callable<Integer> {
+  private static final int MAX_BROKERS = 16;
+  private static final int MAX_STORES = 64;
+  private static final int CONVERGENCE_TIMEOUT_S = 40;
+  private static final int MIN_SECONDS = 4;
+  private static final int MAX_SECONDS = 60;
+
+  /** Time between two queries to one broker. */
+  private static final int QUERY_INTERVAL_MS = 100;
+
+  /** Load that goes on after the brokers agree again. */
+  private static final int SETTLE_MS = 1_000;
+
+  @Parameters(
+      arity = "0..1",
+      paramLabel = "FILE",
+      description = "a script; without it the drawn one of the seed")
+  private Path file;
+
+  @Option(
+      names = "--seed",
+      defaultValue = "1",
+      description = "of all that is drawn (default: ${DEFAULT-VALUE})")
+  private long seed;
+
+  @Option(
+      names = "--brokers",
+      defaultValue = "4",
+      description = "processes, up to 16 (default: ${DEFAULT-VALUE})")
+  private int brokers;
+
+  @Option(
+      names = "--cells",
+      defaultValue = "2",
+      description = "cells of stores (default: ${DEFAULT-VALUE})")
+  private int cells;
+
+  @Option(
+      names = "--each",
+      defaultValue = "3",
+      description = "stores of a cell (default: ${DEFAULT-VALUE})")
+  private int each;
+
+  @Option(
+      names = "--seconds",
+      defaultValue = "12",
+      description = "of a drawn script, up to 60 (default: ${DEFAULT-VALUE})")
+  private int seconds;
+
+  @Override
+  public Integer call() throws Exception {
+    checkOptions();
+    FaultSchedule schedule = schedule();
+    schedule.lines().forEach(System.out::println);
+    Path directory = Files.createTempDirectory("rig");
+    try (TestBed rig = new TestBed(directory, seed, brokers, cells, each, "")) {
+      return play(rig, schedule);
+    } finally {
+      clear(directory);
+    }
+  }
+
+  private void checkOptions() {
+    boolean brokersValid = brokers >= 1 && brokers <= MAX_BROKERS;
+    boolean storesValid = cells >= 1 && each >= 1 && cells * each <= MAX_STORES;
+    boolean secondsValid = seconds >= MIN_SECONDS && seconds <= MAX_SECONDS;
+    if (!brokersValid || !storesValid || !secondsValid) {
+      throw new IllegalArgumentException(
+          "a rig has 1 to "
+              + MAX_BROKERS
+              + " brokers, 1 to "
+              + MAX_STORES
+              + " stores and "
+              + MIN_SECONDS
+              + " to "
+              + MAX_SECONDS
+              + " seconds");
+    }
+  }
+
+  private FaultSchedule schedule() throws IOException {
+    List<String> brokerNames = new ArrayList<>();
+    for (int i = 0; i < brokers; i++) {
+      brokerNames.add("n" + i);
+    }
+    List<String> storeNames = new ArrayList<>();
+    for (int cell = 0; cell < cells; cell++) {
+      for (int i = 0; i < each; i++) {
+        storeNames.add("s" + cell + "-" + i);
+      }
+    }
+    if (file == null) {
+      return FaultSchedule.random(seed, seconds, brokerNames, storeNames);
+    }
+    List<String> allNames = new ArrayList<>(brokerNames);
+    allNames.addAll(storeNames);
+    allNames.add("d");
+    return FaultSchedule.parse(file.toString(), Files.readAllLines(file), allNames);
+  }
+
+  /** Injects the faults under load and prints a report; the exit code. */
+  private static int play(TestBed rig, FaultSchedule schedule) throws Exception {
+    rig.start(rig.nodes());
+    TestBed.await(
+        "the brokers agree at the start", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(rig.nodes()));
+    QueryLoad clients = new QueryLoad(rig, QUERY_INTERVAL_MS);
+    clients.start();
+    schedule.play(rig, System.out::println);
+    List<TestBed.Node> running = rig.nodes().stream().filter(TestBed.Node::isUp).toList();
+    double convergenceS =
+        TestBed.await(
+            "those that are up agree in the end",
+            CONVERGENCE_TIMEOUT_S,
+            () -> TestBed.agree(running));
+    TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
+    Map<QueryLoad.End, Integer> ends = clients.stop();
+    clients.notes().forEach(note -> System.out.println("  " + note));
+    System.out.printf(
+        "agree %.2f s after the last trouble; brokers at each store %s%n",
+        convergenceS, rig.load(running::contains));
+    System.out.println("queries " + ends);
+    return ends.keySet().stream().anyMatch(QueryLoad::isBreach) ? 1 : 0;
+  }
+
+  /** Deletes a test bed's directory with all that is in it. */
+  public static void clear(Path directory) throws IOException {
+    try (Stream<Path> paths = Files.walk(directory)) {
+      for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
+        Files.deleteIfExists(path);
+      }
+    }
+  }
+}
--- a/src/test/java/dunlinhitch/server/NoDelayTest.java
+++ b/src/test/java/dunlinhitch/server/NoDelayTest.java
@@ -2,9 +2,9 @@
 
 import static org.junit.jupiter.api.Assertions.assertEquals;
 
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import io.vertx.core.internal.VertxInternal;
 import java.lang.reflect.Field;
 import java.lang.reflect.Method;
@@ -27,7 +27,7 @@
  */
 class NoDelayTest {
   /** Reads TCP_NODELAY of each socket of the event loop, by its local and its remote port. */
-  private static Map<Integer, Boolean> noDelayByPort(Stage stage) throws Exception {
+  private static Map<Integer, Boolean> noDelayByPort(BrokerFixture stage) throws Exception {
     CompletableFuture<Map<Integer, Boolean>> result = new CompletableFuture<>();
     Object loop = ((VertxInternal) stage.vertx).nettyEventLoopGroup().iterator().next();
     Field handler =
@@ -63,15 +63,15 @@
 
   @Test
   void everySocketOfTheBrokerHasTcpNoDelay() throws Exception {
-    Stage stage = new Stage();
+    BrokerFixture stage = new BrokerFixture();
     FrameStore store = new FrameStore(stage.vertx, "s-0");
     try {
-      stage.list(store);
-      stage.start(Stage.settings(300), null);
+      stage.publishStores(store);
+      stage.start(BrokerFixture.settings(300), null);
       Client client = Client.http(stage.httpPort);
-      while (stage.count("attempts_written") == 0) {
+      while (stage.counter("attempts_written") == 0) {
         client
-            .ask("free-search", Map.of("X-Trace-Id", "q", "X-Expires-In", "1"), Client.body(0))
+            .send("free-search", Map.of("X-Trace-Id", "q", "X-Expires-In", "1"), Client.body(0))
             .get(10, TimeUnit.SECONDS);
       }
       try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort)) {
--- a/src/test/java/dunlinhitch/server/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -7,7 +7,7 @@
 import dunlinhitch.config.Config;
 import dunlinhitch.config.Config.Address;
 import dunlinhitch.config.Product;
-import dunlinhitch.experiments.fakes.Stage;
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import java.util.List;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
@@ -19,7 +19,7 @@
 class ReloadTest {
   private static final String APPLIED = "the configuration was taken: classes ";
 
-  private static Config config(Stage stage, Settings settings, long writtenMs) {
+  private static Config config(BrokerFixture stage, Settings settings, long writtenMs) {
     Address any = new Address("127.0.0.1", 0);
     return new Config(
         "n0",
@@ -28,7 +28,7 @@
         new Address("127.0.0.1", stage.discovery.port()),
         7,
         Json.object(),
-        stage.sockets,
+        stage.maxSockets,
         settings,
         Product.NONE,
         null,
@@ -47,26 +47,27 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void lastReadConfigurationApplies(boolean slow) throws Exception {
-    Stage stage = new Stage();
+    BrokerFixture stage = new BrokerFixture();
     try {
-      stage.list();
-      stage.start(Stage.settings(40), null);
+      stage.publishStores();
+      stage.start(BrokerFixture.settings(40), null);
       CompletableFuture<Void> bothApplied = new CompletableFuture<>();
       CountDownLatch anyLogged = new CountDownLatch(1);
-      stage.onLog =
+      stage.logListener =
           line -> {
             anyLogged.countDown();
-            if (stage.log.stream().filter(one -> one.startsWith(APPLIED)).count() == 2) {
+            if (stage.logLines.stream().filter(one -> one.startsWith(APPLIED)).count() == 2) {
               bothApplied.complete(null);
             }
           };
-      Runnable reload = () -> stage.broker.reload(() -> config(stage, Stage.twoSteps(40), 2));
+      Runnable reload =
+          () -> stage.broker.reload(() -> config(stage, BrokerFixture.twoSteps(40), 2));
       stage.vertx.runOnContext(
           v -> {
             stage.broker.setConfigurationReader(
                 () -> {
                   waitFor(anyLogged, slow ? 1 : 0);
-                  return config(stage, Stage.settings(40), 1);
+                  return config(stage, BrokerFixture.settings(40), 1);
                 });
             stage.broker.reloadIfChanged();
             if (slow) { // on a context of its own, for whose reading none but the broker lets this
@@ -81,7 +82,7 @@
           List.of(
               APPLIED + "[free-search, slot-booking]",
               APPLIED + "[free-search, slot-booking, report]"),
-          stage.log.stream().filter(one -> one.startsWith(APPLIED)).toList());
+          stage.logLines.stream().filter(one -> one.startsWith(APPLIED)).toList());
     } finally {
       stage.close();
     }
--- a/src/test/java/dunlinhitch/server/UpgradeTest.java
+++ b/src/test/java/dunlinhitch/server/UpgradeTest.java
@@ -4,9 +4,9 @@
 import static org.junit.jupiter.api.Assertions.assertFalse;
 import static org.junit.jupiter.api.Assertions.assertTrue;
 
+import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.Client;
 import dunlinhitch.experiments.fakes.FrameStore;
-import dunlinhitch.experiments.fakes.Stage;
 import dunlinhitch.frontend.http.ClientListener;
 import java.io.IOException;
 import java.net.InetAddress;
@@ -21,10 +21,10 @@
 
 /** Hot restart: two processes of one broker on one listening socket, the old one shutting down. */
 class UpgradeTest {
-  private static Stage stage(ServerSocketChannel listener) throws Exception {
-    Stage stage = new Stage(new ClientListener(listener));
-    stage.list(new FrameStore(stage.vertx, "a"), new FrameStore(stage.vertx, "b"));
-    stage.start(Stage.settings(100), null);
+  private static BrokerFixture stage(ServerSocketChannel listener) throws Exception {
+    BrokerFixture stage = new BrokerFixture(new ClientListener(listener));
+    stage.publishStores(new FrameStore(stage.vertx, "a"), new FrameStore(stage.vertx, "b"));
+    stage.start(BrokerFixture.settings(100), null);
     return stage;
   }
 
@@ -64,12 +64,12 @@
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
-      Stage old = stage(listener);
+      BrokerFixture old = stage(listener);
       assertEquals(port, old.httpPort);
       try (Socket connected = new Socket(InetAddress.getLoopbackAddress(), port)) {
         ask(connected, "q0");
         assertFalse(answer(connected).toLowerCase(Locale.ROOT).contains("connection: close"));
-        Stage next = stage(listener);
+        BrokerFixture next = stage(listener);
         CompletableFuture<Void> ended = old.stop();
         old.vertx
             .executeBlocking(() -> null)
@@ -82,11 +82,11 @@
             answer(fresh);
           }
         }
-        assertEquals(20, next.count("queries_taken"));
+        assertEquals(20, next.counter("queries_taken"));
         ask(connected, "q21");
         assertTrue(answer(connected).toLowerCase(Locale.ROOT).contains("connection: close"));
         assertEquals(-1, connected.getInputStream().read());
-        assertEquals(2, old.count("queries_taken"));
+        assertEquals(2, old.counter("queries_taken"));
         ended.get(8, TimeUnit.SECONDS);
         old.close();
         try (Socket fresh = new Socket(InetAddress.getLoopbackAddress(), port)) {
