--- a/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -421,23 +421,9 @@
             + store.name
             + " attempt "
             + part.attempt());
-    checker.attemptSent(
-        broker.number,
-        store,
-        ask,
-        part.partId(),
-        part.shard(),
-        part.attempt(),
-        SimulationSettings.CELL_COUNT);
+    recordSent(out, ask);
     if (injects(Defect.TWO_OUT, 0.002)) {
-      checker.attemptSent(
-          broker.number,
-          store,
-          ask,
-          part.partId(),
-          part.shard(),
-          part.attempt(),
-          SimulationSettings.CELL_COUNT);
+      recordSent(out, ask);
     }
     if (ask != null
         && ask.queryClass().idempotency() == Idempotency.GUARDED
@@ -446,14 +432,7 @@
           4_500_000,
           () -> {
             checker.attemptEnded(broker.number, part.partId(), part.attempt(), false);
-            checker.attemptSent(
-                broker.number,
-                store,
-                ask,
-                part.partId(),
-                part.shard(),
-                part.attempt(),
-                SimulationSettings.CELL_COUNT);
+            recordSent(out, ask);
           });
     }
     if (isCut(broker, store)) {
@@ -467,6 +446,17 @@
         () -> arrive(out, port, booking ? part.key() + "." + part.shard() : "", workUs));
   }
 
+  private void recordSent(OutstandingAttempt out, QueryRequest query) {
+    checker.attemptSent(
+        out.broker.number,
+        out.store,
+        query,
+        out.request.partId(),
+        out.request.shard(),
+        out.request.attempt(),
+        SimulationSettings.CELL_COUNT);
+  }
+
   private void arrive(OutstandingAttempt out, int port, String key, long workUs) {
     if (out.store.port != port) {
       answer(out, AttemptOutcome.CONNECT_FAILED, "");
--- a/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
@@ -7,11 +7,9 @@
 import dunlinhitch.cluster.Member;
 import dunlinhitch.cluster.MembershipProtocol;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
@@ -32,8 +30,6 @@
   /** Wall clock at the start of a run, in microseconds since 1970; an arbitrary time. */
   private static final long WALL_CLOCK_START_US = 1_796_000_000_000_000L;
 
-  private record Step(long atUs, long order, Runnable task) {}
-
   /** One broker of the model. */
   public final class Node implements ClusterCoordinator.Out {
     public final String name;
@@ -80,18 +76,18 @@
     }
 
     private long wallClockUs() {
-      return WALL_CLOCK_START_US + now + clockOffsetUs;
+      return WALL_CLOCK_START_US + time.nowUs() + clockOffsetUs;
     }
 
     private void onTimer() {
       if (up) {
-        fleet.onTime(now, wallClockUs());
+        fleet.onTime(time.nowUs(), wallClockUs());
         scheduleTimer();
       }
     }
 
     private void scheduleTimer() {
-      long next = Math.max(now + 1, fleet.nextUs(now, wallClockUs()));
+      long next = Math.max(time.nowUs() + 1, fleet.nextUs(time.nowUs(), wallClockUs()));
       if (next < timerUs) {
         timerUs = next;
         ClusterCoordinator scheduledFor = fleet;
@@ -108,7 +104,7 @@
 
     private void onMessage(GossipMessage message) {
       if (up) {
-        fleet.onMessage(now, wallClockUs(), message);
+        fleet.onMessage(time.nowUs(), wallClockUs(), message);
         scheduleTimer();
       }
     }
@@ -137,7 +133,7 @@
       messageCount++;
       if (partition == to.partition && random.nextDouble() >= loss) {
         at(
-            now + random.nextLong(MIN_DELAY_US, MAX_DELAY_US),
+            time.nowUs() + random.nextLong(MIN_DELAY_US, MAX_DELAY_US),
             () -> {
               if (partition == to.partition) {
                 to.onMessage(message);
@@ -154,10 +150,10 @@
     @Override
     public void startHealthCheck(String store) {
       probed.add(store);
-      probes.add(new HealthCheck(now, store, name));
+      probes.add(new HealthCheck(time.nowUs(), store, name));
       boolean answers = healthChecksSucceed;
       at(
-          now + MAX_DELAY_US,
+          time.nowUs() + MAX_DELAY_US,
           () -> {
             if (up) {
               fleet.onHealthCheckCompleted(
@@ -182,15 +178,12 @@
 
   private final SplittableRandom random;
   private final ClusterSettings settings;
-  private final PriorityQueue<Step> steps =
-      new PriorityQueue<>(Comparator.comparingLong(Step::atUs).thenComparingLong(Step::order));
+  private final VirtualTime time = new VirtualTime();
   private final List<Node> nodes = new ArrayList<>();
   private final List<HealthCheck> probes = new ArrayList<>();
   private final Map<String, ClusterCoordinator.ListedEndpoint> stores = new LinkedHashMap<>();
   private final double loss;
   private boolean healthChecksSucceed = true;
-  private long now;
-  private long order;
   private long messageCount;
 
   /** Creates brokers without starting them. */
@@ -215,7 +208,7 @@
 
   /** Virtual time in microseconds. */
   public long nowUs() {
-    return now;
+    return time.nowUs();
   }
 
   /** Messages sent so far, lost ones included. */
@@ -260,14 +253,14 @@
                 "",
                 "127.0.0.1",
                 BASE_PORT + number,
-                (WALL_CLOCK_START_US + now) / 1000,
+                (WALL_CLOCK_START_US + time.nowUs()) / 1000,
                 Member.Status.ALIVE),
             seeds,
             settings,
             random.nextLong(),
-            now,
+            time.nowUs(),
             node);
-    node.fleet.onEndpointsChanged(now, stores.values(), List.of());
+    node.fleet.onEndpointsChanged(time.nowUs(), stores.values(), List.of());
     node.scheduleTimer();
   }
 
@@ -289,17 +282,12 @@
 
   /** Schedules a task at a virtual time. */
   public void at(long atUs, Runnable task) {
-    steps.add(new Step(atUs, ++order, task));
+    time.at(atUs, task);
   }
 
   /** Runs all tasks up to that virtual time. */
   public void playTo(long untilUs) {
-    while (!steps.isEmpty() && steps.peek().atUs() <= untilUs) {
-      Step step = steps.poll();
-      now = Math.max(now, step.atUs());
-      step.task().run();
-    }
-    now = untilUs;
+    time.playTo(untilUs);
   }
 
   /** True if all running brokers of a partition see exactly each other as members. */
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
@@ -6,11 +6,9 @@
 import dunlinhitch.cluster.MembershipProtocol;
 import dunlinhitch.cluster.MembershipProtocolSettings;
 import java.util.ArrayList;
-import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import java.util.PriorityQueue;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.TreeSet;
@@ -40,8 +38,6 @@
   /** IP and UDP headers of one datagram. */
   private static final int DATAGRAM_HEADER_BYTES = 28;
 
-  private record Step(long atUs, long order, Runnable task) {}
-
   /** One broker process. */
   public final class Node {
     public final String name;
@@ -73,8 +69,8 @@
     }
 
     private void onTimer() {
-      if (up && now >= pausedUntilUs) {
-        view.onTime(now);
+      if (up && time.nowUs() >= pausedUntilUs) {
+        view.onTime(time.nowUs());
         afterEvent();
       }
     }
@@ -83,10 +79,10 @@
       if (!up) {
         return;
       }
-      if (now < pausedUntilUs) {
+      if (time.nowUs() < pausedUntilUs) {
         receiveBuffer.add(message); // as in the socket's receive buffer
       } else {
-        view.onMessage(now, message);
+        view.onMessage(time.nowUs(), message);
         afterEvent();
       }
     }
@@ -104,7 +100,7 @@
         }
         lastSnapshot = snapshot;
       }
-      long next = Math.max(now + 1, view.nextUs());
+      long next = Math.max(time.nowUs() + 1, view.nextUs());
       if (next < timerUs) {
         timerUs = next;
         at(
@@ -122,8 +118,7 @@
   private final SplittableRandom random;
   private final MembershipProtocolSettings settings;
   private final double loss;
-  private final PriorityQueue<Step> steps =
-      new PriorityQueue<>(Comparator.comparingLong(Step::atUs).thenComparingLong(Step::order));
+  private final VirtualTime time = new VirtualTime();
   private final List<Node> nodes = new ArrayList<>();
   private final Map<Integer, Node> byPort = new HashMap<>();
   private BiPredicate<Node, Node> cut = (from, to) -> false;
@@ -132,8 +127,6 @@
   /** True while a fault is injected: removed members then are no false positives. */
   private boolean harmed;
 
-  private long now;
-  private long order;
   private long messageCount;
   private long bytes;
   private int largestMessage;
@@ -147,7 +140,7 @@
 
   /** Virtual time in microseconds. */
   public long nowUs() {
-    return now;
+    return time.nowUs();
   }
 
   /** All running processes. */
@@ -186,7 +179,7 @@
   }
 
   private long wallClockMs() {
-    return WALL_CLOCK_START_MS + now / 1000;
+    return WALL_CLOCK_START_MS + time.nowUs() / 1000;
   }
 
   /** The incarnation of a process that starts now with a clock that is ahead. */
@@ -214,7 +207,7 @@
             seeds,
             settings,
             random.nextLong(),
-            now,
+            time.nowUs(),
             (host, port, message) -> send(node, port, message),
             room -> List.of());
     node.afterEvent();
@@ -256,7 +249,7 @@
    */
   public void still(int number, long forUs, boolean messagesFirst) {
     Node node = node(number);
-    node.pausedUntilUs = now + forUs;
+    node.pausedUntilUs = time.nowUs() + forUs;
     at(
         node.pausedUntilUs,
         () -> {
@@ -298,34 +291,29 @@
     Node to = byPort.get(port);
     if (to != null && !cut.test(from, to) && random.nextDouble() >= loss) {
       at(
-          now + random.nextLong(MIN_DELAY_US, MAX_DELAY_US) + late.applyAsLong(from, to),
+          time.nowUs() + random.nextLong(MIN_DELAY_US, MAX_DELAY_US) + late.applyAsLong(from, to),
           () -> to.onMessage(message));
     }
   }
 
   private boolean isRunning(String name) {
     return nodes.stream()
-        .anyMatch(node -> node.name.equals(name) && node.up && now >= node.pausedUntilUs);
+        .anyMatch(node -> node.name.equals(name) && node.up && time.nowUs() >= node.pausedUntilUs);
   }
 
   /** Schedules a task at a virtual time. */
   public void at(long atUs, Runnable task) {
-    steps.add(new Step(atUs, ++order, task));
+    time.at(atUs, task);
   }
 
   /** Runs all tasks up to that virtual time. */
   public void playTo(long untilUs) {
-    while (!steps.isEmpty() && steps.peek().atUs() <= untilUs) {
-      Step step = steps.poll();
-      now = Math.max(now, step.atUs());
-      step.task().run();
-    }
-    now = untilUs;
+    time.playTo(untilUs);
   }
 
   /** Runs on for that long, in microseconds. */
   public void play(long forUs) {
-    playTo(now + forUs);
+    playTo(time.nowUs() + forUs);
   }
 
   /**
@@ -334,10 +322,10 @@
    * @return microseconds until then, or -1 if they do not agree within the limit
    */
   public long untilAgree(long withinUs) {
-    long from = now;
-    while (now <= from + withinUs) {
+    long from = time.nowUs();
+    while (time.nowUs() <= from + withinUs) {
       if (agree()) {
-        return now - from;
+        return time.nowUs() - from;
       }
       play(settings.periodUs() / 4);
     }
@@ -350,10 +338,10 @@
    * @return microseconds until then, or -1 if that does not happen within the limit
    */
   public long untilSettled(long withinUs) {
-    long from = now;
-    while (now <= from + withinUs) {
+    long from = time.nowUs();
+    while (time.nowUs() <= from + withinUs) {
       if (agree() && nodes.stream().allMatch(node -> node.view.snapshot().isConverged())) {
-        return now - from;
+        return time.nowUs() - from;
       }
       play(settings.periodUs() / 4);
     }
--- a/src/test/java/dunlinhitch/experiments/testbed/FreePortsTest.java
+++ b/src/test/java/dunlinhitch/experiments/testbed/FreePortsTest.java
@@ -42,7 +42,7 @@
     try {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     } catch (BindException e) {
-      return listener;
+      // in use already
     }
     return listener;
   }
