--- a/src/main/java/dunlinhitch/twophase/BlockSummaries.java
+++ b/src/main/java/dunlinhitch/twophase/BlockSummaries.java
@@ -11,12 +11,12 @@
  * matching records and of those that had some; for each block, the version of its data and the time
  * of its last answer.
  *
- * <p>Bounded by a number of blocks and a number of predicates, of which the least recently used one
- * is evicted. A summary is only a hint: two predicates may share a hash, and data change. Not
- * thread-safe; the planner owns it.
+ * <p>Bounded by a maximum number of blocks and a maximum number of predicates; the least recently
+ * used predicate is evicted. A summary is only a hint, because two predicates may share a hash and
+ * data may change. Owned by the planner; not thread-safe.
  *
- * <p>The transposed layout, a bitmap of predicates for each block, needs a container for nearly
- * every hash: see {@code lab measure summaries}.
+ * <p>The transposed layout, with one bitmap of predicates for each block, would need a bitmap
+ * container for nearly every hash; {@code lab measure summaries} compares the two.
  */
 public final class BlockSummaries {
   private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
@@ -128,7 +128,7 @@
 
   /** Returns what the block's summary suggests for the predicate with the hash {@code feature}. */
   public Hint hint(long nowUs, int block, int feature) {
-    // the lookup counts as a use of the predicate, also where the block has no summary
+    // the lookup counts as a use of the predicate even if the block has no summary
     PredicateBitmaps bitmaps = bitmapsByFeature.get(feature);
     if (bitmaps == null || !hasSummary(block) || nowUs - updatedUs[block] > maxAgeUs) {
       return Hint.UNKNOWN;
--- a/src/main/java/dunlinhitch/twophase/ClassEstimates.java
+++ b/src/main/java/dunlinhitch/twophase/ClassEstimates.java
@@ -5,18 +5,16 @@
 import java.util.Map;
 
 /**
- * What the planner has learnt of one query class: latencies of both passes, the share of empty
- * blocks, the cost of a first pass, and whether pruning is closed after a failed audit.
+ * The planner's estimates for one query class: latencies of both passes, the share of empty blocks,
+ * the cost of a first pass, and whether pruning is closed after a failed audit.
  *
  * <p>Not thread-safe; owned by the {@link TwoPhasePlanner}.
  */
 final class ClassEstimates {
-  /**
-   * Samples of each pass below which the class is not known well enough, so that it is only tried.
-   */
+  /** Minimum number of samples of each pass. With fewer, two phases are used for trials only. */
   private static final int MIN_SAMPLES = 20;
 
-  /** Cost of a first pass relative to a full one, until it was measured without queueing. */
+  /** Cost of a first pass relative to a full pass, until it has been measured without queueing. */
   private static final double INITIAL_COST_RATIO = 0.1;
 
   private static final double MAX_COST_RATIO = 2;
@@ -26,36 +24,44 @@
   /** Weight of the newest answer in the exponentially decayed share of empty blocks. */
   private static final double EMPTY_SHARE_WEIGHT = 0.02;
 
-  /** A full pass whose quick end exceeds the quickest one by this factor has been queued. */
+  /**
+   * Full passes count as queued if their low percentile exceeds the lowest one seen by this factor.
+   */
   private static final double QUEUEING_FACTOR = 1.5;
 
-  /** Lets the quickest full pass rise slowly: replicas that became slower for good are no queue. */
+  /**
+   * Growth of the lowest full-pass latency per sample, so that a permanent slowdown of the replicas
+   * is not mistaken for queueing.
+   */
   private static final double QUICKEST_DRIFT = 1.0005;
 
-  /** The quick end of a pass, which contains the least queueing delay. */
+  /** The low percentile of a pass, which contains the least queueing delay. */
   private static final double QUICK_PERCENTILE = 5;
 
-  /** The slow end of a full pass, for which time must remain after the first pass. */
+  /** The percentile of the full pass for which time must remain after the first pass. */
   private static final double SLOW_PERCENTILE = 90;
 
-  /** The first answers that the first pass waits for. */
+  /** The percentile of first answers for which the first pass waits. */
   private static final double FIRST_PASS_PERCENTILE = 99;
 
   /**
-   * Shortest time limit of a first pass, in microseconds: effects are carried out a tick apart, and
-   * a connection may have to be established.
+   * Minimum time limit of a first pass, in microseconds. Effects are carried out once per tick, and
+   * a connection may have to be established first.
    */
   private static final long MIN_FIRST_PASS_US = 25_000;
 
-  /** Safety factor over a latency percentile where a pass must fit into a time. */
+  /**
+   * Safety factor applied to a latency percentile when checking that a pass fits into the remaining
+   * time.
+   */
   private static final int LATENCY_HEADROOM = 2;
 
   private final TwoPhaseSettings settings;
   private final LatencyWindow firstPass = new LatencyWindow();
 
   /**
-   * The first pass including answers that missed its end: without these the time limit, which
-   * derives from this window, would shrink further and further.
+   * Latencies of the first pass including answers that missed its end. The time limit derives from
+   * this window; without the missed answers it would shrink with each adjustment.
    */
   private final LatencyWindow firstPassWithTimeouts = new LatencyWindow();
 
@@ -94,7 +100,7 @@
     return isSampled() ? costRatio : 0;
   }
 
-  /** Decides anew whether two phases save more than they cost, and remembers the decision. */
+  /** Re-evaluates whether two phases save more than they cost, and stores the result. */
   boolean updatePaysOff() {
     paysOff = isSampled() && emptyShare > costRatio() + settings.minSavings();
     return paysOff;
@@ -105,7 +111,10 @@
     return paysOff;
   }
 
-  /** When a first pass that begins now has to end, for a query that must be complete at untilUs. */
+  /**
+   * Returns when a first pass that starts now must end, for a query that must be complete at {@code
+   * untilUs}.
+   */
   long firstPassEndUs(long nowUs, long untilUs) {
     long remainingUs = untilUs - nowUs;
     long limitUs = (long) (settings.firstPassShare() * remainingUs);
@@ -117,7 +126,7 @@
     return nowUs + Math.min(limitUs, Math.max(MIN_FIRST_PASS_US, expectedUs));
   }
 
-  /** Whether a full pass fits between the end of the first one and {@code untilUs}. */
+  /** Whether a full pass fits between the end of the first pass and {@code untilUs}. */
   boolean hasTimeForFullPass(long firstPassEndUs, long untilUs) {
     return !isFullPassSampled()
         || !(untilUs - firstPassEndUs < LATENCY_HEADROOM * fullPass.percentileUs(SLOW_PERCENTILE));
@@ -130,7 +139,10 @@
     emptyShare += EMPTY_SHARE_WEIGHT * ((empty ? 1 : 0) - emptyShare);
   }
 
-  /** Handles a first answer that missed the end of its pass: its latency is unknown but longer. */
+  /**
+   * Handles a first answer that missed the end of its pass; its latency is only known to exceed
+   * {@code waitedUs}.
+   */
   void onFirstAnswerTimeout(long nowUs, long waitedUs) {
     firstPassWithTimeouts.record(nowUs, LATENCY_HEADROOM * waitedUs);
   }
@@ -144,8 +156,9 @@
   }
 
   /**
-   * Compares the quick ends of both passes, where replicas have no queue. If even the quickest full
-   * answers were queued, the ratio reflects the queue more than the cost: it may only fall then.
+   * Computes the cost ratio from the low latency percentiles of both passes, which reflect replicas
+   * without a queue. If even the fastest full answers were queued, the ratio reflects the queue
+   * more than the cost, so it may only decrease.
    */
   private void updateCostRatio() {
     double quickFullUs = fullPass.percentileUs(QUICK_PERCENTILE);
--- a/src/main/java/dunlinhitch/twophase/LatencyWindow.java
+++ b/src/main/java/dunlinhitch/twophase/LatencyWindow.java
@@ -8,7 +8,7 @@
  * <p>Not thread-safe; owned by a {@link ClassEstimates}.
  */
 final class LatencyWindow {
-  /** Longer samples are recorded as this long, in microseconds. */
+  /** Upper limit for recorded samples, in microseconds; longer ones are clamped. */
   static final long MAX_LATENCY_US = 60_000_000;
 
   /** Length of one window, in microseconds. */
@@ -20,7 +20,10 @@
   private Histogram previous = new Histogram(MAX_LATENCY_US, SIGNIFICANT_DIGITS);
   private long currentEndUs;
 
-  /** Records a sample taken at {@code nowUs}; the first one past the end of a window rotates it. */
+  /**
+   * Records a sample taken at {@code nowUs}; the first sample after the end of a window rotates the
+   * windows.
+   */
   void record(long nowUs, long latencyUs) {
     if (nowUs >= currentEndUs) {
       Histogram oldest = previous;
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
@@ -6,8 +6,8 @@
  * The decision for one query: a single phase, or a first pass over some of its shards.
  *
  * @param firstPassShards shards of the first pass; empty if the query runs in a single phase
- * @param firstPassEndUs the time at which the first pass ends at the latest, in absolute
- *     microseconds; 0 for a single phase
+ * @param firstPassEndUs the latest time at which the first pass ends, in absolute microseconds; 0
+ *     for a single phase
  * @param reason the reason for the decision
  */
 public record TwoPhasePlan(Set<Integer> firstPassShards, long firstPassEndUs, Reason reason) {
@@ -25,13 +25,13 @@
     FEW_BLOCKS,
     /** One phase: the expected savings do not cover the cost of the first pass. */
     DOES_NOT_PAY,
-    /** One phase: what remains after a first pass is too short for the full pass. */
+    /** One phase: the time that remains after a first pass is too short for the full pass. */
     TOO_LITTLE_TIME,
     /** One phase: pruning is closed after a failed audit. */
     CLOSED,
-    /** One phase: no shard has only replicas that support a first pass. */
+    /** One phase: no shard of the query supports first passes on all of its replicas. */
     ONE_PHASE_STORES,
-    /** One phase: the summaries say that every eligible block has matching records. */
+    /** One phase: according to the summaries, every eligible block has matching records. */
     KNOWN_FULL
   }
 
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
@@ -13,19 +13,19 @@
 
 /**
  * Decides whether a query runs in two phases, how long its first pass may take, which blocks that
- * pass prunes, and which prunable blocks are queried in full all the same as an audit.
+ * pass prunes, and which prunable blocks are queried in full nevertheless, as an audit.
  *
- * <p>Pure: no I/O, clock or threads; every call passes the time, in microseconds on one monotonic
- * clock. Not thread-safe; the reducer owns it.
+ * <p>Uses no I/O, clock or threads; every call passes the time, in microseconds on one monotonic
+ * clock. Owned by the reducer; not thread-safe.
  */
 public final class TwoPhasePlanner {
   private static final int MAX_BLOCKS = 1 << 20;
   private static final int MAX_PREDICATES = 256;
 
-  /** Age after which a summary gives no hint any more, in microseconds. */
+  /** Maximum age at which a summary still gives a hint, in microseconds. */
   private static final long MAX_SUMMARY_AGE_US = 30_000_000;
 
-  /** Smallest share of trials while the class has too few samples to decide by. */
+  /** Minimum share of trials while a class has too few samples for a decision. */
   private static final double MIN_INITIAL_TRIAL_SHARE = 0.25;
 
   /**
@@ -42,10 +42,10 @@
   }
 
   /**
-   * What a completed first pass leaves to be done.
+   * The result of a completed first pass.
    *
    * @param pruned blocks that are empty and need no full answer
-   * @param full blocks that are to be queried in full, in this order; includes the audited ones
+   * @param full blocks to be queried in full, in this order; includes the audited ones
    * @param audited empty blocks that are queried in full to verify the first answer
    */
   public record Outcome(Set<Integer> pruned, List<Integer> full, Set<Integer> audited) {}
@@ -56,7 +56,7 @@
    * @param queryClass name of the class
    * @param emptyShare estimated share of empty blocks
    * @param costRatio cost of a first pass as a share of the full work; 0 while unknown
-   * @param paysOff whether two phases paid by the last decision
+   * @param paysOff whether two phases paid off according to the last decision
    * @param closed whether pruning is closed after a failed audit
    * @param planCounts number of plans for each reason, since the start
    */
@@ -93,7 +93,7 @@
 
   /**
    * Returns the cost of a first pass as a share of the full work; 0 while there are too few
-   * samples. The class must be {@linkplain #isEnabled set}.
+   * samples. Two phases must be {@linkplain #isEnabled enabled} for the class.
    */
   public double costRatio(String queryClass) {
     return estimatesByClass.get(queryClass).costRatio();
@@ -105,9 +105,9 @@
    * @param nowUs the current time
    * @param queryClass name of the query's class
    * @param shards all shards of the query
-   * @param able those shards of which every replica supports a first pass
+   * @param able the shards whose replicas all support first passes
    * @param predicate text of the query's predicate
-   * @param untilUs the query's latency objective, or its deadline where that is earlier
+   * @param untilUs the query's latency objective, or its deadline if that is earlier
    * @return the plan; it never covers shards that are not in {@code able}
    */
   public TwoPhasePlan plan(
@@ -150,7 +150,7 @@
     if (!estimates.hasTimeForFullPass(firstPassEndUs, untilUs)) {
       return TwoPhasePlan.singlePhase(Reason.TOO_LITTLE_TIME);
     }
-    // a trial asks every block, for its answers are what the estimates are made of
+    // a trial includes every eligible block, because the estimates are computed from its answers
     Set<Integer> firstPass =
         paysOff ? withoutNonEmptyHint(nowUs, able, predicate) : new HashSet<>(able);
     if (firstPass.isEmpty()) {
@@ -193,7 +193,7 @@
     summaries.record(nowUs, shard, answer.version(), feature, answer.isEmpty());
   }
 
-  /** Handles a first answer that was given up after {@code waitedUs}. */
+  /** Handles a first answer that did not arrive within {@code waitedUs}. */
   public void onFirstAnswerTimeout(long nowUs, String queryClass, long waitedUs) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     if (estimates != null) {
@@ -202,8 +202,8 @@
   }
 
   /**
-   * Handles a full answer, received {@code latencyUs} after its request was sent, of a query with
-   * or without a first pass.
+   * Handles a full answer of a query with or without a first pass, received {@code latencyUs} after
+   * its request was sent.
    */
   public void onFullAnswer(long nowUs, String queryClass, long latencyUs) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
@@ -214,8 +214,8 @@
 
   /**
    * Handles the end of a first pass. A block is pruned only if its own answer within this query
-   * said that it has no matching records; at least one block is queried in full where audits are
-   * on. The blocks most likely to have records come first.
+   * reported no matching records. If audits are enabled, at least one block is queried in full. The
+   * blocks most likely to have records come first.
    *
    * @param nowUs the current time
    * @param queryClass name of the query's class
@@ -266,7 +266,7 @@
                 likelihood(nowUs, left, feature, answers)));
   }
 
-  /** Ranks a block by its number of records, or by its summary where it gave no answer. */
+  /** Ranks a block by its number of records, or by its summary if it has not answered. */
   private long likelihood(long nowUs, int shard, int feature, Map<Integer, FirstAnswer> answers) {
     FirstAnswer answer = answers.get(shard);
     if (answer != null) {
@@ -286,8 +286,8 @@
    * @param queryClass name of the query's class
    * @param shard the audited block
    * @param same whether the full answer equals the empty value of its first answer
-   * @return true if this failed audit has closed pruning, false if it was closed already or the
-   *     audit passed
+   * @return true if this audit failed and closed pruning; false if the audit passed or pruning was
+   *     already closed
    */
   public boolean onAuditAnswer(long nowUs, String queryClass, int shard, boolean same) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
@@ -300,7 +300,7 @@
     return !alreadyClosed;
   }
 
-  /** Handles a change of the replicas of a block: its summaries are discarded. */
+  /** Discards the summaries of a block after a change of its replicas. */
   public void forget(int shard) {
     summaries.forget(shard);
   }
--- a/src/main/java/dunlinhitch/twophase/TwoPhaseSettings.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhaseSettings.java
@@ -4,15 +4,15 @@
  * Settings of two-phase execution for one query class. All shares lie between 0 and 1.
  *
  * @param queryClass name of the query class
- * @param firstPassShare the largest share of the time until the latency objective (or the deadline,
- *     where that is earlier) that the first pass may take; neither 0 nor 1
- * @param minBlocks a query over fewer blocks runs in a single phase; at least 2
- * @param trialShare share of queries that run in two phases while two phases do not seem to pay
- * @param auditShare share of the prunable blocks that are queried in full all the same, to verify
+ * @param firstPassShare maximum share of the time until the latency objective (or the deadline, if
+ *     that is earlier) that the first pass may take; neither 0 nor 1
+ * @param minBlocks minimum number of blocks for two phases; at least 2
+ * @param trialShare share of queries that run in two phases as a trial while two phases are not
+ *     expected to pay off
+ * @param auditShare share of the prunable blocks that are queried in full nevertheless, to verify
  *     that they are empty
- * @param minSavings the share of the full work that must be saved for two phases to pay
- * @param closeDurationUs for how long pruning stays closed after an audit has failed, in
- *     microseconds
+ * @param minSavings minimum share of the full work that two phases must save to be used
+ * @param closeDurationUs how long pruning stays closed after a failed audit, in microseconds
  */
 public record TwoPhaseSettings(
     String queryClass,
@@ -23,7 +23,7 @@
     double minSavings,
     long closeDurationUs) {
   /**
-   * Checks the ranges.
+   * Validates the ranges of the values.
    *
    * @throws IllegalArgumentException if a value is out of its range
    */
@@ -34,7 +34,9 @@
         || !isShare(auditShare)
         || !(minSavings >= 0 && minSavings < 1)
         || closeDurationUs < 0) {
-      throw new IllegalArgumentException("settings of phases out of range");
+      throw new IllegalArgumentException(
+          "two-phase settings out of range: expected 0 < firstPassShare < 1, minBlocks >= 2,"
+              + " trialShare and auditShare from 0 to 1, 0 <= minSavings < 1 and closeDurationUs >= 0");
     }
   }
 
--- a/src/test/java/dunlinhitch/twophase/TwoPhasePlannerTest.java
+++ b/src/test/java/dunlinhitch/twophase/TwoPhasePlannerTest.java
@@ -18,7 +18,7 @@
 import net.jqwik.api.constraints.IntRange;
 import org.junit.jupiter.api.Test;
 
-/** When a query runs in two phases, and which blocks its first pass prunes. */
+/** Which queries run in two phases, and which blocks their first passes prune. */
 class TwoPhasePlannerTest {
   private static final String QUERY_CLASS = "free-search";
   private static final long SECOND_US = 1_000_000;
@@ -62,17 +62,20 @@
     trainEstimates(planner, 0.6, 2_000, 80_000);
     TwoPhasePlan plan = plan(planner, all, SECOND_US);
     assertEquals(Reason.TWO_PHASES, plan.reason());
-    assertTrue(plan.firstPassEndUs() <= nowUs + SECOND_US * 3 / 10, "a stated share of the time");
+    assertTrue(
+        plan.firstPassEndUs() <= nowUs + SECOND_US * 3 / 10,
+        "the first pass takes at most its share of the time");
     assertEquals(Reason.TOO_LITTLE_TIME, plan(planner, all, 150_000).reason());
-    assertTrue(planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "it closes");
-    assertFalse(planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "once");
+    assertTrue(
+        planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "a failed audit closes pruning");
+    assertFalse(planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "pruning is already closed");
     assertEquals(Reason.CLOSED, plan(planner, all, SECOND_US).reason());
     nowUs += 11 * SECOND_US;
     assertEquals(Reason.TWO_PHASES, plan(planner, all, SECOND_US).reason());
     assertEquals(
         Set.of(1, 2),
         plan(planner, Set.of(1, 2), SECOND_US).firstPassShards(),
-        "the fleet may be mixed");
+        "only eligible shards have a first pass");
   }
 
   @Test
@@ -90,7 +93,10 @@
     assertEquals(Reason.DOES_NOT_PAY, plan(expensivePlanner, all, SECOND_US).reason());
   }
 
-  /** If both passes are queued, the ratio of their latencies does not reflect the cost. */
+  /**
+   * If both passes are queued, the ratio of their latencies does not reflect the cost of a first
+   * pass.
+   */
   @Test
   void queueingDoesNotRaiseTheCostOfAFirstPass() {
     TwoPhasePlanner planner = planner(0, 0);
@@ -113,18 +119,21 @@
     assertEquals(
         Set.of(0, 1, 3, 4, 5),
         plan(planner, all, SECOND_US).firstPassShards(),
-        "what has something goes in full at once");
+        "a block known to have records skips the first pass");
     TwoPhasePlanner.Outcome outcome =
         planner.onFirstPassEnded(
             nowUs, QUERY_CLASS, "altos", List.of(0, 4, 5), Map.of(5, new FirstAnswer(9, "v1", "")));
-    assertEquals(Set.of(), outcome.pruned(), "known to have nothing is not said to have nothing");
-    assertEquals(List.of(5, 0, 4), outcome.full(), "the likeliest first");
+    assertEquals(Set.of(), outcome.pruned(), "a summary alone does not prune a block");
+    assertEquals(
+        List.of(5, 0, 4), outcome.full(), "the blocks most likely to have records come first");
     nowUs += 40 * SECOND_US;
     assertEquals(
-        all, plan(planner, all, SECOND_US).firstPassShards(), "an old summary says nothing");
+        all, plan(planner, all, SECOND_US).firstPassShards(), "an expired summary gives no hint");
   }
 
-  /** Whatever the answers: a block is pruned only if its own answer within this query was empty. */
+  /**
+   * For arbitrary answers, a block is pruned only if its own answer within this query was empty.
+   */
   @Property(tries = 300, seed = "20261201")
   void onlyAnEmptyFirstAnswerPrunesABlock(
       @ForAll List<@IntRange(min = -1, max = 2) Integer> recordCounts, @ForAll long seed) {
@@ -146,8 +155,10 @@
     Set<Integer> queriedOrPruned = outcome.full().stream().collect(Collectors.toSet());
     assertEquals(outcome.full().size(), queriedOrPruned.size());
     queriedOrPruned.addAll(outcome.pruned());
-    assertEquals(Set.copyOf(shards), queriedOrPruned, "each block once");
-    assertTrue(shards.isEmpty() || !outcome.full().isEmpty(), "never all of them without a look");
+    assertEquals(
+        Set.copyOf(shards), queriedOrPruned, "each block is either pruned or queried, once");
+    assertTrue(
+        shards.isEmpty() || !outcome.full().isEmpty(), "at least one block is queried in full");
     assertTrue(outcome.full().containsAll(outcome.audited()));
   }
 }
