--- a/src/main/java/dunlinhitch/concurrent/DeferredStop.java
+++ b/src/main/java/dunlinhitch/concurrent/DeferredStop.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * Stops a resource that one thread starts and another wants stopped, whichever comes first: the
- * later of {@link #started} and {@link #stop} sees the earlier, so the resource is stopped once
- * both were called. It may be stopped twice, from both threads.
+ * Stops a resource that is started by one thread and stopped by another, in either order. Once both
+ * {@link #started} and {@link #stop} have been called, the resource is stopped, because the later
+ * call always observes the earlier one. If the calls overlap, both threads may run the stop action.
  *
  * <p>Thread-safe and lock-free.
  */
@@ -15,15 +15,15 @@
   private volatile boolean stopped;
 
   /**
-   * Creates one without a resource.
+   * Creates an instance without a resource.
    *
-   * @param stopAction must tolerate two calls from two threads
+   * @param stopAction stops the resource; must tolerate concurrent calls from two threads
    */
   public DeferredStop(Consumer<? super T> stopAction) {
     this.stopAction = stopAction;
   }
 
-  /** Hands over the started resource, and stops it where that was requested before. */
+  /** Registers the started resource; stops it if a stop was already requested. */
   public void started(T startedResource) {
     resource = startedResource;
     if (stopped) {
@@ -31,7 +31,7 @@
     }
   }
 
-  /** Stops the resource now, or as soon as it is started. */
+  /** Stops the resource immediately, or as soon as it is started. */
   public void stop() {
     stopped = true;
     T current = resource;
--- a/src/main/java/dunlinhitch/concurrent/OpenResourceCounter.java
+++ b/src/main/java/dunlinhitch/concurrent/OpenResourceCounter.java
@@ -6,10 +6,11 @@
 import java.util.function.Predicate;
 
 /**
- * Counts resources that one thread opens and others close, where a closed one counts until it is
- * released. Each is subtracted once, however many threads count at the same time.
+ * Counts resources that are opened by one thread and closed by others. A closed resource stays in
+ * the count until it is released, and is subtracted exactly once even if several threads call
+ * {@link #count} concurrently.
  *
- * <p>Thread-safe; every call takes the object's lock for a short time.
+ * <p>Thread-safe; every call holds the object's lock briefly.
  */
 public final class OpenResourceCounter<T> {
   private final Deque<T> closed = new ArrayDeque<>();
@@ -17,9 +18,9 @@
   private int open;
 
   /**
-   * Creates a counter at 0.
+   * Creates a counter with the value 0.
    *
-   * @param isReleased evaluated for closed resources; once true it must stay true
+   * @param isReleased evaluated for closed resources; must remain true once it has returned true
    */
   public OpenResourceCounter(Predicate<? super T> isReleased) {
     this.isReleased = isReleased;
@@ -30,12 +31,12 @@
     open++;
   }
 
-  /** Marks a resource as closed; it counts until it is released. */
+  /** Marks a resource as closed; it stays in the count until it is released. */
   public synchronized void closed(T resource) {
     closed.add(resource);
   }
 
-  /** The number of resources that are open or closed but not released. */
+  /** Returns the number of resources that are open, or closed but not released yet. */
   public synchronized int count() {
     for (Iterator<T> candidates = closed.iterator(); candidates.hasNext(); ) {
       if (isReleased.test(candidates.next())) {
--- a/src/main/java/dunlinhitch/concurrent/PendingResult.java
+++ b/src/main/java/dunlinhitch/concurrent/PendingResult.java
@@ -4,9 +4,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The result of work on another thread, which may never arrive. It is either consumed once or
- * cancelled once, never both, however the calls of the two threads interleave: the requester
- * consumes the result or cancels the work after a timeout, and the worker learns that nobody waits.
+ * The result of work on another thread, which may never arrive. The requester consumes the result,
+ * or cancels the work after a timeout; the worker can check for cancellation. For every
+ * interleaving of the two threads, at most one of the two succeeds, and at most once.
  *
  * <p>Thread-safe and lock-free.
  */
@@ -23,13 +23,13 @@
   private final AtomicReference<State<T>> state =
       new AtomicReference<>(new State<>(Stage.PENDING, null));
 
-  /** Creates a result that is pending. */
+  /** Creates a pending result. */
   public PendingResult() {}
 
   /**
-   * Sets the result; called by the worker, once.
+   * Sets the result; called once, by the worker.
    *
-   * @return false where it was cancelled or completed before
+   * @return false if the result was already cancelled or completed
    */
   public boolean complete(T result) {
     State<T> pending = state.get();
@@ -37,7 +37,10 @@
         && state.compareAndSet(pending, new State<>(Stage.COMPLETED, result));
   }
 
-  /** The result, for the one call that consumes it; empty while pending and ever after. */
+  /**
+   * Consumes the result. Returns it to the first call after completion, and empty to all other
+   * calls.
+   */
   public Optional<T> poll() {
     State<T> completed = state.get();
     boolean consumed =
@@ -47,9 +50,9 @@
   }
 
   /**
-   * Gives up on the result, whether it is there or not.
+   * Cancels the result, whether or not it is available.
    *
-   * @return false where it was consumed or cancelled before
+   * @return false if the result was already consumed or cancelled
    */
   public boolean cancel() {
     State<T> current = state.get();
@@ -62,7 +65,7 @@
     return false;
   }
 
-  /** True once it was cancelled; long-running workers poll this. */
+  /** Returns true once the result is cancelled; polled by long-running workers. */
   public boolean isCancelled() {
     return state.get().stage() == Stage.CANCELLED;
   }
--- a/src/main/java/dunlinhitch/concurrent/SnapshotReference.java
+++ b/src/main/java/dunlinhitch/concurrent/SnapshotReference.java
@@ -3,9 +3,9 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * The latest immutable snapshot that one thread publishes for others, under an increasing version.
- * After a thread has read a snapshot, no thread reads an older one, and a snapshot that took long
- * to build does not replace a newer one.
+ * Holds the latest immutable snapshot published for other threads, with an increasing version. Once
+ * a thread has read a snapshot, no thread reads an older one, and a snapshot that took long to
+ * build does not replace a newer one.
  *
  * <p>Thread-safe and lock-free.
  */
@@ -20,17 +20,20 @@
     latest = new AtomicReference<>(new Snapshot<>(0, initial));
   }
 
-  /** The latest snapshot. A decision must read it once and use that one to its end. */
+  /** Returns the latest snapshot. A decision must read the snapshot once and use it throughout. */
   public Snapshot<T> latest() {
     return latest.get();
   }
 
-  /** Publishes a value under the next version, which is returned. */
+  /** Publishes a value under the next version, and returns that version. */
   public long publish(T value) {
     return latest.updateAndGet(before -> new Snapshot<>(before.version() + 1, value)).version();
   }
 
-  /** Publishes a value unless there is one of that version or a later one; false then. */
+  /**
+   * Publishes a value with the given version. Returns false, without effect, if the current version
+   * is the same or newer.
+   */
   public boolean publishIfNewer(long version, T value) {
     Snapshot<T> candidate = new Snapshot<>(version, value);
     Snapshot<T> current = latest.get();
--- a/src/main/java/dunlinhitch/concurrent/package-info.java
+++ b/src/main/java/dunlinhitch/concurrent/package-info.java
@@ -1,8 +1,7 @@
 /**
- * Hand-off of objects between threads: the few places of the broker where two threads meet.
+ * Classes for the safe hand-off of objects between the threads of a broker.
  *
- * <p>Every class here is thread-safe and linearizable; the tests check all interleavings of two
- * threads with a model checker. This package depends on nothing but the JDK, reads no clock and
- * starts no threads.
+ * <p>Every class is thread-safe and linearizable; the tests check interleavings of two threads with
+ * a model checker. This package depends only on the JDK, reads no clock and starts no threads.
  */
 package dunlinhitch.concurrent;
--- a/src/test/java/dunlinhitch/concurrent/HandOffTest.java
+++ b/src/test/java/dunlinhitch/concurrent/HandOffTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Linearizability of each class under all interleavings of two threads, by Lincheck's model
- * checker. Beside each class stands an incorrect one with the mistake that is easiest to make,
- * which the model checker must find.
+ * Checks that each class is linearizable under interleavings of two threads, with Lincheck's model
+ * checker. For each class, the test also checks an incorrect variant with a typical mistake, which
+ * the model checker must find.
  */
 class HandOffTest {
   private static void check(Class<?> structure) {
@@ -35,7 +35,7 @@
     assertThrows(LincheckAssertionError.class, () -> check(structure));
   }
 
-  /** The operations of {@link SnapshotReference}. */
+  /** Operations on a {@link SnapshotReference}. */
   @Param(name = "version", gen = IntGen.class, conf = "1:3")
   public static class SnapshotReferenceCalls {
     private final SnapshotReference<Integer> reference = new SnapshotReference<>(0);
@@ -61,7 +61,7 @@
     check(SnapshotReferenceCalls.class);
   }
 
-  /** A lost update: two threads read one version and both write the next. */
+  /** Lost update: two threads read the same version and both write the next one. */
   @SuppressWarnings("NonAtomicVolatileUpdate") // the mistake that the model checker must find
   public static class PublishWithLostUpdate {
     private volatile long version;
@@ -99,7 +99,7 @@
     checkFails(PublishWithCheckThenSet.class);
   }
 
-  /** The operations of {@link PendingResult}. */
+  /** Operations on a {@link PendingResult}. */
   @Param(name = "result", gen = IntGen.class, conf = "1:3")
   public static class PendingResultCalls {
     private final PendingResult<Integer> work = new PendingResult<>();
@@ -130,7 +130,10 @@
     check(PendingResultCalls.class);
   }
 
-  /** Check-then-set: two may consume the result, or one consumes what the other cancelled. */
+  /**
+   * Check-then-set: two threads may both consume the result, or one may consume a result that the
+   * other has cancelled.
+   */
   @Param(name = "result", gen = IntGen.class, conf = "1:3")
   public static class PendingResultWithCheckThenSet {
     private volatile int result;
@@ -161,7 +164,7 @@
     checkFails(PendingResultWithCheckThenSet.class);
   }
 
-  /** The operations of {@link DeferredStop}. */
+  /** Operations on a {@link DeferredStop}. */
   public static class DeferredStopCalls {
     private final AtomicBoolean resourceStopped = new AtomicBoolean();
     private final AtomicInteger calls = new AtomicInteger();
@@ -182,7 +185,7 @@
     @Validate
     public void isStoppedAfterBothCalls() {
       if (calls.get() == 2 && !resourceStopped.get()) {
-        throw new IllegalStateException("it goes on");
+        throw new IllegalStateException("the resource was not stopped after both calls");
       }
     }
   }
@@ -192,7 +195,9 @@
     check(DeferredStopCalls.class);
   }
 
-  /** Check-then-set: looks for a stop before the resource is visible to the other thread. */
+  /**
+   * Check-then-set: checks for a stop request before the resource is visible to the other thread.
+   */
   public static class DeferredStopWithCheckThenSet {
     private final AtomicBoolean resourceStopped = new AtomicBoolean();
     private final AtomicInteger calls = new AtomicInteger();
@@ -221,7 +226,7 @@
     @Validate
     public void isStoppedAfterBothCalls() {
       if (calls.get() == 2 && !resourceStopped.get()) {
-        throw new IllegalStateException("it goes on");
+        throw new IllegalStateException("the resource was not stopped after both calls");
       }
     }
   }
@@ -231,7 +236,7 @@
     checkFails(DeferredStopWithCheckThenSet.class);
   }
 
-  /** The operations of {@link OpenResourceCounter}. */
+  /** Operations on an {@link OpenResourceCounter}. */
   public static class OpenResourceCounterCalls {
     private final OpenResourceCounter<Integer> counter = new OpenResourceCounter<>(it -> true);
 
@@ -256,7 +261,7 @@
     check(OpenResourceCounterCalls.class);
   }
 
-  /** Subtracts each released resource where it is found, and two threads may find the same one. */
+  /** Two threads that count concurrently may both subtract the same released resource. */
   public static class CounterWithDoubleSubtraction {
     private final AtomicInteger open = new AtomicInteger(1);
     private final Queue<Integer> closed = new ConcurrentLinkedQueue<>();
