--- a/src/main/java/dunlinhitch/core/AttemptLog.java
+++ b/src/main/java/dunlinhitch/core/AttemptLog.java
@@ -25,13 +25,13 @@
     secondBeganUs = context.nowUs();
   }
 
-  /** An attempt of an open part beyond its first is about to be sent. */
+  /** Logs an attempt that is about to be sent and is not the first of its part. */
   void onRepeated(InFlightAttempt attempt) {
     counters.add(Counter.ATTEMPTS_REPEATED);
     write(subject(attempt) + " is a retry or hedged attempt");
   }
 
-  /** An attempt ended without an answer. */
+  /** Logs the end of an attempt, unless it was answered, superseded, or its part is closed. */
   void onEnded(InFlightAttempt attempt, AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MOOT || attempt.part().closed) {
       return;
@@ -39,7 +39,7 @@
     write(subject(attempt) + " ended with outcome " + outcome + " after " + ageMs(attempt) + " ms");
   }
 
-  /** The endpoint of an unconfirmed attempt no longer holds it. */
+  /** Logs that the endpoint of an unconfirmed attempt no longer holds it. */
   void onReleased(InFlightAttempt attempt) {
     write(
         subject(attempt)
