--- a/src/main/java/dunlinhitch/core/AttemptLog.java
+++ b/src/main/java/dunlinhitch/core/AttemptLog.java
@@ -15,14 +15,14 @@
 
   private final TurnContext context;
   private final Counters counters;
-  private long secondBeganUs;
+  private long secondStartUs;
   private int linesThisSecond;
   private long omittedLines;
 
   AttemptLog(TurnContext context, Counters counters) {
     this.context = context;
     this.counters = counters;
-    secondBeganUs = context.nowUs();
+    secondStartUs = context.nowUs();
   }
 
   /** Logs an attempt that is about to be sent and is not the first of its part. */
@@ -62,8 +62,8 @@
   }
 
   private void write(String line) {
-    if (context.nowUs() - secondBeganUs >= SECOND_US) {
-      secondBeganUs = context.nowUs();
+    if (context.nowUs() - secondStartUs >= SECOND_US) {
+      secondStartUs = context.nowUs();
       linesThisSecond = 0;
     }
     if (linesThisSecond >= LINES_PER_SECOND) {
--- a/src/main/java/dunlinhitch/core/AttemptStage.java
+++ b/src/main/java/dunlinhitch/core/AttemptStage.java
@@ -23,7 +23,7 @@
   private final SendGuard guard;
   private final RequestBatcher batcher;
   private final AttemptLog log;
-  private long lastAttempt;
+  private long lastAttemptId;
 
   AttemptStage(ReducerState state, AttemptObserver observer) {
     context = state.context();
@@ -58,7 +58,8 @@
     }
     InFlightAttempt.Key key = new InFlightAttempt.Key(part.number, ordinal);
     InFlightAttempt attempt =
-        new InFlightAttempt(++lastAttempt, part, key, endpoint, context.nowUs(), part.inFirstPass);
+        new InFlightAttempt(
+            ++lastAttemptId, part, key, endpoint, context.nowUs(), part.inFirstPass);
     start(attempt, dueUs);
   }
 
--- a/src/main/java/dunlinhitch/core/EndpointStage.java
+++ b/src/main/java/dunlinhitch/core/EndpointStage.java
@@ -194,8 +194,8 @@
   private void updateStart(TrackedEndpoint tracked, Endpoint endpoint, boolean announced) {
     if (announced) {
       tracked.startedUs = endpoint.startedUs();
-    } else if (tracked.startSeenUs != endpoint.startedUs()) {
-      tracked.startSeenUs = endpoint.startedUs();
+    } else if (tracked.reportedStartUs != endpoint.startedUs()) {
+      tracked.reportedStartUs = endpoint.startedUs();
       tracked.startedUs = startTimes.localStartUs(endpoint.startedUs(), context.nowUs());
     }
   }
--- a/src/main/java/dunlinhitch/core/HealthCheckStage.java
+++ b/src/main/java/dunlinhitch/core/HealthCheckStage.java
@@ -14,7 +14,7 @@
   private final BalancerGateway balancer;
   private final DeferredEvents deferredEvents;
   private final HealthCheckCoordinator coordinator;
-  private long lastHealthCheck;
+  private long lastHealthCheckId;
 
   HealthCheckStage(
       ReducerState state, BalancerGateway balancer, HealthCheckCoordinator coordinator) {
@@ -46,7 +46,8 @@
 
   /** Sends a health check to an endpoint immediately. */
   void send(TrackedEndpoint endpoint) {
-    PendingHealthCheck check = new PendingHealthCheck(++lastHealthCheck, endpoint, context.nowUs());
+    PendingHealthCheck check =
+        new PendingHealthCheck(++lastHealthCheckId, endpoint, context.nowUs());
     registry.healthChecks.put(check.id(), check);
     timers.schedule(
         context.nowUs() + context.settings().limits().connectTimeoutUs(),
--- a/src/main/java/dunlinhitch/core/QueryRequest.java
+++ b/src/main/java/dunlinhitch/core/QueryRequest.java
@@ -68,7 +68,8 @@
   }
 
   /** Returns this request with its class replaced by the class's current definition. */
-  public QueryRequest under(QueryClass now) {
-    return new QueryRequest(id, key, now, tenant, deadlineUs, isRepeat, parts, text, showPruned);
+  public QueryRequest withQueryClass(QueryClass current) {
+    return new QueryRequest(
+        id, key, current, tenant, deadlineUs, isRepeat, parts, text, showPruned);
   }
 }
--- a/src/main/java/dunlinhitch/core/QueryStage.java
+++ b/src/main/java/dunlinhitch/core/QueryStage.java
@@ -55,7 +55,7 @@
         event
             .request()
             .dueBy(lifecycle.drainDeadlineUs())
-            .under(
+            .withQueryClass(
                 queryClass < 0 ? event.request().queryClass() : settings.classes().get(queryClass));
     counters.add(Counter.QUERIES_RECEIVED);
     int tenant = context.tenantIndex(request.tenant());
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -53,35 +53,35 @@
    * Creates the reducer of a single broker.
    *
    * @param settings the initial settings
-   * @param membership rules for endpoint claims; null for the defaults derived from the layout
-   * @param inTwoPhases settings of the classes that may use two phases
+   * @param claimSettings rules for endpoint claims; null for the defaults derived from the layout
+   * @param twoPhaseSettings settings of the classes that may use two phases
    * @param seed seed for all random choices
    * @param nowUs the time of creation, in microseconds
    */
   public Reducer(
       Settings settings,
-      EndpointRegistrySettings membership,
-      List<TwoPhaseSettings> inTwoPhases,
+      EndpointRegistrySettings claimSettings,
+      List<TwoPhaseSettings> twoPhaseSettings,
       long seed,
       long nowUs) {
-    this(settings, membership, inTwoPhases, null, seed, nowUs);
+    this(settings, claimSettings, twoPhaseSettings, null, seed, nowUs);
   }
 
   /**
    * Creates the reducer of a broker that may be part of a cluster.
    *
    * @param settings the initial settings
-   * @param membership rules for endpoint claims; null for the defaults derived from the layout
-   * @param inTwoPhases settings of the classes that may use two phases
-   * @param place this broker's identity in its cluster; null for a single broker
+   * @param claimSettings rules for endpoint claims; null for the defaults derived from the layout
+   * @param twoPhaseSettings settings of the classes that may use two phases
+   * @param clusterIdentity this broker's identity in its cluster; null for a single broker
    * @param seed seed for all random choices
    * @param nowUs the time of creation, in microseconds
    */
   public Reducer(
       Settings settings,
-      EndpointRegistrySettings membership,
-      List<TwoPhaseSettings> inTwoPhases,
-      ClusterIdentity place,
+      EndpointRegistrySettings claimSettings,
+      List<TwoPhaseSettings> twoPhaseSettings,
+      ClusterIdentity clusterIdentity,
       long seed,
       long nowUs) {
     context = new TurnContext(settings, nowUs);
@@ -90,21 +90,26 @@
     lifecycle = new LifecycleStage(state);
     attempts = new AttemptStage(state, this::onAttemptEnded);
     healthChecks = new HealthCheckStage(state, balancer, new ClusterHealthChecks());
-    cluster = place == null ? null : new ClusterStage(place, seed, state, balancer, healthChecks);
+    cluster =
+        clusterIdentity == null
+            ? null
+            : new ClusterStage(clusterIdentity, seed, state, balancer, healthChecks);
     endpoints =
         new EndpointStage(
-            state, membership, cluster == null ? balancer::deliver : cluster::onEndpointsChanged);
+            state,
+            claimSettings,
+            cluster == null ? balancer::deliver : cluster::onEndpointsChanged);
     QueryCompletion completion = new QueryCompletion(state, outcomes, this::onQueryClosed);
     FirstPassClasses firstPassClasses =
-        inTwoPhases.isEmpty() ? null : new FirstPassClasses(context, inTwoPhases);
+        twoPhaseSettings.isEmpty() ? null : new FirstPassClasses(context, twoPhaseSettings);
     configuration =
         new ConfigurationStage(
             state, balancer, outcomes, firstPassClasses, this::onSettingsReloaded);
     twoPhases =
-        inTwoPhases.isEmpty()
+        twoPhaseSettings.isEmpty()
             ? null
             : new TwoPhaseStage(
-                new TwoPhasePlanner(inTwoPhases, new SplittableRandom(seed)),
+                new TwoPhasePlanner(twoPhaseSettings, new SplittableRandom(seed)),
                 configuration,
                 state,
                 balancer,
--- a/src/main/java/dunlinhitch/core/SendGuard.java
+++ b/src/main/java/dunlinhitch/core/SendGuard.java
@@ -74,10 +74,10 @@
       return null;
     }
     QueryClass queryClass = part.query.request.queryClass();
-    boolean windowOver =
+    boolean windowExpired =
         queryClass.idempotency() == Idempotency.GUARDED
             && context.nowUs() > part.earliestExecutionUs + queryClass.dedupWindowUs();
-    return windowOver || queryClass.idempotency() == Idempotency.SINGLE_SHOT
+    return windowExpired || queryClass.idempotency() == Idempotency.SINGLE_SHOT
         ? "an earlier attempt of it may have been executed and must not be repeated"
         : null;
   }
--- a/src/main/java/dunlinhitch/core/TimerQueue.java
+++ b/src/main/java/dunlinhitch/core/TimerQueue.java
@@ -48,17 +48,17 @@
    * already due.
    */
   void fireDue(long nowUs, Handler handler) {
-    long lastOfTurn = lastSequence;
-    List<Timer> setMeanwhile = new ArrayList<>();
+    long lastSequenceBefore = lastSequence;
+    List<Timer> scheduledByHandlers = new ArrayList<>();
     while (!timers.isEmpty() && timers.peek().atUs() <= nowUs) {
       Timer timer = timers.poll();
-      if (timer.sequence() > lastOfTurn) {
-        setMeanwhile.add(timer);
+      if (timer.sequence() > lastSequenceBefore) {
+        scheduledByHandlers.add(timer);
         continue;
       }
       handler.onTimer(timer.kind(), timer.id());
     }
-    timers.addAll(setMeanwhile);
+    timers.addAll(scheduledByHandlers);
   }
 
   /** When the next timer is due, in microseconds; {@link Long#MAX_VALUE} if there is none. */
--- a/src/main/java/dunlinhitch/core/TrackedEndpoint.java
+++ b/src/main/java/dunlinhitch/core/TrackedEndpoint.java
@@ -20,7 +20,7 @@
    * The start time most recently reported by discovery, Unix time in microseconds; 0 means long
    * ago.
    */
-  long startSeenUs;
+  long reportedStartUs;
 
   /**
    * The earliest time at which the notification of the last change from or to {@code READY} may
--- a/src/main/java/dunlinhitch/twophase/ClassEstimates.java
+++ b/src/main/java/dunlinhitch/twophase/ClassEstimates.java
@@ -178,8 +178,8 @@
     closedUntilUs = nowUs + settings.closeDurationUs();
   }
 
-  void countPlan(Reason why) {
-    planCounts.merge(why, 1L, Long::sum);
+  void countPlan(Reason reason) {
+    planCounts.merge(reason, 1L, Long::sum);
   }
 
   /** Number of plans for each reason, since the start. */
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
@@ -45,7 +45,7 @@
     return !firstPassShards.isEmpty();
   }
 
-  static TwoPhasePlan singlePhase(Reason why) {
-    return new TwoPhasePlan(Set.of(), 0, why);
+  static TwoPhasePlan singlePhase(Reason reason) {
+    return new TwoPhasePlan(Set.of(), 0, reason);
   }
 }
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
@@ -105,23 +105,23 @@
    * @param nowUs the current time
    * @param queryClass name of the query's class
    * @param shards all shards of the query
-   * @param able the shards whose replicas all support first passes
+   * @param eligible the shards whose replicas all support first passes
    * @param predicate text of the query's predicate
    * @param untilUs the query's latency objective, or its deadline if that is earlier
-   * @return the plan; it never covers shards that are not in {@code able}
+   * @return the plan; it never covers shards that are not in {@code eligible}
    */
   public TwoPhasePlan plan(
       long nowUs,
       String queryClass,
       Collection<Integer> shards,
-      Set<Integer> able,
+      Set<Integer> eligible,
       String predicate,
       long untilUs) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     if (estimates == null) {
       return TwoPhasePlan.singlePhase(Reason.NOT_SET);
     }
-    TwoPhasePlan plan = plan(nowUs, estimates, shards.size(), able, predicate, untilUs);
+    TwoPhasePlan plan = plan(nowUs, estimates, shards.size(), eligible, predicate, untilUs);
     estimates.countPlan(plan.reason());
     return plan;
   }
@@ -130,7 +130,7 @@
       long nowUs,
       ClassEstimates estimates,
       int blocks,
-      Set<Integer> able,
+      Set<Integer> eligible,
       String predicate,
       long untilUs) {
     if (blocks < estimates.settings().minBlocks()) {
@@ -139,7 +139,7 @@
     if (estimates.isClosed(nowUs)) {
       return TwoPhasePlan.singlePhase(Reason.CLOSED);
     }
-    if (able.isEmpty()) {
+    if (eligible.isEmpty()) {
       return TwoPhasePlan.singlePhase(Reason.ONE_PHASE_STORES);
     }
     boolean paysOff = estimates.updatePaysOff();
@@ -152,7 +152,7 @@
     }
     // a trial includes every eligible block, because the estimates are computed from its answers
     Set<Integer> firstPass =
-        paysOff ? withoutNonEmptyHint(nowUs, able, predicate) : new HashSet<>(able);
+        paysOff ? withoutNonEmptyHint(nowUs, eligible, predicate) : new HashSet<>(eligible);
     if (firstPass.isEmpty()) {
       return TwoPhasePlan.singlePhase(Reason.KNOWN_FULL);
     }
@@ -165,10 +165,10 @@
         < (estimates.isSampled() ? trialShare : Math.max(MIN_INITIAL_TRIAL_SHARE, trialShare));
   }
 
-  private Set<Integer> withoutNonEmptyHint(long nowUs, Set<Integer> able, String predicate) {
+  private Set<Integer> withoutNonEmptyHint(long nowUs, Set<Integer> eligible, String predicate) {
     int feature = BlockSummaries.hash(predicate);
     Set<Integer> shards = new HashSet<>();
-    for (int shard : able) {
+    for (int shard : eligible) {
       if (summaries.hint(nowUs, shard, feature) != Hint.SOMETHING) {
         shards.add(shard);
       }
@@ -220,14 +220,14 @@
    * @param nowUs the current time
    * @param queryClass name of the query's class
    * @param predicate text of the query's predicate
-   * @param asked shards of the first pass
+   * @param firstPassShards shards of the first pass
    * @param answers the answers that arrived in time, by shard
    */
   public Outcome onFirstPassEnded(
       long nowUs,
       String queryClass,
       String predicate,
-      Collection<Integer> asked,
+      Collection<Integer> firstPassShards,
       Map<Integer, FirstAnswer> answers) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
     // pruning may have closed while this pass was in flight
@@ -235,7 +235,7 @@
     List<Integer> full = new ArrayList<>();
     Set<Integer> pruned = new HashSet<>();
     Set<Integer> audited = new HashSet<>();
-    for (int shard : asked) {
+    for (int shard : firstPassShards) {
       FirstAnswer answer = answers.get(shard);
       if (closed || answer == null || !answer.isEmpty()) {
         full.add(shard);
@@ -245,9 +245,13 @@
         pruned.add(shard);
       }
     }
-    boolean allPruned = !asked.isEmpty() && pruned.size() == asked.size();
+    boolean allPruned = !firstPassShards.isEmpty() && pruned.size() == firstPassShards.size();
     if (allPruned && estimates.settings().auditShare() > 0) {
-      int shard = asked.stream().skip(random.nextInt(asked.size())).findFirst().orElseThrow();
+      int shard =
+          firstPassShards.stream()
+              .skip(random.nextInt(firstPassShards.size()))
+              .findFirst()
+              .orElseThrow();
       pruned.remove(shard);
       audited.add(shard);
     }
@@ -285,13 +289,13 @@
    * @param nowUs the current time
    * @param queryClass name of the query's class
    * @param shard the audited block
-   * @param same whether the full answer equals the empty value of its first answer
+   * @param confirmed whether the full answer equals the empty value of its first answer
    * @return true if this audit failed and closed pruning; false if the audit passed or pruning was
    *     already closed
    */
-  public boolean onAuditAnswer(long nowUs, String queryClass, int shard, boolean same) {
+  public boolean onAuditAnswer(long nowUs, String queryClass, int shard, boolean confirmed) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
-    if (same || estimates == null) {
+    if (confirmed || estimates == null) {
       return false;
     }
     summaries.forget(shard);
--- a/src/test/java/dunlinhitch/concurrent/HandOffTest.java
+++ b/src/test/java/dunlinhitch/concurrent/HandOffTest.java
@@ -168,7 +168,8 @@
   public static class DeferredStopCalls {
     private final AtomicBoolean resourceStopped = new AtomicBoolean();
     private final AtomicInteger calls = new AtomicInteger();
-    private final DeferredStop<AtomicBoolean> deferredStop = new DeferredStop<>(it -> it.set(true));
+    private final DeferredStop<AtomicBoolean> deferredStop =
+        new DeferredStop<>(resource -> resource.set(true));
 
     @Operation(runOnce = true)
     public void started() {
@@ -216,9 +217,9 @@
     @Operation(runOnce = true)
     public void stop() {
       stopped = true;
-      AtomicBoolean it = started;
-      if (it != null) {
-        it.set(true);
+      AtomicBoolean current = started;
+      if (current != null) {
+        current.set(true);
       }
       calls.incrementAndGet();
     }
@@ -238,7 +239,8 @@
 
   /** Operations on an {@link OpenResourceCounter}. */
   public static class OpenResourceCounterCalls {
-    private final OpenResourceCounter<Integer> counter = new OpenResourceCounter<>(it -> true);
+    private final OpenResourceCounter<Integer> counter =
+        new OpenResourceCounter<>(resource -> true);
 
     @Operation
     public void opened() {
@@ -273,7 +275,7 @@
     @Operation
     public int count() {
       closed.removeIf(
-          it -> {
+          resource -> {
             open.decrementAndGet();
             return true;
           });
--- a/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
@@ -123,7 +123,7 @@
    * endpoints must not receive cancellations for attempts that were already sent.
    */
   @Test
-  void unsentAttemptsAreWithdrawnWhereCancellingIsNotAllowed() {
+  void unsentAttemptsAreWithdrawnWhenCancellationIsDisabled() {
     Reducer withoutCancelling = reducerWithoutCancelling();
     effects.addAll(
         withoutCancelling.turn(
@@ -170,19 +170,19 @@
   }
 
   private Reducer reducerWithoutCancelling() {
-    Reducer made =
+    Reducer created =
         new Reducer(
             settingsWith(
                 BrokerFixture.settings(40), BrokerFixture.settings(40).classes(), 4, false),
             7,
             now);
-    made.turn(now, List.of(bothEndpointsListed()));
-    return made;
+    created.turn(now, List.of(bothEndpointsListed()));
+    return created;
   }
 
   /** A reload that lowers the limit applies to open queries; one that raises it does not. */
   @Test
-  void theAttemptLimitIsTheLowestOfTheSettingsThatAQueryMet() {
+  void theAttemptLimitIsTheLowestInEffectWhileTheQueryIsOpen() {
     listBothEndpoints();
     turn(queryReceived(1, 0, 1));
     turn(
--- a/src/test/java/dunlinhitch/core/AttemptLogTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptLogTest.java
@@ -22,7 +22,7 @@
   }
 
   @Test
-  void aFailedAttemptAndItsRetryAreNamed() {
+  void aFailedAttemptAndItsRetryAreLogged() {
     listBothEndpoints();
     turn(queryReceived(1, 0, 1));
     now += 30_000;
@@ -41,7 +41,7 @@
   }
 
   @Test
-  void aSecondHasTenLinesAndTheNextTellsHowManyWereLeftOut() {
+  void atMostTenLinesPerSecondAreWrittenAndTheRestIsCounted() {
     QueryRequest request = ((Event.QueryReceived) queryReceived(1, 0, 1)).request();
     InFlightPart part =
         new InFlightPart(2, new InFlightQuery(1, 1, request, 4), request.parts().get(0));
--- a/src/test/java/dunlinhitch/core/AttemptStageTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptStageTest.java
@@ -57,7 +57,7 @@
         settings.clientsMarkRetries());
   }
 
-  private InFlightPart part(Idempotency repeat) {
+  private InFlightPart part(Idempotency idempotency) {
     for (int endpoint = 1; endpoint <= 2; endpoint++) {
       registry.endpoints.put(
           endpoint,
@@ -75,7 +75,7 @@
                   Endpoint.Protocol.FRAMES)));
     }
     QueryClass queryClass =
-        new QueryClass("c", 700_000, 0, 2_000_000, repeat, 0, WINDOW_US, 1, false, 0, 1, 1, 1);
+        new QueryClass("c", 700_000, 0, 2_000_000, idempotency, 0, WINDOW_US, 1, false, 0, 1, 1, 1);
     InFlightQuery query =
         new InFlightQuery(
             1,
--- a/src/test/java/dunlinhitch/core/ClusterStageTest.java
+++ b/src/test/java/dunlinhitch/core/ClusterStageTest.java
@@ -129,7 +129,7 @@
    * removed from the subset is replaced.
    */
   @Test
-  void queriesGoToTheSubsetAndItFollowsTheCluster() {
+  void queriesGoToTheSubsetWhichFollowsTheCluster() {
     listAllEndpoints();
     assertEquals(ENDPOINTS, endpointsUsed().size());
     for (int broker = 1; broker < 12; broker++) {
@@ -274,10 +274,10 @@
                 new EndpointObservation("s0", 0, "n9", 1 + i, now, List.of(9f, 3f), 0)));
       }
     }
-    long wanted =
+    long requested =
         reducer.counters().get(Counter.HEALTH_CHECKS_OWN)
             + reducer.counters().get(Counter.HEALTH_CHECKS_DELEGATED);
-    assertTrue(wanted > 0, "the load balancer requested no health checks");
+    assertTrue(requested > 0, "the load balancer requested no health checks");
     assertEquals(checkedAt.size(), reducer.counters().get(Counter.HEALTH_CHECKS_SENT));
     assertTrue(
         checkedAt.size() <= 3 * ENDPOINTS,
--- a/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
+++ b/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
@@ -56,13 +56,13 @@
 
   /** Creates a class with the latency objective and deadline of another. */
   private static QueryClass searchClass(
-      String name, QueryClass times, Idempotency repeat, double floor) {
+      String name, QueryClass template, Idempotency idempotency, double floor) {
     return new QueryClass(
         name,
-        times.latencyObjectiveUs(),
+        template.latencyObjectiveUs(),
         0,
-        times.deadlineUs(),
-        repeat,
+        template.deadlineUs(),
+        idempotency,
         0.1,
         0,
         3,
@@ -89,13 +89,13 @@
   }
 
   private static QueryClass withIdempotency(
-      QueryClass queryClass, Idempotency repeat, long windowUs) {
+      QueryClass queryClass, Idempotency idempotency, long windowUs) {
     return new QueryClass(
         queryClass.name(),
         queryClass.latencyObjectiveUs(),
         0,
         queryClass.deadlineUs(),
-        repeat,
+        idempotency,
         queryClass.lateWeight(),
         windowUs,
         queryClass.priorityWeight(),
--- a/src/test/java/dunlinhitch/core/EndpointStageTest.java
+++ b/src/test/java/dunlinhitch/core/EndpointStageTest.java
@@ -183,7 +183,7 @@
    * no grace period in this case either.
    */
   @Test
-  void lostContactCountsThoughItEndsInTheTurnThatReportsIt() {
+  void lostContactCountsEvenIfItIsRestoredInTheSameTurn() {
     Event drain =
         new Event.EndpointsUpdated(
             ServerListKind.DELTA, List.of(endpoint("a", 0, ServerState.DRAINING)));
--- a/src/test/java/dunlinhitch/core/HealthCheckStageTest.java
+++ b/src/test/java/dunlinhitch/core/HealthCheckStageTest.java
@@ -34,8 +34,8 @@
     }
     assertTrue(effectsOf(Effect.SendHealthCheck.class).size() > 0);
     runFor(SECOND);
-    long probe = effectsOf(Effect.SendHealthCheck.class).get(0).healthCheck();
-    turn(new Event.HealthCheckCompleted(probe, AttemptOutcome.OK, new float[] {1, 0}));
+    long healthCheck = effectsOf(Effect.SendHealthCheck.class).get(0).healthCheck();
+    turn(new Event.HealthCheckCompleted(healthCheck, AttemptOutcome.OK, new float[] {1, 0}));
     assertEquals(0, reducer.counters().get(Counter.FAULTS));
   }
 }
--- a/src/test/java/dunlinhitch/core/OperatorStageTest.java
+++ b/src/test/java/dunlinhitch/core/OperatorStageTest.java
@@ -13,7 +13,7 @@
 class OperatorStageTest extends ReducerTestSupport {
   /** The endpoint is removed from the list, returns as ready and still receives no attempts. */
   @Test
-  void aDisabledEndpointStaysDisabledWhateverTheListSays() {
+  void aDisabledEndpointStaysDisabledRegardlessOfTheList() {
     listBothEndpoints();
     turn(
         new Event.EndpointDisableRequested(1, "a", true),
--- a/src/test/java/dunlinhitch/core/ReducerTest.java
+++ b/src/test/java/dunlinhitch/core/ReducerTest.java
@@ -74,7 +74,7 @@
    * disconnects, in either order.
    */
   @Test
-  void anAttemptHasOneOutcomeWhateverElseTheSameTurnHolds() {
+  void anAttemptHasOneOutcomeRegardlessOfOtherEventsInTheTurn() {
     for (boolean answerFirst : new boolean[] {true, false}) {
       Reducer reducer = new Reducer(BrokerFixture.settings(40), 7, now);
       reducer.turn(now, List.of(bothEndpointsListed()));
--- a/src/test/java/dunlinhitch/core/ReducerTestSupport.java
+++ b/src/test/java/dunlinhitch/core/ReducerTestSupport.java
@@ -28,16 +28,16 @@
     effects.addAll(reducer.turn(now, List.of(events)));
   }
 
-  void runFor(long us) {
-    for (long end = now + us; now < end; now += 5_000) {
+  void runFor(long durationUs) {
+    for (long end = now + durationUs; now < end; now += 5_000) {
       turn();
     }
   }
 
   /** Like {@link #runFor}, with endpoints that read each cancellation before the next turn. */
-  void runForWithPromptEndpoints(long us) {
+  void runForWithPromptEndpoints(long durationUs) {
     int handled = effects.size();
-    for (long end = now + us; now < end; now += 5_000) {
+    for (long end = now + durationUs; now < end; now += 5_000) {
       List<Event> released = releasesOf(effects.subList(handled, effects.size()));
       handled = effects.size();
       turn(released.toArray(Event[]::new));
@@ -99,11 +99,11 @@
   }
 
   /** The number of attempts sent to an endpoint in a turn. */
-  long attemptsSentTo(List<Effect> turn, int store) {
+  long attemptsSentTo(List<Effect> turn, int endpointNumber) {
     return turn.stream()
         .filter(SendRequest.class::isInstance)
         .map(SendRequest.class::cast)
-        .filter(c -> c.endpoint() == store)
+        .filter(c -> c.endpoint() == endpointNumber)
         .mapToLong(c -> c.parts().size())
         .sum();
   }
--- a/src/test/java/dunlinhitch/core/StartTimesTest.java
+++ b/src/test/java/dunlinhitch/core/StartTimesTest.java
@@ -21,7 +21,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {HOUR, 5 * SECOND, 0, -5 * SECOND, -HOUR})
-  void aNewStartLiesBeforeTheMomentAtWhichItWasSeen(long aheadUs) {
+  void aStartPrecedesTheTimeAtWhichItIsFirstSeen(long aheadUs) {
     StartTimes times = new StartTimes();
     times.onListReceived();
     long reportedUs = now - aheadUs;
@@ -39,7 +39,7 @@
    * stay cold until then.
    */
   @Test
-  void theFirstListHasNoStartsInTheFuture() {
+  void startsInTheFirstListAreLimitedToTheCurrentTime() {
     StartTimes times = new StartTimes();
     assertEquals(now, times.localStartUs(now + HOUR, now));
     assertEquals(now - HOUR, times.localStartUs(now - HOUR, now));
@@ -76,7 +76,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {HOUR, -HOUR})
-  void whatHasJustStartedIsWarmingUpWhateverTheWallClockSays(long aheadUs) {
+  void aRestartedEndpointIsInWarmUpDespiteClockDifferences(long aheadUs) {
     listBothEndpoints();
     restartBoth(now - aheadUs);
     assertTrue(partsSent() < PARTS, "endpoints in warm-up were sent the load of warm ones");
@@ -84,7 +84,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {HOUR, -HOUR})
-  void itIsWarmAfterItsTimeWhateverTheWallClockSays(long aheadUs) {
+  void aRestartedEndpointIsWarmAfterItsWarmUpDespiteClockDifferences(long aheadUs) {
     listBothEndpoints();
     restartBoth(now - aheadUs);
     runFor(18 * SECOND);
@@ -93,7 +93,7 @@
 
   /** A later list reports the same start again. */
   @Test
-  void aStartThatIsReportedAgainKeepsItsTime() {
+  void aStartThatIsReportedAgainIsNotANewStart() {
     listBothEndpoints();
     restartBoth(now - HOUR);
     runFor(18 * SECOND);
--- a/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
+++ b/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
@@ -92,15 +92,15 @@
 
   /** Creates a reducer with two phases for the first class and the given endpoints. */
   private Reducer reducerOf(Endpoint... endpoints) {
-    Reducer made =
+    Reducer created =
         new Reducer(
             BrokerFixture.settings(300),
             null,
             List.of(new TwoPhaseSettings("free-search", 0.3, 2, 1, 0, 0.05, SECOND)),
             7,
             now);
-    made.turn(now, List.of(new Event.EndpointsUpdated(ServerListKind.FULL, List.of(endpoints))));
-    return made;
+    created.turn(now, List.of(new Event.EndpointsUpdated(ServerListKind.FULL, List.of(endpoints))));
+    return created;
   }
 
   private QueryRequest queryOfTwoParts(String id, QueryClass queryClass) {
