--- a/src/main/java/dunlinhitch/core/BalancerActionHandler.java
+++ b/src/main/java/dunlinhitch/core/BalancerActionHandler.java
@@ -6,7 +6,7 @@
 
 /**
  * Carries out the load balancer's actions: passes each to the responsible stage, and blocks
- * responses that would violate a rule should the load balancer have a fault. Owned by the reducer;
+ * responses that are not allowed, which only a faulty load balancer requests. Owned by the reducer;
  * not thread-safe.
  */
 final class BalancerActionHandler implements BalancerActions {
--- a/src/main/java/dunlinhitch/core/DiscoveryFreshness.java
+++ b/src/main/java/dunlinhitch/core/DiscoveryFreshness.java
@@ -27,9 +27,9 @@
   private boolean stale;
 
   /**
-   * Start of the period without data from discovery that ends with the next list, in microseconds.
-   * The notifications in that list may have been sent at any time since then. 0 at the start,
-   * before anything was read.
+   * Start of the current period without data from discovery, in microseconds; 0 until the first
+   * list is read, {@link TimingWheel#NEVER} if there is no such period. The notifications in the
+   * next list may have been sent at any time since then.
    */
   private long unreadSinceUs;
 
--- a/src/main/java/dunlinhitch/core/InFlightRegistry.java
+++ b/src/main/java/dunlinhitch/core/InFlightRegistry.java
@@ -87,7 +87,10 @@
     return attempt;
   }
 
-  /** Removes the unconfirmed attempts of a closed part, since no retry waits for their release. */
+  /**
+   * Removes the unconfirmed attempts of a closed part, because no retry is waiting for their
+   * release.
+   */
   void forgetUnconfirmed(InFlightPart part) {
     if (part.unconfirmedAttempts > 0) {
       unconfirmedAttempts.values().removeIf(attempt -> attempt.part() == part);
--- a/src/main/java/dunlinhitch/core/SendGuard.java
+++ b/src/main/java/dunlinhitch/core/SendGuard.java
@@ -6,9 +6,10 @@
 import dunlinhitch.balancer.settings.Settings;
 
 /**
- * Checks each attempt immediately before it is sent. The load balancer already follows these rules;
- * the guard is a second line of defence, because a single attempt in violation of them can execute
- * a request twice or reach an endpoint that must not receive it.
+ * Checks each attempt immediately before it is sent. The load balancer follows the same rules; the
+ * guard enforces them independently, because a single attempt that violates them can execute a
+ * request twice or reach an endpoint that must not receive it. Owned by the reducer; not
+ * thread-safe.
  */
 final class SendGuard {
   private final TurnContext context;
--- a/src/main/java/dunlinhitch/twophase/ClassEstimates.java
+++ b/src/main/java/dunlinhitch/twophase/ClassEstimates.java
@@ -25,13 +25,14 @@
   private static final double EMPTY_SHARE_WEIGHT = 0.02;
 
   /**
-   * Full passes count as queued if their low percentile exceeds the lowest one seen by this factor.
+   * Full passes count as queued if their low percentile exceeds the recorded lowest latency by this
+   * factor.
    */
   private static final double QUEUEING_FACTOR = 1.5;
 
   /**
-   * Growth of the lowest full-pass latency per sample, so that a permanent slowdown of the replicas
-   * is not mistaken for queueing.
+   * Factor by which the recorded lowest latency of full passes may grow with each sample, so that a
+   * permanent slowdown of the replicas is not mistaken for queueing.
    */
   private static final double QUICKEST_DRIFT = 1.0005;
 
