--- a/src/main/java/dunlinhitch/balancer/Admission.java
+++ b/src/main/java/dunlinhitch/balancer/Admission.java
@@ -7,23 +7,23 @@
 import java.util.Map;
 
 /**
- * Admission control: takes a query only if the ledger predicts its parts in time at the least
- * loaded replicas, and leaves out parts that are not where the class allows it.
+ * Admission control: admits a query only if enough of its parts are predicted to be answered in
+ * time at the least loaded replicas, and leaves out other parts if the class allows it.
  *
- * <p>Guards against congestion collapse, in which queries spend work, miss their objective and are
- * asked again. The lower the priority weight per work, the sooner a query is rejected. Load reports
- * that overstate the load make it reject too much.
+ * <p>Guards against congestion collapse, in which queries consume work, miss their objective and
+ * are retried. Queries with a low priority weight per work are rejected first. Load reports that
+ * overstate the load cause too many rejections.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class Admission {
-  /** Least weight that a part's wait is divided by. */
+  /** Minimum divisor of a part's wait; avoids a division by zero. */
   private static final double MIN_WEIGHT = 1e-9;
 
   /**
    * A part and the wait predicted for it.
    *
-   * @param waitShare the wait as a share of the query's time that the part's work leaves
+   * @param waitShare the wait as a fraction of the query's remaining time, less the part's work
    */
   private record PlannedPart(Part part, double waitShare) {
     double waitPerWeight() {
@@ -85,7 +85,7 @@
     requestParts(query, plan, tolerance);
   }
 
-  /** Goes on with a query that was deferred for health checks or a canary part. */
+  /** Resumes a query that was deferred for health checks or a canary part. */
   void resume(Query query) {
     query.awaitedHealthChecks.clear();
     query.deferredUntilUs = 0;
@@ -108,7 +108,7 @@
     return lagUs > 0 && context.nowUs() + lagUs + workUs >= estimators.deadlines.targetUs(query);
   }
 
-  /** Predicts the wait of each part, as if those before it had been sent. */
+  /** Predicts the wait of each part, assuming that the parts before it have been sent. */
   private List<PlannedPart> plan(Query query) {
     double leftUs = estimators.deadlines.planUs(query) - context.nowUs() - estimators.lag.lagUs();
     List<PlannedPart> plan = new ArrayList<>();
@@ -116,7 +116,9 @@
     for (Part part : query.parts) {
       Server server = part.attemptCount > 0 ? null : selection.select(part);
       if (server == null) {
-        plan.add(new PlannedPart(part, 0.0)); // it may wait for a server, or has been sent
+        plan.add(
+            new PlannedPart(
+                part, 0.0)); // no server is eligible yet, or the part has already been sent
         continue;
       }
       LatencyEstimates latencies = estimators.latencies;
@@ -130,7 +132,10 @@
     return plan;
   }
 
-  /** Requests what the class needs; other parts wait as spares, those of the longest wait last. */
+  /**
+   * Requests parts in the order of the plan until the class's need is met; the others remain as
+   * spares.
+   */
   private void requestParts(Query query, List<PlannedPart> plan, double tolerance) {
     double floor = query.queryClass.floor();
     double need = query.queryClass.need();
--- a/src/main/java/dunlinhitch/balancer/Attempt.java
+++ b/src/main/java/dunlinhitch/balancer/Attempt.java
@@ -3,11 +3,11 @@
 /**
  * One attempt of a part at a server.
  *
- * <p>Not thread-safe; its part and its server list it while it is in flight.
+ * <p>Not thread-safe; its part and its server hold it while it is in flight.
  */
 final class Attempt {
   /**
-   * What was predicted when the attempt was sent, all in microseconds.
+   * Predictions at the time the attempt was sent, in microseconds.
    *
    * @param workUs work charged to the server
    * @param queuedUs work outstanding at the server ahead of this attempt
@@ -22,7 +22,7 @@
   final Prediction prediction;
   boolean cancelled;
 
-  /** Sent on a connection that had not been used for long. */
+  /** Whether it was sent on a connection that had long been idle. */
   boolean onIdleConnection;
 
   Attempt(Part part, Server server, long sentUs, Prediction prediction) {
--- a/src/main/java/dunlinhitch/balancer/AttemptFeedback.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptFeedback.java
@@ -3,7 +3,7 @@
 import dunlinhitch.balancer.BalancerEvent.AttemptCompleted;
 
 /**
- * Feeds the outcome of each attempt to the estimators that learn from it.
+ * Passes the outcome of each attempt to the estimators.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
@@ -26,7 +26,8 @@
       }
       case CANCELLED -> onCancelled(attempt);
       case MOOT -> {
-        // The attempt was superseded before it was sent: it says nothing about the server.
+        // The attempt was superseded before it was sent, so there is no information about the
+        // server.
       }
     }
     if (context.settings().reportsInAnswers()) {
@@ -46,7 +47,7 @@
 
   private void onCancelled(Attempt attempt) {
     if (context.nowUs() - attempt.sentUs > attempt.prediction.latencyUs()) {
-      estimators.latencies.onLatency(attempt); // the answer would have taken longer still
+      estimators.latencies.onLatency(attempt); // a lower bound: the answer would have taken longer
     }
     if (estimators.latencies.isUnresponsive(attempt)) {
       estimators.penalties.onFailure(attempt.server);
--- a/src/main/java/dunlinhitch/balancer/AttemptOutcome.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptOutcome.java
@@ -16,10 +16,10 @@
   RESET,
   /** Cancelled by this broker. */
   CANCELLED,
-  /** Superseded: its part was over before the attempt was sent. */
+  /** Superseded: its part ended before the attempt was sent. */
   MOOT;
 
-  /** True where the outcome proves that the attempt had no effect. */
+  /** True if the outcome proves that the attempt had no effect. */
   public boolean neverExecuted() {
     return this == FULL || this == CONNECT_FAILED || this == MOOT;
   }
--- a/src/main/java/dunlinhitch/balancer/AttemptSender.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptSender.java
@@ -3,12 +3,15 @@
 import dunlinhitch.balancer.settings.QueryClass;
 
 /**
- * Sends and cancels the attempts of parts, within the rules on retries.
+ * Sends and cancels the attempts of parts, subject to the retry rules.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class AttemptSender {
-  /** Share of the retry budget open to hedged attempts; the rest is for parts that failed. */
+  /**
+   * Fraction of the retry budget available to hedged attempts; the rest is reserved for retries of
+   * failed parts.
+   */
   private static final double HEDGE_BUDGET_SHARE = 0.7;
 
   private static final double FULL_BUDGET_SHARE = 1;
@@ -33,8 +36,9 @@
   }
 
   /**
-   * Sends the part if it has nothing in flight and the rules let it; else the request stays until
-   * the next maintenance, release of an attempt or update of the server list.
+   * Sends the part if it has no attempt in flight and the rules allow it; otherwise the request
+   * stays pending until the next maintenance run, release of an attempt or update of the server
+   * list.
    */
   void request(Part part) {
     if (part.settled
@@ -53,14 +57,14 @@
   }
 
   /**
-   * True where a server may still have an earlier attempt and there may be one at a time: that a
-   * cancellation was sent says nothing about what its server has read.
+   * Whether a server may still be executing an earlier attempt while only one attempt at a time is
+   * allowed. Sending a cancellation does not prove that the server has read it.
    */
   private boolean mayBeAtServer(Part part) {
     return part.unconfirmedAttempts > 0 && !context.settings().limits().parallelAttempts();
   }
 
-  /** Sends the part's next attempt, if there is a server for it. */
+  /** Sends the part's next attempt if a server is available for it. */
   void send(Part part) {
     Server server = selection.select(part);
     if (server == null) {
@@ -83,12 +87,12 @@
     context.actions().send(part.id, server.id, estimators.deadlines.attemptTimeoutUs(part.query));
   }
 
-  /** Whether the rules let the part have another attempt after one that ended. */
+  /** Whether the rules allow the part another attempt after the previous one has ended. */
   boolean mayRetry(Part part) {
     return mayHaveFurtherAttempt(part) && retryBudget.allowsRetry(FULL_BUDGET_SHARE);
   }
 
-  /** Whether the rules let the part have another attempt while one is in flight. */
+  /** Whether the rules allow the part another attempt while one is in flight. */
   boolean mayHedge(Part part) {
     return mayHaveFurtherAttempt(part)
         && context.settings().limits().parallelAttempts()
@@ -125,7 +129,7 @@
     part.inFlight.forEach(this::cancel);
   }
 
-  /** Cancels an attempt once, where attempts can be cancelled. */
+  /** Cancels an attempt if the deployment supports cancellation; repeated calls have no effect. */
   void cancel(Attempt attempt) {
     if (context.settings().limits().mayCancel() && !attempt.cancelled) {
       attempt.cancelled = true;
--- a/src/main/java/dunlinhitch/balancer/BalancerActions.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerActions.java
@@ -3,29 +3,32 @@
 import dunlinhitch.balancer.BalancerEvent.TimerFired;
 
 /**
- * What the load balancer has its broker do. Called from within {@link LoadBalancer#on} only, on the
- * caller's thread; an implementation must not call the load balancer back. Times are microseconds
- * on the clock of the events.
+ * The actions that the load balancer requests from its broker. Called from within {@link
+ * LoadBalancer#on} only, on the caller's thread; an implementation must not call the load balancer
+ * back. Times are microseconds on the clock of the events.
  */
 public interface BalancerActions {
   /** Sends the part's next attempt, which times out by itself at {@code dueUs}. */
   void send(int part, int server, long dueUs);
 
   /**
-   * Answers the query from the parts that have arrived; the first of two answers where a second
-   * step follows.
+   * Answers the query from the parts that have arrived. If a second step follows, this is the first
+   * of two answers.
    */
   void answer(int query, boolean complete);
 
-  /** Final: rejects the query, which is safe to retry after {@code retryAfterUs} (0: no advice). */
+  /**
+   * Final: rejects the query, which is safe to retry after {@code retryAfterUs} (0: no
+   * Retry-After).
+   */
   void reject(int query, long retryAfterUs);
 
   /** Final: fails the query, which may have had an effect. */
   void fail(int query);
 
   /**
-   * Tells why a query ends before it is complete, ahead of its answer, rejection or failure. For
-   * operators; nothing has to be done.
+   * Reports why a query ends before it is complete, ahead of its answer, rejection or failure.
+   * Informational; the default does nothing.
    */
   default void onGivenUp(int query, GiveUpReason reason) {}
 
@@ -39,12 +42,12 @@
   void sendHealthCheck(int server);
 
   /**
-   * Asks for a {@link TimerFired} with this token at that time or soon after; never within this
-   * event.
+   * Requests a {@link TimerFired} with this token at or shortly after that time; it must not be
+   * delivered while the current event is handled.
    */
   void scheduleTimer(long token, long dueUs);
 
-  /** Asks for changes of the server list from now on. */
+  /** Subscribes to changes of the server list. */
   void subscribeToServerList();
 
   /** Writes a line to the operators' log. */
--- a/src/main/java/dunlinhitch/balancer/BalancerContext.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerContext.java
@@ -5,19 +5,21 @@
 import java.util.SplittableRandom;
 
 /**
- * What all decisions share: the time of the event at hand, the settings in force with the intervals
- * derived from them, the server table, the seeded random source and the actions.
+ * State shared by all decisions: the time of the current event, the current settings with the
+ * intervals derived from them, the server table, the seeded random source and the actions.
  *
- * <p>Not thread-safe; the load balancer owns it and alone sets time and settings.
+ * <p>Not thread-safe; the load balancer owns it and is the only one to set time and settings.
  */
 final class BalancerContext {
-  /** Periodic maintenance runs so many times within the shortest latency objective. */
+  /** Number of periodic maintenance runs within the shortest latency objective. */
   private static final int SWEEPS_PER_OBJECTIVE = 64;
 
-  /** Shortest maintenance interval: each run visits all queries in flight. */
+  /**
+   * Shortest maintenance interval; limits the cost, since each run visits all queries in flight.
+   */
   private static final long MIN_SWEEP_INTERVAL_US = 10_000;
 
-  /** Least time reserved for writing an answer out. */
+  /** Minimum time reserved for writing an answer. */
   private static final long MIN_ANSWER_MARGIN_US = 10_000;
 
   private final BalancerActions actions;
@@ -46,7 +48,7 @@
     answerMarginUs = Math.max(MIN_ANSWER_MARGIN_US, 2 * settings.tickUs());
   }
 
-  /** Moves the clock on; it never goes back. */
+  /** Advances the clock; an earlier time leaves it unchanged. */
   void advanceTo(long timeUs) {
     nowUs = Math.max(nowUs, timeUs);
   }
@@ -67,7 +69,7 @@
     return settings;
   }
 
-  /** Time of the event at hand. */
+  /** Time of the current event. */
   long nowUs() {
     return nowUs;
   }
@@ -77,17 +79,20 @@
     return sweepIntervalUs;
   }
 
-  /** Time reserved before a deadline for writing an answer out. */
+  /** Time reserved before a deadline for writing an answer. */
   long answerMarginUs() {
     return answerMarginUs;
   }
 
-  /** The shortest latency objective of all classes: the unit in which estimates age. */
+  /**
+   * The shortest latency objective of all classes; time constants of the estimates are multiples of
+   * it.
+   */
   long shortestObjectiveUs() {
     return shortestObjectiveUs;
   }
 
-  /** What exponential decay leaves of 1 since a time, with that time constant. */
+  /** The exponential decay factor since a point in time, for the given time constant. */
   double decaySince(long sinceUs, double timeConstantUs) {
     return Math.exp((sinceUs - nowUs) / timeConstantUs);
   }
--- a/src/main/java/dunlinhitch/balancer/BalancerEvent.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerEvent.java
@@ -3,21 +3,21 @@
 import dunlinhitch.balancer.settings.Settings;
 import java.util.List;
 
-/** Something that happened and that the load balancer handles. Times are in microseconds. */
+/** An event that the load balancer handles. Times are in microseconds. */
 public sealed interface BalancerEvent {
-  /** The broker has started; the first event, once. */
+  /** The broker has started. This is the first event and occurs once. */
   record Started() implements BalancerEvent {}
 
   /**
    * A query arrived; its parts follow at the same time.
    *
-   * @param number ties the parts to the query
+   * @param number identifies the query in its {@link PartArrived} events
    * @param queryClass index of its class in the settings
-   * @param tenant index of its tenant in the settings, below 0 for none
-   * @param parts how many parts follow
+   * @param tenant index of its tenant in the settings, negative for none
+   * @param parts number of parts that follow
    * @param deadlineUs when its client stops waiting
-   * @param hintUs the client's hint of the work of all parts, 0 for none
-   * @param retriedByClient the client has asked this before
+   * @param hintUs the client's estimate of the work of all parts, 0 for none
+   * @param retriedByClient whether the client has sent this query before
    */
   record QueryArrived(
       int id,
@@ -31,17 +31,17 @@
       implements BalancerEvent {}
 
   /**
-   * One part of the query with that number.
+   * One part of the query with the given number arrived.
    *
-   * @param weight share of the query's answer, 0 to 1
-   * @param hintUs the client's hint of the part's work, 0 for none
-   * @param unconfirmedAttempts earlier attempts, under another id, that servers may still have; an
-   *     {@link AttemptReleased} follows for each that turns out to be over
+   * @param weight fraction of the query's answer that the part contributes, 0 to 1
+   * @param hintUs the client's estimate of the part's work, 0 for none
+   * @param unconfirmedAttempts earlier attempts, under another part id, that servers may still be
+   *     executing; an {@link AttemptReleased} follows for each that is found to have ended
    */
   record PartArrived(
       int id, long number, int shard, double weight, long hintUs, int unconfirmedAttempts)
       implements BalancerEvent {
-    /** A part without earlier attempts. */
+    /** Creates the event of a part without earlier attempts. */
     public PartArrived(int id, long number, int shard, double weight, long hintUs) {
       this(id, number, shard, weight, hintUs, 0);
     }
@@ -57,10 +57,11 @@
    * @param attempt number of the attempt among those of its part, from 0
    * @param settled the part needs no further attempt
    * @param report the server's load report, empty for none
-   * @param unconfirmed the broker waits no longer, but the server may still have the attempt: where
-   *     a part may have one attempt at a time, the next waits for {@link AttemptReleased}
+   * @param unconfirmed the broker no longer waits, but the server may still be executing the
+   *     attempt; if a part may have only one attempt at a time, the next one waits for {@link
+   *     AttemptReleased}
    */
-  // Not compared or hashed: an array spares the boxing of each report.
+  // Not compared or hashed: an array avoids boxing the values of each report.
   @SuppressWarnings("ArrayRecordComponent")
   record AttemptCompleted(
       int part,
@@ -72,7 +73,7 @@
       float[] report,
       boolean unconfirmed)
       implements BalancerEvent {
-    /** The end of an attempt that its server does not have any more. */
+    /** The end of an attempt that its server is no longer executing. */
     public AttemptCompleted(
         int part,
         int attempt,
@@ -86,8 +87,8 @@
   }
 
   /**
-   * The server of an unconfirmed attempt of the part does not have it any more. May come before the
-   * attempt's {@link AttemptCompleted}.
+   * The server of an unconfirmed attempt of the part is no longer executing it. May arrive before
+   * the attempt's {@link AttemptCompleted}.
    */
   record AttemptReleased(int part) implements BalancerEvent {}
 
@@ -96,7 +97,7 @@
    *
    * @param report the server's load report, empty for none
    */
-  // Not compared or hashed: an array spares the boxing of each report.
+  // Not compared or hashed: an array avoids boxing the values of each report.
   @SuppressWarnings("ArrayRecordComponent")
   record HealthCheckCompleted(int server, AttemptOutcome outcome, long elapsedUs, float[] report)
       implements BalancerEvent {}
@@ -106,27 +107,27 @@
       implements BalancerEvent {}
 
   /**
-   * An operator has disabled or enabled a server, which keeps its id. An enabled one is in slow
-   * start.
+   * An operator has disabled or enabled a server, which keeps its id. A server that is enabled goes
+   * through slow start.
    *
-   * @param disabled true for disabled
+   * @param disabled true if the server was disabled, false if it was enabled
    */
   record ServerDisabled(int server, boolean disabled) implements BalancerEvent {}
 
   /**
-   * Other settings are in force from now on; queries in flight keep their class. Zones and layout
-   * must be the same as before.
+   * New settings apply from now on; queries in flight keep their class. Zones and layout must not
+   * change.
    */
   record SettingsChanged(Settings settings) implements BalancerEvent {}
 
-  /** A timer scheduled with this token is due. */
+  /** The timer that was scheduled with this token is due. */
   record TimerFired(long token) implements BalancerEvent {}
 
-  /** A message of another broker arrived; the load balancer ignores it. */
-  // Not compared or hashed: the bytes as they were read.
+  /** A message from another broker arrived; the load balancer ignores it. */
+  // Not compared or hashed: an array holds the bytes as read.
   @SuppressWarnings("ArrayRecordComponent")
   record PeerMessageReceived(int sender, byte[] content) implements BalancerEvent {}
 
-  /** The client of a query has disconnected; the query and its parts are over. */
+  /** The client of a query has disconnected, which ends the query and its parts. */
   record ClientDisconnected(int query) implements BalancerEvent {}
 }
--- a/src/main/java/dunlinhitch/balancer/BalancerTimers.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerTimers.java
@@ -12,12 +12,15 @@
   /** Poll of the server list. */
   static final long POLL_SERVER_LIST = 2;
 
-  /** The first token of a query; below are those of the balancer itself. */
+  /** The first token of a query; lower tokens belong to the load balancer itself. */
   private static final long FIRST_QUERY_TOKEN = 4;
 
   private BalancerTimers() {}
 
-  /** Schedules a timer that concerns one query only: under load there are many of both. */
+  /**
+   * Schedules a timer that examines only one query, since under load there are many queries and
+   * timers.
+   */
   static void scheduleQuery(BalancerContext context, Query query, long dueUs) {
     context.actions().scheduleTimer(FIRST_QUERY_TOKEN * (1 + (long) query.id), dueUs);
   }
@@ -26,7 +29,7 @@
     return token >= FIRST_QUERY_TOKEN;
   }
 
-  /** The id of the query that a query's token stands for. */
+  /** The id of the query that a query token refers to. */
   static int queryId(long token) {
     return (int) (token / FIRST_QUERY_TOKEN - 1);
   }
--- a/src/main/java/dunlinhitch/balancer/CanaryPart.java
+++ b/src/main/java/dunlinhitch/balancer/CanaryPart.java
@@ -1,41 +1,44 @@
 package dunlinhitch.balancer;
 
 /**
- * The canary part: one part of a wide query goes ahead of the fan-out where that takes little of
+ * The canary part: one part of a wide query is sent ahead of the fan-out if that takes little of
  * the query's time.
  *
- * <p>A query that brings down the servers it runs on (by a bug or a corrupt record) then costs one
- * server, not one for each part. The other parts follow once any part is answered or a short delay
- * is over. This may hurt where time is scarce.
+ * <p>A query that crashes its servers (because of a bug or a corrupt record) then affects one
+ * server rather than one for each part. The other parts follow once any part is answered or a short
+ * delay has passed. The drawback is added latency for queries with little time.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class CanaryPart {
-  /** The delay as a share of the part's service time. */
+  /** The delay as a fraction of the part's service time. */
   private static final double DELAY_SERVICE_TIME_SHARE = 0.7;
 
-  /** Longest delay as a share of the query's time. */
+  /** Longest delay as a fraction of the query's remaining time. */
   private static final double MAX_DELAY_SHARE = 0.1;
 
-  /** Largest overhead of a call as a share of the part's service time. */
+  /** Largest overhead of a call as a fraction of the part's service time. */
   private static final double MAX_CALL_SHARE = 0.1;
 
-  /** Share of the servers that a query must be able to reach to count as wide. */
+  /** A query is wide if its number of parts is at least this fraction of the number of servers. */
   private static final double MIN_SERVER_SHARE = 0.18;
 
-  /** Least parts of a wide query. */
+  /** Minimum number of parts of a wide query. */
   private static final int MIN_PARTS = 8;
 
-  /** Least parts for a canary soon after a reset, and for a query asked again. */
+  /**
+   * Minimum number of parts for a canary shortly after a reset, and for a query that the client
+   * retries.
+   */
   private static final int MIN_PARTS_WHEN_ALERT = 2;
 
-  /** Shortest latency objectives for which a reset counts as recent. */
+  /** Time for which a reset counts as recent, in shortest latency objectives. */
   private static final double RESET_OBJECTIVES = 10;
 
-  /** Servers lost after which a query is suspect. */
+  /** Number of servers that must have reset the connection for a query to be suspect. */
   private static final int SUSPECT_RESETS = 2;
 
-  /** The same for a query that its client asks again. */
+  /** The same for a query that its client retries. */
   private static final int SUSPECT_RESETS_WHEN_RETRIED = 1;
 
   private final BalancerContext context;
@@ -49,12 +52,12 @@
     this.attempts = attempts;
   }
 
-  /** Whether one part of the query should go ahead of the others. */
+  /** Whether one part of the query should be sent ahead of the others. */
   boolean isWanted(Query query) {
     double typicalUs = estimators.serviceTimes.typicalUs(query.statistics);
     double leftUs = estimators.deadlines.planUs(query) - context.nowUs();
     double delayShare = DELAY_SERVICE_TIME_SHARE * typicalUs / leftUs;
-    // The canary part takes a call of its own.
+    // The canary part needs a separate call.
     boolean callIsExpensive =
         context.settings().layout().callOverheadUs() > MAX_CALL_SHARE * typicalUs;
     return !query.canarySent
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Sends the part ahead and defers the others. At the least busy server it begins at once: what it
-   * brings down is down within the delay.
+   * Sends the part ahead and defers the others. The least busy server starts on it immediately, so
+   * a crash occurs within the delay.
    */
   void send(Query query, Part part) {
     query.canarySent = true;
@@ -87,16 +90,16 @@
     BalancerTimers.scheduleQuery(context, query, query.deferredUntilUs);
   }
 
-  /** Notes that a server reset an attempt. */
+  /** Records that a server reset an attempt. */
   void onReset(Attempt attempt) {
     attempt.part.query.resetsUs.put(attempt.server, context.nowUs());
     lastResetUs = context.nowUs();
   }
 
   /**
-   * True where attempts were reset by servers that were sound and no part was answered: the query
-   * is at fault, not the servers. A server that has answered since was not brought down; only a
-   * connection was lost.
+   * True if enough servers have reset attempts of the query, make up at least half of its attempts,
+   * and no part was answered: the query probably crashes servers. A server that has answered since
+   * the reset does not count, because only a connection was lost.
    */
   boolean isSuspect(Query query) {
     long serversDown =
--- a/src/main/java/dunlinhitch/balancer/ClassStatistics.java
+++ b/src/main/java/dunlinhitch/balancer/ClassStatistics.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * A query class and what was measured of its parts. Identified by the name of the class: its index
- * may change with the settings.
+ * A query class and the statistics of its parts. Identified by the name of the class, because its
+ * index may change with the settings.
  *
  * <p>Not thread-safe; {@link ServiceTimes} owns it.
  */
@@ -21,7 +21,7 @@
   /** When {@link #serviceTimeUs} was last updated. */
   long serviceTimeUpdatedUs;
 
-  /** The longest time that a client gave a query of this class. */
+  /** The longest client timeout of a query of this class. */
   long longestTimeoutUs;
 
   private ClassStatistics(QueryClass queryClass, SampleWindow latencies) {
@@ -29,12 +29,15 @@
     this.latencies = latencies;
   }
 
-  /** The class as the settings in force define it. */
+  /** The class as defined by the current settings. */
   QueryClass queryClass() {
     return queryClass;
   }
 
-  /** One for each class in its order: the statistics of that name where there are any, else new. */
+  /**
+   * Returns the statistics of each class in order: the existing ones of the same name if any,
+   * otherwise new ones.
+   */
   static List<ClassStatistics> carryOver(
       List<ClassStatistics> previous,
       List<QueryClass> classes,
--- a/src/main/java/dunlinhitch/balancer/DecayingShares.java
+++ b/src/main/java/dunlinhitch/balancer/DecayingShares.java
@@ -1,7 +1,7 @@
 package dunlinhitch.balancer;
 
 /**
- * Exponentially decayed counts by index, and the share of each in their sum.
+ * Exponentially decaying counts by index, and the fraction that each has of their sum.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
@@ -13,7 +13,9 @@
     counts = new double[size];
   }
 
-  /** Counts one at an index and returns the share that this index then has. */
+  /**
+   * Increments the count at an index and returns the fraction that this index then has of the sum.
+   */
   double increment(int index, long nowUs, double timeConstantUs) {
     double decay = Math.exp((updatedUs - nowUs) / timeConstantUs);
     updatedUs = nowUs;
--- a/src/main/java/dunlinhitch/balancer/Estimators.java
+++ b/src/main/java/dunlinhitch/balancer/Estimators.java
@@ -1,8 +1,8 @@
 package dunlinhitch.balancer;
 
 /**
- * The estimates that decisions are made from, wired together. Estimators learn from attempts and
- * reports; none of them decides anything.
+ * The estimators on which decisions are based, wired together. Estimators are updated from attempts
+ * and reports; none of them makes decisions.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
--- a/src/main/java/dunlinhitch/balancer/FailurePenalties.java
+++ b/src/main/java/dunlinhitch/balancer/FailurePenalties.java
@@ -1,26 +1,26 @@
 package dunlinhitch.balancer;
 
 /**
- * Failure penalties: work that a server seems to have outstanding after failures, so that fast
- * errors, hangs, dead and full servers do not draw parts.
+ * Failure penalties: virtual outstanding work of a server after failures, so that servers that fail
+ * fast, hang, are dead or are full do not attract parts.
  *
- * <p>A penalty grows with each failure in a row and decays with time and with answers, so single
- * parts discover a recovery. Where failures come from the query, all replicas are penalized alike
- * and their order stays.
+ * <p>A penalty grows with each consecutive failure and decays with time and with answers, so that
+ * single parts can detect a recovery. If the query causes the failures, all replicas are penalized
+ * equally and their order does not change.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class FailurePenalties {
-  /** Penalty of the first failure, in mean service times; doubled with each in a row. */
+  /** Penalty of the first failure, in mean service times; doubled with each consecutive failure. */
   private static final double INITIAL_PENALTY = 4;
 
   /** Largest penalty, in mean service times. */
   private static final double MAX_PENALTY = 64;
 
-  /** Failures in a row after which the penalty is not doubled any further. */
+  /** Consecutive failures after which the penalty is no longer doubled. */
   private static final int MAX_DOUBLINGS = 8;
 
-  /** Share of the penalty that an answer leaves. */
+  /** Fraction of the penalty that remains after an answer. */
   private static final double REMAINDER_AFTER_ANSWER = 0.7;
 
   /** Longest time constant of the decay, in shortest latency objectives. */
@@ -29,13 +29,16 @@
   /** Shortest time constant of the decay, in shortest latency objectives. */
   private static final double MIN_DECAY_OBJECTIVES = 2;
 
-  /** An answer that took more than so many times the prediction leaves the rest as penalty. */
+  /**
+   * An answer is late if it took more than this multiple of the prediction; the excess becomes a
+   * penalty.
+   */
   private static final double LATE_FACTOR = 2;
 
   private final BalancerContext context;
   private final ServiceTimes serviceTimes;
 
-  /** Parts sent of late. */
+  /** Decaying count of the parts sent. */
   private final DecayingValue recentSends = new DecayingValue();
 
   FailurePenalties(BalancerContext context, ServiceTimes serviceTimes) {
@@ -44,8 +47,8 @@
   }
 
   /**
-   * The penalty of a server now. It outlives the time until the server's next turn, for one of many
-   * brokers sends each server little.
+   * The current penalty of a server. It decays more slowly if this broker sends few parts per
+   * server, so that it lasts until the server's next turn.
    */
   double penaltyUs(Server server) {
     long objectiveUs = context.shortestObjectiveUs();
@@ -74,13 +77,16 @@
     server.consecutiveFailures++;
   }
 
-  /** Lowers the penalty after an answer; a late answer leaves its lateness as penalty. */
+  /**
+   * Lowers the penalty after an answer; a late answer sets a penalty of at least its excess
+   * latency.
+   */
   void onAnswer(Attempt attempt) {
     Server server = attempt.server;
     server.consecutiveFailures /= 2;
     double latenessUs =
         context.settings().limits().mayHealthCheck()
-            ? 0 // health checks then find slow servers
+            ? 0 // slow servers are detected by health checks
             : context.nowUs() - attempt.sentUs - LATE_FACTOR * attempt.prediction.latencyUs();
     double limitUs = MAX_PENALTY * serviceTimes.meanUs();
     set(
--- a/src/main/java/dunlinhitch/balancer/GiveUpReason.java
+++ b/src/main/java/dunlinhitch/balancer/GiveUpReason.java
@@ -2,16 +2,16 @@
 
 /** Why the load balancer ended a query before it was complete. */
 public enum GiveUpReason {
-  /** Its time was over: it is answered with what has arrived, or rejected. */
+  /** Its time has passed: it is answered with the parts that have arrived, rejected or failed. */
   TIME_OVER,
-  /** The ledger predicts too few of its parts in time. */
+  /** Too few of its parts are predicted to be answered in time. */
   OVERLOAD,
-  /** This broker's own event loop is too late. */
+  /** The lag of this broker's event loop is too large. */
   EVENT_LOOP_LATE,
-  /** Nothing of it could be sent for a good part of its time. */
+  /** No attempt could be sent within about half of its time. */
   UNSENT,
-  /** The parts that may still arrive cannot make an answer. */
+  /** The parts that may still arrive cannot reach the minimum weight of an answer. */
   UNATTAINABLE,
-  /** It seems to bring down the servers that it runs on. */
+  /** It probably crashes the servers that it runs on. */
   SUSPECT
 }
--- a/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
+++ b/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
@@ -1,8 +1,8 @@
 package dunlinhitch.balancer;
 
 /**
- * How many health checks may be sent ahead of admission: few while queries are answered completely,
- * all replicas of each part if none is, and fewer where a health check is expensive.
+ * Limits the health checks sent ahead of admission: few while queries are answered completely, up
+ * to all replicas of each part if none is, and fewer if a health check is expensive.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
@@ -10,10 +10,10 @@
   /** Health checks earned by each part sent while all queries are answered completely. */
   private static final double CHECKS_PER_PART = 0.2;
 
-  /** Price of a health check beyond which fewer are sent in proportion. */
+  /** Price of a health check above which proportionally fewer are sent. */
   private static final double REFERENCE_PRICE = 0.012;
 
-  /** Weight of the newest query in the rate of incomplete answers. */
+  /** Weight of the newest query in the rate of queries without a complete answer. */
   private static final double INCOMPLETE_WEIGHT = 0.02;
 
   private final BalancerContext context;
--- a/src/main/java/dunlinhitch/balancer/HealthChecks.java
+++ b/src/main/java/dunlinhitch/balancer/HealthChecks.java
@@ -7,21 +7,21 @@
 
 /**
  * Health checks ahead of admission: checks the replicas that a query may go to, those with the
- * oldest reports first, and defers the query until they answer or a short delay is over.
+ * oldest reports first, and defers the query until they answer or a short delay has passed.
  *
- * <p>Guards against stale knowledge where a broker sends each server little: slow, hung, dead or
- * remote servers show by their report or by silence.
+ * <p>Guards against stale estimates if a broker sends few parts to each server: slow, hung, dead or
+ * remote servers are detected by their report or by a missing answer.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class HealthChecks {
-  /** A query waits for its health checks for this part of the shortest latency objective. */
+  /** A query waits for its health checks at most the shortest latency objective divided by this. */
   private static final long DELAYS_PER_OBJECTIVE = 32;
 
-  /** Without any report for this part of the shortest objective, health checks are sent. */
+  /** Health checks are sent if no report arrived within the shortest objective divided by this. */
   private static final long STALE_FRACTION = 2;
 
-  /** A server that reported within this part of the shortest objective is not checked. */
+  /** A server that reported within the shortest objective divided by this is not checked. */
   private static final long FRESH_FRACTION = 8;
 
   private final BalancerContext context;
@@ -43,7 +43,9 @@
     this.admission = admission;
   }
 
-  /** Sends health checks for the query and defers it; false where none are needed or allowed. */
+  /**
+   * Sends health checks for the query and defers it; returns false if none are needed or allowed.
+   */
   boolean defer(Query query) {
     long objectiveUs = context.shortestObjectiveUs();
     long sinceReportUs = context.nowUs() - estimators.loadReports.lastReportUs();
@@ -85,7 +87,7 @@
         && reportAgeUs >= context.shortestObjectiveUs() / FRESH_FRACTION;
   }
 
-  /** Takes the result; a query that waited for this health check last goes on. */
+  /** Processes a result; a query that has no other health check to wait for is resumed. */
   void onCompleted(HealthCheckCompleted event) {
     Server server = context.servers().get(event.server());
     if (server == null) {
--- a/src/main/java/dunlinhitch/balancer/Hedging.java
+++ b/src/main/java/dunlinhitch/balancer/Hedging.java
@@ -3,25 +3,30 @@
 import java.util.Optional;
 
 /**
- * Decides what is done about a part whose attempt is late: a spare part in its place, a hedged
- * attempt, or a move to another server.
+ * Decides how to handle a part whose attempt is late: request a spare part instead, send a hedged
+ * attempt, or move the part to another server.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class Hedging {
-  /** Maintenance intervals until a late part is examined again: under overload many are late. */
+  /**
+   * Maintenance intervals until a late part is examined again; limits the cost under overload, when
+   * many are late.
+   */
   private static final long RECHECK_SWEEPS = 4;
 
-  /** A hedged attempt goes only to a server with at most so many mean service times of work. */
+  /**
+   * A hedged attempt is sent only to a server with at most this many mean service times of work.
+   */
   private static final double MAX_WORK_AT_TARGET = 2;
 
   /** Latency quantile after which an attempt is late. */
   private static final double LATE_QUANTILE = 0.9;
 
-  /** The same where little time is left. */
+  /** The same if little time is left. */
   private static final double URGENT_LATE_QUANTILE = 0.5;
 
-  /** Little time is left when it is less than so many median latencies. */
+  /** The time left is short if it is less than this many median latencies. */
   private static final double URGENT_MEDIANS = 1.5;
 
   private final BalancerContext context;
@@ -40,7 +45,7 @@
     this.attempts = attempts;
   }
 
-  /** Repeats an open request of a part, or helps its only attempt if that is late. */
+  /** Retries a pending request of a part, or hedges its only attempt if that is late. */
   void examine(Part part) {
     if (part.requested) {
       attempts.request(part);
@@ -68,11 +73,14 @@
     if (attempts.mayHedge(part)) {
       attempts.send(part);
     } else if (shouldMove(attempt, leftUs)) {
-      attempts.cancel(attempt); // its retry follows when the cancelled attempt ends
+      attempts.cancel(attempt); // the retry is sent when the cancelled attempt has ended
     }
   }
 
-  /** A hedged attempt must be able to save the part, and not at the cost of queued parts. */
+  /**
+   * A hedged attempt must be predicted to finish in time, and must not delay other parts queued at
+   * its server.
+   */
   private boolean isWorthwhile(Attempt attempt, Server target, double leftUs) {
     Part part = attempt.part;
     double maxWorkUs = MAX_WORK_AT_TARGET * estimators.serviceTimes.meanUs();
@@ -90,7 +98,10 @@
         && context.settings().limits().mayCancel();
   }
 
-  /** When an attempt counts as late: beyond most of its class, or sooner near the deadline. */
+  /**
+   * The latency from which an attempt counts as late: a high quantile of its class, or the median
+   * near the deadline.
+   */
   private double lateAfterUs(Part part) {
     SampleWindow latencies = part.query.statistics.latencies;
     long leftUs = estimators.deadlines.planUs(part.query) - context.nowUs();
@@ -98,7 +109,10 @@
     return latencies.quantile(urgent ? URGENT_LATE_QUANTILE : LATE_QUANTILE);
   }
 
-  /** Requests a part of the present step that was left out, if any: no retry is spent on it. */
+  /**
+   * Requests a part of the current step that was left out, if any; this does not use the retry
+   * budget.
+   */
   private boolean sendSpare(Query query) {
     if (query.deferredUntilUs > 0) {
       return false;
--- a/src/main/java/dunlinhitch/balancer/IdleConnections.java
+++ b/src/main/java/dunlinhitch/balancer/IdleConnections.java
@@ -1,23 +1,26 @@
 package dunlinhitch.balancer;
 
 /**
- * Detects connections that were dropped without notice: where attempts on connections long unused
- * are lost more often than others, such connections are closed before a send and a new one opens.
- * This is expensive where handshakes are.
+ * Detects connections that were dropped silently: if attempts on long-idle connections are lost
+ * more often than others, idle connections are closed before a send so that a new one is opened.
+ * The cost is one handshake for each close.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class IdleConnections {
-  /** Loss rate on idle connections that may still be chance. */
+  /** Loss rates on idle connections up to this value are attributed to chance. */
   private static final double MIN_LOSS_RATE = 0.1;
 
-  /** Loss rate on idle connections over that on others, from which on they are closed. */
+  /** Idle connections are closed if their loss rate exceeds that of active ones by this factor. */
   private static final double LOSS_RATE_FACTOR = 2;
 
   /** Weight of the newest attempt in a loss rate. */
   private static final double LOSS_WEIGHT = 0.05;
 
-  /** Share by which the rate falls with each close, so that idle connections are used again. */
+  /**
+   * Fraction by which each close lowers the idle loss rate, so that idle connections are tried
+   * again.
+   */
   private static final double DECAY_PER_CLOSE = LOSS_WEIGHT / 10;
 
   private final BalancerContext context;
@@ -28,7 +31,10 @@
     this.context = context;
   }
 
-  /** Marks an attempt that would go over an idle connection, or closes such connections first. */
+  /**
+   * Marks an attempt that would use an idle connection, or closes the idle connections of its
+   * server first.
+   */
   void beforeSend(Attempt attempt) {
     Server server = attempt.server;
     attempt.onIdleConnection =
--- a/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
+++ b/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
@@ -5,30 +5,33 @@
 
 /**
  * Predicts the latency of an attempt: the network latency to the server's zone, the wait for the
- * work ahead and the work itself.
+ * work queued ahead and the work itself.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class LatencyEstimates {
-  /** Least wait for each unit of work ahead: a server may have many cores. */
+  /** Minimum wait per unit of work ahead; well below 1 because a server may have many cores. */
   private static final double MIN_WAIT_PER_WORK = 0.2;
 
   /** Weight of the newest pair of wait and work ahead. */
   private static final double WAIT_WEIGHT = 0.02;
 
-  /** A latency of more than so many times the prediction says no more than "slow". */
+  /** Latencies are capped at this multiple of the prediction before they enter the slope. */
   private static final double MAX_LATENCY_FACTOR = 20;
 
-  /** Quantile of a zone's excess latencies that is taken for the network's. */
+  /** Quantile of a zone's excess latencies that is attributed to the network. */
   private static final double NETWORK_QUANTILE = 0.25;
 
   /** Excess latencies in the sliding window of each zone. */
   private static final int NETWORK_WINDOW_SIZE = 16;
 
-  /** Shortest latency objectives after which a network latency decays e-fold. */
+  /** Time constant by which a network latency decays, in shortest latency objectives. */
   private static final double NETWORK_DECAY_OBJECTIVES = 4.0;
 
-  /** An attempt without answer for so many times its prediction is no sign of load. */
+  /**
+   * An attempt unanswered for this multiple of its prediction indicates an unresponsive server, not
+   * load.
+   */
   private static final double UNRESPONSIVE_FACTOR = 5;
 
   /** Excess latencies of one zone and when the newest was added. */
@@ -43,7 +46,7 @@
   private final OutstandingWork outstandingWork;
   private final Map<Integer, ZoneLatency> zoneLatencies = new HashMap<>();
 
-  /** Wait over work ahead: how fast the servers work their queues off. */
+  /** Slope of wait over work ahead: how fast servers process their queues. */
   private final SlopeEstimate waitSlope = new SlopeEstimate();
 
   LatencyEstimates(
@@ -57,17 +60,18 @@
     this.outstandingWork = outstandingWork;
   }
 
-  /** Wait for each unit of work ahead. */
+  /** Wait per unit of work ahead. */
   double waitPerWork() {
     double slope = waitSlope.slope(1, Math.pow(serviceTimes.meanUs(), 2));
     return Math.max(MIN_WAIT_PER_WORK, Math.min(1 / MIN_WAIT_PER_WORK, slope));
   }
 
   /**
-   * How much longer than predicted even the quicker parts take to a zone, beyond those of the own
-   * zone: the network loses packets or is slow, or the zone's servers share a fault. The parts of a
-   * zone are pooled, for each server gets few; the estimate decays, so single parts discover a
-   * recovery. It misleads where the far zone alone is overloaded.
+   * By how much a low quantile of the excess latencies of a remote zone exceeds that of the local
+   * zone, caused by packet loss, a slow network or a fault that the zone's servers share. Samples
+   * are pooled by zone because each server gets few parts; the estimate decays so that single parts
+   * can detect a recovery. It overestimates the network latency if only the remote zone is
+   * overloaded.
    */
   double networkLatencyUs(Server server) {
     int ownZone = context.settings().zone();
@@ -83,19 +87,24 @@
             remote.updatedUs, NETWORK_DECAY_OBJECTIVES * context.shortestObjectiveUs());
   }
 
-  /** How long a part would wait at a server; the failure penalty is no waiting time. */
+  /**
+   * How long a part would wait at a server; excludes the failure penalty, which is not a waiting
+   * time.
+   */
   double waitUs(Server server) {
     return waitPerWork() * outstandingWork.atUs(server) / Math.sqrt(slowStart.weight(server));
   }
 
-  /** Time from the send until the answer. */
+  /** Predicted time from the send until the answer. */
   double latencyUs(Server server, Part part) {
     return networkLatencyUs(server)
         + waitUs(server)
         + outstandingWork.withCallUs(server, part) / Math.sqrt(slowStart.weight(server));
   }
 
-  /** Learns from an attempt that ended, or that was given up although it was late already. */
+  /**
+   * Records the latency of an attempt that was answered, or that was cancelled when already late.
+   */
   void onLatency(Attempt attempt) {
     Attempt.Prediction prediction = attempt.prediction;
     long latencyUs = context.nowUs() - attempt.sentUs;
@@ -114,9 +123,9 @@
   }
 
   /**
-   * True where an attempt is overdue at a server that has answered nothing since: hung, dead or far
-   * too slow, not just busy. Moving late parts off busy servers would waste their work and make all
-   * servers later still.
+   * True if an attempt is long overdue and its server has answered nothing since it was sent: the
+   * server is hung, dead or far too slow rather than busy. Moving late parts off busy servers would
+   * waste their work and increase the load of all servers.
    */
   boolean isUnresponsive(Attempt attempt) {
     long lastSignUs = Math.max(attempt.sentUs, attempt.server.lastAnswerUs);
--- a/src/main/java/dunlinhitch/balancer/LoadBalancer.java
+++ b/src/main/java/dunlinhitch/balancer/LoadBalancer.java
@@ -14,15 +14,16 @@
 import dunlinhitch.balancer.settings.Settings;
 
 /**
- * The load balancer of one broker: a facade that routes each event to the decisions it concerns.
+ * The load balancer of one broker: a facade that dispatches each event to the classes that handle
+ * it.
  *
- * <p>The ordinary path is Graham's least-loaded rule over a ledger: each part goes to the replica
- * of its shard with the least predicted outstanding work, charged at the send and released at the
- * end of the attempt. The other decisions estimate that work better or say what to do when an
- * attempt is late or fails.
+ * <p>The common path is Graham's least-loaded rule: each part is sent to the replica of its shard
+ * with the least predicted outstanding work, which is charged at the send and released at the end
+ * of the attempt. The other classes refine that prediction or handle attempts that are late or
+ * fail.
  *
- * <p>Pure: no clock, I/O or threads; the same events and seed give the same actions. Not
- * thread-safe; its caller owns it and calls it on one thread.
+ * <p>Deterministic, without clock, I/O or threads: the same events and seed give the same actions.
+ * Not thread-safe; its caller owns it and calls it on one thread.
  */
 public final class LoadBalancer {
   private final BalancerContext context;
@@ -43,7 +44,7 @@
   /**
    * Creates a load balancer without servers.
    *
-   * @param seed of all random choices
+   * @param seed seed of all random choices
    * @param actions called from within {@link #on} only
    */
   public LoadBalancer(Settings settings, long seed, BalancerActions actions) {
@@ -65,11 +66,11 @@
   }
 
   /**
-   * Handles one event; all actions that follow from it are called before this returns. Events that
-   * change no decision are ignored.
+   * Handles one event; all resulting actions are called before this returns. Events without an
+   * effect on decisions are ignored.
    *
-   * @param nowUs time of the event in microseconds; a time before that of an earlier event counts
-   *     as that event's
+   * @param nowUs time of the event in microseconds; if it is before that of an earlier event, the
+   *     earlier event's time is used
    */
   public void on(long nowUs, BalancerEvent event) {
     context.advanceTo(nowUs);
@@ -98,7 +99,7 @@
     }
   }
 
-  /** A query in flight keeps the class and the number of attempts that it arrived under. */
+  /** A query in flight keeps the class and the attempt limit that applied when it arrived. */
   private void applySettings(Settings settings) {
     context.applySettings(settings);
     admission.applySettings();
@@ -177,7 +178,7 @@
     }
   }
 
-  /** Takes back what was counted at the send of an attempt that turns out to have had no effect. */
+  /** Reverts the counts made at the send of an attempt that is now known to have had no effect. */
   private void correctAttemptCounts(Attempt attempt, AttemptOutcome outcome) {
     Part part = attempt.part;
     if (outcome == AttemptOutcome.MOOT && attempt.number > 0) {
@@ -188,7 +189,7 @@
     }
   }
 
-  /** Moves a part and its query on after an attempt has ended. */
+  /** Updates the state of a part and its query after an attempt has ended. */
   private void advance(Part part, AttemptCompleted event) {
     Query query = part.query;
     boolean answered = event.outcome() == AttemptOutcome.OK;
--- a/src/main/java/dunlinhitch/balancer/LoadReports.java
+++ b/src/main/java/dunlinhitch/balancer/LoadReports.java
@@ -4,24 +4,24 @@
 import java.util.List;
 
 /**
- * The load that other brokers have at each server, after the servers' load reports.
+ * The load of other brokers at each server, derived from the servers' load reports.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class LoadReports {
-  /** Weight of the newest report of a server: load that lasts counts more. */
+  /** Weight of the newest report of a server; sustained load counts more than a spike. */
   private static final double REPORT_WEIGHT = 0.4;
 
   /** Weight of the newest report in the mean over all servers. */
   private static final double MEAN_WEIGHT = 0.02;
 
-  /** Most that one value may say, in parts: a report may be wrong. */
+  /** Cap of a single reported value, in parts, because a report may be wrong. */
   private static final double MAX_VALUE = 200;
 
-  /** Shortest latency objectives after which the mean over all servers decays e-fold. */
+  /** Time constant by which the mean over all servers decays, in shortest latency objectives. */
   private static final double MEAN_OBJECTIVES = 4.0;
 
-  /** Share of this broker's parts in flight that a server's backlog is taken to contain. */
+  /** Assumed fraction of this broker's parts in flight that are in a server's backlog. */
   private static final double OWN_BACKLOG_SHARE = 0.5;
 
   private final BalancerContext context;
@@ -31,19 +31,19 @@
     this.context = context;
   }
 
-  /** Mean load of others over all reports, in parts. */
+  /** Mean load of other brokers over all reports, in parts. */
   double meanLoad() {
     return meanLoad.at(context.nowUs(), MEAN_OBJECTIVES * context.shortestObjectiveUs());
   }
 
-  /** When the newest report of any server came in. */
+  /** When the newest report of any server arrived. */
   long lastReportUs() {
     return meanLoad.updatedUs();
   }
 
   /**
-   * Load of others at a server, in parts. An old report says little: with age it gives way to
-   * {@code fallback}.
+   * Load of other brokers at a server, in parts. As its report ages, the value decays to {@code
+   * fallback}.
    */
   double loadOfOthers(Server server, double fallback) {
     return fallback
@@ -51,7 +51,7 @@
             * context.decaySince(server.reportedUs, (double) context.shortestObjectiveUs());
   }
 
-  /** Takes a report, less what this broker itself has in flight; an empty one is none. */
+  /** Processes a report, less this broker's own parts in flight; an empty report is ignored. */
   void onReport(Server server, float[] report) {
     List<LoadReportField> fields = context.settings().reportFields();
     boolean hasOutstanding = fields.contains(LoadReportField.OUTSTANDING);
--- a/src/main/java/dunlinhitch/balancer/OutstandingWork.java
+++ b/src/main/java/dunlinhitch/balancer/OutstandingWork.java
@@ -26,10 +26,10 @@
   }
 
   /**
-   * Work outstanding at a server: that of this broker and the reported load of others. With the age
-   * of its report a warm server is taken for as busy as the mean of all reports; a warming one for
-   * idle, for it began empty and each broker sends it little. This may mislead where other brokers
-   * have no slow start.
+   * Work outstanding at a server: that of this broker and the reported load of others. As its
+   * report ages, the load of others converges to the mean of all reports for a warm server, and to
+   * 0 for a warming one, which started idle and gets little work from each broker. The latter is
+   * too low if other brokers do not apply slow start.
    */
   double atUs(Server server) {
     double fallback = slowStart.isWarm(server) ? loadReports.meanLoad() : 0;
@@ -37,12 +37,15 @@
     return Math.max(0, server.outstandingUs) + others * serviceTimes.meanUs();
   }
 
-  /** Work of a part at a server, with that of the call. */
+  /** Work of a part at a server, including the call overhead. */
   double withCallUs(Server server, Part part) {
     return serviceTimes.ofPartUs(part) + callOverheadUs(server);
   }
 
-  /** Parts sent to one server by one event share a call: only the part that opens it pays. */
+  /**
+   * Call overhead of the next part. Parts sent to one server within one event share a call, whose
+   * overhead is charged to the part that opens it.
+   */
   double callOverheadUs(Server server) {
     ShardLayout layout = context.settings().layout();
     boolean shared =
--- a/src/main/java/dunlinhitch/balancer/Part.java
+++ b/src/main/java/dunlinhitch/balancer/Part.java
@@ -15,7 +15,7 @@
   final int shard;
   final double weight;
 
-  /** The client's hint of the work, 0 for none. */
+  /** The client's estimate of the work, 0 for none. */
   final long hintUs;
 
   /** The step of the query that the part belongs to, 1 or 2. */
@@ -25,21 +25,21 @@
   final List<Server> attemptedServers = new ArrayList<>();
   int attemptCount;
 
-  /** When the first attempt was sent that may have had an effect, -1 for none. */
+  /** When the first attempt that may have had an effect was sent, -1 for none. */
   long mayHaveRunUs = -1;
 
   /**
-   * Attempts that ended at the broker and that servers may still have. Below 0 while a release has
-   * come ahead of its attempt's end.
+   * Number of attempts that have ended at the broker but that servers may still be executing.
+   * Negative while a release has arrived ahead of its attempt's end.
    */
   int unconfirmedAttempts;
 
   boolean answered;
 
-  /** No further attempt is to be made. */
+  /** Whether no further attempt is needed. */
   boolean settled;
 
-  /** An attempt is wanted as soon as a server may take it. */
+  /** Whether an attempt is pending until a server can take it. */
   boolean requested;
 
   /** The next time that a late attempt of this part is examined. */
@@ -59,7 +59,7 @@
     return inFlight.stream().anyMatch(attempt -> attempt.server == server);
   }
 
-  /** The attempt of that number while it is in flight, else null. */
+  /** Returns the attempt with the given number if it is in flight, otherwise null. */
   Attempt attempt(int number) {
     for (Attempt attempt : inFlight) {
       if (attempt.number == number) {
--- a/src/main/java/dunlinhitch/balancer/Query.java
+++ b/src/main/java/dunlinhitch/balancer/Query.java
@@ -22,12 +22,12 @@
   /** The class as it was when the query arrived. */
   final QueryClass queryClass;
 
-  /** Attempts for each part, as the settings were when the query arrived. */
+  /** Limit of attempts for each part, as configured when the query arrived. */
   final int maxAttempts;
 
   final int tenant;
 
-  /** The client has asked this before. */
+  /** Whether the client has sent this query before. */
   final boolean retriedByClient;
 
   final long arrivedUs;
@@ -35,35 +35,35 @@
   /** When the client stops waiting. */
   final long deadlineUs;
 
-  /** When the latency objective is missed. */
+  /** When the latency objective expires. */
   long objectiveUs;
 
   final List<Part> parts = new ArrayList<>();
 
-  /** Parts that the present step has. */
+  /** Number of parts of the current step. */
   int expectedParts;
 
   int step = 1;
   boolean firstStepComplete;
 
-  /** Weight of the answered parts of the present step. */
+  /** Weight of the answered parts of the current step. */
   double answeredWeight;
 
   /** Servers whose health checks the query waits for before its admission. */
   final Set<Server> awaitedHealthChecks = new LinkedHashSet<>();
 
-  /** Until when the parts wait for health checks or the canary part, 0 for not at all. */
+  /** Until when the parts wait for health checks or the canary part, 0 if they do not. */
   long deferredUntilUs;
 
   boolean canarySent;
 
-  /** A part has been answered, so the query brings down no server. */
+  /** Whether a part has been answered, which shows that the query does not crash servers. */
   boolean anyPartAnswered;
 
   /** Servers that reset an attempt of this query, and when. */
   final Map<Server, Long> resetsUs = new LinkedHashMap<>();
 
-  /** Share of its time that the query may wait for servers, 0 before it is computed. */
+  /** Fraction of its time that the query may wait for servers; 0 until it is computed. */
   double waitTolerance;
 
   boolean ended;
--- a/src/main/java/dunlinhitch/balancer/QueryCompletion.java
+++ b/src/main/java/dunlinhitch/balancer/QueryCompletion.java
@@ -3,7 +3,7 @@
 import dunlinhitch.balancer.settings.Idempotency;
 
 /**
- * Decides when a query is over and how: a complete or partial answer, a rejection that is safe to
+ * Decides when and how a query ends: with a complete or partial answer, a rejection that is safe to
  * retry, or a failure. Each query gets exactly one final outcome.
  *
  * <p>Not thread-safe; the load balancer owns it.
@@ -12,10 +12,10 @@
   /** Tolerance for sums of part weights. */
   static final double WEIGHT_TOLERANCE = 0.00005;
 
-  /** A part is unattainable once less than this share of its service time is left. */
+  /** A part is unattainable once the time left is less than this fraction of its service time. */
   private static final double UNATTAINABLE_SHARE = 0.5;
 
-  /** Share of its time after which a query without any attempt is rejected. */
+  /** Fraction of its time after which a query without any attempt is rejected. */
   private static final double UNSENT_SHARE = 0.48;
 
   private final BalancerContext context;
@@ -37,7 +37,10 @@
     this.healthCheckBudget = healthCheckBudget;
   }
 
-  /** Answers the query if what has arrived is complete or the best that can be had. */
+  /**
+   * Ends the query if the answered parts are complete, if a partial answer is the best achievable
+   * outcome, or if no part is pending.
+   */
   void evaluate(Query query) {
     if (isComplete(query)) {
       answer(query, true);
@@ -49,8 +52,8 @@
   }
 
   /**
-   * Ends a query that gains nothing by waiting: with what has arrived, if that may be answered,
-   * else with a rejection or failure.
+   * Ends a query for which waiting longer has no benefit: with the answered parts if they suffice
+   * for an answer, otherwise with a rejection or failure.
    */
   void giveUp(Query query, GiveUpReason reason) {
     context.actions().onGivenUp(query.id, reason);
@@ -68,15 +71,16 @@
     end(query);
   }
 
-  /** Cancels what is in flight and forgets the query, without an answer. */
+  /** Cancels the attempts in flight and removes the query, without an answer. */
   void end(Query query) {
     query.parts.forEach(attempts::cancelAll);
     queries.remove(query);
   }
 
   /**
-   * True once the target has passed and a partial answer is worth more than a late one. Guards
-   * against the few slow, unresponsive or dead servers that a wide query always meets.
+   * True once the target has passed and a partial answer has at least the weight of a late one.
+   * Guards against the few slow, unresponsive or dead servers that a query with many parts usually
+   * encounters.
    */
   boolean isPartialBest(Query query) {
     return context.nowUs() >= estimators.deadlines.targetUs(query)
@@ -86,7 +90,10 @@
             >= query.queryClass.lateWeight();
   }
 
-  /** True once the parts that may still arrive cannot make an answer. */
+  /**
+   * True once the answered and attainable parts together cannot reach the minimum weight of an
+   * answer.
+   */
   boolean isUnattainable(Query query) {
     if (!hasPartsOfStep(query)) {
       return false;
@@ -102,8 +109,9 @@
   }
 
   /**
-   * True where nothing of the query could be sent for a good part of its time: its client learns of
-   * it while a retry can still be in time. This may hurt where a server becomes ready just then.
+   * True if no attempt of the query could be sent within {@link #UNSENT_SHARE} of its time.
+   * Rejecting it then lets the client retry within the deadline. The drawback is that a server may
+   * become ready just afterwards.
    */
   boolean isUnsent(Query query) {
     double limitUs = query.arrivedUs + UNSENT_SHARE * (query.deadlineUs - query.arrivedUs);
@@ -124,7 +132,7 @@
         && leftUs > UNATTAINABLE_SHARE * estimators.serviceTimes.ofPartUs(part);
   }
 
-  /** False while the parts of a second step are still to arrive. */
+  /** False until the parts of the query's current step have arrived. */
   private static boolean hasPartsOfStep(Query query) {
     return query.parts.get(query.parts.size() - 1).step >= query.step;
   }
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -5,30 +5,34 @@
 import dunlinhitch.balancer.settings.QueryClass;
 
 /**
- * The points in time that a query is planned for, in microseconds on the balancer's clock.
+ * Computes the points in time at which a query must be answered or given up, in microseconds on the
+ * balancer's clock.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class QueryDeadlines {
-  /** A client timeout shorter than this share of the longest has been cut by the client. */
+  /**
+   * A client timeout shorter than this fraction of the longest of its class was shortened by the
+   * client.
+   */
   private static final double CUT_TIMEOUT_SHARE = 0.97;
 
   /** Quantile of part latencies reserved for a second step. */
   private static final double SECOND_STEP_QUANTILE = 0.9;
 
-  /** Most that is reserved for a second step, as a share of the latency objective. */
+  /** Maximum time reserved for a second step, as a fraction of the latency objective. */
   private static final double MAX_SECOND_STEP_SHARE = 0.3;
 
-  /** Quantile of part latencies that sets the timeout where nothing can be cancelled. */
+  /** Quantile of part latencies on which the timeout is based if attempts cannot be cancelled. */
   private static final double TIMEOUT_QUANTILE = 0.95;
 
-  /** The timeout over that quantile. */
+  /** Ratio of the timeout to the latency at {@link #TIMEOUT_QUANTILE}. */
   private static final double TIMEOUT_FACTOR = 2;
 
-  /** Service times that must be left for a retry of a rejected query to be in time. */
+  /** Number of service times that must remain for a retry of a rejected query to be in time. */
   private static final double RETRY_SERVICE_TIMES = 2;
 
-  /** A client is asked to wait for this part of the time that a retry can still spare. */
+  /** The Retry-After is the slack of a retry divided by this. */
   private static final long RETRY_AFTER_FRACTION = 4;
 
   private final BalancerContext context;
@@ -39,7 +43,7 @@
     this.serviceTimes = serviceTimes;
   }
 
-  /** When the latency objective of a query that arrives now is missed. */
+  /** The time at which a query that arrives now misses its latency objective. */
   long objectiveUs(QueryArrived event, ClassStatistics statistics, long lagUs) {
     QueryClass queryClass = statistics.queryClass();
     double workUs =
@@ -51,10 +55,11 @@
   }
 
   /**
-   * What a client has waited over earlier requests, where retries are marked: a timeout shorter
-   * than others of the class is cut by the client's own deadline. What was given up at its
-   * objective would come again, too late to be of value, in the place of what is not late.
-   * Impatient clients suffer from this.
+   * The time that a client has already waited for earlier requests of the same query, if retries
+   * are marked: a timeout shorter than others of the class was shortened by the client's own
+   * deadline. Without this correction, retries of queries that have already missed their objective
+   * would displace queries that can still meet it. Clients with generally short timeouts are at a
+   * disadvantage.
    */
   private long spentUs(QueryArrived event, ClassStatistics statistics) {
     long timeoutUs = event.deadlineUs() - context.nowUs();
@@ -64,7 +69,10 @@
     return cut ? Math.max(0, statistics.queryClass().deadlineUs() - timeoutUs) : 0;
   }
 
-  /** After this nothing is gained: the objective where late answers are worthless, else the end. */
+  /**
+   * The time after which the query is given up: its objective if late answers have no weight,
+   * otherwise its deadline, less the answer margin.
+   */
   long giveUpUs(Query query) {
     long endUs =
         query.queryClass.lateWeight() > 0
@@ -73,7 +81,10 @@
     return endUs - context.answerMarginUs();
   }
 
-  /** In time for the objective; a first answer leaves time for the second step. */
+  /**
+   * The time by which an answer meets the objective; a first answer leaves time for the second
+   * step.
+   */
   long targetUs(Query query) {
     double secondStepUs =
         query.step > 1 || query.queryClass.followUp() == 0
@@ -86,17 +97,21 @@
         - (long) secondStepUs;
   }
 
-  /** What the query is planned for: the target while it is ahead. */
+  /**
+   * The time that the query is planned for: the target, or the give-up time once the target has
+   * passed.
+   */
   long planUs(Query query) {
     long targetUs = targetUs(query);
     return context.nowUs() < targetUs ? targetUs : giveUpUs(query);
   }
 
   /**
-   * When an attempt sent now must end by itself. Where attempts can be cancelled maintenance ends
-   * them; elsewhere the timeout must. It also keeps servers from work that nobody waits for, which
-   * a cancel may not: a part whose query is answered at its target with what has arrived lasts no
-   * longer. This may hurt where the target passes with less than the floor.
+   * The timeout of an attempt sent now. If attempts can be cancelled, maintenance ends them;
+   * otherwise only the timeout does. The timeout also stops servers from doing work that is no
+   * longer needed, which a cancellation may not: if the class allows partial answers, an attempt
+   * ends when its query may be answered without it. The drawback is that the attempt is lost if the
+   * floor is not reached at that time.
    */
   long attemptTimeoutUs(Query query) {
     long nowUs = context.nowUs();
@@ -114,8 +129,8 @@
   }
 
   /**
-   * The Retry-After of a rejected query: a client is asked to come back while its objective can
-   * still be met, if it can; else as late as clients heed.
+   * The Retry-After of a rejected query: a client is asked to retry while the objective can still
+   * be met; if it cannot, after the longest delay that clients honor.
    */
   long retryAfterUs(Query query) {
     long maxUs = context.settings().limits().maxRetryAfterUs();
--- a/src/main/java/dunlinhitch/balancer/QueryMaintenance.java
+++ b/src/main/java/dunlinhitch/balancer/QueryMaintenance.java
@@ -1,7 +1,7 @@
 package dunlinhitch.balancer;
 
 /**
- * Examines a query in flight when a timer fires: gives it up, resumes it or helps its late parts.
+ * Examines a query in flight when a timer fires: gives it up, resumes it or hedges its late parts.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
--- a/src/main/java/dunlinhitch/balancer/QueryRegistry.java
+++ b/src/main/java/dunlinhitch/balancer/QueryRegistry.java
@@ -26,27 +26,27 @@
     part.query.parts.add(part);
   }
 
-  /** The query of that id, or null. */
+  /** Returns the query with the given id, or null. */
   Query get(int id) {
     return queries.get(id);
   }
 
-  /** The query of that number, or null. */
+  /** Returns the query with the given number, or null. */
   Query byNumber(long number) {
     return byNumber.get(number);
   }
 
-  /** The part of that id, or null. */
+  /** Returns the part with the given id, or null. */
   Part part(int id) {
     return parts.get(id);
   }
 
-  /** A copy of the queries in flight: a decision on one may end others. */
+  /** Returns a copy of the queries in flight, since a decision on one query may end others. */
   List<Query> snapshot() {
     return new ArrayList<>(queries.values());
   }
 
-  /** Ends a query; its parts stay until their attempts have ended. */
+  /** Ends a query; its parts are retained until their attempts have ended. */
   void remove(Query query) {
     query.ended = true;
     queries.remove(query.id);
@@ -54,7 +54,7 @@
     query.parts.forEach(this::removeIfFinished);
   }
 
-  /** Forgets a part whose query has ended and that has no attempt in flight. */
+  /** Removes a part if its query has ended and it has no attempt in flight. */
   void removeIfFinished(Part part) {
     if (part.query.ended && part.inFlight.isEmpty()) {
       parts.remove(part.id);
--- a/src/main/java/dunlinhitch/balancer/ReplicaSelection.java
+++ b/src/main/java/dunlinhitch/balancer/ReplicaSelection.java
@@ -7,13 +7,13 @@
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class ReplicaSelection {
-  /** Latency objectives of work that the full price of a request to another zone amounts to. */
+  /** Work that a cross-zone price of 1 is equivalent to, in latency objectives. */
   private static final double CROSS_ZONE_OBJECTIVES = 5;
 
-  /** Random part of a score, which breaks ties differently at each broker. */
+  /** Random fraction of a score, which makes brokers break ties differently. */
   private static final double TIE_BREAK_SHARE = 0.001;
 
-  /** How far a selection departs from the preferred replicas; each value admits more servers. */
+  /** Passes of a selection; each one admits more servers than the one before. */
   private enum Pass {
     NOT_YET_ATTEMPTED,
     ANY_READY,
@@ -30,7 +30,7 @@
     this.estimators = estimators;
   }
 
-  /** The best replica for the part's next attempt, or null where none may be sent to. */
+  /** The best replica for the part's next attempt, or null if none is eligible. */
   Server select(Part part) {
     Server selected = null;
     for (Pass pass : Pass.IN_ORDER) {
@@ -49,7 +49,8 @@
         continue;
       }
       if (server.trialDueUs > 0 && context.nowUs() >= server.trialDueUs) {
-        // Warming up and without a report it would lose to the others while they are not busy.
+        // In slow start and without a load report, its score would lose to servers with little
+        // load.
         return server;
       }
       double tieBreak = 1 + TIE_BREAK_SHARE * context.random().nextDouble();
@@ -77,8 +78,8 @@
   }
 
   /**
-   * A draining server gets nothing more, unless its shard has no other; after the grace period it
-   * never does.
+   * A draining server is eligible only if its shard has no other server, and only within the grace
+   * period.
    */
   private boolean isEligible(Server server, boolean allowDraining) {
     if (context.servers().isDisabled(server.id)) {
@@ -93,7 +94,10 @@
         && context.nowUs() < graceEndUs - context.answerMarginUs();
   }
 
-  /** Cost of sending the part to a server, in microseconds of work; the least is selected. */
+  /**
+   * Cost of sending the part to a server, in microseconds of work; the server with the lowest score
+   * is selected.
+   */
   double score(Server server, Part part) {
     double crossZoneUs =
         context.settings().prices().crossZone()
--- a/src/main/java/dunlinhitch/balancer/RetryBudget.java
+++ b/src/main/java/dunlinhitch/balancer/RetryBudget.java
@@ -5,8 +5,9 @@
 import java.util.Deque;
 
 /**
- * The retry budget: attempts after the first are at most a stated ratio of the requests received
- * within a sliding window. Where many servers fail at once, parts wait for it.
+ * The retry budget: attempts after the first are limited to a configured ratio of the requests
+ * received within a sliding window. If many servers fail at the same time, parts wait for the
+ * budget.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
@@ -19,7 +20,7 @@
     this.context = context;
   }
 
-  /** Counts a query or part received; only a stated budget needs this. */
+  /** Counts a query or part received; has no effect if no budget is configured. */
   void onReceived() {
     if (context.settings().rules().retryRatio() < 0) {
       return;
@@ -32,12 +33,12 @@
     retriedUs.addLast(context.nowUs());
   }
 
-  /** Takes back a retry sent at that time, which turned out not to have been made. */
+  /** Refunds a retry charged at that time that was never sent. */
   void refund(long sentUs) {
     retriedUs.removeLastOccurrence(sentUs);
   }
 
-  /** Whether one more retry stays within a share of the budget. */
+  /** Whether one more retry stays within the given fraction of the budget. */
   boolean allowsRetry(double share) {
     Rules rules = context.settings().rules();
     removeBefore(
--- a/src/main/java/dunlinhitch/balancer/SampleWindow.java
+++ b/src/main/java/dunlinhitch/balancer/SampleWindow.java
@@ -14,7 +14,10 @@
   private int sampleCount;
   private double minimum;
 
-  /** Begins with samples spread evenly about a mean, so that no quantile is a single point. */
+  /**
+   * Initializes the window with samples spread evenly around a mean, so that quantiles differ
+   * before the first real sample.
+   */
   SampleWindow(int size, double mean) {
     samples = new double[size];
     sorted = new double[size];
@@ -30,17 +33,17 @@
     sortedIsStale = true;
   }
 
-  /** Samples added so far, those that have left the window included. */
+  /** Number of samples added so far, including those that have left the window. */
   int sampleCount() {
     return sampleCount;
   }
 
-  /** The least of all samples added so far; 0 before the first. */
+  /** The smallest of all samples added so far; 0 before the first. */
   double minimum() {
     return minimum;
   }
 
-  /** The sample at a fraction from 0 to 1 of the sorted window. */
+  /** The sample at the given fraction, from 0 to 1, of the sorted window. */
   double quantile(double fraction) {
     if (sortedIsStale) {
       System.arraycopy(samples, 0, sorted, 0, samples.length);
--- a/src/main/java/dunlinhitch/balancer/SchedulingLag.java
+++ b/src/main/java/dunlinhitch/balancer/SchedulingLag.java
@@ -1,13 +1,14 @@
 package dunlinhitch.balancer;
 
 /**
- * How late this broker itself has been of late. A query has waited as long unread, and its answers
- * will: what cannot be in time for that is rejected at once, or all that follows is late too.
+ * The recent lag of this broker's event loop. A query has waited that long before it was read, and
+ * its answers will wait as long. Queries that would be late because of it are rejected immediately;
+ * otherwise those that follow would be late too.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class SchedulingLag {
-  /** Share of the lag that remains from one maintenance run to the next. */
+  /** Fraction of the lag that remains from one maintenance run to the next. */
   private static final double DECAY_PER_SWEEP = 0.8;
 
   private final BalancerContext context;
@@ -17,7 +18,7 @@
     this.context = context;
   }
 
-  /** Takes a maintenance run that begins now and was due at that time. */
+  /** Records the lag of a maintenance run that starts now and was due at {@code dueUs}. */
   void onSweep(long dueUs) {
     long measuredUs = context.nowUs() - dueUs - context.answerMarginUs();
     lagUs = Math.max((double) measuredUs, DECAY_PER_SWEEP * lagUs);
--- a/src/main/java/dunlinhitch/balancer/Server.java
+++ b/src/main/java/dunlinhitch/balancer/Server.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * What the load balancer knows of one server.
+ * The load balancer's state of one server.
  *
  * <p>Not thread-safe; {@link ServerTable} owns it.
  */
@@ -23,13 +23,13 @@
   /** When an attempt was last answered. */
   long lastAnswerUs;
 
-  /** When its process started, 0 where that is a long time ago. */
+  /** When its process started, 0 if long ago. */
   long startedUs;
 
   /** When it was last enabled again after an operator had disabled it. */
   long enabledUs;
 
-  /** When it must get one trial part at the latest, 0 for none. */
+  /** When it is due for one trial part, 0 for none. */
   long trialDueUs;
 
   /** When a connection to it was last in use. */
@@ -46,7 +46,7 @@
   long penaltyUpdatedUs;
   int consecutiveFailures;
 
-  /** Load that other brokers have at this server after its reports, in parts. */
+  /** Load of other brokers at this server according to its reports, in parts. */
   double reportedLoad;
 
   /** When it last sent a load report. */
@@ -54,10 +54,10 @@
 
   boolean healthCheckInFlight;
 
-  /** Work that it may still be sent during slow start. */
+  /** Budget of work that it may be sent during slow start. */
   final TokenBucket slowStartBucket = new TokenBucket();
 
-  /** When the call that parts of one event share was opened. */
+  /** When the call that the parts of one event share was opened. */
   long callOpenedUs = -1;
 
   /** Parts sent at {@link #callOpenedUs}. */
@@ -67,7 +67,7 @@
     this.id = id;
   }
 
-  /** Drops what was learned: the server counts as one that has just started. */
+  /** Resets the estimates and treats the server as just started. */
   void resetAsStarted(long nowUs) {
     penaltyUs = 0;
     consecutiveFailures = 0;
--- a/src/main/java/dunlinhitch/balancer/ServerListKind.java
+++ b/src/main/java/dunlinhitch/balancer/ServerListKind.java
@@ -4,7 +4,7 @@
 public enum ServerListKind {
   /** The entries that changed. */
   DELTA,
-  /** The whole list, which replaces the former one. */
+  /** The whole list, which replaces the previous one. */
   FULL,
   /** Like {@link #FULL}, but from a cache that may be stale. */
   CACHED,
--- a/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
+++ b/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
@@ -13,13 +13,13 @@
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class ServerListUpdates {
-  /** A server that is enabled again gets its first part within this time. */
+  /** Upper bound of the random delay before a server that is enabled again gets a trial part. */
   private static final double TRIAL_DELAY_US = 2e6;
 
-  /** The first backoff after a failed poll, as a part of the time within which polls are due. */
+  /** The first backoff after a failed poll is {@code pollWithinUs} divided by this. */
   private static final long BACKOFF_FRACTION = 40;
 
-  /** Failures in a row after which the backoff is not doubled any further. */
+  /** Consecutive failures after which the backoff is no longer doubled. */
   private static final long MAX_DOUBLINGS = 4;
 
   private static final long MAX_BACKOFF_US = 60_000_000L;
@@ -67,9 +67,9 @@
   }
 
   /**
-   * Disables or enables a server. An enabled one is taken for one that has just started, and gets a
-   * part soon: nothing that was learned of it still holds, and the operator who enabled it waits to
-   * see it serve.
+   * Disables or enables a server. A server that is enabled again is treated as just started,
+   * because earlier estimates may no longer be valid, and soon gets a trial part, so that the
+   * operator can see that it works.
    */
   void onDisabled(ServerDisabled event) {
     boolean changed = context.servers().setDisabled(event.server(), event.disabled());
@@ -102,7 +102,10 @@
     setState(server, entry.state());
   }
 
-  /** A new server starts at the mean of those it shares shards with. */
+  /**
+   * The mean work of the servers that share shards with the cell; the initial penalty of a new
+   * server.
+   */
   private double meanWorkOfNeighbours(int cell) {
     return context.servers().sharingShards(cell, context.settings().layout()).stream()
         .filter(server -> server.state == ServerState.READY)
@@ -115,7 +118,8 @@
   private void setState(Server server, ServerState state) {
     boolean readinessChanges =
         server.state != state && (server.state == ServerState.READY || state == ServerState.READY);
-    if (readinessChanges) { // a server that was not ready before has no grace period
+    if (readinessChanges) { // a server that is draining without having been ready gets no grace
+      // period
       server.stateChangedUs = context.nowUs();
     }
     server.state = state;
--- a/src/main/java/dunlinhitch/balancer/ServerState.java
+++ b/src/main/java/dunlinhitch/balancer/ServerState.java
@@ -4,13 +4,13 @@
 public enum ServerState {
   /** Takes parts. */
   READY,
-  /** Takes parts only where its shard has no other server, and only within the grace period. */
+  /** Takes parts only if its shard has no other server, and only within the grace period. */
   DRAINING,
-  /** Removed from the list; forgotten once its last attempt has ended. */
+  /** Removed from the list; deleted once its last attempt has ended. */
   GONE,
   /**
-   * Takes nothing new from this moment on, not even as the last of its shard. What was learned of
-   * it is retained, for it may come back as the same process.
+   * Takes no new parts, even if its shard has no other server. Its statistics are retained because
+   * the same process may become ready again.
    */
   WITHDRAWN
 }
--- a/src/main/java/dunlinhitch/balancer/ServerTable.java
+++ b/src/main/java/dunlinhitch/balancer/ServerTable.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * The servers by id and by cell, updated change by change: the cost of a change does not grow with
- * the number of servers. It makes no decisions.
+ * The servers by id and by cell, updated incrementally so that the cost of a change does not grow
+ * with the number of servers.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
@@ -21,10 +21,10 @@
   private final Map<Integer, Server> byId = new LinkedHashMap<>();
   private final Map<Integer, List<Server>> byCell = new HashMap<>();
 
-  /** Servers that have left the list, until their last attempt has ended. */
+  /** Servers that were removed from the list, kept until their last attempt has ended. */
   private final Set<Server> removed = new LinkedHashSet<>();
 
-  /** Ids disabled by an operator, whatever the list says. */
+  /** Ids disabled by an operator, regardless of the list. */
   private final Set<Integer> disabled = new HashSet<>();
 
   Server get(int id) {
@@ -52,7 +52,7 @@
     return replicas;
   }
 
-  /** The servers that hold a shard which the cell holds too. */
+  /** The servers that hold at least one shard of the given cell. */
   List<Server> sharingShards(int cell, ShardLayout layout) {
     Set<Integer> cells = new LinkedHashSet<>();
     for (int offset = 1 - layout.replicationFactor();
@@ -81,7 +81,7 @@
     }
   }
 
-  /** Disables or enables an id; true where that changes anything. */
+  /** Disables or enables an id; returns true if this is a change. */
   boolean setDisabled(int id, boolean disable) {
     return disable ? disabled.add(id) : disabled.remove(id);
   }
@@ -95,7 +95,7 @@
     removed.add(server);
   }
 
-  /** Forgets the removed servers that have no attempt in flight and have not come back. */
+  /** Deletes the removed servers that have no attempt in flight and have not been listed again. */
   void removeFinished() {
     removed.removeIf(
         server -> {
--- a/src/main/java/dunlinhitch/balancer/ServiceTimes.java
+++ b/src/main/java/dunlinhitch/balancer/ServiceTimes.java
@@ -3,31 +3,34 @@
 import java.util.List;
 
 /**
- * Estimates the service time of parts by class, from the latencies of answered parts. This is the
- * work that an attempt is charged with.
+ * Estimates the service time of parts by class, from the latencies of answered parts. An attempt is
+ * charged with this amount of work.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class ServiceTimes {
-  /** Service time of a part before any was measured, as a share of the latency objective. */
+  /** Initial service time of a part, as a fraction of the latency objective. */
   private static final double INITIAL_SERVICE_TIME_SHARE = 0.1;
 
-  /** Latency of a part before any was measured, as a share of the latency objective. */
+  /** Initial latency of a part, as a fraction of the latency objective. */
   private static final double INITIAL_LATENCY_SHARE = 0.2;
 
-  /** Shortest latency objectives in which an estimate may grow e-fold at the most. */
+  /** An estimate grows at most e-fold within this many shortest latency objectives. */
   private static final double GROWTH_OBJECTIVES = 32;
 
   /** Latencies in the sliding window of each class. */
   private static final int WINDOW_SIZE = 64;
 
-  /** Latencies of a class before its service time is estimated. */
+  /** Number of latencies of a class that are needed to estimate its service time. */
   private static final int MIN_SAMPLES = WINDOW_SIZE / 8;
 
-  /** Low quantile of the latencies, for the higher ones contain waiting. */
+  /**
+   * Quantile of the latencies on which the service time is based; higher quantiles include queueing
+   * time.
+   */
   private static final double SERVICE_TIME_QUANTILE = 0.1;
 
-  /** Service time over that quantile. */
+  /** Ratio of the service time to the latency at {@link #SERVICE_TIME_QUANTILE}. */
   private static final double SERVICE_TIME_FACTOR = 1.5;
 
   private final BalancerContext context;
@@ -38,14 +41,14 @@
     applySettings();
   }
 
-  /** Takes the classes of the settings in force; one of the same name keeps its statistics. */
+  /** Applies the classes of the current settings; a class of the same name keeps its statistics. */
   void applySettings() {
     classes =
         ClassStatistics.carryOver(
             classes, context.settings().classes(), WINDOW_SIZE, INITIAL_LATENCY_SHARE);
   }
 
-  /** The statistics of a class by its index, the nearest for an index out of range. */
+  /** The statistics of a class by its index; an index out of range is clamped. */
   ClassStatistics ofClass(int index) {
     return classes.get(Math.max(0, Math.min(index, classes.size() - 1)));
   }
@@ -57,7 +60,7 @@
         : statistics.queryClass().latencyObjectiveUs() * INITIAL_SERVICE_TIME_SHARE;
   }
 
-  /** Service time of one part: the client's hint, else that of a typical part. */
+  /** Service time of one part: the client's hint if present, otherwise that of a typical part. */
   double ofPartUs(Part part) {
     return part.hintUs > 0 ? part.hintUs : typicalUs(part.query.statistics);
   }
@@ -72,8 +75,8 @@
   }
 
   /**
-   * Takes the latency of an answered part. Under overload all parts wait, so the estimate may fall
-   * at once but rises only slowly.
+   * Records the latency of an answered part. Under overload all latencies include queueing time, so
+   * the estimate may fall immediately but rises only slowly.
    */
   void onAnswer(ClassStatistics statistics, long latencyUs) {
     statistics.latencies.add((double) latencyUs);
--- a/src/main/java/dunlinhitch/balancer/SlopeEstimate.java
+++ b/src/main/java/dunlinhitch/balancer/SlopeEstimate.java
@@ -16,7 +16,10 @@
     meanSquare += weight * (input * input - meanSquare);
   }
 
-  /** The slope, drawn to a prior that weighs as much as a pair whose input has that square. */
+  /**
+   * The slope, regularized towards a prior that has the weight of a pair whose squared input is
+   * {@code priorSquare}.
+   */
   double slope(double prior, double priorSquare) {
     return (prior * priorSquare + meanProduct) / (priorSquare + meanSquare);
   }
--- a/src/main/java/dunlinhitch/balancer/SlowStart.java
+++ b/src/main/java/dunlinhitch/balancer/SlowStart.java
@@ -3,32 +3,40 @@
 import dunlinhitch.balancer.settings.Rules;
 
 /**
- * Slow start: protects a server that has just started from overload.
+ * Slow start: protects a server from overload after its start.
  *
- * <p>Each warming server has a token bucket of work that fills at this broker's share of what the
- * rule allows, with a phase of its own: many brokers that are notified, or restarted, at one moment
- * send one after the other, not all at once. Work is paid for at the send, whatever becomes of it.
- * Where all replicas of a shard are warming up, parts wait.
+ * <p>Each warming server has a token bucket of work that fills at this broker's share of the rate
+ * that the rules allow. The bucket has a random phase, so that brokers which are notified or
+ * restarted at the same time do not send simultaneously. Work is charged at the send, whatever the
+ * outcome. If all replicas of a shard are warming up, parts wait for budget.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class SlowStart {
-  /** Share of a warming server's budget that is used, for work is only estimated. */
+  /**
+   * Fraction of a warming server's budget that is used; the rest is a margin because work is only
+   * an estimate.
+   */
   private static final double BUDGET_SHARE = 0.6;
 
   /** Shortest latency objectives over which the work of warm servers is measured. */
   private static final double MEASUREMENT_OBJECTIVES = 10;
 
-  /** Least weight of a warming server. */
+  /** Minimum weight of a warming server. */
   private static final double MIN_WEIGHT = 0.01;
 
-  /** Cost of a part of a class not measured yet, over the least latency of the class. */
+  /**
+   * For a class without a measured service time: ratio of a part's cost to the smallest latency of
+   * the class.
+   */
   private static final double UNMEASURED_COST_FACTOR = 1.5;
 
   private final BalancerContext context;
   private final ServiceTimes serviceTimes;
 
-  /** Work that one warm server has answered of late for this broker, in microseconds. */
+  /**
+   * Decaying sum of the work that one warm server has answered for this broker, in microseconds.
+   */
   private final DecayingValue answeredWorkUs = new DecayingValue();
 
   private long warmServers;
@@ -38,7 +46,7 @@
     this.serviceTimes = serviceTimes;
   }
 
-  /** The share of its full capacity that a server is sure to have now: above 0, 1 when warm. */
+  /** The fraction of its full capacity that a server has now: above 0, and 1 when warm. */
   double weight(Server server) {
     Rules rules = context.settings().rules();
     long durationUs = rules.slowStartDurationUs();
@@ -59,12 +67,12 @@
     server.slowStartBucket.reset(1 - context.random().nextDouble(), context.nowUs());
   }
 
-  /** Sets how many servers are warm and may be sent to. */
+  /** Sets the number of servers that are both warm and ready. */
   void setWarmServers(long count) {
     warmServers = count;
   }
 
-  /** Whether the server's budget has room for the part; always so for a warm server. */
+  /** Whether the server's budget admits the part; always true for a warm server. */
   boolean admits(Server server, Part part) {
     Rules rules = context.settings().rules();
     if (isWarm(server) || rules.overloadFactor() <= 0) {
@@ -72,7 +80,9 @@
     }
     double rate = rate(server);
     double burst =
-        rate * rules.overloadToleranceUs() / 2; // as much again flows in within that time
+        rate
+            * rules.overloadToleranceUs()
+            / 2; // the bucket refills by the same amount in half the tolerance
     return server.slowStartBucket.canAfford(cost(part), rate, burst, context.nowUs());
   }
 
@@ -94,9 +104,10 @@
   }
 
   /**
-   * Work per time that this broker may send a warming server. Of a warm server's capacity that is
-   * one core's work at least, shared by all brokers; or what warm ones are measured to do for this
-   * broker, for all brokers together measure no more than the servers can do.
+   * Rate of work that this broker may send to a warming server: a multiple of the server's weight
+   * and of the rate of a warm server. The latter is the rate measured for this broker, which summed
+   * over all brokers cannot exceed the capacity of the servers, but at least one core divided by
+   * the number of brokers.
    */
   private double rate(Server server) {
     double spanUs = MEASUREMENT_OBJECTIVES * context.shortestObjectiveUs();
@@ -112,9 +123,10 @@
   }
 
   /**
-   * What the budget is charged with. Before a class is measured its service time is a guess and may
-   * be several times as much; after a restart all brokers guess so at once. Until then a part costs
-   * as much as the least latency of its class, if that is more.
+   * The cost that a part is charged to the budget. Until a class is measured, its service time is
+   * an initial estimate that may be several times too low, and after a restart all brokers use that
+   * estimate at the same time. Until then a part costs at least {@link #UNMEASURED_COST_FACTOR}
+   * times the smallest latency of its class.
    */
   private double cost(Part part) {
     ClassStatistics statistics = part.query.statistics;
--- a/src/main/java/dunlinhitch/balancer/TokenBucket.java
+++ b/src/main/java/dunlinhitch/balancer/TokenBucket.java
@@ -3,10 +3,10 @@
 /**
  * A token bucket with fractional tokens and a phase.
  *
- * <p>It begins empty, and until its first token is saved a request needs only the bucket's phase of
- * its cost. Where the phases of many buckets are drawn evenly from 0 to 1, all buckets together
- * admit from the first moment at the sum of their rates, whatever the costs are; from then on each
- * admits one request a period.
+ * <p>It starts empty, and a request is admitted once the level reaches the phase, a fraction from 0
+ * to 1, of its cost. If the phases of many buckets are uniformly distributed, the buckets together
+ * admit at the sum of their rates from the start, whatever the costs; afterwards each admits one
+ * request per period.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
@@ -15,14 +15,17 @@
   private double phase = 1;
   private long filledUs;
 
-  /** Empties the bucket and gives it another phase. */
+  /** Empties the bucket and sets its phase. */
   void reset(double newPhase, long nowUs) {
     level = 0;
     phase = newPhase;
     filledUs = nowUs;
   }
 
-  /** Fills the bucket up to now; at most {@code burst} beyond one cost is ever saved. */
+  /**
+   * Refills the bucket up to now, to at most the phase of the cost plus the part of {@code burst}
+   * above the cost, and returns whether it can afford the cost.
+   */
   boolean canAfford(double cost, double rate, double burst, long nowUs) {
     level = Math.min(phase * cost + Math.max(0, burst - cost), level + rate * (nowUs - filledUs));
     filledUs = nowUs;
--- a/src/main/java/dunlinhitch/balancer/WaitTolerance.java
+++ b/src/main/java/dunlinhitch/balancer/WaitTolerance.java
@@ -4,28 +4,28 @@
 import java.util.List;
 
 /**
- * The share of its time that a query may wait for servers: more for a higher priority weight per
- * work, less for a tenant beyond its share.
+ * The fraction of its time that a query may wait for servers: higher for a higher priority weight
+ * per work, lower for a tenant that exceeds its share.
  *
  * <p>Not thread-safe; {@link Admission} owns it.
  */
 final class WaitTolerance {
   /**
-   * Share of its time that an average query may wait; up to twice that, the more of the load is
-   * this broker's own.
+   * Fraction of its time that an average query may wait. It is scaled by 1 + 1 / brokers: the
+   * larger this broker's own fraction of the load, the longer a query may wait.
    */
   private static final double BASE_SHARE = 0.5;
 
-  /** How far the priority weight per work moves that share. */
+  /** Largest factor by which the priority weight per work raises or lowers that fraction. */
   private static final double MAX_FACTOR = 1.4;
 
-  /** Value of a query that its client asks again: part of its time is spent. */
+  /** Priority factor of a query that its client retries, since part of its time has passed. */
   private static final double RETRIED_FACTOR = 0.6;
 
   /** Weight of the newest query in the mean priority weight per work. */
   private static final double MEAN_WEIGHT = 0.05;
 
-  /** Shortest latency objectives after which counts of a tenant's queries decay e-fold. */
+  /** Time constant by which the query counts of tenants decay, in shortest latency objectives. */
   private static final double TENANT_DECAY_OBJECTIVES = 3.0;
 
   private final BalancerContext context;
@@ -41,7 +41,7 @@
     tenantShares = new DecayingShares(tenants.size());
   }
 
-  /** Takes the tenants of the settings in force; where they changed, counting begins anew. */
+  /** Applies the tenants of the current settings; if they changed, counting starts again. */
   void applySettings() {
     List<Tenant> newTenants = context.settings().tenants();
     if (!tenants.equals(newTenants)) {
@@ -50,7 +50,7 @@
     tenants = newTenants;
   }
 
-  /** The share for a query; computed once, at its first admission. */
+  /** The tolerance of a query; computed once, at its first admission. */
   double of(Query query) {
     if (query.waitTolerance == 0) {
       query.waitTolerance = compute(query);
@@ -74,7 +74,10 @@
         * Math.max(1 / MAX_FACTOR, Math.min(MAX_FACTOR, relative));
   }
 
-  /** A tenant's part of recent queries over its share; 1: just its share. Counts the query. */
+  /**
+   * Counts the query and returns the ratio of the tenant's fraction of recent queries to its share;
+   * 1 if the tenant has no share.
+   */
   private double excessOverShare(int tenant) {
     double share = tenant >= 0 && tenant < tenants.size() ? tenants.get(tenant).share() : 0;
     if (share <= 0) {
--- a/src/main/java/dunlinhitch/balancer/package-info.java
+++ b/src/main/java/dunlinhitch/balancer/package-info.java
@@ -4,10 +4,10 @@
  *
  * <p>Entry points: {@link dunlinhitch.balancer.LoadBalancer}, the events it takes ({@link
  * dunlinhitch.balancer.BalancerEvent}) and the actions it calls ({@link
- * dunlinhitch.balancer.BalancerActions}). All other classes are parts of the facade; estimators
- * learn and decide nothing, decisions read the estimators.
+ * dunlinhitch.balancer.BalancerActions}). All other classes are internal to it: estimators collect
+ * statistics and make no decisions; the classes that decide read the estimators.
  *
- * <p>The package is pure: no clock, I/O, threads or libraries, and no import from other packages
- * than its own. Its classes are not thread-safe.
+ * <p>The package uses no clock, I/O, threads or libraries, and imports only its own subpackages and
+ * the JDK. Its classes are not thread-safe.
  */
 package dunlinhitch.balancer;
--- a/src/main/java/dunlinhitch/balancer/settings/CanonicalSettings.java
+++ b/src/main/java/dunlinhitch/balancer/settings/CanonicalSettings.java
@@ -5,11 +5,11 @@
 import java.util.function.Function;
 
 /**
- * The canonical text of settings, which brokers of a cluster hash to compare what they act on.
+ * The canonical text of settings, which the brokers of a cluster hash to compare their settings.
  *
  * <p>Brokers of different builds compare these hashes, so the text is a wire format: its names and
- * their order never change, whatever the records and their components are called in the code. A
- * setting that is added later goes to the end of its group.
+ * their order never change, even if records or their components are renamed. A new setting is
+ * appended to the end of its group.
  */
 public final class CanonicalSettings {
   private CanonicalSettings() {}
--- a/src/main/java/dunlinhitch/balancer/settings/Limits.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Limits.java
@@ -4,16 +4,16 @@
 import static dunlinhitch.balancer.settings.SettingsValidation.positive;
 
 /**
- * What the deployment allows.
+ * The limits and capabilities of the deployment.
  *
- * @param maxAttempts attempts for each part, the first included
+ * @param maxAttempts attempts for each part, including the first
  * @param maxInFlight queries in flight at one broker
  * @param mayCancel attempts can be cancelled
  * @param mayHealthCheck servers can be sent health checks
  * @param parallelAttempts a part may have several attempts in flight
- * @param retryAfter a rejection may say when to retry
- * @param maxRetryAfterUs longest delay that clients heed
- * @param connectionIdleUs how long a connection may stay unused
+ * @param retryAfter a rejection may contain a Retry-After
+ * @param maxRetryAfterUs longest Retry-After delay that clients honor
+ * @param connectionIdleUs how long a connection may stay idle
  */
 public record Limits(
     int maxAttempts,
--- a/src/main/java/dunlinhitch/balancer/settings/LoadReportField.java
+++ b/src/main/java/dunlinhitch/balancer/settings/LoadReportField.java
@@ -10,7 +10,7 @@
   UTILIZATION,
   /** Recent latency in milliseconds; not used. */
   RECENT_MS,
-  /** Answers a second; not used. */
+  /** Answers per second; not used. */
   THROUGHPUT,
   /** Errors; not used. */
   ERRORS,
--- a/src/main/java/dunlinhitch/balancer/settings/Prices.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Prices.java
@@ -1,11 +1,11 @@
 package dunlinhitch.balancer.settings;
 
 /**
- * What the deployment charges for side effects of decisions, in points of its score.
+ * The costs of side effects of decisions, in points of the deployment's score.
  *
  * @param crossZone for a request to another zone
  * @param healthCheck for a health check
- * @param waste for work that nobody uses
- * @param lateFail for a failure that comes late
+ * @param waste for work whose result is not used
+ * @param lateFail for a late failure
  */
 public record Prices(double crossZone, double healthCheck, double waste, double lateFail) {}
--- a/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
+++ b/src/main/java/dunlinhitch/balancer/settings/QueryClass.java
@@ -13,10 +13,10 @@
  * @param idempotency which attempts are safe to repeat
  * @param lateWeight weight of an answer after the objective
  * @param dedupWindowUs time within which servers recognize a duplicate attempt
- * @param priorityWeight weight of a query of this class against others
- * @param followUp parts of a second step, 0 for a class without
- * @param floor least weight of the parts that a partial answer may have
- * @param need weight of the parts that a complete answer must have
+ * @param priorityWeight weight of a query of this class relative to other classes
+ * @param followUp number of parts of the second step, 0 if the class has none
+ * @param floor minimum weight of the parts in a partial answer
+ * @param need minimum weight of the parts in a complete answer
  * @param partialWeight weight of a partial answer
  */
 public record QueryClass(
--- a/src/main/java/dunlinhitch/balancer/settings/Rules.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Rules.java
@@ -4,18 +4,18 @@
 import static dunlinhitch.balancer.settings.SettingsValidation.ratio;
 
 /**
- * The rules that a broker must keep.
+ * The rules that a broker must comply with.
  *
- * @param answerSlackUs time that an answer may come after its deadline
+ * @param answerSlackUs time by which an answer may exceed its deadline
  * @param pollWithinUs time within which a changed server list must be read
- * @param retryRatio retries for each request received, below 0 where no retry budget is stated
- * @param retryBudgetFloor retries that are allowed in any case
- * @param retryRatioWindowUs sliding window over which the retry budget is counted
- * @param initialCapacityShare share of its capacity that a server has when it starts
- * @param slowStartDurationUs time until a server that has started has all its capacity
+ * @param retryRatio retries for each request received; negative if there is no retry budget
+ * @param retryBudgetFloor retries that are allowed regardless of the ratio
+ * @param retryRatioWindowUs length of the sliding window of the retry budget
+ * @param initialCapacityShare fraction of its capacity that a server has when it starts
+ * @param slowStartDurationUs time from the start of a server until it has its full capacity
  * @param overloadFactor multiple of its capacity at which a warming server fails, 0 for never
- * @param overloadToleranceUs time for which it must be overloaded to fail
- * @param drainGraceUs time for which a draining server still takes parts
+ * @param overloadToleranceUs time that a warming server withstands such an overload
+ * @param drainGraceUs time for which a draining server still accepts parts
  */
 public record Rules(
     long answerSlackUs,
--- a/src/main/java/dunlinhitch/balancer/settings/Settings.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Settings.java
@@ -8,18 +8,18 @@
 /**
  * All settings of one load balancer.
  *
- * @param brokers how many brokers share the servers
+ * @param brokers number of brokers that share the servers
  * @param zones names of the zones
  * @param zone index of the broker's own zone
  * @param tickUs longest time between two events that the broker handles
  * @param classes the query classes; at least one
  * @param tenants the tenants, in the order of their indexes in events
  * @param overQuotaWeight weight of a query beyond its tenant's quota, 0 to 1
- * @param mustPollServerList the server list comes only where it is asked for
+ * @param mustPollServerList the server list must be polled
  * @param reportsInAnswers answers contain load reports
  * @param reportsInHealthChecks results of health checks contain load reports
- * @param reportFields what the values of a load report are, in their order
- * @param clientsMarkRetries clients mark queries that they ask again
+ * @param reportFields the meaning of the values of a load report, in order
+ * @param clientsMarkRetries clients mark queries that they retry
  */
 public record Settings(
     int brokers,
@@ -62,7 +62,7 @@
     return copy(brokers, us, classes);
   }
 
-  /** These settings among so many brokers, which share what all may do together. */
+  /** These settings with another number of brokers, among which the total capacity is divided. */
   public Settings amongBrokers(int count) {
     return copy(count, tickUs, classes);
   }
--- a/src/main/java/dunlinhitch/balancer/settings/SettingsValidation.java
+++ b/src/main/java/dunlinhitch/balancer/settings/SettingsValidation.java
@@ -1,6 +1,6 @@
 package dunlinhitch.balancer.settings;
 
-/** Range checks of settings; each names the field at fault. */
+/** Range checks of settings; each message names the invalid field. */
 final class SettingsValidation {
   private SettingsValidation() {}
 
--- a/src/main/java/dunlinhitch/balancer/settings/Tenant.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Tenant.java
@@ -6,8 +6,8 @@
 /**
  * One tenant of the service.
  *
- * @param quotaPerS queries a second over all brokers
- * @param share its part of all queries, 0 to 1
+ * @param quotaPerS queries per second over all brokers
+ * @param share its fraction of all queries, 0 to 1
  */
 public record Tenant(String name, double quotaPerS, double share) {
   /** Checks the ranges. */
--- a/src/test/java/dunlinhitch/balancer/AdmissionTest.java
+++ b/src/test/java/dunlinhitch/balancer/AdmissionTest.java
@@ -38,7 +38,7 @@
     balancer.sends.clear();
     balancer.actions.clear();
     int query = balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 3, 5);
-    assertEquals(3, balancer.sends.size(), "the shard on the full server is left out");
+    assertEquals(3, balancer.sends.size(), "the part on the overloaded server is left out");
     balancer.answerAll();
     assertEquals(List.of("answer " + query + " partial"), balancer.actions);
   }
@@ -86,7 +86,7 @@
     for (int i = 0; i < 5; i++) {
       balancer.query(0, CLIENT_TIMEOUT_US, 1);
     }
-    assertEquals(5, balancer.sends.size(), "the other shard is served completely");
+    assertEquals(5, balancer.sends.size(), "all parts of the other shard are sent");
   }
 
   @Test
@@ -102,22 +102,22 @@
         new BalancerEvent.QueryArrived(
             10, 10, 0, 0, 1, balancer.nowUs + CLIENT_TIMEOUT_US - 300_000, 0, true));
     balancer.handle(new BalancerEvent.PartArrived(1000, 10, 1, 1, 0));
-    assertEquals(2, balancer.sends.size(), "one that still has time is admitted");
+    assertEquals(2, balancer.sends.size(), "a retry with time left is admitted");
   }
 
   /**
-   * A broker short of processor time reads late and answers late: it admits what it can still do in
-   * time.
+   * Guards against a growing backlog at a broker that is short of processor time: it reads queries
+   * late and its answers are delayed too, so it must reject queries that would be late.
    */
   @Test
   void aLaggingBrokerRejectsAtOnceWhatWouldBeLate() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
-    balancer.nowUs += 700_000; // all timers due meanwhile fire late
+    balancer.nowUs += 700_000; // the timers due in between fire late
     balancer.advance(0);
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
     assertTrue(
         balancer.actions.stream().anyMatch(action -> action.startsWith("reject 1")),
-        "done: " + balancer.actions);
+        "rejected because of the lag: " + balancer.actions);
     balancer.advance(500_000);
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
     assertEquals(1, balancer.serversOf(200).size());
--- a/src/test/java/dunlinhitch/balancer/AttemptSenderTest.java
+++ b/src/test/java/dunlinhitch/balancer/AttemptSenderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Retries: what may be repeated, and the retry budget. */
+/** Retries: which attempts may be repeated, and the retry budget. */
 class AttemptSenderTest {
   @Test
   void singleShotPartsAreRetriedOnlyWhenNoAttemptRan() {
@@ -94,6 +94,7 @@
       }
     }
     balancer.advance(CLIENT_TIMEOUT_US);
-    assertEquals(5 + 3, balancer.sends.size(), "2 in any case and a tenth of 10 queries and parts");
+    assertEquals(
+        5 + 3, balancer.sends.size(), "the budget is 2 plus a tenth of the 5 queries and 5 parts");
   }
 }
--- a/src/test/java/dunlinhitch/balancer/BalancerHarness.java
+++ b/src/test/java/dunlinhitch/balancer/BalancerHarness.java
@@ -8,8 +8,8 @@
 import java.util.TreeMap;
 
 /**
- * Feeds a load balancer events on a virtual clock and records its actions. Attempts are completed
- * only by the test.
+ * Feeds events to a load balancer on a virtual clock and records its actions. Attempts are
+ * completed only by the test.
  */
 final class BalancerHarness implements BalancerActions {
   record SentAttempt(int part, int attempt, int server, long atUs, long dueUs) {
@@ -18,7 +18,7 @@
     }
   }
 
-  /** Time that a client waits in most tests. */
+  /** Client timeout used by most tests. */
   static final long CLIENT_TIMEOUT_US = 3_000_000;
 
   /** The attempts sent so far; a test may clear it. */
@@ -55,7 +55,10 @@
     }
   }
 
-  /** Answers that many queries in good time, so that latencies are learned; forgets the actions. */
+  /**
+   * Answers the given number of queries in time so that latency estimates are built up, then clears
+   * the recorded sends and actions.
+   */
   void answerQueries(int queries) {
     for (int i = 0; i < queries; i++) {
       int from = sends.size();
@@ -73,7 +76,7 @@
     loadBalancer.on(nowUs, event);
   }
 
-  /** Moves the clock on and fires the timers that are due. */
+  /** Advances the clock and fires the timers that become due. */
   void advance(long us) {
     long end = nowUs + us;
     while (!timers.isEmpty() && timers.keySet().iterator().next() <= end) {
@@ -95,8 +98,8 @@
   }
 
   /**
-   * A query of a class with a part for each shard, all of the same weight; its parts are id*100 +
-   * i.
+   * Sends a query with one part of equal weight for each shard and returns its id; the ids of the
+   * parts are id * 100 + i.
    */
   int query(int queryClass, long timeoutUs, int... shards) {
     int id = nextQuery++;
--- a/src/test/java/dunlinhitch/balancer/CanaryPartTest.java
+++ b/src/test/java/dunlinhitch/balancer/CanaryPartTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The canary part ahead of the fan-out, and queries that bring down servers. */
+/** The canary part ahead of the fan-out, and queries that crash servers. */
 class CanaryPartTest {
   private static BalancerHarness wide(SettingsBuilder settings) {
     BalancerHarness balancer = new BalancerHarness(settings.build());
@@ -52,8 +52,8 @@
   }
 
   /**
-   * A corrupt answer ends its connection, and with it the other attempts there: that is no query's
-   * fault.
+   * Guards against a false suspicion: a corrupt answer closes its connection, which resets the
+   * other attempts on it although their queries did not cause this.
    */
   @Test
   void connectionsLostAtServersThatAnswerOthersDoNotMakeTheQuerySuspect() {
@@ -75,7 +75,7 @@
     balancer.complete(second, AttemptOutcome.RESET);
     assertTrue(
         balancer.actions.stream().noneMatch(action -> action.startsWith("reject")),
-        "goes on: " + balancer.actions);
+        "not rejected: " + balancer.actions);
     assertEquals(3, balancer.serversOf(100).size());
   }
 
@@ -89,7 +89,7 @@
     }
     assertTrue(
         balancer.actions.stream().noneMatch(action -> action.startsWith("reject")),
-        "goes on: " + balancer.actions);
+        "not rejected: " + balancer.actions);
   }
 
   @Test
@@ -101,7 +101,8 @@
     balancer.complete(balancer.sends.get(2), AttemptOutcome.RESET);
     assertTrue(
         balancer.actions.stream().noneMatch(action -> action.startsWith("reject")),
-        "goes on: " + balancer.actions);
-    assertTrue(balancer.sends.size() >= 10, "sent again: " + balancer.sends.size());
+        "not rejected: " + balancer.actions);
+    assertTrue(
+        balancer.sends.size() >= 10, "the reset parts were retried: " + balancer.sends.size());
   }
 }
--- a/src/test/java/dunlinhitch/balancer/FailurePenaltiesTest.java
+++ b/src/test/java/dunlinhitch/balancer/FailurePenaltiesTest.java
@@ -17,7 +17,8 @@
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
     int failing = balancer.lastSent().server();
     balancer.complete(balancer.lastSent(), AttemptOutcome.ERROR);
-    assertNotEquals(failing, balancer.lastSent().server(), "retried elsewhere at once");
+    assertNotEquals(
+        failing, balancer.lastSent().server(), "retried immediately at the other server");
     balancer.complete(balancer.lastSent(), AttemptOutcome.OK);
     balancer.sends.clear();
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1);
@@ -43,7 +44,7 @@
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1);
     assertFalse(
         balancer.serversOf(200).contains(failing) || balancer.serversOf(201).contains(failing),
-        "both at the other server");
+        "both parts are sent to the other server");
   }
 
   @Test
--- a/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
+++ b/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
@@ -14,7 +14,7 @@
     settings.healthChecks = true;
     settings.healthCheckPrice = price;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
-    for (int i = 0; i < 50; i++) { // two parts in 2 s: the reports are stale each time
+    for (int i = 0; i < 50; i++) { // one query every 2 s, so that the reports are stale each time
       balancer.query(0, CLIENT_TIMEOUT_US, 0, 1);
       balancer.advance(100_000);
       for (BalancerHarness.SentAttempt sent : List.copyOf(balancer.sends)) {
@@ -46,7 +46,7 @@
     assertTrue(
         !balancer.actions.isEmpty()
             && balancer.actions.stream().allMatch(action -> action.startsWith("healthCheck")),
-        "done: " + balancer.actions);
+        "only health checks were sent: " + balancer.actions);
     assertTrue(balancer.sends.isEmpty(), "the query is deferred");
     balancer.handle(
         new BalancerEvent.HealthCheckCompleted(1, AttemptOutcome.OK, 2_000, new float[] {9}));
@@ -55,7 +55,7 @@
     assertEquals(
         List.of(2), balancer.sends.stream().map(BalancerHarness.SentAttempt::server).toList());
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
-    assertEquals(2, balancer.sends.size(), "recent reports are enough for the next query");
+    assertEquals(2, balancer.sends.size(), "recent reports suffice for the next query");
   }
 
   @Test
@@ -76,14 +76,14 @@
   }
 
   /**
-   * Each broker alone sends little, so each sends health checks: what all spend together depends on
-   * the price of a health check.
+   * Brokers with few queries all send health checks, so their total number must depend on the price
+   * of a health check.
    */
   @Test
   void expensiveHealthChecksAreSentLessOften() {
     long atUsualPrice = healthChecksOfSparseQueries(0.012);
     long atHighPrice = healthChecksOfSparseQueries(0.08);
-    assertTrue(atUsualPrice >= 15, "health checks at the usual price: " + atUsualPrice);
-    assertTrue(atHighPrice <= 5, "health checks at seven times the price: " + atHighPrice);
+    assertTrue(atUsualPrice >= 15, "health checks at the reference price: " + atUsualPrice);
+    assertTrue(atHighPrice <= 5, "health checks at about seven times the price: " + atHighPrice);
   }
 }
--- a/src/test/java/dunlinhitch/balancer/HedgingTest.java
+++ b/src/test/java/dunlinhitch/balancer/HedgingTest.java
@@ -60,6 +60,6 @@
         balancer.complete(each, AttemptOutcome.OK);
       }
     }
-    assertTrue(balancer.actions.isEmpty(), "nothing was cancelled: " + balancer.actions);
+    assertTrue(balancer.actions.isEmpty(), "no attempt was cancelled: " + balancer.actions);
   }
 }
--- a/src/test/java/dunlinhitch/balancer/IdleConnectionsTest.java
+++ b/src/test/java/dunlinhitch/balancer/IdleConnectionsTest.java
@@ -6,9 +6,12 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Connections that were dropped without notice. */
+/** Detection of connections that were dropped silently. */
 class IdleConnectionsTest {
-  /** Queries at intervals, each to one server; {@code lost}: none is answered. */
+  /**
+   * Sends single-part queries at an interval. If {@code lost}, an attempt times out unless the idle
+   * connections of its server were closed before.
+   */
   private static void sendQueriesApart(
       BalancerHarness balancer, int count, long intervalUs, boolean lost) {
     for (int i = 0; i < count; i++) {
@@ -30,7 +33,7 @@
     sendQueriesApart(balancer, 12, 3_000_000, true);
     assertTrue(
         balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
-        "closed: " + balancer.actions);
+        "idle connections were closed: " + balancer.actions);
   }
 
   @Test
@@ -43,10 +46,10 @@
     sendQueriesApart(balancer, 30, 100_000, true);
     assertFalse(
         balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
-        "not closed: " + balancer.actions);
+        "no connection was closed: " + balancer.actions);
     sendQueriesApart(balancer, 20, 3_000_000, false);
     assertFalse(
         balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
-        "not closed: " + balancer.actions);
+        "no connection was closed: " + balancer.actions);
   }
 }
--- a/src/test/java/dunlinhitch/balancer/LibraryUseTest.java
+++ b/src/test/java/dunlinhitch/balancer/LibraryUseTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The sample of README, compiled and run. */
+/** Compiles and runs the sample code of the README. */
 class LibraryUseTest {
   @Test
   void readmeSample() {
--- a/src/test/java/dunlinhitch/balancer/LoadBalancerTest.java
+++ b/src/test/java/dunlinhitch/balancer/LoadBalancerTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Properties of the load balancer as one unit. */
+/** Properties of the load balancer as a whole. */
 class LoadBalancerTest {
   @Test
   void sameEventsGiveTheSameActions() {
@@ -25,7 +25,7 @@
     assertEquals(one.actions, two.actions);
   }
 
-  /** The release of an attempt may come ahead of its end, which the caller may defer. */
+  /** The release of an attempt may arrive before its end, because the caller may defer the end. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aPartIsRetriedOnceItsAttemptHasEndedAndIsReleased(boolean releasedFirst) {
@@ -44,7 +44,7 @@
     balancer.handle(releasedFirst ? end : release);
     assertEquals(2, balancer.sends.size());
     balancer.complete(balancer.lastSent(), AttemptOutcome.ERROR);
-    assertEquals(3, balancer.sends.size(), "an ordinary end needs no release");
+    assertEquals(3, balancer.sends.size(), "an end that is not unconfirmed needs no release");
   }
 
   @Test
--- a/src/test/java/dunlinhitch/balancer/OutstandingWorkTest.java
+++ b/src/test/java/dunlinhitch/balancer/OutstandingWorkTest.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** The ledger of outstanding work and the load reports that complete it. */
+/** The ledger of outstanding work, and the load reports of other brokers' work. */
 class OutstandingWorkTest {
   @Test
   void laterPartsOfAQueryAreChargedAfterTheEarlierOnes() {
@@ -95,7 +95,8 @@
     balancer.handle(new BalancerEvent.PartArrived(200, 2, 0, 0.3, 10_000));
     balancer.handle(new BalancerEvent.PartArrived(201, 2, 1, 0.3, 60_000));
     balancer.handle(new BalancerEvent.PartArrived(202, 2, 2, 0.4, 10_000));
-    // the overhead of a call is charged once, so the third part still finds the idle server cheaper
+    // The overhead of the call is charged once, so the idle server is still cheaper for the third
+    // part.
     assertTrue(balancer.sends.stream().skip(1).noneMatch(attempt -> attempt.server() == busy));
   }
 }
--- a/src/test/java/dunlinhitch/balancer/QueryCompletionTest.java
+++ b/src/test/java/dunlinhitch/balancer/QueryCompletionTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When a query is over and how: complete, partial, rejected or failed. */
+/** The outcomes of queries: complete and partial answers, rejections and failures. */
 class QueryCompletionTest {
   @Test
   void everyQueryGetsOneFinalOutcomeInTime() {
@@ -18,7 +18,7 @@
     balancer.advance(300_000);
     assertTrue(
         balancer.actions.stream().anyMatch(action -> action.startsWith("reject 2 ")),
-        "rejectd: " + balancer.actions);
+        "rejected at its own deadline: " + balancer.actions);
     balancer.advance(CLIENT_TIMEOUT_US);
     assertEquals(
         2, balancer.actions.stream().filter(action -> action.startsWith("reject")).count());
@@ -56,7 +56,7 @@
     settings.floor = 0.67;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3, 4, 5);
-    assertEquals(5, balancer.sends.size(), "the sixth is a spare part");
+    assertEquals(5, balancer.sends.size(), "the sixth part remains as a spare");
     List<BalancerHarness.SentAttempt> sent = List.copyOf(balancer.sends);
     for (int i = 0; i < 4; i++) {
       balancer.complete(sent.get(i), AttemptOutcome.OK);
@@ -109,8 +109,9 @@
   }
 
   /**
-   * The network to the client takes as long where ticks are short: an answer that leaves just
-   * before the objective is late.
+   * Guards against answers that leave so close before the objective that they reach the client
+   * late. The answer margin has a lower limit, because the network delay does not depend on the
+   * tick.
    */
   @Test
   void aShortTickLeavesAnAnswerNoLessTimeToArrive() {
@@ -124,7 +125,7 @@
     balancer.advance(990_000); // the objective is at 1 s
     assertTrue(
         balancer.actions.contains("answer 1 partial"),
-        "10 ms before the objective: " + balancer.actions);
+        "answered 10 ms before the objective: " + balancer.actions);
   }
 
   @Test
@@ -140,10 +141,11 @@
     balancer.advance(900_000);
     assertFalse(
         balancer.actions.stream().anyMatch(action -> action.startsWith("answer")),
-        "a complete answer may still come: " + balancer.actions);
+        "a complete answer is still possible: " + balancer.actions);
     balancer.advance(100_000);
     assertTrue(
-        balancer.actions.contains("answer 1 partial"), "at the objective: " + balancer.actions);
+        balancer.actions.contains("answer 1 partial"),
+        "answered at the objective: " + balancer.actions);
   }
 
   @Test
@@ -154,7 +156,9 @@
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
     balancer.advance(2_000_000);
     balancer.complete(balancer.lastSent(), AttemptOutcome.OK);
-    assertTrue(balancer.actions.contains("answer 1 complete"), "late: " + balancer.actions);
+    assertTrue(
+        balancer.actions.contains("answer 1 complete"),
+        "answered after the objective: " + balancer.actions);
   }
 
   @Test
@@ -168,7 +172,8 @@
     balancer.complete(balancer.sends.get(1), AttemptOutcome.OK);
     balancer.advance(850_000);
     assertTrue(
-        balancer.actions.contains("answer 1 partial"), "with time left: " + balancer.actions);
+        balancer.actions.contains("answer 1 partial"),
+        "answered before the objective: " + balancer.actions);
     int before = balancer.sends.size();
     balancer.handle(new BalancerEvent.PartArrived(150, 1, 0, 0.5, 0));
     balancer.handle(new BalancerEvent.PartArrived(151, 1, 1, 0.5, 0));
@@ -178,7 +183,7 @@
     assertEquals(
         2,
         balancer.actions.stream().filter("answer 1 partial"::equals).count(),
-        "what has arrived: " + balancer.actions);
+        "both steps answered partially: " + balancer.actions);
   }
 
   @Test
@@ -196,10 +201,7 @@
         "ended: " + balancer.actions);
   }
 
-  /**
-   * A query that could not be sent is rejected while its client can still retry; later it costs
-   * more.
-   */
+  /** A query that could not be sent is rejected early, while its client can still retry in time. */
   @Test
   void anUnsentQueryIsRejectedBeforeHalfOfItsTimeIsOver() {
     SettingsBuilder settings = new SettingsBuilder();
@@ -212,11 +214,11 @@
     balancer.advance(CLIENT_TIMEOUT_US / 3);
     assertTrue(
         balancer.actions.stream().noneMatch(action -> action.startsWith("reject")),
-        "a server may come: " + balancer.actions);
+        "not rejected while a server may still become ready: " + balancer.actions);
     balancer.advance(CLIENT_TIMEOUT_US / 6);
     assertTrue(
         balancer.actions.stream().anyMatch(action -> action.startsWith("reject")),
-        "done: " + balancer.actions);
+        "rejected before half of its time has passed: " + balancer.actions);
   }
 
   @Test
--- a/src/test/java/dunlinhitch/balancer/ReplicaSelectionTest.java
+++ b/src/test/java/dunlinhitch/balancer/ReplicaSelectionTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Selection among the zones. */
+/** Selection among replicas in several zones. */
 class ReplicaSelectionTest {
   @Test
   void serversBehindASlowNetworkAreAvoidedWhateverTheyReport() {
@@ -31,9 +31,9 @@
           .filter(attempt -> attempt.server() == 2)
           .forEach(attempt -> balancer.complete(attempt, AttemptOutcome.OK, 0));
       avoided += first.stream().allMatch(attempt -> attempt.server() == 1) ? 1 : 0;
-      assertTrue(i >= 20 || avoided == 0, "both serve while the network is good");
+      assertTrue(i >= 20 || avoided == 0, "both servers are used while the network is fast");
     }
-    assertTrue(avoided >= 10 && avoided < 30, "avoided, but tried now and then: " + avoided);
+    assertTrue(avoided >= 10 && avoided < 30, "queries that avoided the remote server: " + avoided);
   }
 
   @Test
@@ -48,9 +48,9 @@
     assertEquals(
         List.of(1, 1),
         List.of(balancer.serversOf(100).get(0), balancer.serversOf(101).get(0)),
-        "no reason to leave the zone");
+        "the local server is preferred while it is idle");
     assertTrue(
         balancer.sends.stream().anyMatch(attempt -> attempt.server() == 2),
-        "a long wait is: " + balancer.sends);
+        "the remote server is used once the local wait is long: " + balancer.sends);
   }
 }
--- a/src/test/java/dunlinhitch/balancer/ServerListUpdatesTest.java
+++ b/src/test/java/dunlinhitch/balancer/ServerListUpdatesTest.java
@@ -11,8 +11,8 @@
 /** The server list: draining, removal, polls, and servers disabled by an operator. */
 class ServerListUpdatesTest {
   /**
-   * An enabled server is warming up and has sent no report, so it would lose to an idle one for
-   * long: it gets a trial part all the same.
+   * A server that is enabled again is in slow start and has no load report, so its score would lose
+   * to an idle server for a long time. It must still get a trial part.
    */
   @Test
   void anEnabledServerIsUsedSoonAndSparingly() {
@@ -26,7 +26,7 @@
     balancer.sends.clear();
     balancer.handle(new BalancerEvent.ServerDisabled(1, false));
     int useCount = 0;
-    for (int i = 0; i < 50; i++) { // of 5 s
+    for (int i = 0; i < 50; i++) { // 50 queries within 5 s
       int from = balancer.sends.size();
       balancer.query(0, CLIENT_TIMEOUT_US, 0);
       balancer.advance(100_000);
@@ -36,7 +36,7 @@
         balancer.complete(sent, AttemptOutcome.OK);
       }
     }
-    assertTrue(useCount > 0 && useCount < 25, "used " + useCount + " times of 50");
+    assertTrue(useCount > 0 && useCount < 25, "used for " + useCount + " of 50 queries");
   }
 
   @Test
@@ -79,6 +79,6 @@
     balancer.advance(2_000_000);
     assertEquals(2, balancer.actions.stream().filter("subscribe"::equals).count());
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
-    assertEquals(1, balancer.sends.size(), "the former list stays in use");
+    assertEquals(1, balancer.sends.size(), "the previous list remains in use");
   }
 }
--- a/src/test/java/dunlinhitch/balancer/SettingsBuilder.java
+++ b/src/test/java/dunlinhitch/balancer/SettingsBuilder.java
@@ -12,8 +12,8 @@
 import java.util.List;
 
 /**
- * Builds settings for tests: two cells that both hold every shard, with defaults that a test may
- * change.
+ * Builds settings for tests: two cells that both hold every shard, with defaults that a test can
+ * override.
  */
 final class SettingsBuilder {
   Idempotency idempotency = Idempotency.FREE;
--- a/src/test/java/dunlinhitch/balancer/SlowStartLoad.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartLoad.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Measures what servers in slow start were sent by all brokers together, in every window that ends
- * with a send: against N + 2 sqrt(N) + 2, where N is the count of parts that the rule allows by the
- * capacity in the middle of the window.
+ * Measures the work that all brokers together sent to servers in slow start, in every window that
+ * ends with a send. The limit is N + 2 sqrt(N) + 2 parts, where N is the number of parts that the
+ * rule allows for the capacity in the middle of the window.
  */
 final class SlowStartLoad {
   /**
-   * A part that a server was sent.
+   * A part that was sent to a server.
    *
-   * @param byNotifiedBroker its broker knew of the server's start
+   * @param byNotifiedBroker whether its broker had been notified of the server's start
    */
   record Arrival(long atUs, double workUs, boolean byNotifiedBroker) {
     double notifiedWorkUs() {
@@ -19,7 +19,7 @@
     }
   }
 
-  /** A server as the measurement needs it. */
+  /** The properties of a server that are needed for the measurement. */
   interface MeasuredServer {
     /** Parts sent since the starts, in the order of their times. */
     List<Arrival> arrivals();
@@ -28,7 +28,7 @@
 
     boolean isReady();
 
-    /** Capacity at a time, as a share of that of a warm server. */
+    /** Capacity at a point in time, as a fraction of that of a warm server. */
     double capacity(long atUs);
   }
 
@@ -44,22 +44,25 @@
     meanWorkUs = site.workload().meanWorkUs();
   }
 
-  /** The worst window of all started servers, as a share of what the rule allows. */
+  /** The work of the worst window of all started servers, as a fraction of the limit. */
   double worst() {
     return worst;
   }
 
-  /** The worst of the windows that brokers filled which knew of the start: only they break it. */
+  /**
+   * The same for windows filled mainly by brokers that had been notified of the start; only such
+   * brokers can comply with the rule.
+   */
   double worstByNotified() {
     return worstByNotified;
   }
 
-  /** What started servers were sent, as a share of what they could do during slow start. */
+  /** The work sent to started servers, as a fraction of their capacity during slow start. */
   double used() {
     return used;
   }
 
-  /** The least that a warm server was sent, as a share of the mean. */
+  /** The work sent to the least loaded warm server, as a fraction of the mean. */
   double leastWarm() {
     return leastWarm;
   }
@@ -107,7 +110,7 @@
               / meanWorkUs;
       double share = windowUs / meanWorkUs / (allowed + 2 * Math.sqrt(allowed) + 2);
       worst = Math.max(worst, share);
-      // Windows of which notified brokers sent over two thirds count as theirs.
+      // A window counts as filled by notified brokers if they sent over two thirds of its work.
       if (notifiedUs > windowUs * 2 / 3) {
         worstByNotified = Math.max(worstByNotified, share);
       }
--- a/src/test/java/dunlinhitch/balancer/SlowStartScenario.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartScenario.java
@@ -1,26 +1,32 @@
 package dunlinhitch.balancer;
 
-/** What happens when servers start; in each, brokers are notified within half a second. */
+/** Scenarios of starting servers. In each of them, brokers are notified within half a second. */
 enum SlowStartScenario {
-  /** One server starts among others that are busy. */
+  /** One server starts among servers that are busy. */
   ONE_STARTS(true),
-  /** Half of all servers start at once, among them all of one cell. */
+  /** Half of all servers start simultaneously, including all servers of one cell. */
   HALF_START(false),
-  /** One starts and is not needed until the others of its cell leave for all brokers at once. */
+  /**
+   * One server starts. Later the other servers of its cell start draining, which all brokers learn
+   * at almost the same time.
+   */
   LEFT_ALONE(true),
-  /** One starts and is not needed until four times as many queries come to all brokers at once. */
+  /** One server starts. Later the query rate of all brokers quadruples at the same time. */
   SURGE(true),
   /**
-   * One starts and is soon no longer ready; when the others of its cell have left and parts wait,
-   * it is ready again.
+   * One server starts and soon becomes unready. It becomes ready again after the other servers of
+   * its cell have started draining and parts are waiting.
    */
   FLAPPING(true),
-  /** Half of the servers start, and seven in ten brokers are killed and restarted meanwhile. */
+  /**
+   * Half of the servers start; during their slow start, seven in ten brokers are killed and
+   * restarted.
+   */
   BROKERS_KILLED(false),
-  /** Half of the servers start, and every half second a tenth of the brokers is restarted. */
+  /** Half of the servers start; every half second a tenth of the brokers is restarted. */
   ROLLING_RESTART(false);
 
-  /** One server starts; else half of all do. */
+  /** True if one server starts, false if half of all servers start. */
   final boolean oneServerStarts;
 
   SlowStartScenario(boolean oneServerStarts) {
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
@@ -18,9 +18,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Many brokers that do not communicate, each a load balancer with a seed and queries of its own,
- * before servers of one core and one queue. Some servers start; {@link SlowStartLoad} measures what
- * all brokers together send those.
+ * Simulates many brokers that do not communicate, each a load balancer with its own seed and
+ * queries, and servers with one core and one queue. Some servers start during the simulation;
+ * {@link SlowStartLoad} measures the work that all brokers together send to them.
  */
 final class SlowStartSimulation {
   private static final int CELLS = 6;
@@ -29,7 +29,7 @@
   private static final int PARTS = 4;
   private static final long SECOND_US = 1_000_000;
 
-  /** When the servers start; until then latencies are learned. */
+  /** When the servers start; the time before is used to build up latency estimates. */
   private static final long START_US = 8 * SECOND_US;
 
   private static final long SLOW_START_US = 10 * SECOND_US;
@@ -69,18 +69,21 @@
     return this;
   }
 
-  /** What the servers were sent; valid after {@link #run}. */
+  /** The work sent to the servers; valid after {@link #run}. */
   SlowStartLoad load() {
     return load;
   }
 
-  /** Share of the queries that were answered during slow start. */
+  /** Fraction of the queries during slow start that were answered. */
   double answeredShare() {
     return brokers.stream().mapToInt(broker -> broker.answers).sum()
         / (double) brokers.stream().mapToInt(broker -> broker.queries).sum();
   }
 
-  /** Adds the brokers, some of which have several times the mean of the queries. */
+  /**
+   * Adds the brokers with log-normally distributed query rates, so that some have several times the
+   * mean.
+   */
   private void addBrokers(double partsPerUs) {
     double[] weights = new double[brokerCount];
     double sum = 0;
@@ -225,9 +228,9 @@
   }
 
   /**
-   * An attempt on its way or at a server.
+   * An attempt that was sent and has not ended.
    *
-   * @param incarnation that of the broker when it sent the attempt
+   * @param incarnation incarnation of the broker that sent the attempt
    */
   private record Call(
       SimulatedBroker broker, int incarnation, int part, int attempt, double workUs) {}
@@ -300,7 +303,7 @@
     }
   }
 
-  /** A broker with its own queries; it may be restarted. */
+  /** A broker with its own queries, which can be restarted. */
   private final class SimulatedBroker implements BalancerActions {
     private final double meanIntervalUs;
     private final Set<SimulatedServer> notifiedStarts = new HashSet<>();
@@ -375,7 +378,7 @@
       return queryClass;
     }
 
-    @SuppressWarnings("ReferenceEquality") // this very call, not an equal one
+    @SuppressWarnings("ReferenceEquality") // the same call, not an equal one
     boolean hasAbandoned(Call call) {
       return call.incarnation != incarnation || !call.equals(inFlight.get(call.part));
     }
@@ -446,7 +449,7 @@
           Math.max(clock.nowUs() + 1, dueUs), () -> handle(new BalancerEvent.TimerFired(token)));
     }
 
-    /** Schedules an action that is dropped where the broker has been restarted meanwhile. */
+    /** Schedules an action that is dropped if the broker has been restarted in the meantime. */
     private void scheduleOwn(long atUs, Runnable action) {
       int scheduledIn = incarnation;
       clock.schedule(
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A warming server fails by the sum of what all brokers send it, and none of them knows of the
- * others' sends.
+ * Tests the total work that many brokers send to a warming server. A warming server fails if that
+ * total exceeds its capacity, although each broker knows only its own sends.
  */
 class SlowStartSimulationTest {
   private static final double[] EVEN_SHARES = {0.5, 0.5};
@@ -41,17 +41,20 @@
         String where = scenario + " of " + brokers + " brokers: ";
         assertTrue(
             simulation.load().worst() <= 1,
-            where + simulation.load().worst() + " of what the rule allows");
+            where + simulation.load().worst() + " times the work that the rule allows");
         assertTrue(
             simulation.load().leastWarm() > 0.3,
-            where + "a warm server was sent " + simulation.load().leastWarm() + " of the mean");
+            where
+                + "the least loaded warm server got "
+                + simulation.load().leastWarm()
+                + " of the mean work");
       }
     }
   }
 
   /**
-   * At such load warming servers get more before all brokers are notified; what notified brokers
-   * send stays within the budget.
+   * At high load, brokers that have not been notified of the start still send too much to warming
+   * servers. The work sent by notified brokers must stay within the budget.
    */
   @Test
   void atHighLoadNotifiedBrokersStayWithinTheBudget() {
@@ -67,8 +70,8 @@
   }
 
   /**
-   * A class that is rare and several times as expensive as the mean has not been measured yet,
-   * least of all after a restart.
+   * Guards against underestimating a class that is rare and several times as expensive as the mean:
+   * brokers have no measurement of it yet, especially after a restart.
    */
   @Test
   void classesNotYetMeasuredStayWithinTheBudget() {
@@ -85,8 +88,8 @@
   }
 
   /**
-   * Where a call costs more than a part, warming servers are used from the start too, though each
-   * broker's share is small.
+   * Guards against unused warming servers: if calls are expensive and each broker's share of the
+   * budget is small, the budget of a single broker takes long to cover one call.
    */
   @Test
   void aHundredBrokersDoNotLeaveWarmingServersIdle() {
@@ -99,18 +102,21 @@
   }
 
   /**
-   * Parts have a tenth of the mean work: for that no more of them may be admitted in a server's
-   * first moment.
+   * Guards against a burst of cheap parts at the start of a server: parts with a tenth of the mean
+   * work must not all be admitted at the same time.
    */
   @Test
   void aHundredBrokersDoNotAllSendCheapPartsAtOnce() {
     double sent = sendsOfAHundredBrokers(0, 10_000, 1);
-    // The rule's multiple of the capacity at the end of that second, in calls.
+    // Overload factor times the capacity at the end of that second, in calls.
     double allowed = 2 * 0.28 / 0.01;
     assertTrue(sent > 5 && sent <= allowed + 2 * Math.sqrt(allowed) + 2, "sent: " + sent);
   }
 
-  /** Parts above the mean do not wait at all brokers until that much more budget has flowed in. */
+  /**
+   * Guards against a delay of expensive parts: if every broker waited until its own budget covers a
+   * whole part, warming servers would get none at first.
+   */
   @Test
   void aHundredBrokersSendExpensivePartsAtTheirRateFromTheStart() {
     double sent = sendsOfAHundredBrokers(80_000, 0, 4);
@@ -138,9 +144,9 @@
   }
 
   /**
-   * A part is paid for when it is sent, whatever its outcome: a server may have begun what was
-   * reset or timed out, and what it rejected has cost it a call. Two processes that are one broker
-   * have half each.
+   * The budget is charged at the send and not refunded for any outcome: a server may have started
+   * on an attempt that was reset or timed out, and a rejected attempt has cost it a call. Two
+   * processes of one broker get half of the budget each.
    */
   @ParameterizedTest
   @EnumSource(
@@ -159,7 +165,7 @@
         all.forEach(harness -> harness.advance(10_000));
         balancer.query(0, 3_000_000, 0);
         for (BalancerHarness harness : all) {
-          while (!harness.sends.isEmpty()) { // an immediate retry ends alike
+          while (!harness.sends.isEmpty()) { // an immediate retry gets the same outcome
             BalancerHarness.SentAttempt sent = harness.sends.remove(0);
             sentAt.add(sent.atUs());
             harness.complete(sent, outcome);
@@ -174,11 +180,11 @@
                     most,
                     sentAt.stream().filter(at -> at >= from && at < from + 1_000_000).count());
       }
-      // At the end of the four seconds, in parts of a tenth of a second.
+      // The budget at the end of the four seconds, in parts of 0.1 s of work.
       double allowed = 2 * (0.2 + 0.8 * 0.35) / 0.1;
       assertTrue(
           most >= 3 && most <= allowed + 2,
-          processes + ": " + most + " in a second, of " + allowed);
+          processes + " processes: at most " + most + " parts in a second, allowed " + allowed);
     }
   }
 }
--- a/src/test/java/dunlinhitch/balancer/SlowStartSite.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSite.java
@@ -1,17 +1,17 @@
 package dunlinhitch.balancer;
 
-/** A site for {@link SlowStartSimulation}: its load and the slow-start rule it must keep. */
+/** Parameters of a {@link SlowStartSimulation}: its load and the slow-start rule that applies. */
 record SlowStartSite(Workload workload, Rule rule) {
   /**
    * The queries of all brokers.
    *
    * @param workUs mean work of a part by class
-   * @param classShares share of the queries by class
-   * @param spread standard deviation of the work over its mean
+   * @param classShares fraction of the queries by class
+   * @param spread ratio of the standard deviation of the work to its mean
    * @param callUs work of a call
-   * @param load share of the capacity of all servers
+   * @param load load as a fraction of the capacity of all servers
    */
-  // Constants of tests, never compared or hashed.
+  // Test constants that are never compared or hashed.
   @SuppressWarnings("ArrayRecordComponent")
   record Workload(double[] workUs, double[] classShares, double spread, long callUs, double load) {
     /** Mean work of a part over all classes. */
@@ -25,11 +25,11 @@
   }
 
   /**
-   * What a server that has started bears.
+   * The load that a server withstands after its start.
    *
    * @param overloadFactor multiple of its capacity at which it fails
-   * @param initialShare share of its capacity when it starts
-   * @param fallUs time for which it must be overloaded to fail
+   * @param initialShare fraction of its capacity when it starts
+   * @param fallUs time that it withstands such an overload
    */
   record Rule(double overloadFactor, double initialShare, long fallUs) {}
 }
--- a/src/test/java/dunlinhitch/balancer/SlowStartTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartTest.java
@@ -18,7 +18,8 @@
       balancer.query(0, CLIENT_TIMEOUT_US, 0);
       balancer.advance(25_000);
     }
-    // 2 x 0.2..0.28 of one core for a second, halved: no more than three parts of 100 ms
+    // Overload factor 2 times 0.2 to 0.28 of one core during 1 s, shared by two brokers: at most
+    // three parts of 100 ms.
     assertTrue(
         balancer.sends.size() >= 1 && balancer.sends.size() <= 3, "sent: " + balancer.sends.size());
   }
@@ -34,8 +35,8 @@
   }
 
   /**
-   * Where many brokers send each server little, a new one sends no report for long; it is not busy
-   * for that.
+   * If many brokers each send few parts per server, a new server has no load report for a long
+   * time. It must not be assumed to be as busy as the others.
    */
   @Test
   void aWarmingServerWithoutReportIsNotTakenForAsBusyAsTheOthers() {
@@ -48,14 +49,14 @@
     balancer.updateServers(ServerEntries.started(3, 0, balancer.nowUs));
     balancer.advance(3_000_000);
     balancer.sends.clear();
-    for (int i = 0; i < 10; i++) { // the warm ones report all the time
+    for (int i = 0; i < 10; i++) { // the warm servers keep reporting a load of 8
       balancer.query(0, CLIENT_TIMEOUT_US, 0);
       balancer.advance(20_000);
       balancer.complete(
           balancer.lastSent(), AttemptOutcome.OK, balancer.lastSent().server() == 3 ? 0 : 8);
     }
     long sentToWarming = balancer.sends.stream().filter(attempt -> attempt.server() == 3).count();
-    assertTrue(sentToWarming >= 3, "sent to the warming one: " + sentToWarming);
+    assertTrue(sentToWarming >= 3, "parts sent to the warming server: " + sentToWarming);
   }
 
   @Test
@@ -72,7 +73,9 @@
       }
       started += (int) balancer.sends.stream().filter(attempt -> attempt.server() == 2).count();
     }
-    assertTrue(started < 15, "sent at once to a server with a fifth of its capacity: " + started);
+    assertTrue(
+        started < 15,
+        "parts sent simultaneously to a server with a fifth of its capacity: " + started);
     int later = 0;
     for (int seed = 0; seed < 60; seed++) {
       SettingsBuilder settings = new SettingsBuilder();
@@ -85,6 +88,6 @@
       balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2);
       later += balancer.sends.stream().anyMatch(attempt -> attempt.server() == 2) ? 1 : 0;
     }
-    assertTrue(later > 2 && later < 50, "at different times: " + later);
+    assertTrue(later > 2 && later < 50, "brokers that have sent to the server after 5 s: " + later);
   }
 }
--- a/src/test/java/dunlinhitch/balancer/TokenBucketTest.java
+++ b/src/test/java/dunlinhitch/balancer/TokenBucketTest.java
@@ -6,7 +6,10 @@
 
 /** The token bucket of slow start. */
 class TokenBucketTest {
-  /** Shares of a call add up: buckets with even phases admit what flows in, no more and no less. */
+  /**
+   * If the phases of many buckets are evenly distributed, the buckets together admit exactly the
+   * rate at which they are filled, even if each one saves only a fraction of a call per window.
+   */
   @Test
   void bucketsOfUnevenPhasesAdmitTheirSumInEachPeriod() {
     TokenBucket[] buckets = new TokenBucket[100];
@@ -14,7 +17,7 @@
       buckets[i] = new TokenBucket();
       buckets[i].reset((i + 1) / 100.0, 0);
     }
-    for (int window = 0; window < 40; window++) { // 0.05 of a call a window for each
+    for (int window = 0; window < 40; window++) { // each bucket gains 0.05 of a call per window
       int admitted = 0;
       for (long at = 1; at <= 50; at++) {
         for (TokenBucket bucket : buckets) {
--- a/src/test/java/dunlinhitch/balancer/VirtualClock.java
+++ b/src/test/java/dunlinhitch/balancer/VirtualClock.java
@@ -23,14 +23,15 @@
   }
 
   /**
-   * Schedules an action, at once where the time is past; of equal times the first one runs first.
+   * Schedules an action; a time in the past is replaced by the current time. Actions of equal time
+   * run in the order of scheduling.
    */
   void schedule(long atUs, Runnable action) {
     queue.add(new ScheduledAction(Math.max(atUs, nowUs), scheduled, action));
     scheduled++;
   }
 
-  /** Runs actions up to the first at or after that time. */
+  /** Runs actions in order up to and including the first one at or after the given time. */
   void runUntil(long endUs) {
     while (nowUs < endUs && !queue.isEmpty()) {
       ScheduledAction next = queue.remove();
--- a/src/test/java/dunlinhitch/balancer/package-info.java
+++ b/src/test/java/dunlinhitch/balancer/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of the load balancer: one class for each decision or estimate, on a virtual clock. */
+/** Tests of the load balancer: one test class for each decision or estimate, on a virtual clock. */
 package dunlinhitch.balancer;
