--- a/src/main/java/dunlinhitch/simulator/BatchDecoder.java
+++ b/src/main/java/dunlinhitch/simulator/BatchDecoder.java
@@ -15,8 +15,8 @@
 import java.util.Map;
 
 /**
- * Decodes the records of a batch in order. It keeps the numbered server-list pages of all batches,
- * because a later record refers to a page by its number.
+ * Decodes the records of a batch in order. It retains the numbered server-list pages of all
+ * batches, because later records refer to a page by its number.
  *
  * <p>Not thread-safe; the {@link SimulatorAdapter} owns it.
  */
@@ -33,10 +33,10 @@
     void onEvent(int instance, BalancerEvent event);
   }
 
-  /** Attribute of arrived work: its hint is valid. */
+  /** Attribute bit of arrived work: its hint is valid. */
   private static final int ATTRIBUTE_HINT_VALID = 1;
 
-  /** Attribute of an arrived query: the client marked it as a retry. */
+  /** Attribute bit of an arrived query: the client marked it as a retry. */
   private static final int ATTRIBUTE_RETRY = 2;
 
   /** Encoded size of one entry of a server-list page. */
@@ -57,8 +57,10 @@
    *
    * @param body the frame without its header
    * @param records number of records in the body
-   * @param clockUs the simulator's time, to which spans in the records are relative
-   * @param handler receives the records; those before a malformed one have been handled
+   * @param clockUs the simulator's time in microseconds, to which durations in the records are
+   *     relative
+   * @param handler receives the records; records before a malformed one have already been passed to
+   *     it
    */
   void decode(byte[] body, int records, long clockUs, Handler handler)
       throws MalformedFrameException {
@@ -69,17 +71,17 @@
         int code = unsignedByte(buffer);
         int length = buffer.getInt();
         if (length < 0 || length > buffer.remaining()) {
-          throw new MalformedFrameException("record " + i + " is longer than its frame");
+          throw new MalformedFrameException("record " + i + " extends beyond the end of its frame");
         }
         ByteBuffer fields = buffer.slice(buffer.position(), length).order(ByteOrder.LITTLE_ENDIAN);
         buffer.position(buffer.position() + length);
         decodeRecord(code, fields, handler);
       }
     } catch (BufferUnderflowException e) {
-      throw new MalformedFrameException("a record is cut short");
+      throw new MalformedFrameException("a record has fewer bytes than its fields require");
     }
     if (buffer.hasRemaining()) {
-      throw new MalformedFrameException("the frame is longer than its records");
+      throw new MalformedFrameException("the frame has bytes after its last record");
     }
   }
 
@@ -134,7 +136,8 @@
     int number = unsignedShort(fields);
     int count = fields.getInt();
     if (count < 0 || (long) count * SERVER_ENTRY_BYTES > fields.remaining()) {
-      throw new MalformedFrameException("a server list is cut short");
+      throw new MalformedFrameException(
+          "a server-list page has fewer bytes than its entry count requires");
     }
     List<ServerEntry> entries = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -169,7 +172,8 @@
     }
     List<ServerEntry> entries = serverListPages.get(page);
     if (entries == null || kind < LIST_DELTA || kind > LIST_CACHED) {
-      throw new MalformedFrameException("a server list of kind " + kind + " names list " + page);
+      throw new MalformedFrameException(
+          "server-list update with unknown kind or page: kind " + kind + ", page " + page);
     }
     return new BalancerEvent.ServerListUpdated(listKindOf(kind), entries);
   }
@@ -182,7 +186,7 @@
     };
   }
 
-  /** A query where the shard is negative, else one part of a query. */
+  /** Decodes a query if the shard is negative, otherwise one part of a query. */
   private BalancerEvent decodeWorkArrived(ByteBuffer fields) {
     int id = fields.getInt();
     int tenant = fields.getInt();
@@ -219,14 +223,14 @@
   private static String decodeSettings(ByteBuffer fields) throws MalformedFrameException {
     int length = fields.getInt();
     if (length < 0 || length > fields.remaining()) {
-      throw new MalformedFrameException("the settings are cut short");
+      throw new MalformedFrameException("the settings text extends beyond the end of its record");
     }
     byte[] bytes = new byte[length];
     fields.get(bytes);
     return new String(bytes, StandardCharsets.UTF_8);
   }
 
-  /** A record may end before its load report, which is empty then. */
+  /** Decodes the load report; it is empty if the record ends before it. */
   private static float[] decodeLoadReport(ByteBuffer fields) {
     float[] values = new float[fields.hasRemaining() ? unsignedByte(fields) : 0];
     for (int i = 0; i < values.length; i++) {
--- a/src/main/java/dunlinhitch/simulator/MalformedFrameException.java
+++ b/src/main/java/dunlinhitch/simulator/MalformedFrameException.java
@@ -2,7 +2,7 @@
 
 import java.io.IOException;
 
-/** The input violates the simulator's protocol; reading can not be resumed after it. */
+/** Thrown if the input violates the simulator's protocol; reading cannot be resumed afterwards. */
 final class MalformedFrameException extends IOException {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dunlinhitch/simulator/RecordCode.java
+++ b/src/main/java/dunlinhitch/simulator/RecordCode.java
@@ -2,7 +2,7 @@
 
 /** Record codes of the simulator's protocol. */
 final class RecordCode {
-  // In batches, from the simulator.
+  // Records in batches, sent by the simulator.
   static final int ATTEMPT_STARTED = 16;
   static final int SERVER_LIST_PAGE = 17;
   static final int CLIENT_DISCONNECTED = 18;
@@ -15,7 +15,7 @@
   static final int WORK_ARRIVED = 25;
   static final int INSTANCE_STOPPED = 26;
 
-  // In replies, to the simulator.
+  // Records in replies, sent to the simulator.
   static final int SEND = 80;
   static final int REJECT = 81;
   static final int FAIL = 82;
--- a/src/main/java/dunlinhitch/simulator/ReplyEncoder.java
+++ b/src/main/java/dunlinhitch/simulator/ReplyEncoder.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Encodes the balancer's actions into one reply frame, in the order of the calls, each for the
- * instance selected last.
+ * Encodes the balancer's actions into one reply frame in the order of the calls. Each action
+ * belongs to the instance selected last.
  *
  * <p>Not thread-safe; the {@link SimulatorAdapter} owns it.
  */
@@ -17,7 +17,7 @@
   private static final int RECORD_COUNT_OFFSET = 4;
   private static final int SEQUENCE_OFFSET = 8;
 
-  /** Code, length and instance number of a record. */
+  /** Size of the code, length and instance number of a record. */
   private static final int RECORD_HEADER_BYTES = 9;
 
   private static final int INITIAL_CAPACITY = 1 << 16;
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Selects the instance of the next actions.
+   * Selects the instance to which the following actions belong.
    *
    * @param number the instance
-   * @param clockUs its current time: due times are encoded relative to it
+   * @param clockUs its current time in microseconds, relative to which due times are encoded
    */
   void selectInstance(int number, long clockUs) {
     instance = number;
--- a/src/main/java/dunlinhitch/simulator/SimulatorAdapter.java
+++ b/src/main/java/dunlinhitch/simulator/SimulatorAdapter.java
@@ -20,7 +20,7 @@
  * Hosts the load balancers of one simulated process: reads batch frames from standard input and
  * writes one reply frame for each to standard output.
  *
- * <p>Single-threaded: everything happens on the thread that calls {@link #serve}.
+ * <p>Single-threaded: all work is done on the thread that calls {@link #serve}.
  */
 public final class SimulatorAdapter implements BatchDecoder.Handler {
   private static final int FRAME_HEADER_BYTES = 20;
@@ -41,7 +41,7 @@
           new FrameHeader(buffer.getInt(), buffer.getInt(), buffer.getLong(), buffer.getInt());
       if (header.length < FRAME_HEADER_BYTES || header.records < 0) {
         throw new MalformedFrameException(
-            "a frame of " + header.length + " bytes and " + header.records + " records");
+            "invalid frame header: " + header.length + " bytes and " + header.records + " records");
       }
       return header;
     }
@@ -52,9 +52,9 @@
   }
 
   /**
-   * Serves standard input until it ends.
+   * Processes standard input until its end.
    *
-   * @return the exit code: 0 at the end of the input, 1 after the first malformed frame
+   * @return the exit code: 0 at the end of the input, 1 after a malformed frame or an I/O error
    */
   public static int serve() {
     try {
@@ -78,12 +78,12 @@
         return;
       }
       if (headerLength < FRAME_HEADER_BYTES) {
-        throw new MalformedFrameException("the input ends within a header");
+        throw new MalformedFrameException("unexpected end of input within a frame header");
       }
       FrameHeader header = FrameHeader.decode(headerBytes);
       byte[] body = input.readNBytes(header.bodyLength());
       if (body.length < header.bodyLength()) {
-        throw new MalformedFrameException("the input ends within a frame");
+        throw new MalformedFrameException("unexpected end of input within a frame body");
       }
       nowUs = header.clockUs();
       decoder.decode(body, header.records(), nowUs, this);
@@ -92,7 +92,10 @@
     }
   }
 
-  /** Creates the instance's balancer and starts it; settings that can not be read are a fault. */
+  /**
+   * Creates the instance's balancer and starts it; invalid settings are reported as a fault of the
+   * instance.
+   */
   @Override
   public void onInstanceStarted(int instance, long seed, String settings) {
     encoder.selectInstance(instance, nowUs);
@@ -101,7 +104,7 @@
       balancers.put(instance, balancer);
       balancer.on(nowUs, new BalancerEvent.Started());
     } catch (RuntimeException e) {
-      // the protocol has a record for a fault of one instance; the others go on
+      // reported as a fault of this instance; the other instances continue
       reportFault(e);
     }
   }
@@ -112,7 +115,7 @@
     balancers.remove(instance);
   }
 
-  /** Passes the event to the instance's balancer; one for an unknown instance is ignored. */
+  /** Passes the event to the instance's balancer; an event for an unknown instance is ignored. */
   @Override
   public void onEvent(int instance, BalancerEvent event) {
     LoadBalancer balancer = balancers.get(instance);
@@ -123,7 +126,7 @@
     try {
       balancer.on(nowUs, event);
     } catch (RuntimeException e) {
-      // the protocol has a record for a fault of one instance; the others go on
+      // reported as a fault of this instance; the other instances continue
       reportFault(e);
     }
   }
--- a/src/test/java/dunlinhitch/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/dunlinhitch/simulator/SimulatorAdapterTest.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import org.junit.jupiter.api.Test;
 
-/** Serves complete batch frames. */
+/** Runs the adapter on complete and malformed frames. */
 class SimulatorAdapterTest {
   @Test
   void repliesToAnEmptyBatch() throws IOException {
