--- a/src/main/java/dunlinhitch/scoring/CircuitBreaker.java
+++ b/src/main/java/dunlinhitch/scoring/CircuitBreaker.java
@@ -6,17 +6,17 @@
 
 /**
  * Circuit breaker of one scorer. A failure opens it for a backoff that doubles with each failure,
- * with jitter; a run of valid rounds takes one failure back. Ejections by other brokers never open
- * it: they only double the backoff of a broker that had a failure of its own.
+ * with jitter; a number of consecutive valid rounds reverts one failure. Ejections by other brokers
+ * never open it; they only double the backoff after a failure at this broker.
  *
- * <p>Pure: no clock, I/O or threads. Not thread-safe; the thread that runs the rounds owns it.
- * Times are in microseconds of a monotonic clock.
+ * <p>Uses no clock, I/O or threads. Not thread-safe; the thread that runs the rounds owns it. Times
+ * are in microseconds of a monotonic clock.
  */
 public final class CircuitBreaker {
-  /** The shortest backoff as a share of the full one. */
+  /** The shortest backoff as a fraction of the full one. */
   private static final double MIN_BACKOFF_SHARE = 0.8;
 
-  /** The share of the full backoff that is drawn at random. */
+  /** The random part of the backoff as a fraction of the full one. */
   private static final double JITTER = 0.2;
 
   private final CircuitBreakerSettings settings;
@@ -32,7 +32,7 @@
   /**
    * Creates a closed circuit breaker.
    *
-   * @param seed of the jitter, so that tests and simulations can be repeated
+   * @param seed seed of the jitter, so that tests and simulations are reproducible
    */
   public CircuitBreaker(CircuitBreakerSettings settings, long seed) {
     this.settings = settings;
@@ -59,7 +59,7 @@
     retryAtUs = nowUs + (long) (backoffUs * (MIN_BACKOFF_SHARE + JITTER * random.nextDouble()));
   }
 
-  /** Records a valid round that was within its processor time. */
+  /** Records a valid round within the limit of processor time. */
   public void onSuccess() {
     consecutiveSlowRounds = 0;
     consecutiveSuccesses++;
@@ -73,13 +73,16 @@
     }
   }
 
-  /** Records a round beyond its processor time; true if it completes a failure. */
+  /**
+   * Records a round that exceeded the limit of processor time; returns true if the consecutive slow
+   * rounds amount to a failure.
+   */
   public boolean onSlowRound() {
     consecutiveSlowRounds++;
     return consecutiveSlowRounds >= settings.slowRoundsPerFailure();
   }
 
-  /** Closes the circuit breaker: the scorer's jar or parameters may have changed. */
+  /** Closes the circuit breaker, because the scorer's jar or parameters may have changed. */
   public void reset() {
     consecutiveFailures = 0;
     consecutiveSuccesses = 0;
@@ -104,7 +107,7 @@
     return lastFailure;
   }
 
-  /** How often this failure was recorded; never reset. */
+  /** Number of times this failure was recorded; never reset. */
   public long count(Failure failure) {
     return failureCounts.getOrDefault(failure, 0L);
   }
@@ -116,7 +119,7 @@
     }
     return "scorer "
         + scorerName
-        + " was left out ("
+        + " failed ("
         + lastFailure
         + "): "
         + lastFailure.description()
--- a/src/main/java/dunlinhitch/scoring/CircuitBreakerSettings.java
+++ b/src/main/java/dunlinhitch/scoring/CircuitBreakerSettings.java
@@ -3,15 +3,18 @@
 /**
  * Settings of a {@link CircuitBreaker}.
  *
- * @param baseBackoffUs backoff after the first failure; it doubles after each further one
+ * @param baseBackoffUs backoff after the first failure; doubled after each further failure
  * @param maxBackoffUs upper bound of the backoff
- * @param successesPerRecovery valid rounds in a row that take one failure back
- * @param slowRoundsPerFailure slow rounds in a row that are a failure; a single one may be caused
- *     by the machine
+ * @param successesPerRecovery number of consecutive valid rounds that revert one failure
+ * @param slowRoundsPerFailure number of consecutive slow rounds that count as a failure; a single
+ *     slow round may be caused by the machine
  */
 public record CircuitBreakerSettings(
     long baseBackoffUs, long maxBackoffUs, int successesPerRecovery, int slowRoundsPerFailure) {
-  /** The settings of a broker: from 2 s to 10 min, and one minute of rounds for a recovery. */
+  /**
+   * The settings of a broker: backoffs from 2 s to 10 min, and about one minute of valid rounds to
+   * revert a failure.
+   */
   public static final CircuitBreakerSettings STANDARD =
       new CircuitBreakerSettings(2_000_000, 600_000_000, 240, 3);
 
@@ -22,7 +25,8 @@
         || successesPerRecovery < 1
         || slowRoundsPerFailure < 1) {
       throw new IllegalArgumentException(
-          "a scorer that failed waits, ever longer: "
+          "baseBackoffUs must be positive, maxBackoffUs at least baseBackoffUs, and"
+              + " successesPerRecovery and slowRoundsPerFailure at least 1; got "
               + baseBackoffUs
               + ", "
               + maxBackoffUs
--- a/src/main/java/dunlinhitch/scoring/EjectionNotices.java
+++ b/src/main/java/dunlinhitch/scoring/EjectionNotices.java
@@ -7,9 +7,9 @@
 
 /**
  * Replicated ejection notices: which scorers the brokers ejected recently, and why. They are
- * piggybacked on gossip messages beside the weights.
+ * piggybacked on gossip messages together with the weights.
  *
- * <p>Pure: no clock, I/O or threads. Not thread-safe. Times are in microseconds of the wall clock.
+ * <p>Uses no clock, I/O or threads. Not thread-safe. Times are in microseconds of the wall clock.
  */
 public final class EjectionNotices {
   private static final ReplicatedMapSettings SETTINGS =
@@ -28,7 +28,7 @@
     this.self = self;
   }
 
-  /** Merges a notice received by gossip; true if it was new. */
+  /** Merges a notice received by gossip; returns true if it was new. */
   public boolean merge(long dayUs, ReplicatedEntry<ScorerIdentity, Failure> notice) {
     return !notice.origin().equals(self)
         && notices.merge(dayUs, notice) == ReplicatedMap.MergeResult.NEWS;
@@ -45,12 +45,12 @@
     return (int) notices.of(scorer).stream().filter(entry -> !entry.origin().equals(self)).count();
   }
 
-  /** At most {@code limit} notices changed after that version, the latest first. */
+  /** At most {@code limit} notices that changed after the given version, the latest first. */
   public List<ReplicatedEntry<ScorerIdentity, Failure>> since(long version, int limit) {
     return notices.since(version, limit);
   }
 
-  /** A number that rises with each change. */
+  /** A version number that increases with each change. */
   public long version() {
     return notices.version();
   }
--- a/src/main/java/dunlinhitch/scoring/FactorDamping.java
+++ b/src/main/java/dunlinhitch/scoring/FactorDamping.java
@@ -3,25 +3,28 @@
 import java.util.SplittableRandom;
 
 /**
- * Damping of factors at one broker. Each broker draws its own gain and its own offset for each
- * target, so that brokers with the same weights do not all move their load at once.
+ * Damping of factors at one broker. Each broker draws a random gain, and a random offset for each
+ * target, so that brokers with the same weights do not shift their load simultaneously.
  */
 final class FactorDamping {
-  /** The smallest gain that a broker draws, as a share of the mean gain; the range is 1 wide. */
+  /**
+   * The smallest gain of a broker as a fraction of the mean gain; the largest is that fraction plus
+   * 1.
+   */
   private static final double MIN_GAIN_SHARE = 0.5;
 
   private final DampingSettings rule;
   private final double gain;
   private final long tiltSeed;
 
-  /** Draws the broker's own gain and the seed of its offsets, in this order. */
+  /** Draws the broker's gain and then the seed of its offsets. */
   FactorDamping(DampingSettings rule, SplittableRandom random) {
     this.rule = rule;
     gain = rule.gain() < 1 ? rule.gain() * (MIN_GAIN_SHARE + random.nextDouble()) : 1;
     tiltSeed = random.nextLong();
   }
 
-  /** The logarithm of the next factor, one step from the present one towards the wanted one. */
+  /** The logarithm of the next factor, one step from the current one towards the target. */
   double next(double presentLog, double wantedLog) {
     double distance = wantedLog - presentLog;
     return presentLog + Math.max(-rule.step(), Math.min(rule.step(), distance * gain));
--- a/src/main/java/dunlinhitch/scoring/FactorTable.java
+++ b/src/main/java/dunlinhitch/scoring/FactorTable.java
@@ -1,11 +1,11 @@
 package dunlinhitch.scoring;
 
 /**
- * The factors of one round, by server and query class. Immutable, so that any thread may read it; a
- * combination that is not in it has factor 1.
+ * The factors of one round, by server and query class. Immutable and safe to read on any thread. A
+ * combination without an entry has factor 1.
  */
 public final class FactorTable {
-  /** The table without a scorer: multiplying by its factors changes no bit. */
+  /** The table used without a scorer: all factors are exactly 1. */
   public static final FactorTable NONE = new FactorTable(0, new double[0]);
 
   private final int classes;
@@ -15,7 +15,7 @@
    * Takes ownership of the factors.
    *
    * @param classes number of query classes
-   * @param factors those of the first server by query class, then those of the next
+   * @param factors factors of the first server by query class, followed by those of the next server
    */
   FactorTable(int classes, double[] factors) {
     this.classes = classes;
@@ -26,7 +26,7 @@
     }
   }
 
-  /** The factor by which the predicted work of a server counts for a query class. */
+  /** The factor by which the predicted work of a server is multiplied for a query class. */
   public double factor(int server, int queryClass) {
     int index = server * classes + queryClass;
     boolean present =
--- a/src/main/java/dunlinhitch/scoring/Failure.java
+++ b/src/main/java/dunlinhitch/scoring/Failure.java
@@ -1,39 +1,42 @@
 package dunlinhitch.scoring;
 
 /**
- * Why a scorer is ejected, each with a remedy for the operator. The names of the constants are
- * stable: they are printed, counted and sent by gossip.
+ * Reasons for which a scorer is ejected, each with a remedy for the operator. The names of the
+ * constants must not change: they are logged, counted and sent by gossip.
  */
 public enum Failure {
-  /** No jar of the directory offers the scorer. */
+  /** No jar in the directory provides the scorer. */
   NOT_THERE(
-      "no jar of the directory offers a scorer of this name",
-      "put its jar there, or mend the name in [scorer NAME], and send SIGHUP"),
+      "no jar in the directory provides a scorer of this name",
+      "add its jar or correct the name in [scorer NAME], then send SIGHUP"),
   /** Loading or initializing it failed. */
   WILL_NOT_LOAD(
-      "it can not be loaded or begun",
-      "look at the reason: a class that is missing, a parameter that it refuses; put the mended jar there and send SIGHUP"),
+      "it could not be loaded or initialized",
+      "check the reason (for example a missing class or a rejected parameter), install a corrected jar and send SIGHUP"),
   /** It was built for a later version of the scorer interface. */
   LATER_API(
-      "it asks for a later version of the interface",
-      "take a build of it for this version, or a later broker"),
+      "it requires a later version of the scorer interface",
+      "install a build for this version, or upgrade the broker"),
   /** A round ended with an exception. */
-  THROWS("it threw", "give the reason to whoever wrote it; it is tried again by itself"),
+  THROWS(
+      "it threw an exception",
+      "report the reason to its author; the broker retries it after a backoff"),
   /** A round returned invalid judgements. */
   NONSENSE(
-      "it returned nonsense", "give the reason to whoever wrote it; it is tried again by itself"),
-  /** Several rounds in a row were beyond the processor time allowed. */
+      "it returned invalid judgements",
+      "report the reason to its author; the broker retries it after a backoff"),
+  /** Several consecutive rounds exceeded the limit of processor time. */
   SLOW(
-      "it took more processor time than it may",
-      "let it do less in a round; it is tried again by itself"),
+      "it exceeded the processor time limit",
+      "reduce its work per round; the broker retries it after a backoff"),
   /** A call timed out. */
   NEVER_RETURNS(
-      "it did not return in time",
-      "its thread stays until it returns: restart the broker if that is too many, and take the jar out"),
-  /** It allocated more memory than allowed. */
+      "a call did not return within its time limit",
+      "its thread remains until the call returns: remove the jar, and restart the broker if too many such threads remain"),
+  /** It exceeded the memory limit. */
   HOLDS_MEMORY(
-      "it took more memory than it may",
-      "let it keep less; what it held is let go with it, and it is tried again by itself");
+      "it exceeded the memory limit",
+      "reduce the memory that it allocates and retains; its memory is released with it, and the broker retries it after a backoff");
 
   private final String description;
   private final String remedy;
--- a/src/main/java/dunlinhitch/scoring/JudgementValidator.java
+++ b/src/main/java/dunlinhitch/scoring/JudgementValidator.java
@@ -4,11 +4,11 @@
 import dunlinhitch.scoring.api.Round;
 import java.util.List;
 
-/** Checks what a scorer returned before anything of it is applied. */
+/** Validates the output of a scorer before any of it is applied. */
 final class JudgementValidator {
   private JudgementValidator() {}
 
-  /** What is invalid in the judgements of these rounds; empty if nothing is. */
+  /** Describes the first problem in the judgements of these rounds; empty if all are valid. */
   static String findProblem(List<Round> rounds, List<List<Judgement>> judgements) {
     for (int index = 0; index < rounds.size(); index++) {
       String problem = findProblem(rounds.get(index), judgements.get(index));
@@ -22,14 +22,14 @@
   private static String findProblem(Round round, List<Judgement> judgements) {
     int expected = round.candidates().size();
     if (judgements == null) {
-      return "no judgements of " + expected + " candidates";
+      return "null instead of judgements for " + expected + " candidates";
     }
     if (judgements.size() != expected) {
-      return judgements.size() + " judgements of " + expected + " candidates";
+      return judgements.size() + " judgements for " + expected + " candidates";
     }
     for (Judgement judgement : judgements) {
       if (!isValid(judgement)) {
-        return "the judgement " + judgement;
+        return "invalid judgement " + judgement;
       }
     }
     return "";
--- a/src/main/java/dunlinhitch/scoring/ScorerIdentity.java
+++ b/src/main/java/dunlinhitch/scoring/ScorerIdentity.java
@@ -3,7 +3,7 @@
 import java.util.Comparator;
 
 /**
- * Identity of a scorer: brokers share weights only where all of it is equal.
+ * Identity of a scorer; brokers share weights only between scorers of equal identity.
  *
  * @param parameters the text of the parameters, sorted by name
  */
--- a/src/main/java/dunlinhitch/scoring/ScorerSettings.java
+++ b/src/main/java/dunlinhitch/scoring/ScorerSettings.java
@@ -7,7 +7,7 @@
 /**
  * The settings of a {@code [scorer NAME]} section.
  *
- * @param name the name by which the scorer identifies itself
+ * @param name the name that the scorer returns from {@link dunlinhitch.scoring.api.Scorer#name}
  * @param directory directory of the jars; null for a scorer that ships with the broker
  * @param parameters parameters of the scorer by name
  */
@@ -15,12 +15,12 @@
   /** Validates the name and copies the parameters. */
   public ScorerSettings {
     if (name.isEmpty()) {
-      throw new IllegalArgumentException("a scorer has a name");
+      throw new IllegalArgumentException("the name of a scorer must not be empty");
     }
     parameters = Map.copyOf(parameters);
   }
 
-  /** The identity of the scorer, which itself states its version. */
+  /** The identity of the scorer, with the version that the scorer reports. */
   public ScorerIdentity identity(String version) {
     return new ScorerIdentity(name, version, new TreeMap<>(parameters).toString());
   }
--- a/src/main/java/dunlinhitch/scoring/Scoring.java
+++ b/src/main/java/dunlinhitch/scoring/Scoring.java
@@ -18,8 +18,8 @@
  * The rounds of one scorer at one broker: collects its input, validates and damps its output, and
  * replicates its weights.
  *
- * <p>Pure: no clock, I/O or threads. Not thread-safe; the caller owns it and passes the time:
- * {@code nowUs} of a monotonic clock, {@code dayUs} of the wall clock, both in microseconds.
+ * <p>Uses no clock, I/O or threads. Not thread-safe; the caller owns it and passes the time: {@code
+ * nowUs} of a monotonic clock and {@code dayUs} of the wall clock, both in microseconds.
  */
 public final class Scoring {
   /**
@@ -29,10 +29,10 @@
    */
   public record QueryClass(String name, long latencyObjectiveUs) {}
 
-  /** The shortest time from round to round, as a share of the mean. */
+  /** The shortest interval between rounds as a fraction of the mean. */
   private static final double MIN_ROUND_SHARE = 0.8;
 
-  /** The share of the mean time from round to round that is drawn at random. */
+  /** The random part of the interval between rounds as a fraction of the mean. */
   private static final double ROUND_JITTER = 0.4;
 
   private final ScorerIdentity scorer;
@@ -46,10 +46,10 @@
   private FactorTable factors = FactorTable.NONE;
 
   /**
-   * Creates the state of a scorer that has had no round.
+   * Creates the state of a scorer before its first round.
    *
    * @param self name of this broker
-   * @param seed of all random draws
+   * @param seed seed of all random choices
    */
   public Scoring(
       String self,
@@ -65,7 +65,7 @@
     weights = new SharedWeights(self, scorer, rule.weights());
   }
 
-  /** The scorer that these rounds are for. */
+  /** The identity of the scorer. */
   public ScorerIdentity scorer() {
     return scorer;
   }
@@ -75,7 +75,10 @@
     return weights;
   }
 
-  /** Replaces the endpoints; the state of removed ones and of earlier incarnations is dropped. */
+  /**
+   * Replaces the endpoints; the state of removed endpoints and of earlier incarnations is
+   * discarded.
+   */
   public void updateEndpoints(List<EndpointSnapshot> snapshots) {
     Map<Integer, EndpointSnapshot> byServer = new TreeMap<>();
     for (EndpointSnapshot endpoint : snapshots) {
@@ -100,7 +103,7 @@
   }
 
   /**
-   * Records a completed attempt. Only the latest of a round are retained; an attempt sent to an
+   * Records a completed attempt. Only the latest attempts of a round are retained; one sent to an
    * earlier incarnation of the endpoint is ignored.
    */
   public void onAttemptCompleted(String store, int queryClass, Ending attempt) {
@@ -110,7 +113,9 @@
     }
   }
 
-  /** The scorer's input, one round for each query class; the attempts are handed over with it. */
+  /**
+   * The scorer's input, one round for each query class. The retained attempts are moved into it.
+   */
   public List<Round> rounds(long nowUs, long dayUs) {
     Map<WeightTarget, FleetWeight> merged = weights.merged(dayUs, incarnations(endpoints.values()));
     List<Round> rounds = new ArrayList<>();
@@ -148,10 +153,10 @@
   }
 
   /**
-   * Applies the scorer's output for these rounds: factors move one damped step, weights are
-   * replicated. Nothing is applied unless all of it is valid.
+   * Applies the scorer's output for these rounds: factors move by one damped step and weights are
+   * replicated. If any of it is invalid, none of it is applied.
    *
-   * @return what is invalid, or an empty string
+   * @return a description of the first problem, or an empty string
    */
   public String applyJudgements(long dayUs, List<Round> rounds, List<List<Judgement>> judgements) {
     String problem = JudgementValidator.findProblem(rounds, judgements);
@@ -216,7 +221,7 @@
     return factors;
   }
 
-  /** When the next round is due; with jitter, so that brokers do not run their rounds in step. */
+  /** When the next round is due, with jitter so that brokers do not synchronize their rounds. */
   public long nextRoundUs(long nowUs) {
     return nowUs + (long) (rule.roundUs() * (MIN_ROUND_SHARE + ROUND_JITTER * random.nextDouble()));
   }
--- a/src/main/java/dunlinhitch/scoring/ScoringSettings.java
+++ b/src/main/java/dunlinhitch/scoring/ScoringSettings.java
@@ -5,13 +5,13 @@
  *
  * @param weights how weights are merged
  * @param damping how factors are damped
- * @param roundUs mean time from round to round
+ * @param roundUs mean interval between rounds in microseconds
  * @param maxAttemptsPerRound maximum number of attempts of an endpoint and query class that are
  *     retained for a round
  */
 public record ScoringSettings(
     WeightMergeSettings weights, DampingSettings damping, long roundUs, int maxAttemptsPerRound) {
-  /** The settings of a broker. */
+  /** The default settings of a broker. */
   public static final ScoringSettings STANDARD =
       new ScoringSettings(WeightMergeSettings.STANDARD, DampingSettings.STANDARD, 250_000, 64);
 
@@ -19,7 +19,10 @@
   public ScoringSettings {
     if (roundUs <= 0 || maxAttemptsPerRound < 1) {
       throw new IllegalArgumentException(
-          "a round takes a while and shows some endings: " + roundUs + ", " + maxAttemptsPerRound);
+          "roundUs must be positive and maxAttemptsPerRound at least 1, got "
+              + roundUs
+              + ", "
+              + maxAttemptsPerRound);
     }
   }
 }
--- a/src/main/java/dunlinhitch/scoring/SharedWeights.java
+++ b/src/main/java/dunlinhitch/scoring/SharedWeights.java
@@ -11,36 +11,37 @@
 import java.util.Map;
 
 /**
- * This broker's replica of the weights that the brokers give to endpoints by one scorer.
+ * This broker's replica of the weights that all brokers' instances of one scorer assign to
+ * endpoints.
  *
- * <p>The merged weight of a target is the trimmed mean of the other brokers' weights; it does not
- * depend on the order of entries, nor on delays and duplicates. A broker's own entries are never
- * merged into what it reads, so that evidence is counted once.
+ * <p>The merged weight of a target is the trimmed mean of the other brokers' weights; it is
+ * independent of the order of entries, of delays and of duplicates. A broker's own entries are
+ * excluded from the merge that it reads, so that evidence is counted once.
  *
- * <p>Pure: no clock, I/O or threads. Not thread-safe. Times are in microseconds of the wall clock.
+ * <p>Uses no clock, I/O or threads. Not thread-safe. Times are in microseconds of the wall clock.
  */
 public final class SharedWeights {
-  /** What a received entry came to; the first five are those of {@link ReplicatedMap}. */
+  /** Result of merging a received entry; the first five are those of {@link ReplicatedMap}. */
   public enum MergeResult {
-    /** It replaced an older entry of its origin, or was its first. */
+    /** It replaced an older entry of its origin or was the first one. */
     NEWS,
-    /** It was present already. */
+    /** It was already present. */
     KNOWN,
-    /** It was older than the entry present, or expired. */
+    /** It was older than the existing entry, or expired. */
     OLD,
     /** Its timestamp was ahead of this broker's clock by more than the clock skew allowed. */
     FROM_THE_FUTURE,
-    /** A size limit of the map left no place for it. */
+    /** It was rejected because the map had reached a size limit. */
     CROWDED_OUT,
     /** Its origin was this broker. */
     OWN,
-    /** Its scorer was another one, or of another version or other parameters. */
+    /** Its scorer had another name, version or parameters. */
     OTHER_SCORER,
-    /** Its value was outside of the bounds that each correct broker keeps. */
+    /** Its value was outside the bounds that every correct broker observes. */
     BEYOND_BELIEF
   }
 
-  /** An own entry is refreshed after this fraction of the half-life even if nothing has changed. */
+  /** An own entry is refreshed this many times per half-life even if it has not changed. */
   private static final int REFRESHES_PER_HALF_LIFE = 4;
 
   /** An own entry is refreshed if its evidence has grown by this factor. */
@@ -87,7 +88,7 @@
     return MergeResult.valueOf(entries.merge(dayUs, entry).name());
   }
 
-  /** Records this broker's own weight; unless it differs enough from the last, nothing changes. */
+  /** Records this broker's own weight; has no effect if it is close enough to the previous one. */
   void recordOwn(long dayUs, WeightTarget target, Weight weight) {
     if (!weight.isValid(rule)) {
       return;
@@ -113,8 +114,8 @@
   /**
    * The merged weights of the other brokers.
    *
-   * @param startedMs start of the present incarnation by endpoint; evidence of another incarnation
-   *     or of an endpoint that is not in it is ignored
+   * @param startedMs start of the current incarnation by endpoint; evidence of other incarnations
+   *     and of other endpoints is ignored
    */
   Map<WeightTarget, FleetWeight> merged(long dayUs, Map<String, Long> startedMs) {
     entries.expire(dayUs);
@@ -141,17 +142,20 @@
         && !entry.origin().equals(self);
   }
 
-  /** At most {@code limit} entries changed after that version, of all origins, the latest first. */
+  /**
+   * At most {@code limit} entries of all origins that changed after the given version, the latest
+   * first.
+   */
   public List<ReplicatedEntry<WeightKey, Weight>> since(long version, int limit) {
     return entries.since(version, limit);
   }
 
-  /** A number that rises with each change. */
+  /** A version number that increases with each change. */
   public long version() {
     return entries.version();
   }
 
-  /** How many received entries came to this result. */
+  /** Number of received entries with this merge result. */
   public long count(MergeResult result) {
     return counts.getOrDefault(result, 0L);
   }
--- a/src/main/java/dunlinhitch/scoring/TargetState.java
+++ b/src/main/java/dunlinhitch/scoring/TargetState.java
@@ -5,7 +5,7 @@
 import java.util.Deque;
 import java.util.List;
 
-/** What a broker retains of one endpoint and query class from round to round. */
+/** The state of one endpoint and query class that a broker keeps between rounds. */
 final class TargetState {
   /** Incarnation of the endpoint: its start in Unix milliseconds. */
   private final long startedMs;
@@ -15,7 +15,7 @@
 
   private final Deque<Ending> completedAttempts = new ArrayDeque<>();
 
-  /** Decayed number of attempts shown to the scorer: the upper bound of its evidence. */
+  /** Decayed number of attempts shown to the scorer; the upper bound of its evidence. */
   private double shownEvidence;
 
   private long decayedAtUs;
@@ -39,7 +39,7 @@
     return logFactor;
   }
 
-  /** Adds a completed attempt; beyond {@code limit} the earliest is dropped. */
+  /** Adds a completed attempt; if there are more than {@code limit}, the earliest is discarded. */
   void add(Ending attempt, int limit) {
     if (attempt.atUs() - attempt.tookUs() < createdUs) {
       return;
@@ -59,7 +59,10 @@
     return drained;
   }
 
-  /** Moves the factor; the first one is taken undamped, as the cluster has converged on it. */
+  /**
+   * Moves the factor towards the target. The first one is applied without damping, because the
+   * cluster has already converged on it.
+   */
   void moveFactor(double wantedLog, FactorDamping damping) {
     logFactor = hasFactor ? damping.next(logFactor, wantedLog) : wantedLog;
     hasFactor = true;
--- a/src/main/java/dunlinhitch/scoring/TrimmedMean.java
+++ b/src/main/java/dunlinhitch/scoring/TrimmedMean.java
@@ -15,13 +15,16 @@
    * The report of one origin.
    *
    * @param logWeight logarithm of the reported weight
-   * @param evidence decayed evidence behind it
+   * @param evidence decayed evidence that supports it
    */
   record WeightReport(double logWeight, double evidence) {}
 
   private TrimmedMean() {}
 
-  /** Merges the reports; evidence missing to the minimum of origins counts as a weight of 1. */
+  /**
+   * Merges the reports; if they have less evidence than the minimum number of origins at full
+   * evidence, the rest counts as evidence for a weight of 1.
+   */
   static FleetWeight of(List<WeightReport> reports, WeightMergeSettings rule) {
     double reported = reports.stream().mapToDouble(WeightReport::evidence).sum();
     double total = Math.max(reported, rule.minOrigins() * rule.maxEvidence());
--- a/src/main/java/dunlinhitch/scoring/Weight.java
+++ b/src/main/java/dunlinhitch/scoring/Weight.java
@@ -6,11 +6,14 @@
  * One broker's weight of an endpoint and query class, as replicated by gossip.
  *
  * @param value from {@link ScoringApi#LEAST_FACTOR} to {@link ScoringApi#MOST_FACTOR}
- * @param evidence number of attempts behind it, decayed up to the timestamp of the entry
+ * @param evidence number of attempts that support it, decayed up to the timestamp of the entry
  * @param startedMs incarnation of the endpoint: its start in Unix milliseconds, 0 if unknown
  */
 public record Weight(double value, double evidence, long startedMs) {
-  /** False for what no correct broker sends. Each comparison is written so that NaN fails it. */
+  /**
+   * False for values that no correct broker sends. Each comparison is written so that it fails for
+   * NaN.
+   */
   boolean isValid(WeightMergeSettings rule) {
     return value >= ScoringApi.LEAST_FACTOR
         && value <= ScoringApi.MOST_FACTOR
--- a/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
+++ b/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
@@ -8,17 +8,18 @@
  *
  * @param halfLifeUs half-life of evidence in microseconds
  * @param maxEvidence maximum evidence of one broker's weight, in attempts
- * @param minOrigins minimum number of origins with full evidence; what is missing counts as
+ * @param minOrigins minimum number of origins with full evidence; missing evidence counts as
  *     evidence for a weight of 1
- * @param trim share of the evidence that is trimmed at either end
- * @param updateThreshold how far the logarithm of an own weight moves before it is replicated again
+ * @param trim fraction of the evidence that is trimmed at each end
+ * @param updateThreshold change of the logarithm of an own weight that causes it to be replicated
+ *     again
  */
 public record WeightMergeSettings(
     long halfLifeUs, double maxEvidence, int minOrigins, double trim, double updateThreshold) {
   /** Clock skew between brokers that is tolerated, in microseconds. */
   private static final long SKEW_US = 2_000_000;
 
-  /** Half-lives after which an entry expires. */
+  /** Number of half-lives after which an entry expires. */
   private static final int EXPIRY_HALF_LIVES = 6;
 
   /** Capacity of the replicated map. */
@@ -27,7 +28,7 @@
   /** Capacity of the replicated map for the entries of one origin. */
   private static final int MAX_ENTRIES_PER_ORIGIN = 2_000;
 
-  /** The settings of a broker. */
+  /** The default settings of a broker. */
   public static final WeightMergeSettings STANDARD =
       new WeightMergeSettings(30_000_000, 64, 8, 0.125, 0.1);
 
@@ -39,7 +40,9 @@
         || !(trim >= 0 && trim < 0.5)
         || !(updateThreshold > 0)) {
       throw new IllegalArgumentException(
-          "weights fade, count for something and are cut by less than half: "
+          "halfLifeUs, maxEvidence and updateThreshold must be positive, minOrigins at least 1"
+              + " and trim from 0 to below 0.5; got halfLifeUs, maxEvidence, minOrigins, trim,"
+              + " updateThreshold = "
               + halfLifeUs
               + ", "
               + maxEvidence
@@ -58,7 +61,10 @@
         EXPIRY_HALF_LIVES * halfLifeUs, SKEW_US, MAX_ENTRIES, MAX_ENTRIES_PER_ORIGIN);
   }
 
-  /** The most that one broker, whatever it sends, moves the logarithm of a merged weight. */
+  /**
+   * Upper bound of the change of the logarithm of a merged weight that a single, possibly faulty
+   * broker can cause.
+   */
   public double maxInfluence() {
     return Math.log(ScoringApi.MOST_FACTOR / ScoringApi.LEAST_FACTOR)
         / (minOrigins * (1 - 2 * trim));
--- a/src/main/java/dunlinhitch/scoring/WeightTarget.java
+++ b/src/main/java/dunlinhitch/scoring/WeightTarget.java
@@ -1,4 +1,4 @@
 package dunlinhitch.scoring;
 
-/** An endpoint and a query class: what a factor or a merged weight applies to. */
+/** An endpoint and a query class: the target of a factor or a merged weight. */
 record WeightTarget(String store, String queryClass) {}
--- a/src/main/java/dunlinhitch/scoring/api/ScoringApi.java
+++ b/src/main/java/dunlinhitch/scoring/api/ScoringApi.java
@@ -2,12 +2,13 @@
 
 /**
  * Constants of the scorer interface. A plug-in is built against this package and {@code java.*}
- * only. The version rises with each incompatible change; within a version there are only additions.
+ * only. The version increases with each incompatible change; within a version only additions are
+ * made.
  */
 public final class ScoringApi {
   /**
-   * The version; a compile-time constant, so that a plug-in's class file has the one it was built
-   * with.
+   * The interface version. It is a compile-time constant, so a plug-in's class file contains the
+   * version it was built against.
    */
   public static final int VERSION = 1;
 
--- a/src/main/java/dunlinhitch/scoring/host/ApiClassLoader.java
+++ b/src/main/java/dunlinhitch/scoring/host/ApiClassLoader.java
@@ -4,7 +4,7 @@
 
 /**
  * Parent of the plug-ins' class loaders. It exposes {@code java.*} and the scorer interface only;
- * the classes of the interface are the broker's own, so that both sides share them.
+ * the interface classes are loaded by the broker's class loader, so that both sides share them.
  */
 final class ApiClassLoader extends ClassLoader {
   private static final String API_PREFIX = Scorer.class.getPackageName() + ".";
@@ -23,6 +23,6 @@
       return super.loadClass(name, resolve);
     }
     throw new ClassNotFoundException(
-        name + ": a scorer sees its own jar, " + API_PREFIX + "* and java.* only");
+        name + ": a scorer can only load classes from its own jar, " + API_PREFIX + "* and java.*");
   }
 }
--- a/src/main/java/dunlinhitch/scoring/host/HostConfiguration.java
+++ b/src/main/java/dunlinhitch/scoring/host/HostConfiguration.java
@@ -9,10 +9,10 @@
  * Configuration of a {@link ScorerHost}.
  *
  * @param self name of this broker
- * @param scorer the scorer to load first
+ * @param scorer settings of the scorer that is loaded initially
  * @param rule settings of its rounds
  * @param limits limits on its resources
- * @param seed of all random draws
+ * @param seed seed of all random choices
  */
 public record HostConfiguration(
     String self,
--- a/src/main/java/dunlinhitch/scoring/host/HostLimits.java
+++ b/src/main/java/dunlinhitch/scoring/host/HostLimits.java
@@ -7,9 +7,9 @@
  *
  * @param round limits of one round
  * @param loadTimeoutUs time limit for locating, loading and initializing a scorer
- * @param maxAbandonedThreads number of threads in scorers that never returned, from which on none
- *     is loaded any more
- * @param mailboxCapacity number of waiting messages beyond which new ones are dropped and counted
+ * @param maxAbandonedThreads number of abandoned threads that have not ended at which no further
+ *     scorer is loaded
+ * @param mailboxCapacity number of queued messages from which on new ones are dropped and counted
  * @param circuitBreaker backoff after failures
  */
 public record HostLimits(
@@ -21,13 +21,13 @@
   /**
    * Limits of one round.
    *
-   * @param cpuTimeUs processor time beyond which a round counts as slow
-   * @param timeoutUs time from the call to its result
-   * @param allocatedBytes memory that a round may allocate
+   * @param cpuTimeUs processor time above which a round counts as slow
+   * @param timeoutUs time limit of a call
+   * @param allocatedBytes maximum number of bytes that a round may allocate
    */
   public record RoundLimits(long cpuTimeUs, long timeoutUs, long allocatedBytes) {}
 
-  /** The limits of a broker. */
+  /** The default limits of a broker. */
   public static final HostLimits STANDARD =
       new HostLimits(
           new RoundLimits(20_000, 1_000_000, 8 << 20),
--- a/src/main/java/dunlinhitch/scoring/host/HostStatistics.java
+++ b/src/main/java/dunlinhitch/scoring/host/HostStatistics.java
@@ -11,8 +11,8 @@
  * @param scorer the active scorer, or null
  * @param counters counts of events
  * @param lastRoundCpuUs processor time of the last round in microseconds
- * @param abandonedThreads threads of released scorers that have not ended
- * @param problem why the scorer is ejected and what can be done, or empty
+ * @param abandonedThreads number of threads of released scorers that have not ended
+ * @param problem the last failure of the scorer with its remedy, or empty
  */
 public record HostStatistics(
     ScorerIdentity scorer,
@@ -25,8 +25,8 @@
    *
    * @param validRounds rounds whose output was applied
    * @param failures failures of the scorer by kind
-   * @param mergeResults received weights by result; counted anew when the scorer's identity changes
-   * @param droppedMessages messages that found the mailbox full
+   * @param mergeResults received weights by merge result; reset when the scorer's identity changes
+   * @param droppedMessages messages dropped because the mailbox was full
    */
   public record Counters(
       long validRounds,
--- a/src/main/java/dunlinhitch/scoring/host/JarClassLoader.java
+++ b/src/main/java/dunlinhitch/scoring/host/JarClassLoader.java
@@ -20,15 +20,15 @@
 import java.util.jar.JarInputStream;
 
 /**
- * Loads the classes of one plug-in's jar from memory: the file may be overwritten or removed while
- * they are in use, no file descriptor stays open, and everything is collected with the last
- * reference to the loader.
+ * Loads the classes of one plug-in's jar from memory. The file may be overwritten or removed while
+ * they are in use, no file descriptor remains open, and all classes are garbage collected with the
+ * last reference to the loader.
  */
 final class JarClassLoader extends ClassLoader {
   /** Size limit of a jar file. */
   private static final long MAX_JAR_BYTES = 16 << 20;
 
-  /** Size limit of all entries of a jar together, uncompressed. */
+  /** Limit on the total uncompressed size of the entries of a jar. */
   private static final long MAX_UNPACKED_BYTES = 4 * MAX_JAR_BYTES;
 
   private final Map<String, byte[]> entries = new HashMap<>();
@@ -44,7 +44,7 @@
     digest = digest(file);
     readEntries(jar, file);
     if (entries.isEmpty()) {
-      throw new IOException(jar.getFileName() + " is no jar, or an empty one");
+      throw new IOException(jar.getFileName() + " is not a jar file or has no entries");
     }
   }
 
@@ -67,11 +67,11 @@
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java has SHA-256", e);
+      throw new IllegalStateException("every Java platform must support SHA-256", e);
     }
   }
 
-  /** SHA-256 of the file, by which a change of it is detected. */
+  /** SHA-256 digest of the file, used to detect changes. */
   String digest() {
     return digest;
   }
@@ -103,7 +103,7 @@
     return Collections.enumeration(url == null ? List.of() : List.of(url));
   }
 
-  /** Opens the bytes of one entry. */
+  /** Opens streams of the bytes of one entry. */
   private static final class InMemoryHandler extends URLStreamHandler {
     private final byte[] bytes;
 
@@ -116,7 +116,7 @@
       return new URLConnection(url) {
         @Override
         public void connect() {
-          // the bytes are in memory
+          // nothing to connect to: the bytes are in memory
         }
 
         @Override
--- a/src/main/java/dunlinhitch/scoring/host/LoadTask.java
+++ b/src/main/java/dunlinhitch/scoring/host/LoadTask.java
@@ -17,7 +17,7 @@
     this.active = active;
   }
 
-  /** Returns the active scorer itself if neither jar nor identity has changed. */
+  /** Returns the same object as the active scorer if neither jar nor identity has changed. */
   @Override
   public LoadedScorer run() throws LoadException {
     LoadedScorer located = ScorerLocator.locate(settings);
--- a/src/main/java/dunlinhitch/scoring/host/LoadedScorer.java
+++ b/src/main/java/dunlinhitch/scoring/host/LoadedScorer.java
@@ -4,8 +4,8 @@
 import dunlinhitch.scoring.api.Scorer;
 
 /**
- * A scorer that was loaded.
+ * A loaded scorer.
  *
- * @param digest digest of the jar file, by which a change is detected
+ * @param digest digest of the jar file, used to detect changes
  */
 record LoadedScorer(Scorer scorer, ScorerIdentity identity, String digest) {}
--- a/src/main/java/dunlinhitch/scoring/host/Mailbox.java
+++ b/src/main/java/dunlinhitch/scoring/host/Mailbox.java
@@ -5,8 +5,8 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * Messages to the supervisor thread. Any thread may add them and never waits; only the supervisor
- * thread receives them.
+ * Messages to the supervisor thread. Any thread may add messages without blocking; only the
+ * supervisor thread receives them.
  */
 final class Mailbox {
   private final LinkedBlockingQueue<Runnable> messages = new LinkedBlockingQueue<>();
@@ -31,12 +31,12 @@
     messages.add(message);
   }
 
-  /** The next message, or null if there is none within the time. */
+  /** Returns the next message, or null if none arrives within the timeout. */
   Runnable poll(long timeoutUs) throws InterruptedException {
     return messages.poll(timeoutUs, TimeUnit.MICROSECONDS);
   }
 
-  /** Number of messages dropped. */
+  /** Number of dropped messages. */
   long dropped() {
     return dropped.get();
   }
--- a/src/main/java/dunlinhitch/scoring/host/PendingGossip.java
+++ b/src/main/java/dunlinhitch/scoring/host/PendingGossip.java
@@ -9,9 +9,9 @@
 
 /**
  * Replicated entries to be disseminated to other brokers, the latest first. The sender decides how
- * many of them a message carries, and how often.
+ * many of them each message contains and how often they are sent.
  *
- * @param version a number that rises with each change
+ * @param version a version number that increases with each change
  */
 public record PendingGossip(
     long version,
--- a/src/main/java/dunlinhitch/scoring/host/ResourceUsage.java
+++ b/src/main/java/dunlinhitch/scoring/host/ResourceUsage.java
@@ -6,19 +6,19 @@
 
 /** Resources that the calling thread has used so far, as counted by the JVM. */
 final class ResourceUsage {
-  /** Share of the heap in use after a collection from which on it is nearly full. */
+  /** Fraction of the heap in use after a collection above which it counts as nearly full. */
   private static final double NEARLY_FULL_SHARE = 0.9;
 
   private ResourceUsage() {}
 
-  /** Processor time in nanoseconds; elapsed time where the JVM does not count it. */
+  /** Processor time in nanoseconds; elapsed time if the JVM does not measure it. */
   static long processorNs() {
     return ManagementFactory.getThreadMXBean().isCurrentThreadCpuTimeSupported()
         ? ManagementFactory.getThreadMXBean().getCurrentThreadCpuTime()
         : System.nanoTime();
   }
 
-  /** Memory allocated; 0 where the JVM does not count it. */
+  /** Allocated memory in bytes; 0 if the JVM does not measure it. */
   static long allocatedBytes() {
     return ManagementFactory.getThreadMXBean() instanceof com.sun.management.ThreadMXBean bean
             && bean.isThreadAllocatedMemorySupported()
--- a/src/main/java/dunlinhitch/scoring/host/RoundTask.java
+++ b/src/main/java/dunlinhitch/scoring/host/RoundTask.java
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Copies at most {@code limit} elements. The list may be a class of the plug-in, so it must be
-   * read on the scorer's thread, and it may be endless.
+   * Copies at most {@code limit} elements. The class of the list may belong to the plug-in, so the
+   * list must be read on the scorer's thread and may be unbounded.
    */
   private static List<Judgement> copy(List<Judgement> judgements, int limit) {
     if (judgements == null) {
--- a/src/main/java/dunlinhitch/scoring/host/ScorerCall.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerCall.java
@@ -4,7 +4,7 @@
 
 /**
  * One call of a scorer and its result. The fields are written on the scorer's thread; the
- * supervisor thread may read them once the call was passed back.
+ * supervisor thread may read them once the completed call has been passed back to it.
  */
 final class ScorerCall<T> {
   /** Length to which messages of a scorer's exceptions are truncated. */
@@ -12,7 +12,7 @@
 
   private static final long NANOS_PER_MICRO = 1_000;
 
-  /** Code that runs code of a plug-in. */
+  /** A task that calls code of a plug-in. */
   interface Task<T> {
     T run() throws Exception;
   }
@@ -32,12 +32,12 @@
     this.task = task;
   }
 
-  /** When the supervisor gives the call up. */
+  /** When the supervisor abandons the call. */
   long deadlineUs() {
     return deadlineUs;
   }
 
-  /** The result, if there was no failure. */
+  /** The result; valid only if there was no failure. */
   T result() {
     return result;
   }
@@ -47,7 +47,7 @@
     return failure;
   }
 
-  /** What went wrong, for an operator. */
+  /** The cause of the failure, for an operator. */
   String reason() {
     return reason;
   }
@@ -57,7 +57,7 @@
     return cpuTimeUs;
   }
 
-  /** Memory that the call allocated. */
+  /** Memory in bytes that the call allocated. */
   long allocatedBytes() {
     return allocatedBytes;
   }
@@ -76,8 +76,8 @@
       reason = e.getMessage();
     } catch (OutOfMemoryError e) {
       failure = Failure.HOLDS_MEMORY;
-      reason = "the heap was full while it ran";
-    } catch (Throwable e) { // whatever the plug-in throws, it must end the call and not the thread
+      reason = "the heap was full during the call";
+    } catch (Throwable e) { // no throwable of the plug-in may end the thread, only the call
       failure = failureOnException;
       reason = e.getClass().getName() + messageOf(e);
     }
@@ -94,7 +94,7 @@
       }
       String firstLine = message.lines().findFirst().orElse("");
       return ": " + firstLine.substring(0, Math.min(MAX_MESSAGE_LENGTH, firstLine.length()));
-    } catch (Throwable e) { // getMessage is code of the plug-in and may throw anything itself
+    } catch (Throwable e) { // getMessage may be code of the plug-in, which can throw anything
       return "";
     }
   }
--- a/src/main/java/dunlinhitch/scoring/host/ScorerLocator.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerLocator.java
@@ -12,11 +12,9 @@
 import java.util.ServiceLoader;
 import java.util.stream.Stream;
 
-/**
- * Locates a scorer by its name, in a directory of jars or among those that ship with the broker.
- */
+/** Locates a scorer by its name, in a directory of jars or among those shipped with the broker. */
 final class ScorerLocator {
-  /** Stands for the digest of a scorer without a jar of its own. */
+  /** Digest of a scorer that is not loaded from a jar. */
   private static final String SHIPPED_DIGEST = "shipped";
 
   private static final int MAX_VERSION_LENGTH = 64;
@@ -30,10 +28,11 @@
   }
 
   /**
-   * Locates the scorer of that name. Runs code of the plug-in, so it must be called on the scorer's
-   * thread.
+   * Locates the scorer of the configured name. Runs code of the plug-in, so it must be called on
+   * the scorer's thread.
    *
-   * @throws LoadException if there is none; with the problem of the first unreadable jar, if any
+   * @throws LoadException if there is none; if a jar was unreadable, with the problem of the first
+   *     such jar
    */
   static LoadedScorer locate(ScorerSettings settings) throws LoadException {
     return new ScorerLocator(settings).locate();
@@ -55,8 +54,8 @@
     }
     String place =
         settings.directory() == null
-            ? " does not ship"
-            : " is in no jar of " + settings.directory();
+            ? " is not shipped with the broker"
+            : " is not in any jar in " + settings.directory();
     throw new LoadException(Failure.NOT_THERE, settings.name() + place);
   }
 
@@ -66,7 +65,7 @@
       LoadedScorer candidate = load(loader, loader.digest());
       if (candidate != null && located != null) {
         throw new LoadException(
-            Failure.WILL_NOT_LOAD, "two jars offer it, one of them " + jar.getFileName());
+            Failure.WILL_NOT_LOAD, "two jars provide it, one of them " + jar.getFileName());
       }
       located = candidate == null ? located : candidate;
     } catch (IOException e) {
@@ -84,7 +83,7 @@
     try (Stream<Path> files = Files.list(directory)) {
       return files.filter(file -> file.toString().endsWith(".jar")).sorted().toList();
     } catch (IOException e) {
-      throw new LoadException(Failure.NOT_THERE, "the directory " + directory + " can not be read");
+      throw new LoadException(Failure.NOT_THERE, "the directory " + directory + " cannot be read");
     }
   }
 
@@ -104,7 +103,10 @@
     if (api < 1 || api > ScoringApi.VERSION) {
       throw new LoadException(
           Failure.LATER_API,
-          "it asks for version " + api + ", this broker has " + ScoringApi.VERSION);
+          "it requires interface version "
+              + api
+              + ", this broker supports version "
+              + ScoringApi.VERSION);
     }
   }
 
@@ -112,7 +114,7 @@
     if (version == null || version.isEmpty() || version.length() > MAX_VERSION_LENGTH) {
       throw new LoadException(
           Failure.WILL_NOT_LOAD,
-          "its version is no text of 1 to " + MAX_VERSION_LENGTH + " characters");
+          "its version must have 1 to " + MAX_VERSION_LENGTH + " characters");
     }
   }
 }
--- a/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
@@ -18,7 +18,7 @@
 import java.util.List;
 
 /**
- * Loads a scorer, calls it round by round, and ejects it if it fails.
+ * Loads a scorer, calls it for each round, and ejects it if it fails.
  *
  * <p>Not thread-safe: {@link #run} and all messages of the mailbox run on the supervisor thread,
  * which owns the state. Only {@link #close} may be called on any thread.
@@ -48,12 +48,12 @@
   private volatile boolean closed;
   private ScorerSettings settings;
 
-  /** The active scorer and its thread; both null while there is none. */
+  /** The active scorer and its thread; both null if there is none. */
   private LoadedScorer active;
 
   private ScorerThread activeThread;
 
-  /** State of the rounds; it outlives a reload of a scorer of the same identity. */
+  /** State of the rounds; kept across reloads as long as the identity of the scorer is the same. */
   private Scoring scoring;
 
   private PendingRound pendingRound;
@@ -61,7 +61,7 @@
   private boolean reloadRequested = true;
   private long nextActionUs;
 
-  /** Memory that the active scorer has allocated in rounds. */
+  /** Memory in bytes that the active scorer has allocated in rounds. */
   private long allocatedBytes;
 
   ScorerSupervisor(
@@ -91,7 +91,7 @@
         onTimer(nowUs());
       }
     } catch (InterruptedException e) {
-      // closed
+      // interrupted by the caller of close
     } finally {
       sharedState.setFactors(FactorTable.NONE);
       release();
@@ -192,7 +192,7 @@
     eject(
         nowUs,
         Failure.NEVER_RETURNS,
-        "a round was not answered within " + limits.round().timeoutUs() + " µs");
+        "a round did not complete within " + limits.round().timeoutUs() + " µs");
   }
 
   private void onLoadTimeout(long nowUs) {
@@ -201,7 +201,9 @@
     releasedThreads.add(thread);
     thread.abandon();
     onLoadFailure(
-        nowUs, Failure.NEVER_RETURNS, "it was not loaded within " + limits.loadTimeoutUs() + " µs");
+        nowUs,
+        Failure.NEVER_RETURNS,
+        "loading did not complete within " + limits.loadTimeoutUs() + " µs");
   }
 
   private void startLoad(long nowUs) {
@@ -228,7 +230,10 @@
     activeThread.submit(call);
   }
 
-  /** A call that is no longer pending has timed out or belongs to a released scorer: ignored. */
+  /**
+   * Handles a completed call. A call that is no longer pending has timed out or belongs to a
+   * released scorer and is ignored.
+   */
   private void onCallCompleted(ScorerCall<?> call) {
     long nowUs = nowUs();
     if (pendingRound != null && call == pendingRound.call) {
@@ -251,15 +256,20 @@
     if (call.failure() != null) {
       eject(nowUs, call.failure(), call.reason());
     } else if (call.allocatedBytes() > limits.round().allocatedBytes()) {
-      eject(nowUs, Failure.HOLDS_MEMORY, call.allocatedBytes() + " bytes in one round");
+      eject(nowUs, Failure.HOLDS_MEMORY, call.allocatedBytes() + " bytes allocated in one round");
     } else if (allocatedBytes > limits.round().allocatedBytes()
         && environment.isMemoryShort().getAsBoolean()) {
       eject(
           nowUs,
           Failure.HOLDS_MEMORY,
-          "the heap is nearly full, and it took " + allocatedBytes + " bytes since it was loaded");
+          "the heap is nearly full and it has allocated "
+              + allocatedBytes
+              + " bytes since it was loaded");
     } else if (slow && circuitBreaker.onSlowRound()) {
-      eject(nowUs, Failure.SLOW, call.cpuTimeUs() + " µs in one round, not for the first time");
+      eject(
+          nowUs,
+          Failure.SLOW,
+          call.cpuTimeUs() + " µs of processor time in a round, after earlier slow rounds");
     } else {
       String problem = scoring.applyJudgements(dayUs, round.rounds, call.result());
       if (problem.isEmpty()) {
@@ -279,7 +289,7 @@
     publish();
   }
 
-  @SuppressWarnings("ReferenceEquality") // the task returns the very object if nothing changed
+  @SuppressWarnings("ReferenceEquality") // the task returns the same object if nothing changed
   private void onLoadCompleted(long nowUs, PendingLoad load) {
     ScorerCall<LoadedScorer> call = load.call;
     boolean unchanged = call.failure() == null && call.result() == load.activeAtStart;
@@ -300,7 +310,11 @@
     environment
         .log()
         .accept(
-            "scorer " + active.identity().name() + " " + active.identity().version() + " judges");
+            "scorer "
+                + active.identity().name()
+                + " version "
+                + active.identity().version()
+                + " is active");
     publish();
   }
 
@@ -318,7 +332,7 @@
     sharedState.setFactors(FactorTable.NONE);
   }
 
-  /** The active scorer continues unless its jar was removed. */
+  /** Records the failure; the active scorer continues unless its jar was removed. */
   private void onLoadFailure(long nowUs, Failure failure, String reason) {
     if (failure == Failure.NOT_THERE) {
       sharedState.setFactors(FactorTable.NONE);
@@ -341,8 +355,8 @@
   }
 
   /**
-   * Drops all references to classes of the active scorer; its own thread closes it and ends.
-   * Without an active scorer nothing happens.
+   * Drops all references to classes of the active scorer, whose own thread closes it and ends. Has
+   * no effect without an active scorer.
    */
   private void release() {
     if (activeThread != null) {
--- a/src/main/java/dunlinhitch/scoring/host/ScorerThread.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerThread.java
@@ -6,11 +6,11 @@
 
 /**
  * The thread of one scorer, from loading to close. No other thread runs the scorer's code, so the
- * scorer can block no other thread. If it does not return it is abandoned: it is interrupted, and
- * its later results are dropped.
+ * scorer cannot block any other thread. A thread whose call does not return is abandoned: it is
+ * interrupted, and later results are dropped.
  */
 final class ScorerThread {
-  /** The last element of the queue. */
+  /** Marks the end of the queue. */
   private static final ScorerCall<Void> END = new ScorerCall<>(0, null, () -> null);
 
   private final BlockingQueue<ScorerCall<?>> calls = new LinkedBlockingQueue<>();
@@ -38,7 +38,7 @@
         }
       }
     } catch (InterruptedException e) {
-      // Abandoned, or interrupted by the scorer's own code: the thread ends either way, and a
+      // Abandoned, or interrupted by the scorer's own code. In both cases the thread ends and a
       // pending call times out.
     }
   }
@@ -48,7 +48,7 @@
     calls.add(call);
   }
 
-  /** Ends the thread after the calls that were submitted. */
+  /** Ends the thread after the calls submitted so far. */
   void shutdown() {
     calls.add(END);
   }
--- a/src/main/java/dunlinhitch/scoring/host/SharedState.java
+++ b/src/main/java/dunlinhitch/scoring/host/SharedState.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Immutable values exchanged between the event loop and the supervisor thread; only the latest
- * counts.
+ * Immutable values exchanged between the event loop and the supervisor thread. Each write replaces
+ * the previous value.
  */
 final class SharedState {
   private volatile List<EndpointSnapshot> endpoints = List.of();
--- a/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
+++ b/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
@@ -16,7 +16,7 @@
  * <p>Not thread-safe; the supervisor thread owns it.
  */
 final class StatePublisher {
-  /** Entries of either kind that are offered for dissemination. */
+  /** Maximum number of entries of each kind that are offered for dissemination. */
   private static final int MAX_GOSSIP_ENTRIES = 64;
 
   private final SharedState sharedState;
@@ -26,7 +26,10 @@
   private long validRounds;
   private long lastRoundCpuUs;
 
-  /** Versions of the weights of earlier scorers, so that the version of the gossip only rises. */
+  /**
+   * Sum of the weight versions of earlier scorers, added so that the gossip version never
+   * decreases.
+   */
   private long earlierWeightVersions;
 
   StatePublisher(
@@ -50,18 +53,21 @@
     validRounds++;
   }
 
-  /** Records that weights of that version are replaced by those of another scorer. */
+  /**
+   * Records that the weights, which had the given version, were replaced by those of another
+   * scorer.
+   */
   void onWeightsReplaced(long version) {
     earlierWeightVersions += version;
   }
 
   /**
-   * Publishes the present state.
+   * Publishes the current state.
    *
-   * @param scorerName name in the settings, for the description of a problem
+   * @param scorerName name in the settings, used to describe a problem
    * @param active identity of the active scorer, or null
    * @param scoring state of the rounds, or null before the first load
-   * @param abandonedThreads threads of released scorers that have not ended
+   * @param abandonedThreads number of threads of released scorers that have not ended
    */
   void publish(String scorerName, ScorerIdentity active, Scoring scoring, int abandonedThreads) {
     SharedWeights weights = scoring == null ? null : scoring.weights();
--- a/src/main/java/dunlinhitch/scoring/shipped/CellMeans.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/CellMeans.java
@@ -3,7 +3,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Arithmetic means by cell; the endpoints of one cell are the alternatives to each other. */
+/** Arithmetic means by cell, since the endpoints of one cell are interchangeable. */
 final class CellMeans {
   private static final class Total {
     private double sum;
--- a/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
@@ -14,10 +14,11 @@
 import java.util.Set;
 
 /**
- * Peak EWMA: the latency estimate of an endpoint rises at once with a slow response and decays
- * exponentially with fast ones. The factor is the square root of the estimate by the geometric mean
- * of its cell, because the wait behind outstanding work is predicted separately. It shares no
- * weights: a latency depends on the network path as much as on the endpoint.
+ * Peak EWMA: the latency estimate of an endpoint rises immediately with a slow response and decays
+ * exponentially with fast ones. The factor is the square root of the ratio of the estimate to the
+ * geometric mean of its cell; the root limits the effect because the wait behind outstanding work
+ * is predicted separately. It shares no weights, because a latency depends on the network path as
+ * much as on the endpoint.
  *
  * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
@@ -27,7 +28,7 @@
 
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** The square root of the latency ratio, as a power. */
+  /** Exponent of the latency ratio: its square root. */
   private static final double EXPONENT = 0.5;
 
   private record LatencyEstimate(double latencyUs, long updatedAtUs, long startedMs) {}
@@ -50,13 +51,14 @@
     return "1";
   }
 
-  /** Reads {@code life}: seconds in which a peak decays to 1/e. */
+  /** Reads {@code life}: the number of seconds in which a peak decays to 1/e. */
   @Override
   public void begin(Map<String, String> parameters) {
     if (parameters.containsKey(DECAY_PARAMETER)) {
       decayTimeUs = Double.parseDouble(parameters.get(DECAY_PARAMETER)) * MICROS_PER_SECOND;
       if (!(decayTimeUs > 0)) {
-        throw new IllegalArgumentException("life is seconds, above 0");
+        throw new IllegalArgumentException(
+            "the parameter life must be a positive number of seconds");
       }
     }
   }
@@ -90,7 +92,7 @@
     return judgements;
   }
 
-  /** The estimate after the attempts of this round; null if there is none of this incarnation. */
+  /** The estimate after the attempts of this round; null without an attempt at this incarnation. */
   private LatencyEstimate update(LatencyEstimate previous, Candidate candidate) {
     boolean sameIncarnation = previous != null && previous.startedMs == candidate.startedMs();
     LatencyEstimate estimate = sameIncarnation ? previous : null;
--- a/src/main/java/dunlinhitch/scoring/shipped/StorePace.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/StorePace.java
@@ -15,9 +15,10 @@
 import java.util.Set;
 
 /**
- * Learns by what ratio an endpoint takes longer than predicted: its load report is wrong, or its
- * machine is slower than the others. The ratio that this broker observed is shared as a weight; the
- * factor combines it with the weight of the other brokers, relative to the mean of the cell.
+ * Estimates the ratio of actual to predicted latency of an endpoint. It exceeds 1 if the load
+ * report is wrong or the machine is slower than others. The ratio observed by this broker is shared
+ * as a weight; the factor combines it with the weight of the other brokers, relative to the mean of
+ * the cell.
  *
  * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
@@ -25,10 +26,12 @@
   /** Half-life of an observation. */
   private static final double HALF_LIFE_US = 30e6;
 
-  /** Number of attempts of ratio 1 that are assumed before the first observation (the prior). */
+  /**
+   * The prior: number of attempts with ratio 1 that are assumed in addition to the observed ones.
+   */
   private static final double PRIOR_ATTEMPTS = 4;
 
-  /** The largest logarithm of a ratio that one attempt counts for, either way. */
+  /** Bound on the absolute logarithm of the ratio of a single attempt. */
   private static final double MAX_LOG_RATIO = Math.log(20);
 
   /** Exponentially decayed sum and count of the logarithms of ratios. */
@@ -57,7 +60,7 @@
       count++;
     }
 
-    /** The mean of this broker's observations together with the other brokers' weight. */
+    /** The mean of the prior, this broker's observations and the other brokers' weight. */
     private double combinedMean(FleetWeight fleet) {
       return (sum + fleet.evidence() * Math.log(fleet.weight()))
           / (count + fleet.evidence() + PRIOR_ATTEMPTS);
--- a/src/main/java/dunlinhitch/scoring/shipped/package-info.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/package-info.java
@@ -1,7 +1,7 @@
 /**
- * The scorers that ship with the broker.
+ * The scorers that are shipped with the broker.
  *
- * <p>Entry points: the classes named in {@code META-INF/services}. They may import the scorer
- * interface and the JDK only, like any other plug-in.
+ * <p>Entry points: the classes listed in {@code META-INF/services}. Like any other plug-in, they
+ * may import only the scorer interface and the JDK.
  */
 package dunlinhitch.scoring.shipped;
--- a/src/test/java/dunlinhitch/scoring/ScoringTest.java
+++ b/src/test/java/dunlinhitch/scoring/ScoringTest.java
@@ -58,7 +58,7 @@
               Judgement.of(1e300)));
       for (int server = 0; server < 2; server++) {
         double after = scoring.factors().factor(server, 0);
-        assertTrue(after >= 0.25 && after <= 4, "" + after);
+        assertTrue(after >= 0.25 && after <= 4, "factor " + after);
         assertTrue(
             Math.abs(Math.log(after / before.factor(server, 0))) <= RULE.damping().step() + 1e-9);
       }
@@ -97,8 +97,8 @@
   }
 
   /**
-   * Evidence is at most what the scorer was shown, and attempts sent to an earlier incarnation of
-   * an endpoint are not shown.
+   * Evidence is limited to the number of attempts shown to the scorer, and attempts sent to an
+   * earlier incarnation of an endpoint are not shown.
    */
   @Test
   void evidenceIsLimitedToTheAttemptsShown() {
--- a/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
+++ b/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
@@ -66,7 +66,7 @@
     }
     weights.merge(NOW, entry("n0", "s1", NOW, 4, 64, 0));
     assertEquals(4, merged(weights, "s0"), 1e-9);
-    assertEquals(1, merged(weights, "s1"), 1e-9); // a single one is trimmed
+    assertEquals(1, merged(weights, "s1"), 1e-9); // a single report is trimmed
     weights.merge(NOW, entry("n1", "s1", NOW, 4, 64, 0));
     assertEquals(Math.pow(4, 1 / 6.0), merged(weights, "s1"), 1e-9);
   }
@@ -103,7 +103,7 @@
       weights.merge(NOW, entry("n" + i, "s2", NOW, 4, 64, 0)); // of an earlier incarnation
       weights.merge(
           NOW,
-          entry("m" + i, "s2", NOW - 600_000_000, 4, 64, 500_000)); // from before the incarnation
+          entry("m" + i, "s2", NOW - 600_000_000, 4, 64, 500_000)); // older than the incarnation
       weights.merge(NOW, entry("n" + i, "gone", NOW, 4, 64, 0));
     }
     assertEquals(Map.of(), weights.merged(NOW, INCARNATIONS));
--- a/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
+++ b/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
@@ -12,7 +12,10 @@
 class TrimmedMeanTest {
   private static final WeightMergeSettings RULE = WeightMergeSettings.STANDARD;
 
-  /** For any reports of the others, and any report of one in place of another or of none. */
+  /**
+   * For arbitrary reports of the other brokers, compares the merged weight with and without an
+   * arbitrary report of one more broker.
+   */
   @Property(tries = 2_000)
   void oneFaultyBrokerMovesAWeightByNoMoreThanTheBound(@ForAll long seed) {
     Random random = new Random(seed);
@@ -36,6 +39,8 @@
       lowest = Math.min(lowest, weight);
       highest = Math.max(highest, weight);
     }
-    assertTrue(Math.log(highest / lowest) <= RULE.maxInfluence() + 1e-9, lowest + " to " + highest);
+    assertTrue(
+        Math.log(highest / lowest) <= RULE.maxInfluence() + 1e-9,
+        lowest + " (lowest merged weight) to highest merged weight " + highest);
   }
 }
--- a/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
+++ b/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
@@ -37,7 +37,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Compiles plug-ins against the interface alone and loads them as an operator's. */
+/** Compiles plug-ins against the scorer interface only and loads them from a directory of jars. */
 class ScorerHostTest {
   private static final String SOURCE =
       """
@@ -86,7 +86,7 @@
       new ScoringSettings(
           ScoringSettings.STANDARD.weights(), ScoringSettings.STANDARD.damping(), 2_000, 64);
 
-  /** A backoff longer than the test, and timeouts that are not reached. */
+  /** Limits with a backoff longer than the test and timeouts that are not reached. */
   private static final HostLimits NO_RETRY =
       new HostLimits(
           new HostLimits.RoundLimits(60_000_000, 60_000_000, 8 << 20),
@@ -98,7 +98,8 @@
   @TempDir private Path directory;
 
   /**
-   * A permit for each read of the clock by the supervisor: its earlier effects are visible then.
+   * Gets a permit for each clock read of the supervisor thread, after which its earlier effects are
+   * visible.
    */
   private final Semaphore clockReads = new Semaphore(0);
 
@@ -124,7 +125,8 @@
   private void await(BooleanSupplier condition) throws InterruptedException {
     while (!condition.getAsBoolean()) {
       assertTrue(
-          clockReads.tryAcquire(60, TimeUnit.SECONDS), () -> "nothing moved any more: " + logLines);
+          clockReads.tryAcquire(60, TimeUnit.SECONDS),
+          () -> "the supervisor thread made no progress within 60 s: " + logLines);
     }
   }
 
@@ -136,7 +138,7 @@
     return new ScorerSettings("odd", directory, Map.of("mode", mode));
   }
 
-  /** Compiles a plug-in against the classes of the interface and nothing else. */
+  /** Compiles a plug-in against the classes of the scorer interface only. */
   private static void compileJar(Path jar, Path source, String service) throws IOException {
     Path work = Files.createTempDirectory(jar.toAbsolutePath().getParent(), "build");
     Path api = Files.createDirectories(work.resolve("api/dunlinhitch/scoring/api"));
@@ -228,8 +230,8 @@
   }
 
   /**
-   * Each timeout abandons a thread; at the limit no scorer is loaded any more, and the event loop
-   * never waits.
+   * Each timeout abandons a thread. At the limit no further scorer is loaded, and calls by the
+   * event loop do not block.
    */
   @Test
   void scorerThatNeverReturnsBlocksOnlyItsOwnThreads() throws Exception {
@@ -244,7 +246,7 @@
     try (ScorerHost host = host(settings("stays"), shortTimeout, false)) {
       await(() -> failures(host, Failure.NEVER_RETURNS) == 2);
       clockReads.drainPermits();
-      clockReads.acquire(20); // it continues to run, and loads none
+      clockReads.acquire(20); // the supervisor continues to run but loads no scorer
       assertEquals(2, host.statistics().counters().failures().get(Failure.NEVER_RETURNS));
       assertEquals(2, host.statistics().abandonedThreads());
       for (int i = 0; i < 1_000; i++) {
@@ -277,7 +279,7 @@
       Files.writeString(directory.resolve("odd.jar"), "no jar");
       host.reload(settings(""));
       await(() -> failures(host, Failure.WILL_NOT_LOAD) == 1);
-      assertEquals("1", host.statistics().scorer().version()); // the active one continues
+      assertEquals("1", host.statistics().scorer().version()); // the active scorer continues
       compileScorerJar("odd.jar", "ScoringApi.VERSION", "2", "3");
       host.reload(settings(""));
       await(
@@ -300,7 +302,7 @@
       System.gc();
       emptyQueue.remove(50);
     }
-    assertNull(loader.get(), "something still holds the classes of a jar that was let go");
+    assertNull(loader.get(), "the classes of a released jar are still reachable");
   }
 
   @Test
--- a/src/test/java/dunlinhitch/scoring/shipped/ShippedScorersTest.java
+++ b/src/test/java/dunlinhitch/scoring/shipped/ShippedScorersTest.java
@@ -36,10 +36,11 @@
     List<Judgement> pace = new StorePace().judge(round);
     assertTrue(pace.get(1).factor() > 2 * pace.get(0).factor());
     assertTrue(
-        pace.get(3).factor() > 2 * pace.get(2).factor()); // by the weight of the others alone
+        pace.get(3).factor()
+            > 2 * pace.get(2).factor()); // because of the other brokers' weight only
     assertEquals(
         new Judgement(pace.get(3).factor(), 1, 0),
-        pace.get(3)); // which it does not share as its own
+        pace.get(3)); // the other brokers' weight is not shared as its own
     assertEquals(6, pace.get(1).weight(), 1e-6);
     List<Judgement> peak = new PeakLatency().judge(round);
     assertEquals(Math.sqrt(6), peak.get(1).factor() / peak.get(0).factor(), 1e-6);
