--- a/src/main/java/dunlinhitch/balancer/Admission.java
+++ b/src/main/java/dunlinhitch/balancer/Admission.java
@@ -77,7 +77,7 @@
       completion.giveUp(query, GiveUpReason.OVERLOAD);
       return;
     }
-    if (canary.isWanted(query)) {
+    if (canary.isWorthwhile(query)) {
       Comparator<PlannedPart> byWait = Comparator.comparingDouble(PlannedPart::waitShare);
       canary.send(query, plan.stream().min(byWait).orElseThrow().part());
       return;
--- a/src/main/java/dunlinhitch/balancer/AttemptSender.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptSender.java
@@ -48,7 +48,7 @@
       return;
     }
     part.requested = true;
-    if (mayBeAtServer(part)) {
+    if (mayBeExecuting(part)) {
       return;
     }
     if (part.attemptCount == 0 || mayRetry(part)) {
@@ -60,7 +60,7 @@
    * Whether a server may still be executing an earlier attempt while only one attempt at a time is
    * allowed. Sending a cancellation does not prove that the server has read it.
    */
-  private boolean mayBeAtServer(Part part) {
+  private boolean mayBeExecuting(Part part) {
     return part.unconfirmedAttempts > 0 && !context.settings().limits().parallelAttempts();
   }
 
--- a/src/main/java/dunlinhitch/balancer/CanaryPart.java
+++ b/src/main/java/dunlinhitch/balancer/CanaryPart.java
@@ -53,7 +53,7 @@
   }
 
   /** Whether one part of the query should be sent ahead of the others. */
-  boolean isWanted(Query query) {
+  boolean isWorthwhile(Query query) {
     double typicalUs = estimators.serviceTimes.typicalUs(query.statistics);
     double leftUs = estimators.deadlines.planUs(query) - context.nowUs();
     double delayShare = DELAY_SERVICE_TIME_SHARE * typicalUs / leftUs;
--- a/src/main/java/dunlinhitch/balancer/Part.java
+++ b/src/main/java/dunlinhitch/balancer/Part.java
@@ -39,7 +39,7 @@
   /** Whether no further attempt is needed. */
   boolean settled;
 
-  /** Whether an attempt is pending until a server can take it. */
+  /** Whether an attempt has been requested and waits for a server that can take it. */
   boolean requested;
 
   /** The next time that a late attempt of this part is examined. */
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -58,8 +58,8 @@
    * The time that a client has already waited for earlier requests of the same query, if retries
    * are marked: a timeout shorter than others of the class was shortened by the client's own
    * deadline. Without this correction, retries of queries that have already missed their objective
-   * would displace queries that can still meet it. Clients with generally short timeouts are at a
-   * disadvantage.
+   * would displace queries that can still meet it. Clients that use short timeouts for other
+   * reasons are at a disadvantage.
    */
   private long spentUs(QueryArrived event, ClassStatistics statistics) {
     long timeoutUs = event.deadlineUs() - context.nowUs();
--- a/src/main/java/dunlinhitch/balancer/RetryBudget.java
+++ b/src/main/java/dunlinhitch/balancer/RetryBudget.java
@@ -33,7 +33,7 @@
     retriedUs.addLast(context.nowUs());
   }
 
-  /** Refunds a retry charged at that time that was never sent. */
+  /** Refunds a retry that was charged at {@code sentUs} but never sent. */
   void refund(long sentUs) {
     retriedUs.removeLastOccurrence(sentUs);
   }
--- a/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
+++ b/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
@@ -89,7 +89,7 @@
       return;
     }
     if (server == null) {
-      double initialPenaltyUs = meanWorkOfNeighbours(entry.cell());
+      double initialPenaltyUs = meanWorkOfServersSharingShards(entry.cell());
       server = context.servers().add(entry.id(), entry.cell());
       estimators.penalties.set(server, initialPenaltyUs);
     }
@@ -106,7 +106,7 @@
    * The mean work of the servers that share shards with the cell; the initial penalty of a new
    * server.
    */
-  private double meanWorkOfNeighbours(int cell) {
+  private double meanWorkOfServersSharingShards(int cell) {
     return context.servers().sharingShards(cell, context.settings().layout()).stream()
         .filter(server -> server.state == ServerState.READY)
         .mapToDouble(
@@ -118,8 +118,7 @@
   private void setState(Server server, ServerState state) {
     boolean readinessChanges =
         server.state != state && (server.state == ServerState.READY || state == ServerState.READY);
-    if (readinessChanges) { // a server that is draining without having been ready gets no grace
-      // period
+    if (readinessChanges) { // draining without having been ready: no grace period
       server.stateChangedUs = context.nowUs();
     }
     server.state = state;
--- a/src/main/java/dunlinhitch/scoring/EjectionNotices.java
+++ b/src/main/java/dunlinhitch/scoring/EjectionNotices.java
@@ -29,19 +29,19 @@
   }
 
   /** Merges a notice received by gossip; returns true if it was new. */
-  public boolean merge(long dayUs, ReplicatedEntry<ScorerIdentity, Failure> notice) {
+  public boolean merge(long wallClockUs, ReplicatedEntry<ScorerIdentity, Failure> notice) {
     return !notice.origin().equals(self)
-        && notices.merge(dayUs, notice) == ReplicatedMap.MergeResult.NEWS;
+        && notices.merge(wallClockUs, notice) == ReplicatedMap.MergeResult.NEWS;
   }
 
   /** Records that this broker ejected the scorer. */
-  public void recordOwn(long dayUs, ScorerIdentity scorer, Failure failure) {
-    notices.merge(dayUs, new ReplicatedEntry<>(scorer, self, dayUs, failure));
+  public void recordOwn(long wallClockUs, ScorerIdentity scorer, Failure failure) {
+    notices.merge(wallClockUs, new ReplicatedEntry<>(scorer, self, wallClockUs, failure));
   }
 
   /** Number of other brokers that ejected the scorer recently. */
-  public int otherEjections(long dayUs, ScorerIdentity scorer) {
-    notices.expire(dayUs);
+  public int otherEjections(long wallClockUs, ScorerIdentity scorer) {
+    notices.expire(wallClockUs);
     return (int) notices.of(scorer).stream().filter(entry -> !entry.origin().equals(self)).count();
   }
 
--- a/src/main/java/dunlinhitch/scoring/FactorDamping.java
+++ b/src/main/java/dunlinhitch/scoring/FactorDamping.java
@@ -13,26 +13,26 @@
    */
   private static final double MIN_GAIN_SHARE = 0.5;
 
-  private final DampingSettings rule;
+  private final DampingSettings settings;
   private final double gain;
-  private final long tiltSeed;
+  private final long offsetSeed;
 
   /** Draws the broker's gain and then the seed of its offsets. */
-  FactorDamping(DampingSettings rule, SplittableRandom random) {
-    this.rule = rule;
-    gain = rule.gain() < 1 ? rule.gain() * (MIN_GAIN_SHARE + random.nextDouble()) : 1;
-    tiltSeed = random.nextLong();
+  FactorDamping(DampingSettings settings, SplittableRandom random) {
+    this.settings = settings;
+    gain = settings.gain() < 1 ? settings.gain() * (MIN_GAIN_SHARE + random.nextDouble()) : 1;
+    offsetSeed = random.nextLong();
   }
 
   /** The logarithm of the next factor, one step from the current one towards the target. */
-  double next(double presentLog, double wantedLog) {
-    double distance = wantedLog - presentLog;
-    return presentLog + Math.max(-rule.step(), Math.min(rule.step(), distance * gain));
+  double next(double currentLog, double targetLog) {
+    double distance = targetLog - currentLog;
+    return currentLog + Math.max(-settings.step(), Math.min(settings.step(), distance * gain));
   }
 
   /** The factor of a target with this broker's offset, which is constant for its lifetime. */
-  double factor(WeightTarget target, double presentLog) {
-    double offset = new SplittableRandom(tiltSeed ^ target.hashCode()).nextDouble() * 2 - 1;
-    return Math.exp(presentLog + rule.maxOffset() * offset);
+  double factor(WeightTarget target, double currentLog) {
+    double offset = new SplittableRandom(offsetSeed ^ target.hashCode()).nextDouble() * 2 - 1;
+    return Math.exp(currentLog + settings.maxOffset() * offset);
   }
 }
--- a/src/main/java/dunlinhitch/scoring/Scoring.java
+++ b/src/main/java/dunlinhitch/scoring/Scoring.java
@@ -19,7 +19,7 @@
  * replicates its weights.
  *
  * <p>Uses no clock, I/O or threads. Not thread-safe; the caller owns it and passes the time: {@code
- * nowUs} of a monotonic clock and {@code dayUs} of the wall clock, both in microseconds.
+ * nowUs} of a monotonic clock and {@code wallClockUs} of the wall clock, both in microseconds.
  */
 public final class Scoring {
   /**
@@ -36,7 +36,7 @@
   private static final double ROUND_JITTER = 0.4;
 
   private final ScorerIdentity scorer;
-  private final ScoringSettings rule;
+  private final ScoringSettings settings;
   private final List<QueryClass> queryClasses;
   private final SplittableRandom random;
   private final FactorDamping damping;
@@ -54,15 +54,15 @@
   public Scoring(
       String self,
       ScorerIdentity scorer,
-      ScoringSettings rule,
+      ScoringSettings settings,
       List<QueryClass> queryClasses,
       long seed) {
     this.scorer = scorer;
-    this.rule = rule;
+    this.settings = settings;
     this.queryClasses = List.copyOf(queryClasses);
     random = new SplittableRandom(seed);
-    damping = new FactorDamping(rule.damping(), random);
-    weights = new SharedWeights(self, scorer, rule.weights());
+    damping = new FactorDamping(settings.damping(), random);
+    weights = new SharedWeights(self, scorer, settings.weights());
   }
 
   /** The identity of the scorer. */
@@ -109,15 +109,16 @@
   public void onAttemptCompleted(String store, int queryClass, Ending attempt) {
     TargetState state = states.get(new WeightTarget(store, queryClasses.get(queryClass).name()));
     if (state != null) {
-      state.add(attempt, rule.maxAttemptsPerRound());
+      state.add(attempt, settings.maxAttemptsPerRound());
     }
   }
 
   /**
    * The scorer's input, one round for each query class. The retained attempts are moved into it.
    */
-  public List<Round> rounds(long nowUs, long dayUs) {
-    Map<WeightTarget, FleetWeight> merged = weights.merged(dayUs, incarnations(endpoints.values()));
+  public List<Round> rounds(long nowUs, long wallClockUs) {
+    Map<WeightTarget, FleetWeight> merged =
+        weights.merged(wallClockUs, incarnations(endpoints.values()));
     List<Round> rounds = new ArrayList<>();
     for (QueryClass queryClass : queryClasses) {
       List<Candidate> candidates = new ArrayList<>();
@@ -128,7 +129,7 @@
         candidates.add(
             candidate(
                 endpoint,
-                state.drain(nowUs, rule.weights()),
+                state.drain(nowUs, settings.weights()),
                 merged.getOrDefault(target, FleetWeight.NONE)));
       }
       rounds.add(new Round(nowUs, queryClass.name(), queryClass.latencyObjectiveUs(), candidates));
@@ -158,21 +159,22 @@
    *
    * @return a description of the first problem, or an empty string
    */
-  public String applyJudgements(long dayUs, List<Round> rounds, List<List<Judgement>> judgements) {
+  public String applyJudgements(
+      long wallClockUs, List<Round> rounds, List<List<Judgement>> judgements) {
     String problem = JudgementValidator.findProblem(rounds, judgements);
     if (!problem.isEmpty()) {
       return problem;
     }
     Map<WeightTarget, Double> factorByTarget = new HashMap<>();
     for (int index = 0; index < rounds.size(); index++) {
-      apply(dayUs, rounds.get(index), judgements.get(index), factorByTarget);
+      apply(wallClockUs, rounds.get(index), judgements.get(index), factorByTarget);
     }
     factors = buildTable(factorByTarget);
     return "";
   }
 
   private void apply(
-      long dayUs,
+      long wallClockUs,
       Round round,
       List<Judgement> judgements,
       Map<WeightTarget, Double> factorByTarget) {
@@ -181,18 +183,19 @@
       WeightTarget target = new WeightTarget(candidate.store(), round.queryClass());
       TargetState state = states.get(target);
       if (state != null && state.startedMs() == candidate.startedMs()) {
-        apply(dayUs, target, state, judgements.get(index));
+        apply(wallClockUs, target, state, judgements.get(index));
         factorByTarget.put(target, damping.factor(target, state.logFactor()));
       }
     }
   }
 
-  private void apply(long dayUs, WeightTarget target, TargetState state, Judgement judgement) {
+  private void apply(
+      long wallClockUs, WeightTarget target, TargetState state, Judgement judgement) {
     state.moveFactor(Math.log(clamp(judgement.factor())), damping);
-    double maxEvidence = Math.min(state.shownEvidence(), rule.weights().maxEvidence());
+    double maxEvidence = Math.min(state.shownEvidence(), settings.weights().maxEvidence());
     double evidence = Math.min(judgement.evidence(), maxEvidence);
     weights.recordOwn(
-        dayUs, target, new Weight(clamp(judgement.weight()), evidence, state.startedMs()));
+        wallClockUs, target, new Weight(clamp(judgement.weight()), evidence, state.startedMs()));
   }
 
   private FactorTable buildTable(Map<WeightTarget, Double> factorByTarget) {
@@ -223,6 +226,7 @@
 
   /** When the next round is due, with jitter so that brokers do not synchronize their rounds. */
   public long nextRoundUs(long nowUs) {
-    return nowUs + (long) (rule.roundUs() * (MIN_ROUND_SHARE + ROUND_JITTER * random.nextDouble()));
+    return nowUs
+        + (long) (settings.roundUs() * (MIN_ROUND_SHARE + ROUND_JITTER * random.nextDouble()));
   }
 }
--- a/src/main/java/dunlinhitch/scoring/SharedWeights.java
+++ b/src/main/java/dunlinhitch/scoring/SharedWeights.java
@@ -51,7 +51,7 @@
 
   private final String self;
   private final ScorerIdentity scorer;
-  private final WeightMergeSettings rule;
+  private final WeightMergeSettings settings;
   private final ReplicatedMap<WeightKey, Weight> entries;
   private final Map<MergeResult, Long> counts = new EnumMap<>(MergeResult.class);
 
@@ -61,53 +61,54 @@
    * @param self name of this broker, the origin of its own entries
    * @param scorer the only scorer whose weights are merged
    */
-  public SharedWeights(String self, ScorerIdentity scorer, WeightMergeSettings rule) {
+  public SharedWeights(String self, ScorerIdentity scorer, WeightMergeSettings settings) {
     this.self = self;
     this.scorer = scorer;
-    this.rule = rule;
-    entries = new ReplicatedMap<>(rule.mapSettings(), WeightKey.ORDER);
+    this.settings = settings;
+    entries = new ReplicatedMap<>(settings.mapSettings(), WeightKey.ORDER);
   }
 
   /** Merges an entry received by gossip, from its origin or forwarded. */
-  public MergeResult merge(long dayUs, ReplicatedEntry<WeightKey, Weight> entry) {
-    MergeResult result = mergeUncounted(dayUs, entry);
+  public MergeResult merge(long wallClockUs, ReplicatedEntry<WeightKey, Weight> entry) {
+    MergeResult result = mergeUncounted(wallClockUs, entry);
     counts.merge(result, 1L, Long::sum);
     return result;
   }
 
-  private MergeResult mergeUncounted(long dayUs, ReplicatedEntry<WeightKey, Weight> entry) {
+  private MergeResult mergeUncounted(long wallClockUs, ReplicatedEntry<WeightKey, Weight> entry) {
     if (entry.origin().equals(self)) {
       return MergeResult.OWN;
     }
     if (!entry.key().scorer().equals(scorer)) {
       return MergeResult.OTHER_SCORER;
     }
-    if (!entry.value().isValid(rule)) {
+    if (!entry.value().isValid(settings)) {
       return MergeResult.BEYOND_BELIEF;
     }
-    return MergeResult.valueOf(entries.merge(dayUs, entry).name());
+    return MergeResult.valueOf(entries.merge(wallClockUs, entry).name());
   }
 
   /** Records this broker's own weight; has no effect if it is close enough to the previous one. */
-  void recordOwn(long dayUs, WeightTarget target, Weight weight) {
-    if (!weight.isValid(rule)) {
+  void recordOwn(long wallClockUs, WeightTarget target, Weight weight) {
+    if (!weight.isValid(settings)) {
       return;
     }
     WeightKey key = new WeightKey(scorer, target.store(), target.queryClass());
     ReplicatedEntry<WeightKey, Weight> previous = entries.of(key, self);
     if (previous != null
-        && (dayUs <= previous.timestampUs() || isStillAccurate(previous, dayUs, weight))) {
+        && (wallClockUs <= previous.timestampUs()
+            || isStillAccurate(previous, wallClockUs, weight))) {
       return;
     }
-    entries.merge(dayUs, new ReplicatedEntry<>(key, self, dayUs, weight));
+    entries.merge(wallClockUs, new ReplicatedEntry<>(key, self, wallClockUs, weight));
   }
 
   private boolean isStillAccurate(
-      ReplicatedEntry<WeightKey, Weight> entry, long dayUs, Weight weight) {
+      ReplicatedEntry<WeightKey, Weight> entry, long wallClockUs, Weight weight) {
     Weight previous = entry.value();
     return previous.startedMs() == weight.startedMs()
-        && dayUs - entry.timestampUs() < rule.halfLifeUs() / REFRESHES_PER_HALF_LIFE
-        && Math.abs(Math.log(weight.value() / previous.value())) < rule.updateThreshold()
+        && wallClockUs - entry.timestampUs() < settings.halfLifeUs() / REFRESHES_PER_HALF_LIFE
+        && Math.abs(Math.log(weight.value() / previous.value())) < settings.updateThreshold()
         && weight.evidence() < EVIDENCE_GROWTH * previous.evidence();
   }
 
@@ -117,12 +118,13 @@
    * @param startedMs start of the current incarnation by endpoint; evidence of other incarnations
    *     and of other endpoints is ignored
    */
-  Map<WeightTarget, FleetWeight> merged(long dayUs, Map<String, Long> startedMs) {
-    entries.expire(dayUs);
+  Map<WeightTarget, FleetWeight> merged(long wallClockUs, Map<String, Long> startedMs) {
+    entries.expire(wallClockUs);
     Map<WeightTarget, List<WeightReport>> reports = new HashMap<>();
     for (ReplicatedEntry<WeightKey, Weight> entry : entries.all()) {
       if (isRelevant(entry, startedMs.get(entry.key().store()))) {
-        double evidence = rule.decayed(entry.value().evidence(), dayUs - entry.timestampUs());
+        double evidence =
+            settings.decayed(entry.value().evidence(), wallClockUs - entry.timestampUs());
         reports
             .computeIfAbsent(
                 new WeightTarget(entry.key().store(), entry.key().queryClass()),
@@ -131,7 +133,7 @@
       }
     }
     Map<WeightTarget, FleetWeight> merged = new HashMap<>();
-    reports.forEach((target, all) -> merged.put(target, TrimmedMean.of(all, rule)));
+    reports.forEach((target, all) -> merged.put(target, TrimmedMean.of(all, settings)));
     return merged;
   }
 
--- a/src/main/java/dunlinhitch/scoring/TargetState.java
+++ b/src/main/java/dunlinhitch/scoring/TargetState.java
@@ -51,8 +51,8 @@
   }
 
   /** Removes and returns the attempts completed since the last round, and counts them as shown. */
-  List<Ending> drain(long nowUs, WeightMergeSettings rule) {
-    shownEvidence = rule.decayed(shownEvidence, nowUs - decayedAtUs) + completedAttempts.size();
+  List<Ending> drain(long nowUs, WeightMergeSettings settings) {
+    shownEvidence = settings.decayed(shownEvidence, nowUs - decayedAtUs) + completedAttempts.size();
     decayedAtUs = nowUs;
     List<Ending> drained = List.copyOf(completedAttempts);
     completedAttempts.clear();
@@ -63,8 +63,8 @@
    * Moves the factor towards the target. The first one is applied without damping, because the
    * cluster has already converged on it.
    */
-  void moveFactor(double wantedLog, FactorDamping damping) {
-    logFactor = hasFactor ? damping.next(logFactor, wantedLog) : wantedLog;
+  void moveFactor(double targetLog, FactorDamping damping) {
+    logFactor = hasFactor ? damping.next(logFactor, targetLog) : targetLog;
     hasFactor = true;
   }
 }
--- a/src/main/java/dunlinhitch/scoring/TrimmedMean.java
+++ b/src/main/java/dunlinhitch/scoring/TrimmedMean.java
@@ -25,15 +25,15 @@
    * Merges the reports; if they have less evidence than the minimum number of origins at full
    * evidence, the rest counts as evidence for a weight of 1.
    */
-  static FleetWeight of(List<WeightReport> reports, WeightMergeSettings rule) {
+  static FleetWeight of(List<WeightReport> reports, WeightMergeSettings settings) {
     double reported = reports.stream().mapToDouble(WeightReport::evidence).sum();
-    double total = Math.max(reported, rule.minOrigins() * rule.maxEvidence());
+    double total = Math.max(reported, settings.minOrigins() * settings.maxEvidence());
     List<WeightReport> sorted = new ArrayList<>(reports);
     sorted.add(new WeightReport(0, total - reported));
     sorted.sort(
         Comparator.comparingDouble(WeightReport::logWeight)
             .thenComparingDouble(WeightReport::evidence));
-    double lowerBound = rule.trim() * total;
+    double lowerBound = settings.trim() * total;
     double upperBound = total - lowerBound;
     double sum = 0;
     double position = 0;
--- a/src/main/java/dunlinhitch/scoring/Weight.java
+++ b/src/main/java/dunlinhitch/scoring/Weight.java
@@ -14,11 +14,11 @@
    * False for values that no correct broker sends. Each comparison is written so that it fails for
    * NaN.
    */
-  boolean isValid(WeightMergeSettings rule) {
+  boolean isValid(WeightMergeSettings settings) {
     return value >= ScoringApi.LEAST_FACTOR
         && value <= ScoringApi.MOST_FACTOR
         && evidence > 0
-        && evidence <= rule.maxEvidence()
+        && evidence <= settings.maxEvidence()
         && startedMs >= 0;
   }
 }
--- a/src/main/java/dunlinhitch/scoring/host/HostConfiguration.java
+++ b/src/main/java/dunlinhitch/scoring/host/HostConfiguration.java
@@ -10,14 +10,14 @@
  *
  * @param self name of this broker
  * @param scorer settings of the scorer that is loaded initially
- * @param rule settings of its rounds
+ * @param roundSettings settings of its rounds
  * @param limits limits on its resources
  * @param seed seed of all random choices
  */
 public record HostConfiguration(
     String self,
     ScorerSettings scorer,
-    ScoringSettings rule,
+    ScoringSettings roundSettings,
     HostLimits limits,
     List<Scoring.QueryClass> queryClasses,
     long seed) {
--- a/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
@@ -114,12 +114,12 @@
 
   void onWeightReceived(ReplicatedEntry<WeightKey, Weight> weight) {
     if (scoring != null) {
-      scoring.weights().merge(dayUs(), weight);
+      scoring.weights().merge(wallClockUs(), weight);
     }
   }
 
   void onEjectionNoticeReceived(ReplicatedEntry<ScorerIdentity, Failure> notice) {
-    ejectionNotices.merge(dayUs(), notice);
+    ejectionNotices.merge(wallClockUs(), notice);
   }
 
   void onReload(ScorerSettings newSettings) {
@@ -132,8 +132,8 @@
     return environment.nowUs().getAsLong();
   }
 
-  private long dayUs() {
-    return environment.dayUs().getAsLong();
+  private long wallClockUs() {
+    return environment.wallClockUs().getAsLong();
   }
 
   private long nextDeadlineUs() {
@@ -181,7 +181,9 @@
   }
 
   private long nextRoundUs(long nowUs) {
-    return scoring != null ? scoring.nextRoundUs(nowUs) : nowUs + configuration.rule().roundUs();
+    return scoring != null
+        ? scoring.nextRoundUs(nowUs)
+        : nowUs + configuration.roundSettings().roundUs();
   }
 
   private void onRoundTimeout(long nowUs) {
@@ -220,7 +222,7 @@
 
   private void startRound(long nowUs) {
     scoring.updateEndpoints(sharedState.endpoints());
-    List<Round> rounds = scoring.rounds(nowUs, dayUs());
+    List<Round> rounds = scoring.rounds(nowUs, wallClockUs());
     ScorerCall<List<List<Judgement>>> call =
         new ScorerCall<>(
             nowUs + limits.round().timeoutUs(),
@@ -251,14 +253,14 @@
     ScorerCall<List<List<Judgement>>> call = round.call;
     allocatedBytes += call.allocatedBytes();
     publisher.onRoundCompleted(call.cpuTimeUs());
-    long dayUs = dayUs();
+    long wallClockUs = wallClockUs();
     boolean slow = call.cpuTimeUs() > limits.round().cpuTimeUs();
     if (call.failure() != null) {
       eject(nowUs, call.failure(), call.reason());
     } else if (call.allocatedBytes() > limits.round().allocatedBytes()) {
       eject(nowUs, Failure.HOLDS_MEMORY, call.allocatedBytes() + " bytes allocated in one round");
     } else if (allocatedBytes > limits.round().allocatedBytes()
-        && environment.isMemoryShort().getAsBoolean()) {
+        && environment.isHeapNearlyFull().getAsBoolean()) {
       eject(
           nowUs,
           Failure.HOLDS_MEMORY,
@@ -271,7 +273,7 @@
           Failure.SLOW,
           call.cpuTimeUs() + " µs of processor time in a round, after earlier slow rounds");
     } else {
-      String problem = scoring.applyJudgements(dayUs, round.rounds, call.result());
+      String problem = scoring.applyJudgements(wallClockUs, round.rounds, call.result());
       if (problem.isEmpty()) {
         onValidRound(slow);
       } else {
@@ -326,7 +328,7 @@
         new Scoring(
             configuration.self(),
             identity,
-            configuration.rule(),
+            configuration.roundSettings(),
             configuration.queryClasses(),
             configuration.seed());
     sharedState.setFactors(FactorTable.NONE);
@@ -344,11 +346,11 @@
   }
 
   private void eject(long nowUs, Failure failure, String reason) {
-    long dayUs = dayUs();
+    long wallClockUs = wallClockUs();
     sharedState.setFactors(FactorTable.NONE);
-    ejectionNotices.recordOwn(dayUs, active.identity(), failure);
+    ejectionNotices.recordOwn(wallClockUs, active.identity(), failure);
     circuitBreaker.onFailure(
-        nowUs, failure, reason, ejectionNotices.otherEjections(dayUs, active.identity()));
+        nowUs, failure, reason, ejectionNotices.otherEjections(wallClockUs, active.identity()));
     release();
     environment.log().accept(circuitBreaker.describe(settings.name()));
     publish();
--- a/src/test/java/dunlinhitch/balancer/AdmissionTest.java
+++ b/src/test/java/dunlinhitch/balancer/AdmissionTest.java
@@ -11,7 +11,7 @@
 /** Admission control and load shedding. */
 class AdmissionTest {
   @Test
-  void lateQueriesAreRejectedAtOnceAndTheOthersSent() {
+  void queriesThatWouldBeLateAreRejectedImmediatelyAndTheOthersSent() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
     for (int i = 0; i < 60; i++) {
       balancer.query(0, CLIENT_TIMEOUT_US, 0);
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void aMarkedRetryAfterItsObjectiveIsRejectedAtOnce() {
+  void aMarkedRetryAfterItsObjectiveIsRejectedImmediately() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
     balancer.handle(
@@ -110,7 +110,7 @@
    * late and its answers are delayed too, so it must reject queries that would be late.
    */
   @Test
-  void aLaggingBrokerRejectsAtOnceWhatWouldBeLate() {
+  void aLaggingBrokerRejectsQueriesThatWouldBeLate() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
     balancer.nowUs += 700_000; // the timers due in between fire late
     balancer.advance(0);
--- a/src/test/java/dunlinhitch/balancer/AttemptSenderTest.java
+++ b/src/test/java/dunlinhitch/balancer/AttemptSenderTest.java
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void noParallelAttemptsWhereTheSettingsForbidThem() {
+  void noParallelAttemptsIfTheSettingsForbidThem() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.parallelAttempts = false;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void attemptsTimeOutWhereNothingCanBeCancelled() {
+  void attemptsTimeOutIfTheyCannotBeCancelled() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.mayCancel = false;
     settings.parallelAttempts = false;
--- a/src/test/java/dunlinhitch/balancer/CanaryPartTest.java
+++ b/src/test/java/dunlinhitch/balancer/CanaryPartTest.java
@@ -11,7 +11,7 @@
 
 /** The canary part ahead of the fan-out, and queries that crash servers. */
 class CanaryPartTest {
-  private static BalancerHarness wide(SettingsBuilder settings) {
+  private static BalancerHarness withTwelveServers(SettingsBuilder settings) {
     BalancerHarness balancer = new BalancerHarness(settings.build());
     List<ServerEntry> all = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -22,8 +22,8 @@
   }
 
   @Test
-  void oneCanaryPartOfAWideQueryGoesAheadAndTheRestFollow() {
-    BalancerHarness balancer = wide(new SettingsBuilder());
+  void oneCanaryPartOfAWideQueryIsSentAheadAndTheRestFollow() {
+    BalancerHarness balancer = withTwelveServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3, 4, 5, 6, 7);
     assertEquals(1, balancer.sends.size());
     balancer.complete(balancer.lastSent(), AttemptOutcome.OK);
@@ -32,15 +32,15 @@
 
   @Test
   void theRestAlsoFollowsWhenTheCanaryPartIsNotAnswered() {
-    BalancerHarness balancer = wide(new SettingsBuilder());
+    BalancerHarness balancer = withTwelveServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3, 4, 5, 6, 7);
     balancer.advance(200_000);
     assertTrue(balancer.sends.size() >= 8, "sent: " + balancer.sends.size());
   }
 
   @Test
-  void aQueryThatBringsDownItsServersCostsTwoOfThem() {
-    BalancerHarness balancer = wide(new SettingsBuilder());
+  void aQueryThatCrashesServersIsRejectedAfterTwoOfThem() {
+    BalancerHarness balancer = withTwelveServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3, 4, 5, 6, 7);
     while (balancer.actions.stream().noneMatch(action -> action.startsWith("reject 1"))
         && balancer.sends.size() < 30) {
@@ -94,7 +94,7 @@
 
   @Test
   void aCrashDoesNotMakeTheQuerySuspectOnceAPartIsAnswered() {
-    BalancerHarness balancer = wide(new SettingsBuilder());
+    BalancerHarness balancer = withTwelveServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3, 4, 5, 6, 7);
     balancer.complete(balancer.sends.get(0), AttemptOutcome.OK);
     balancer.complete(balancer.sends.get(1), AttemptOutcome.RESET);
--- a/src/test/java/dunlinhitch/balancer/FailurePenaltiesTest.java
+++ b/src/test/java/dunlinhitch/balancer/FailurePenaltiesTest.java
@@ -11,7 +11,7 @@
 /** Failure penalties: failing and slow servers are avoided for a time. */
 class FailurePenaltiesTest {
   @Test
-  void fastErrorsDoNotDrawParts() {
+  void fastErrorsDoNotAttractParts() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
     balancer.answerQueries(20);
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void aPenaltyOutlivesTheTimeUntilTheNextTurnOfAServer() {
+  void aPenaltyLastsUntilTheNextTurnOfAServer() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
     int failing = balancer.lastSent().server();
--- a/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
+++ b/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
@@ -81,9 +81,9 @@
    */
   @Test
   void expensiveHealthChecksAreSentLessOften() {
-    long atUsualPrice = healthChecksOfSparseQueries(0.012);
+    long atReferencePrice = healthChecksOfSparseQueries(0.012);
     long atHighPrice = healthChecksOfSparseQueries(0.08);
-    assertTrue(atUsualPrice >= 15, "health checks at the reference price: " + atUsualPrice);
+    assertTrue(atReferencePrice >= 15, "health checks at the reference price: " + atReferencePrice);
     assertTrue(atHighPrice <= 5, "health checks at about seven times the price: " + atHighPrice);
   }
 }
--- a/src/test/java/dunlinhitch/balancer/IdleConnectionsTest.java
+++ b/src/test/java/dunlinhitch/balancer/IdleConnectionsTest.java
@@ -12,7 +12,7 @@
    * Sends single-part queries at an interval. If {@code lost}, an attempt times out unless the idle
    * connections of its server were closed before.
    */
-  private static void sendQueriesApart(
+  private static void sendSparseQueries(
       BalancerHarness balancer, int count, long intervalUs, boolean lost) {
     for (int i = 0; i < count; i++) {
       balancer.advance(intervalUs);
@@ -30,24 +30,24 @@
     settings.parallelAttempts = false;
     settings.maxAttempts = 1;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
-    sendQueriesApart(balancer, 12, 3_000_000, true);
+    sendSparseQueries(balancer, 12, 3_000_000, true);
     assertTrue(
         balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
         "idle connections were closed: " + balancer.actions);
   }
 
   @Test
-  void connectionsInUseAreNotClosedWhateverIsLost() {
+  void activeConnectionsAreNotClosedDespiteLosses() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.parallelAttempts = false;
     settings.maxAttempts = 1;
     BalancerHarness balancer = new BalancerHarness(settings.build());
     balancer.replaceServers(ServerEntries.ready(1, 0));
-    sendQueriesApart(balancer, 30, 100_000, true);
+    sendSparseQueries(balancer, 30, 100_000, true);
     assertFalse(
         balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
         "no connection was closed: " + balancer.actions);
-    sendQueriesApart(balancer, 20, 3_000_000, false);
+    sendSparseQueries(balancer, 20, 3_000_000, false);
     assertFalse(
         balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
         "no connection was closed: " + balancer.actions);
--- a/src/test/java/dunlinhitch/balancer/QueryCompletionTest.java
+++ b/src/test/java/dunlinhitch/balancer/QueryCompletionTest.java
@@ -99,7 +99,7 @@
   }
 
   @Test
-  void anUnattainableQueryEndsAtOnce() {
+  void anUnattainableQueryEndsImmediately() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.maxAttempts = 1;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
@@ -114,7 +114,7 @@
    * tick.
    */
   @Test
-  void aShortTickLeavesAnAnswerNoLessTimeToArrive() {
+  void theAnswerMarginHasALowerLimitForShortTicks() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.tickUs = 1_000;
     settings.floor = 0.5;
@@ -149,7 +149,7 @@
   }
 
   @Test
-  void aCompleteAnswerMayComeAfterTheObjectiveWhereLateAnswersCount() {
+  void aCompleteAnswerMayBeSentAfterTheObjectiveIfLateAnswersHaveWeight() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.lateWeight = 0.3;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
@@ -203,7 +203,7 @@
 
   /** A query that could not be sent is rejected early, while its client can still retry in time. */
   @Test
-  void anUnsentQueryIsRejectedBeforeHalfOfItsTimeIsOver() {
+  void anUnsentQueryIsRejectedBeforeHalfOfItsTimeHasPassed() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.lateWeight = 0.3;
     BalancerHarness balancer = new BalancerHarness(settings.build());
@@ -222,7 +222,7 @@
   }
 
   @Test
-  void attemptsThatNobodyWillWaitForTimeOutAtTheObjective() {
+  void attemptsTimeOutAtTheObjectiveIfAPartialAnswerIsSentThen() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.floor = 0.5;
     settings.lateWeight = 0.1;
--- a/src/test/java/dunlinhitch/balancer/ServerListUpdatesTest.java
+++ b/src/test/java/dunlinhitch/balancer/ServerListUpdatesTest.java
@@ -15,7 +15,7 @@
    * to an idle server for a long time. It must still get a trial part.
    */
   @Test
-  void anEnabledServerIsUsedSoonAndSparingly() {
+  void aReenabledServerIsUsedSoonAndInSlowStart() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
     balancer.answerQueries(10);
     balancer.handle(new BalancerEvent.ServerDisabled(1, true));
@@ -40,7 +40,7 @@
   }
 
   @Test
-  void drainingServersGetNothingWhereAnotherHoldsTheShard() {
+  void drainingServersGetNoPartsIfAnotherHoldsTheShard() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
     balancer.updateServers(ServerEntries.inState(1, 0, ServerState.DRAINING));
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void subscribesAgainAfterAFailureWhereTheListMustBePolled() {
+  void subscribesAgainAfterAFailureIfTheListMustBePolled() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.mustPollServerList = true;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
--- a/src/test/java/dunlinhitch/balancer/SlowStartLoad.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartLoad.java
@@ -34,10 +34,10 @@
 
   private final SlowStartSite.Rule rule;
   private final double meanWorkUs;
-  private double worst;
-  private double worstByNotified;
-  private double used;
-  private double leastWarm;
+  private double worstWindow;
+  private double worstWindowByNotified;
+  private double utilization;
+  private double minWarmLoad;
 
   SlowStartLoad(SlowStartSite site) {
     rule = site.rule();
@@ -45,40 +45,40 @@
   }
 
   /** The work of the worst window of all started servers, as a fraction of the limit. */
-  double worst() {
-    return worst;
+  double worstWindow() {
+    return worstWindow;
   }
 
   /**
    * The same for windows filled mainly by brokers that had been notified of the start; only such
    * brokers can comply with the rule.
    */
-  double worstByNotified() {
-    return worstByNotified;
+  double worstWindowByNotified() {
+    return worstWindowByNotified;
   }
 
   /** The work sent to started servers, as a fraction of their capacity during slow start. */
-  double used() {
-    return used;
+  double utilization() {
+    return utilization;
   }
 
   /** The work sent to the least loaded warm server, as a fraction of the mean. */
-  double leastWarm() {
-    return leastWarm;
+  double minWarmLoad() {
+    return minWarmLoad;
   }
 
   void measure(List<? extends MeasuredServer> servers, long slowStartUs) {
     double sentUs = 0;
     double capacityUs = 0;
     double warmSumUs = 0;
-    double warmLeastUs = Double.MAX_VALUE;
+    double minWarmUs = Double.MAX_VALUE;
     int warmServers = 0;
     for (MeasuredServer server : servers) {
       double workUs = server.arrivals().stream().mapToDouble(Arrival::workUs).sum();
       if (!server.hasStarted() && server.isReady()) {
         warmServers++;
         warmSumUs += workUs;
-        warmLeastUs = Math.min(warmLeastUs, workUs);
+        minWarmUs = Math.min(minWarmUs, workUs);
       }
       if (server.hasStarted()) {
         sentUs += workUs;
@@ -86,8 +86,8 @@
         measureWindows(server);
       }
     }
-    used = sentUs / capacityUs;
-    leastWarm = warmLeastUs / (warmSumUs / warmServers);
+    utilization = sentUs / capacityUs;
+    minWarmLoad = minWarmUs / (warmSumUs / warmServers);
   }
 
   private void measureWindows(MeasuredServer server) {
@@ -109,10 +109,10 @@
               * rule.fallUs()
               / meanWorkUs;
       double share = windowUs / meanWorkUs / (allowed + 2 * Math.sqrt(allowed) + 2);
-      worst = Math.max(worst, share);
+      worstWindow = Math.max(worstWindow, share);
       // A window counts as filled by notified brokers if they sent over two thirds of its work.
       if (notifiedUs > windowUs * 2 / 3) {
-        worstByNotified = Math.max(worstByNotified, share);
+        worstWindowByNotified = Math.max(worstWindowByNotified, share);
       }
     }
   }
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
@@ -33,20 +33,20 @@
           new SlowStartSite.Rule(2, 0.15, 1_000_000));
 
   @Test
-  void whatAllBrokersSendAWarmingServerStaysWithinItsBudgetInEachScenario() {
+  void allBrokersTogetherStayWithinTheBudgetOfAWarmingServerInEachScenario() {
     for (SlowStartScenario scenario : SlowStartScenario.values()) {
       for (int brokers : List.of(3, 20, 30, 100)) {
         SlowStartSimulation simulation =
             new SlowStartSimulation(scenario, brokers, brokers, SMALL_BUDGET).run();
         String where = scenario + " of " + brokers + " brokers: ";
         assertTrue(
-            simulation.load().worst() <= 1,
-            where + simulation.load().worst() + " times the work that the rule allows");
+            simulation.load().worstWindow() <= 1,
+            where + simulation.load().worstWindow() + " times the work that the rule allows");
         assertTrue(
-            simulation.load().leastWarm() > 0.3,
+            simulation.load().minWarmLoad() > 0.3,
             where
                 + "the least loaded warm server got "
-                + simulation.load().leastWarm()
+                + simulation.load().minWarmLoad()
                 + " of the mean work");
       }
     }
@@ -63,8 +63,8 @@
         SlowStartSimulation simulation =
             new SlowStartSimulation(scenario, brokers, 1, HIGH_LOAD).run();
         assertTrue(
-            simulation.load().worstByNotified() <= 1,
-            scenario + " of " + brokers + " brokers: " + simulation.load().worstByNotified());
+            simulation.load().worstWindowByNotified() <= 1,
+            scenario + " of " + brokers + " brokers: " + simulation.load().worstWindowByNotified());
       }
     }
   }
@@ -81,8 +81,8 @@
         SlowStartSimulation simulation =
             new SlowStartSimulation(scenario, 30, seed, RARE_AND_EXPENSIVE).run();
         assertTrue(
-            simulation.load().worstByNotified() <= 1,
-            scenario + ", seed " + seed + ": " + simulation.load().worstByNotified());
+            simulation.load().worstWindowByNotified() <= 1,
+            scenario + ", seed " + seed + ": " + simulation.load().worstWindowByNotified());
       }
     }
   }
@@ -96,8 +96,8 @@
     SlowStartSimulation simulation =
         new SlowStartSimulation(SlowStartScenario.HALF_START, 100, 1, EXPENSIVE_CALLS).run();
     assertTrue(
-        simulation.load().worst() <= 1 && simulation.load().used() > 0.17,
-        "worst " + simulation.load().worst() + ", used " + simulation.load().used());
+        simulation.load().worstWindow() <= 1 && simulation.load().utilization() > 0.17,
+        "worst " + simulation.load().worstWindow() + ", used " + simulation.load().utilization());
     assertTrue(simulation.answeredShare() > 0.9, "answered: " + simulation.answeredShare());
   }
 
@@ -106,7 +106,7 @@
    * work must not all be admitted at the same time.
    */
   @Test
-  void aHundredBrokersDoNotAllSendCheapPartsAtOnce() {
+  void aHundredBrokersDoNotAllSendCheapPartsSimultaneously() {
     double sent = sendsOfAHundredBrokers(0, 10_000, 1);
     // Overload factor times the capacity at the end of that second, in calls.
     double allowed = 2 * 0.28 / 0.01;
@@ -152,7 +152,7 @@
   @EnumSource(
       value = AttemptOutcome.class,
       names = {"CONNECT_FAILED", "RESET", "TIMEOUT", "ERROR", "FULL", "MOOT"})
-  void theOutcomeOfAnAttemptRefundsNothing(AttemptOutcome outcome) {
+  void noAttemptOutcomeRefundsTheBudget(AttemptOutcome outcome) {
     for (int processes : List.of(1, 2)) {
       List<BalancerHarness> all = new ArrayList<>();
       for (int i = 0; i < processes; i++) {
@@ -172,19 +172,23 @@
           }
         }
       }
-      int most = 0;
+      int maxPerSecond = 0;
       for (long from : sentAt) {
-        most =
+        maxPerSecond =
             (int)
                 Math.max(
-                    most,
+                    maxPerSecond,
                     sentAt.stream().filter(at -> at >= from && at < from + 1_000_000).count());
       }
       // The budget at the end of the four seconds, in parts of 0.1 s of work.
       double allowed = 2 * (0.2 + 0.8 * 0.35) / 0.1;
       assertTrue(
-          most >= 3 && most <= allowed + 2,
-          processes + " processes: at most " + most + " parts in a second, allowed " + allowed);
+          maxPerSecond >= 3 && maxPerSecond <= allowed + 2,
+          processes
+              + " processes: at most "
+              + maxPerSecond
+              + " parts in a second, allowed "
+              + allowed);
     }
   }
 }
--- a/src/test/java/dunlinhitch/balancer/SlowStartTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartTest.java
@@ -39,7 +39,7 @@
    * time. It must not be assumed to be as busy as the others.
    */
   @Test
-  void aWarmingServerWithoutReportIsNotTakenForAsBusyAsTheOthers() {
+  void aWarmingServerWithoutReportIsAssumedIdle() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
     for (int i = 0; i < 200; i++) {
       balancer.query(0, CLIENT_TIMEOUT_US, 0);
@@ -60,7 +60,7 @@
   }
 
   @Test
-  void manyBrokersNotifiedOfAStartedServerDoNotAllSendAtOnce() {
+  void manyBrokersNotifiedOfAStartedServerDoNotSendSimultaneously() {
     int started = 0;
     for (int seed = 0; seed < 60; seed++) {
       SettingsBuilder settings = new SettingsBuilder();
--- a/src/test/java/dunlinhitch/scoring/ScoringTest.java
+++ b/src/test/java/dunlinhitch/scoring/ScoringTest.java
@@ -17,14 +17,14 @@
 
 class ScoringTest {
   private static final ScorerIdentity SCORER = new ScorerIdentity("pace", "1", "{}");
-  private static final ScoringSettings RULE = ScoringSettings.STANDARD;
-  private static final ScoringSettings UNTILTED =
+  private static final ScoringSettings SETTINGS = ScoringSettings.STANDARD;
+  private static final ScoringSettings WITHOUT_OFFSETS =
       new ScoringSettings(
           WeightMergeSettings.STANDARD, new DampingSettings(0.1, 0.05, 0), 250_000, 64);
 
-  private static Scoring scoring(ScoringSettings rule) {
+  private static Scoring scoring(ScoringSettings settings) {
     Scoring scoring =
-        new Scoring("me", SCORER, rule, List.of(new Scoring.QueryClass("a", 100_000)), 7);
+        new Scoring("me", SCORER, settings, List.of(new Scoring.QueryClass("a", 100_000)), 7);
     scoring.updateEndpoints(endpoints(0));
     return scoring;
   }
@@ -45,7 +45,7 @@
   @Property(tries = 200)
   void factorsMoveByAtMostOneStepAndStayWithinBounds(@ForAll long seed) {
     Random random = new Random(seed);
-    Scoring scoring = scoring(RULE);
+    Scoring scoring = scoring(SETTINGS);
     runRound(scoring, 1, Judgement.NONE, Judgement.NONE);
     for (int round = 2; round < 100; round++) {
       FactorTable before = scoring.factors();
@@ -60,14 +60,15 @@
         double after = scoring.factors().factor(server, 0);
         assertTrue(after >= 0.25 && after <= 4, "factor " + after);
         assertTrue(
-            Math.abs(Math.log(after / before.factor(server, 0))) <= RULE.damping().step() + 1e-9);
+            Math.abs(Math.log(after / before.factor(server, 0)))
+                <= SETTINGS.damping().step() + 1e-9);
       }
     }
   }
 
   @Test
   void invalidJudgementsChangeNothing() {
-    Scoring scoring = scoring(RULE);
+    Scoring scoring = scoring(SETTINGS);
     runRound(scoring, 1, Judgement.of(2), Judgement.of(2));
     FactorTable before = scoring.factors();
     for (Judgement invalid :
@@ -87,7 +88,7 @@
   }
 
   @Test
-  void emptyTableChangesNoBit() {
+  void emptyTableLeavesLoadsUnchanged() {
     Random random = new Random(1);
     for (int i = 0; i < 1_000; i++) {
       double load = random.nextDouble() * 1e9;
@@ -102,7 +103,7 @@
    */
   @Test
   void evidenceIsLimitedToTheAttemptsShown() {
-    Scoring scoring = scoring(RULE);
+    Scoring scoring = scoring(SETTINGS);
     scoring.rounds(1, 1);
     scoring.onAttemptCompleted("s1", 0, new Ending(Ending.Outcome.ANSWERED, 10, 2, 2));
     runRound(scoring, 20, Judgement.NONE, new Judgement(1, 2, 1e9));
@@ -116,8 +117,8 @@
   }
 
   @Test
-  void newIncarnationOfAnEndpointStartsAfresh() {
-    Scoring scoring = scoring(UNTILTED);
+  void newIncarnationOfAnEndpointStartsWithTheNeutralFactor() {
+    Scoring scoring = scoring(WITHOUT_OFFSETS);
     runRound(scoring, 1, Judgement.NONE, Judgement.of(4));
     assertEquals(4, scoring.factors().factor(1, 0), 1e-9);
     scoring.updateEndpoints(endpoints(5));
--- a/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
+++ b/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 class SharedWeightsTest {
-  private static final WeightMergeSettings RULE = WeightMergeSettings.STANDARD;
+  private static final WeightMergeSettings SETTINGS = WeightMergeSettings.STANDARD;
   private static final ScorerIdentity SCORER = new ScorerIdentity("pace", "1", "{}");
   private static final long NOW = 1_000_000_000L;
   private static final Map<String, Long> INCARNATIONS = Map.of("s0", 0L, "s1", 0L, "s2", 500_000L);
@@ -27,7 +27,7 @@
   }
 
   private static SharedWeights weights() {
-    return new SharedWeights("me", SCORER, RULE);
+    return new SharedWeights("me", SCORER, SETTINGS);
   }
 
   private static double merged(SharedWeights weights, String store) {
@@ -59,7 +59,7 @@
   }
 
   @Test
-  void agreementOfManyCountsInFullAndOfFewInPart() {
+  void agreementOfManyBrokersCountsFullyAndOfFewPartially() {
     SharedWeights weights = weights();
     for (int i = 0; i < 8; i++) {
       weights.merge(NOW, entry("n" + i, "s0", NOW, 4, 64, 0));
@@ -112,7 +112,7 @@
   @Test
   void evidenceHasAHalfLife() {
     SharedWeights weights = weights();
-    weights.merge(NOW, entry("n1", "s0", NOW - RULE.halfLifeUs(), 4, 64, 0));
+    weights.merge(NOW, entry("n1", "s0", NOW - SETTINGS.halfLifeUs(), 4, 64, 0));
     assertEquals(
         32, weights.merged(NOW, INCARNATIONS).get(new WeightTarget("s0", "a")).evidence(), 1e-9);
   }
--- a/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
+++ b/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.Property;
 
 class TrimmedMeanTest {
-  private static final WeightMergeSettings RULE = WeightMergeSettings.STANDARD;
+  private static final WeightMergeSettings SETTINGS = WeightMergeSettings.STANDARD;
 
   /**
    * For arbitrary reports of the other brokers, compares the merged weight with and without an
@@ -27,20 +27,20 @@
           new WeightReport(
               value * Math.log(4),
               random.nextBoolean()
-                  ? RULE.maxEvidence()
-                  : random.nextDouble() * RULE.maxEvidence()));
+                  ? SETTINGS.maxEvidence()
+                  : random.nextDouble() * SETTINGS.maxEvidence()));
     }
-    double lowest = TrimmedMean.of(reports, RULE).weight();
+    double lowest = TrimmedMean.of(reports, SETTINGS).weight();
     double highest = lowest;
     for (double falseReport : new double[] {-1, 0, 1}) {
       List<WeightReport> all = new ArrayList<>(reports);
-      all.add(new WeightReport(falseReport * Math.log(4), RULE.maxEvidence()));
-      double weight = TrimmedMean.of(all, RULE).weight();
+      all.add(new WeightReport(falseReport * Math.log(4), SETTINGS.maxEvidence()));
+      double weight = TrimmedMean.of(all, SETTINGS).weight();
       lowest = Math.min(lowest, weight);
       highest = Math.max(highest, weight);
     }
     assertTrue(
-        Math.log(highest / lowest) <= RULE.maxInfluence() + 1e-9,
+        Math.log(highest / lowest) <= SETTINGS.maxInfluence() + 1e-9,
         lowest + " (lowest merged weight) to highest merged weight " + highest);
   }
 }
--- a/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
+++ b/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
@@ -44,38 +44,38 @@
             package p;
             import dunlinhitch.scoring.api.*;
             import java.util.*;
-            public final class Odd implements Scorer {
-                private final List<byte[]> held = new ArrayList<>();
+            public final class TestScorer implements Scorer {
+                private final List<byte[]> retained = new ArrayList<>();
                 private String mode = "";
                 private int round;
                 public int api() { return API; }
-                public String name() { return "odd"; }
+                public String name() { return "test-scorer"; }
                 public String version() { return "VERSION"; }
                 public void begin(Map<String, String> parameters) {
                     System.getProperties().put("scorer.test", new java.lang.ref.WeakReference<>(getClass().getClassLoader()));
                     mode = parameters.getOrDefault("mode", "");
-                    if (mode.equals("refuses")) { throw new IllegalArgumentException("no such mode"); }
-                    if (mode.equals("looks")) {
+                    if (mode.equals("rejects-parameters")) { throw new IllegalArgumentException("no such mode"); }
+                    if (mode.equals("loads-broker-class")) {
                         try { Class.forName("dunlinhitch.balancer.LoadBalancer"); } catch (ClassNotFoundException e) { throw new RuntimeException(e); }
                     }
                 }
                 public List<Judgement> judge(Round r) {
                     round++;
                     if (mode.equals("throws")) { throw new IllegalStateException() { public String getMessage() { throw new Error(); } }; }
-                    if (mode.equals("overflows")) { return judge(r); }
-                    if (mode.equals("few")) { return List.of(); }
-                    if (mode.equals("nothing")) { return null; }
-                    if (mode.equals("endless")) {
+                    if (mode.equals("overflows-stack")) { return judge(r); }
+                    if (mode.equals("too-few-judgements")) { return List.of(); }
+                    if (mode.equals("null-judgements")) { return null; }
+                    if (mode.equals("unbounded-list")) {
                         return new AbstractList<>() {
                             public Judgement get(int i) { return Judgement.NONE; }
                             public int size() { return Integer.MAX_VALUE; }
                         };
                     }
-                    if (mode.equals("holds")) { held.add(new byte[32 << 20]); }
-                    if (mode.equals("creeps")) { held.add(new byte[64 << 10]); }
+                    if (mode.equals("allocates-much")) { retained.add(new byte[32 << 20]); }
+                    if (mode.equals("leaks")) { retained.add(new byte[64 << 10]); }
                     long until = System.nanoTime() + 30_000_000;
-                    while (mode.equals("slow") && System.nanoTime() < until) { held.clear(); }
-                    while (mode.equals("stays")) { try { Thread.sleep(1_000_000); } catch (InterruptedException e) { held.clear(); } }
+                    while (mode.equals("slow") && System.nanoTime() < until) { retained.clear(); }
+                    while (mode.equals("ignores-interrupts")) { try { Thread.sleep(1_000_000); } catch (InterruptedException e) { retained.clear(); } }
                     return Collections.nCopies(r.candidates().size(), Judgement.of(FACTOR));
                 }
             }
@@ -105,7 +105,7 @@
 
   private final List<String> logLines = Collections.synchronizedList(new ArrayList<>());
 
-  private ScorerHost host(ScorerSettings settings, HostLimits limits, boolean memoryIsShort) {
+  private ScorerHost host(ScorerSettings settings, HostLimits limits, boolean heapIsNearlyFull) {
     ScorerHost host =
         new ScorerHost(
             new HostConfiguration("me", settings, FAST_ROUNDS, limits, QUERY_CLASSES, 1),
@@ -115,7 +115,7 @@
                   return System.nanoTime() / 1_000;
                 },
                 () -> System.currentTimeMillis() * 1_000,
-                () -> memoryIsShort,
+                () -> heapIsNearlyFull,
                 logLines::add));
     host.updateEndpoints(
         List.of(new EndpointSnapshot(0, "s0", 0, "z", true, 1, 0, 0, List.of(), 0)));
@@ -135,7 +135,7 @@
   }
 
   private ScorerSettings settings(String mode) {
-    return new ScorerSettings("odd", directory, Map.of("mode", mode));
+    return new ScorerSettings("test-scorer", directory, Map.of("mode", mode));
   }
 
   /** Compiles a plug-in against the classes of the scorer interface only. */
@@ -174,30 +174,30 @@
 
   private void compileScorerJar(String name, String api, String version, String factor)
       throws IOException {
-    Path source = Files.createDirectories(directory.resolve("src")).resolve("Odd.java");
+    Path source = Files.createDirectories(directory.resolve("src")).resolve("TestScorer.java");
     Files.writeString(
         source,
         SOURCE
             .replace("API;", api + ";")
             .replace("VERSION\"", version + "\"")
             .replace("FACTOR", factor));
-    compileJar(directory.resolve(name), source, "p.Odd");
+    compileJar(directory.resolve(name), source, "p.TestScorer");
   }
 
   @ParameterizedTest
   @CsvSource({
     "throws,THROWS",
-    "overflows,THROWS",
-    "few,NONSENSE",
-    "nothing,NONSENSE",
-    "endless,NONSENSE",
-    "holds,HOLDS_MEMORY",
-    "refuses,WILL_NOT_LOAD",
-    "looks,WILL_NOT_LOAD"
+    "overflows-stack,THROWS",
+    "too-few-judgements,NONSENSE",
+    "null-judgements,NONSENSE",
+    "unbounded-list,NONSENSE",
+    "allocates-much,HOLDS_MEMORY",
+    "rejects-parameters,WILL_NOT_LOAD",
+    "loads-broker-class,WILL_NOT_LOAD"
   })
   void failingScorerIsEjectedAndReportedWithItsRemedy(String mode, Failure failure)
       throws Exception {
-    compileScorerJar("odd.jar", "ScoringApi.VERSION", "1", "2");
+    compileScorerJar("test.jar", "ScoringApi.VERSION", "1", "2");
     try (ScorerHost host = host(settings(mode), NO_RETRY, false)) {
       await(() -> failures(host, failure) == 1);
       assertSame(FactorTable.NONE, host.factors());
@@ -211,7 +211,7 @@
 
   @Test
   void scorerThatIsSlowOrLeaksMemoryIsEjected() throws Exception {
-    compileScorerJar("odd.jar", "ScoringApi.VERSION", "1", "2");
+    compileScorerJar("test.jar", "ScoringApi.VERSION", "1", "2");
     HostLimits littleCpuTime =
         new HostLimits(
             new HostLimits.RoundLimits(1_000, 60_000_000, 8 << 20),
@@ -223,7 +223,7 @@
       await(() -> failures(host, Failure.SLOW) == 1);
       assertEquals(1, host.statistics().counters().validRounds());
     }
-    try (ScorerHost host = host(settings("creeps"), NO_RETRY, true)) {
+    try (ScorerHost host = host(settings("leaks"), NO_RETRY, true)) {
       await(() -> failures(host, Failure.HOLDS_MEMORY) == 1);
       assertTrue(host.statistics().counters().validRounds() > 1);
     }
@@ -235,7 +235,7 @@
    */
   @Test
   void scorerThatNeverReturnsBlocksOnlyItsOwnThreads() throws Exception {
-    compileScorerJar("odd.jar", "ScoringApi.VERSION", "1", "2");
+    compileScorerJar("test.jar", "ScoringApi.VERSION", "1", "2");
     HostLimits shortTimeout =
         new HostLimits(
             new HostLimits.RoundLimits(60_000_000, 20_000, 8 << 20),
@@ -243,7 +243,7 @@
             2,
             100,
             new CircuitBreakerSettings(1, 1, 10, 2));
-    try (ScorerHost host = host(settings("stays"), shortTimeout, false)) {
+    try (ScorerHost host = host(settings("ignores-interrupts"), shortTimeout, false)) {
       await(() -> failures(host, Failure.NEVER_RETURNS) == 2);
       clockReads.drainPermits();
       clockReads.acquire(20); // the supervisor continues to run but loads no scorer
@@ -263,7 +263,7 @@
       host.reload(settings(""));
       await(() -> failures(host, Failure.LATER_API) == 1);
       compileScorerJar("later.jar", "1", "1", "2");
-      compileScorerJar("odd.jar", "1", "1", "2");
+      compileScorerJar("test.jar", "1", "1", "2");
       host.reload(settings(""));
       await(() -> failures(host, Failure.WILL_NOT_LOAD) == 1);
       assertTrue(host.statistics().problem().contains("two jars"), host.statistics().problem());
@@ -272,15 +272,15 @@
 
   @Test
   void reloadAddsReplacesAndReleasesAJar() throws Exception {
-    compileScorerJar("odd.jar", "ScoringApi.VERSION", "1", "2");
+    compileScorerJar("test.jar", "ScoringApi.VERSION", "1", "2");
     try (ScorerHost host = host(settings(""), NO_RETRY, false)) {
       await(() -> host.factors().factor(0, 0) > 1.9);
       WeakReference<?> first = (WeakReference<?>) System.getProperties().get("scorer.test");
-      Files.writeString(directory.resolve("odd.jar"), "no jar");
+      Files.writeString(directory.resolve("test.jar"), "no jar");
       host.reload(settings(""));
       await(() -> failures(host, Failure.WILL_NOT_LOAD) == 1);
       assertEquals("1", host.statistics().scorer().version()); // the active scorer continues
-      compileScorerJar("odd.jar", "ScoringApi.VERSION", "2", "3");
+      compileScorerJar("test.jar", "ScoringApi.VERSION", "2", "3");
       host.reload(settings(""));
       await(
           () ->
@@ -288,7 +288,7 @@
                   && host.factors().factor(0, 0) > 2.8);
       assertCollected(first);
       WeakReference<?> second = (WeakReference<?>) System.getProperties().get("scorer.test");
-      Files.delete(directory.resolve("odd.jar"));
+      Files.delete(directory.resolve("test.jar"));
       host.reload(settings(""));
       await(() -> failures(host, Failure.NOT_THERE) == 1);
       assertSame(FactorTable.NONE, host.factors());
