--- a/src/main/java/dunlinhitch/scoring/Scoring.java
+++ b/src/main/java/dunlinhitch/scoring/Scoring.java
@@ -18,8 +18,8 @@
  * The rounds of one scorer at one broker: collects its input, validates and damps its output, and
  * replicates its weights.
  *
- * <p>Pure: no clock, I/O or threads. Not thread-safe; the caller owns it and passes the time:
- * {@code nowUs} of a monotonic clock, {@code dayUs} of the wall clock, both in microseconds.
+ * <p>Uses no clock, I/O or threads. Not thread-safe; the caller owns it and passes the time: {@code
+ * nowUs} of a monotonic clock and {@code wallClockUs} of the wall clock, both in microseconds.
  */
 public final class Scoring {
   /**
@@ -29,14 +29,14 @@
    */
   public record QueryClass(String name, long latencyObjectiveUs) {}
 
-  /** The shortest time from round to round, as a share of the mean. */
+  /** The shortest interval between rounds as a fraction of the mean. */
   private static final double MIN_ROUND_SHARE = 0.8;
 
-  /** The share of the mean time from round to round that is drawn at random. */
+  /** The random part of the interval between rounds as a fraction of the mean. */
   private static final double ROUND_JITTER = 0.4;
 
   private final ScorerIdentity scorer;
-  private final ScoringSettings rule;
+  private final ScoringSettings settings;
   private final List<QueryClass> queryClasses;
   private final SplittableRandom random;
   private final FactorDamping damping;
@@ -46,26 +46,26 @@
   private FactorTable factors = FactorTable.NONE;
 
   /**
-   * Creates the state of a scorer that has had no round.
+   * Creates the state of a scorer before its first round.
    *
    * @param self name of this broker
-   * @param seed of all random draws
+   * @param seed seed of all random choices
    */
   public Scoring(
       String self,
       ScorerIdentity scorer,
-      ScoringSettings rule,
+      ScoringSettings settings,
       List<QueryClass> queryClasses,
       long seed) {
     this.scorer = scorer;
-    this.rule = rule;
+    this.settings = settings;
     this.queryClasses = List.copyOf(queryClasses);
     random = new SplittableRandom(seed);
-    damping = new FactorDamping(rule.damping(), random);
-    weights = new SharedWeights(self, scorer, rule.weights());
+    damping = new FactorDamping(settings.damping(), random);
+    weights = new SharedWeights(self, scorer, settings.weights());
   }
 
-  /** The scorer that these rounds are for. */
+  /** The identity of the scorer. */
   public ScorerIdentity scorer() {
     return scorer;
   }
@@ -75,7 +75,10 @@
     return weights;
   }
 
-  /** Replaces the endpoints; the state of removed ones and of earlier incarnations is dropped. */
+  /**
+   * Replaces the endpoints; the state of removed endpoints and of earlier incarnations is
+   * discarded.
+   */
   public void updateEndpoints(List<EndpointSnapshot> snapshots) {
     Map<Integer, EndpointSnapshot> byServer = new TreeMap<>();
     for (EndpointSnapshot endpoint : snapshots) {
@@ -100,19 +103,22 @@
   }
 
   /**
-   * Records a completed attempt. Only the latest of a round are retained; an attempt sent to an
+   * Records a completed attempt. Only the latest attempts of a round are retained; one sent to an
    * earlier incarnation of the endpoint is ignored.
    */
   public void onAttemptCompleted(String store, int queryClass, Ending attempt) {
     TargetState state = states.get(new WeightTarget(store, queryClasses.get(queryClass).name()));
     if (state != null) {
-      state.add(attempt, rule.maxAttemptsPerRound());
+      state.add(attempt, settings.maxAttemptsPerRound());
     }
   }
 
-  /** The scorer's input, one round for each query class; the attempts are handed over with it. */
-  public List<Round> rounds(long nowUs, long dayUs) {
-    Map<WeightTarget, FleetWeight> merged = weights.merged(dayUs, incarnations(endpoints.values()));
+  /**
+   * The scorer's input, one round for each query class. The retained attempts are moved into it.
+   */
+  public List<Round> rounds(long nowUs, long wallClockUs) {
+    Map<WeightTarget, FleetWeight> merged =
+        weights.merged(wallClockUs, incarnations(endpoints.values()));
     List<Round> rounds = new ArrayList<>();
     for (QueryClass queryClass : queryClasses) {
       List<Candidate> candidates = new ArrayList<>();
@@ -123,7 +129,7 @@
         candidates.add(
             candidate(
                 endpoint,
-                state.drain(nowUs, rule.weights()),
+                state.drain(nowUs, settings.weights()),
                 merged.getOrDefault(target, FleetWeight.NONE)));
       }
       rounds.add(new Round(nowUs, queryClass.name(), queryClass.latencyObjectiveUs(), candidates));
@@ -148,26 +154,27 @@
   }
 
   /**
-   * Applies the scorer's output for these rounds: factors move one damped step, weights are
-   * replicated. Nothing is applied unless all of it is valid.
+   * Applies the scorer's output for these rounds: factors move by one damped step and weights are
+   * replicated. If any of it is invalid, none of it is applied.
    *
-   * @return what is invalid, or an empty string
+   * @return a description of the first problem, or an empty string
    */
-  public String applyJudgements(long dayUs, List<Round> rounds, List<List<Judgement>> judgements) {
+  public String applyJudgements(
+      long wallClockUs, List<Round> rounds, List<List<Judgement>> judgements) {
     String problem = JudgementValidator.findProblem(rounds, judgements);
     if (!problem.isEmpty()) {
       return problem;
     }
     Map<WeightTarget, Double> factorByTarget = new HashMap<>();
     for (int index = 0; index < rounds.size(); index++) {
-      apply(dayUs, rounds.get(index), judgements.get(index), factorByTarget);
+      apply(wallClockUs, rounds.get(index), judgements.get(index), factorByTarget);
     }
     factors = buildTable(factorByTarget);
     return "";
   }
 
   private void apply(
-      long dayUs,
+      long wallClockUs,
       Round round,
       List<Judgement> judgements,
       Map<WeightTarget, Double> factorByTarget) {
@@ -176,18 +183,19 @@
       WeightTarget target = new WeightTarget(candidate.store(), round.queryClass());
       TargetState state = states.get(target);
       if (state != null && state.startedMs() == candidate.startedMs()) {
-        apply(dayUs, target, state, judgements.get(index));
+        apply(wallClockUs, target, state, judgements.get(index));
         factorByTarget.put(target, damping.factor(target, state.logFactor()));
       }
     }
   }
 
-  private void apply(long dayUs, WeightTarget target, TargetState state, Judgement judgement) {
+  private void apply(
+      long wallClockUs, WeightTarget target, TargetState state, Judgement judgement) {
     state.moveFactor(Math.log(clamp(judgement.factor())), damping);
-    double maxEvidence = Math.min(state.shownEvidence(), rule.weights().maxEvidence());
+    double maxEvidence = Math.min(state.shownEvidence(), settings.weights().maxEvidence());
     double evidence = Math.min(judgement.evidence(), maxEvidence);
     weights.recordOwn(
-        dayUs, target, new Weight(clamp(judgement.weight()), evidence, state.startedMs()));
+        wallClockUs, target, new Weight(clamp(judgement.weight()), evidence, state.startedMs()));
   }
 
   private FactorTable buildTable(Map<WeightTarget, Double> factorByTarget) {
@@ -216,8 +224,9 @@
     return factors;
   }
 
-  /** When the next round is due; with jitter, so that brokers do not run their rounds in step. */
+  /** When the next round is due, with jitter so that brokers do not synchronize their rounds. */
   public long nextRoundUs(long nowUs) {
-    return nowUs + (long) (rule.roundUs() * (MIN_ROUND_SHARE + ROUND_JITTER * random.nextDouble()));
+    return nowUs
+        + (long) (settings.roundUs() * (MIN_ROUND_SHARE + ROUND_JITTER * random.nextDouble()));
   }
 }
--- a/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
@@ -18,7 +18,7 @@
 import java.util.List;
 
 /**
- * Loads a scorer, calls it round by round, and ejects it if it fails.
+ * Loads a scorer, calls it for each round, and ejects it if it fails.
  *
  * <p>Not thread-safe: {@link #run} and all messages of the mailbox run on the supervisor thread,
  * which owns the state. Only {@link #close} may be called on any thread.
@@ -48,12 +48,12 @@
   private volatile boolean closed;
   private ScorerSettings settings;
 
-  /** The active scorer and its thread; both null while there is none. */
+  /** The active scorer and its thread; both null if there is none. */
   private LoadedScorer active;
 
   private ScorerThread activeThread;
 
-  /** State of the rounds; it outlives a reload of a scorer of the same identity. */
+  /** State of the rounds; kept across reloads as long as the identity of the scorer is the same. */
   private Scoring scoring;
 
   private PendingRound pendingRound;
@@ -61,7 +61,7 @@
   private boolean reloadRequested = true;
   private long nextActionUs;
 
-  /** Memory that the active scorer has allocated in rounds. */
+  /** Memory in bytes that the active scorer has allocated in rounds. */
   private long allocatedBytes;
 
   ScorerSupervisor(
@@ -91,7 +91,7 @@
         onTimer(nowUs());
       }
     } catch (InterruptedException e) {
-      // closed
+      // interrupted by the caller of close
     } finally {
       sharedState.setFactors(FactorTable.NONE);
       release();
@@ -114,12 +114,12 @@
 
   void onWeightReceived(ReplicatedEntry<WeightKey, Weight> weight) {
     if (scoring != null) {
-      scoring.weights().merge(dayUs(), weight);
+      scoring.weights().merge(wallClockUs(), weight);
     }
   }
 
   void onEjectionNoticeReceived(ReplicatedEntry<ScorerIdentity, Failure> notice) {
-    ejectionNotices.merge(dayUs(), notice);
+    ejectionNotices.merge(wallClockUs(), notice);
   }
 
   void onReload(ScorerSettings newSettings) {
@@ -132,8 +132,8 @@
     return environment.nowUs().getAsLong();
   }
 
-  private long dayUs() {
-    return environment.dayUs().getAsLong();
+  private long wallClockUs() {
+    return environment.wallClockUs().getAsLong();
   }
 
   private long nextDeadlineUs() {
@@ -181,7 +181,9 @@
   }
 
   private long nextRoundUs(long nowUs) {
-    return scoring != null ? scoring.nextRoundUs(nowUs) : nowUs + configuration.rule().roundUs();
+    return scoring != null
+        ? scoring.nextRoundUs(nowUs)
+        : nowUs + configuration.roundSettings().roundUs();
   }
 
   private void onRoundTimeout(long nowUs) {
@@ -192,7 +194,7 @@
     eject(
         nowUs,
         Failure.NEVER_RETURNS,
-        "a round was not answered within " + limits.round().timeoutUs() + " µs");
+        "a round did not complete within " + limits.round().timeoutUs() + " µs");
   }
 
   private void onLoadTimeout(long nowUs) {
@@ -201,7 +203,9 @@
     releasedThreads.add(thread);
     thread.abandon();
     onLoadFailure(
-        nowUs, Failure.NEVER_RETURNS, "it was not loaded within " + limits.loadTimeoutUs() + " µs");
+        nowUs,
+        Failure.NEVER_RETURNS,
+        "loading did not complete within " + limits.loadTimeoutUs() + " µs");
   }
 
   private void startLoad(long nowUs) {
@@ -218,7 +222,7 @@
 
   private void startRound(long nowUs) {
     scoring.updateEndpoints(sharedState.endpoints());
-    List<Round> rounds = scoring.rounds(nowUs, dayUs());
+    List<Round> rounds = scoring.rounds(nowUs, wallClockUs());
     ScorerCall<List<List<Judgement>>> call =
         new ScorerCall<>(
             nowUs + limits.round().timeoutUs(),
@@ -228,7 +232,10 @@
     activeThread.submit(call);
   }
 
-  /** A call that is no longer pending has timed out or belongs to a released scorer: ignored. */
+  /**
+   * Handles a completed call. A call that is no longer pending has timed out or belongs to a
+   * released scorer and is ignored.
+   */
   private void onCallCompleted(ScorerCall<?> call) {
     long nowUs = nowUs();
     if (pendingRound != null && call == pendingRound.call) {
@@ -246,22 +253,27 @@
     ScorerCall<List<List<Judgement>>> call = round.call;
     allocatedBytes += call.allocatedBytes();
     publisher.onRoundCompleted(call.cpuTimeUs());
-    long dayUs = dayUs();
+    long wallClockUs = wallClockUs();
     boolean slow = call.cpuTimeUs() > limits.round().cpuTimeUs();
     if (call.failure() != null) {
       eject(nowUs, call.failure(), call.reason());
     } else if (call.allocatedBytes() > limits.round().allocatedBytes()) {
-      eject(nowUs, Failure.HOLDS_MEMORY, call.allocatedBytes() + " bytes in one round");
+      eject(nowUs, Failure.HOLDS_MEMORY, call.allocatedBytes() + " bytes allocated in one round");
     } else if (allocatedBytes > limits.round().allocatedBytes()
-        && environment.isMemoryShort().getAsBoolean()) {
+        && environment.isHeapNearlyFull().getAsBoolean()) {
       eject(
           nowUs,
           Failure.HOLDS_MEMORY,
-          "the heap is nearly full, and it took " + allocatedBytes + " bytes since it was loaded");
+          "the heap is nearly full and it has allocated "
+              + allocatedBytes
+              + " bytes since it was loaded");
     } else if (slow && circuitBreaker.onSlowRound()) {
-      eject(nowUs, Failure.SLOW, call.cpuTimeUs() + " µs in one round, not for the first time");
+      eject(
+          nowUs,
+          Failure.SLOW,
+          call.cpuTimeUs() + " µs of processor time in a round, after earlier slow rounds");
     } else {
-      String problem = scoring.applyJudgements(dayUs, round.rounds, call.result());
+      String problem = scoring.applyJudgements(wallClockUs, round.rounds, call.result());
       if (problem.isEmpty()) {
         onValidRound(slow);
       } else {
@@ -279,7 +291,7 @@
     publish();
   }
 
-  @SuppressWarnings("ReferenceEquality") // the task returns the very object if nothing changed
+  @SuppressWarnings("ReferenceEquality") // the task returns the same object if nothing changed
   private void onLoadCompleted(long nowUs, PendingLoad load) {
     ScorerCall<LoadedScorer> call = load.call;
     boolean unchanged = call.failure() == null && call.result() == load.activeAtStart;
@@ -300,7 +312,11 @@
     environment
         .log()
         .accept(
-            "scorer " + active.identity().name() + " " + active.identity().version() + " judges");
+            "scorer "
+                + active.identity().name()
+                + " version "
+                + active.identity().version()
+                + " is active");
     publish();
   }
 
@@ -312,13 +328,13 @@
         new Scoring(
             configuration.self(),
             identity,
-            configuration.rule(),
+            configuration.roundSettings(),
             configuration.queryClasses(),
             configuration.seed());
     sharedState.setFactors(FactorTable.NONE);
   }
 
-  /** The active scorer continues unless its jar was removed. */
+  /** Records the failure; the active scorer continues unless its jar was removed. */
   private void onLoadFailure(long nowUs, Failure failure, String reason) {
     if (failure == Failure.NOT_THERE) {
       sharedState.setFactors(FactorTable.NONE);
@@ -330,19 +346,19 @@
   }
 
   private void eject(long nowUs, Failure failure, String reason) {
-    long dayUs = dayUs();
+    long wallClockUs = wallClockUs();
     sharedState.setFactors(FactorTable.NONE);
-    ejectionNotices.recordOwn(dayUs, active.identity(), failure);
+    ejectionNotices.recordOwn(wallClockUs, active.identity(), failure);
     circuitBreaker.onFailure(
-        nowUs, failure, reason, ejectionNotices.otherEjections(dayUs, active.identity()));
+        nowUs, failure, reason, ejectionNotices.otherEjections(wallClockUs, active.identity()));
     release();
     environment.log().accept(circuitBreaker.describe(settings.name()));
     publish();
   }
 
   /**
-   * Drops all references to classes of the active scorer; its own thread closes it and ends.
-   * Without an active scorer nothing happens.
+   * Drops all references to classes of the active scorer, whose own thread closes it and ends. Has
+   * no effect without an active scorer.
    */
   private void release() {
     if (activeThread != null) {
--- a/src/test/java/dunlinhitch/balancer/AttemptSenderTest.java
+++ b/src/test/java/dunlinhitch/balancer/AttemptSenderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Retries: what may be repeated, and the retry budget. */
+/** Retries: which attempts may be repeated, and the retry budget. */
 class AttemptSenderTest {
   @Test
   void singleShotPartsAreRetriedOnlyWhenNoAttemptRan() {
@@ -53,7 +53,7 @@
   }
 
   @Test
-  void noParallelAttemptsWhereTheSettingsForbidThem() {
+  void noParallelAttemptsIfTheSettingsForbidThem() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.parallelAttempts = false;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
@@ -67,7 +67,7 @@
   }
 
   @Test
-  void attemptsTimeOutWhereNothingCanBeCancelled() {
+  void attemptsTimeOutIfTheyCannotBeCancelled() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.mayCancel = false;
     settings.parallelAttempts = false;
@@ -94,6 +94,7 @@
       }
     }
     balancer.advance(CLIENT_TIMEOUT_US);
-    assertEquals(5 + 3, balancer.sends.size(), "2 in any case and a tenth of 10 queries and parts");
+    assertEquals(
+        5 + 3, balancer.sends.size(), "the budget is 2 plus a tenth of the 5 queries and 5 parts");
   }
 }
--- a/src/test/java/dunlinhitch/balancer/CanaryPartTest.java
+++ b/src/test/java/dunlinhitch/balancer/CanaryPartTest.java
@@ -9,9 +9,9 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The canary part ahead of the fan-out, and queries that bring down servers. */
+/** The canary part ahead of the fan-out, and queries that crash servers. */
 class CanaryPartTest {
-  private static BalancerHarness wide(SettingsBuilder settings) {
+  private static BalancerHarness withTwelveServers(SettingsBuilder settings) {
     BalancerHarness balancer = new BalancerHarness(settings.build());
     List<ServerEntry> all = new ArrayList<>();
     for (int i = 0; i < 12; i++) {
@@ -22,8 +22,8 @@
   }
 
   @Test
-  void oneCanaryPartOfAWideQueryGoesAheadAndTheRestFollow() {
-    BalancerHarness balancer = wide(new SettingsBuilder());
+  void oneCanaryPartOfAWideQueryIsSentAheadAndTheRestFollow() {
+    BalancerHarness balancer = withTwelveServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3, 4, 5, 6, 7);
     assertEquals(1, balancer.sends.size());
     balancer.complete(balancer.lastSent(), AttemptOutcome.OK);
@@ -32,15 +32,15 @@
 
   @Test
   void theRestAlsoFollowsWhenTheCanaryPartIsNotAnswered() {
-    BalancerHarness balancer = wide(new SettingsBuilder());
+    BalancerHarness balancer = withTwelveServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3, 4, 5, 6, 7);
     balancer.advance(200_000);
     assertTrue(balancer.sends.size() >= 8, "sent: " + balancer.sends.size());
   }
 
   @Test
-  void aQueryThatBringsDownItsServersCostsTwoOfThem() {
-    BalancerHarness balancer = wide(new SettingsBuilder());
+  void aQueryThatCrashesServersIsRejectedAfterTwoOfThem() {
+    BalancerHarness balancer = withTwelveServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3, 4, 5, 6, 7);
     while (balancer.actions.stream().noneMatch(action -> action.startsWith("reject 1"))
         && balancer.sends.size() < 30) {
@@ -52,8 +52,8 @@
   }
 
   /**
-   * A corrupt answer ends its connection, and with it the other attempts there: that is no query's
-   * fault.
+   * Guards against a false suspicion: a corrupt answer closes its connection, which resets the
+   * other attempts on it although their queries did not cause this.
    */
   @Test
   void connectionsLostAtServersThatAnswerOthersDoNotMakeTheQuerySuspect() {
@@ -75,7 +75,7 @@
     balancer.complete(second, AttemptOutcome.RESET);
     assertTrue(
         balancer.actions.stream().noneMatch(action -> action.startsWith("reject")),
-        "goes on: " + balancer.actions);
+        "not rejected: " + balancer.actions);
     assertEquals(3, balancer.serversOf(100).size());
   }
 
@@ -89,19 +89,20 @@
     }
     assertTrue(
         balancer.actions.stream().noneMatch(action -> action.startsWith("reject")),
-        "goes on: " + balancer.actions);
+        "not rejected: " + balancer.actions);
   }
 
   @Test
   void aCrashDoesNotMakeTheQuerySuspectOnceAPartIsAnswered() {
-    BalancerHarness balancer = wide(new SettingsBuilder());
+    BalancerHarness balancer = withTwelveServers(new SettingsBuilder());
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1, 2, 3, 4, 5, 6, 7);
     balancer.complete(balancer.sends.get(0), AttemptOutcome.OK);
     balancer.complete(balancer.sends.get(1), AttemptOutcome.RESET);
     balancer.complete(balancer.sends.get(2), AttemptOutcome.RESET);
     assertTrue(
         balancer.actions.stream().noneMatch(action -> action.startsWith("reject")),
-        "goes on: " + balancer.actions);
-    assertTrue(balancer.sends.size() >= 10, "sent again: " + balancer.sends.size());
+        "not rejected: " + balancer.actions);
+    assertTrue(
+        balancer.sends.size() >= 10, "the reset parts were retried: " + balancer.sends.size());
   }
 }
--- a/src/test/java/dunlinhitch/balancer/IdleConnectionsTest.java
+++ b/src/test/java/dunlinhitch/balancer/IdleConnectionsTest.java
@@ -6,10 +6,13 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Connections that were dropped without notice. */
+/** Detection of connections that were dropped silently. */
 class IdleConnectionsTest {
-  /** Queries at intervals, each to one server; {@code lost}: none is answered. */
-  private static void sendQueriesApart(
+  /**
+   * Sends single-part queries at an interval. If {@code lost}, an attempt times out unless the idle
+   * connections of its server were closed before.
+   */
+  private static void sendSparseQueries(
       BalancerHarness balancer, int count, long intervalUs, boolean lost) {
     for (int i = 0; i < count; i++) {
       balancer.advance(intervalUs);
@@ -27,26 +30,26 @@
     settings.parallelAttempts = false;
     settings.maxAttempts = 1;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
-    sendQueriesApart(balancer, 12, 3_000_000, true);
+    sendSparseQueries(balancer, 12, 3_000_000, true);
     assertTrue(
         balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
-        "closed: " + balancer.actions);
+        "idle connections were closed: " + balancer.actions);
   }
 
   @Test
-  void connectionsInUseAreNotClosedWhateverIsLost() {
+  void activeConnectionsAreNotClosedDespiteLosses() {
     SettingsBuilder settings = new SettingsBuilder();
     settings.parallelAttempts = false;
     settings.maxAttempts = 1;
     BalancerHarness balancer = new BalancerHarness(settings.build());
     balancer.replaceServers(ServerEntries.ready(1, 0));
-    sendQueriesApart(balancer, 30, 100_000, true);
+    sendSparseQueries(balancer, 30, 100_000, true);
     assertFalse(
         balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
-        "not closed: " + balancer.actions);
-    sendQueriesApart(balancer, 20, 3_000_000, false);
+        "no connection was closed: " + balancer.actions);
+    sendSparseQueries(balancer, 20, 3_000_000, false);
     assertFalse(
         balancer.actions.stream().anyMatch(action -> action.startsWith("closeIdle")),
-        "not closed: " + balancer.actions);
+        "no connection was closed: " + balancer.actions);
   }
 }
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
@@ -9,8 +9,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * A warming server fails by the sum of what all brokers send it, and none of them knows of the
- * others' sends.
+ * Tests the total work that many brokers send to a warming server. A warming server fails if that
+ * total exceeds its capacity, although each broker knows only its own sends.
  */
 class SlowStartSimulationTest {
   private static final double[] EVEN_SHARES = {0.5, 0.5};
@@ -33,25 +33,28 @@
           new SlowStartSite.Rule(2, 0.15, 1_000_000));
 
   @Test
-  void whatAllBrokersSendAWarmingServerStaysWithinItsBudgetInEachScenario() {
+  void allBrokersTogetherStayWithinTheBudgetOfAWarmingServerInEachScenario() {
     for (SlowStartScenario scenario : SlowStartScenario.values()) {
       for (int brokers : List.of(3, 20, 30, 100)) {
         SlowStartSimulation simulation =
             new SlowStartSimulation(scenario, brokers, brokers, SMALL_BUDGET).run();
         String where = scenario + " of " + brokers + " brokers: ";
         assertTrue(
-            simulation.load().worst() <= 1,
-            where + simulation.load().worst() + " of what the rule allows");
+            simulation.load().worstWindow() <= 1,
+            where + simulation.load().worstWindow() + " times the work that the rule allows");
         assertTrue(
-            simulation.load().leastWarm() > 0.3,
-            where + "a warm server was sent " + simulation.load().leastWarm() + " of the mean");
+            simulation.load().minWarmLoad() > 0.3,
+            where
+                + "the least loaded warm server got "
+                + simulation.load().minWarmLoad()
+                + " of the mean work");
       }
     }
   }
 
   /**
-   * At such load warming servers get more before all brokers are notified; what notified brokers
-   * send stays within the budget.
+   * At high load, brokers that have not been notified of the start still send too much to warming
+   * servers. The work sent by notified brokers must stay within the budget.
    */
   @Test
   void atHighLoadNotifiedBrokersStayWithinTheBudget() {
@@ -60,15 +63,15 @@
         SlowStartSimulation simulation =
             new SlowStartSimulation(scenario, brokers, 1, HIGH_LOAD).run();
         assertTrue(
-            simulation.load().worstByNotified() <= 1,
-            scenario + " of " + brokers + " brokers: " + simulation.load().worstByNotified());
+            simulation.load().worstWindowByNotified() <= 1,
+            scenario + " of " + brokers + " brokers: " + simulation.load().worstWindowByNotified());
       }
     }
   }
 
   /**
-   * A class that is rare and several times as expensive as the mean has not been measured yet,
-   * least of all after a restart.
+   * Guards against underestimating a class that is rare and several times as expensive as the mean:
+   * brokers have no measurement of it yet, especially after a restart.
    */
   @Test
   void classesNotYetMeasuredStayWithinTheBudget() {
@@ -78,39 +81,42 @@
         SlowStartSimulation simulation =
             new SlowStartSimulation(scenario, 30, seed, RARE_AND_EXPENSIVE).run();
         assertTrue(
-            simulation.load().worstByNotified() <= 1,
-            scenario + ", seed " + seed + ": " + simulation.load().worstByNotified());
+            simulation.load().worstWindowByNotified() <= 1,
+            scenario + ", seed " + seed + ": " + simulation.load().worstWindowByNotified());
       }
     }
   }
 
   /**
-   * Where a call costs more than a part, warming servers are used from the start too, though each
-   * broker's share is small.
+   * Guards against unused warming servers: if calls are expensive and each broker's share of the
+   * budget is small, the budget of a single broker takes long to cover one call.
    */
   @Test
   void aHundredBrokersDoNotLeaveWarmingServersIdle() {
     SlowStartSimulation simulation =
         new SlowStartSimulation(SlowStartScenario.HALF_START, 100, 1, EXPENSIVE_CALLS).run();
     assertTrue(
-        simulation.load().worst() <= 1 && simulation.load().used() > 0.17,
-        "worst " + simulation.load().worst() + ", used " + simulation.load().used());
+        simulation.load().worstWindow() <= 1 && simulation.load().utilization() > 0.17,
+        "worst " + simulation.load().worstWindow() + ", used " + simulation.load().utilization());
     assertTrue(simulation.answeredShare() > 0.9, "answered: " + simulation.answeredShare());
   }
 
   /**
-   * Parts have a tenth of the mean work: for that no more of them may be admitted in a server's
-   * first moment.
+   * Guards against a burst of cheap parts at the start of a server: parts with a tenth of the mean
+   * work must not all be admitted at the same time.
    */
   @Test
-  void aHundredBrokersDoNotAllSendCheapPartsAtOnce() {
+  void aHundredBrokersDoNotAllSendCheapPartsSimultaneously() {
     double sent = sendsOfAHundredBrokers(0, 10_000, 1);
-    // The rule's multiple of the capacity at the end of that second, in calls.
+    // Overload factor times the capacity at the end of that second, in calls.
     double allowed = 2 * 0.28 / 0.01;
     assertTrue(sent > 5 && sent <= allowed + 2 * Math.sqrt(allowed) + 2, "sent: " + sent);
   }
 
-  /** Parts above the mean do not wait at all brokers until that much more budget has flowed in. */
+  /**
+   * Guards against a delay of expensive parts: if every broker waited until its own budget covers a
+   * whole part, warming servers would get none at first.
+   */
   @Test
   void aHundredBrokersSendExpensivePartsAtTheirRateFromTheStart() {
     double sent = sendsOfAHundredBrokers(80_000, 0, 4);
@@ -138,15 +144,15 @@
   }
 
   /**
-   * A part is paid for when it is sent, whatever its outcome: a server may have begun what was
-   * reset or timed out, and what it rejected has cost it a call. Two processes that are one broker
-   * have half each.
+   * The budget is charged at the send and not refunded for any outcome: a server may have started
+   * on an attempt that was reset or timed out, and a rejected attempt has cost it a call. Two
+   * processes of one broker get half of the budget each.
    */
   @ParameterizedTest
   @EnumSource(
       value = AttemptOutcome.class,
       names = {"CONNECT_FAILED", "RESET", "TIMEOUT", "ERROR", "FULL", "MOOT"})
-  void theOutcomeOfAnAttemptRefundsNothing(AttemptOutcome outcome) {
+  void noAttemptOutcomeRefundsTheBudget(AttemptOutcome outcome) {
     for (int processes : List.of(1, 2)) {
       List<BalancerHarness> all = new ArrayList<>();
       for (int i = 0; i < processes; i++) {
@@ -159,26 +165,30 @@
         all.forEach(harness -> harness.advance(10_000));
         balancer.query(0, 3_000_000, 0);
         for (BalancerHarness harness : all) {
-          while (!harness.sends.isEmpty()) { // an immediate retry ends alike
+          while (!harness.sends.isEmpty()) { // an immediate retry gets the same outcome
             BalancerHarness.SentAttempt sent = harness.sends.remove(0);
             sentAt.add(sent.atUs());
             harness.complete(sent, outcome);
           }
         }
       }
-      int most = 0;
+      int maxPerSecond = 0;
       for (long from : sentAt) {
-        most =
+        maxPerSecond =
             (int)
                 Math.max(
-                    most,
+                    maxPerSecond,
                     sentAt.stream().filter(at -> at >= from && at < from + 1_000_000).count());
       }
-      // At the end of the four seconds, in parts of a tenth of a second.
+      // The budget at the end of the four seconds, in parts of 0.1 s of work.
       double allowed = 2 * (0.2 + 0.8 * 0.35) / 0.1;
       assertTrue(
-          most >= 3 && most <= allowed + 2,
-          processes + ": " + most + " in a second, of " + allowed);
+          maxPerSecond >= 3 && maxPerSecond <= allowed + 2,
+          processes
+              + " processes: at most "
+              + maxPerSecond
+              + " parts in a second, allowed "
+              + allowed);
     }
   }
 }
--- a/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
+++ b/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 class SharedWeightsTest {
-  private static final WeightMergeSettings RULE = WeightMergeSettings.STANDARD;
+  private static final WeightMergeSettings SETTINGS = WeightMergeSettings.STANDARD;
   private static final ScorerIdentity SCORER = new ScorerIdentity("pace", "1", "{}");
   private static final long NOW = 1_000_000_000L;
   private static final Map<String, Long> INCARNATIONS = Map.of("s0", 0L, "s1", 0L, "s2", 500_000L);
@@ -27,7 +27,7 @@
   }
 
   private static SharedWeights weights() {
-    return new SharedWeights("me", SCORER, RULE);
+    return new SharedWeights("me", SCORER, SETTINGS);
   }
 
   private static double merged(SharedWeights weights, String store) {
@@ -59,14 +59,14 @@
   }
 
   @Test
-  void agreementOfManyCountsInFullAndOfFewInPart() {
+  void agreementOfManyBrokersCountsFullyAndOfFewPartially() {
     SharedWeights weights = weights();
     for (int i = 0; i < 8; i++) {
       weights.merge(NOW, entry("n" + i, "s0", NOW, 4, 64, 0));
     }
     weights.merge(NOW, entry("n0", "s1", NOW, 4, 64, 0));
     assertEquals(4, merged(weights, "s0"), 1e-9);
-    assertEquals(1, merged(weights, "s1"), 1e-9); // a single one is trimmed
+    assertEquals(1, merged(weights, "s1"), 1e-9); // a single report is trimmed
     weights.merge(NOW, entry("n1", "s1", NOW, 4, 64, 0));
     assertEquals(Math.pow(4, 1 / 6.0), merged(weights, "s1"), 1e-9);
   }
@@ -103,7 +103,7 @@
       weights.merge(NOW, entry("n" + i, "s2", NOW, 4, 64, 0)); // of an earlier incarnation
       weights.merge(
           NOW,
-          entry("m" + i, "s2", NOW - 600_000_000, 4, 64, 500_000)); // from before the incarnation
+          entry("m" + i, "s2", NOW - 600_000_000, 4, 64, 500_000)); // older than the incarnation
       weights.merge(NOW, entry("n" + i, "gone", NOW, 4, 64, 0));
     }
     assertEquals(Map.of(), weights.merged(NOW, INCARNATIONS));
@@ -112,7 +112,7 @@
   @Test
   void evidenceHasAHalfLife() {
     SharedWeights weights = weights();
-    weights.merge(NOW, entry("n1", "s0", NOW - RULE.halfLifeUs(), 4, 64, 0));
+    weights.merge(NOW, entry("n1", "s0", NOW - SETTINGS.halfLifeUs(), 4, 64, 0));
     assertEquals(
         32, weights.merged(NOW, INCARNATIONS).get(new WeightTarget("s0", "a")).evidence(), 1e-9);
   }
--- a/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
+++ b/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
@@ -10,9 +10,12 @@
 import net.jqwik.api.Property;
 
 class TrimmedMeanTest {
-  private static final WeightMergeSettings RULE = WeightMergeSettings.STANDARD;
+  private static final WeightMergeSettings SETTINGS = WeightMergeSettings.STANDARD;
 
-  /** For any reports of the others, and any report of one in place of another or of none. */
+  /**
+   * For arbitrary reports of the other brokers, compares the merged weight with and without an
+   * arbitrary report of one more broker.
+   */
   @Property(tries = 2_000)
   void oneFaultyBrokerMovesAWeightByNoMoreThanTheBound(@ForAll long seed) {
     Random random = new Random(seed);
@@ -24,18 +27,20 @@
           new WeightReport(
               value * Math.log(4),
               random.nextBoolean()
-                  ? RULE.maxEvidence()
-                  : random.nextDouble() * RULE.maxEvidence()));
+                  ? SETTINGS.maxEvidence()
+                  : random.nextDouble() * SETTINGS.maxEvidence()));
     }
-    double lowest = TrimmedMean.of(reports, RULE).weight();
+    double lowest = TrimmedMean.of(reports, SETTINGS).weight();
     double highest = lowest;
     for (double falseReport : new double[] {-1, 0, 1}) {
       List<WeightReport> all = new ArrayList<>(reports);
-      all.add(new WeightReport(falseReport * Math.log(4), RULE.maxEvidence()));
-      double weight = TrimmedMean.of(all, RULE).weight();
+      all.add(new WeightReport(falseReport * Math.log(4), SETTINGS.maxEvidence()));
+      double weight = TrimmedMean.of(all, SETTINGS).weight();
       lowest = Math.min(lowest, weight);
       highest = Math.max(highest, weight);
     }
-    assertTrue(Math.log(highest / lowest) <= RULE.maxInfluence() + 1e-9, lowest + " to " + highest);
+    assertTrue(
+        Math.log(highest / lowest) <= SETTINGS.maxInfluence() + 1e-9,
+        lowest + " (lowest merged weight) to highest merged weight " + highest);
   }
 }
