--- a/src/main/java/dunlinhitch/cluster/ActiveMembers.java
+++ b/src/main/java/dunlinhitch/cluster/ActiveMembers.java
@@ -8,10 +8,10 @@
 import java.util.TreeSet;
 
 /**
- * The members that subsets and duties are computed from: those of the latest snapshot without the
- * fenced ones. An isolated broker stays with the members that it knew last; if each of many
- * isolated brokers took itself for the only one, all of them together would use every endpoint and
- * take every duty.
+ * The members from which subsets and duties are computed: those of the latest snapshot without the
+ * fenced ones. An isolated broker keeps the members that it knew before it became isolated;
+ * otherwise each of many isolated brokers would consider itself the only member, use every endpoint
+ * and take on every duty.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}.
  */
@@ -34,12 +34,14 @@
     zones.put(self.name(), self.zone());
   }
 
-  /** Sets the members that act on outdated versions; it counts from the next refresh on. */
+  /**
+   * Sets the fenced members, which act on outdated versions; takes effect with the next refresh.
+   */
   void fence(Set<String> outdated) {
     fenced = Set.copyOf(outdated);
   }
 
-  /** Takes over a snapshot; true where the active members changed. */
+  /** Adopts a snapshot; returns true if the active members changed. */
   boolean refresh(ClusterSnapshot latest) {
     if (latest.number() != snapshot.number()) {
       snapshot = latest;
@@ -79,7 +81,7 @@
     return names;
   }
 
-  /** The active members with their zones, as subsetting takes them. */
+  /** The active members with their zones, in the form that {@link Subsetting} takes. */
   List<Subsetting.MemberView> withZones() {
     List<Subsetting.MemberView> members = new ArrayList<>(names.size());
     for (String name : names) {
--- a/src/main/java/dunlinhitch/cluster/AntiEntropy.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropy.java
@@ -5,9 +5,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Anti-entropy of the member lists: brokers announce a digest of the members that they know, those
- * whose digests differ compare them by bucket and send each other the members of the buckets that
- * differ. The result is tracked in {@link Convergence}.
+ * Anti-entropy of the member lists: brokers announce a digest of the members that they know. Two
+ * brokers whose digests differ compare them by bucket and send each other the members of the
+ * differing buckets. The result is tracked in {@link Convergence}.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
@@ -38,12 +38,15 @@
     resetPageBudget();
   }
 
-  /** A protocol period begins. */
+  /** Resets the page budget at the start of a protocol period. */
   void resetPageBudget() {
     pageBudgetBytes = settings.antiEntropyBytes();
   }
 
-  /** Updates the convergence state and asks a member that has diverged for long to compare. */
+  /**
+   * Updates the convergence state and starts a comparison with a member whose digest has differed
+   * for at least one protocol period.
+   */
   void runPeriod(long nowUs) {
     if (settings.isAntiEntropyEnabled() && convergence.update(requiredMatches(), nowUs)) {
       members.markChanged();
@@ -54,7 +57,7 @@
         .ifPresent(peer -> sender.sendBuckets(peer, GossipMessage.COMPARE));
   }
 
-  /** A broker joins: it gets all members, unless it announced the same digest. */
+  /** Sends all members to a joining broker, unless it announced the same digest. */
   void onJoin(GossipMessage message) {
     if (settings.isAntiEntropyEnabled() && message.digest() != members.digest()) {
       sendPages(message.from(), members.digestTable().differing(List.of()));
@@ -91,7 +94,7 @@
     }
   }
 
-  /** Members that must announce the same digest for the list to count as converged. */
+  /** The number of members that must announce the same digest for the list to be converged. */
   private int requiredMatches() {
     int others = members.size() - 1;
     if (others == 0 && hasSeeds) {
@@ -101,8 +104,8 @@
   }
 
   /**
-   * Sends the members of these buckets from a random one on, as far as the budget of this period
-   * goes; a later exchange brings the rest.
+   * Sends the members of these buckets, starting with a random one, until the budget of this period
+   * is used up; a later exchange sends the rest.
    */
   private void sendPages(Member to, boolean[] buckets) {
     List<Member> selected = new ArrayList<>();
@@ -131,7 +134,7 @@
     }
   }
 
-  /** False where the budget is used up. */
+  /** Returns false if the budget is used up. */
   private boolean sendPage(Member to, List<Member> page) {
     GossipMessage message = sender.page(page);
     pageBudgetBytes -= message.bytes();
--- a/src/main/java/dunlinhitch/cluster/AntiEntropyDigest.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropyDigest.java
@@ -4,17 +4,19 @@
 import java.util.List;
 
 /**
- * The digest of a set of members, maintained incrementally: sums of hashes by bucket, so that the
- * order of changes does not count, and two digests that differ can be narrowed down to a few
- * members.
+ * The digest of a set of members, maintained incrementally as one sum of hashes per bucket. The
+ * sums do not depend on the order of changes, and comparing them by bucket narrows a difference
+ * down to a few members.
  *
  * <p>Not thread-safe; owned by {@link MemberList}.
  */
 final class AntiEntropyDigest {
-  /** Both sides of a comparison must have as many, or all buckets count as different. */
+  /**
+   * The number of buckets. If two brokers use different numbers, all buckets count as different.
+   */
   static final int BUCKETS = 16;
 
-  /** A digest of 0 on the wire means that none is announced, so this one stands in for it. */
+  /** Replaces a digest of 0, which on the wire means that no digest is announced. */
   private static final long SUBSTITUTE_FOR_ZERO = 1;
 
   private static final int DIGEST_MULTIPLIER = 31;
@@ -23,7 +25,7 @@
   private final boolean includeAddresses;
   private int size;
 
-  /** {@code includeAddresses}: whether a member's address is part of its hash. */
+  /** Creates an empty set; {@code includeAddresses} makes a member's address part of its hash. */
   AntiEntropyDigest(boolean includeAddresses) {
     this.includeAddresses = includeAddresses;
   }
@@ -34,7 +36,7 @@
     size++;
   }
 
-  /** Removes a member exactly as it was added. */
+  /** Removes a member, which must be equal to the one that was added. */
   void remove(Member member) {
     sums[bucket(member.name())] -= hash(member);
     size--;
@@ -63,7 +65,10 @@
     return buckets;
   }
 
-  /** For each bucket whether it differs; all do where the other side has another number of them. */
+  /**
+   * Returns for each bucket whether it differs; all do if the other side has a different number of
+   * buckets.
+   */
   boolean[] differing(List<Long> others) {
     boolean[] differing = new boolean[BUCKETS];
     for (int i = 0; i < BUCKETS; i++) {
@@ -72,7 +77,7 @@
     return differing;
   }
 
-  /** The bucket of the member with that name. */
+  /** The bucket of the member with the given name. */
   static int bucket(String name) {
     return Math.floorMod(RendezvousHash.of("bucket", name), BUCKETS);
   }
--- a/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -5,36 +5,35 @@
 import java.util.Set;
 
 /**
- * What one broker does as a member of a cluster: which endpoints it sends work to ({@link
- * EndpointSubset}), whose duty a health check is ({@link HealthCheckDuty}), and what it shares of
- * its observations ({@link SharedObservations}), all by the members that it goes by ({@link
- * ActiveMembers}). The choice among the endpoints of the subset is the load balancer's.
+ * Coordinates one broker with the other members of its cluster: selects the endpoints that it sends
+ * work to ({@link EndpointSubset}), decides which broker makes a health check ({@link
+ * HealthCheckDuty}) and shares observations of endpoints ({@link SharedObservations}), based on the
+ * active members ({@link ActiveMembers}). The load balancer chooses among the endpoints of the
+ * subset.
  *
- * <p>Pure: events in, {@link Transport} called. Not thread-safe; the reducer owns it. Each event
- * has two times in microseconds: {@code nowUs} of a monotonic clock, for durations, and {@code
- * dayUs} of the wall clock, which brokers share, for duties and the age of observations.
+ * <p>Pure: it is driven by events and calls {@link Out}. Not thread-safe; owned by the reducer.
+ * Each event has two times in microseconds: {@code nowUs} of a monotonic clock, for durations, and
+ * {@code wallUs} of the wall clock, which all brokers share, for duties and the age of
+ * observations.
  */
 public final class ClusterCoordinator {
   private static final long NEVER = Long.MAX_VALUE;
 
-  /** What the coordinator asks for; carried out in the order in which it was called. */
+  /** Carries out the decisions of the coordinator, in the order of the calls. */
   public interface Out extends MembershipProtocol.Transport {
-    /**
-     * Work goes to these endpoints of the list from now on; called too where only the members
-     * changed.
-     */
+    /** Sets the endpoints that new work is sent to. Also called if only the members changed. */
     void selectEndpoints(Set<String> stores);
 
-    /** A health check that was left to others is to be made by this broker after all. */
+    /** Starts a health check that was delegated to other brokers and is now due at this one. */
     void startHealthCheck(String store);
 
     /**
-     * A health check that was left to others ended.
+     * Ends a health check that was delegated to other brokers.
      *
      * @param store the endpoint
-     * @param seen the load report that another broker shared, or null
+     * @param shared the observation that another broker shared, or null if there is no result
      */
-    void healthCheckEnded(String store, EndpointObservation seen);
+    void healthCheckEnded(String store, EndpointObservation shared);
   }
 
   /**
@@ -85,7 +84,10 @@
             settings, activeMembers, membership, observations, subset.endpoints(), out);
   }
 
-  /** Fences these members: they act on outdated versions, and nothing is assigned to them. */
+  /**
+   * Fences the given members, which act on outdated versions: no duty or endpoint is assigned to
+   * them.
+   */
   public void fence(Set<String> names) {
     activeMembers.fence(names);
     update();
@@ -106,7 +108,7 @@
     return activeMembers.snapshot();
   }
 
-  /** The observations of endpoints, this broker's and those of others. */
+  /** The observations of endpoints by this and other brokers. */
   public ObservationTable observations() {
     return observations.table();
   }
@@ -116,12 +118,12 @@
     return subset.selected();
   }
 
-  /** How often the endpoints that this broker sends work to changed. */
+  /** The number of changes of {@link #selectedEndpoints()}. */
   public long changes() {
     return subset.changes();
   }
 
-  /** Health checks that this broker made in place of another. */
+  /** The number of health checks that this broker made in place of another. */
   public long takenOver() {
     return healthChecks.takenOver();
   }
@@ -150,10 +152,10 @@
   }
 
   /** Handles a message of another broker. */
-  public void onMessage(long nowUs, long dayUs, GossipMessage message) {
+  public void onMessage(long nowUs, long wallUs, GossipMessage message) {
     membership.onMessage(nowUs, message);
     for (EndpointObservation observation : message.observations()) {
-      if (observations.receive(observation, dayUs)) {
+      if (observations.receive(observation, wallUs)) {
         subset.markChanged(observation.endpoint());
       }
     }
@@ -164,17 +166,17 @@
   /**
    * Handles the outcome of an attempt that this broker made at an endpoint.
    *
-   * @param dayUs the current time of the wall clock
-   * @param store the endpoint; ignored where it is not listed
+   * @param wallUs the current time of the wall clock
+   * @param store the endpoint; ignored if it is not listed
    * @param answered whether it responded
    * @param report the load report of the response, or empty
    */
-  public void onAttempt(long dayUs, String store, boolean answered, List<Float> report) {
+  public void onAttempt(long wallUs, String store, boolean answered, List<Float> report) {
     ListedEndpoint endpoint = subset.endpoints().get(store);
     if (endpoint == null) {
       return;
     }
-    if (observations.recordAttempt(endpoint, answered, report, dayUs)) {
+    if (observations.recordAttempt(endpoint, answered, report, wallUs)) {
       subset.markChanged(store);
       update();
     }
@@ -182,46 +184,48 @@
 
   /** Handles the outcome of a health check that this broker made; it is shared at once. */
   public void onHealthCheckCompleted(
-      long dayUs, String store, boolean answered, List<Float> report) {
+      long wallUs, String store, boolean answered, List<Float> report) {
     observations.resetSharingInterval(store);
-    onAttempt(dayUs, store, answered, report);
+    onAttempt(wallUs, store, answered, report);
   }
 
   /**
-   * The load balancer wants a health check of an endpoint.
+   * Requests a health check of an endpoint on behalf of the load balancer.
    *
-   * @return true where this broker is to make it now; false where it is another's duty, and then
-   *     {@link Transport#healthCheckEnded} gives the result or {@link Transport#startHealthCheck}
-   *     says that it is this broker's after all
+   * @return true if this broker is to make it now; false if it is delegated to another broker: then
+   *     {@link Out#healthCheckEnded} reports the result, or {@link Out#startHealthCheck} returns it
+   *     to this broker
    */
-  public boolean mayHealthCheck(long dayUs, String store) {
-    return healthChecks.request(store, dayUs);
+  public boolean mayHealthCheck(long wallUs, String store) {
+    return healthChecks.request(store, wallUs);
   }
 
   /** Handles the timeouts that are due. */
-  public void onTime(long nowUs, long dayUs) {
+  public void onTime(long nowUs, long wallUs) {
     membership.onTime(nowUs);
-    observations.table().expire(dayUs);
-    healthChecks.onTime(dayUs);
+    observations.table().expire(wallUs);
+    healthChecks.onTime(wallUs);
     update();
   }
 
   /** When {@link #onTime} is to be called next, on the monotonic clock. */
-  public long nextUs(long nowUs, long dayUs) {
+  public long nextUs(long nowUs, long wallUs) {
     long next = membership.nextUs();
     long nextCheckUs = healthChecks.nextWallUs();
     if (nextCheckUs == NEVER) {
       return next;
     }
-    return Math.min(next, nowUs + Math.max(0, nextCheckUs - dayUs));
+    return Math.min(next, nowUs + Math.max(0, nextCheckUs - wallUs));
   }
 
-  /** This broker shuts down; the other members are notified. */
+  /** Notifies the other members that this broker shuts down. */
   public void leave() {
     membership.leave();
   }
 
-  /** Brings the subset in line with the members, the endpoint list and the failing endpoints. */
+  /**
+   * Updates the subset after changes of the members, the endpoint list or the failing endpoints.
+   */
   private void update() {
     boolean membersChanged = activeMembers.refresh(membership.snapshot());
     if (membersChanged) {
--- a/src/main/java/dunlinhitch/cluster/ClusterSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSettings.java
@@ -5,10 +5,10 @@
  *
  * @param subsets how many endpoints each broker sends work to
  * @param membership the times and bounds of the membership protocol
- * @param epochUs the epoch of health checks: one broker checks one endpoint so often
+ * @param epochUs the epoch of health checks: in each epoch, one broker checks an endpoint
  * @param takeoverDelayUs how long each broker waits for the one before it to make a health check
  * @param maxAgeUs the age at which an observation expires
- * @param maxEndpoints endpoints of which observations are stored, at most
+ * @param maxEndpoints the maximum number of endpoints with stored observations
  */
 public record ClusterSettings(
     SubsetSettings subsets,
@@ -31,9 +31,9 @@
   public ClusterSettings {
     if (maxAgeUs <= 0 || maxEndpoints < 1) {
       throw new IllegalArgumentException(
-          "signals last above 0 us and are kept of a store or more: "
+          "maxAgeUs must be positive and maxEndpoints at least 1: got maxAgeUs "
               + maxAgeUs
-              + ", "
+              + " and maxEndpoints "
               + maxEndpoints);
     }
   }
--- a/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
@@ -8,18 +8,19 @@
 import java.util.TreeSet;
 
 /**
- * The membership as one broker knows it at one moment. Immutable: a decision takes one snapshot and
- * uses it throughout, so that all parts of the decision go by the same members.
+ * The membership as one broker knows it at one moment. Immutable: a decision uses one snapshot
+ * throughout, so that all its parts are based on the same members.
  *
  * @param number the sequence number of this broker's snapshots
- * @param members all that take part, this broker included, in the order of their names, which is
- *     the same at all brokers
+ * @param members all members that take part, including this broker, ordered by name, so that the
+ *     order is the same at all brokers
  * @param digest over names, zones and addresses of the members: equal at brokers that agree
- * @param convergedSinceUs since when the cluster has converged as far as is known, on the monotonic
- *     clock; negative where it has not
- * @param divergedMembers members that announced another digest
- * @param isolated whether this broker is isolated; then the members are those that it knew last
- * @param displacedBy another broker that rightfully bears this one's name, or null
+ * @param convergedSinceUs since when the cluster has been converged as far as this broker knows, in
+ *     microseconds of the monotonic clock; negative if it is not converged
+ * @param divergedMembers members that announced a different digest
+ * @param isolated whether this broker is isolated; if so, the members are those that it last knew
+ * @param displacedBy the broker at another address that took precedence for this broker's name, or
+ *     null
  */
 public record ClusterSnapshot(
     long number,
@@ -34,7 +35,7 @@
    *
    * @param peer its name, zone, address, incarnation and status
    * @param accusers how many brokers are known to suspect it
-   * @param versions the versions that it acts on; null where they are not known yet
+   * @param versions the versions that it acts on; null if they are not known yet
    */
   public record MemberView(Member peer, int accusers, VersionVector versions) {
     /** The broker's name. */
@@ -66,23 +67,26 @@
     return names;
   }
 
-  /** The member of that name, if it takes part. */
+  /** The member with the given name, if it takes part. */
   public Optional<MemberView> member(String name) {
     return members.stream().filter(member -> member.name().equals(name)).findAny();
   }
 
-  /** A line for an operator; where there are more than {@code most} names it gives their number. */
-  public String line(long nowUs, int most) {
-    return membersText(most)
+  /**
+   * A one-line summary for operators; a list of more than {@code maxNames} names is replaced by its
+   * size.
+   */
+  public String line(long nowUs, int maxNames) {
+    return membersText(maxNames)
         + "; "
         + String.format("%016x", digest)
         + ", "
-        + convergenceText(nowUs, most)
+        + convergenceText(nowUs, maxNames)
         + displacedByText();
   }
 
-  private String membersText(int most) {
-    if (members.size() > most) {
+  private String membersText(int maxNames) {
+    if (members.size() > maxNames) {
       return Integer.toString(members.size());
     }
     List<String> names = new ArrayList<>();
@@ -90,27 +94,30 @@
     return members.size() + ": " + String.join(" ", names);
   }
 
-  private String convergenceText(long nowUs, int most) {
+  private String convergenceText(long nowUs, int maxNames) {
     if (isolated) {
-      return "it hears nobody";
+      return "isolated: no member responds";
     }
     if (isConverged()) {
-      return "settled for " + (nowUs - convergedSinceUs) / 1000 + " ms";
+      return "converged for " + (nowUs - convergedSinceUs) / 1000 + " ms";
     }
     if (divergedMembers.isEmpty()) {
-      return "not compared yet";
+      return "no digests compared yet";
     }
     String names =
-        divergedMembers.size() <= most
+        divergedMembers.size() <= maxNames
             ? String.join(" ", new TreeSet<>(divergedMembers))
             : Integer.toString(divergedMembers.size());
-    return "others hold another: " + names;
+    return "different digests at: " + names;
   }
 
   private String displacedByText() {
     if (displacedBy == null) {
       return "";
     }
-    return "; its name is also taken at " + displacedBy.host() + ":" + displacedBy.port();
+    return "; name conflict: displaced by the broker at "
+        + displacedBy.host()
+        + ":"
+        + displacedBy.port();
   }
 }
--- a/src/main/java/dunlinhitch/cluster/Convergence.java
+++ b/src/main/java/dunlinhitch/cluster/Convergence.java
@@ -7,26 +7,29 @@
 import java.util.Set;
 
 /**
- * Tracks whether the cluster has converged: which members announced the same digest as this broker,
- * and which another, since its own digest last changed.
+ * Tracks whether the cluster has converged: which members announced the same digest as this broker
+ * and which a different one, since its own digest last changed.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}. Times are in microseconds.
  */
 final class Convergence {
-  /** Members with another digest that are tracked at most. */
+  /** The maximum number of tracked members with a different digest. */
   private static final int MAX_DIVERGED = 32;
 
-  /** In place of the time since when the cluster has converged. */
+  /** The value of {@link #convergedSinceUs()} while the cluster is not converged. */
   static final long NOT_CONVERGED = -1;
 
   private final Set<String> matching = new HashSet<>();
 
-  /** For each member with another digest when that was noticed, or when it was last compared. */
+  /**
+   * The members with a different digest, each with the time at which the difference was noticed or
+   * last compared.
+   */
   private final Map<String, Long> diverged = new LinkedHashMap<>();
 
   private long convergedSinceUs = NOT_CONVERGED;
 
-  /** Starts anew: this broker's own digest changed. */
+  /** Resets the state after a change of this broker's own digest. */
   void reset() {
     matching.clear();
     diverged.clear();
@@ -38,9 +41,9 @@
    *
    * @param name the member
    * @param matches whether it is this broker's digest
-   * @param requiredMatches the matching members for the cluster to count as converged
+   * @param requiredMatches the number of matching members at which the cluster counts as converged
    * @param nowUs the current time
-   * @return true where the state that {@link ClusterSnapshot} shows changed
+   * @return true if state that a {@link ClusterSnapshot} includes has changed
    */
   boolean onDigest(String name, boolean matches, int requiredMatches, long nowUs) {
     if (!matches) {
@@ -55,13 +58,13 @@
     return update(requiredMatches, nowUs) || wasDiverged;
   }
 
-  /** Forgets a member that takes part no more. */
+  /** Removes a member that no longer takes part. */
   void remove(String name) {
     matching.remove(name);
     diverged.remove(name);
   }
 
-  /** Evaluates the state anew; true where the cluster converged or ceased to be so. */
+  /** Reevaluates the state; returns true if the cluster has converged or is no longer converged. */
   boolean update(int requiredMatches, long nowUs) {
     boolean converged = diverged.isEmpty() && matching.size() >= requiredMatches;
     boolean wasConverged = convergedSinceUs >= 0;
@@ -73,8 +76,8 @@
   }
 
   /**
-   * The member that has differed longest, if that is {@code minimumUs} or more; it is not returned
-   * again before as long has passed.
+   * Returns the member whose digest has differed longest, if that is at least {@code minimumUs};
+   * the same member is returned again only after another {@code minimumUs}.
    */
   Optional<String> nextToCompare(long nowUs, long minimumUs) {
     for (Map.Entry<String, Long> entry : diverged.entrySet()) {
@@ -88,12 +91,12 @@
     return Optional.empty();
   }
 
-  /** The members that announced another digest; a live view. */
+  /** The members that announced a different digest; a live view. */
   Set<String> divergedMembers() {
     return diverged.keySet();
   }
 
-  /** Since when the cluster has converged; negative where it has not. */
+  /** Since when the cluster has been converged; negative if it is not. */
   long convergedSinceUs() {
     return convergedSinceUs;
   }
--- a/src/main/java/dunlinhitch/cluster/DutyRotation.java
+++ b/src/main/java/dunlinhitch/cluster/DutyRotation.java
@@ -4,19 +4,20 @@
 import java.util.List;
 
 /**
- * Rotates a duty among the brokers by rendezvous hashing. A duty has epochs of one length; in each
- * the brokers are ordered by hash, and the first of them, the leader, carries it out. The next in
- * the order takes over only if the duty is not known to be done in this epoch and its own time has
- * come: one takeover delay for each place before it. So an unresponsive leader costs one takeover
- * delay and not an epoch, and where all brokers are connected the duty is done once an epoch.
+ * Rotates a duty among the brokers by rendezvous hashing. Time is divided into epochs of equal
+ * length. In each epoch the brokers are ordered by hash, and the first, the leader, carries out the
+ * duty. Each further broker in the order waits one takeover delay longer than the one before it,
+ * and takes over if it does not know by then that the duty was done in this epoch. An unresponsive
+ * leader therefore delays the duty by one takeover delay rather than a whole epoch, and the duty is
+ * done once per epoch while all brokers are connected.
  *
- * <p>Bounds: an isolated broker stays with the members of the largest cluster that it knew, and
- * takes over from nobody, so brokers that are all isolated from each other do a duty once an epoch
- * together. In a cluster that is partitioned in two, each side does it once: at most two in an
- * epoch, and in one epoch more for each further part, whatever the number of brokers.
+ * <p>Bounds: an isolated broker keeps the members that it last knew and never takes over from
+ * another, so brokers that are all isolated from each other carry out the duty once per epoch in
+ * total. In a partitioned cluster each side carries it out once per epoch: at most twice with two
+ * sides, and once more with each further side, whatever the number of brokers.
  *
- * <p>Epochs are counted on the wall clock, which brokers share but for their offsets; an offset
- * shifts a broker's turns by itself and no more. Immutable.
+ * <p>Epochs are counted on the wall clock. If the clock of a broker is off, only its own turns are
+ * shifted, by the same amount. Immutable.
  */
 public final class DutyRotation {
   private final long epochUs;
@@ -25,16 +26,16 @@
   /**
    * Creates a rotation.
    *
-   * @param epochUs the duty is done once in so many microseconds
-   * @param takeoverDelayUs how long each place in the order waits for the one before it, in
-   *     microseconds; at most an epoch
+   * @param epochUs the length of an epoch in microseconds
+   * @param takeoverDelayUs how long each broker in the order waits for the one before it, in
+   *     microseconds; at most one epoch
    */
   public DutyRotation(long epochUs, long takeoverDelayUs) {
     if (epochUs <= 0 || takeoverDelayUs <= 0 || takeoverDelayUs > epochUs) {
       throw new IllegalArgumentException(
-          "a turn's patience is above 0 and at most its epoch: "
+          "takeover delay must be positive and at most one epoch: got a delay of "
               + takeoverDelayUs
-              + " of "
+              + " us with an epoch of "
               + epochUs
               + " us");
     }
@@ -42,43 +43,44 @@
     this.takeoverDelayUs = takeoverDelayUs;
   }
 
-  /** When that epoch of the duty begins; duties are spread over the epoch by their hash. */
+  /** When the given epoch of the duty begins; the duties are spread over the epoch by hash. */
   public long epochStartUs(String duty, long epoch) {
     return epoch * epochUs + Math.floorMod(RendezvousHash.of("phase", duty), epochUs);
   }
 
-  /** The epoch of the duty at that time. */
+  /** The epoch of the duty at the given time. */
   public long epochOf(String duty, long wallUs) {
     long epoch = Math.floorDiv(wallUs, epochUs);
     return epochStartUs(duty, epoch) <= wallUs ? epoch : epoch - 1;
   }
 
-  /** How many brokers may take over one after the other within an epoch. */
+  /** The number of brokers that may take over one after the other within an epoch. */
   public int maxSubstitutes() {
     return (int) ((epochUs - 1) / takeoverDelayUs);
   }
 
-  /** The order of the brokers in that epoch of the duty, the leader first. */
+  /** The order of the brokers in the given epoch of the duty, the leader first. */
   public List<String> order(String duty, long epoch, Collection<String> brokers) {
     return RendezvousHash.order(brokers, "turn", duty, Long.toString(epoch));
   }
 
   /**
-   * When a broker is to carry out the duty in that epoch, unless it is known to be done by then.
+   * Returns when a broker is to carry out the duty in the given epoch, unless it knows by then that
+   * the duty was done.
    *
    * @param duty the duty
    * @param epoch the epoch
    * @param brokers all brokers that share the duty
-   * @param self the broker that asks, one of them
-   * @param isolated whether it is isolated: then it takes over from nobody
-   * @return the time, or {@link Long#MAX_VALUE} where its turn does not come within the epoch
+   * @param self the broker whose turn is computed; must be one of {@code brokers}
+   * @param isolated whether that broker is isolated; if so, it takes over from no other
+   * @return the time, or {@link Long#MAX_VALUE} if it has no turn within the epoch
    */
   public long dueUs(
       String duty, long epoch, Collection<String> brokers, String self, boolean isolated) {
     int place = order(duty, epoch, brokers).indexOf(self);
     if (place < 0) {
       throw new IllegalArgumentException(
-          self + " is not among the brokers whose turns are asked for: " + brokers);
+          self + " is not one of the brokers that share the duty: " + brokers);
     }
     if (place > 0 && (isolated || place > maxSubstitutes())) {
       return Long.MAX_VALUE;
--- a/src/main/java/dunlinhitch/cluster/EndpointObservation.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointObservation.java
@@ -3,17 +3,18 @@
 import java.util.List;
 
 /**
- * What one broker observed of an endpoint, as brokers share it. It concerns one incarnation of the
- * endpoint, the one that started at {@code startedMs}, and says nothing of others.
+ * An observation of an endpoint by one broker, as shared among brokers. It applies only to the
+ * incarnation of the endpoint that started at {@code startedMs}.
  *
  * @param endpoint the endpoint's name, the same at all brokers
- * @param startedMs when the endpoint started, Unix time in milliseconds; 0: long ago
+ * @param startedMs when the endpoint started, Unix time in milliseconds; 0 means long ago
  * @param observer the broker that made the observation
- * @param sequenceNumber the author's sequence number for that endpoint; a later observation
- *     replaces the earlier
+ * @param sequenceNumber the observer's sequence number for that endpoint; a higher number replaces
+ *     a lower one
  * @param observedUs when it was made, on the wall clock, in microseconds
  * @param report the endpoint's load report, in the order of the settings' fields, or empty
- * @param consecutiveFailures consecutive attempts and health checks without a response
+ * @param consecutiveFailures the number of consecutive attempts and health checks without a
+ *     response
  */
 public record EndpointObservation(
     String endpoint,
@@ -35,23 +36,25 @@
         || observedUs < 0
         || startedMs < 0) {
       throw new IllegalArgumentException(
-          "a signal names its store and author and counts from 0: "
+          "names must not be empty and numbers not negative: endpoint "
               + endpoint
-              + ", "
+              + ", observer "
               + observer
-              + ", "
+              + ", sequence number "
               + sequenceNumber
-              + ", "
+              + ", consecutive failures "
               + consecutiveFailures
-              + ", seen "
+              + ", observed at "
               + observedUs
-              + ", started "
+              + ", started at "
               + startedMs);
     }
     report = List.copyOf(report);
   }
 
-  /** Whether this one replaces the other: it is of a later incarnation, or made later. */
+  /**
+   * Whether this observation replaces the other: it is of a later incarnation or was made later.
+   */
   boolean replaces(EndpointObservation other) {
     if (startedMs != other.startedMs) {
       return startedMs > other.startedMs;
@@ -65,7 +68,7 @@
     return observer.compareTo(other.observer) > 0;
   }
 
-  /** About the bytes that it takes in a message. */
+  /** The approximate size in a message, in bytes. */
   int bytes() {
     return endpoint.length()
         + observer.length()
@@ -74,7 +77,7 @@
         + Float.BYTES * report.size();
   }
 
-  /** The load report as the load balancer takes it. */
+  /** The load report in the form that the load balancer takes. */
   public float[] values() {
     float[] values = new float[report.size()];
     for (int i = 0; i < values.length; i++) {
--- a/src/main/java/dunlinhitch/cluster/EndpointSubset.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointSubset.java
@@ -12,8 +12,8 @@
 
 /**
  * The subset of the endpoint list that this broker sends work to: for each cell the endpoints that
- * {@link Subsetting} assigns to it, with a substitute for each of them that fails. Only cells with
- * a change are computed anew.
+ * {@link Subsetting} assigns to it, plus a substitute for each failing one. Only cells with changes
+ * are recomputed.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}.
  */
@@ -38,7 +38,7 @@
     return selected;
   }
 
-  /** How often the selected endpoints changed. */
+  /** The number of changes of the selected endpoints. */
   long changes() {
     return changes;
   }
@@ -48,7 +48,7 @@
     return Collections.unmodifiableMap(endpoints);
   }
 
-  /** Adds or updates an endpoint; returns what it was before, or null. */
+  /** Adds or updates an endpoint; returns its previous state, or null. */
   ClusterCoordinator.ListedEndpoint put(ClusterCoordinator.ListedEndpoint endpoint) {
     ClusterCoordinator.ListedEndpoint before = endpoints.put(endpoint.name(), endpoint);
     changedCells.add(endpoint.cell());
@@ -66,7 +66,7 @@
     }
   }
 
-  /** The state of an endpoint changed, so its cell is computed anew with the next update. */
+  /** Marks the cell of an endpoint for recomputation by the next update. */
   void markChanged(String name) {
     ClusterCoordinator.ListedEndpoint endpoint = endpoints.get(name);
     if (endpoint != null) {
@@ -74,17 +74,17 @@
     }
   }
 
-  /** All cells are computed anew with the next update. */
+  /** Marks all cells for recomputation by the next update. */
   void markAllChanged() {
     endpoints.values().forEach(endpoint -> changedCells.add(endpoint.cell()));
   }
 
-  /** True where an update would compute anything. */
+  /** Whether any cell is marked for recomputation. */
   boolean hasChanges() {
     return !changedCells.isEmpty();
   }
 
-  /** Computes the changed cells; true where the selected endpoints became others. */
+  /** Recomputes the marked cells; returns true if the selected endpoints changed. */
   boolean update() {
     Map<String, List<Subsetting.Store>> usableByCell = usableEndpointsOfChangedCells();
     List<Subsetting.MemberView> brokers = members.withZones();
@@ -126,7 +126,8 @@
   }
 
   /**
-   * The first {@code size} of the order, and for each of them that fails the next that does not.
+   * The first {@code size} endpoints of the order, plus one substitute from the rest of the order
+   * for each failing one.
    */
   private List<String> withSubstitutes(List<String> order, int size) {
     List<String> wanted = new ArrayList<>(order.subList(0, size));
--- a/src/main/java/dunlinhitch/cluster/FailureDetector.java
+++ b/src/main/java/dunlinhitch/cluster/FailureDetector.java
@@ -10,33 +10,37 @@
 
 /**
  * Failure detection of one broker's cluster membership, after SWIM (Das, Gupta and Motivala, 2002)
- * with Lifeguard's extensions: each protocol period it pings one member, asks a few others to ping
- * it where no ack came, suspects it after several such failures, and declares it dead when the
- * suspicion times out.
+ * with Lifeguard's extensions: in each protocol period it pings one member. If no ack arrives, it
+ * asks a few other members to ping it; after several such failures it suspects the member, and
+ * declares it dead when the suspicion times out.
  *
  * <p>Pure: no clock, I/O or threads. Not thread-safe; owned by {@link MembershipProtocol}.
  */
 final class FailureDetector {
-  /** Consecutive pings without any ack after which this broker takes itself for isolated. */
+  /**
+   * The number of consecutive unanswered pings after which this broker considers itself isolated.
+   */
   private static final int ISOLATION_THRESHOLD = 8;
 
-  /** The same where Lifeguard is off: there any message received counts as an ack. */
+  /**
+   * The isolation threshold without Lifeguard, with which any received message counts as an ack.
+   */
   private static final int ISOLATION_THRESHOLD_WITHOUT_LIFEGUARD = 3;
 
-  /** Failed pings that wait for a retry at most. */
+  /** The maximum number of failed pings that wait for a retry. */
   private static final int MAX_PENDING_RETRIES = 64;
 
-  /** Retries in one protocol period. */
+  /** The maximum number of retries in one protocol period. */
   private static final int RETRIES_PER_PERIOD = 2;
 
-  /** Join addresses that are contacted in a period in which no member acks. */
+  /** The number of join addresses contacted per period while this broker is isolated or alone. */
   private static final int JOINS_WHEN_ISOLATED = 2;
 
-  /** One ping in progress, direct first and then indirect. */
+  /** A ping in progress: direct at first, then indirect. */
   private static final class PendingPing {
     private final String target;
 
-    /** Counts the consecutive pings to this target, from 1. */
+    /** The number of this attempt to ping the target, starting at 1. */
     private final int attempt;
 
     private final long sentUs;
@@ -57,7 +61,7 @@
     }
   }
 
-  /** A ping that failed and is to be repeated as that attempt. */
+  /** A failed ping that is to be repeated; {@code attempt} is the number of the next attempt. */
   private record PingRetry(String target, int attempt) {}
 
   private final MembershipProtocolSettings settings;
@@ -94,19 +98,19 @@
     probeOrder = new ProbeOrder(members, random);
   }
 
-  /** Makes the first protocol period due at that time. */
+  /** Makes the first protocol period due at the given time. */
   void start(long nowUs) {
     nextPeriodUs = nowUs;
   }
 
-  /** True while every recent ping went unanswered: this broker is cut off, or the last one. */
+  /** Whether all recent pings went unanswered: this broker is disconnected or the only one left. */
   boolean isIsolated() {
     int threshold =
         settings.isLifeguardEnabled() ? ISOLATION_THRESHOLD : ISOLATION_THRESHOLD_WITHOUT_LIFEGUARD;
     return consecutiveTimeouts >= threshold;
   }
 
-  /** Members that this broker itself declared dead. */
+  /** The number of members that this broker itself declared dead. */
   long declaredDead() {
     return declaredDead;
   }
@@ -124,8 +128,8 @@
   }
 
   /**
-   * Starts anew where this broker did not run for a period or more: it could not receive acks
-   * meanwhile, so their absence says nothing of the others.
+   * Resets pending pings and suspicions if this broker did not run for one period or more: it could
+   * not receive acks during that time, so missing acks are no evidence against other members.
    */
   void resetAfterStall(long nowUs) {
     long lateUs = nowUs - nextPeriodUs;
@@ -140,7 +144,7 @@
     nextPeriodUs = nowUs;
   }
 
-  /** Handles the pings and suspicions whose time is up. */
+  /** Handles the pings and suspicions that have timed out. */
   void expire(long nowUs) {
     relayedPings.expire(nowUs);
     expirePendingPings(nowUs);
@@ -169,7 +173,7 @@
     }
   }
 
-  /** An isolated broker cannot tell who is dead, so its suspicions do not time out. */
+  /** An isolated broker cannot tell which members are dead, so its suspicions do not time out. */
   private long suspicionDeadlineUs(String name) {
     if (settings.isLifeguardEnabled() && isIsolated()) {
       return Long.MAX_VALUE;
@@ -177,12 +181,12 @@
     return suspicions.deadlineUs(name, members.size(), localHealth);
   }
 
-  /** True where a protocol period is due; then {@link #runPeriod} follows. */
+  /** Whether a protocol period is due; if so, the caller calls {@link #runPeriod}. */
   boolean isPeriodDue(long nowUs) {
     return nowUs >= nextPeriodUs;
   }
 
-  /** Runs one protocol period: a ping, retries of failed ones, and joins where they are needed. */
+  /** Runs one protocol period: a ping, retries of failed pings, and joins if necessary. */
   void runPeriod(long nowUs) {
     if (nowUs - nextPeriodUs > settings.pingTimeoutUs()) {
       localHealth.degrade(1);
@@ -208,7 +212,7 @@
     if (target == null || isIsolated()) {
       joinAddresses.sendJoins(antiEntropy ? JOINS_WHEN_ISOLATED : Integer.MAX_VALUE);
     } else if (antiEntropy && roundBegins) {
-      joinAddresses.sendJoins(1); // there may be brokers that no member here knows
+      joinAddresses.sendJoins(1); // finds brokers that no known member knows
     }
   }
 
@@ -226,8 +230,8 @@
   }
 
   /**
-   * Sends the ping-reqs of an indirect probe. Where there are fewer helpers than are wanted, some
-   * are asked more than once, and the target is pinged again: any one message may have been lost.
+   * Sends the ping-reqs of an indirect probe. Any single message may be lost, so some helpers are
+   * asked more than once if there are too few, and the target itself is pinged again.
    */
   private void pingIndirectly(long sequenceNumber, PendingPing ping) {
     List<Member> helpers = new ArrayList<>();
@@ -291,11 +295,11 @@
     members.put(target.as(Member.Status.SUSPECT), nowUs);
     suspicions.addReport(report);
     if (settings.isLifeguardEnabled()) {
-      sender.sendGossip(target); // the suspect itself learns of it first, to refute
+      sender.sendGossip(target); // notifies the suspect first, so that it can refute
     }
   }
 
-  /** Notes that some message was received. */
+  /** Records that a message was received. */
   void onMessage(long nowUs) {
     lastReceivedUs = nowUs;
     if (!settings.isLifeguardEnabled()) {
--- a/src/main/java/dunlinhitch/cluster/GossipMessage.java
+++ b/src/main/java/dunlinhitch/cluster/GossipMessage.java
@@ -6,17 +6,17 @@
 /**
  * One message between brokers, sent as one datagram.
  *
- * @param kind what it asks for
+ * @param kind the kind of message
  * @param from the sender as it announces itself
  * @param sequenceNumber the sequence number of the ping that it belongs to, which an ack repeats;
- *     with buckets {@link #COMPARE} or {@link #COMPARED}
- * @param subject the member to ping, for {@link QueryClass#PING_REQUEST}; for the ack of one the
- *     member that acked; else empty
+ *     in a message with buckets {@link #COMPARE} or {@link #COMPARED}
+ * @param subject the member to ping, for {@link Kind#PING_REQUEST}; the member that acked, for a
+ *     relayed ack; otherwise empty
  * @param versions the versions that the sender acts on, or null
  * @param memberUpdates piggybacked updates of members
  * @param observations piggybacked observations of endpoints
- * @param digest the digest of the sender's member list; 0: not announced
- * @param buckets the sums that the digest consists of, where digests are compared; else empty
+ * @param digest the digest of the sender's member list; 0 if it is not announced
+ * @param buckets the sums that the digest consists of, in a comparison of digests; otherwise empty
  * @param suspicionReports piggybacked suspicion reports
  */
 public record GossipMessage(
@@ -30,10 +30,12 @@
     long digest,
     List<Long> buckets,
     List<SuspicionReport> suspicionReports) {
-  /** Number of a message with buckets that asks for the differing members and for buckets. */
+  /**
+   * The sequence number of a message with buckets that requests the differing members and buckets.
+   */
   static final long COMPARE = 1;
 
-  /** Number of a message with buckets that asks for the differing members only. */
+  /** The sequence number of a message with buckets that requests only the differing members. */
   static final long COMPARED = 2;
 
   /** Bytes of the kind, flags and counts. */
@@ -49,7 +51,7 @@
     PING_REQUEST,
     /** Asks for an ack and for all members. */
     JOIN,
-    /** The sender leaves. */
+    /** Announces that the sender leaves. */
     LEAVE,
     /** Carries updates only. */
     GOSSIP
@@ -63,7 +65,7 @@
     suspicionReports = List.copyOf(suspicionReports);
   }
 
-  /** A message without a digest, buckets or suspicion reports. */
+  /** Creates a message without a digest, buckets or suspicion reports. */
   public GossipMessage(
       Kind kind,
       Member from,
@@ -85,7 +87,9 @@
         List.of());
   }
 
-  /** About the bytes of its encoding: texts by their length, numbers in full. */
+  /**
+   * The approximate size of its encoding in bytes: strings by their length, numbers in full width.
+   */
   public int bytes() {
     return FIXED_BYTES
         + 2 * Long.BYTES
--- a/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
+++ b/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
@@ -6,22 +6,22 @@
 import java.util.Optional;
 
 /**
- * Decides which broker makes a health check, so that in each epoch one does and shares the result:
- * the leader of the epoch by {@link DutyRotation}, or the next in its order where the leader is not
- * known to have made it.
+ * Decides which broker makes a health check, so that one broker per epoch makes it and shares the
+ * result: the leader of the epoch according to {@link DutyRotation}, or the next in the order if
+ * the leader is not known to have made it.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}. Times are microseconds of the wall
  * clock, which the brokers share.
  */
 final class HealthCheckDuty {
-  /** Health checks that wait for their turn at most; beyond it they end without a result. */
+  /** The maximum number of pending health checks; further ones end without a result. */
   private static final int MAX_PENDING = 64;
 
   /**
-   * A health check that this broker wants and others may make.
+   * A health check that this broker requested and another broker may make.
    *
-   * @param sinceWallUs when it was wanted
-   * @param dueWallUs when this broker makes it after all, or {@link Long#MAX_VALUE}
+   * @param sinceWallUs when it was requested
+   * @param dueWallUs when it is due at this broker, or {@link Long#MAX_VALUE}
    * @param endWallUs when it ends without a result
    */
   private record PendingCheck(long sinceWallUs, long dueWallUs, long endWallUs) {}
@@ -36,7 +36,7 @@
   private final Map<String, PendingCheck> pending = new LinkedHashMap<>();
   private long takenOver;
 
-  /** {@code endpoints}: a live view of the endpoint list by name. */
+  /** Creates the duty; {@code endpoints} is a live view of the endpoint list by name. */
   HealthCheckDuty(
       ClusterSettings settings,
       ActiveMembers members,
@@ -53,7 +53,7 @@
     this.out = out;
   }
 
-  /** Health checks that this broker made in place of another. */
+  /** The number of health checks that this broker made in place of another. */
   long takenOver() {
     return takenOver;
   }
@@ -75,7 +75,7 @@
       return true;
     }
     long endUs = epochStartUs + epochUs;
-    if (dueUs >= endUs) { // the next epoch may be this broker's
+    if (dueUs >= endUs) { // it may be this broker's turn in the next epoch
       dueUs = dueUs(endpoint, epoch + 1);
       endUs += epochUs;
     }
@@ -100,8 +100,8 @@
 
   /**
    * Announces that this broker makes the health check of this epoch, which counts as done from then
-   * on. The next in the order are notified at once: a piggybacked update would reach them only
-   * after their own turns.
+   * on. The next brokers in the order are notified directly, because a piggybacked update would
+   * reach them only after their own turns.
    */
   private void announce(String endpoint, long epoch, long wallUs) {
     observations.share(endpoints.get(endpoint), List.of(), wallUs);
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Makes the health checks that are due here after all, and ends those that are too old. */
+  /** Starts the pending health checks that are due at this broker, and ends those that expired. */
   void onTime(long wallUs) {
     for (Map.Entry<String, PendingCheck> entry : List.copyOf(pending.entrySet())) {
       PendingCheck check = entry.getValue();
@@ -161,7 +161,7 @@
     }
   }
 
-  /** When a pending health check is due or ends; {@link Long#MAX_VALUE} where there is none. */
+  /** When a pending health check is due or ends; {@link Long#MAX_VALUE} if there is none. */
   long nextWallUs() {
     long next = Long.MAX_VALUE;
     for (PendingCheck check : pending.values()) {
--- a/src/main/java/dunlinhitch/cluster/JoinAddresses.java
+++ b/src/main/java/dunlinhitch/cluster/JoinAddresses.java
@@ -7,13 +7,14 @@
 import java.util.SplittableRandom;
 
 /**
- * The addresses at which a broker looks for a cluster to join: the configured seeds, and where
- * members were that have been dead for long, so that two sides of a long partition find each other.
+ * The addresses at which a broker looks for a cluster to join: the configured seeds and the
+ * addresses of members that were removed as dead, so that two sides of a long partition find each
+ * other.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
 final class JoinAddresses {
-  /** Addresses of former members that are remembered at most; the oldest is dropped first. */
+  /** The maximum number of remembered addresses of former members; the oldest is dropped first. */
   private static final int MAX_FORMER_ADDRESSES = 64;
 
   private final MembershipProtocolSettings settings;
--- a/src/main/java/dunlinhitch/cluster/LocalHealth.java
+++ b/src/main/java/dunlinhitch/cluster/LocalHealth.java
@@ -2,9 +2,9 @@
 
 /**
  * The local health multiplier of Lifeguard (Dadgar, Phillips and Currey, 2017): a broker that
- * receives messages late would take healthy members for dead, so it stretches its timeouts. Unlike
- * there, a helper that does not answer a ping-req does not count by itself: where most of a cluster
- * has died, it is the helpers that are dead.
+ * receives messages late would declare healthy members dead, so it stretches its timeouts. In
+ * contrast to the paper, a helper that does not answer a ping-req does not raise the score: if most
+ * of a cluster has died, the helpers are dead too.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
@@ -12,22 +12,22 @@
   private final int maximumScore;
   private int score;
 
-  /** {@code maximumScore}: 0 switches the multiplier off. */
+  /** Creates the multiplier; a {@code maximumScore} of 0 disables it. */
   LocalHealth(int maximumScore) {
     this.maximumScore = maximumScore;
   }
 
-  /** Raises the score: something suggests that this broker itself is slow. */
+  /** Raises the score, because this broker itself appears to be slow. */
   void degrade(long by) {
     score = (int) Math.min(maximumScore, score + by);
   }
 
-  /** Lowers the score by one: an ack came in time. */
+  /** Lowers the score by one after an ack that arrived in time. */
   void improve() {
     score = Math.max(0, score - 1);
   }
 
-  /** 0 where this broker is healthy. */
+  /** The score; 0 means that this broker is healthy. */
   int score() {
     return score;
   }
--- a/src/main/java/dunlinhitch/cluster/Member.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -7,8 +7,8 @@
  * @param zone its zone, or empty
  * @param host the host at which it receives messages
  * @param port the port at which it receives messages
- * @param incarnation a number that only the broker itself raises, to refute what is said of it; a
- *     restart begins with a higher one
+ * @param incarnation a number that only the broker itself raises, to refute updates of others about
+ *     it; a restart begins with a higher one
  * @param status its status as last merged
  */
 public record Member(
@@ -19,7 +19,7 @@
    */
   static final long MAX_INCARNATION = 1_000_000_000_000_000L;
 
-  /** Higher incarnations are not accepted from others, so that each can still be refuted. */
+  /** The highest incarnation accepted from other brokers, so that each can still be refuted. */
   private static final long MAX_ACCEPTED_INCARNATION = MAX_INCARNATION / 2;
 
   private static final int MAX_PORT = 65_535;
@@ -28,13 +28,13 @@
   private static final int FIXED_BYTES = 6;
 
   /**
-   * Of two statuses under one incarnation the later constant wins. The order of the constants is
-   * part of the wire format.
+   * Of two statuses with the same incarnation, the later constant wins. The order of the constants
+   * is part of the wire format.
    */
   public enum Status {
     /** It answers pings. */
     ALIVE,
-    /** It did not answer, but may refute that; it still takes part. */
+    /** It did not answer pings, but may refute the suspicion; it still takes part. */
     SUSPECT,
     /** It did not refute a suspicion in time. */
     DEAD,
@@ -42,7 +42,7 @@
     LEFT
   }
 
-  /** Checks that there is a name and an address, and that the incarnation is in its range. */
+  /** Checks that the name and address are present and the incarnation is within its range. */
   public Member {
     if (name.isEmpty()
         || host.isEmpty()
@@ -51,13 +51,14 @@
         || incarnation < 0
         || incarnation > MAX_INCARNATION) {
       throw new IllegalArgumentException(
-          "a broker has a name, an address and an incarnation from 0 to 1e15: "
+          "a member needs a name, a host, a port from 1 to 65535 and an incarnation "
+              + "from 0 to 1e15: got "
               + name
               + " at "
               + host
               + ":"
               + port
-              + ", "
+              + ", incarnation "
               + incarnation);
     }
   }
@@ -67,36 +68,37 @@
     return status == Status.ALIVE || status == Status.SUSPECT;
   }
 
-  /** The same with another status. */
+  /** Returns a copy with the given status. */
   Member as(Status other) {
     return new Member(name, zone, host, port, incarnation, other);
   }
 
-  /** The same, alive under another incarnation. */
+  /** Returns a copy that is alive with the given incarnation. */
   Member in(long other) {
     return new Member(name, zone, host, port, other, Status.ALIVE);
   }
 
-  /** Whether that is its address. */
+  /** Whether the member has the given address. */
   boolean isAt(String otherHost, int otherPort) {
     return port == otherPort && host.equals(otherHost);
   }
 
-  /** Whether its broker could still refute it, or need not. */
+  /** Whether its broker can still refute this state, or has no need to. */
   boolean isBelievable() {
     return incarnation < MAX_ACCEPTED_INCARNATION
         || (incarnation == MAX_ACCEPTED_INCARNATION && status == Status.ALIVE);
   }
 
-  /** About the bytes that it takes in a message. */
+  /** The approximate size in a message, in bytes. */
   int bytes() {
     return name.length() + zone.length() + host.length() + FIXED_BYTES + Long.BYTES;
   }
 
   /**
-   * Whether this replaces the other of the same name: the higher incarnation wins; of the same
-   * incarnation the higher address, where two brokers started with one name at once; then the later
-   * {@link Status}. The order is total, so brokers that merge the same updates in any order agree.
+   * Whether this state replaces another one of the same name. The higher incarnation wins; with
+   * equal incarnations the higher address, in case two brokers started with the same name at the
+   * same time; then the later {@link Status}. The order is total, so brokers that merge the same
+   * updates in any order agree.
    */
   boolean replaces(Member other) {
     if (incarnation != other.incarnation) {
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -11,12 +11,12 @@
 
 /**
  * The members that one broker knows, itself included, with the digest over those that take part. It
- * decides nothing: {@link MembershipUpdates} and {@link FailureDetector} say what a member's status
- * becomes.
+ * makes no decisions: {@link MembershipUpdates} and {@link FailureDetector} determine the status of
+ * members.
  *
- * <p>Every change of a member reaches the suspicion table, the dissemination queue, the digest and
- * the convergence state here, so that the five cannot disagree. Not thread-safe; owned by {@link
- * MembershipProtocol}.
+ * <p>Every change of a member is applied to the suspicion table, the dissemination queue, the
+ * digest and the convergence state here, so that they stay consistent with the list. Not
+ * thread-safe; owned by {@link MembershipProtocol}.
  */
 final class MemberList {
   private final MembershipProtocolSettings settings;
@@ -27,7 +27,7 @@
   private final Map<String, Member> peers = new LinkedHashMap<>();
   private final Map<String, VersionVector> peerVersions = new HashMap<>();
 
-  /** When each peer that is dead or has left became so. */
+  /** For each peer that is dead or has left, the time at which it died or left. */
   private final Map<String, Long> departedSinceUs = new HashMap<>();
 
   private Member self;
@@ -59,7 +59,7 @@
     return self;
   }
 
-  /** The other broker that rightfully bears this broker's name, or null. */
+  /** The broker at another address that took precedence for this broker's name, or null. */
   Member displacedBy() {
     return displacedBy;
   }
@@ -74,7 +74,7 @@
     return Collections.unmodifiableCollection(peers.values());
   }
 
-  /** The member of that name as last merged, or null. */
+  /** The member with the given name as last merged, or null. */
   Member peer(String name) {
     return peers.get(name);
   }
@@ -89,7 +89,7 @@
     return largestSize;
   }
 
-  /** Raised by each change of who takes part. */
+  /** Incremented whenever a member begins or ceases to take part. */
   long version() {
     return version;
   }
@@ -99,7 +99,7 @@
     return digest;
   }
 
-  /** The digest for messages: 0 where anti-entropy is off. */
+  /** The digest to announce in messages; 0 if anti-entropy is disabled. */
   long announcedDigest() {
     return settings.isAntiEntropyEnabled() ? digest : 0;
   }
@@ -114,7 +114,7 @@
     return suspicions;
   }
 
-  /** The versions that this broker acts on, or null as long as they are unknown. */
+  /** The versions that this broker acts on, or null while they are unknown. */
   VersionVector selfVersions() {
     return selfVersions;
   }
@@ -137,24 +137,24 @@
     }
   }
 
-  /** Notes that something a {@link ClusterSnapshot} shows has changed. */
+  /** Records a change that requires a new {@link ClusterSnapshot}. */
   void markChanged() {
     changed = true;
   }
 
-  /** True where something changed since the last call. */
+  /** Returns true if anything changed since the last call. */
   boolean clearChanged() {
     boolean wasChanged = changed;
     changed = false;
     return wasChanged;
   }
 
-  /** This broker leaves; from now on it announces itself as left. */
+  /** Marks this broker as left; it announces itself as left from now on. */
   void markSelfLeft() {
     self = self.as(Member.Status.LEFT);
   }
 
-  /** Replaces this broker's own entry and the one that displaces it ({@code null}: none). */
+  /** Replaces this broker's own entry and the one that displaces it, which may be null. */
   void replaceSelf(Member newSelf, Member newDisplacedBy) {
     digestTable.remove(selfAsCounted());
     self = newSelf;
@@ -217,7 +217,7 @@
     return removed;
   }
 
-  /** When the next departed peer is to be removed; {@link Long#MAX_VALUE} where there is none. */
+  /** When the next departed peer is to be removed; {@link Long#MAX_VALUE} if there is none. */
   long nextExpiryUs() {
     long next = Long.MAX_VALUE;
     for (long since : departedSinceUs.values()) {
@@ -226,7 +226,10 @@
     return next;
   }
 
-  /** The name of a peer at that address that is not alive, or null: it needs to know, to refute. */
+  /**
+   * The name of a peer at the given address that is suspected, dead or left, or null. The peer has
+   * to be notified, so that it can refute its status.
+   */
   String notAliveAt(String host, int port) {
     String suspect = firstAt(suspicions.names(), host, port);
     return suspect != null ? suspect : firstAt(departedSinceUs.keySet(), host, port);
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -10,19 +10,23 @@
 
 /**
  * The membership protocol of one broker, after SWIM (Das, Gupta and Motivala, 2002) with
- * Lifeguard's extensions (Dadgar, Phillips and Currey, 2017) and anti-entropy. It wires the parts
- * and passes time and messages on to them: {@link FailureDetector}, {@link MembershipUpdates},
- * {@link MessageSender} for dissemination, {@link AntiEntropy}, and {@link JoinAddresses}.
+ * Lifeguard's extensions (Dadgar, Phillips and Currey, 2017) and anti-entropy. It wires the
+ * components and forwards time and messages to them: {@link FailureDetector}, {@link
+ * MembershipUpdates}, {@link MessageSender} for dissemination, {@link AntiEntropy}, and {@link
+ * JoinAddresses}.
  *
  * <p>Pure: events in, messages out. No clock, socket or thread; all randomness is drawn from the
- * seed, so the same events give the same messages. Not thread-safe; the reducer owns it. All times
- * are microseconds of a monotonic clock. The bounds stand in docs/view.md.
+ * seed, so the same events result in the same messages. Not thread-safe; owned by the reducer. All
+ * times are microseconds of a monotonic clock. The bounds are documented in docs/view.md.
  */
 public final class MembershipProtocol {
-  /** Leave messages to each member: where one is lost, the leaver has to be detected as dead. */
+  /**
+   * The number of leave messages to each member: if all are lost, the member has to detect the
+   * departed broker as dead.
+   */
   private static final int LEAVE_TRANSMISSIONS = 2;
 
-  /** Where the messages of this broker go; carried out in the order in which it was called. */
+  /** Sends the messages of this broker, in the order of the calls. */
   public interface Transport {
     /** Sends a message to the broker at an address; it may be lost, delayed or duplicated. */
     void send(String host, int port, GossipMessage message);
@@ -47,14 +51,15 @@
   /**
    * Creates a protocol whose first period is due at {@code nowUs}.
    *
-   * @param self this broker, alive under an incarnation later than any before; its start time in
-   *     milliseconds will do
+   * @param self this broker, alive with a higher incarnation than ever before, for example its
+   *     start time in milliseconds
    * @param seeds the addresses to join at; this broker's own address is ignored
    * @param settings the times and bounds
    * @param seed seeds all random choices
    * @param nowUs the current time
-   * @param out sends the messages
-   * @param riding the endpoint observations to go with the next message, within so many bytes
+   * @param transport sends the messages
+   * @param observations returns the endpoint observations for the next message, up to a given
+   *     number of bytes
    */
   public MembershipProtocol(
       Member self,
@@ -62,8 +67,8 @@
       MembershipProtocolSettings settings,
       long seed,
       long nowUs,
-      Transport out,
-      IntFunction<List<EndpointObservation>> riding) {
+      Transport transport,
+      IntFunction<List<EndpointObservation>> observations) {
     this.settings = settings;
     List<Seed> otherSeeds =
         seeds.stream().filter(address -> !self.isAt(address.host(), address.port())).toList();
@@ -72,7 +77,7 @@
     localHealth = new LocalHealth(settings.maxLocalHealth());
     members = new MemberList(self, settings, suspicions, updates, convergence);
     membershipUpdates = new MembershipUpdates(settings, members, localHealth);
-    sender = new MessageSender(settings, members, updates, out, riding);
+    sender = new MessageSender(settings, members, updates, transport, observations);
     antiEntropy =
         new AntiEntropy(settings, members, convergence, sender, random, !otherSeeds.isEmpty());
     joinAddresses = new JoinAddresses(settings, otherSeeds, members, sender, random);
@@ -86,7 +91,7 @@
     return members.self();
   }
 
-  /** The membership now; the same object until something of it changes. */
+  /** The current membership; the same object until it changes. */
   public ClusterSnapshot snapshot() {
     if (members.clearChanged()) {
       snapshot = takeSnapshot();
@@ -118,44 +123,47 @@
         members.displacedBy());
   }
 
-  /** All other members that are known, those that are dead or have left included. */
+  /** All other known members, including those that are dead or have left. */
   public Collection<Member> peers() {
     return List.copyOf(members.peers());
   }
 
-  /** Raised by each change of who takes part. */
+  /** Incremented whenever a member begins or ceases to take part. */
   public long version() {
     return members.version();
   }
 
-  /** The most members that took part at once, this broker included, as far as it knows. */
+  /** The largest known number of members that took part at the same time, including this broker. */
   public int largestSize() {
     return members.largestSize();
   }
 
-  /** True while every recent ping went unanswered: this broker is cut off, or the last one. */
+  /** Whether all recent pings went unanswered: this broker is disconnected or the only one left. */
   public boolean isIsolated() {
     return failureDetector.isIsolated();
   }
 
-  /** The local health score: how far this broker stretches its timeouts; 0 is healthy. */
+  /** The local health score, by which this broker stretches its timeouts; 0 means healthy. */
   public int localHealthScore() {
     return localHealth.score();
   }
 
-  /** Updates that were dropped: the list was full, or the incarnation could not be refuted. */
+  /**
+   * The number of updates dropped because the list was full or the incarnation could not be
+   * refuted.
+   */
   public long rejected() {
     return membershipUpdates.rejected();
   }
 
-  /** Members that this broker itself declared dead. */
+  /** The number of members that this broker itself declared dead. */
   public long declaredDead() {
     return failureDetector.declaredDead();
   }
 
   /** Sets the versions that this broker acts on; each message announces them. */
-  public void setVersions(VersionVector on) {
-    members.setSelfVersions(on);
+  public void setVersions(VersionVector versions) {
+    members.setSelfVersions(versions);
   }
 
   /** When {@link #onTime} is to be called next. */
@@ -195,7 +203,7 @@
       case PING_REQUEST -> failureDetector.onPingRequest(message, nowUs);
       case ACK -> failureDetector.onAck(message, nowUs);
       case LEAVE, GOSSIP -> {
-        // they consist of updates, which are merged
+        // carry only updates, which were merged above
       }
     }
   }
@@ -216,7 +224,7 @@
     }
   }
 
-  /** Announces to all members that this broker leaves, so that none has to detect it. */
+  /** Announces to all members that this broker leaves, so that they need not detect it as dead. */
   public void leave() {
     members.markSelfLeft();
     int transmissions = settings.isLifeguardEnabled() ? LEAVE_TRANSMISSIONS : 1;
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -4,24 +4,23 @@
  * The times and bounds of the membership protocol; times in microseconds.
  *
  * @param periodUs length of the protocol period: one member is pinged in each
- * @param pingTimeoutUs timeout of a direct ping; after it the indirect probe begins, which takes as
- *     long
- * @param indirectProbes members that are asked to ping on this broker's behalf
- * @param suspicionTimeoutUs base of the suspicion timeout: a suspect member is declared dead after
- *     it
+ * @param pingTimeoutUs timeout of a direct ping, and again of the indirect probe that follows it
+ * @param indirectProbes the number of members that are asked to ping on this broker's behalf
+ * @param suspicionTimeoutUs the base of the suspicion timeout, after which a suspect member is
+ *     declared dead
  * @param deadRetentionUs how long a dead member is remembered, so that late messages do not bring
  *     it back
- * @param maxMembers bound of the member list
- * @param pingAttempts failed pings in a row before a member is suspected
- * @param maxLocalHealth bound of the local health score, by which a broker that is slow itself
- *     stretches its timeouts; 0: Lifeguard's extensions are off
- * @param suspicionMultiplier factor by which a suspicion that nobody confirms lasts longer than one
- *     with all confirmations; 1: all last the same, whatever the cluster size
- * @param maxMessageBytes bound of one message
- * @param antiEntropyBytes bound of the member pages that a broker sends in a period to members
- *     whose digest differs; 0: anti-entropy is off
- * @param addresses whether digests cover addresses; off where each broker may know another address
- *     of the same member
+ * @param maxMembers the maximum size of the member list
+ * @param pingAttempts the number of consecutive failed pings after which a member is suspected
+ * @param maxLocalHealth the maximum local health score, by which a slow broker stretches its own
+ *     timeouts; 0 disables Lifeguard's extensions
+ * @param suspicionMultiplier factor by which an unconfirmed suspicion lasts longer than a fully
+ *     confirmed one; with 1 all suspicions last equally long, whatever the cluster size
+ * @param maxMessageBytes the maximum size of one message
+ * @param antiEntropyBytes the maximum total size of the member pages that a broker sends per period
+ *     to members whose digests differ; 0 disables anti-entropy
+ * @param addresses whether digests cover addresses; false if brokers may know the same member by
+ *     different addresses
  */
 public record MembershipProtocolSettings(
     long periodUs,
@@ -36,14 +35,14 @@
     int maxMessageBytes,
     int antiEntropyBytes,
     boolean addresses) {
-  /** A protocol period of 200 ms; the bounds that follow stand in docs/view.md. */
+  /** A protocol period of 200 ms; docs/view.md documents the bounds that result. */
   public static final MembershipProtocolSettings STANDARD =
       new MembershipProtocolSettings(200_000, 80_000, 3, 1_000_000, 30_000_000, 1024);
 
-  /** A message of this size has room for its header, one member and the sums of all buckets. */
+  /** The minimum message size: it holds the header, one member and the sums of all buckets. */
   private static final int MIN_MESSAGE_BYTES = 256;
 
-  /** Checks that the times fit each other and the bounds are positive. */
+  /** Checks that the times are consistent and the bounds are within their ranges. */
   public MembershipProtocolSettings {
     requireValidTimes(
         periodUs, pingTimeoutUs, indirectProbes, suspicionTimeoutUs, deadRetentionUs, maxMembers);
@@ -52,55 +51,68 @@
   }
 
   private static void requireValidTimes(
-      long everyUs, long answerUs, int helpers, long suspectUs, long forgetUs, int mostPeers) {
-    if (everyUs <= 0
-        || answerUs <= 0
-        || 2 * answerUs > everyUs
-        || helpers < 0
-        || suspectUs < everyUs
-        || forgetUs < suspectUs
-        || mostPeers < 1) {
+      long periodUs,
+      long pingTimeoutUs,
+      int indirectProbes,
+      long suspicionTimeoutUs,
+      long deadRetentionUs,
+      int maxMembers) {
+    if (periodUs <= 0
+        || pingTimeoutUs <= 0
+        || 2 * pingTimeoutUs > periodUs
+        || indirectProbes < 0
+        || suspicionTimeoutUs < periodUs
+        || deadRetentionUs < suspicionTimeoutUs
+        || maxMembers < 1) {
       throw new IllegalArgumentException(
-          "an answer is waited for above 0 and at most half as long as between looks, a "
-              + "suspicion lasts one look or more, and the dead are remembered longer: every "
-              + everyUs
-              + ", answer "
-              + answerUs
-              + ", suspect "
-              + suspectUs
-              + ", forget "
-              + forgetUs
-              + " us, helpers "
-              + helpers
-              + ", peers "
-              + mostPeers);
+          "ping timeout must be positive and at most half the period, suspicion timeout at least "
+              + "one period, dead retention at least the suspicion timeout, indirect probes at "
+              + "least 0 and members at least 1: "
+              + "period "
+              + periodUs
+              + ", ping timeout "
+              + pingTimeoutUs
+              + ", suspicion timeout "
+              + suspicionTimeoutUs
+              + ", dead retention "
+              + deadRetentionUs
+              + " us, indirect probes "
+              + indirectProbes
+              + ", members "
+              + maxMembers);
     }
   }
 
   private static void requireValidBounds(
-      int tries, int mostHealth, int stretch, int wordBytes, int pageBytes) {
-    if (tries < 1
-        || mostHealth < 0
-        || stretch < 1
-        || wordBytes < MIN_MESSAGE_BYTES
-        || (pageBytes != 0 && pageBytes < wordBytes)) {
+      int pingAttempts,
+      int maxLocalHealth,
+      int suspicionMultiplier,
+      int maxMessageBytes,
+      int antiEntropyBytes) {
+    if (pingAttempts < 1
+        || maxLocalHealth < 0
+        || suspicionMultiplier < 1
+        || maxMessageBytes < MIN_MESSAGE_BYTES
+        || (antiEntropyBytes != 0 && antiEntropyBytes < maxMessageBytes)) {
       throw new IllegalArgumentException(
-          "looks are made once or more, times stretched from 1 on, a word has "
+          "ping attempts and suspicion multiplier must be at least 1, local health at least 0, "
+              + "messages at least "
               + MIN_MESSAGE_BYTES
-              + " bytes or more, and pages are none or at least one word: tries "
-              + tries
-              + ", health "
-              + mostHealth
-              + ", stretch "
-              + stretch
-              + ", word "
-              + wordBytes
-              + ", pages "
-              + pageBytes);
+              + " bytes, and anti-entropy 0 or at least one message: "
+              + "ping attempts "
+              + pingAttempts
+              + ", local health "
+              + maxLocalHealth
+              + ", suspicion multiplier "
+              + suspicionMultiplier
+              + ", message bytes "
+              + maxMessageBytes
+              + ", anti-entropy bytes "
+              + antiEntropyBytes);
     }
   }
 
-  /** These times with the standard bounds. */
+  /** Creates settings with the given times and the standard bounds. */
   public MembershipProtocolSettings(
       long periodUs,
       long pingTimeoutUs,
@@ -123,7 +135,7 @@
         true);
   }
 
-  /** The same with messages of at most that many bytes. */
+  /** Returns a copy with the given maximum message size. */
   public MembershipProtocolSettings withMaxMessageBytes(int bytes) {
     return new MembershipProtocolSettings(
         periodUs,
@@ -140,7 +152,7 @@
         addresses);
   }
 
-  /** The same with addresses covered by the digests, or not. */
+  /** Returns a copy with the given choice of whether digests cover addresses. */
   public MembershipProtocolSettings withAddresses(boolean compared) {
     return new MembershipProtocolSettings(
         periodUs,
@@ -157,7 +169,7 @@
         compared);
   }
 
-  /** The same without Lifeguard, retries and anti-entropy, as a baseline for measurements. */
+  /** Returns a copy without Lifeguard, retries and anti-entropy, as a baseline for measurements. */
   public MembershipProtocolSettings baseline() {
     return new MembershipProtocolSettings(
         periodUs,
@@ -174,7 +186,7 @@
         addresses);
   }
 
-  /** Whether Lifeguard's extensions to SWIM are on. */
+  /** Whether Lifeguard's extensions to SWIM are enabled. */
   boolean isLifeguardEnabled() {
     return maxLocalHealth > 0;
   }
--- a/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
@@ -1,8 +1,8 @@
 package dunlinhitch.cluster;
 
 /**
- * Merges what other brokers say of members into the {@link MemberList}, after SWIM: the higher
- * incarnation wins, and a broker that is suspected or declared dead refutes that under a higher
+ * Merges updates of other brokers about members into the {@link MemberList}, as in SWIM: the higher
+ * incarnation wins, and a broker that is suspected or declared dead refutes that with a higher
  * incarnation of its own.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
@@ -22,7 +22,10 @@
     this.localHealth = localHealth;
   }
 
-  /** Updates that were dropped: the list was full, or the incarnation could not be refuted. */
+  /**
+   * The number of updates dropped because the list was full or the incarnation could not be
+   * refuted.
+   */
   long rejected() {
     return rejected;
   }
@@ -39,8 +42,7 @@
     }
     Member current = members.peer(update.name());
     if (current == null && !update.takesPart() && settings.isAntiEntropyEnabled()) {
-      // It has expired here. Peers that still remember it would otherwise bring it back everywhere,
-      // without end.
+      // It has expired here. Peers that still remember it would otherwise add it again endlessly.
       return;
     }
     if (current == null && members.peers().size() >= settings.maxMembers()) {
@@ -50,7 +52,7 @@
     }
   }
 
-  /** Merges one broker's report that another did not answer. */
+  /** Merges the report of one broker that a member did not answer its pings. */
   void merge(SuspicionReport report, long nowUs) {
     Member self = members.self();
     if (report.name().equals(self.name())) {
@@ -71,7 +73,7 @@
     }
   }
 
-  /** Handles what others say of this broker's own name. */
+  /** Merges an update of another broker about this broker's own name. */
   private void mergeSelf(Member update) {
     Member self = members.self();
     if (self.status() != Member.Status.ALIVE) {
@@ -94,7 +96,7 @@
 
   private void refute(Member update) {
     if (members.displacedBy() != null) {
-      return; // the broker that bears the name refutes this itself
+      return; // the broker that displaced this one refutes it
     }
     localHealth.degrade(update.status() == Member.Status.SUSPECT ? 1 : 0);
     members.replaceSelf(members.self().in(update.incarnation() + 1), null);
--- a/src/main/java/dunlinhitch/cluster/MessageSender.java
+++ b/src/main/java/dunlinhitch/cluster/MessageSender.java
@@ -15,10 +15,10 @@
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
 final class MessageSender {
-  /** Updates of one sort that one message carries at most. */
+  /** The maximum number of updates of each type in one message. */
   private static final int MAX_PIGGYBACKED = 12;
 
-  /** Transmissions of one update for each power of two in the cluster size. */
+  /** Transmissions of one update per bit of the cluster size. */
   private static final int RETRANSMIT_MULTIPLIER = 3;
 
   private static final String NO_SUBJECT = "";
@@ -31,7 +31,10 @@
   private final IntFunction<List<EndpointObservation>> observations;
   private long lastSequenceNumber;
 
-  /** {@code observations}: the endpoint observations for a message with so many bytes left. */
+  /**
+   * Creates a sender; {@code observations} returns the endpoint observations for a message with the
+   * given number of bytes left.
+   */
   MessageSender(
       MembershipProtocolSettings settings,
       MemberList members,
@@ -66,7 +69,7 @@
     send(to, GossipMessage.Kind.GOSSIP, 0);
   }
 
-  /** Asks whatever broker is at an address to let this one join. */
+  /** Sends a join to the broker at the given address. */
   void sendJoin(MembershipProtocol.Seed address) {
     send(
         address.host(),
@@ -92,7 +95,7 @@
         members.digestTable().buckets());
   }
 
-  /** A message with these members and nothing piggybacked, for anti-entropy. */
+  /** Creates a message with these members and without piggybacked updates, for anti-entropy. */
   GossipMessage page(List<Member> page) {
     return new GossipMessage(
         GossipMessage.Kind.GOSSIP,
@@ -107,12 +110,12 @@
         List.of());
   }
 
-  /** Sends a message as it is. */
+  /** Sends a message without adding piggybacked updates. */
   void sendUnchanged(Member to, GossipMessage message) {
     transport.send(to.host(), to.port(), message);
   }
 
-  /** The bytes that a page of members may come to. */
+  /** The maximum size of a page of members, in bytes. */
   int pageCapacityBytes() {
     return remainingBytes(List.of(), NO_SUBJECT);
   }
@@ -167,7 +170,10 @@
             reports));
   }
 
-  /** The updates for one message; a recipient that is not alive here comes first, to refute. */
+  /**
+   * The updates for one message. If the recipient itself is not alive in the member list, its own
+   * entry comes first, so that it can refute it.
+   */
   private List<Member> nextMemberUpdates(String host, int port, int maxBytes, int transmissions) {
     Set<String> candidates = new LinkedHashSet<>();
     String recipient = members.notAliveAt(host, port);
--- a/src/main/java/dunlinhitch/cluster/ObservationTable.java
+++ b/src/main/java/dunlinhitch/cluster/ObservationTable.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 
 /**
- * The current observations of endpoints, merged from all brokers: of each endpoint the latest
+ * The current observations of endpoints, merged from all brokers: for each endpoint, the latest
  * observation of each of the few brokers that observed it last. Merging is commutative, associative
  * and idempotent, so brokers that received the same observations in any order, any number of times,
  * have the same table.
@@ -17,13 +17,14 @@
  */
 public final class ObservationTable {
   /**
-   * Observations of one endpoint: its load is one figure, but a failing endpoint is distinguished
-   * from a failing network path only by several observers.
+   * The maximum number of observations of one endpoint. One would suffice for its load, but it
+   * takes several observers to distinguish a failing endpoint from a failing network path.
    */
   static final int MAX_AUTHORS = 3;
 
   /**
-   * The latest first; a total order, so that what a full table retains depends on the set alone.
+   * The latest first. The order is total, so that the retained observations do not depend on the
+   * order of arrival.
    */
   private static final Comparator<EndpointObservation> LATEST_FIRST =
       Comparator.comparingLong(EndpointObservation::startedMs)
@@ -37,18 +38,21 @@
   private final Map<String, List<EndpointObservation>> byEndpoint = new LinkedHashMap<>();
   private long rejected;
 
-  /** A table of at most {@code maxEndpoints}, without observations older than {@code maxAgeUs}. */
+  /**
+   * Creates a table of at most {@code maxEndpoints} endpoints, whose observations expire after
+   * {@code maxAgeUs}.
+   */
   public ObservationTable(int maxEndpoints, long maxAgeUs) {
     this.maxEndpoints = maxEndpoints;
     this.maxAgeUs = maxAgeUs;
   }
 
   /**
-   * Merges an observation. One that is outdated, of an earlier incarnation of the endpoint, or
-   * beyond the bound is dropped; one from the future (of a broker whose clock is ahead) counts as
-   * made now, so that it does not outlive its successors.
+   * Merges an observation. It is dropped if it is outdated, of an earlier incarnation of the
+   * endpoint, or of a further endpoint while the table is full. An observation from the future, by
+   * a broker whose clock is ahead, counts as made now, so that it does not outlive its successors.
    *
-   * @return true where it is new
+   * @return true if it is new
    */
   public boolean merge(EndpointObservation received, long nowUs) {
     EndpointObservation observation = notInTheFuture(received, nowUs);
@@ -111,7 +115,8 @@
   }
 
   /**
-   * The latest load report of an endpoint after {@code sinceUs} by a broker other than that one.
+   * The latest load report of an endpoint that was made after {@code sinceUs} by a broker other
+   * than {@code except}.
    */
   public Optional<EndpointObservation> latestReport(String endpoint, long sinceUs, String except) {
     for (EndpointObservation observation : of(endpoint)) {
@@ -124,7 +129,7 @@
     return Optional.empty();
   }
 
-  /** Whether any broker observed the endpoint since then, with a response or without. */
+  /** Whether any broker observed the endpoint since the given time, with or without a response. */
   public boolean observedSince(String endpoint, long sinceUs) {
     for (EndpointObservation observation : of(endpoint)) {
       if (observation.observedUs() >= sinceUs) {
@@ -134,7 +139,9 @@
     return false;
   }
 
-  /** How many of an endpoint's observers had at least {@code threshold} failures in a row. */
+  /**
+   * The number of observers of an endpoint with at least {@code threshold} consecutive failures.
+   */
   public int countFailing(String endpoint, int threshold) {
     int count = 0;
     for (EndpointObservation observation : of(endpoint)) {
@@ -145,7 +152,7 @@
     return count;
   }
 
-  /** How many brokers observed the endpoint of late. */
+  /** The number of brokers with a current observation of the endpoint. */
   public int countObservers(String endpoint) {
     return of(endpoint).size();
   }
@@ -171,7 +178,7 @@
     byEndpoint.remove(endpoint);
   }
 
-  /** Observations that were dropped because the table was full. */
+  /** The number of observations that were dropped because the table was full. */
   public long rejected() {
     return rejected;
   }
--- a/src/main/java/dunlinhitch/cluster/ProbeOrder.java
+++ b/src/main/java/dunlinhitch/cluster/ProbeOrder.java
@@ -5,9 +5,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The order in which members are pinged: randomized round-robin as in SWIM, shuffled anew for each
- * round, so that each member is pinged within a bounded time. One dead member a round is pinged
- * too, for a partition may have healed.
+ * The order in which members are pinged: randomized round-robin as in SWIM, reshuffled for each
+ * round, so that each member is pinged within a bounded time. Each round also includes one dead
+ * member, because a partition may have healed.
  *
  * <p>Not thread-safe; owned by {@link FailureDetector}.
  */
@@ -15,7 +15,7 @@
   private final MemberList members;
   private final SplittableRandom random;
 
-  /** The rest of this round; the last one is next. */
+  /** The remaining members of this round; the last element is next. */
   private final List<String> remaining = new ArrayList<>();
 
   ProbeOrder(MemberList members, SplittableRandom random) {
@@ -23,12 +23,12 @@
     this.random = random;
   }
 
-  /** True where the next member begins a round. */
+  /** Whether the next member begins a new round. */
   boolean isRoundComplete() {
     return remaining.isEmpty();
   }
 
-  /** The next member to ping, or null where no member is known. */
+  /** The next member to ping, or null if no other member is known. */
   Member next() {
     while (true) {
       if (remaining.isEmpty()) {
--- a/src/main/java/dunlinhitch/cluster/RelayedPings.java
+++ b/src/main/java/dunlinhitch/cluster/RelayedPings.java
@@ -60,18 +60,19 @@
       return false;
     }
     if (settings.isLifeguardEnabled()) {
-      // Any message shows the requester that its helper is alive, and only the target is silent.
+      // Any message shows the requester that its helper is alive and only the target is
+      // unresponsive.
       sender.sendGossip(ping.requester());
     }
     return true;
   }
 
-  /** Drops all, without a message. */
+  /** Drops all pending pings without notifying their requesters. */
   void clear() {
     pending.clear();
   }
 
-  /** When the next ping times out; {@link Long#MAX_VALUE} where none is pending. */
+  /** When the next ping times out; {@link Long#MAX_VALUE} if none is pending. */
   long nextDeadlineUs() {
     long next = Long.MAX_VALUE;
     for (RelayedPing ping : pending.values()) {
--- a/src/main/java/dunlinhitch/cluster/RendezvousHash.java
+++ b/src/main/java/dunlinhitch/cluster/RendezvousHash.java
@@ -12,11 +12,14 @@
 
 /**
  * Rendezvous hashing (Thaler and Ravishankar, 1998): names are ranked for a key by the hash of key
- * and name together. All brokers that know the same names find the same ranking, and adding or
- * removing one name does not move any two others against each other.
+ * and name together. All brokers that know the same names compute the same ranking, and adding or
+ * removing a name does not change the relative order of the others.
  */
 public final class RendezvousHash {
-  /** Fixed for all brokers and versions: with another seed brokers would disagree on rankings. */
+  /**
+   * Must be the same for all brokers and versions: with different seeds they would disagree on
+   * rankings.
+   */
   private static final int HASH_SEED = 0x64756e6c;
 
   private static final HashFunction HASH = Hashing.murmur3_128(HASH_SEED);
@@ -33,7 +36,7 @@
     return hasher.hash().asLong();
   }
 
-  /** The name that ranks first for the key, as in {@link #order}; null where there is none. */
+  /** The name that ranks first for the key, as in {@link #order}; null if there are no names. */
   public static String first(Collection<String> names, String... key) {
     String[] parts = Arrays.copyOf(key, key.length + 1);
     String bestName = null;
@@ -51,7 +54,7 @@
     return bestName;
   }
 
-  /** The names by descending hash with the key; names with equal hashes in their own order. */
+  /** The names by descending hash with the key; names with equal hashes in natural order. */
   static List<String> order(Collection<String> names, String... key) {
     record Ranked(String name, long hash) {}
 
--- a/src/main/java/dunlinhitch/cluster/ReplicatedEntry.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedEntry.java
@@ -1,10 +1,10 @@
 package dunlinhitch.cluster;
 
 /**
- * One entry of a {@link ReplicatedMap}. Entries of one origin about one key never share a
- * timestamp: the later replaces the earlier.
+ * One entry of a {@link ReplicatedMap}. Two entries with the same origin and key never share a
+ * timestamp; the later one replaces the earlier.
  *
- * @param key what the entry is about
+ * @param key its key
  * @param origin the broker that it originates from
  * @param timestampUs its timestamp on the origin's wall clock, in microseconds
  * @param value its value
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
@@ -9,10 +9,11 @@
 import java.util.TreeSet;
 
 /**
- * A last-writer-wins map that is replicated among brokers: for each key and origin the latest
- * entry. Merging is commutative, associative and idempotent, the bounds included, so entries may
- * arrive late, duplicated and in any order: an entry remains if it is the latest of its key and
- * origin and among the latest that the bounds have room for, whatever arrived before it.
+ * A last-writer-wins map that is replicated among brokers and stores the latest entry for each key
+ * and origin. Merging, including the enforcement of the bounds, is commutative, associative and
+ * idempotent, so entries may arrive late, duplicated and in any order: an entry remains if it is
+ * the latest of its key and origin and among the latest entries that fit within the bounds,
+ * whatever arrived before it.
  *
  * <p>Pure: no clock, randomness or threads; callers pass the wall-clock time in microseconds. Not
  * thread-safe.
@@ -21,7 +22,7 @@
  * @param <V> the type of the values
  */
 public final class ReplicatedMap<K, V> {
-  /** What became of an entry that was merged. */
+  /** The result of merging an entry. */
   public enum MergeResult {
     /** It is new and was stored. */
     NEWS,
@@ -29,9 +30,9 @@
     KNOWN,
     /** It has expired, or a later entry of its key and origin is stored. */
     OLD,
-    /** Its timestamp is further in the future than clock skew explains. */
+    /** Its timestamp is further in the future than the tolerated clock skew. */
     FROM_THE_FUTURE,
-    /** The map is full of later entries. */
+    /** It was dropped because the map is full of later entries. */
     CROWDED_OUT
   }
 
@@ -43,14 +44,16 @@
   private final ReplicatedMapSettings settings;
   private final Map<EntryId<K>, StoredEntry<K, V>> entries = new HashMap<>();
 
-  /** All entries, the first to be evicted first. */
+  /** All entries, in the order in which they would be evicted. */
   private final TreeSet<ReplicatedEntry<K, V>> byAge;
 
   private final Map<String, TreeSet<ReplicatedEntry<K, V>>> byOrigin = new HashMap<>();
   private final Comparator<ReplicatedEntry<K, V>> oldestFirst;
   private long version;
 
-  /** {@code keyOrder}: a total order of the keys, the same at every broker. */
+  /**
+   * Creates an empty map; {@code keyOrder} is a total order of the keys, the same at every broker.
+   */
   public ReplicatedMap(ReplicatedMapSettings settings, Comparator<? super K> keyOrder) {
     this.settings = settings;
     oldestFirst =
@@ -61,8 +64,8 @@
   }
 
   /**
-   * Merges an entry, of this broker or another. Expired entries are removed first; apart from that
-   * the map changes only where the result is {@link MergeResult#NEWS} or {@link
+   * Merges an entry of this or another broker. Expired entries are removed first; apart from that
+   * the map changes only if the result is {@link MergeResult#NEWS} or {@link
    * MergeResult#CROWDED_OUT}.
    */
   public MergeResult merge(long nowUs, ReplicatedEntry<K, V> received) {
@@ -110,7 +113,7 @@
     }
   }
 
-  /** Removes all entries of an origin: it has left for good, or is not trusted any more. */
+  /** Removes all entries of an origin that has left permanently or is no longer trusted. */
   public void removeOrigin(String origin) {
     TreeSet<ReplicatedEntry<K, V>> ofOrigin = byOrigin.get(origin);
     if (ofOrigin != null) {
@@ -128,32 +131,32 @@
     }
   }
 
-  /** The latest entry of that key and origin, or null. */
+  /** The latest entry with the given key and origin, or null. */
   public ReplicatedEntry<K, V> of(K key, String origin) {
     StoredEntry<K, V> stored = entries.get(new EntryId<>(key, origin));
     return stored == null ? null : stored.entry();
   }
 
-  /** All entries, the latest first, in the same order at every broker that has the same. */
+  /** All entries, the latest first, in the same order at every broker with the same entries. */
   public List<ReplicatedEntry<K, V>> all() {
     return List.copyOf(byAge.descendingSet());
   }
 
-  /** The entry of each origin for that key, the latest first. */
+  /** The entry of each origin for the given key, the latest first. */
   public List<ReplicatedEntry<K, V>> of(K key) {
     return byAge.descendingSet().stream().filter(entry -> entry.key().equals(key)).toList();
   }
 
-  /** Raised with every entry that is stored. */
+  /** Incremented with every entry that is stored. */
   public long version() {
     return version;
   }
 
-  /** The latest {@code most} of the entries that were stored after that version. */
-  public List<ReplicatedEntry<K, V>> since(long version, int most) {
+  /** The latest {@code limit} of the entries that were stored after the given version. */
+  public List<ReplicatedEntry<K, V>> since(long version, int limit) {
     List<ReplicatedEntry<K, V>> recent = new ArrayList<>();
     for (ReplicatedEntry<K, V> entry : byAge.descendingSet()) {
-      if (recent.size() >= most) {
+      if (recent.size() >= limit) {
         break;
       }
       if (entries.get(new EntryId<>(entry.key(), entry.origin())).version() > version) {
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMapSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMapSettings.java
@@ -3,15 +3,14 @@
 /**
  * The age limits and bounds of a {@link ReplicatedMap}.
  *
- * @param timeToLiveUs how long after its timestamp an entry expires, in microseconds
- * @param skewUs how far in the future a timestamp may be, in microseconds: the clock skew that is
- *     tolerated
- * @param maxEntries entries in the map at most
- * @param maxEntriesPerOrigin entries of one origin at most
+ * @param timeToLiveUs the time after its timestamp at which an entry expires, in microseconds
+ * @param skewUs the tolerated clock skew: how far in the future a timestamp may be, in microseconds
+ * @param maxEntries the maximum number of entries
+ * @param maxEntriesPerOrigin the maximum number of entries of one origin
  */
 public record ReplicatedMapSettings(
     long timeToLiveUs, long skewUs, int maxEntries, int maxEntriesPerOrigin) {
-  /** Checks that entries can exist for a while. */
+  /** Checks that the times and bounds allow entries to be stored. */
   public ReplicatedMapSettings {
     if (timeToLiveUs <= 0
         || skewUs < 0
@@ -19,13 +18,14 @@
         || maxEntriesPerOrigin < 1
         || maxEntriesPerOrigin > maxEntries) {
       throw new IllegalArgumentException(
-          "facts live for a while and some of them are kept: "
+          "time to live must be positive, skew at least 0, entries per origin at least 1 and at "
+              + "most the total number of entries: time to live "
               + timeToLiveUs
-              + ", "
+              + ", skew "
               + skewUs
-              + ", "
+              + ", entries "
               + maxEntries
-              + ", "
+              + ", entries per origin "
               + maxEntriesPerOrigin);
     }
   }
--- a/src/main/java/dunlinhitch/cluster/SharedObservations.java
+++ b/src/main/java/dunlinhitch/cluster/SharedObservations.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * What this broker observes of endpoints itself, what it shares of that, and what it receives and
- * forwards of the observations of others.
+ * Records the observations of endpoints by this broker, shares them with other brokers, and
+ * receives and forwards the observations of others.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}. Times are microseconds of the wall
  * clock.
@@ -18,13 +18,15 @@
   /** Consecutive attempts without a response after which an endpoint counts as failing. */
   static final int FAILURE_THRESHOLD = 3;
 
-  /** Brokers that must agree on a failure: a single one may itself be cut off from the endpoint. */
+  /**
+   * The number of brokers that must observe a failure: one alone may have lost its own connection.
+   */
   private static final int FAILURE_QUORUM = 2;
 
-  /** Observations that one message carries at most. */
+  /** The maximum number of observations in one message. */
   private static final int MAX_PIGGYBACKED = 8;
 
-  /** Messages that carry one observation. */
+  /** The number of messages that carry one observation. */
   private static final int TRANSMISSIONS = 6;
 
   private static final class PendingObservation {
@@ -54,12 +56,12 @@
     table = new ObservationTable(settings.maxEndpoints(), settings.maxAgeUs());
   }
 
-  /** All observations that are current, this broker's own included. */
+  /** All current observations, including this broker's own. */
   ObservationTable table() {
     return table;
   }
 
-  /** Merges an observation of another broker; true where it is new, and then it is forwarded. */
+  /** Merges an observation of another broker; if it is new, forwards it and returns true. */
   boolean receive(EndpointObservation observation, long wallUs) {
     if (observation.observer().equals(self) || !table.merge(observation, wallUs)) {
       return false;
@@ -69,11 +71,11 @@
   }
 
   /**
-   * Records the outcome of an attempt of this broker. It is shared no more often than once in a
-   * duty's epoch, unless the endpoint begins or ceases to fail: otherwise each response would cost
-   * a message.
+   * Records the outcome of an attempt of this broker. Load reports are shared at most once per
+   * epoch, because otherwise each response would cost a message. An endpoint that begins or ceases
+   * to fail is shared at once.
    *
-   * @return true where the endpoint began or ceased to fail
+   * @return true if the endpoint began or ceased to fail
    */
   boolean recordAttempt(
       ClusterCoordinator.ListedEndpoint endpoint,
@@ -103,7 +105,7 @@
     return last == null || wallUs - last >= minimumIntervalUs;
   }
 
-  /** Lets the next outcome be shared at once. */
+  /** Allows the next outcome to be shared at once. */
   void resetSharingInterval(String endpoint) {
     lastSharedUs.remove(endpoint);
   }
@@ -130,7 +132,10 @@
     }
   }
 
-  /** The observations for the next message, within so many bytes; they count as transmitted. */
+  /**
+   * Returns the observations for the next message, up to the given number of bytes, and counts them
+   * as transmitted.
+   */
   List<EndpointObservation> nextToPiggyback(int maxBytes) {
     List<EndpointObservation> chosen = new ArrayList<>();
     int remaining = maxBytes;
@@ -147,19 +152,20 @@
   }
 
   /**
-   * Whether an endpoint counts as failing: by this broker's own attempts, or by those of a quorum.
+   * Whether an endpoint counts as failing, by this broker's own attempts or by the observations of
+   * a quorum.
    */
   boolean isFailing(String endpoint) {
     return consecutiveFailures.getOrDefault(endpoint, 0) >= FAILURE_THRESHOLD
         || table.countFailing(endpoint, FAILURE_THRESHOLD) >= FAILURE_QUORUM;
   }
 
-  /** Forgets the failures of an endpoint that was restarted. */
+  /** Clears the failures of an endpoint that was restarted. */
   void resetFailures(String endpoint) {
     consecutiveFailures.remove(endpoint);
   }
 
-  /** Forgets an endpoint that was removed from the endpoint list. */
+  /** Removes the state of an endpoint that was removed from the endpoint list. */
   void forget(String endpoint) {
     consecutiveFailures.remove(endpoint);
     lastSequenceNumbers.remove(endpoint);
--- a/src/main/java/dunlinhitch/cluster/SubsetSettings.java
+++ b/src/main/java/dunlinhitch/cluster/SubsetSettings.java
@@ -1,22 +1,25 @@
 package dunlinhitch.cluster;
 
 /**
- * How many of a cell's endpoints each broker sends work to, and how unevenly the brokers may be
- * spread over the endpoints.
+ * The number of a cell's endpoints that each broker sends work to, and how unevenly the brokers may
+ * be spread over the endpoints.
  *
- * @param minSize endpoints of a cell for each broker at least, where the cell has so many: one to
- *     use, the others for failover
- * @param spread brokers for each endpoint at least, on average: an endpoint that only one broker
- *     uses is lost with it
- * @param slack how far the brokers of one endpoint may exceed the average, as a fraction of it
+ * @param minSize the minimum number of endpoints of a cell per broker, if the cell has that many:
+ *     one to use, the others for failover
+ * @param spread the minimum average number of brokers per endpoint: an endpoint that only one
+ *     broker uses is lost together with that broker
+ * @param slack how far the number of brokers of one endpoint may exceed the average, as a fraction
+ *     of it
  */
 public record SubsetSettings(int minSize, double spread, double slack) {
-  /** Two endpoints of a cell, three brokers for two endpoints, a fifth over the average. */
+  /**
+   * At least two endpoints of a cell, 1.5 brokers per endpoint, and at most 20 % over the average.
+   */
   public static final SubsetSettings STANDARD = new SubsetSettings(2, 1.5, 0.2);
 
   /**
-   * Unused assignments in a cell at least: without them, one broker that joins or leaves would move
-   * many others.
+   * The minimum number of unused assignments in a cell: without them, one broker that joins or
+   * leaves would change the assignments of many others.
    */
   private static final int MIN_SPARE_ASSIGNMENTS = 2;
 
@@ -33,22 +36,26 @@
         || spread > MAX_FACTOR
         || slack > MAX_FACTOR) {
       throw new IllegalArgumentException(
-          "a subset has 1 store or more, a spread from 1 on and a slack from 0 on, not "
+          "subset size must be at least 1, spread from 1 to 1e6 and slack from 0 to 1e6: "
+              + "size "
               + minSize
-              + ", "
+              + ", spread "
               + spread
-              + ", "
+              + ", slack "
               + slack);
     }
   }
 
-  /** The endpoints that each of so many brokers uses in a cell with so many endpoints. */
+  /**
+   * The number of endpoints of a cell that each broker uses, given the numbers of brokers and
+   * endpoints.
+   */
   public int size(int brokers, int endpoints) {
     int forSpread = (int) Math.ceil(spread * endpoints / Math.max(1, brokers) - ROUNDING_TOLERANCE);
     return Math.min(endpoints, Math.max(minSize, forSpread));
   }
 
-  /** The brokers that use one endpoint of such a cell at most. */
+  /** The maximum number of brokers that use one endpoint of a cell of that size. */
   public int maxLoad(int brokers, int endpoints) {
     if (endpoints == 0) {
       return 0;
@@ -57,9 +64,9 @@
     double mean = (double) brokers * size / endpoints;
     int rounded = (int) Math.ceil(mean - ROUNDING_TOLERANCE);
     int withSlack = (int) Math.floor(mean * (1 + slack) + ROUNDING_TOLERANCE);
-    int most = Math.max(rounded, withSlack);
+    int bound = Math.max(rounded, withSlack);
     long needed = (long) brokers * size + MIN_SPARE_ASSIGNMENTS;
-    boolean isTight = (long) most * endpoints < needed;
-    return Math.min(brokers, isTight ? most + 1 : most);
+    boolean isTight = (long) bound * endpoints < needed;
+    return Math.min(brokers, isTight ? bound + 1 : bound);
   }
 }
--- a/src/main/java/dunlinhitch/cluster/Subsetting.java
+++ b/src/main/java/dunlinhitch/cluster/Subsetting.java
@@ -9,17 +9,19 @@
 
 /**
  * Assigns the endpoints of a cell to brokers by rendezvous hashing with bounded loads (after
- * Mirrokni, Thorup and Zadimoghaddam, 2018). The brokers choose one after the other, in an order by
- * hash that differs from cell to cell; each takes the endpoints that rank first for it and are not
- * full. All that know the same brokers and endpoints compute the same subsets, so nobody has to be
- * asked; a broker that joins or leaves moves its own assignments and the few that it displaces.
+ * Mirrokni, Thorup and Zadimoghaddam, 2018). The brokers choose one after the other, in a hash
+ * order that differs from cell to cell; each takes the highest-ranked endpoints that are not full.
+ * All brokers that know the same brokers and endpoints compute the same subsets without
+ * communication; a broker that joins or leaves changes only its own assignments and the few that it
+ * displaces.
  *
- * <p>Costs for B brokers and S endpoints of a cell: B S hashes and B S log S steps. Immutable.
+ * <p>The cost for B brokers and S endpoints of a cell is B * S hashes and O(B * S * log S) steps.
+ * Immutable.
  */
 public final class Subsetting {
   private final SubsetSettings settings;
 
-  /** {@code settings}: the sizes of subsets and the bounds of loads. */
+  /** Creates a subsetting with the given subset sizes and load bounds. */
   public Subsetting(SubsetSettings settings) {
     this.settings = settings;
   }
@@ -31,9 +33,9 @@
   public record MemberView(String name, String zone) {}
 
   /**
-   * For each broker all endpoints of the cell in the order in which it would use them: the first
-   * {@link #size} are its subset, the rest its substitutes. An endpoint of its own zone comes first
-   * where that has capacity, because traffic across zones costs.
+   * Returns for each broker all endpoints of the cell in the order in which it would use them: the
+   * first {@link #size} are its subset, the rest its substitutes. An endpoint of its own zone comes
+   * first if one has capacity, because traffic across zones is expensive.
    */
   public Map<String, List<String>> of(
       String cell, Collection<MemberView> members, Collection<Store> stores) {
@@ -51,7 +53,9 @@
     return assignment.orders;
   }
 
-  /** The endpoints by rank, but the best one of the broker's own zone first. */
+  /**
+   * The endpoints by rank, with the highest-ranked one of the broker's own zone moved to the front.
+   */
   private static List<String> preferences(
       String cell, MemberView broker, Map<String, String> endpointZones) {
     List<String> preferences =
@@ -68,12 +72,12 @@
     return preferences;
   }
 
-  /** How many of a cell's endpoints are a broker's subset. */
+  /** The number of endpoints of a cell in the subset of each broker. */
   public int size(int members, int stores) {
     return settings.size(members, stores);
   }
 
-  /** The assignment of one cell while the brokers choose one after the other. */
+  /** The assignment of one cell, while it is being computed. */
   private static final class Assignment {
     private final int subsetSize;
     private final int maxLoad;
@@ -95,7 +99,8 @@
         }
       }
       while (order.size() < subsetSize) {
-        // Only endpoints that this broker has already are not full: an earlier one frees one.
+        // All endpoints with capacity are chosen already: an earlier broker has to free another
+        // one.
         order.add(freeCapacity(preferences, order));
       }
       order.forEach(endpoint -> loads.merge(endpoint, 1, Integer::sum));
@@ -112,9 +117,10 @@
     }
 
     /**
-     * Frees an endpoint for a broker: the last earlier broker that uses an endpoint which this one
-     * lacks, and does not use one that is not full, moves from the one to the other. Where the
-     * bound allows no such move, returns the endpoint with the least load.
+     * Frees capacity at an endpoint for a broker. Tries the earlier brokers, the latest first, and
+     * moves one of them from an endpoint that is not in {@code chosen} to one in {@code chosen}
+     * that it does not use and that has capacity. If the load bound allows no such move, returns
+     * the endpoint with the least load.
      */
     private String freeCapacity(List<String> preferences, List<String> chosen) {
       List<String> earlier = new ArrayList<>(orders.keySet());
@@ -131,13 +137,13 @@
 
     /**
      * Moves an earlier broker to {@code target} from an endpoint that is not in {@code chosen}, and
-     * returns the latter; null where it cannot move.
+     * returns the latter; returns null if it cannot be moved.
      */
     private String move(String broker, String target, List<String> chosen) {
       List<String> order = orders.get(broker);
       int targetIndex = order.indexOf(target);
       boolean usesTarget = targetIndex < subsetSize;
-      // The load of the target does not include the broker yet for which it is freed.
+      // The load of the target does not yet include the broker for which capacity is freed.
       if (usesTarget || load(target) + 1 >= maxLoad) {
         return null;
       }
--- a/src/main/java/dunlinhitch/cluster/SuspicionReport.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionReport.java
@@ -1,8 +1,8 @@
 package dunlinhitch.cluster;
 
 /**
- * A report that one broker's pings to another went unanswered, as brokers share it: a suspicion
- * with reports of several brokers times out sooner.
+ * A report, shared among brokers, that a member did not answer the pings of one broker. A suspicion
+ * that several brokers report times out sooner.
  *
  * @param name the suspected member
  * @param incarnation the incarnation under which it is suspected
@@ -16,16 +16,17 @@
   public SuspicionReport {
     if (name.isEmpty() || by.isEmpty() || incarnation < 0 || incarnation > Member.MAX_INCARNATION) {
       throw new IllegalArgumentException(
-          "a doubt names whom, of which incarnation, and who has it: "
+          "a suspicion report needs a member, an incarnation from 0 to 1e15 and a reporter: "
+              + "member "
               + name
-              + ", "
+              + ", incarnation "
               + incarnation
-              + ", "
+              + ", reporter "
               + by);
     }
   }
 
-  /** About the bytes that it takes in a message. */
+  /** The approximate size in a message, in bytes. */
   int bytes() {
     return name.length() + by.length() + FIXED_BYTES + Long.BYTES;
   }
--- a/src/main/java/dunlinhitch/cluster/SuspicionTable.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionTable.java
@@ -8,14 +8,15 @@
 import java.util.Set;
 
 /**
- * The members that this broker suspects, since when, and which brokers reported the same; and the
- * reports that are still to be disseminated. A suspicion times out later in a larger cluster, and
- * sooner with each independent report, after Lifeguard's logarithm.
+ * The members that this broker suspects, with the start of each suspicion and the brokers that
+ * reported it, and the reports that are still to be disseminated. As in Lifeguard, the timeout of a
+ * suspicion grows with the size of the cluster and decreases logarithmically with the number of
+ * independent reports.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}. Times are in microseconds.
  */
 final class SuspicionTable {
-  /** Reports after the first with which a suspicion has its shortest timeout. */
+  /** The number of reports after the first at which a suspicion has its shortest timeout. */
   private static final int MAX_CONFIRMATIONS = 3;
 
   private static final class Suspicion {
@@ -37,7 +38,10 @@
     this.settings = settings;
   }
 
-  /** Suspects a member under that incarnation; no effect where it already is. */
+  /**
+   * Begins the suspicion of a member with the given incarnation; has no effect if it is already
+   * suspected.
+   */
   void begin(String name, long incarnation, long nowUs) {
     Suspicion current = suspicions.get(name);
     if (current == null || current.incarnation != incarnation) {
@@ -46,7 +50,7 @@
     }
   }
 
-  /** Ends the suspicion of a member: it refuted it, or is dead, or has left. */
+  /** Ends the suspicion of a member that refuted it, died or left. */
   void end(String name) {
     Suspicion ended = suspicions.remove(name);
     if (ended == null) {
@@ -57,7 +61,7 @@
     }
   }
 
-  /** Adds a report; true where it is new and concerns a current suspicion. */
+  /** Adds a report; returns true if it is new and concerns a current suspicion. */
   boolean addReport(SuspicionReport report) {
     Suspicion suspicion = suspicions.get(report.name());
     if (suspicion == null
@@ -78,13 +82,13 @@
     return suspicion == null ? 0 : suspicion.accusers.size();
   }
 
-  /** When the suspected member is to be declared dead in a cluster of that size. */
+  /** When the suspected member is to be declared dead, given the size of the cluster. */
   long deadlineUs(String name, int members, LocalHealth localHealth) {
     Suspicion suspicion = suspicions.get(name);
     return suspicion.sinceUs + localHealth.scale(timeoutUs(suspicion.accusers.size(), members));
   }
 
-  /** How long a suspicion with so many accusers lasts in a cluster of that size. */
+  /** The timeout of a suspicion, given its number of accusers and the size of the cluster. */
   long timeoutUs(int accusers, int members) {
     if (settings.suspicionMultiplier() == 1) {
       return settings.suspicionTimeoutUs();
@@ -108,17 +112,17 @@
     return suspicions.keySet();
   }
 
-  /** Restarts all timeouts: this broker could not have received a refutation before. */
+  /** Restarts all timeouts, because this broker could not receive refutations until now. */
   void restartAll(long nowUs) {
     suspicions.values().forEach(suspicion -> suspicion.sinceUs = nowUs);
   }
 
   /**
-   * The reports for the next message, which count as transmitted with it.
+   * Returns the reports for the next message and counts them as transmitted.
    *
-   * @param limit reports at most
-   * @param maxBytes what they may come to
-   * @param transmissions messages after which a report is dropped from the queue
+   * @param limit the maximum number of reports
+   * @param maxBytes their maximum total size
+   * @param transmissions the number of messages after which a report is dropped from the queue
    */
   List<SuspicionReport> nextReports(int limit, int maxBytes, int transmissions) {
     List<SuspicionReport> chosen = new ArrayList<>();
--- a/src/main/java/dunlinhitch/cluster/UpdateQueue.java
+++ b/src/main/java/dunlinhitch/cluster/UpdateQueue.java
@@ -6,20 +6,20 @@
 import java.util.Map;
 
 /**
- * The updates that are still to be disseminated, with the number of messages that carried each: the
- * least transmitted go first, and one that was transmitted often enough is dropped.
+ * The updates that are still to be disseminated, each with the number of messages that carried it.
+ * The least transmitted go first, and an update that was transmitted often enough is dropped.
  *
  * <p>Not thread-safe.
  */
 final class UpdateQueue<T> {
   private final Map<T, Integer> transmissions = new LinkedHashMap<>();
 
-  /** Queues an update as not transmitted yet. */
+  /** Queues an update with a transmission count of 0. */
   void enqueue(T update) {
     transmissions.put(update, 0);
   }
 
-  /** Queues these updates in place of all others. */
+  /** Replaces all queued updates by these. */
   void replaceAll(Collection<T> updates) {
     transmissions.clear();
     updates.forEach(this::enqueue);
--- a/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
@@ -11,13 +11,13 @@
 import java.util.Set;
 
 /**
- * How large a datagram may be, and which addresses datagrams are exchanged with. Where the
- * addresses of all brokers are configured, other addresses are neither accepted nor sent to, and a
- * configured address takes precedence over the one in a message, as each broker may reach the
- * others under different addresses. Immutable.
+ * The maximum datagram size and the addresses with which datagrams are exchanged. If the addresses
+ * of all brokers are configured, datagrams from and to other addresses are dropped, and a
+ * configured address takes precedence over the one in a message, because each broker may reach the
+ * others at different addresses. Immutable.
  */
 public final class AddressBook {
-  /** A configured address; the name of the broker there may be empty. */
+  /** A configured address; the name of its broker may be empty. */
   public record BrokerAddress(String name, String host, int port) {}
 
   private final int maxDatagramBytes;
@@ -27,11 +27,11 @@
   /**
    * Creates an address book.
    *
-   * @param mostBytes the largest datagram that may be sent
-   * @param configured the addresses of all brokers; empty where any address is allowed
+   * @param maxDatagramBytes the maximum size of a sent datagram, in bytes
+   * @param configured the addresses of all brokers; empty if any address is allowed
    */
-  public AddressBook(int mostBytes, List<BrokerAddress> configured) {
-    this.maxDatagramBytes = mostBytes;
+  public AddressBook(int maxDatagramBytes, List<BrokerAddress> configured) {
+    this.maxDatagramBytes = maxDatagramBytes;
     for (BrokerAddress address : configured) {
       addresses.add(addressOnly(address.host(), address.port()));
       if (!address.name().isEmpty()) {
@@ -40,30 +40,33 @@
     }
   }
 
-  /** The largest datagram that may be sent, in bytes. */
+  /** The maximum size of a sent datagram, in bytes. */
   public int maxDatagramBytes() {
     return maxDatagramBytes;
   }
 
   /**
-   * True where the addresses are configured: then two brokers may rightly have different addresses
-   * for the same third one.
+   * Whether the addresses are configured. If so, two brokers may validly know a third one by
+   * different addresses.
    */
   public boolean isConfigured() {
     return !addresses.isEmpty();
   }
 
-  /** True where datagrams may be exchanged with that address. */
+  /** Whether datagrams may be exchanged with the given address. */
   boolean permits(String host, int port) {
     return addresses.isEmpty() || addresses.contains(addressOnly(host, port));
   }
 
   private static BrokerAddress addressOnly(String host, int port) {
-    InetAddress address = NetUtil.createInetAddressFromIpAddressString(host); // never asks DNS
+    InetAddress address = NetUtil.createInetAddressFromIpAddressString(host); // no DNS lookup
     return new BrokerAddress("", address == null ? host : address.getHostAddress(), port);
   }
 
-  /** The message with the addresses that are valid here; it was received from that address. */
+  /**
+   * Returns a message that was received from the given address, with the addresses that are valid
+   * at this broker.
+   */
   GossipMessage withLocalAddresses(GossipMessage message, String host, int port) {
     return addresses.isEmpty()
         ? message
--- a/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
@@ -11,8 +11,8 @@
 import java.util.List;
 
 /**
- * Writes one datagram in the {@link WireFormat}, the header first and then items. Whatever does not
- * fit, or could not be decoded, leaves the datagram as it was. Not thread-safe.
+ * Writes one datagram in the {@link WireFormat}: first the header, then items. A part that does not
+ * fit or that a decoder would reject leaves the datagram unchanged. Not thread-safe.
  */
 final class DatagramWriter {
   /** A part of the datagram that is written completely or not at all. */
@@ -20,7 +20,7 @@
     void write(CodedOutputStream out) throws IOException;
   }
 
-  /** Has no space for the checksum. */
+  /** The datagram without its checksum. */
   private final byte[] buffer;
 
   private final StringTable strings = new StringTable();
@@ -30,15 +30,15 @@
   /** The sender's incarnation, to which times in milliseconds are relative. */
   private long baseMs;
 
-  /** When the observation written last was made; the next one is relative to it. */
+  /** The time of the last written observation, to which the time of the next one is relative. */
   private long lastObservedUs;
 
-  /** Creates a writer of a datagram of at most so many bytes. */
+  /** Creates a writer of a datagram of at most {@code maxBytes} bytes, including the checksum. */
   DatagramWriter(int maxBytes) {
     buffer = new byte[Math.max(0, maxBytes - WireFormat.CHECKSUM_BYTES)];
   }
 
-  /** Writes the header; false where it does not fit, and then no items may be added. */
+  /** Writes the header; returns false if it does not fit, in which case no items may be added. */
   boolean writeHeader(GossipMessage message) {
     baseMs = message.from().incarnation();
     lastObservedUs = baseMs * WireFormat.US_PER_MS;
@@ -79,7 +79,7 @@
 
   private static void writeBuckets(CodedOutputStream out, List<Long> buckets) throws IOException {
     if (buckets.size() > WireFormat.MAX_BUCKETS) {
-      throw new IOException(buckets.size() + " buckets");
+      throw new IOException(buckets.size() + " buckets are more than the wire format allows");
     }
     if (!buckets.isEmpty()) {
       out.writeRawByte(buckets.size());
@@ -99,7 +99,7 @@
     out.writeSInt64NoTag(member.incarnation() - relativeToMs);
   }
 
-  /** Adds a member; false where it does not fit. */
+  /** Adds a member; returns false if it does not fit. */
   boolean addMember(Member member) {
     return append(
         out -> {
@@ -109,7 +109,7 @@
         });
   }
 
-  /** Adds a suspicion; false where it does not fit. */
+  /** Adds a suspicion; returns false if it does not fit. */
   boolean addSuspicion(SuspicionReport suspicion) {
     return append(
         out -> {
@@ -120,7 +120,7 @@
         });
   }
 
-  /** Adds an observation; false where it does not fit or its load report is invalid. */
+  /** Adds an observation; returns false if it does not fit or its load report is invalid. */
   boolean addObservation(EndpointObservation observation) {
     boolean added = append(out -> writeObservation(out, observation));
     if (added) {
@@ -134,7 +134,8 @@
     int values = observation.report().size();
     if (values > WireFormat.MAX_REPORT_VALUES
         || !observation.report().stream().allMatch(Float::isFinite)) {
-      throw new IOException("a load report of no use: " + observation.report());
+      throw new IOException(
+          "load report with too many values or one that is not finite: " + observation.report());
     }
     out.writeRawByte(WireFormat.OBSERVATION_ITEM | (values << WireFormat.ITEM_TYPE_BITS));
     strings.write(out, observation.endpoint());
@@ -161,13 +162,13 @@
         return true;
       }
     } catch (IOException e) {
-      // it does not fit, or no decoder would accept it; the sender counts what is omitted
+      // it does not fit, or no decoder would accept it; the sender counts omitted items
     }
     strings.truncate(stringsBefore);
     return false;
   }
 
-  /** True where the datagram has more than its header. */
+  /** Whether the datagram contains any items. */
   boolean hasItems() {
     return length != headerLength;
   }
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
@@ -12,11 +12,11 @@
 import java.util.List;
 
 /**
- * Decodes one datagram of the {@link WireFormat}. Decoding costs no more than the received bytes
- * are worth, whatever they are. Each instance decodes one datagram; pure.
+ * Decodes one datagram of the {@link WireFormat}. The cost of decoding is bounded by the length of
+ * the datagram, whatever its content. Each instance decodes one datagram. Pure.
  */
 final class GossipDecoder {
-  /** The version, the kind and the checksum. */
+  /** The size of the version, the kind and the checksum. */
   private static final int MIN_BYTES = 2 + WireFormat.CHECKSUM_BYTES;
 
   private static final int BYTE_MASK = 0xff;
@@ -30,7 +30,7 @@
   /** The sender's incarnation, to which times in milliseconds are relative. */
   private long baseMs;
 
-  /** When the observation read last was made; the next one is relative to it. */
+  /** The time of the last read observation, to which the time of the next one is relative. */
   private long lastObservedUs;
 
   private GossipDecoder(CodedInputStream in) {
@@ -45,14 +45,13 @@
         || WireFormat.readChecksum(datagram)
             != WireFormat.computeChecksum(datagram, checkedLength)) {
       throw new MalformedMessageException(
-          Reason.CORRUPT, datagram.length + " bytes that do not add up to their sum");
+          Reason.CORRUPT, datagram.length + " bytes without a valid checksum");
     }
     try {
       CodedInputStream body = CodedInputStream.newInstance(datagram, 1, checkedLength - 1);
       return new GossipDecoder(body).readMessage();
     } catch (IOException | IllegalArgumentException e) {
-      throw new MalformedMessageException(
-          Reason.INVALID, "it says what can not be: " + e.getMessage());
+      throw new MalformedMessageException(Reason.INVALID, "invalid message: " + e.getMessage());
     }
   }
 
@@ -64,14 +63,18 @@
         || (version >= WireFormat.FIRST_BINARY_VERSION && version < WireFormat.VERSION)) {
       throw new MalformedMessageException(
           Reason.OLDER_VERSION,
-          "a word of version " + (version == WireFormat.JSON_START ? 1 : version));
+          "gossip message of version " + (version == WireFormat.JSON_START ? 1 : version));
     }
     if (version > WireFormat.VERSION && version <= WireFormat.MAX_VERSION) {
       throw new MalformedMessageException(
           Reason.NEWER_VERSION,
-          "a word of version " + version + ", and " + WireFormat.VERSION + " is spoken here");
+          "gossip message of version "
+              + version
+              + ", but only version "
+              + WireFormat.VERSION
+              + " is supported");
     }
-    throw new MalformedMessageException(Reason.INVALID, "it begins with " + version);
+    throw new MalformedMessageException(Reason.INVALID, "unknown version byte: " + version);
   }
 
   private GossipMessage readMessage() throws IOException {
@@ -79,7 +82,7 @@
     Member from = readMember(in.readRawByte());
     baseMs = from.incarnation();
     lastObservedUs = baseMs * WireFormat.US_PER_MS;
-    long number = in.readUInt64();
+    long sequenceNumber = in.readUInt64();
     String subject = has(kindAndFlags, WireFormat.HAS_SUBJECT) ? strings.read(in) : "";
     VersionVector versions = has(kindAndFlags, WireFormat.HAS_VERSIONS) ? readVersions() : null;
     long digest = has(kindAndFlags, WireFormat.HAS_DIGEST) ? in.readFixed64() : 0;
@@ -90,7 +93,7 @@
     return new GossipMessage(
         WireFormat.kind(kindAndFlags & WireFormat.KIND_MASK),
         from,
-        number,
+        sequenceNumber,
         subject,
         versions,
         members,
@@ -111,11 +114,13 @@
       case WireFormat.MEMBER_ITEM -> members.add(readMember(detail));
       case WireFormat.OBSERVATION_ITEM -> observations.add(readObservation(detail));
       case WireFormat.SUSPICION_ITEM -> suspicions.add(readSuspicion(detail));
-      default -> throw new IOException("an item of kind " + first);
+      default -> throw new IOException("unknown item type in byte " + first);
     }
   }
 
-  /** Reads a member; the sender itself is read while {@link #baseMs} is still 0. */
+  /**
+   * Reads a member. The sender itself is read before {@link #baseMs} is set, while it is still 0.
+   */
   private Member readMember(int status) throws IOException {
     String name = strings.read(in);
     String zone = strings.read(in);
@@ -135,7 +140,7 @@
   private List<Long> readBuckets() throws IOException {
     int count = in.readRawByte();
     if (count < 1 || count > WireFormat.MAX_BUCKETS) {
-      throw new IOException(count + " buckets");
+      throw new IOException(count + " buckets, outside of the permitted range");
     }
     List<Long> buckets = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -146,7 +151,7 @@
 
   private SuspicionReport readSuspicion(int unusedBits) throws IOException {
     if (unusedBits != 0) {
-      throw new IOException("a doubt with bits that mean nothing");
+      throw new IOException("suspicion item with unused bits set");
     }
     String name = strings.read(in);
     String by = strings.read(in);
@@ -154,17 +159,17 @@
   }
 
   private EndpointObservation readObservation(int reportValues) throws IOException {
-    String store = strings.read(in);
-    String author = strings.read(in);
+    String endpoint = strings.read(in);
+    String observer = strings.read(in);
     long encodedStart = in.readUInt64();
-    long number = in.readUInt64();
+    long sequenceNumber = in.readUInt64();
     long observedUs = lastObservedUs + in.readSInt64();
     List<Float> report = readReport(reportValues);
     long startedMs =
         encodedStart == 0 ? 0 : baseMs + CodedInputStream.decodeZigZag64(encodedStart - 1);
     EndpointObservation observation =
         new EndpointObservation(
-            store, startedMs, author, number, observedUs, report, in.readUInt32());
+            endpoint, startedMs, observer, sequenceNumber, observedUs, report, in.readUInt32());
     lastObservedUs = observedUs;
     return observation;
   }
@@ -174,7 +179,7 @@
     for (int i = 0; i < count; i++) {
       float value = in.readFloat();
       if (!Float.isFinite(value)) {
-        throw new IOException("a load report holds " + value);
+        throw new IOException("load report with a value that is not finite: " + value);
       }
       report.add(value);
     }
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
@@ -8,32 +8,33 @@
 import java.util.List;
 
 /**
- * Encodes gossip messages as datagrams. A message that does not fit in one goes as several, each a
- * valid message by itself. Pure.
+ * Encodes gossip messages as datagrams. A message that does not fit in one datagram is split into
+ * several, each a valid message by itself. Pure.
  */
 final class GossipEncoder {
   /**
    * An encoded message.
    *
-   * @param all its datagrams; none where not even the header fits
-   * @param omittedItems how many items did not fit
+   * @param all its datagrams; empty if the header does not fit
+   * @param omittedItems the number of items that did not fit
    */
   record Datagrams(List<byte[]> all, int omittedItems) {}
 
   /** One item of a message. */
   private interface Item {
-    /** False where the item does not fit. */
+    /** Adds the item to a datagram; returns false if it does not fit. */
     boolean addTo(DatagramWriter writer);
   }
 
   private GossipEncoder() {}
 
   /**
-   * Encodes a message. The first datagram has its kind, the others are GOSSIP. Each carries the
-   * digest, as any of them may be the one that arrives. Buckets go in the first, which carries
-   * their number; where they leave no space for the versions, these wait for the next message.
+   * Encodes a message. The first datagram has the kind of the message, the others are of kind
+   * GOSSIP. Each carries the digest, because any of them may be lost. The first contains the
+   * buckets, because it carries the sequence number that belongs to them. If they leave no space
+   * for the versions, these are left to the next message.
    *
-   * @param maxBytes of each datagram
+   * @param maxBytes the maximum size of each datagram
    */
   static Datagrams encode(GossipMessage message, int maxBytes, int maxDatagrams) {
     List<byte[]> datagrams = new ArrayList<>();
@@ -71,7 +72,7 @@
         + message.suspicionReports().size();
   }
 
-  /** The header of every datagram but the first. */
+  /** The header of every datagram except the first. */
   private static GossipMessage continuationOf(GossipMessage message) {
     return new GossipMessage(
         GossipMessage.Kind.GOSSIP,
@@ -101,9 +102,9 @@
   }
 
   /**
-   * The items in the order of their urgency: members that are not taken for alive, for they must be
-   * able to refute that; then the suspicions; then observations and members in turn, so that a
-   * flood of the ones does not displace the others.
+   * The items in the order of their urgency: first the members that are not alive, which must be
+   * able to refute that; then the suspicions; then observations and alive members alternately, so
+   * that many items of one type do not displace those of the other.
    */
   private static List<Item> items(GossipMessage message) {
     List<Item> items = new ArrayList<>();
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
@@ -15,42 +15,42 @@
 import java.util.function.Consumer;
 
 /**
- * Sends and receives gossip messages over UDP. A datagram that cannot be decoded is counted by its
- * reason and dropped; duplicates are dropped too, as to reply to them would cost twice. Used on the
+ * Sends and receives gossip messages over UDP. A datagram that cannot be decoded is counted by
+ * reason and dropped. Duplicates are dropped too, to avoid replying to them twice. Used on the
  * event loop only.
  */
 public final class GossipSocket {
-  /** The largest datagram where none is configured: no common link fragments it. */
+  /** The default maximum size of a datagram, which no common link fragments. */
   public static final int DEFAULT_MAX_BYTES = 1_200;
 
   /**
-   * Datagrams of one message. Updates that do not fit are disseminated with a later message, or by
-   * another broker.
+   * The maximum number of datagrams of one message. Updates that do not fit are disseminated with a
+   * later message or by another broker.
    */
   static final int MAX_DATAGRAMS = 3;
 
-  /** The socket buffer, for bursts that arrive while the event loop is busy. */
+  /** The size of the receive buffer, for bursts that arrive while the event loop is busy. */
   private static final int RECEIVE_BUFFER_BYTES = 65_536;
 
   /**
-   * Checksums that are remembered: some 10 s of messages in a cluster of 100 brokers. A network
-   * that duplicates datagrams does so within moments.
+   * The number of remembered checksums, which covers about 10 s of messages in a cluster of 100
+   * brokers. A duplicate made by the network arrives much sooner.
    */
   private static final int REMEMBERED_CHECKSUMS = 128;
 
-  /** No checksum, as these are unsigned here. */
+  /** Marks an empty slot; checksums are stored as unsigned numbers, so none is negative. */
   private static final long NONE = -1;
 
   private final DatagramSocket socket;
   private final AddressBook addresses;
   private final Consumer<Event> events;
 
-  /** The checksums of the datagrams received last, as unsigned numbers; a ring buffer. */
+  /** The checksums of the last received datagrams, as unsigned numbers; a ring buffer. */
   private final long[] recentChecksums = new long[REMEMBERED_CHECKSUMS];
 
   private int nextSlot;
 
-  /** Creates a socket that neither receives nor sends until {@link #listen}. */
+  /** Creates a socket, which neither receives nor sends before {@link #listen}. */
   public GossipSocket(Vertx vertx, AddressBook addresses, Consumer<Event> events) {
     this.addresses = addresses;
     this.events = events;
@@ -62,7 +62,7 @@
     socket.exceptionHandler(error -> count(Counter.GOSSIP_UNREADABLE));
   }
 
-  /** Binds the socket; the result is the port. */
+  /** Binds the socket; the result is the bound port. */
   public Future<Integer> listen(String host, int port) {
     return socket.listen(port, host).map(bound -> bound.localAddress().port());
   }
@@ -90,7 +90,7 @@
     }
   }
 
-  /** False where the datagram is a duplicate. */
+  /** Remembers the datagram; returns false if it is a duplicate. */
   private boolean rememberNew(byte[] datagram) {
     long checksum = Integer.toUnsignedLong(WireFormat.readChecksum(datagram));
     if (Arrays.stream(recentChecksums).anyMatch(recent -> recent == checksum)) {
@@ -105,7 +105,7 @@
     events.accept(new Event.ConditionCounted(counter));
   }
 
-  /** Sends a message. A lost one is not sent again: later ones repeat its updates. */
+  /** Sends a message. A lost message is not sent again, because later ones repeat its updates. */
   public void send(Effect.SendGossip effect) {
     GossipEncoder.Datagrams datagrams =
         GossipEncoder.encode(effect.message(), addresses.maxDatagramBytes(), MAX_DATAGRAMS);
@@ -119,8 +119,8 @@
   }
 
   /**
-   * Sends one datagram, unless it is too large, which some platforms treat as a fatal violation, or
-   * its address is not permitted.
+   * Sends one datagram, unless its address is not permitted or it is too large. Some platforms
+   * treat an oversized datagram as a fatal violation.
    */
   void send(byte[] bytes, String host, int port) {
     if (bytes.length > addresses.maxDatagramBytes() || !addresses.permits(host, port)) {
--- a/src/main/java/dunlinhitch/cluster/gossip/MalformedMessageException.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/MalformedMessageException.java
@@ -3,13 +3,13 @@
 import dunlinhitch.core.Counter;
 
 /**
- * A datagram that is no gossip message of this version. Nothing of it is used; the next messages
- * disseminate the same updates again.
+ * Thrown for a datagram that is not a valid gossip message of this version. The whole datagram is
+ * dropped; later messages disseminate the same updates again.
  */
 final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Why a datagram was dropped, as operators see it in the counters. */
+  /** Why a datagram was dropped; each reason is shown to operators by a counter. */
   enum Reason {
     /** Truncated or changed in transit. */
     CORRUPT(Counter.GOSSIP_TRUNCATED),
@@ -17,7 +17,7 @@
     NEWER_VERSION(Counter.GOSSIP_OTHER_VERSION),
     /** Of an older version: its sender is upgraded after this broker. */
     OLDER_VERSION(Counter.GOSSIP_UNREADABLE),
-    /** No gossip message at all, or one with an invalid field. */
+    /** Not a gossip message, or one with an invalid field. */
     INVALID(Counter.GOSSIP_UNREADABLE);
 
     private final Counter counter;
--- a/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
@@ -11,9 +11,9 @@
 import java.util.regex.Pattern;
 
 /**
- * The strings of one datagram. A repeated one is encoded as a reference, mostly of one byte; an
- * IPv4 address and a hexadecimal digest as the bytes that they stand for. Each datagram has a table
- * of its own, as it must be decodable alone. Not thread-safe.
+ * The strings of one datagram. A repeated string is encoded as a reference, usually of one byte;
+ * IPv4 addresses and hexadecimal digests are encoded as their binary values. Each datagram has its
+ * own table, because it must be decodable by itself. Not thread-safe.
  */
 final class StringTable {
   /** UTF-8 with a length. */
@@ -41,7 +41,7 @@
     strings.subList(size, strings.size()).clear();
   }
 
-  /** Writes a string; throws where no decoder would accept it, or it does not fit. */
+  /** Writes a string; throws if no decoder would accept it or it does not fit. */
   void write(CodedOutputStream out, String text) throws IOException {
     int index = strings.indexOf(text);
     if (index >= 0) {
@@ -50,7 +50,7 @@
     }
     byte[] plain = text.getBytes(StandardCharsets.UTF_8);
     if (plain.length > MAX_BYTES) {
-      throw new IOException("a text of " + plain.length + " bytes");
+      throw new IOException("string of " + plain.length + " bytes exceeds the maximum length");
     }
     if (isIpv4(text)) {
       out.writeUInt32NoTag(IPV4);
@@ -65,7 +65,9 @@
     strings.add(text);
   }
 
-  /** True where the decoded address is the same text; for 127.1 and 010.0.0.1 it is not. */
+  /**
+   * Whether the text is an IPv4 address that decodes to the same text, unlike 127.1 and 010.0.0.1.
+   */
   private static boolean isIpv4(String text) {
     return NetUtil.isValidIpV4Address(text)
         && NetUtil.bytesToIpAddress(NetUtil.createByteArrayFromIpAddressString(text)).equals(text);
@@ -82,10 +84,13 @@
           case PLAIN -> in.readStringRequireUtf8();
           case IPV4 -> NetUtil.bytesToIpAddress(in.readRawBytes(IPV4_BYTES));
           case HEX -> HexFormat.of().formatHex(in.readByteArray());
-          default -> throw new IOException("text " + form + " of " + strings.size());
+          default ->
+              throw new IOException(
+                  "unknown string form " + form + " with a string table of size " + strings.size());
         };
     if (text.length() > MAX_BYTES) {
-      throw new IOException("a text of " + text.length() + " letters");
+      throw new IOException(
+          "string of " + text.length() + " characters exceeds the maximum length");
     }
     strings.add(text);
     return text;
--- a/src/main/java/dunlinhitch/cluster/gossip/WireFormat.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/WireFormat.java
@@ -6,10 +6,10 @@
 import java.util.zip.CRC32C;
 
 /**
- * The encoding of gossip datagrams: protobuf's varints without its tags. A datagram is the version,
- * the kind with flags, the sender, optional fields as the flags state, then items one after the
- * other (a member, an endpoint observation or a suspicion), and a checksum. Times are differences
- * from the sender's incarnation, which is a time too.
+ * The encoding of gossip datagrams: protobuf's varints without its tags. A datagram consists of the
+ * version, the kind with flags, the sender, the optional fields that the flags indicate, a sequence
+ * of items (members, endpoint observations and suspicions), and a checksum. Times are encoded as
+ * differences from the sender's incarnation, which is a time itself.
  *
  * <p>All fields are positional, so every change of the encoding needs a new {@link #VERSION}.
  */
@@ -22,7 +22,7 @@
   /** The first version with a binary encoding. */
   static final int FIRST_BINARY_VERSION = 2;
 
-  /** The highest future version; a larger first byte belongs to no gossip message. */
+  /** The highest possible version; a datagram with a larger first byte is not a gossip message. */
   static final int MAX_VERSION = 31;
 
   /** Bytes of the CRC-32C at the end, most significant first. */
@@ -36,12 +36,14 @@
   static final int HAS_DIGEST = 0x40;
   static final int HAS_BUCKETS = 0x80;
 
-  /** More than any version uses; their count fits in one byte. */
+  /**
+   * The maximum number of buckets: more than any version uses, with a count that fits in one byte.
+   */
   static final int MAX_BUCKETS = 64;
 
   /**
-   * The low bits of an item's first byte, which hold its type. The other bits hold a member's
-   * status or the number of values in an observation's load report.
+   * The number of low bits in the first byte of an item that hold its type. The other bits hold the
+   * status of a member or the number of values in the load report of an observation.
    */
   static final int ITEM_TYPE_BITS = 2;
 
@@ -50,7 +52,7 @@
   static final int OBSERVATION_ITEM = 2;
   static final int SUSPICION_ITEM = 3;
 
-  /** Values that the load report of an observation may have. */
+  /** The maximum number of values in the load report of an observation. */
   static final int MAX_REPORT_VALUES = 63;
 
   static final long US_PER_MS = 1000;
@@ -97,19 +99,19 @@
     };
   }
 
-  /** The kind of that code. */
+  /** The kind with the given code. */
   static GossipMessage.Kind kind(int code) throws IOException {
     return byCode(KINDS, code);
   }
 
-  /** The status of that code. */
+  /** The status with the given code. */
   static Member.Status status(int code) throws IOException {
     return byCode(STATUSES, code);
   }
 
   private static <T> T byCode(T[] values, int code) throws IOException {
     if (code < 0 || code >= values.length) {
-      throw new IOException("number " + code + " of " + values.length);
+      throw new IOException("unknown code " + code + ", expected less than " + values.length);
     }
     return values[code];
   }
@@ -121,7 +123,7 @@
     return (int) checksum.getValue();
   }
 
-  /** Writes the checksum of all that is ahead of it into the last bytes. */
+  /** Computes the checksum of a datagram and writes it into the last bytes. */
   static void writeChecksum(byte[] datagram) {
     int start = datagram.length - CHECKSUM_BYTES;
     int checksum = computeChecksum(datagram, start);
@@ -130,7 +132,9 @@
     }
   }
 
-  /** The checksum that a datagram carries; two with the same one are taken for duplicates. */
+  /**
+   * The checksum that a datagram carries; datagrams with equal checksums are treated as duplicates.
+   */
   static int readChecksum(byte[] datagram) {
     int checksum = 0;
     for (int i = datagram.length - CHECKSUM_BYTES; i < datagram.length; i++) {
--- a/src/main/java/dunlinhitch/cluster/package-info.java
+++ b/src/main/java/dunlinhitch/cluster/package-info.java
@@ -1,11 +1,11 @@
 /**
- * Brokers among themselves: the membership protocol, the assignment of endpoints and duties to
+ * Coordination among brokers: the membership protocol, the assignment of endpoints and duties to
  * brokers, and the replicated map in which they share state. Entry points: {@link
  * dunlinhitch.cluster.ClusterCoordinator}, {@link dunlinhitch.cluster.MembershipProtocol} and
  * {@link dunlinhitch.cluster.ReplicatedMap}.
  *
  * <p>Pure code: events and times go in, messages and decisions come out. This package does no I/O,
- * reads no clock, starts no threads, and uses no other package of the project than {@link
+ * reads no clock, starts no threads, and uses no other package of the project except {@link
  * dunlinhitch.cluster.versions}; messages are encoded and sent in {@code cluster.gossip}.
  */
 package dunlinhitch.cluster;
--- a/src/main/java/dunlinhitch/cluster/versions/SkewVerdict.java
+++ b/src/main/java/dunlinhitch/cluster/versions/SkewVerdict.java
@@ -1,19 +1,21 @@
 package dunlinhitch.cluster.versions;
 
 /**
- * What the {@link VersionSkewDetector} decided of a broker.
+ * A decision of the {@link VersionSkewDetector} about a broker.
  *
  * @param broker the broker
  * @param kind which of its versions is outdated
- * @param step what follows
+ * @param step the step to take
  * @param has the version that it acts on
- * @param newest the newest version that is known here
- * @param behindUs how long it has been outdated since the newer version became known here, in
- *     microseconds
+ * @param newest the newest version that this broker knows
+ * @param behindUs the time since this broker learned of the newer version, in microseconds
  */
 public record SkewVerdict(
     String broker, Kind kind, Step step, String has, String newest, long behindUs) {
-  /** What can be outdated. A build cannot: a cluster runs two of them during an upgrade. */
+  /**
+   * The kinds of versions that can be outdated. Builds are not included, because a cluster runs two
+   * of them during an upgrade.
+   */
   public enum Kind {
     /** The settings. */
     SETTINGS,
@@ -21,13 +23,13 @@
     ROSTER
   }
 
-  /** What follows from a version skew; the names are part of log lines and tests. */
+  /** A step in handling a version skew; the names are part of log lines and tests. */
   public enum Step {
     /** The broker is outdated. */
     SEEN,
-    /** This broker itself is outdated and is to refresh from its source. */
+    /** This broker itself is outdated and has to refresh from its source. */
     BRING_UP,
-    /** The broker is fenced; where it is this one, it admits no new work. */
+    /** The broker is fenced; if it is this one, it admits no new work. */
     SHUT_OUT,
     /** A fenced broker has caught up. */
     LET_IN,
--- a/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
@@ -9,21 +9,21 @@
 import java.util.TreeSet;
 
 /**
- * Detects which brokers act on older versions than others, since when, and what follows from it:
- * the versions that brokers announce go in, verdicts come out.
+ * Detects brokers that act on older versions than others, and decides when they are reported,
+ * refreshed and fenced. Its input is the versions that brokers announce, its output verdicts.
  *
- * <p>Bounds: a broker is reported as outdated {@code boundUs} after this one knows both the newer
- * version and the one that the outdated broker acts on; it is fenced {@code shutUs} after more than
- * half of the brokers were known to act on the newer one. So nobody is fenced while a change is
- * rolled out to one broker after the other, and a single faulty broker fences nobody. A broker that
- * is itself outdated knows it as soon as any other announces the newer version, and goes by the
- * same times.
+ * <p>Bounds: a broker is reported as outdated {@code boundUs} after this broker has learned both
+ * the newer version and the version of the outdated broker. It is fenced {@code shutUs} after more
+ * than half of the brokers were known to act on the newer version. Therefore no broker is fenced
+ * while a change is rolled out to one broker after the other, and a single faulty broker cannot
+ * cause others to be fenced. An outdated broker detects this itself as soon as any other broker
+ * announces the newer version, and applies the same times to itself.
  *
- * <p>Pure: no clock, I/O or threads. Not thread-safe; the reducer owns it. Times are microseconds
+ * <p>Pure: no clock, I/O or threads. Not thread-safe; owned by the reducer. Times are microseconds
  * of a monotonic clock.
  */
 public final class VersionSkewDetector {
-  /** What is known of one outdated broker in one kind of version. */
+  /** The state of one outdated broker for one kind of version. */
   private static final class Skew {
     private static final long NO_MAJORITY = -1;
 
@@ -63,7 +63,9 @@
   private final Map<String, Map<SkewVerdict.Kind, Skew>> skewsByBroker = new LinkedHashMap<>();
   private final List<SkewVerdict> pendingVerdicts = new ArrayList<>();
 
-  /** {@code self}: this broker's name; {@code own}: the versions that it acts on. */
+  /**
+   * Creates a detector; {@code self} is this broker's name, {@code own} the versions it acts on.
+   */
   public VersionSkewDetector(VersionSkewSettings settings, String self, VersionVector own) {
     this.settings = settings;
     this.self = self;
@@ -71,8 +73,8 @@
   }
 
   /**
-   * A broker, this one or another, announces the versions that it acts on. An announcement that was
-   * overtaken by a newer one is ignored.
+   * Handles the announcement of the versions that a broker, possibly this one, acts on. An
+   * announcement that arrives after a newer one is ignored.
    */
   public void onVersions(long nowUs, String broker, VersionVector versions) {
     VersionVector before = versionsByBroker.get(broker);
@@ -90,7 +92,9 @@
         && received.settingsMs() <= before.settingsMs();
   }
 
-  /** Another broker takes part no more: its versions do not count any longer. */
+  /**
+   * Removes another broker that no longer takes part, so that its versions do not count any more.
+   */
   public void onMemberLeft(long nowUs, String broker) {
     if (!broker.equals(self) && versionsByBroker.remove(broker) != null) {
       skewsByBroker.remove(broker);
@@ -106,7 +110,7 @@
     return verdicts;
   }
 
-  /** When {@link #verdicts} is to be called next, at the latest. */
+  /** When {@link #verdicts} has to be called next, at the latest. */
   public long nextUs() {
     long next = pendingVerdicts.isEmpty() ? Long.MAX_VALUE : 0;
     for (Map.Entry<String, Map<SkewVerdict.Kind, Skew>> entry : skewsByBroker.entrySet()) {
@@ -129,7 +133,7 @@
     return own ? Math.min(next, skew.lastRefreshUs + settings.againUs()) : next;
   }
 
-  /** The brokers that are fenced, this one included where it is. */
+  /** The fenced brokers, possibly including this one. */
   public Set<String> fenced() {
     Set<String> fenced = new TreeSet<>();
     skewsByBroker.forEach(
@@ -141,14 +145,14 @@
     return fenced;
   }
 
-  /** The versions that each broker acts on, as far as they are known here. */
+  /** The versions that each broker acts on, as far as this broker knows them. */
   public Map<String, VersionVector> versionsByBroker() {
     return Map.copyOf(versionsByBroker);
   }
 
   /**
-   * The newest settings that any broker acts on. Of two that were written at the same time the one
-   * with the higher digest counts, so that all brokers choose the same.
+   * The newest settings that any broker acts on. If two were written at the same time, the one with
+   * the higher digest counts as newer, so that all brokers choose the same.
    */
   private VersionVector newestSettings() {
     VersionVector newest = versionsByBroker.get(self);
@@ -192,7 +196,7 @@
     return newest;
   }
 
-  /** Generations of endpoint lists compare only among brokers with the same settings. */
+  /** Generations of endpoint lists are comparable only among brokers with the same settings. */
   private Comparison compareGeneration(VersionVector versions, long newestGeneration) {
     long newer =
         versionsByBroker.values().stream()
--- a/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
@@ -5,10 +5,10 @@
  *
  * @param build the version of the program
  * @param settings a digest of the parsed settings, see {@link SettingsDigest}
- * @param settingsMs when the settings file was written, Unix time in milliseconds; orders two
- *     digests
+ * @param settingsMs when the settings file was written, Unix time in milliseconds; the later of two
+ *     digests is the newer
  * @param endpointListGeneration the generation of the endpoint list, 0 before the first; comparable
- *     only among brokers with the same settings, for those name the same discovery
+ *     only among brokers with the same settings, because these name the same discovery service
  */
 public record VersionVector(
     String build, String settings, long settingsMs, long endpointListGeneration) {
@@ -16,23 +16,26 @@
   public VersionVector {
     if (build.isEmpty() || settings.isEmpty() || settingsMs < 0 || endpointListGeneration < 0) {
       throw new IllegalArgumentException(
-          "versions name a build and settings and count from 0: "
+          "build and settings must not be empty and numbers not negative: build "
               + build
-              + ", "
+              + ", settings "
               + settings
-              + ", "
+              + ", settings time "
               + settingsMs
-              + ", "
+              + ", endpoint list generation "
               + endpointListGeneration);
     }
   }
 
-  /** The same with another generation of the endpoint list. */
+  /** Returns a copy with the given generation of the endpoint list. */
   public VersionVector withEndpointListGeneration(long generation) {
     return new VersionVector(build, settings, settingsMs, generation);
   }
 
-  /** The same build with other settings and, for their discovery may be another, no list yet. */
+  /**
+   * Returns a copy with the given settings and no endpoint list, because these settings may name
+   * another discovery service.
+   */
   public VersionVector withSettings(String digest, long writtenMs) {
     return new VersionVector(build, digest, writtenMs, 0);
   }
--- a/src/test/java/dunlinhitch/cluster/AntiEntropyDigestTest.java
+++ b/src/test/java/dunlinhitch/cluster/AntiEntropyDigestTest.java
@@ -6,7 +6,7 @@
 
 /** Tests of {@link AntiEntropyDigest}. */
 class AntiEntropyDigestTest {
-  /** Brokers that know different addresses of a member agree where addresses are left out. */
+  /** Brokers that know different addresses of a member agree if the digest leaves addresses out. */
   @Test
   void addressesAreLeftOutOfTheDigestWhereConfigured() {
     for (boolean addresses : new boolean[] {true, false}) {
--- a/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
+++ b/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
@@ -11,7 +11,7 @@
 import java.util.TreeSet;
 import org.junit.jupiter.api.Test;
 
-/** Clusters of brokers on virtual time, with injected network faults. */
+/** Tests {@link ClusterCoordinator} in simulated clusters on virtual time, with network faults. */
 class ClusterCoordinatorTest {
   private static final long SECOND_US = 1_000_000;
 
@@ -33,24 +33,24 @@
     assertTrue(ClusterSimulation.unevenness(world.load()) <= 1.2, world.load().toString());
   }
 
-  /** A killed member is removed within the stated bound, one that leaves at once. */
+  /** A killed member is removed within the documented bound, a leaving one at once. */
   @Test
   void deadAndLeavingMembersAreRemovedWithinTheBound() {
     ClusterSimulation world = world(8, 0);
     world.playTo(4 * SECOND_US);
     world.kill(3);
     world.playTo(4 * SECOND_US + 2 * 8 * 200_000 + 160_000 + SECOND_US + 4 * 200_000);
-    assertTrue(world.agree(0), "a dead one is still held");
+    assertTrue(world.agree(0), "a dead member is still listed");
     world.leave(4);
     world.playTo(world.nowUs() + 10_000);
-    assertTrue(world.agree(0), "one that left is still held");
+    assertTrue(world.agree(0), "a member that left is still listed");
     world.start(3);
     world.playTo(world.nowUs() + 3 * SECOND_US);
-    assertTrue(world.agree(0), "it came back with nothing known");
+    assertTrue(world.agree(0), "the restarted broker must agree with the others");
     assertEquals(7, world.nodes().get(0).fleet().members().size());
   }
 
-  /** A suspect member learns of the suspicion and refutes it. */
+  /** Suspected members are notified and refute the suspicion. */
   @Test
   void tenPercentMessageLossDeclaresNobodyDead() {
     ClusterSimulation world = world(8, 0.1);
@@ -62,7 +62,7 @@
         before, world.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum());
   }
 
-  /** Both sides agree again after the partition. */
+  /** Both sides of the partition agree again after it has healed. */
   @Test
   void isolatedBrokerRetainsItsSubsetAndRejoins() {
     ClusterSimulation world = world(8, 0);
@@ -80,7 +80,7 @@
     assertEquals(
         otherSubset,
         world.nodes().get(5).fleet().selectedEndpoints(),
-        "the subsets are what they were");
+        "the subset must be the same as before the partition");
   }
 
   /** All brokers are isolated from each other. */
@@ -100,7 +100,7 @@
     assertFalse(world.probes().isEmpty());
   }
 
-  /** The leader of the epoch is dead and not known to be; the next in the order takes over. */
+  /** The leader of the epoch has died undetected, so the next broker in the order takes over. */
   @Test
   void unresponsiveLeaderIsReplacedAndTheReportReachesAll() {
     ClusterSimulation world = world(8, 0);
@@ -111,7 +111,7 @@
       world.playTo(world.nowUs() + SECOND_US / 10);
     }
     long seconds = world.probes().stream().map(p -> p.atUs() / (2 * SECOND_US)).distinct().count();
-    assertTrue(seconds >= 7, "turns of 2 s in 16 s that were taken: " + seconds);
+    assertTrue(seconds >= 7, "epochs of 2 s with a health check, in 16 s: " + seconds);
     assertTrue(world.mostProbesInASecond(4 * SECOND_US) <= 2, world.probes().toString());
     world.nodes().stream()
         .filter(ClusterSimulation.Node::isUp)
@@ -121,7 +121,7 @@
                     n.reportedHealthChecks() >= 10, n.name + " " + n.reportedHealthChecks()));
   }
 
-  /** Failures that one broker observes count for itself, those that two observe for all. */
+  /** Failures that only one broker observes count for itself; those that two observe, for all. */
   @Test
   void failingEndpointIsSubstitutedUntilItRecovers() {
     ClusterSimulation world = world(8, 0);
@@ -131,7 +131,7 @@
         world.nodes().stream()
             .filter(n -> n.fleet().selectedEndpoints().contains(failing))
             .toList();
-    assertTrue(users.size() >= 4, users.size() + " keep to it");
+    assertTrue(users.size() >= 4, users.size() + " brokers use the endpoint");
     ClusterSimulation.Node firstUser = users.get(0);
     for (int i = 0; i < 3; i++) {
       firstUser.onAttempt(failing, false);
@@ -139,7 +139,9 @@
     assertEquals(endpointsOfCell("s0-"), subsetOfCell(firstUser, "s0-"));
     world.playTo(6 * SECOND_US);
     assertEquals(
-        2, subsetOfCell(users.get(2), "s0-").size(), "one broker's word alone may be its own link");
+        2,
+        subsetOfCell(users.get(2), "s0-").size(),
+        "a failure that one broker observes may be that of its own connection");
     for (int i = 0; i < 3; i++) {
       users.get(1).onAttempt(failing, false);
     }
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The failure scenarios of docs/view.md on virtual time, each with several seeds. */
+/** Simulates the failure scenarios of docs/view.md on virtual time, each with several seeds. */
 class MembershipProtocolTest {
   private static final long SECOND_US = 1_000_000;
   private static final MembershipProtocolSettings SETTINGS = MembershipProtocolSettings.STANDARD;
@@ -29,14 +29,14 @@
     return world;
   }
 
-  /** All members agree within the bound, and know it some protocol periods later. */
+  /** Asserts that all members agree within the bound and detect their agreement within 5 s more. */
   private static void assertConverges(MembershipSimulation world, long boundUs) {
     long durationUs = world.untilAgree(boundUs);
     assertTrue(
-        durationUs >= 0, () -> "no one view within " + boundUs + " us: " + memberLists(world));
+        durationUs >= 0, () -> "no agreement within " + boundUs + " us: " + memberLists(world));
     assertTrue(
         world.untilSettled(boundUs + 5 * SECOND_US) >= 0,
-        () -> "not known to be settled: " + memberLists(world));
+        () -> "agreement not detected: " + memberLists(world));
   }
 
   private static String memberLists(MembershipSimulation world) {
@@ -72,16 +72,17 @@
       world.play(deathBoundUs(8));
       assertTrue(
           MembershipSimulation.agree(others),
-          "the others go on without it, mute " + mute + memberLists(world));
-      assertTrue(broker.view().snapshot().isolated(), "it knows that it is cut off");
-      assertEquals(8, broker.view().snapshot().members().size(), "and holds on to what it knew");
+          "the others must agree without it, mute " + mute + memberLists(world));
+      assertTrue(broker.view().snapshot().isolated(), "must detect that it is isolated");
+      assertEquals(
+          8, broker.view().snapshot().members().size(), "must keep the members that it knew");
       assertFalse(broker.view().snapshot().isConverged());
       world.cut((from, to) -> false);
       assertConverges(world, joinBoundUs(8));
     }
   }
 
-  /** Without helpers and retries the two would declare each other dead. */
+  /** Without indirect probes and retries the two would declare each other dead. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void indirectProbesRetainTwoMembersThatAreCutFromEachOther(long seed) {
@@ -146,7 +147,7 @@
     assertConverges(world, joinBoundUs(12));
   }
 
-  /** The earlier process is displaced, knows it, and gets the name back when the other ends. */
+  /** The earlier process is displaced, detects that, and regains the name when the other ends. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void duplicateNameGoesToTheLaterIncarnation(long seed) {
@@ -162,7 +163,7 @@
             .filter(member -> member.peer().port() == 7020)
             .count());
     world.kill(20);
-    world.play(deathBoundUs(7)); // till then all hold the address of the other
+    world.play(deathBoundUs(7)); // until then all have the other's address
     assertConverges(world, joinBoundUs(7));
     assertNull(first.view().snapshot().displacedBy());
     long sameIncarnation = world.incarnation(5_000);
@@ -171,7 +172,7 @@
     assertConverges(world, joinBoundUs(8));
     assertNotNull(
         world.node(30).view().snapshot().displacedBy(),
-        "of two that began at once the higher address has it");
+        "of two processes with equal incarnations, the higher address must win");
   }
 
   @ParameterizedTest
@@ -184,7 +185,7 @@
     assertConverges(world, joinBoundUs(8));
     assertTrue(
         world.node(3).view().self().incarnation() > world.incarnation(-86_400_000 / 2),
-        "it outdid its earlier life");
+        "must exceed its incarnation before the restart");
     world.move(4, -86_400_000);
     world.play(deathBoundUs(8));
     assertConverges(world, joinBoundUs(8));
@@ -199,7 +200,8 @@
   }
 
   /**
-   * A far higher incarnation is refuted by a higher one; one that cannot be refuted is rejected.
+   * A much higher incarnation is refuted by an even higher one; one that cannot be refuted is
+   * rejected.
    */
   @Test
   void futureIncarnationIsRefutedOrRejected() {
@@ -245,7 +247,7 @@
         GossipMessage.Kind.GOSSIP, sender.view().self(), 0, "", null, peers, List.of());
   }
 
-  /** A broker without a digest, and one with another number of buckets, are regular members. */
+  /** A broker that announces no digest or a different number of buckets is a regular member. */
   @Test
   void membersWithoutOrWithOtherDigestsTakePart() {
     List<GossipMessage> sent = new ArrayList<>();
@@ -287,7 +289,7 @@
                         && message.buckets().size() == AntiEntropyDigest.BUCKETS));
     assertTrue(
         sent.stream().anyMatch(message -> message.memberUpdates().contains(peer("b", 2))),
-        "all buckets differ");
+        "must send the members of all buckets");
   }
 
   private static Member peer(String name, int port) {
@@ -307,7 +309,7 @@
     assertConverges(world, joinBoundUs(8));
   }
 
-  /** It notices the stall whether timers or queued messages come first. */
+  /** The broker detects the stall whether timers or queued messages are handled first. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void stalledBrokerDeclaresNobodyDead(long seed) {
@@ -320,11 +322,11 @@
       assertConverges(world, joinBoundUs(8) + 2 * SECOND_US);
       world.play(10 * SECOND_US);
       assertEquals(before, world.node(6).view().declaredDead());
-      assertTrue(world.node(6).view().localHealthScore() <= 1, "it is well again");
+      assertTrue(world.node(6).view().localHealthScore() <= 1, "local health must recover");
     }
   }
 
-  /** All seeds die, and the sides of a partition forget each other before it heals. */
+  /** All seeds die, and the two sides of a partition remove each other before it heals. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void clusterWithoutItsSeedsMergesAfterALongPartition(long seed) {
@@ -339,13 +341,15 @@
     world.play(deathBoundUs(20) + SETTINGS.deadRetentionUs() + 5 * SECOND_US);
     assertTrue(
         world.nodes().stream().allMatch(node -> node.view().peers().size() == 5),
-        "forgotten" + memberLists(world));
+        "both sides must have removed each other:" + memberLists(world));
     world.cut((from, to) -> false);
-    // one address is asked a round of 5, and only some of those that are remembered are there
+    // one address is contacted per round of 5 pings, and only some of the remembered ones exist
     assertConverges(world, joinBoundUs(20) + 8 * 14 * SETTINGS.periodUs());
   }
 
-  /** Groups that never exchanged a message find each other by the seeds; the baseline does not. */
+  /**
+   * Groups that never exchanged a message merge through the seeds; with the baseline they do not.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void separatelyStartedGroupsMergeByTheSeeds(long seed) {
@@ -373,12 +377,13 @@
     assertConverges(world, joinBoundUs(300));
     assertEquals(0, world.falsePositives());
     assertTrue(
-        world.largestMessage() <= SETTINGS.maxMessageBytes(), "bytes " + world.largestMessage());
+        world.largestMessage() <= SETTINGS.maxMessageBytes(),
+        "largest message in bytes: " + world.largestMessage());
     assertTrue(
         world.bytes() / 300.0 / (world.nowUs() / 1e6) <= MembershipBounds.bytesPerS(SETTINGS));
   }
 
-  /** Messages of 256 bytes carry the same updates, in more messages. */
+  /** With messages of at most 256 bytes, more messages carry the same updates. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void smallMessagesConvergeToo(long seed) {
@@ -392,7 +397,8 @@
     world.play(deathBoundUs(40));
     world.cut((from, to) -> false);
     assertConverges(world, MembershipBounds.joinUs(small, 40));
-    assertTrue(world.largestMessage() <= 256, "bytes " + world.largestMessage());
+    assertTrue(
+        world.largestMessage() <= 256, "largest message in bytes: " + world.largestMessage());
   }
 
   @Test
--- a/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
+++ b/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
@@ -56,15 +56,14 @@
     assertFalse(signals.merge(signal("n2", 5, 1, 400_000, 0), NOW)); // stale
     assertTrue(
         signals.merge(
-            signal("n2", 6, 1, 960_000, 3),
-            NOW)); // of a later incarnation, which replaces the first
+            signal("n2", 6, 1, 960_000, 3), NOW)); // of a later incarnation, replaces the first
     assertEquals(List.of("n2"), signals.all().stream().map(EndpointObservation::observer).toList());
     assertEquals(1, signals.countFailing("s", 3));
     signals.expire(NOW + 500_000);
     assertEquals(0, signals.countObservers("s"));
   }
 
-  /** Else an observation of a broker whose clock is ahead would outlive all others. */
+  /** Otherwise an observation of a broker whose clock is ahead would outlive all others. */
   @Test
   void observationsFromTheFutureCountAsMadeNow() {
     ObservationTable signals = new ObservationTable(10, 500_000);
--- a/src/test/java/dunlinhitch/cluster/SubsettingTest.java
+++ b/src/test/java/dunlinhitch/cluster/SubsettingTest.java
@@ -34,7 +34,7 @@
     return stores;
   }
 
-  /** The order of the arguments does not count; subsets are complete and loads bounded. */
+  /** The order of the arguments has no effect; subsets are complete and loads are bounded. */
   @Property(tries = 300)
   void assignmentIsDeterministicAndBounded(
       @ForAll @IntRange(min = 1, max = 40) int brokers,
@@ -54,10 +54,10 @@
           order.subList(0, size).forEach(store -> load.merge(store, 1, Integer::sum));
         });
     int maxLoad = SubsetSettings.STANDARD.maxLoad(brokers, stores);
-    assertTrue(load.values().stream().allMatch(l -> l <= maxLoad), load + " over " + maxLoad);
+    assertTrue(load.values().stream().allMatch(l -> l <= maxLoad), load + " exceeds " + maxLoad);
   }
 
-  /** A hundred brokers of two zones, four endpoints of two. */
+  /** A hundred brokers and four endpoints, both spread over two zones. */
   @Test
   void firstEndpointIsOfTheBrokersOwnZone() {
     Map<String, List<String>> chosen = subsets.of("c", brokers(100), stores(4));
@@ -69,10 +69,10 @@
                   return even == (Integer.parseInt(e.getValue().get(0).substring(1)) % 2 == 0);
                 })
             .count();
-    assertTrue(own >= 95, own + " of 100 begin in their own zone");
+    assertTrue(own >= 95, own + " of 100 brokers have an endpoint of their own zone first");
   }
 
-  /** No broker is the last to choose everywhere. */
+  /** The last broker to choose is not the same one in every cell. */
   @Test
   void brokerOrderDiffersFromCellToCell() {
     long last =
@@ -85,7 +85,7 @@
                 })
             .distinct()
             .count();
-    assertTrue(last >= 5, last + " different ones in 20 cells");
+    assertTrue(last >= 5, last + " different brokers are last in 20 cells");
   }
 
   @Test
@@ -101,7 +101,7 @@
     assertEquals(6, settings.maxLoad(8, 3)); // 16 assignments to 3 endpoints
     assertEquals(80, settings.maxLoad(100, 3)); // 200 assignments to 3 endpoints
     assertEquals(
-        5, settings.maxLoad(6, 3)); // 12 assignments to 3 endpoints: 4 would leave none spare
+        5, settings.maxLoad(6, 3)); // 12 assignments to 3 endpoints: 4 each leaves none spare
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(0, 1.5, 0.2));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(2, 0.5, 0.2));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(2, 1.5, Double.NaN));
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
@@ -21,7 +21,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** The gossip codec: whatever is encoded is bounded and decodes to the same message. */
+/** Tests that encoded messages are bounded and decode to the same message. */
 class GossipCodecTest {
   private static final List<GossipMessage.Kind> KINDS = List.of(GossipMessage.Kind.values());
   private static final List<Member.Status> STATUSES = List.of(Member.Status.values());
@@ -91,7 +91,7 @@
             .toList());
   }
 
-  /** What a ping carries: as many updates as are piggybacked, 12 members and 8 observations. */
+  /** A ping with the maximum number of piggybacked updates, 12 members and 8 observations. */
   private static GossipMessage typical() {
     List<Member> members = new ArrayList<>();
     List<EndpointObservation> observations = new ArrayList<>();
@@ -132,8 +132,8 @@
   }
 
   /**
-   * For any message and any bounds: no datagram is over its bound, each can be decoded, and
-   * together they carry the message, but for the items that are counted as omitted.
+   * For any message and bounds, no datagram exceeds its bound, each can be decoded, and together
+   * they contain the whole message except for the items that are counted as omitted.
    */
   @Property(tries = 500)
   void encodedMessagesAreBoundedAndDecodeToTheSame(@ForAll long seed)
@@ -148,13 +148,14 @@
     List<SuspicionReport> suspicions = new ArrayList<>();
     boolean first = true;
     for (byte[] datagram : encoded.all()) {
-      assertTrue(datagram.length <= maxBytes, () -> datagram.length + " of " + maxBytes);
+      assertTrue(
+          datagram.length <= maxBytes, () -> datagram.length + " bytes, maximum " + maxBytes);
       GossipMessage decoded = GossipDecoder.decode(datagram);
       assertTrue(decoded.versions() == null || decoded.versions().equals(message.versions()));
       assertEquals(
           first ? expectedFirst(message, decoded) : expectedContinuation(message, decoded),
           decoded);
-      assertTrue(first || itemCount(decoded) > 0, "a datagram that says nothing");
+      assertTrue(first || itemCount(decoded) > 0, "datagram without items");
       suspicions.addAll(decoded.suspicionReports());
       members.addAll(decoded.memberUpdates());
       observations.addAll(decoded.observations());
@@ -169,7 +170,7 @@
             && new HashSet<>(message.observations()).containsAll(observations)
             && new HashSet<>(message.suspicionReports()).containsAll(suspicions));
     if (encoded.omittedItems() == 0) {
-      assertEquals(message.observations(), observations, "signals keep their order");
+      assertEquals(message.observations(), observations, "observations must keep their order");
       assertEquals(message.suspicionReports(), suspicions);
     }
   }
@@ -180,7 +181,7 @@
         + message.suspicionReports().size();
   }
 
-  /** What the first datagram must decode to, given its items; buckets may displace the versions. */
+  /** The expected first datagram, given its items; buckets may displace the versions. */
   private static GossipMessage expectedFirst(GossipMessage message, GossipMessage decoded) {
     return new GossipMessage(
         message.kind(),
@@ -195,7 +196,7 @@
         decoded.suspicionReports());
   }
 
-  /** What any other datagram must decode to, given its items. */
+  /** The expected form of any other datagram, given its items. */
   private static GossipMessage expectedContinuation(GossipMessage message, GossipMessage decoded) {
     return new GossipMessage(
         GossipMessage.Kind.GOSSIP,
@@ -225,7 +226,9 @@
     assertThrows(IOException.class, () -> WireFormat.status(-1));
   }
 
-  /** All piggybacked updates fit, and a suspected member comes first as it must refute that. */
+  /**
+   * All piggybacked updates fit, and a suspected member comes first, because it must refute that.
+   */
   @Test
   void typicalMessageFitsInThreeSmallDatagrams() throws MalformedMessageException {
     GossipEncoder.Datagrams small =
@@ -241,12 +244,12 @@
     assertTrue(large.all().get(0).length < 560, () -> large.all().get(0).length + " bytes");
     assertTrue(
         GossipEncoder.encode(typical(), 40, 9).all().isEmpty(),
-        "who speaks and what it acts on has no room there");
+        "a header with sender and versions must not fit");
   }
 
   /**
-   * A broker with an ordinary name sends its buckets in 256 bytes; with a long name they displace
-   * the versions.
+   * With a name of ordinary length, buckets and versions fit in 256 bytes; with a long name the
+   * buckets displace the versions.
    */
   @Test
   void bucketsFitInOneSmallDatagram() throws MalformedMessageException {
@@ -276,7 +279,7 @@
         .reason();
   }
 
-  /** Replaces the checksum by one that fits the other bytes. */
+  /** Replaces the checksum by the correct one for the other bytes. */
   private static byte[] withChecksum(byte[] bytes) {
     int start = bytes.length - WireFormat.CHECKSUM_BYTES;
     int checksum = WireFormat.computeChecksum(bytes, start);
@@ -307,8 +310,8 @@
   }
 
   /**
-   * For each bit in turn: the checksum detects the change, and with a checksum that fits, the
-   * datagram is another message or an invalid one.
+   * For each single bit, the checksum detects that the bit was flipped; with a recomputed checksum,
+   * the datagram decodes to another message or is rejected as invalid.
    */
   @Test
   void flippedBitIsDetectedOrDecodesWithoutFault() {
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
@@ -26,7 +26,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Gossip over real sockets: bad datagrams are counted, and later messages are received. */
+/** Tests gossip over real sockets: bad datagrams are counted, and later messages still arrive. */
 class GossipSocketTest {
   private static final String LOCALHOST = "127.0.0.1";
   private static final Member SELF =
@@ -99,7 +99,7 @@
     assertEquals(new Event.GossipReceived(MESSAGE), nextEvent());
   }
 
-  /** A datagram over the bound is never sent; a larger message is sent as several. */
+  /** A datagram above the maximum size is never sent; a larger message is split into several. */
   @Test
   void oversizedDatagramsAreNotSent() throws Exception {
     BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
@@ -127,14 +127,14 @@
             new GossipMessage(GossipMessage.Kind.ACK, SELF, 7, "", null, List.of(), observations)));
     for (int i = 0; i < GossipSocket.MAX_DATAGRAMS; i++) {
       Integer size = sizes.poll(5, TimeUnit.SECONDS);
-      assertTrue(size > 200 && size <= 256, "a datagram of " + size);
+      assertTrue(size > 200 && size <= 256, "size of the datagram: " + size);
     }
     assertEquals(new Event.ConditionCounted(Counter.GOSSIP_UPDATES_OMITTED), nextEvent());
   }
 
   /**
-   * Where all addresses are configured, nothing is exchanged with others, and the configured
-   * address of a broker takes precedence.
+   * If all addresses are configured, no datagrams are exchanged with other addresses, and the
+   * configured address of a broker takes precedence.
    */
   @Test
   void unknownAddressesAreRejectedAndConfiguredOnesTakePrecedence() throws Exception {
--- a/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
+++ b/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
@@ -49,7 +49,7 @@
     assertEquals(Set.of(), detector.fenced());
   }
 
-  /** It refreshes from its source once a second until it has the version. */
+  /** An outdated broker refreshes from its source every second until it has the newer version. */
   @Test
   void outdatedBrokerRefreshesAndThenFencesItself() {
     detector.onVersions(0, "n1", OLD.withEndpointListGeneration(6));
@@ -65,7 +65,7 @@
     assertEquals(List.of("n0 ROSTER LET_IN"), playTo(11 * SECOND_US, 12 * SECOND_US));
   }
 
-  /** Brokers get new settings a minute apart; nobody is fenced before most have them. */
+  /** Brokers get new settings one minute apart; none is fenced before most have them. */
   @Test
   void slowRolloutFencesNobody() {
     for (int i = 1; i < 8; i++) {
@@ -95,7 +95,7 @@
     assertEquals(List.of(), playTo(8 * 150_000L, 60 * SECOND_US));
   }
 
-  /** Another discovery numbers its lists independently. */
+  /** Each discovery service numbers its lists independently. */
   @Test
   void endpointListsAreComparedWithinTheSameSettingsOnly() {
     detector.onVersions(0, "n1", NEW.withEndpointListGeneration(90));
