--- a/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
@@ -76,7 +76,7 @@
    * A one-line summary for operators; a list of more than {@code maxNames} names is replaced by its
    * size.
    */
-  public String line(long nowUs, int maxNames) {
+  public String describe(long nowUs, int maxNames) {
     return membersText(maxNames)
         + "; "
         + String.format("%016x", digest)
--- a/src/main/java/dunlinhitch/cluster/FailureDetector.java
+++ b/src/main/java/dunlinhitch/cluster/FailureDetector.java
@@ -168,7 +168,7 @@
     for (String name : List.copyOf(suspicions.names())) {
       if (nowUs >= suspicionDeadlineUs(name)) {
         declaredDead++;
-        members.put(members.peer(name).as(Member.Status.DEAD), nowUs);
+        members.put(members.peer(name).withStatus(Member.Status.DEAD), nowUs);
       }
     }
   }
@@ -292,7 +292,7 @@
       }
       return;
     }
-    members.put(target.as(Member.Status.SUSPECT), nowUs);
+    members.put(target.withStatus(Member.Status.SUSPECT), nowUs);
     suspicions.addReport(report);
     if (settings.isLifeguardEnabled()) {
       sender.sendGossip(target); // notifies the suspect first, so that it can refute
--- a/src/main/java/dunlinhitch/cluster/Member.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -69,12 +69,12 @@
   }
 
   /** Returns a copy with the given status. */
-  Member as(Status other) {
+  Member withStatus(Status other) {
     return new Member(name, zone, host, port, incarnation, other);
   }
 
   /** Returns a copy that is alive with the given incarnation. */
-  Member in(long other) {
+  Member aliveWithIncarnation(long other) {
     return new Member(name, zone, host, port, other, Status.ALIVE);
   }
 
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -151,7 +151,7 @@
 
   /** Marks this broker as left; it announces itself as left from now on. */
   void markSelfLeft() {
-    self = self.as(Member.Status.LEFT);
+    self = self.withStatus(Member.Status.LEFT);
   }
 
   /** Replaces this broker's own entry and the one that displaces it, which may be null. */
--- a/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
@@ -57,7 +57,7 @@
     Member self = members.self();
     if (report.name().equals(self.name())) {
       if (report.incarnation() == self.incarnation()) {
-        mergeSelf(self.as(Member.Status.SUSPECT));
+        mergeSelf(self.withStatus(Member.Status.SUSPECT));
       }
       return;
     }
@@ -66,7 +66,7 @@
       return;
     }
     if (current.status() == Member.Status.ALIVE) {
-      members.put(current.as(Member.Status.SUSPECT), nowUs);
+      members.put(current.withStatus(Member.Status.SUSPECT), nowUs);
     }
     if (suspicions.addReport(report)) {
       members.markChanged();
@@ -99,7 +99,7 @@
       return; // the broker that displaced this one refutes it
     }
     localHealth.degrade(update.status() == Member.Status.SUSPECT ? 1 : 0);
-    members.replaceSelf(members.self().in(update.incarnation() + 1), null);
+    members.replaceSelf(members.self().aliveWithIncarnation(update.incarnation() + 1), null);
   }
 
   private boolean isNewerClaimOfName(Member update) {
@@ -111,7 +111,7 @@
     if (update.takesPart()) {
       members.replaceSelf(members.self(), update);
     } else {
-      members.replaceSelf(members.self().in(update.incarnation() + 1), null);
+      members.replaceSelf(members.self().aliveWithIncarnation(update.incarnation() + 1), null);
     }
   }
 }
--- a/src/main/java/dunlinhitch/cluster/ObservationTable.java
+++ b/src/main/java/dunlinhitch/cluster/ObservationTable.java
@@ -20,7 +20,7 @@
    * The maximum number of observations of one endpoint. One would suffice for its load, but it
    * takes several observers to distinguish a failing endpoint from a failing network path.
    */
-  static final int MAX_AUTHORS = 3;
+  static final int MAX_OBSERVERS = 3;
 
   /**
    * The latest first. The order is total, so that the retained observations do not depend on the
@@ -65,7 +65,7 @@
         rejected++;
         return false;
       }
-      current = new ArrayList<>(MAX_AUTHORS + 1);
+      current = new ArrayList<>(MAX_OBSERVERS + 1);
       byEndpoint.put(observation.endpoint(), current);
     }
     if (isOutdated(observation, current)) {
@@ -77,8 +77,8 @@
                 || other.startedMs() < observation.startedMs());
     current.add(observation);
     current.sort(LATEST_FIRST);
-    if (current.size() > MAX_AUTHORS) {
-      return !current.remove(MAX_AUTHORS).equals(observation);
+    if (current.size() > MAX_OBSERVERS) {
+      return !current.remove(MAX_OBSERVERS).equals(observation);
     }
     return true;
   }
--- a/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
+++ b/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
@@ -15,105 +15,115 @@
 class ClusterCoordinatorTest {
   private static final long SECOND_US = 1_000_000;
 
-  private static ClusterSimulation world(int brokers, double loss) {
-    ClusterSimulation world = new ClusterSimulation(5, brokers, loss, ClusterSettings.STANDARD);
-    world.stores(4, 3);
+  private static ClusterSimulation simulation(int brokers, double loss) {
+    ClusterSimulation simulation =
+        new ClusterSimulation(5, brokers, loss, ClusterSettings.STANDARD);
+    simulation.stores(4, 3);
     for (int i = 0; i < brokers; i++) {
-      world.start(i);
+      simulation.start(i);
     }
-    return world;
+    return simulation;
   }
 
   @Test
   void brokersDiscoverEachOtherAndTheirSubsetsBalanceTheLoad() {
-    ClusterSimulation world = world(8, 0);
-    world.playTo(4 * SECOND_US);
-    assertTrue(world.agree(0));
-    assertEquals(8 * 4 * 2, world.load().values().stream().mapToInt(i -> i).sum());
-    assertTrue(ClusterSimulation.unevenness(world.load()) <= 1.2, world.load().toString());
+    ClusterSimulation simulation = simulation(8, 0);
+    simulation.playTo(4 * SECOND_US);
+    assertTrue(simulation.agree(0));
+    assertEquals(8 * 4 * 2, simulation.load().values().stream().mapToInt(i -> i).sum());
+    assertTrue(
+        ClusterSimulation.unevenness(simulation.load()) <= 1.2, simulation.load().toString());
   }
 
   /** A killed member is removed within the documented bound, a leaving one at once. */
   @Test
   void deadAndLeavingMembersAreRemovedWithinTheBound() {
-    ClusterSimulation world = world(8, 0);
-    world.playTo(4 * SECOND_US);
-    world.kill(3);
-    world.playTo(4 * SECOND_US + 2 * 8 * 200_000 + 160_000 + SECOND_US + 4 * 200_000);
-    assertTrue(world.agree(0), "a dead member is still listed");
-    world.leave(4);
-    world.playTo(world.nowUs() + 10_000);
-    assertTrue(world.agree(0), "a member that left is still listed");
-    world.start(3);
-    world.playTo(world.nowUs() + 3 * SECOND_US);
-    assertTrue(world.agree(0), "the restarted broker must agree with the others");
-    assertEquals(7, world.nodes().get(0).fleet().members().size());
+    ClusterSimulation simulation = simulation(8, 0);
+    simulation.playTo(4 * SECOND_US);
+    simulation.kill(3);
+    simulation.playTo(4 * SECOND_US + 2 * 8 * 200_000 + 160_000 + SECOND_US + 4 * 200_000);
+    assertTrue(simulation.agree(0), "a dead member is still listed");
+    simulation.leave(4);
+    simulation.playTo(simulation.nowUs() + 10_000);
+    assertTrue(simulation.agree(0), "a member that left is still listed");
+    simulation.start(3);
+    simulation.playTo(simulation.nowUs() + 3 * SECOND_US);
+    assertTrue(simulation.agree(0), "the restarted broker must agree with the others");
+    assertEquals(7, simulation.nodes().get(0).fleet().members().size());
   }
 
   /** Suspected members are notified and refute the suspicion. */
   @Test
-  void tenPercentMessageLossDeclaresNobodyDead() {
-    ClusterSimulation world = world(8, 0.1);
-    world.playTo(5 * SECOND_US);
-    long before = world.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum();
-    world.playTo(35 * SECOND_US);
-    assertTrue(world.agree(0));
+  void tenPercentMessageLossDeclaresNoMemberDead() {
+    ClusterSimulation simulation = simulation(8, 0.1);
+    simulation.playTo(5 * SECOND_US);
+    long before =
+        simulation.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum();
+    simulation.playTo(35 * SECOND_US);
+    assertTrue(simulation.agree(0));
     assertEquals(
-        before, world.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum());
+        before, simulation.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum());
   }
 
   /** Both sides of the partition agree again after it has healed. */
   @Test
   void isolatedBrokerRetainsItsSubsetAndRejoins() {
-    ClusterSimulation world = world(8, 0);
-    world.playTo(4 * SECOND_US);
-    Set<String> subset = world.nodes().get(2).fleet().selectedEndpoints();
-    Set<String> otherSubset = world.nodes().get(5).fleet().selectedEndpoints();
-    world.group(2, 1);
-    world.playTo(9 * SECOND_US);
-    assertTrue(world.nodes().get(2).fleet().membership().isIsolated());
-    assertEquals(subset, world.nodes().get(2).fleet().selectedEndpoints());
-    assertEquals(7, world.nodes().get(5).fleet().members().size());
-    world.group(2, 0);
-    world.playTo(13 * SECOND_US);
-    assertTrue(world.agree(0));
+    ClusterSimulation simulation = simulation(8, 0);
+    simulation.playTo(4 * SECOND_US);
+    Set<String> subset = simulation.nodes().get(2).fleet().selectedEndpoints();
+    Set<String> otherSubset = simulation.nodes().get(5).fleet().selectedEndpoints();
+    simulation.group(2, 1);
+    simulation.playTo(9 * SECOND_US);
+    assertTrue(simulation.nodes().get(2).fleet().membership().isIsolated());
+    assertEquals(subset, simulation.nodes().get(2).fleet().selectedEndpoints());
+    assertEquals(7, simulation.nodes().get(5).fleet().members().size());
+    simulation.group(2, 0);
+    simulation.playTo(13 * SECOND_US);
+    assertTrue(simulation.agree(0));
     assertEquals(
         otherSubset,
-        world.nodes().get(5).fleet().selectedEndpoints(),
+        simulation.nodes().get(5).fleet().selectedEndpoints(),
         "the subset must be the same as before the partition");
   }
 
   /** All brokers are isolated from each other. */
   @Test
   void isolatedBrokersTogetherMakeNoMoreHealthChecks() {
-    ClusterSimulation world = world(8, 0);
-    world.playTo(4 * SECOND_US);
+    ClusterSimulation simulation = simulation(8, 0);
+    simulation.playTo(4 * SECOND_US);
     for (int i = 0; i < 8; i++) {
-      world.group(i, i);
+      simulation.group(i, i);
     }
-    world.playTo(10 * SECOND_US);
+    simulation.playTo(10 * SECOND_US);
     for (long at = 10 * SECOND_US; at < 30 * SECOND_US; at += SECOND_US / 10) {
-      world.nodes().forEach(node -> world.at(world.nowUs(), () -> node.requestHealthCheck("s1-1")));
-      world.playTo(at);
+      simulation
+          .nodes()
+          .forEach(
+              node -> simulation.at(simulation.nowUs(), () -> node.requestHealthCheck("s1-1")));
+      simulation.playTo(at);
     }
-    assertTrue(world.mostProbesInASecond(10 * SECOND_US) <= 2, world.probes().toString());
-    assertFalse(world.probes().isEmpty());
+    assertTrue(simulation.mostProbesInASecond(10 * SECOND_US) <= 2, simulation.probes().toString());
+    assertFalse(simulation.probes().isEmpty());
   }
 
   /** The leader of the epoch has died undetected, so the next broker in the order takes over. */
   @Test
   void unresponsiveLeaderIsReplacedAndTheReportReachesAll() {
-    ClusterSimulation world = world(8, 0);
-    world.playTo(4 * SECOND_US);
-    world.kill(6);
+    ClusterSimulation simulation = simulation(8, 0);
+    simulation.playTo(4 * SECOND_US);
+    simulation.kill(6);
     for (int i = 0; i < 160; i++) {
-      world.nodes().forEach(node -> world.at(world.nowUs(), () -> node.requestHealthCheck("s1-1")));
-      world.playTo(world.nowUs() + SECOND_US / 10);
+      simulation
+          .nodes()
+          .forEach(
+              node -> simulation.at(simulation.nowUs(), () -> node.requestHealthCheck("s1-1")));
+      simulation.playTo(simulation.nowUs() + SECOND_US / 10);
     }
-    long seconds = world.probes().stream().map(p -> p.atUs() / (2 * SECOND_US)).distinct().count();
+    long seconds =
+        simulation.probes().stream().map(p -> p.atUs() / (2 * SECOND_US)).distinct().count();
     assertTrue(seconds >= 7, "epochs of 2 s with a health check, in 16 s: " + seconds);
-    assertTrue(world.mostProbesInASecond(4 * SECOND_US) <= 2, world.probes().toString());
-    world.nodes().stream()
+    assertTrue(simulation.mostProbesInASecond(4 * SECOND_US) <= 2, simulation.probes().toString());
+    simulation.nodes().stream()
         .filter(ClusterSimulation.Node::isUp)
         .forEach(
             n ->
@@ -124,11 +134,11 @@
   /** Failures that only one broker observes count for itself; those that two observe, for all. */
   @Test
   void failingEndpointIsSubstitutedUntilItRecovers() {
-    ClusterSimulation world = world(8, 0);
-    world.playTo(4 * SECOND_US);
+    ClusterSimulation simulation = simulation(8, 0);
+    simulation.playTo(4 * SECOND_US);
     String failing = "s0-0";
     List<ClusterSimulation.Node> users =
-        world.nodes().stream()
+        simulation.nodes().stream()
             .filter(n -> n.fleet().selectedEndpoints().contains(failing))
             .toList();
     assertTrue(users.size() >= 4, users.size() + " brokers use the endpoint");
@@ -137,7 +147,7 @@
       firstUser.onAttempt(failing, false);
     }
     assertEquals(endpointsOfCell("s0-"), subsetOfCell(firstUser, "s0-"));
-    world.playTo(6 * SECOND_US);
+    simulation.playTo(6 * SECOND_US);
     assertEquals(
         2,
         subsetOfCell(users.get(2), "s0-").size(),
@@ -145,11 +155,11 @@
     for (int i = 0; i < 3; i++) {
       users.get(1).onAttempt(failing, false);
     }
-    world.playTo(8 * SECOND_US);
+    simulation.playTo(8 * SECOND_US);
     assertEquals(endpointsOfCell("s0-"), subsetOfCell(users.get(2), "s0-"));
     users.get(0).onAttempt(failing, true);
     users.get(1).onAttempt(failing, true);
-    world.playTo(11 * SECOND_US);
+    simulation.playTo(11 * SECOND_US);
     assertEquals(2, subsetOfCell(firstUser, "s0-").size());
     assertEquals(2, subsetOfCell(users.get(2), "s0-").size());
   }
@@ -165,9 +175,9 @@
   }
 
   @Test
-  void sameSeedGivesTheSameCourse() {
-    ClusterSimulation first = world(6, 0.2);
-    ClusterSimulation second = world(6, 0.2);
+  void sameSeedReproducesTheSameRun() {
+    ClusterSimulation first = simulation(6, 0.2);
+    ClusterSimulation second = simulation(6, 0.2);
     first.playTo(6 * SECOND_US);
     second.playTo(6 * SECOND_US);
     assertEquals(first.messageCount(), second.messageCount());
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -21,27 +21,28 @@
   private static final long SECOND_US = 1_000_000;
   private static final MembershipProtocolSettings SETTINGS = MembershipProtocolSettings.STANDARD;
 
-  private static MembershipSimulation convergedWorld(long seed, int brokers, double loss) {
-    MembershipSimulation world = new MembershipSimulation(seed, loss, SETTINGS);
-    world.start(0, brokers);
-    assertConverges(world, MembershipBounds.joinUs(SETTINGS, brokers));
-    world.play(SECOND_US);
-    return world;
+  private static MembershipSimulation convergedCluster(long seed, int brokers, double loss) {
+    MembershipSimulation simulation = new MembershipSimulation(seed, loss, SETTINGS);
+    simulation.start(0, brokers);
+    assertConverges(simulation, MembershipBounds.joinUs(SETTINGS, brokers));
+    simulation.play(SECOND_US);
+    return simulation;
   }
 
   /** Asserts that all members agree within the bound and detect their agreement within 5 s more. */
-  private static void assertConverges(MembershipSimulation world, long boundUs) {
-    long durationUs = world.untilAgree(boundUs);
+  private static void assertConverges(MembershipSimulation simulation, long boundUs) {
+    long durationUs = simulation.untilAgree(boundUs);
     assertTrue(
-        durationUs >= 0, () -> "no agreement within " + boundUs + " us: " + memberLists(world));
+        durationUs >= 0,
+        () -> "no agreement within " + boundUs + " us: " + memberLists(simulation));
     assertTrue(
-        world.untilSettled(boundUs + 5 * SECOND_US) >= 0,
-        () -> "agreement not detected: " + memberLists(world));
+        simulation.untilSettled(boundUs + 5 * SECOND_US) >= 0,
+        () -> "agreement not detected: " + memberLists(simulation));
   }
 
-  private static String memberLists(MembershipSimulation world) {
+  private static String memberLists(MembershipSimulation simulation) {
     StringBuilder memberLists = new StringBuilder();
-    world
+    simulation
         .nodes()
         .forEach(
             node ->
@@ -49,7 +50,7 @@
                     .append('\n')
                     .append(node.name)
                     .append(": ")
-                    .append(node.view().snapshot().line(world.nowUs(), 40)));
+                    .append(node.view().snapshot().describe(simulation.nowUs(), 40)));
     return memberLists.toString();
   }
 
@@ -63,133 +64,133 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void brokerThatOnlySendsOrOnlyReceivesHarmsNobodyAndRejoins(long seed) {
+  void brokerThatOnlySendsOrOnlyReceivesAffectsNoOtherAndRejoins(long seed) {
     for (boolean mute : new boolean[] {true, false}) {
-      MembershipSimulation world = convergedWorld(seed, 8, 0);
-      List<MembershipSimulation.Node> others = world.nodes().subList(1, 8);
-      MembershipSimulation.Node broker = world.node(0);
-      world.cut((from, to) -> (mute ? from : to) == broker);
-      world.play(deathBoundUs(8));
+      MembershipSimulation simulation = convergedCluster(seed, 8, 0);
+      List<MembershipSimulation.Node> others = simulation.nodes().subList(1, 8);
+      MembershipSimulation.Node broker = simulation.node(0);
+      simulation.cut((from, to) -> (mute ? from : to) == broker);
+      simulation.play(deathBoundUs(8));
       assertTrue(
           MembershipSimulation.agree(others),
-          "the others must agree without it, mute " + mute + memberLists(world));
+          "the others must agree without it, mute " + mute + memberLists(simulation));
       assertTrue(broker.view().snapshot().isolated(), "must detect that it is isolated");
       assertEquals(
           8, broker.view().snapshot().members().size(), "must keep the members that it knew");
       assertFalse(broker.view().snapshot().isConverged());
-      world.cut((from, to) -> false);
-      assertConverges(world, joinBoundUs(8));
+      simulation.cut((from, to) -> false);
+      assertConverges(simulation, joinBoundUs(8));
     }
   }
 
   /** Without indirect probes and retries the two would declare each other dead. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
-  void indirectProbesRetainTwoMembersThatAreCutFromEachOther(long seed) {
+  void indirectProbesKeepTwoDisconnectedMembersAlive(long seed) {
     for (int brokers : new int[] {3, 9}) {
-      MembershipSimulation world = convergedWorld(seed, brokers, 0);
-      Set<MembershipSimulation.Node> pair = Set.of(world.node(0), world.node(1));
-      world.cut((from, to) -> pair.contains(from) && pair.contains(to));
-      world.play(20 * SECOND_US);
-      assertTrue(world.agree(), memberLists(world));
-      assertEquals(0, world.falsePositives());
+      MembershipSimulation simulation = convergedCluster(seed, brokers, 0);
+      Set<MembershipSimulation.Node> pair = Set.of(simulation.node(0), simulation.node(1));
+      simulation.cut((from, to) -> pair.contains(from) && pair.contains(to));
+      simulation.play(20 * SECOND_US);
+      assertTrue(simulation.agree(), memberLists(simulation));
+      assertEquals(0, simulation.falsePositives());
     }
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void flappingPartitionOfOneBrokerRemovesNoOther(long seed) {
-    MembershipSimulation world = convergedWorld(seed, 8, 0.02);
-    MembershipSimulation.Node broker = world.node(7);
-    List<MembershipSimulation.Node> others = world.nodes().subList(0, 7);
+    MembershipSimulation simulation = convergedCluster(seed, 8, 0.02);
+    MembershipSimulation.Node broker = simulation.node(7);
+    List<MembershipSimulation.Node> others = simulation.nodes().subList(0, 7);
     long period = SETTINGS.suspicionTimeoutUs();
     for (int i = 0; i < 20; i++) {
       boolean isCut = i % 2 == 0;
-      world.cut((from, to) -> isCut && (from == broker || to == broker));
-      world.play(period);
+      simulation.cut((from, to) -> isCut && (from == broker || to == broker));
+      simulation.play(period);
       others.forEach(node -> assertTrue(node.view().snapshot().names().size() >= 7, node.name));
     }
-    assertConverges(world, joinBoundUs(8));
+    assertConverges(simulation, joinBoundUs(8));
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void clusterConvergesAfterSeventyPercentRestartOrDie(long seed) {
-    MembershipSimulation world = convergedWorld(seed, 30, 0.05);
+    MembershipSimulation simulation = convergedCluster(seed, 30, 0.05);
     for (int i = 9; i < 30; i++) {
-      world.kill(i);
+      simulation.kill(i);
     }
     for (int i = 9; i < 30; i++) {
-      world.restart(i, 0);
+      simulation.restart(i, 0);
     }
-    assertConverges(world, joinBoundUs(30));
+    assertConverges(simulation, joinBoundUs(30));
     for (int i = 0; i < 21; i++) {
-      world.kill(i);
+      simulation.kill(i);
     }
-    assertConverges(world, deathBoundUs(30));
+    assertConverges(simulation, deathBoundUs(30));
   }
 
   /** In each half some members restart, move and die; the updates of both halves are merged. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void partitionedHalvesWithRestartedMembersMerge(long seed) {
-    MembershipSimulation world = convergedWorld(seed, 12, 0.02);
-    world.cut(
+    MembershipSimulation simulation = convergedCluster(seed, 12, 0.02);
+    simulation.cut(
         (from, to) -> MembershipSimulation.number(from) % 2 != MembershipSimulation.number(to) % 2);
-    world.play(deathBoundUs(12));
+    simulation.play(deathBoundUs(12));
     for (int i = 0; i < 4; i++) {
-      world.restart(i, 0);
+      simulation.restart(i, 0);
     }
-    world.move(4, 0);
-    world.kill(5);
-    world.play(deathBoundUs(12));
-    world.cut((from, to) -> false);
-    assertConverges(world, joinBoundUs(12));
+    simulation.move(4, 0);
+    simulation.kill(5);
+    simulation.play(deathBoundUs(12));
+    simulation.cut((from, to) -> false);
+    assertConverges(simulation, joinBoundUs(12));
   }
 
   /** The earlier process is displaced, detects that, and regains the name when the other ends. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void duplicateNameGoesToTheLaterIncarnation(long seed) {
-    MembershipSimulation world = convergedWorld(seed, 6, 0.02);
-    MembershipSimulation.Node first = world.node(3);
-    MembershipSimulation.Node second = world.start("n3", 20, world.incarnation(0));
-    assertConverges(world, joinBoundUs(7));
+    MembershipSimulation simulation = convergedCluster(seed, 6, 0.02);
+    MembershipSimulation.Node first = simulation.node(3);
+    MembershipSimulation.Node second = simulation.start("n3", 20, simulation.incarnation(0));
+    assertConverges(simulation, joinBoundUs(7));
     assertNotNull(first.view().snapshot().displacedBy());
     assertNull(second.view().snapshot().displacedBy());
     assertEquals(
         1,
-        world.nodes().get(0).view().snapshot().members().stream()
+        simulation.nodes().get(0).view().snapshot().members().stream()
             .filter(member -> member.peer().port() == 7020)
             .count());
-    world.kill(20);
-    world.play(deathBoundUs(7)); // until then all have the other's address
-    assertConverges(world, joinBoundUs(7));
+    simulation.kill(20);
+    simulation.play(deathBoundUs(7)); // until then all have the other's address
+    assertConverges(simulation, joinBoundUs(7));
     assertNull(first.view().snapshot().displacedBy());
-    long sameIncarnation = world.incarnation(5_000);
-    world.start("n9", 30, sameIncarnation);
-    world.start("n9", 31, sameIncarnation);
-    assertConverges(world, joinBoundUs(8));
+    long sameIncarnation = simulation.incarnation(5_000);
+    simulation.start("n9", 30, sameIncarnation);
+    simulation.start("n9", 31, sameIncarnation);
+    assertConverges(simulation, joinBoundUs(8));
     assertNotNull(
-        world.node(30).view().snapshot().displacedBy(),
+        simulation.node(30).view().snapshot().displacedBy(),
         "of two processes with equal incarnations, the higher address must win");
   }
 
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void changedAddressesAndClocksThatAreSetBackConverge(long seed) {
-    MembershipSimulation world = convergedWorld(seed, 8, 0.02);
-    world.move(2, 0);
-    assertConverges(world, joinBoundUs(8));
-    world.restart(3, -86_400_000);
-    assertConverges(world, joinBoundUs(8));
+    MembershipSimulation simulation = convergedCluster(seed, 8, 0.02);
+    simulation.move(2, 0);
+    assertConverges(simulation, joinBoundUs(8));
+    simulation.restart(3, -86_400_000);
+    assertConverges(simulation, joinBoundUs(8));
     assertTrue(
-        world.node(3).view().self().incarnation() > world.incarnation(-86_400_000 / 2),
+        simulation.node(3).view().self().incarnation() > simulation.incarnation(-86_400_000 / 2),
         "must exceed its incarnation before the restart");
-    world.move(4, -86_400_000);
-    world.play(deathBoundUs(8));
-    assertConverges(world, joinBoundUs(8));
-    world
+    simulation.move(4, -86_400_000);
+    simulation.play(deathBoundUs(8));
+    assertConverges(simulation, joinBoundUs(8));
+    simulation
         .nodes()
         .forEach(
             node ->
@@ -205,16 +206,16 @@
    */
   @Test
   void futureIncarnationIsRefutedOrRejected() {
-    MembershipSimulation world = convergedWorld(1, 5, 0);
-    MembershipProtocol view = world.node(0).view();
-    Member self = world.node(1).view().self();
+    MembershipSimulation simulation = convergedCluster(1, 5, 0);
+    MembershipProtocol view = simulation.node(0).view();
+    Member self = simulation.node(1).view().self();
     long maxAccepted = Member.MAX_INCARNATION / 2;
     for (long incarnation : new long[] {maxAccepted, maxAccepted + 1, Member.MAX_INCARNATION}) {
       long before = view.rejected();
       view.onMessage(
-          world.nowUs(),
+          simulation.nowUs(),
           gossipFrom(
-              world.node(2),
+              simulation.node(2),
               List.of(
                   new Member(
                       self.name(),
@@ -226,9 +227,9 @@
       assertEquals(before + 1, view.rejected());
     }
     view.onMessage(
-        world.nowUs(),
+        simulation.nowUs(),
         gossipFrom(
-            world.node(2),
+            simulation.node(2),
             List.of(
                 new Member(
                     self.name(),
@@ -238,8 +239,8 @@
                     maxAccepted - 1,
                     Member.Status.DEAD))));
     assertEquals(4, view.snapshot().members().size());
-    assertConverges(world, joinBoundUs(5));
-    assertEquals(maxAccepted, world.node(1).view().self().incarnation());
+    assertConverges(simulation, joinBoundUs(5));
+    assertEquals(maxAccepted, simulation.node(1).view().self().incarnation());
   }
 
   private static GossipMessage gossipFrom(MembershipSimulation.Node sender, List<Member> peers) {
@@ -299,30 +300,30 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void messagesDelayedBeyondTheSuspicionTimeoutConverge(long seed) {
-    MembershipSimulation world = convergedWorld(seed, 8, 0);
-    MembershipSimulation.Node broker = world.node(5);
-    world.late(
+    MembershipSimulation simulation = convergedCluster(seed, 8, 0);
+    MembershipSimulation.Node broker = simulation.node(5);
+    simulation.late(
         (from, to) -> from == broker || to == broker ? 6 * SETTINGS.suspicionTimeoutUs() : 0);
-    world.play(15 * SECOND_US);
-    world.late((from, to) -> 0);
-    world.play(7 * SECOND_US);
-    assertConverges(world, joinBoundUs(8));
+    simulation.play(15 * SECOND_US);
+    simulation.late((from, to) -> 0);
+    simulation.play(7 * SECOND_US);
+    assertConverges(simulation, joinBoundUs(8));
   }
 
   /** The broker detects the stall whether timers or queued messages are handled first. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
-  void stalledBrokerDeclaresNobodyDead(long seed) {
-    for (boolean wordsFirst : new boolean[] {true, false}) {
-      MembershipSimulation world = convergedWorld(seed, 8, 0.05);
-      long before = world.node(6).view().declaredDead();
-      world.still(6, 2 * SECOND_US, wordsFirst);
-      world.play(2 * SECOND_US + 1);
-      assertTrue(world.node(6).view().localHealthScore() > 0);
-      assertConverges(world, joinBoundUs(8) + 2 * SECOND_US);
-      world.play(10 * SECOND_US);
-      assertEquals(before, world.node(6).view().declaredDead());
-      assertTrue(world.node(6).view().localHealthScore() <= 1, "local health must recover");
+  void stalledBrokerDeclaresNoMemberDead(long seed) {
+    for (boolean messagesFirst : new boolean[] {true, false}) {
+      MembershipSimulation simulation = convergedCluster(seed, 8, 0.05);
+      long before = simulation.node(6).view().declaredDead();
+      simulation.still(6, 2 * SECOND_US, messagesFirst);
+      simulation.play(2 * SECOND_US + 1);
+      assertTrue(simulation.node(6).view().localHealthScore() > 0);
+      assertConverges(simulation, joinBoundUs(8) + 2 * SECOND_US);
+      simulation.play(10 * SECOND_US);
+      assertEquals(before, simulation.node(6).view().declaredDead());
+      assertTrue(simulation.node(6).view().localHealthScore() <= 1, "local health must recover");
     }
   }
 
@@ -330,21 +331,21 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void clusterWithoutItsSeedsMergesAfterALongPartition(long seed) {
-    MembershipSimulation world = convergedWorld(seed, 20, 0.02);
+    MembershipSimulation simulation = convergedCluster(seed, 20, 0.02);
     for (int i = 0; i < 8; i++) {
-      world.kill(i);
+      simulation.kill(i);
     }
-    assertConverges(world, deathBoundUs(20));
-    world.cut(
+    assertConverges(simulation, deathBoundUs(20));
+    simulation.cut(
         (from, to) ->
             MembershipSimulation.number(from) < 14 != MembershipSimulation.number(to) < 14);
-    world.play(deathBoundUs(20) + SETTINGS.deadRetentionUs() + 5 * SECOND_US);
+    simulation.play(deathBoundUs(20) + SETTINGS.deadRetentionUs() + 5 * SECOND_US);
     assertTrue(
-        world.nodes().stream().allMatch(node -> node.view().peers().size() == 5),
-        "both sides must have removed each other:" + memberLists(world));
-    world.cut((from, to) -> false);
+        simulation.nodes().stream().allMatch(node -> node.view().peers().size() == 5),
+        "both sides must have removed each other:" + memberLists(simulation));
+    simulation.cut((from, to) -> false);
     // one address is contacted per round of 5 pings, and only some of the remembered ones exist
-    assertConverges(world, joinBoundUs(20) + 8 * 14 * SETTINGS.periodUs());
+    assertConverges(simulation, joinBoundUs(20) + 8 * 14 * SETTINGS.periodUs());
   }
 
   /**
@@ -353,14 +354,14 @@
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void separatelyStartedGroupsMergeByTheSeeds(long seed) {
-    MembershipSimulation world = new MembershipSimulation(seed, 0, SETTINGS);
-    world.cut(
+    MembershipSimulation simulation = new MembershipSimulation(seed, 0, SETTINGS);
+    simulation.cut(
         (from, to) -> MembershipSimulation.number(from) < 4 != MembershipSimulation.number(to) < 4);
-    world.start(0, 8);
-    world.play(5 * SECOND_US);
-    assertTrue(MembershipSimulation.agree(world.nodes().subList(0, 4)));
-    world.cut((from, to) -> false);
-    assertConverges(world, joinBoundUs(8));
+    simulation.start(0, 8);
+    simulation.play(5 * SECOND_US);
+    assertTrue(MembershipSimulation.agree(simulation.nodes().subList(0, 4)));
+    simulation.cut((from, to) -> false);
+    assertConverges(simulation, joinBoundUs(8));
     MembershipSimulation baseline = new MembershipSimulation(seed, 0, SETTINGS.baseline());
     baseline.cut(
         (from, to) -> MembershipSimulation.number(from) < 4 != MembershipSimulation.number(to) < 4);
@@ -372,15 +373,16 @@
 
   @Test
   void clusterGrowsFromThreeToThreeHundred() {
-    MembershipSimulation world = convergedWorld(1, 3, 0.05);
-    world.start(3, 300);
-    assertConverges(world, joinBoundUs(300));
-    assertEquals(0, world.falsePositives());
+    MembershipSimulation simulation = convergedCluster(1, 3, 0.05);
+    simulation.start(3, 300);
+    assertConverges(simulation, joinBoundUs(300));
+    assertEquals(0, simulation.falsePositives());
     assertTrue(
-        world.largestMessage() <= SETTINGS.maxMessageBytes(),
-        "largest message in bytes: " + world.largestMessage());
+        simulation.largestMessage() <= SETTINGS.maxMessageBytes(),
+        "largest message in bytes: " + simulation.largestMessage());
     assertTrue(
-        world.bytes() / 300.0 / (world.nowUs() / 1e6) <= MembershipBounds.bytesPerS(SETTINGS));
+        simulation.bytes() / 300.0 / (simulation.nowUs() / 1e6)
+            <= MembershipBounds.bytesPerS(SETTINGS));
   }
 
   /** With messages of at most 256 bytes, more messages carry the same updates. */
@@ -388,27 +390,28 @@
   @ValueSource(longs = {1, 2})
   void smallMessagesConvergeToo(long seed) {
     MembershipProtocolSettings small = SETTINGS.withMaxMessageBytes(256);
-    MembershipSimulation world = new MembershipSimulation(seed, 0.05, small);
-    world.start(0, 40);
-    assertConverges(world, MembershipBounds.joinUs(small, 40));
-    world.cut(
+    MembershipSimulation simulation = new MembershipSimulation(seed, 0.05, small);
+    simulation.start(0, 40);
+    assertConverges(simulation, MembershipBounds.joinUs(small, 40));
+    simulation.cut(
         (from, to) ->
             MembershipSimulation.number(from) < 20 != MembershipSimulation.number(to) < 20);
-    world.play(deathBoundUs(40));
-    world.cut((from, to) -> false);
-    assertConverges(world, MembershipBounds.joinUs(small, 40));
+    simulation.play(deathBoundUs(40));
+    simulation.cut((from, to) -> false);
+    assertConverges(simulation, MembershipBounds.joinUs(small, 40));
     assertTrue(
-        world.largestMessage() <= 256, "largest message in bytes: " + world.largestMessage());
+        simulation.largestMessage() <= 256,
+        "largest message in bytes: " + simulation.largestMessage());
   }
 
   @Test
   void snapshotsAreImmutableAndNumbered() {
-    MembershipSimulation world = convergedWorld(1, 4, 0);
-    ClusterSnapshot before = world.node(0).view().snapshot();
-    world.kill(3);
-    assertConverges(world, deathBoundUs(4));
+    MembershipSimulation simulation = convergedCluster(1, 4, 0);
+    ClusterSnapshot before = simulation.node(0).view().snapshot();
+    simulation.kill(3);
+    assertConverges(simulation, deathBoundUs(4));
     assertEquals(4, before.names().size());
-    assertTrue(world.node(0).view().snapshot().number() > before.number());
+    assertTrue(simulation.node(0).view().snapshot().number() > before.number());
     assertThrows(UnsupportedOperationException.class, () -> before.members().clear());
     assertThrows(IllegalArgumentException.class, () -> SETTINGS.withMaxMessageBytes(100));
   }
--- a/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
+++ b/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
@@ -16,20 +16,20 @@
 class ObservationTableTest {
   private static final long NOW = 1_000_000;
 
-  private static EndpointObservation signal(
-      String author, long startedMs, long number, long seenUs, int failed) {
+  private static EndpointObservation observation(
+      String observer, long startedMs, long number, long observedUs, int consecutiveFailures) {
     return new EndpointObservation(
-        "s", startedMs, author, number, seenUs, List.of((float) number), failed);
+        "s", startedMs, observer, number, observedUs, List.of((float) number), consecutiveFailures);
   }
 
   @Property(tries = 300)
-  void mergeOrderAndDuplicatesDoNotCount(@ForAll long seed) {
+  void mergeOrderAndDuplicatesHaveNoEffect(@ForAll long seed) {
     Random random = new Random(seed);
     List<EndpointObservation> received = new ArrayList<>();
     for (int i = 0; i < 30; i++) {
       long number = random.nextInt(8);
       received.add(
-          signal(
+          observation(
               "n" + random.nextInt(6),
               random.nextInt(2),
               number,
@@ -44,55 +44,55 @@
     ObservationTable other = new ObservationTable(10, 500_000);
     shuffled.forEach(observation -> other.merge(observation, NOW));
     assertEquals(new HashSet<>(first.all()), new HashSet<>(other.all()));
-    assertTrue(first.all().size() <= ObservationTable.MAX_AUTHORS);
+    assertTrue(first.all().size() <= ObservationTable.MAX_OBSERVERS);
   }
 
   @Test
   void outdatedAndDuplicateObservationsAreDropped() {
-    ObservationTable signals = new ObservationTable(10, 500_000);
-    assertTrue(signals.merge(signal("n1", 5, 1, 900_000, 0), NOW));
-    assertFalse(signals.merge(signal("n1", 5, 1, 900_000, 0), NOW));
-    assertFalse(signals.merge(signal("n2", 4, 9, 950_000, 0), NOW)); // of an earlier incarnation
-    assertFalse(signals.merge(signal("n2", 5, 1, 400_000, 0), NOW)); // stale
+    ObservationTable table = new ObservationTable(10, 500_000);
+    assertTrue(table.merge(observation("n1", 5, 1, 900_000, 0), NOW));
+    assertFalse(table.merge(observation("n1", 5, 1, 900_000, 0), NOW));
+    assertFalse(table.merge(observation("n2", 4, 9, 950_000, 0), NOW)); // of an earlier incarnation
+    assertFalse(table.merge(observation("n2", 5, 1, 400_000, 0), NOW)); // stale
     assertTrue(
-        signals.merge(
-            signal("n2", 6, 1, 960_000, 3), NOW)); // of a later incarnation, replaces the first
-    assertEquals(List.of("n2"), signals.all().stream().map(EndpointObservation::observer).toList());
-    assertEquals(1, signals.countFailing("s", 3));
-    signals.expire(NOW + 500_000);
-    assertEquals(0, signals.countObservers("s"));
+        table.merge(
+            observation("n2", 6, 1, 960_000, 3),
+            NOW)); // of a later incarnation, replaces the first
+    assertEquals(List.of("n2"), table.all().stream().map(EndpointObservation::observer).toList());
+    assertEquals(1, table.countFailing("s", 3));
+    table.expire(NOW + 500_000);
+    assertEquals(0, table.countObservers("s"));
   }
 
   /** Otherwise an observation of a broker whose clock is ahead would outlive all others. */
   @Test
   void observationsFromTheFutureCountAsMadeNow() {
-    ObservationTable signals = new ObservationTable(10, 500_000);
-    assertTrue(signals.merge(signal("ahead", 0, 1, 9_000_000, 0), NOW));
-    assertTrue(signals.merge(signal("n1", 0, 1, NOW + 1, 0), NOW + 1));
-    assertEquals("n1", signals.latestReport("s", 0, "self").orElseThrow().observer());
-    signals.expire(NOW + 600_000);
-    assertEquals(0, signals.countObservers("s"));
+    ObservationTable table = new ObservationTable(10, 500_000);
+    assertTrue(table.merge(observation("ahead", 0, 1, 9_000_000, 0), NOW));
+    assertTrue(table.merge(observation("n1", 0, 1, NOW + 1, 0), NOW + 1));
+    assertEquals("n1", table.latestReport("s", 0, "self").orElseThrow().observer());
+    table.expire(NOW + 600_000);
+    assertEquals(0, table.countObservers("s"));
   }
 
   @Test
   void fullTableRejectsFurtherEndpoints() {
-    ObservationTable signals = new ObservationTable(1, 500_000);
-    assertTrue(signals.merge(signal("n1", 0, 1, NOW, 0), NOW));
-    assertFalse(
-        signals.merge(new EndpointObservation("other", 0, "n1", 1, NOW, List.of(), 0), NOW));
-    assertEquals(1, signals.rejected());
-    signals.remove("s");
-    assertTrue(signals.merge(new EndpointObservation("other", 0, "n1", 2, NOW, List.of(), 0), NOW));
+    ObservationTable table = new ObservationTable(1, 500_000);
+    assertTrue(table.merge(observation("n1", 0, 1, NOW, 0), NOW));
+    assertFalse(table.merge(new EndpointObservation("other", 0, "n1", 1, NOW, List.of(), 0), NOW));
+    assertEquals(1, table.rejected());
+    table.remove("s");
+    assertTrue(table.merge(new EndpointObservation("other", 0, "n1", 2, NOW, List.of(), 0), NOW));
   }
 
   @Test
   void latestReportExcludesTheBrokersOwn() {
-    ObservationTable signals = new ObservationTable(10, 500_000);
-    signals.merge(signal("self", 0, 7, 990_000, 0), NOW);
-    signals.merge(signal("n1", 0, 3, 980_000, 0), NOW);
-    assertEquals(3f, signals.latestReport("s", 970_000, "self").orElseThrow().values()[0]);
-    assertTrue(signals.latestReport("s", 980_000, "self").isEmpty());
-    assertTrue(signals.observedSince("s", 990_000));
-    assertFalse(signals.observedSince("s", 990_001));
+    ObservationTable table = new ObservationTable(10, 500_000);
+    table.merge(observation("self", 0, 7, 990_000, 0), NOW);
+    table.merge(observation("n1", 0, 3, 980_000, 0), NOW);
+    assertEquals(3f, table.latestReport("s", 970_000, "self").orElseThrow().values()[0]);
+    assertTrue(table.latestReport("s", 980_000, "self").isEmpty());
+    assertTrue(table.observedSince("s", 990_000));
+    assertFalse(table.observedSince("s", 990_001));
   }
 }
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
@@ -25,9 +25,9 @@
 class GossipCodecTest {
   private static final List<GossipMessage.Kind> KINDS = List.of(GossipMessage.Kind.values());
   private static final List<Member.Status> STATUSES = List.of(Member.Status.values());
-  private static final long DAY_MS = 1_796_000_000_000L;
+  private static final long BASE_MS = 1_796_000_000_000L;
   private static final VersionVector VERSIONS =
-      new VersionVector("dunlinhitch 0.1.0", "0a1b2c3d4e5f", DAY_MS - 70_000, 41);
+      new VersionVector("dunlinhitch 0.1.0", "0a1b2c3d4e5f", BASE_MS - 70_000, 41);
 
   private static String text(Random random) {
     return switch (random.nextInt(6)) {
@@ -102,7 +102,7 @@
               "0",
               "10.1.0." + i,
               7400,
-              DAY_MS - 1000L * i,
+              BASE_MS - 1000L * i,
               i == 11 ? Member.Status.SUSPECT : Member.Status.ALIVE));
     }
     for (int i = 0; i < 8; i++) {
@@ -112,13 +112,13 @@
               0,
               "n" + i,
               17 + i,
-              DAY_MS * 1000 + 40_000_000 - 900_000L * i,
+              BASE_MS * 1000 + 40_000_000 - 900_000L * i,
               List.of(0.61f, 3f),
               i % 2));
     }
     return new GossipMessage(
         GossipMessage.Kind.PING,
-        new Member("n12", "0", "10.1.0.99", 7400, DAY_MS, Member.Status.ALIVE),
+        new Member("n12", "0", "10.1.0.99", 7400, BASE_MS, Member.Status.ALIVE),
         300,
         "",
         VERSIONS,
@@ -127,8 +127,8 @@
         0x1234_5678_9abc_def0L,
         List.of(),
         List.of(
-            new SuspicionReport("n11", DAY_MS - 11_000, "n3"),
-            new SuspicionReport("n11", DAY_MS - 11_000, "n12")));
+            new SuspicionReport("n11", BASE_MS - 11_000, "n3"),
+            new SuspicionReport("n11", BASE_MS - 11_000, "n12")));
   }
 
   /**
@@ -257,7 +257,7 @@
       GossipMessage message =
           new GossipMessage(
               GossipMessage.Kind.GOSSIP,
-              new Member(name, "0", "10.1.0.99", 7400, DAY_MS, Member.Status.ALIVE),
+              new Member(name, "0", "10.1.0.99", 7400, BASE_MS, Member.Status.ALIVE),
               2,
               "",
               VERSIONS,
--- a/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
+++ b/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
@@ -18,15 +18,15 @@
       new VersionSkewDetector(VersionSkewSettings.STANDARD, "n0", OLD);
   private final List<SkewVerdict> verdicts = new ArrayList<>();
 
-  private List<String> playTo(long fromUs, long toUs) {
-    List<String> decided = new ArrayList<>();
+  private List<String> advance(long fromUs, long toUs) {
+    List<String> steps = new ArrayList<>();
     for (long now = fromUs; now < toUs; now += SECOND_US / 10) {
       for (SkewVerdict verdict : detector.verdicts(now)) {
         verdicts.add(verdict);
-        decided.add(verdict.broker() + " " + verdict.kind() + " " + verdict.step());
+        steps.add(verdict.broker() + " " + verdict.kind() + " " + verdict.step());
       }
     }
-    return decided;
+    return steps;
   }
 
   @Test
@@ -36,16 +36,16 @@
     detector.onVersions(0, "n0", NEW);
     detector.onMemberLeft(0, "n1");
     detector.onVersions(5 * SECOND_US, "n1", OLD);
-    assertEquals(List.of(), playTo(0, 5 * SECOND_US));
-    assertEquals(List.of(), playTo(5 * SECOND_US, 5 * SECOND_US + 1_400_000));
-    assertEquals(List.of("n1 SETTINGS SEEN"), playTo(5 * SECOND_US + 1_400_000, 14 * SECOND_US));
+    assertEquals(List.of(), advance(0, 5 * SECOND_US));
+    assertEquals(List.of(), advance(5 * SECOND_US, 5 * SECOND_US + 1_400_000));
+    assertEquals(List.of("n1 SETTINGS SEEN"), advance(5 * SECOND_US + 1_400_000, 14 * SECOND_US));
     assertEquals(
         new SkewVerdict("n1", Kind.SETTINGS, Step.SEEN, "aaaa", "bbbb", 1_500_000),
         verdicts.get(0));
-    assertEquals(List.of("n1 SETTINGS SHUT_OUT"), playTo(14 * SECOND_US, 20 * SECOND_US));
+    assertEquals(List.of("n1 SETTINGS SHUT_OUT"), advance(14 * SECOND_US, 20 * SECOND_US));
     assertEquals(Set.of("n1"), detector.fenced());
     detector.onVersions(20 * SECOND_US, "n1", NEW);
-    assertEquals(List.of("n1 SETTINGS LET_IN"), playTo(20 * SECOND_US, 25 * SECOND_US));
+    assertEquals(List.of("n1 SETTINGS LET_IN"), advance(20 * SECOND_US, 25 * SECOND_US));
     assertEquals(Set.of(), detector.fenced());
   }
 
@@ -54,53 +54,53 @@
   void outdatedBrokerRefreshesAndThenFencesItself() {
     detector.onVersions(0, "n1", OLD.withEndpointListGeneration(6));
     detector.onVersions(0, "n2", OLD.withEndpointListGeneration(6));
-    List<String> decided = playTo(0, 4 * SECOND_US);
+    List<String> steps = advance(0, 4 * SECOND_US);
     assertEquals(
         List.of("n0 ROSTER SEEN", "n0 ROSTER BRING_UP", "n0 ROSTER BRING_UP", "n0 ROSTER BRING_UP"),
-        decided);
-    decided = playTo(4 * SECOND_US, 11 * SECOND_US);
-    assertEquals(1, decided.stream().filter("n0 ROSTER SHUT_OUT"::equals).count());
+        steps);
+    steps = advance(4 * SECOND_US, 11 * SECOND_US);
+    assertEquals(1, steps.stream().filter("n0 ROSTER SHUT_OUT"::equals).count());
     assertEquals(Set.of("n0"), detector.fenced());
     detector.onVersions(11 * SECOND_US, "n0", OLD.withEndpointListGeneration(6));
-    assertEquals(List.of("n0 ROSTER LET_IN"), playTo(11 * SECOND_US, 12 * SECOND_US));
+    assertEquals(List.of("n0 ROSTER LET_IN"), advance(11 * SECOND_US, 12 * SECOND_US));
   }
 
   /** Brokers get new settings one minute apart; none is fenced before most have them. */
   @Test
-  void slowRolloutFencesNobody() {
+  void slowRolloutFencesNoBroker() {
     for (int i = 1; i < 8; i++) {
       detector.onVersions(0, "n" + i, OLD);
     }
     for (int i = 1; i <= 4; i++) {
       detector.onVersions(i * 60L * SECOND_US, "n" + i, NEW);
-      List<String> decided = playTo(i * 60L * SECOND_US, (i + 1) * 60L * SECOND_US);
+      List<String> steps = advance(i * 60L * SECOND_US, (i + 1) * 60L * SECOND_US);
       assertEquals(
-          List.of(), decided.stream().filter(verdict -> verdict.endsWith("SHUT_OUT")).toList());
+          List.of(), steps.stream().filter(verdict -> verdict.endsWith("SHUT_OUT")).toList());
     }
     detector.onVersions(300 * SECOND_US, "n5", NEW);
-    List<String> decided = playTo(300 * SECOND_US, 360 * SECOND_US);
+    List<String> steps = advance(300 * SECOND_US, 360 * SECOND_US);
     assertEquals(
         Set.of("n0 SETTINGS SHUT_OUT", "n6 SETTINGS SHUT_OUT", "n7 SETTINGS SHUT_OUT"),
-        Set.copyOf(decided.stream().filter(verdict -> verdict.endsWith("SHUT_OUT")).toList()));
+        Set.copyOf(steps.stream().filter(verdict -> verdict.endsWith("SHUT_OUT")).toList()));
   }
 
   @Test
-  void rolloutWithinTheBoundReportsNobody() {
+  void rolloutWithinTheBoundReportsNoBroker() {
     for (int i = 1; i < 8; i++) {
       detector.onVersions(0, "n" + i, OLD);
     }
     for (int i = 0; i < 8; i++) {
       detector.onVersions(i * 150_000L, "n" + i, NEW);
     }
-    assertEquals(List.of(), playTo(8 * 150_000L, 60 * SECOND_US));
+    assertEquals(List.of(), advance(8 * 150_000L, 60 * SECOND_US));
   }
 
   /** Each discovery service numbers its lists independently. */
   @Test
   void endpointListsAreComparedWithinTheSameSettingsOnly() {
     detector.onVersions(0, "n1", NEW.withEndpointListGeneration(90));
-    List<String> decided = playTo(0, 3 * SECOND_US);
-    assertEquals(Set.of("n0 SETTINGS SEEN", "n0 SETTINGS BRING_UP"), Set.copyOf(decided));
+    List<String> steps = advance(0, 3 * SECOND_US);
+    assertEquals(Set.of("n0 SETTINGS SEEN", "n0 SETTINGS BRING_UP"), Set.copyOf(steps));
   }
 
   /** A reordered announcement does not undo a newer one; a restart without a list does. */
@@ -115,11 +115,11 @@
   }
 
   @Test
-  void versionsOfABrokerThatLeftDoNotCount() {
+  void versionsOfABrokerThatLeftAreIgnored() {
     detector.onVersions(0, "n1", NEW);
-    playTo(0, 2 * SECOND_US);
+    advance(0, 2 * SECOND_US);
     detector.onMemberLeft(2 * SECOND_US, "n1");
-    assertEquals(List.of("n0 SETTINGS CAUGHT_UP"), playTo(2 * SECOND_US, 20 * SECOND_US));
+    assertEquals(List.of("n0 SETTINGS CAUGHT_UP"), advance(2 * SECOND_US, 20 * SECOND_US));
   }
 
   @Test
