--- a/src/main/java/dunlinhitch/endpoints/ActiveClaim.java
+++ b/src/main/java/dunlinhitch/endpoints/ActiveClaim.java
@@ -3,15 +3,15 @@
 import java.util.Comparator;
 
 /**
- * One claim in force: what a source says of an endpoint under one key.
+ * A claim in force: the description of an endpoint by a source, under one key.
  *
- * <p>Not thread-safe; the registry owns it. {@link ClaimTable} writes its content, {@link
- * ClaimExpiry} its expiry.
+ * <p>Not thread-safe; owned by the registry. Its content is written by {@link ClaimTable}, its
+ * expiry by {@link ClaimExpiry}.
  */
 final class ActiveClaim {
   /**
-   * Precedence of claims: unexpired before stale, then the rank of the source, then age; source
-   * name and key make the order total.
+   * Orders claims by precedence: unexpired before stale ones, then by the rank of the source, then
+   * the oldest first. Source name and key make the order total.
    */
   static final Comparator<ActiveClaim> PRECEDENCE =
       Comparator.<ActiveClaim>comparingInt(claim -> claim.stale ? 1 : 0)
@@ -24,25 +24,28 @@
   final String key;
   final EndpointRecord owner;
 
-  /** It arrived after the source's complete list: the endpoint itself is new. */
+  /**
+   * Whether it arrived after the source's complete list, which means that the endpoint itself is
+   * new.
+   */
   final boolean arrivedAfterInitialList;
 
   /** The claimed endpoint; null only until the first content is set. */
   Endpoint endpoint;
 
-  /** Since when the claim has this content. */
+  /** When the claim got its current content. */
   long sinceUs;
 
-  /** When the source reported the claim last. */
+  /** When the source last reported the claim. */
   long reportedUs;
 
   /** When the claim expires unless it is reported again, or {@link TimingWheel#NEVER}. */
   long expiresUs;
 
-  /** It has expired and is retained because its source may be unavailable. */
+  /** Whether it has expired and is retained because its source may be unavailable. */
   boolean stale;
 
-  /** The pending expiry; null: none. */
+  /** The pending expiry timer, or null. */
   TimingWheel.Handle<Runnable> expiryTimer;
 
   ActiveClaim(ClaimSource source, String key, EndpointRecord owner) {
--- a/src/main/java/dunlinhitch/endpoints/AddressIndex.java
+++ b/src/main/java/dunlinhitch/endpoints/AddressIndex.java
@@ -6,26 +6,26 @@
 import java.util.Set;
 
 /**
- * Which endpoints are claimed at which address, to find two names at one address.
+ * The endpoints that are claimed at each address, to find endpoints that share an address.
  *
- * <p>Not thread-safe; the registry owns it.
+ * <p>Not thread-safe; owned by the registry.
  */
 final class AddressIndex {
   private final Map<String, Set<EndpointRecord>> byAddress = new HashMap<>();
 
-  /** Endpoints to evaluate again; the registry's own set. */
+  /** Endpoints to reevaluate; the set of the registry. */
   private final Set<EndpointRecord> pending;
 
   AddressIndex(Set<EndpointRecord> pending) {
     this.pending = pending;
   }
 
-  /** True where another endpoint is at the address of this one, which is in the index. */
+  /** Whether another endpoint has the address of this one, which must be in the index. */
   boolean isShared(EndpointRecord endpoint) {
     return byAddress.get(endpoint.address).size() > 1;
   }
 
-  /** Takes an endpoint out of the index. */
+  /** Removes an endpoint from the index. */
   void remove(EndpointRecord endpoint) {
     if (endpoint.address == null) {
       return;
@@ -40,7 +40,7 @@
     endpoint.address = null;
   }
 
-  /** Moves an endpoint to that address. */
+  /** Sets the address of an endpoint. */
   void put(EndpointRecord endpoint, String address) {
     if (address.equals(endpoint.address)) {
       return;
--- a/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
+++ b/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
@@ -3,9 +3,9 @@
 import dunlinhitch.balancer.ServerState;
 
 /**
- * Derives the change to publish from the state of an endpoint, and keeps what was published last.
+ * Derives the change to publish from the state of an endpoint, and records what was published.
  *
- * <p>Not thread-safe; the registry owns it.
+ * <p>Not thread-safe; owned by the registry.
  */
 final class ChangePublisher {
   private final ClaimEvaluator evaluator;
@@ -14,7 +14,7 @@
     this.evaluator = evaluator;
   }
 
-  /** The change since the last call for this endpoint, or null where there is none. */
+  /** Returns the change since the last call for this endpoint, or null if there is none. */
   EndpointChange publish(EndpointRecord endpoint) {
     Evaluation evaluation = evaluator.evaluate(endpoint);
     boolean announced;
@@ -50,7 +50,7 @@
   private static void updateStandInStatus(EndpointRecord endpoint, Evaluation evaluation) {
     if (endpoint.coveredPositions > 0) {
       endpoint.status = EndpointStatus.STANDING_IN;
-    } else if (endpoint.status == EndpointStatus.STANDING_IN) { // others serve again
+    } else if (endpoint.status == EndpointStatus.STANDING_IN) { // another endpoint serves again
       endpoint.status =
           evaluation.status() == EndpointStatus.DISPUTED
               ? EndpointStatus.DISPUTED
@@ -72,10 +72,10 @@
   }
 
   /**
-   * When the process started, as far as can be inferred: as claimed; at the time of the claim where
-   * it serves at another address than before without a later start, for that is another process; at
-   * the time of the claim where no start is claimed and the endpoint appeared after the source's
-   * complete list.
+   * Infers when the process started. This is the claimed start, with two exceptions. An endpoint
+   * that has moved to another address without a later claimed start is a new process, which counts
+   * as started at the time of the claim. So does an endpoint without a claimed start that appeared
+   * after the source's complete list.
    */
   private static long processStartUs(EndpointRecord endpoint, Evaluation evaluation) {
     long claimedUs = evaluation.endpoint().startedUs();
--- a/src/main/java/dunlinhitch/endpoints/ClaimConflicts.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimConflicts.java
@@ -1,10 +1,10 @@
 package dunlinhitch.endpoints;
 
-/** In what two claims on one endpoint contradict each other. */
+/** Finds contradictions between two claims on one endpoint. */
 final class ClaimConflicts {
   private ClaimConflicts() {}
 
-  /** The most severe contradiction of the two, or null where they agree. */
+  /** The most severe contradiction between the two, or null if they agree. */
   static StatusReason between(Endpoint one, Endpoint other) {
     if (one.cell() != other.cell()) {
       return StatusReason.CELL_CONFLICT;
@@ -19,12 +19,12 @@
     return null;
   }
 
-  /** The more severe of two conflicts, either of which may be null: none. */
+  /** The more severe of two conflicts, either of which may be null for none. */
   static StatusReason moreSevere(StatusReason one, StatusReason other) {
     if (one == null) {
       return other;
     }
-    // the constants of conflicts are declared from the most severe on
+    // the constants of conflicts are declared in order of decreasing severity
     return other != null && other.compareTo(one) < 0 ? other : one;
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/ClaimEvaluator.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimEvaluator.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Weighs the claims on one endpoint against each other.
+ * Combines the claims on one endpoint into one result.
  *
- * <p>Not thread-safe; the registry owns it.
+ * <p>Not thread-safe; owned by the registry.
  */
 final class ClaimEvaluator {
   private final AddressIndex addresses;
@@ -16,8 +16,8 @@
   }
 
   /**
-   * The result of the claims that count, or null where none does. Enters the endpoint's address
-   * into the index where its claims agree and are not of a trusted source.
+   * Returns the result of the claims that count, or null if none does. Adds the endpoint's address
+   * to the index if its claims agree and are not from a trusted source.
    */
   Evaluation evaluate(EndpointRecord endpoint) {
     List<ActiveClaim> claims =
@@ -66,10 +66,10 @@
   }
 
   /**
-   * A claim counts unless another source withdrew the endpoint after the claim was made: one of
-   * higher precedence, or one of the same that had claimed the same. Where two of the same
-   * precedence contradicted each other, the withdrawal by one settles the conflict and leaves the
-   * claim of the other.
+   * Whether a claim counts. It does not if another source withdrew the endpoint after the claim was
+   * made, and that source has higher precedence or has equal precedence and had made an equal
+   * claim. If two sources of equal precedence contradicted each other, the withdrawal by one
+   * resolves the conflict and the claim of the other counts.
    */
   private static boolean counts(Withdrawal withdrawal, ActiveClaim claim) {
     if (withdrawal == null
--- a/src/main/java/dunlinhitch/endpoints/ClaimExpiry.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimExpiry.java
@@ -4,21 +4,24 @@
 import java.util.function.Consumer;
 
 /**
- * Expiry of claims: a claim that is not renewed in time turns stale, and ends when it has been
+ * Expiry of claims: a claim that is not renewed in time becomes stale, and ends after it has been
  * stale for the configured time.
  *
- * <p>Not thread-safe; {@link ClaimTable} owns it.
+ * <p>Not thread-safe; owned by {@link ClaimTable}.
  */
 final class ClaimExpiry {
   private final RegistryTimers timers;
   private final long staleForUs;
 
-  /** Endpoints to evaluate again; the registry's own set. */
+  /** Endpoints to reevaluate; the set of the registry. */
   private final Set<EndpointRecord> pending;
 
   private final Consumer<ActiveClaim> onExpired;
 
-  /** {@code onExpired} gets each claim that ends because it was stale for {@code staleForUs}. */
+  /**
+   * Creates the expiry; {@code onExpired} receives each claim that was stale for {@code
+   * staleForUs}.
+   */
   ClaimExpiry(
       RegistryTimers timers,
       long staleForUs,
@@ -30,7 +33,7 @@
     this.onExpired = onExpired;
   }
 
-  /** Sets or renews the expiry of a claim; {@code expiresUs} may be past. */
+  /** Sets or renews the expiry of a claim; {@code expiresUs} may be in the past. */
   void renew(ActiveClaim claim, long expiresUs) {
     claim.expiresUs = expiresUs;
     cancel(claim);
--- a/src/main/java/dunlinhitch/endpoints/ClaimSource.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimSource.java
@@ -4,29 +4,29 @@
 import java.util.Map;
 
 /**
- * A registered source of claims, and its claims that are in force.
+ * A registered source of claims, and its claims in force.
  *
- * <p>Not thread-safe; the registry owns it.
+ * <p>Not thread-safe; owned by the registry.
  */
 final class ClaimSource {
   final String name;
 
-  /** Precedence: of two conflicting sources the one of the lower rank wins. */
+  /** The precedence: of two conflicting sources the one with the lower rank wins. */
   final int rank;
 
-  /** Its claims are taken as they are: no linger, no flap damping, no address conflicts. */
+  /** Whether its claims are exempt from linger, flap damping and address conflicts. */
   final boolean trusted;
 
   /** Claims in force by their key, in the order of their arrival. */
   final Map<String, ActiveClaim> claims = new LinkedHashMap<>();
 
   /**
-   * It has sent a complete list, so that an endpoint which appears later is new, and not only new
-   * to this process.
+   * Whether it has sent a complete list. An endpoint that appears later has just started, whereas
+   * one on that list may have run for long.
    */
   boolean initialListReceived;
 
-  /** It does not answer; its claims stay in force until they expire. */
+  /** Whether it does not answer; if so, its claims stay in force until they expire. */
   boolean unavailable;
 
   ClaimSource(String name, int rank, boolean trusted) {
--- a/src/main/java/dunlinhitch/endpoints/ClaimTable.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimTable.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 
 /**
- * The claims in force and the endpoints that they name. Every change marks its endpoint for another
- * evaluation.
+ * The claims in force and the endpoints that they name. Every change marks the affected endpoint
+ * for reevaluation.
  *
- * <p>Not thread-safe; the registry owns it.
+ * <p>Not thread-safe; owned by the registry.
  */
 final class ClaimTable {
   private final EndpointRegistrySettings settings;
@@ -19,7 +19,7 @@
   private final ClaimExpiry expiry;
   private final Map<String, EndpointRecord> endpoints = new LinkedHashMap<>();
 
-  /** Endpoints to evaluate again; the registry's own set. */
+  /** Endpoints to reevaluate; the set of the registry. */
   private final Set<EndpointRecord> pending;
 
   private long rejected;
@@ -42,12 +42,14 @@
     return Collections.unmodifiableCollection(endpoints.values());
   }
 
-  /** Claims that were rejected since the start. */
+  /** The number of claims that were rejected since the start. */
   long rejected() {
     return rejected;
   }
 
-  /** Takes in a claim or its withdrawal; one that is older than what is in force is ignored. */
+  /**
+   * Applies a claim or its withdrawal; an update that is older than the claim in force is ignored.
+   */
   void apply(ClaimSource source, EndpointClaim update) {
     ActiveClaim current = source.claims.get(update.key());
     if (current != null && update.reportedUs() < current.reportedUs) {
@@ -59,7 +61,7 @@
     if (rejects) {
       rejected++;
     }
-    if (ended || rejects) { // a rejected claim replaces the one before it all the same
+    if (ended || rejects) { // a rejected claim still replaces the previous one
       withdrawIfPresent(current);
       return;
     }
@@ -83,7 +85,9 @@
     }
   }
 
-  /** After a source was removed: claims of others that its withdrawals overruled count again. */
+  /**
+   * Handles the removal of a source: claims of others that it overruled by withdrawals count again.
+   */
   void onSourceRemoved(ClaimSource source) {
     for (EndpointRecord endpoint : endpoints.values()) {
       Withdrawal withdrawal = endpoint.lastWithdrawal;
@@ -96,7 +100,7 @@
     }
   }
 
-  /** Forgets an endpoint, unless it is claimed again. */
+  /** Removes an endpoint, unless it is claimed again. */
   void forgetUnclaimed(EndpointRecord endpoint) {
     if (endpoint.claims.isEmpty()) {
       endpoints.remove(endpoint.name, endpoint);
--- a/src/main/java/dunlinhitch/endpoints/Endpoint.java
+++ b/src/main/java/dunlinhitch/endpoints/Endpoint.java
@@ -6,9 +6,9 @@
  * One replica of a store, as its sources describe it.
  *
  * @param zone index of its zone in the settings
- * @param cell the cell of shards that it has
- * @param startedUs when its process started, Unix time in microseconds; 0: long ago or unknown
- * @param phases 2 where it can answer cheaply whether a block has any match, else 1
+ * @param cell the cell whose shards it has
+ * @param startedUs when its process started, Unix time in microseconds; 0 means long ago or unknown
+ * @param phases 2 if it can cheaply determine whether a block has any match, otherwise 1
  */
 public record Endpoint(
     String name,
@@ -27,7 +27,7 @@
     FLIGHT
   }
 
-  /** An endpoint that knows a single phase. */
+  /** Creates an endpoint that supports a single phase. */
   public Endpoint(
       String name,
       String host,
@@ -41,26 +41,26 @@
     this(name, host, port, zone, cell, state, weight, startedUs, protocol, 1);
   }
 
-  /** True where both are reached at the same address by the same protocol. */
+  /** Whether both have the same address and protocol. */
   public boolean sameAddress(Endpoint other) {
     return host.equals(other.host) && port == other.port && protocol == other.protocol;
   }
 
-  /** This endpoint in another state. */
+  /** Returns this endpoint with the given state. */
   public Endpoint withState(ServerState newState) {
     return newState == state
         ? this
         : new Endpoint(name, host, port, zone, cell, newState, weight, startedUs, protocol, phases);
   }
 
-  /** This endpoint with another number of phases. */
+  /** Returns this endpoint with the given number of phases. */
   public Endpoint phases(int newPhases) {
     return newPhases == phases
         ? this
         : new Endpoint(name, host, port, zone, cell, state, weight, startedUs, protocol, newPhases);
   }
 
-  /** This endpoint with another start, Unix time in microseconds. */
+  /** Returns this endpoint with the given start, Unix time in microseconds. */
   public Endpoint withStart(long newStartedUs) {
     return newStartedUs == startedUs
         ? this
--- a/src/main/java/dunlinhitch/endpoints/EndpointChange.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointChange.java
@@ -4,9 +4,10 @@
  * A change of one endpoint in the list that the registry publishes.
  *
  * @param endpoint the endpoint as the balancer and the transports are to use it
- * @param endpointChanged true where {@code endpoint} differs from the one published before;
- *     otherwise only the status or its reason has changed
- * @param announced false where the only source is a trusted one: such a change need not be logged
+ * @param endpointChanged whether {@code endpoint} differs from the one published before; if not,
+ *     only the status or its reason has changed
+ * @param announced false if the endpoint comes from a trusted source, so that the change need not
+ *     be logged
  */
 public record EndpointChange(
     Endpoint endpoint,
--- a/src/main/java/dunlinhitch/endpoints/EndpointClaim.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointClaim.java
@@ -3,10 +3,10 @@
 import java.util.Objects;
 
 /**
- * What a source says of one endpoint under a key of its own: an id on discovery's list, an instance
- * of DNS-SD, or one of two records that contradict each other.
+ * The description of one endpoint by a source, under a key that the source chooses: an id on the
+ * list of discovery, a DNS-SD instance, or one of two contradicting records.
  *
- * @param endpoint the claimed endpoint, or null: the claim is withdrawn
+ * @param endpoint the claimed endpoint, or null if the claim is withdrawn
  * @param reportedUs when the source reported the claim (microseconds on the broker's clock; for a
  *     restored claim this may be before the process started)
  * @param expiresUs when the claim expires unless it is renewed, or {@link TimingWheel#NEVER}
@@ -17,7 +17,7 @@
     Objects.requireNonNull(key, "key");
   }
 
-  /** The withdrawal of the claim under that key. */
+  /** Creates the withdrawal of the claim with the given key. */
   public static EndpointClaim withdrawal(String key, long reportedUs) {
     return new EndpointClaim(key, null, reportedUs, TimingWheel.NEVER);
   }
--- a/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * What the registry knows of one endpoint name: its claims, its status and its history.
+ * The state of one endpoint name in the registry: its claims, its status and its history.
  *
- * <p>Not thread-safe; the registry owns it. Each group of fields is written by one class, named in
- * its comment.
+ * <p>Not thread-safe; owned by the registry. Each group of fields is written by the class that its
+ * comment names.
  */
 final class EndpointRecord {
-  /** Cell of an endpoint that is in none of a table's cells. */
+  /** Means no cell, as a value of {@link #servingCell} or {@link #standbyCell}. */
   static final int NO_CELL = -1;
 
   final String name;
@@ -18,10 +18,10 @@
   /** Claims in force; written by {@link ClaimTable}. */
   final List<ActiveClaim> claims = new ArrayList<>(1);
 
-  /** Null: it was never withdrawn; written by {@link ClaimTable}. */
+  /** The last withdrawal, or null if there was none; written by {@link ClaimTable}. */
   Withdrawal lastWithdrawal;
 
-  /** Written by {@link StatusUpdater}, and by {@link ChangePublisher} where it stands in. */
+  /** Written by {@link StatusUpdater}, and for stand-ins by {@link ChangePublisher}. */
   EndpointStatus status = EndpointStatus.GONE;
 
   /** Written by {@link StatusUpdater}. */
@@ -31,20 +31,21 @@
   final FlapHistory flaps = new FlapHistory();
 
   /**
-   * End of the suppression, of the linger or of the flap memory; written by {@link StatusUpdater}.
+   * The timer for the end of the suppression, of the linger or of the retention of flaps; written
+   * by {@link StatusUpdater}.
    */
   TimingWheel.Handle<Runnable> timer;
 
   /** The status of the last change; written by {@link ChangePublisher}. */
   EndpointStatus publishedStatus = EndpointStatus.GONE;
 
-  /** The endpoint of the last change; null: none, or it is gone. */
+  /** The endpoint of the last change; null if there was none or the endpoint is gone. */
   Endpoint published;
 
-  /** As it last served, for as long as a return may be of the same process. */
+  /** The endpoint as it last served, retained while a return may be of the same process. */
   Endpoint lastServing;
 
-  /** Where it is in the {@link AddressIndex}, which writes it; null: not in it. */
+  /** Its address in the {@link AddressIndex}, which writes it; null if it is not in the index. */
   String address;
 
   /** The cell for which it serves; written by {@link ShardCoverage}, like the three below. */
@@ -53,7 +54,7 @@
   /** The cell for which it may stand in. */
   int standbyCell = NO_CELL;
 
-  /** Age of the claim by which it may stand in. */
+  /** Since when the claim by which it may stand in has its content. */
   long standbySinceUs;
 
   /** Number of shard positions for which it stands in. */
@@ -63,7 +64,7 @@
     this.name = name;
   }
 
-  /** True while that source has a claim on this endpoint. */
+  /** Whether the given source has a claim on this endpoint. */
   boolean isClaimedBy(ClaimSource source) {
     for (ActiveClaim claim : claims) {
       if (claim.source == source) {
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
@@ -10,27 +10,27 @@
 import java.util.Set;
 
 /**
- * The endpoint list that any number of sources amount to: claims go in, each with its time, expiry
- * and the rank of its source, and changes of one consistent list come out, each with its reason.
- * docs/membership.md has the rules.
+ * Merges the claims of any number of sources into one consistent endpoint list. Its input is
+ * claims, each with its time, its expiry and the rank of its source; its output is changes of the
+ * list, each with its reason. The rules are documented in docs/membership.md.
  *
- * <p>No I/O, clock or threads: every call brings the time (microseconds, never running back), and
- * {@link #nextUs} says when {@link #advanceTo} is needed next. The cost of a call depends on what
- * it changes, not on the length of the list. Not thread-safe.
+ * <p>No I/O, clock or threads: every call passes the time (in microseconds, never decreasing), and
+ * {@link #nextUs} returns when {@link #advanceTo} must be called next. The cost of a call depends
+ * on what it changes and is independent of the length of the list. Not thread-safe.
  */
 public final class EndpointRegistry {
   /**
-   * One claim in force, or an endpoint that is remembered without any, for operators and for the
+   * A claim in force, or an endpoint that is remembered without a claim, for operators and for the
    * endpoint list file.
    *
    * @param name name of the endpoint
-   * @param endpoint what the claim says; for an endpoint without claims what was published last
+   * @param endpoint the claimed endpoint; for an endpoint without claims the last published one
    * @param source name of the source; empty without a claim
    * @param key key of the claim; empty without a claim
-   * @param sinceUs since when the claim has this content, or when the endpoint was withdrawn
-   * @param reportedUs when the claim was reported last, or when the endpoint was withdrawn
+   * @param sinceUs when the claim got its current content, or when the endpoint was withdrawn
+   * @param reportedUs when the claim was last reported, or when the endpoint was withdrawn
    * @param expiresUs when the claim expires, or {@link TimingWheel#NEVER}
-   * @param stale the claim has expired or its source is unavailable
+   * @param stale whether the claim has expired or its source is unavailable
    */
   public record Row(
       String name,
@@ -46,7 +46,7 @@
 
   private final Map<String, ClaimSource> sources = new LinkedHashMap<>();
 
-  /** Endpoints to evaluate again before the call in progress returns. */
+  /** Endpoints to reevaluate before the current call returns. */
   private final Set<EndpointRecord> pending = new LinkedHashSet<>();
 
   private final RegistryTimers timers;
@@ -69,26 +69,28 @@
   }
 
   /**
-   * Registers a source. Of two sources whose claims conflict the one of the lower {@code rank}
-   * wins; between two of one rank the endpoint is disputed. Claims of a {@code trusted} source are
-   * taken as they are. Registering a source again changes nothing.
+   * Registers a source. If the claims of two sources conflict, the source with the lower {@code
+   * rank} wins; with equal ranks the endpoint is disputed. Claims of a {@code trusted} source are
+   * exempt from linger, flap damping and address conflicts. Registering a source again has no
+   * effect.
    */
   public void registerSource(String source, int rank, boolean trusted) {
     sources.computeIfAbsent(source, name -> new ClaimSource(name, rank, trusted));
   }
 
   /**
-   * Takes in an update of a source: its {@code complete} list, which withdraws what is not on it,
-   * or some claims. A claim that is older than the one in force under its key is ignored.
+   * Applies an update of a source: either its {@code complete} list, which withdraws all claims
+   * that are not on it, or some claims. A claim that is older than the one in force with the same
+   * key is ignored.
    *
-   * @throws IllegalArgumentException where the source is not registered
+   * @throws IllegalArgumentException if the source is not registered
    */
   public List<EndpointChange> update(
       long nowUs, String sourceName, boolean complete, Collection<EndpointClaim> updates) {
     timers.advance(nowUs);
     ClaimSource source = sources.get(sourceName);
     if (source == null) {
-      throw new IllegalArgumentException("no such source: " + sourceName);
+      throw new IllegalArgumentException("source is not registered: " + sourceName);
     }
     source.unavailable = false;
     for (EndpointClaim update : updates) {
@@ -114,8 +116,8 @@
   }
 
   /**
-   * A source does not answer. Its claims stay in force until they expire, and as stale ones for
-   * {@code staleForUs} after that.
+   * Marks a source as unavailable. Its claims stay in force until they expire, and then as stale
+   * claims for another {@code staleForUs}.
    */
   public List<EndpointChange> sourceUnavailable(long nowUs, String sourceName) {
     timers.advance(nowUs);
@@ -141,29 +143,33 @@
   }
 
   /**
-   * Lets time pass: expiries, suppressions and lingers that are due by {@code nowUs} take effect.
+   * Advances the time: expiries, suppressions and lingers that are due by {@code nowUs} take
+   * effect.
    */
   public List<EndpointChange> advanceTo(long nowUs) {
     timers.advance(nowUs);
     return collectChanges();
   }
 
-  /** When {@link #advanceTo} is needed at the latest, or {@link TimingWheel#NEVER}. */
+  /** When {@link #advanceTo} must be called at the latest, or {@link TimingWheel#NEVER}. */
   public long nextUs() {
     return timers.nextUs();
   }
 
-  /** Claims rejected since the start: of cells that do not exist, or beyond the bound of names. */
+  /**
+   * The number of claims rejected since the start, for a cell that does not exist or too many
+   * names.
+   */
   public long rejectedClaims() {
     return claims.rejected();
   }
 
-  /** Rises with every change of {@link #rows} other than the mere renewal of claims. */
+  /** Incremented with every change of {@link #rows} other than the renewal of claims. */
   public long version() {
     return version;
   }
 
-  /** All claims in force, and the endpoints that are remembered without one. */
+  /** All claims in force, and the endpoints that are remembered without a claim. */
   public List<Row> rows() {
     List<Row> rows = new ArrayList<>();
     for (EndpointRecord endpoint : claims.endpoints()) {
@@ -206,7 +212,7 @@
         claim.stale || claim.source.unavailable);
   }
 
-  /** Brings all endpoints up to date and returns what has changed, in the order of evaluation. */
+  /** Reevaluates the pending endpoints and returns the changes in the order of evaluation. */
   private List<EndpointChange> collectChanges() {
     Set<EndpointRecord> evaluated = new LinkedHashSet<>();
     while (!pending.isEmpty()) { // an evaluation may make others necessary
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
@@ -3,17 +3,17 @@
 /**
  * Bounds of the endpoint registry; all times are microseconds.
  *
- * @param cells number of cells; shard s is in the cells (s + j) mod this, for j below {@code
- *     inARow}
- * @param cellsPerShard number of consecutive cells that have a shard
+ * @param cells number of cells; shard s is in the cells (s + j) mod {@code cells}, for j below
+ *     {@code cellsPerShard}
+ * @param cellsPerShard number of consecutive cells that have each shard
  * @param lingerUs how long a withdrawn endpoint is remembered as the same process
  * @param staleForUs how long a claim stays in force after its expiry
  * @param firstSuppressionUs suppression of the second return within {@code stablePeriodUs}; each
  *     further return is suppressed twice as long
  * @param maxSuppressionUs the longest suppression of a return
- * @param stablePeriodUs stable period without a withdrawal, after which the flaps of an endpoint
- *     are forgotten
- * @param maxEndpoints bound of the endpoint names; claims of further ones are rejected
+ * @param stablePeriodUs period without a withdrawal after which the flaps of an endpoint are
+ *     forgotten
+ * @param maxEndpoints maximum number of endpoint names; claims of further ones are rejected
  */
 public record EndpointRegistrySettings(
     int cells,
@@ -37,11 +37,13 @@
     boolean suppressionInRange = firstSuppressionUs >= 0 && maxSuppressionUs >= firstSuppressionUs;
     boolean timesInRange = lingerUs >= 0 && staleForUs >= 0 && stablePeriodUs >= 0;
     if (!layoutInRange || !suppressionInRange || !timesInRange) {
-      throw new IllegalArgumentException("membership settings out of range");
+      throw new IllegalArgumentException(
+          "endpoint registry settings out of range: cells, cells per shard and endpoints must be "
+              + "at least 1, times at least 0 and the maximum suppression at least the first one");
     }
   }
 
-  /** The defaults for a layout. */
+  /** Returns the default settings for a layout. */
   public static EndpointRegistrySettings of(int cells, int inARow) {
     return new EndpointRegistrySettings(
         cells,
@@ -54,7 +56,7 @@
         DEFAULT_MAX_ENDPOINTS);
   }
 
-  /** These settings with other times, all in microseconds. */
+  /** Returns these settings with the given times, all in microseconds. */
   public EndpointRegistrySettings withTimes(
       long newLingerUs,
       long newStaleForUs,
--- a/src/main/java/dunlinhitch/endpoints/EndpointStatus.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointStatus.java
@@ -1,14 +1,14 @@
 package dunlinhitch.endpoints;
 
-/** The status of an endpoint after all claims on it are weighed. */
+/** The status of an endpoint, derived from all claims on it. */
 public enum EndpointStatus {
   /** Claimed, but suppressed by flap damping: it gets no requests yet. */
   ANNOUNCED(false),
   /** It serves. */
   LIVE(true),
-  /** It serves by an expired claim, because its source is unavailable. */
+  /** It serves on the basis of an expired claim, because its source is unavailable. */
   STALE(true),
-  /** By its own or its source's request it gets no new work. */
+  /** It gets no new work, at its own or its source's request. */
   DRAINING(true),
   /** Claims on it contradict each other: it gets no requests until the conflict ends. */
   DISPUTED(false),
@@ -25,7 +25,7 @@
     this.usesClaimedState = usesClaimedState;
   }
 
-  /** True where the published state is the claimed one (ready or draining). */
+  /** Whether the published state is the claimed one (ready or draining). */
   boolean usesClaimedState() {
     return usesClaimedState;
   }
--- a/src/main/java/dunlinhitch/endpoints/Evaluation.java
+++ b/src/main/java/dunlinhitch/endpoints/Evaluation.java
@@ -1,11 +1,11 @@
 package dunlinhitch.endpoints;
 
 /**
- * What the claims on one endpoint amount to.
+ * The combined result of the claims on one endpoint.
  *
  * @param claim the claim that takes precedence
  * @param endpoint its endpoint, completed by other claims of the same precedence
- * @param status the status by the claims alone, without flap damping and stand-ins
+ * @param status the status according to the claims alone, without flap damping and stand-ins
  */
 record Evaluation(
     ActiveClaim claim, Endpoint endpoint, EndpointStatus status, StatusReason reason) {}
--- a/src/main/java/dunlinhitch/endpoints/FlapDamping.java
+++ b/src/main/java/dunlinhitch/endpoints/FlapDamping.java
@@ -1,16 +1,16 @@
 package dunlinhitch.endpoints;
 
 /**
- * Flap damping: an endpoint that returns again and again is suppressed before it serves, each time
- * twice as long, up to a bound.
+ * Flap damping: an endpoint that is repeatedly withdrawn and claimed again is suppressed before it
+ * serves, each time twice as long, up to a maximum.
  *
- * <p>Stateless but for the settings; the state is in the {@link FlapHistory} of each endpoint.
+ * <p>Has no state except the settings; the state is in the {@link FlapHistory} of each endpoint.
  */
 final class FlapDamping {
-  /** Withdrawals up to this number are not suppressed. */
+  /** The number of withdrawals after which a return is not yet suppressed. */
   private static final int UNDAMPED_WITHDRAWALS = 1;
 
-  /** Bound of the doublings, so that the shift can not overflow. */
+  /** The maximum number of doublings, so that the shift cannot overflow. */
   private static final int MAX_DOUBLINGS = 20;
 
   private final EndpointRegistrySettings settings;
--- a/src/main/java/dunlinhitch/endpoints/FlapHistory.java
+++ b/src/main/java/dunlinhitch/endpoints/FlapHistory.java
@@ -1,11 +1,11 @@
 package dunlinhitch.endpoints;
 
-/** How often an endpoint was withdrawn of late; {@link FlapDamping} writes it. */
+/** The recent withdrawals of an endpoint; written by {@link FlapDamping}. */
 final class FlapHistory {
-  /** Withdrawals that followed each other within the stable period. */
+  /** The number of withdrawals that followed each other within the stable period. */
   int withdrawals;
 
-  /** When the last of them was, in microseconds. */
+  /** When the last withdrawal was, in microseconds. */
   long lastWithdrawalUs;
 
   /** End of the suppression of the last return, in microseconds. */
--- a/src/main/java/dunlinhitch/endpoints/RegistryTimers.java
+++ b/src/main/java/dunlinhitch/endpoints/RegistryTimers.java
@@ -1,10 +1,10 @@
 package dunlinhitch.endpoints;
 
 /**
- * The time of an {@link EndpointRegistry} and its pending timers. Time comes from the caller and
- * never runs back; there is no clock here.
+ * The current time of an {@link EndpointRegistry} and its pending timers. The caller passes the
+ * time, which never decreases.
  *
- * <p>Not thread-safe; the registry owns it.
+ * <p>Not thread-safe; owned by the registry.
  */
 final class RegistryTimers {
   private final TimingWheel<Runnable> wheel;
@@ -15,12 +15,12 @@
     wheel = new TimingWheel<>(nowUs);
   }
 
-  /** Time of the call in progress, in microseconds. */
+  /** The time of the current call, in microseconds. */
   long nowUs() {
     return nowUs;
   }
 
-  /** Sets the time, unless it would run back, and runs the timers that are due. */
+  /** Advances the time, unless it would decrease, and runs the timers that are due. */
   void advance(long callTimeUs) {
     nowUs = Math.max(nowUs, callTimeUs);
     wheel.advance(nowUs, Runnable::run);
@@ -35,7 +35,7 @@
     wheel.cancel(timer);
   }
 
-  /** When {@link #advance} is needed next, or {@link TimingWheel#NEVER}. */
+  /** When {@link #advance} must be called next, or {@link TimingWheel#NEVER}. */
   long nextUs() {
     return wheel.nextUs();
   }
--- a/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
+++ b/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 
 /**
- * Keeps each shard covered: where no endpoint serves in any of a shard's cells, the standby with
- * the oldest claim stands in.
+ * Keeps each shard covered: if no endpoint serves in any of a shard's cells, the standby with the
+ * oldest claim stands in.
  *
- * <p>A position is the first of the consecutive cells that have a shard. Not thread-safe; the
- * registry owns it.
+ * <p>A position is the first of the consecutive cells that have a shard. Not thread-safe; owned by
+ * the registry.
  */
 final class ShardCoverage {
   private static final Comparator<EndpointRecord> OLDEST_FIRST =
@@ -31,7 +31,7 @@
   /** For each position, the endpoint that stands in, or null. */
   private final EndpointRecord[] standIns;
 
-  /** Positions to cover anew. */
+  /** Positions whose stand-in has to be chosen again. */
   private final Set<Integer> dirtyPositions = new LinkedHashSet<>();
 
   ShardCoverage(EndpointRegistrySettings settings) {
@@ -44,7 +44,7 @@
     }
   }
 
-  /** The endpoint serves in that cell from now on, or in none. */
+  /** Sets the cell in which an endpoint serves, or {@link EndpointRecord#NO_CELL}. */
   void setServing(EndpointRecord endpoint, int cell) {
     if (endpoint.servingCell == cell) {
       return;
@@ -60,19 +60,22 @@
     endpoint.servingCell = cell;
   }
 
-  /** The endpoint can stand in for that cell, by a claim of that age. */
+  /**
+   * Makes an endpoint a standby for a cell, by a claim that has had its content since {@code
+   * sinceUs}.
+   */
   void setStandby(EndpointRecord endpoint, int cell, long sinceUs) {
     if (endpoint.standbyCell == cell && endpoint.standbySinceUs == sinceUs) {
       return;
     }
     clearStandby(endpoint);
-    endpoint.standbySinceUs = sinceUs; // orders the set: written while it is in none
+    endpoint.standbySinceUs = sinceUs; // the sets are ordered by it: written while in none
     endpoint.standbyCell = cell;
     standbys.get(cell).add(endpoint);
     markDirty(cell);
   }
 
-  /** The endpoint can stand in for no cell. */
+  /** Removes an endpoint from the standbys. */
   void clearStandby(EndpointRecord endpoint) {
     if (endpoint.standbyCell == EndpointRecord.NO_CELL) {
       return;
@@ -82,7 +85,10 @@
     endpoint.standbyCell = EndpointRecord.NO_CELL;
   }
 
-  /** Chooses the stand-ins anew where something changed; adds those that change to the set. */
+  /**
+   * Chooses the stand-ins of changed positions again; adds the affected endpoints to {@code
+   * changed}.
+   */
   void update(Set<EndpointRecord> changed) {
     for (int position : dirtyPositions) {
       setStandIn(position, chooseStandIn(position), changed);
--- a/src/main/java/dunlinhitch/endpoints/StatusReason.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusReason.java
@@ -1,22 +1,22 @@
 package dunlinhitch.endpoints;
 
 /**
- * Why an endpoint has its status. The constants of conflicts are declared from the most severe on;
- * {@link ClaimConflicts#moreSevere} relies on their order.
+ * Why an endpoint has its status. The constants of conflicts are declared in order of decreasing
+ * severity, on which {@link ClaimConflicts#moreSevere} relies.
  */
 public enum StatusReason {
-  CLAIMED("it is claimed"),
-  STALE_CLAIM("its records are past their time and its source is silent"),
-  DRAINING("it drains"),
-  WITHDRAWN_BY_SOURCE("its record was withdrawn"),
-  CLAIM_EXPIRED("its records ran out and its source stayed silent"),
-  SOURCE_REMOVED("its source is no longer used"),
-  CELL_CONFLICT("two claims name other cells"),
+  CLAIMED("claimed by a source"),
+  STALE_CLAIM("its claims have expired and stay in use while its source is unavailable"),
+  DRAINING("reported as draining by a source"),
+  WITHDRAWN_BY_SOURCE("withdrawn by its source"),
+  CLAIM_EXPIRED("its expired claims were not renewed in time"),
+  SOURCE_REMOVED("its source was removed"),
+  CELL_CONFLICT("two claims name different cells"),
   ADDRESS_CONFLICT("two claims name other addresses"),
-  START_TIME_CONFLICT("two claims name other starts"),
-  SHARED_ADDRESS("another id is at the same address"),
-  FLAPPING("it came and went too often"),
-  NOT_CLAIMED("nobody claims it");
+  START_TIME_CONFLICT("two claims name different start times"),
+  SHARED_ADDRESS("another endpoint has the same address"),
+  FLAPPING("suppressed by flap damping after repeated withdrawals"),
+  NOT_CLAIMED("not claimed by any source");
 
   private final String message;
 
--- a/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
@@ -4,9 +4,9 @@
 import java.util.Set;
 
 /**
- * Moves endpoints from one status to the next by the result of their claims, flap damping and time.
+ * Updates the status of endpoints according to the result of their claims, flap damping and time.
  *
- * <p>Not thread-safe; the registry owns it.
+ * <p>Not thread-safe; owned by the registry.
  */
 final class StatusUpdater {
   private final EndpointRegistrySettings settings;
@@ -16,7 +16,7 @@
   private final ShardCoverage coverage;
   private final FlapDamping damping;
 
-  /** Endpoints to evaluate again; the registry's own set. */
+  /** Endpoints to reevaluate; the set of the registry. */
   private final Set<EndpointRecord> pending;
 
   StatusUpdater(
@@ -35,7 +35,7 @@
     damping = new FlapDamping(settings);
   }
 
-  /** Sets the status of an endpoint that has claims which count. */
+  /** Sets the status of an endpoint with at least one claim that counts. */
   void onClaimed(EndpointRecord endpoint, Evaluation evaluation) {
     long nowUs = timers.nowUs();
     timers.cancel(endpoint.timer);
@@ -103,7 +103,7 @@
     }
   }
 
-  /** Withdraws an endpoint and remembers its process for the linger. */
+  /** Withdraws an endpoint and remembers its process for the linger time. */
   private void linger(EndpointRecord endpoint) {
     long nowUs = timers.nowUs();
     endpoint.status = EndpointStatus.WITHDRAWN;
@@ -121,7 +121,7 @@
     endpoint.lastServing = null;
   }
 
-  /** Keeps the flap history of an endpoint that is gone for one stable period. */
+  /** Retains the flap history of a removed endpoint for one stable period. */
   private void rememberFlaps(EndpointRecord endpoint) {
     long forgetUs = timers.nowUs() + settings.stablePeriodUs();
     endpoint.timer = timers.schedule(forgetUs, () -> claims.forgetUnclaimed(endpoint));
--- a/src/main/java/dunlinhitch/endpoints/TimingWheel.java
+++ b/src/main/java/dunlinhitch/endpoints/TimingWheel.java
@@ -13,7 +13,7 @@
  * timer beyond the reach of the wheels waits in the furthest slot and is scheduled again from
  * there.
  *
- * <p>Times are microseconds on one clock that never runs back. Timers that are due together fire in
+ * <p>Times are microseconds of one clock that never decreases. Timers that are due together fire in
  * the order of their ticks and, within one tick, in the order in which they were scheduled, so that
  * the same calls give the same order. Not thread-safe.
  *
@@ -32,7 +32,7 @@
   private static final int SLOTS = 1 << SLOT_BITS;
   private static final int WHEELS = 4;
 
-  /** Ticks that the wheels reach ahead. */
+  /** The number of ticks that the wheels reach ahead. */
   private static final long REACH = 1L << (SLOT_BITS * WHEELS);
 
   /** Slot of a timer that is due and has not fired yet. */
@@ -68,16 +68,16 @@
       this.sequence = sequence;
     }
 
-    /** True until the timer has fired or was cancelled. */
+    /** Whether the timer has neither fired nor been cancelled. */
     public boolean isScheduled() {
       return slot != UNSCHEDULED;
     }
   }
 
-  /** Circular lists of timers, one for each slot of each wheel; null: empty. */
+  /** Circular lists of timers, one for each slot of each wheel; null if empty. */
   private final List<Handle<T>> heads = new ArrayList<>();
 
-  /** For each wheel one bit for each slot that is not empty. */
+  /** For each wheel, the set of its non-empty slots, one bit for each. */
   private final long[] occupied = new long[WHEELS];
 
   private long tick;
@@ -97,7 +97,7 @@
     return size;
   }
 
-  /** Schedules a timer; one whose time is past fires with the next {@link #advance}. */
+  /** Schedules a timer; one with a due time in the past fires with the next {@link #advance}. */
   public Handle<T> schedule(long dueUs, T item) {
     Handle<T> handle = new Handle<>(item, ++lastSequence);
     long boundedDueUs = Math.min(dueUs, NEVER - TICK_US);
@@ -115,7 +115,7 @@
     if (handle.slot >= 0) {
       remove(handle);
       size--;
-    } else { // where it is due: cancelled by a timer that fired before it
+    } else { // if it is due, it is cancelled by a timer that fired before it
       handle.slot = UNSCHEDULED;
     }
   }
@@ -146,8 +146,8 @@
   }
 
   /**
-   * When the next call of {@link #advance} may have a timer to fire (or only a coarser wheel to
-   * turn), or {@link #NEVER}.
+   * When {@link #advance} must be called next, to fire a timer or only to turn a coarser wheel;
+   * {@link #NEVER} if no timer is pending.
    */
   public long nextUs() {
     return size == 0 ? NEVER : nextEventTick() << TICK_BITS;
@@ -163,7 +163,10 @@
     }
   }
 
-  /** Empties the present slot of a wheel: what is due goes to {@code due}, the rest to others. */
+  /**
+   * Empties the current slot of a wheel: timers that are due are added to {@code due}, the others
+   * are inserted into finer wheels.
+   */
   private void drainSlot(int wheel, List<Handle<T>> due) {
     int slot = wheel * SLOTS + slotWithin(wheel, tick);
     List<Handle<T>> drained = new ArrayList<>();
@@ -184,7 +187,7 @@
     }
   }
 
-  /** The next tick at which a slot begins that is not empty. */
+  /** The next tick at which a non-empty slot begins. */
   private long nextEventTick() {
     long nextTick = Long.MAX_VALUE;
     for (int wheel = 0; wheel < WHEELS; wheel++) {
@@ -192,7 +195,7 @@
         continue;
       }
       long nextSlot = (tick >> (SLOT_BITS * wheel)) + 1;
-      // rotated so that the slot after the present one is bit 0 and the present one comes last
+      // rotated so that the slot after the current one is bit 0 and the current one comes last
       long rotated = Long.rotateRight(occupied[wheel], (int) (nextSlot & (SLOTS - 1)));
       int slotsAhead = Long.numberOfTrailingZeros(rotated);
       nextTick = Math.min(nextTick, (nextSlot + slotsAhead) << (SLOT_BITS * wheel));
@@ -246,6 +249,10 @@
 
   @Override
   public String toString() {
-    return size + " set, from tick " + tick + ", slots " + Arrays.toString(occupied);
+    return size
+        + " pending timers at tick "
+        + tick
+        + ", occupied slots "
+        + Arrays.toString(occupied);
   }
 }
--- a/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The endpoint list by the claims of several sources. Two cells, each shard in one of them; sources
- * "a" and "b" of one rank, "c" below.
+ * Tests {@link EndpointRegistry} with two cells, each shard in one of them, and three sources: "a"
+ * and "b" with equal ranks, "c" with lower precedence.
  */
 class EndpointRegistryTest {
   private static final long SECOND_US = 1_000_000;
   private static final long FAR_FUTURE_US = 10_000 * SECOND_US;
   private final EndpointRegistry registry = newRegistry();
 
-  /** The published endpoints, by the changes alone. */
+  /** The published endpoints, derived from the changes alone. */
   private final Map<String, Endpoint> published = new TreeMap<>();
 
   private final List<EndpointChange> allChanges = new ArrayList<>();
@@ -102,7 +102,7 @@
         20 * SECOND_US + SECOND_US / 2,
         claim(endpoint("s", 1, 0, 0), 20 * SECOND_US + SECOND_US / 2));
     assertEquals(ServerState.READY, state("s"));
-    assertEquals(0, published.get("s").startedUs(), "no slow start");
+    assertEquals(0, published.get("s").startedUs(), "must not cause a slow start");
   }
 
   @Test
@@ -159,7 +159,7 @@
     assertEquals(3, published.get("u").port(), "the older claim has precedence");
     assertEquals(EndpointStatus.STANDING_IN, status("u"));
     report("a", 3 * SECOND_US, claim(endpoint("v", 4, 1, 0), 3 * SECOND_US));
-    assertEquals(ServerState.WITHDRAWN, state("u"), "now another serves it");
+    assertEquals(ServerState.WITHDRAWN, state("u"), "another endpoint serves its shard");
     report("b", 4 * SECOND_US, EndpointClaim.withdrawal("s/9/0", 4 * SECOND_US));
     assertEquals(ServerState.READY, state("s"), "the conflict has ended");
   }
@@ -193,9 +193,11 @@
     assertEquals(1, published.get("s").port());
     report("a", 3 * SECOND_US, EndpointClaim.withdrawal("s/1/0", 3 * SECOND_US));
     assertEquals(
-        ServerState.WITHDRAWN, state("s"), "earlier claims of the lower source are overruled");
+        ServerState.WITHDRAWN,
+        state("s"),
+        "earlier claims of a source with lower precedence are overruled");
     report("c", 4 * SECOND_US, claim(endpoint("s", 9, 0, 7), 4 * SECOND_US));
-    assertEquals(ServerState.READY, state("s"), "later ones count");
+    assertEquals(ServerState.READY, state("s"), "later claims count");
     report(
         "c",
         5 * SECOND_US,
@@ -230,8 +232,9 @@
     for (int i = 2; i < 5; i++) {
       assertTrue(suppressionsUs[i] >= 1.8 * suppressionsUs[i - 1], "longer each time");
     }
-    assertTrue(suppressionsUs[5] <= 4 * SECOND_US + 10_000, "but no longer than the settings say");
-    // without another endpoint for its shard it serves all the same
+    assertTrue(
+        suppressionsUs[5] <= 4 * SECOND_US + 10_000, "at most as long as the configured maximum");
+    // without another endpoint for its shard it serves in spite of the suppression
     report(
         "a", now, EndpointClaim.withdrawal("s/1/0", now), EndpointClaim.withdrawal("t/2/0", now));
     report("a", now + 1, claim(endpoint("s", 1, 0, 0), now + 1));
@@ -294,7 +297,7 @@
         : new EndpointClaim(key, entry, reportedUs, FAR_FUTURE_US);
   }
 
-  /** Claims without withdrawals: any order gives the same statuses and reasons. */
+  /** Without withdrawals, any order of claims results in the same statuses and reasons. */
   @Property(tries = 400, seed = "20261201")
   void theOrderOfClaimsDoesNotMatter(@ForAll("scripts") List<Report> script, @ForAll long seed) {
     List<Report> claims = new ArrayList<>();
@@ -332,8 +335,8 @@
   }
 
   /**
-   * Whatever the sources report, an endpoint that no source claims is not published as ready, and
-   * none in another cell than claimed.
+   * Whatever the sources report, an endpoint is published as ready only while a source claims it,
+   * and only in a cell that a source claims for it.
    */
   @Property(tries = 400, seed = "20261201")
   void noWithdrawnEndpointIsPublishedAsReady(@ForAll("scripts") List<Report> script) {
@@ -372,7 +375,7 @@
                             && active.endpoint().cell() == change.endpoint().cell());
         assertTrue(
             !change.endpointChanged() || change.endpoint().state() != ServerState.READY || claimed,
-            "another cell than claimed");
+            "published in a cell that no source claims");
       }
     }
   }
--- a/src/test/java/dunlinhitch/endpoints/TimingWheelTest.java
+++ b/src/test/java/dunlinhitch/endpoints/TimingWheelTest.java
@@ -11,7 +11,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** When the timers of a timing wheel fire. */
+/** Tests when the timers of a {@link TimingWheel} fire. */
 class TimingWheelTest {
   private static final long SECOND_US = 1_000_000;
 
@@ -31,7 +31,7 @@
             assertTrue(
                 (due <= firedUs && firedUs - due <= TimingWheel.TICK_US)
                     || due < TimingWheel.TICK_US,
-                due + " at " + firedUs);
+                due + " us, fired at " + firedUs);
             fired.add(due);
           });
     }
