--- a/src/main/java/dunlinhitch/answerkeys/Action.java
+++ b/src/main/java/dunlinhitch/answerkeys/Action.java
@@ -1,73 +1,74 @@
 package dunlinhitch.answerkeys;
 
-/** What {@link AnswerKeyModule} wants done; the caller performs actions in their order. */
+/** An action requested by {@link AnswerKeyModule}; the caller performs actions in their order. */
 public sealed interface Action {
-  /** Why a query that waited has no answer. */
+  /** Why a waiting query failed. */
   enum FailureReason {
     /** Its deadline passed. */
     DEADLINE_EXCEEDED,
-    /** The requests it waited for used up its attempts. */
+    /** The failed requests that it waited for used up its attempts. */
     ATTEMPTS_EXHAUSTED
   }
 
-  /** What the owner of a key replies to a peer. */
+  /** The reply of the owner of a key to a peer. */
   enum OwnerReply {
     /** The answer is attached. */
     ANSWER,
-    /** The peer holds the lease: it is to fetch the answer and to report it. */
+    /** The peer gets the lease: it is to fetch the answer and report it. */
     FETCH,
-    /** The owner can not help; the peer fetches for itself. */
+    /** The owner cannot provide the answer; the peer fetches it for itself. */
     NONE
   }
 
   /**
-   * The query asks a store for itself, and nobody waits for that. The answer goes to {@link
+   * Sends a request to a store for this query alone. The answer is passed to {@link
    * AnswerKeyModule#onBypassAnswered}.
    */
   record Bypass(long query) implements Action {}
 
   /**
-   * The query leads: it asks a store for all that wait.
+   * The query becomes the leader: it sends a request to a store for all waiters.
    *
-   * @param attemptsUsed failed attempts of earlier leaders that it has waited for
-   * @param adoptsRequest the request of the previous leader is in flight and becomes its own
+   * @param attemptsUsed the number of failed attempts of earlier leaders that it has waited for
+   * @param adoptsRequest whether the request of the previous leader, still in flight, becomes its
+   *     own
    */
   record Fetch(long fetchId, long query, int attemptsUsed, boolean adoptsRequest)
       implements Action {}
 
-  /** The query is answered with what was fetched for another. */
+  /** Answers the query with the answer that was fetched for another query. */
   record Respond(long query, CachedAnswer cached) implements Action {}
 
-  /** The query has waited and ends without an answer. */
+  /** Ends a waiting query without an answer. */
   record Fail(long query, FailureReason reason) implements Action {}
 
-  /** Nobody waits for the request of the fetch any more. */
+  /** Cancels the request of the fetch, whose answer is no longer needed. */
   record CancelFetch(long fetchId) implements Action {}
 
   /**
-   * A message to the owner of the key.
+   * Asks the owner of the key for the answer.
    *
-   * @param deadlineUs after it this broker fetches the answer itself
+   * @param deadlineUs the time after which this broker fetches the answer itself
    */
   record RequestFromOwner(
       String owner, long fetchId, AnswerKey key, PartQuery part, long deadlineUs)
       implements Action {}
 
   /**
-   * A message to the owner that had let this broker fetch, or had not replied in time.
+   * Reports the result of a fetch to the owner that granted the lease or did not reply in time.
    *
-   * @param cached null where the fetch had no result
+   * @param cached null if the fetch had no result
    */
   record ReportToOwner(String owner, AnswerKey key, CachedAnswer cached) implements Action {}
 
   /**
-   * The evidence about rules is to be gossiped at once, not with the next periodic message: a rule
-   * has lost its trust.
+   * Gossips the evidence about rules at once instead of with the next periodic message, because a
+   * rule has lost its trust.
    */
   record GossipNow() implements Action {}
 
   /**
-   * A reply of the owner to the peer that asked.
+   * Replies to the peer that asked this broker as the owner of the key.
    *
    * @param fetchId the identifier of the fetch at that peer
    * @param cached present only with {@link OwnerReply#ANSWER}
--- a/src/main/java/dunlinhitch/answerkeys/ActionBuffer.java
+++ b/src/main/java/dunlinhitch/answerkeys/ActionBuffer.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** Collects the actions of one event in their order, and counts over the life of the module. */
+/** Collects the actions of one event in their order, and holds the counters of the module. */
 final class ActionBuffer {
   private final Map<AnswerKeyCounter, Long> counters = new EnumMap<>(AnswerKeyCounter.class);
   private List<Action> actions = new ArrayList<>();
@@ -18,7 +18,7 @@
     counters.merge(counter, 1L, Long::sum);
   }
 
-  /** Sends the query to a store outside of request coalescing. */
+  /** Sends the query to a store without request coalescing, and counts the reason. */
   void bypass(long query, AnswerKeyCounter reason) {
     count(reason);
     add(new Action.Bypass(query));
--- a/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
@@ -5,15 +5,15 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The answers that may be reused, with what makes them stale: their age, a newer generation of the
- * shard's data, and a restart or withdrawal of the store that gave them. Each complete answer also
- * goes to the shadow comparison.
+ * The answers that may be reused. An answer becomes stale by its age, by a newer generation of the
+ * shard's data, and by a restart or withdrawal of the store that returned it. Each complete answer
+ * is also passed to the shadow comparison.
  */
 final class AnswerCache {
-  /** An estimate of the bytes of a key beside its text. */
+  /** The estimated size of a key without its text, in bytes. */
   private static final long KEY_BYTES = 300;
 
-  /** The share of the cache that the list of uncacheable keys may take beside it. */
+  /** The list of uncacheable keys may take the size of the cache divided by this. */
   private static final int UNCACHEABLE_DIVISOR = 16;
 
   private static final long UNLISTED = -1L;
@@ -26,10 +26,10 @@
   private final ActionBuffer output;
   private final Cache<AnswerKey, CachedAnswer> answers;
 
-  /** Keys whose last answer was not shareable, with the moment until which nobody waits for one. */
+  /** Keys whose last answer was not shareable, with the time until which their requests bypass. */
   private final Cache<AnswerKey, Long> uncacheableUntilUs;
 
-  /** The start of each listed store, in ms. */
+  /** The start time of each listed store, in milliseconds. */
   private final Map<String, Long> storeStarts = new HashMap<>();
 
   private boolean keysChanged;
@@ -60,7 +60,7 @@
     storeStarts.remove(store);
   }
 
-  /** True once after a store named an attribute that changes how keys are built. */
+  /** Returns true once after a store named an attribute that changes how keys are built. */
   boolean takeKeysChanged() {
     boolean changed = keysChanged;
     keysChanged = false;
@@ -72,7 +72,7 @@
     return untilUs != null && nowUs < untilUs;
   }
 
-  /** A fresh answer, or null. A stale one is evicted. */
+  /** Returns a fresh answer, or null. Evicts a stale one. */
   CachedAnswer lookup(long nowUs, AnswerKey key) {
     CachedAnswer cached = answers.get(key);
     if (cached != null && !isFresh(nowUs, key, cached)) {
@@ -83,17 +83,17 @@
   }
 
   /**
-   * Learns from an answer that a store gave, here or at another broker, and caches it where it may
-   * be.
+   * Processes an answer that a store returned to this or another broker, and caches it if
+   * permitted.
    *
-   * @param requestedKey the key that waiters share, or null where nobody waits
-   * @return true where the answer may be shared with them
+   * @param requestedKey the key that the waiters share, or null if there are none
+   * @return true if the answer may be shared with the waiters
    */
   boolean offer(long nowUs, CachedAnswer cached, AnswerKey requestedKey) {
     StoreAnswer answer = cached.answer();
     PartQuery part = cached.fetchedFor();
     if (!answer.complete()) {
-      return false; // nothing can be learnt from it
+      return false; // neither reusable nor comparable
     }
     keys.recordGeneration(part.shard(), answer.generation());
     if (!answer.cacheable() || !keys.declaresAll(part.queryClass(), answer.varies())) {
@@ -131,15 +131,15 @@
   }
 
   /**
-   * True where the part still shares a key with the answer: the key under which it waited may have
-   * been built by rules, or before a store's declaration, that no longer apply.
+   * Whether the part still shares a key with the answer. The key under which it waited may be
+   * outdated, because a rule lost its trust or a store declared a further varying attribute.
    */
   boolean matches(PartQuery part, CachedAnswer cached) {
     return keys.keyFor(part).equals(keys.keyFor(cached.fetchedFor()))
         && KeyFactory.equalIn(part, cached.fetchedFor(), cached.answer().varies());
   }
 
-  /** True where only rules make the two equal, and the random draw selects the part as a trial. */
+  /** Whether the two are equal only by rules and the part is selected at random as a trial. */
   boolean selectsTrial(PartQuery part, PartQuery other) {
     return !part.sameAs(other) && random.nextDouble() < settings.trialShare();
   }
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKey.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKey.java
@@ -7,13 +7,13 @@
 import java.util.TreeMap;
 
 /**
- * The cache key of an answer: two parts with one key share one answer.
+ * The cache key of an answer: two parts with the same key share one answer.
  *
- * @param text the text as the trusted rules rewrote it
- * @param variants the attributes that these rules left
- * @param rules names the rules that were applied: a text that one of them made must not match the
- *     same text of a client once that rule is withdrawn
- * @param generation the latest generation that a store of the shard stated, 0 before any did
+ * @param text the text as rewritten by the trusted rules
+ * @param variants the attributes that remain after these rules
+ * @param rules identifies the applied rules: once a rule is withdrawn, a text that it produced must
+ *     not match the same text as sent by a client
+ * @param generation the latest generation reported by a store of the shard, 0 if none was reported
  */
 public record AnswerKey(
     String queryClass,
@@ -33,8 +33,8 @@
   }
 
   /**
-   * What the owner of the key is found by. Neither rules nor generation are part of it, so that a
-   * key stays with its owner when they change.
+   * The components that determine the owner of the key. They exclude rules and generation, so that
+   * a key keeps its owner when these change.
    */
   String[] ownershipComponents() {
     List<String> components =
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyCounter.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyCounter.java
@@ -1,10 +1,10 @@
 package dunlinhitch.answerkeys;
 
-/** What {@link AnswerKeyModule} counts for operators. */
+/** The counters of {@link AnswerKeyModule} for operators. */
 public enum AnswerKeyCounter {
   /** Requests that bypassed coalescing: class or key not shareable, or a limit reached. */
   NOT_SHARED,
-  /** Requests that bypassed the cache as shadow comparison of a rule. */
+  /** Requests that bypassed the cache for the shadow comparison of a rule. */
   TRIALS,
   /** Requests that became the first leader of a fetch. */
   LED,
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
@@ -7,13 +7,13 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides which parts of queries share an answer: one fetch at a time for a key in this broker,
- * answers that are reused for a short while, and one owner of a key in the cluster. The rules and
- * the bounds are in docs/answer-keys.md.
+ * Decides which parts of queries share an answer: each key has at most one fetch at a time in this
+ * broker and one owner in the cluster, and its answer is reused for a short time. The rules and the
+ * bounds are documented in docs/answer-keys.md.
  *
- * <p>Events in, actions out; no I/O, clock or threads. Not thread-safe: one thread owns it. All
- * moments are µs of the wall clock, which brokers share but for their offsets. Each method returns
- * the actions that are to be performed, in their order.
+ * <p>Events in, actions out; no I/O, clock or threads. Not thread-safe: owned by one thread. All
+ * times are microseconds of the wall clock, on which brokers agree except for clock skew. Each
+ * method returns the actions to perform, in their order.
  */
 public final class AnswerKeyModule {
   private final RuleLifecycle lifecycle;
@@ -27,11 +27,11 @@
   private long appliedRuleChanges;
 
   /**
-   * Makes a module without stores and members.
+   * Creates a module without stores and members.
    *
    * @param self the name of this broker in the cluster
-   * @param random decides which requests are trials of trusted rules
-   * @param cache where answers are cached
+   * @param random selects the requests that are trials of trusted rules
+   * @param cache the cache of the answers
    */
   public AnswerKeyModule(
       RuleSet rules,
@@ -47,64 +47,70 @@
     peers = new PeerProtocol(rules, keys, answers, table, coalescer, output);
   }
 
-  /** The members of the cluster have converged to these; empty without a cluster. */
+  /** Handles a converged change of the members of the cluster; empty without a cluster. */
   public List<Action> updateMembers(long nowUs, Collection<String> names) {
     coalescer.updateMembers(nowUs, names);
     return drain(nowUs);
   }
 
   /**
-   * The endpoint list has a store that started at that moment, in ms. Answers of an earlier
-   * incarnation of it are not reused.
+   * Adds a store of the endpoint list with its start time in milliseconds. Answers of an earlier
+   * incarnation of the store are not reused.
    */
   public void addStore(String store, long startedMs) {
     answers.addStore(store, startedMs);
   }
 
-  /** The store has left the endpoint list, or is draining. */
+  /** Removes a store that has left the endpoint list or is draining. */
   public void removeStore(String store) {
     answers.removeStore(store);
   }
 
-  /** Evidence of another broker about a rule arrived by gossip. */
+  /** Handles evidence of another broker about a rule, received by gossip. */
   public List<Action> mergeEvidence(long nowUs, ReplicatedEntry<RuleEpoch, Evidence> entry) {
     lifecycle.merge(nowUs, entry);
     return drain(nowUs);
   }
 
-  /** The states of the rules and the evidence that is to be gossiped. */
+  /** The states of the rules and the evidence to gossip. */
   public RuleLifecycle lifecycle() {
     return lifecycle;
   }
 
-  /** A part of a query of this broker needs an answer by the absolute deadline. */
+  /** Handles a part of a query of this broker, which needs an answer by the absolute deadline. */
   public List<Action> onQuery(long nowUs, long query, PartQuery part, long deadlineUs) {
     coalescer.submit(nowUs, query, part, deadlineUs);
     return drain(nowUs);
   }
 
   /**
-   * The request of {@link Action.Fetch} succeeded. The query that led has the answer already; the
-   * others get theirs by the actions.
+   * Handles the success of the request of {@link Action.Fetch}. The leader already has the answer;
+   * the waiters get it by the returned actions.
    */
   public List<Action> onFetchSucceeded(long nowUs, long fetchId, StoreAnswer answer) {
     coalescer.succeed(nowUs, fetchId, answer);
     return drain(nowUs);
   }
 
-  /** The request of {@link Action.Fetch} failed after that many attempts: another query leads. */
+  /**
+   * Handles the failure of the request of {@link Action.Fetch} after the given number of attempts;
+   * another query becomes the leader.
+   */
   public List<Action> onFetchFailed(long nowUs, long fetchId, int attempts) {
     coalescer.fail(nowUs, fetchId, attempts);
     return drain(nowUs);
   }
 
-  /** The client of the query disconnected, or the broker has cancelled it. */
+  /** Handles the cancellation of a query by its client or by the broker. */
   public List<Action> onQueryCancelled(long nowUs, long query) {
     coalescer.cancel(nowUs, query);
     return drain(nowUs);
   }
 
-  /** The request of {@link Action.Bypass}, sent at {@code requestedUs}, was answered. */
+  /**
+   * Handles the answer to the request of {@link Action.Bypass} that was sent at {@code
+   * requestedUs}.
+   */
   public List<Action> onBypassAnswered(
       long nowUs, PartQuery part, StoreAnswer answer, long requestedUs) {
     if (keys.isShareable(part)) {
@@ -113,7 +119,7 @@
     return drain(nowUs);
   }
 
-  /** {@link Action.RequestFromOwner} of a peer arrived. */
+  /** Handles {@link Action.RequestFromOwner} of a peer. */
   public List<Action> onPeerRequest(
       long nowUs, String peer, long fetchId, AnswerKey key, PartQuery part, long deadlineUs) {
     peers.onRequest(nowUs, peer, fetchId, key, part, deadlineUs);
@@ -121,9 +127,9 @@
   }
 
   /**
-   * {@link Action.ReplyToPeer} of an owner arrived.
+   * Handles {@link Action.ReplyToPeer} of an owner.
    *
-   * @param key the key as the owner names it
+   * @param key the key as the owner built it
    */
   public List<Action> onOwnerReply(
       long nowUs,
@@ -136,31 +142,31 @@
     return drain(nowUs);
   }
 
-  /** {@link Action.ReportToOwner} of a peer arrived. */
+  /** Handles {@link Action.ReportToOwner} of a peer. */
   public List<Action> onPeerReport(long nowUs, String peer, AnswerKey key, CachedAnswer cached) {
     peers.onReport(nowUs, peer, key, cached);
     return drain(nowUs);
   }
 
-  /** Time has passed: deadlines, leases and suspicions that have ended are handled. */
+  /** Handles the deadlines, leases and suspicions that have ended. */
   public List<Action> onTimer(long nowUs) {
     lifecycle.advance(nowUs);
     coalescer.expire(nowUs);
     return drain(nowUs);
   }
 
-  /** The moment in µs at which {@link #onTimer} is to be called at the latest. */
+  /** The time in microseconds at which {@link #onTimer} must be called at the latest. */
   public long nextTimerUs(long nowUs) {
     long nextFetchTimerUs = table.nextTimerUs();
     return Math.min(lifecycle.nextTimerUs(nowUs), nextFetchTimerUs);
   }
 
-  /** The counters since the start; one that is absent is 0. */
+  /** The counters since the start; absent counters are 0. */
   public Map<AnswerKeyCounter, Long> counters() {
     return output.counters();
   }
 
-  /** The number of pairs of answers that were compared, and of those that were not equal. */
+  /** The number of compared pairs of answers, and the number of unequal ones among them. */
   public List<Long> comparisons() {
     return List.of(comparison.compared(), comparison.unequal());
   }
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
@@ -3,12 +3,12 @@
 /**
  * Settings of answer keys.
  *
- * @param trust what a rule needs before it is trusted
- * @param trialShare the share of requests that a trusted rule would answer which go to a store all
- *     the same
- * @param changeWindowUs answers of a store that states no generation count as unequal only where it
- *     was asked within this window
- * @param suspicionTimeoutUs a suspicion that is not cleared within it becomes a withdrawal
+ * @param trust the evidence that a rule needs before it is trusted
+ * @param trialShare the share of requests that are sent to a store although a trusted rule allows
+ *     to reuse an answer
+ * @param changeWindowUs two answers of a store that reports no generation count as unequal only if
+ *     they were requested within this window
+ * @param suspicionTimeoutUs a suspicion that is not cleared within this time becomes a withdrawal
  * @param evidenceLifetimeUs how long the evidence of a broker counts
  * @param limits bounds of memory and waiting
  */
@@ -20,13 +20,15 @@
     long evidenceLifetimeUs,
     Limits limits) {
   /**
-   * What a rule needs before it is trusted.
+   * The evidence that a rule needs before it is trusted.
    *
-   * @param proposals requests in the cluster that the rule would have changed, before it is tried
-   * @param pairs equal pairs in the cluster, before it is trusted
-   * @param shards the number of shards that these have to come from
-   * @param clientKinds the number of client kinds, likewise
-   * @param brokers the number of brokers, likewise: one that misreads answers must not suffice
+   * @param proposals the number of requests in the cluster whose key the rule would have changed,
+   *     before it is tried
+   * @param pairs the number of equal pairs in the cluster, before it is trusted
+   * @param shards the number of shards that these pairs have to come from
+   * @param clientKinds the number of client kinds that these pairs have to come from
+   * @param brokers the number of brokers that these pairs have to come from: a single broker that
+   *     misreads answers must not suffice
    */
   public record TrustThresholds(
       int proposals, int pairs, int shards, int clientKinds, int brokers) {
@@ -38,10 +40,11 @@
   /**
    * Bounds of memory and waiting.
    *
-   * @param cacheBytes the bytes of cached answers, and of samples for comparison, each
-   * @param fetches the number of keys that are fetched at once
-   * @param waiters the number of requests that wait for one fetch
-   * @param attempts the number of attempts of a part, including those that it waited for
+   * @param cacheBytes the maximum size of the cached answers, and separately of the samples for
+   *     comparison, in bytes
+   * @param fetches the maximum number of keys that are fetched at the same time
+   * @param waiters the maximum number of requests that wait for one fetch
+   * @param attempts the maximum number of attempts of a part, including those that it waited for
    */
   public record Limits(long cacheBytes, int fetches, int waiters, int attempts) {
     private boolean isValid() {
@@ -62,7 +65,7 @@
   /**
    * Checks the ranges.
    *
-   * @throws KeysException where a setting is out of range
+   * @throws KeysException if a setting is out of range
    */
   public AnswerKeySettings {
     if (!trust.isValid()
@@ -74,20 +77,21 @@
       throw new KeysException(
           KeysException.Code.SETTING,
           "[keys]",
-          "a figure is out of range: "
+          "a setting is out of range: proposals "
               + trust.proposals()
-              + ", "
+              + ", pairs "
               + trust.pairs()
-              + ", "
+              + ", shards "
               + trust.shards()
-              + ", "
+              + ", client kinds "
               + trust.clientKinds()
-              + ", "
+              + ", brokers "
               + trust.brokers()
-              + ", "
+              + ", trial share "
               + trialShare,
-          "each is 1 or more, and the share above 0 and at most 1: a rule that is never "
-              + "tried again could give wrong answers for ever");
+          "set thresholds and limits to at least 1 (proposals to at least 0), times to valid "
+              + "durations and the trial share above 0 and at most 1: without trials a false rule "
+              + "could give wrong answers indefinitely");
     }
   }
 }
--- a/src/main/java/dunlinhitch/answerkeys/AnswerSample.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerSample.java
@@ -1,8 +1,8 @@
 package dunlinhitch.answerkeys;
 
 /**
- * What the shadow comparison remembers of an answer: for whom it was fetched, and what can be
- * compared of it.
+ * A sample of an answer for the shadow comparison: the part for which it was fetched, and the
+ * properties that are compared.
  */
 record AnswerSample(
     PartQuery part,
@@ -11,7 +11,7 @@
     String store,
     long storeStartedMs,
     long requestedUs) {
-  /** An estimate of the bytes of a sample beside the text of its part. */
+  /** The estimated size of a sample without the text of its part, in bytes. */
   private static final int OVERHEAD_BYTES = 600;
 
   static AnswerSample of(CachedAnswer cached) {
@@ -25,17 +25,17 @@
         cached.requestedUs());
   }
 
-  /** True where one incarnation of a store gave both. */
+  /** Whether the same incarnation of a store returned both. */
   boolean sameStore(AnswerSample other) {
     return store.equals(other.store) && storeStartedMs == other.storeStartedMs;
   }
 
-  /** True where both are certainly of the same data. */
+  /** Whether both are certainly of the same data. */
   boolean sameGeneration(AnswerSample other) {
     return generation > 0 && generation == other.generation;
   }
 
-  /** True where both are of the same data unless that changed between them. */
+  /** Whether both are of the same data, unless the data changed between them. */
   boolean likelySameData(AnswerSample other, long windowUs) {
     return generation == 0
         && other.generation == 0
--- a/src/main/java/dunlinhitch/answerkeys/Cache.java
+++ b/src/main/java/dunlinhitch/answerkeys/Cache.java
@@ -2,16 +2,16 @@
 
 /**
  * A cache, which may evict any entry at any time. {@link LruCache} is the default; a caller may
- * adapt a cache of a library instead. Not thread-safe unless the implementation says so.
+ * adapt a cache of a library instead. Not thread-safe unless the implementation states otherwise.
  */
 public interface Cache<K, V> {
-  /** Returns the cached value, or null where there is none. */
+  /** Returns the cached value, or null if there is none. */
   V get(K key);
 
   /**
-   * Caches the value in the place of an earlier one.
+   * Caches a value, replacing any earlier one for the key.
    *
-   * @param bytes an estimate of the memory that the entry takes
+   * @param bytes the estimated memory use of the entry
    */
   void put(K key, V value, long bytes);
 
--- a/src/main/java/dunlinhitch/answerkeys/CanonicalText.java
+++ b/src/main/java/dunlinhitch/answerkeys/CanonicalText.java
@@ -10,12 +10,12 @@
 import java.util.stream.Collectors;
 
 /**
- * The canonical form of a text: the fixed point of the rewrites. Whichever rewrites are applied, it
- * is reached within {@link #MAX_PASSES} passes: after the first, case and white space are folded
- * for good; the second drops and sorts terms that no later one changes.
+ * Computes the canonical form of a text, which is the fixed point of the rewrites. For any rewrites
+ * it is reached within {@link #MAX_PASSES} passes: after the first, case and white space remain
+ * folded; the second drops and sorts terms, which no later pass changes.
  */
 final class CanonicalText {
-  /** Two passes that may change something, and one that finds nothing more to do. */
+  /** Two passes that may change the text, and one that confirms the fixed point. */
   private static final int MAX_PASSES = 3;
 
   private CanonicalText() {}
@@ -23,7 +23,7 @@
   /**
    * The canonical form of the text.
    *
-   * @param separator what separates terms; null where no rule of the class is about terms
+   * @param separator the separator of terms; null if no rule of the class rewrites terms
    */
   static String of(String text, List<Rewrite> rewrites, Character separator) {
     String current = text;
@@ -56,7 +56,7 @@
           .filter(term -> !drop.terms().contains(term))
           .collect(Collectors.joining(String.valueOf(drop.separator())));
     }
-    return text; // the rewrite is about attributes or the tenant
+    return text; // the rewrite applies to attributes or the tenant
   }
 
   private static String[] terms(String text, char separator) {
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Maps code point by code point: the result for one must not depend on its neighbours, because
-   * terms are moved.
+   * Maps each code point separately: its result must not depend on neighbouring code points,
+   * because terms are reordered.
    */
   static String lowerCase(String text) {
     StringBuilder result = new StringBuilder(text.length());
@@ -95,7 +95,7 @@
     return result.toString();
   }
 
-  /** True where the end of the result or the next character is a separator other than a space. */
+  /** Whether the end of the result or the next character is a separator other than a space. */
   private static boolean besideSeparator(StringBuilder result, char next, Character separator) {
     return separator != null
         && separator != ' '
--- a/src/main/java/dunlinhitch/answerkeys/ClassCachePolicy.java
+++ b/src/main/java/dunlinhitch/answerkeys/ClassCachePolicy.java
@@ -7,12 +7,12 @@
  *
  * @param name the name of the class
  * @param attributes the attributes by which its answers may vary
- * @param reusable its parts may run twice and carry no idempotency key
- * @param maxAgeUs the age of a reused answer at the most, counted from when its store was asked;
- *     more than a store takes to answer
- * @param ownerWaitUs how long the reply of another broker is awaited at the most
+ * @param reusable whether answers may be reused: parts may run twice and carry no idempotency key
+ * @param maxAgeUs the maximum age of a reused answer, counted from the request to its store; must
+ *     be longer than a store takes to answer
+ * @param ownerWaitUs the maximum time to wait for the reply of another broker
  * @param latencyObjectiveUs the latency objective of the class
- * @param location where the class is configured, for errors
+ * @param location where the class is configured, for error messages
  */
 public record ClassCachePolicy(
     String name,
@@ -25,7 +25,7 @@
   /**
    * Copies the attributes.
    *
-   * @throws KeysException where a duration is out of range
+   * @throws KeysException if a duration is out of range
    */
   public ClassCachePolicy {
     attributes = List.copyOf(attributes);
@@ -35,14 +35,14 @@
           location,
           "class "
               + name
-              + " keeps answers for "
+              + " has a maximum answer age of "
               + maxAgeUs
-              + " us and waits "
+              + " us and waits up to "
               + ownerWaitUs
-              + " us for another broker, of an aim of "
+              + " us for another broker, with a latency objective of "
               + latencyObjectiveUs
               + " us",
-          "give an age above 0 and a wait below the class's aim");
+          "set an age above 0 and a wait below the latency objective");
     }
   }
 }
--- a/src/main/java/dunlinhitch/answerkeys/ClassRules.java
+++ b/src/main/java/dunlinhitch/answerkeys/ClassRules.java
@@ -15,21 +15,21 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** The checked rules of one query class, and the keys that they make. */
+/** The validated rules of one query class, which build the keys of its parts. */
 final class ClassRules {
   private final ClassCachePolicy policy;
   private final List<Rule> rules;
 
-  /** For each fold the group of each value that it names. */
+  /** For each fold, the resolved group of each value that it names. */
   private final Map<FoldVariant, Map<String, String>> resolvedFolds = new HashMap<>();
 
-  /** What separates the terms of a text; null where no rule is about terms. */
+  /** The separator of the terms of a text; null if no rule rewrites terms. */
   private Character separator;
 
   /**
    * Checks the rules.
    *
-   * @throws KeysException where one can not be used
+   * @throws KeysException if a rule cannot be used
    */
   ClassRules(ClassCachePolicy policy, List<Rule> rules) {
     this.policy = policy;
@@ -41,8 +41,8 @@
         throw new KeysException(
             Code.NEVER_ACTS,
             rule.location(),
-            rule.name() + " rewrites nothing",
-            "say what it is to fold or drop");
+            rule.name() + " has no rewrites",
+            "add at least one rewrite that folds, sorts or drops something");
       }
       for (Rewrite rewrite : rule.rewrites()) {
         check(rule, rewrite, rewrittenAttributes, caseFolded);
@@ -67,23 +67,23 @@
   }
 
   /**
-   * One rewrite for an attribute: two could undo each other, and an unequal pair would not show
-   * which of them is false.
+   * Requires at most one rewrite per attribute: two could undo each other, and an unequal pair
+   * would not show which of them is false.
    */
   private void checkAttribute(Rule rule, String attribute, Set<String> rewrittenAttributes) {
     if (!policy.attributes().contains(attribute)) {
       throw new KeysException(
           Code.NO_ATTRIBUTE,
           rule.location(),
-          policy.name() + " has no attribute " + attribute,
-          "name one of " + policy.attributes());
+          policy.name() + " declares no attribute " + attribute,
+          "use one of " + policy.attributes());
     }
     if (!rewrittenAttributes.add(attribute)) {
       throw new KeysException(
           Code.ATTRIBUTE_TWICE,
           rule.location(),
-          "another rewrite of " + policy.name() + " is about " + attribute,
-          "leave one of them");
+          "another rewrite of " + policy.name() + " already applies to attribute " + attribute,
+          "remove one of the two rewrites");
     }
   }
 
@@ -96,8 +96,8 @@
       throw new KeysException(
           Code.SEPARATOR,
           rule.location(),
-          "terms can not be parted by '" + candidate + "'",
-          "give a mark that is no letter or digit, or a space");
+          "terms cannot be separated by '" + candidate + "'",
+          "use a space, or a character that is not a letter, digit or other white space");
     }
     if (separator != null && separator != candidate) {
       throw new KeysException(
@@ -105,12 +105,12 @@
           rule.location(),
           "terms of "
               + policy.name()
-              + " are parted by '"
+              + " are separated by '"
               + separator
-              + "' in another rewrite, and by '"
+              + "' in another rewrite and by '"
               + candidate
-              + "' here: they could undo each other",
-          "use one for the class");
+              + "' in this one, so they could undo each other",
+          "use the same separator in all rewrites of the class");
     }
     separator = candidate;
   }
@@ -123,22 +123,22 @@
             Code.NEVER_ACTS,
             rule.location(),
             "term '" + term + "' is never dropped: " + reason,
-            "write it as it stands in the text at that point");
+            "write the term in the form that the text has before this rewrite");
       }
     }
   }
 
-  /** Null where a text may contain the term. */
+  /** Returns null if a text may contain the term. */
   private static String reasonNeverDropped(String term, char separator, boolean caseFolded) {
     if (term.isEmpty() || term.indexOf(separator) >= 0) {
-      return "no text has a term like that";
+      return "a term is never empty and never contains the separator";
     }
     return caseFolded && !CanonicalText.lowerCase(term).equals(term)
-        ? "case is folded before it"
+        ? "an earlier rewrite folds case"
         : null;
   }
 
-  /** Follows each value to the last group that it belongs to. */
+  /** Resolves each value to the last group in its chain of groups. */
   private static Map<String, String> resolve(Rule rule, FoldVariant fold) {
     Map<String, String> lastGroups = new TreeMap<>();
     Set<String> values = new HashSet<>(fold.groups().keySet());
@@ -147,7 +147,7 @@
     for (String value : values) {
       lastGroups.put(value, lastGroup(rule, fold, value));
     }
-    // An absent value is none of those that are named.
+    // An absent value is treated as a value that is not named.
     lastGroups.putIfAbsent("", lastGroups.get(fold.otherwise()));
     return lastGroups;
   }
@@ -162,9 +162,9 @@
             rule.location(),
             "values of "
                 + fold.attribute()
-                + " fall round in a ring: "
+                + " are grouped in a cycle: "
                 + String.join(", ", visited),
-            "let one of them stand for all");
+            "map all of them to the same group");
       }
       group = fold.groups().get(group);
     }
--- a/src/main/java/dunlinhitch/answerkeys/Evidence.java
+++ b/src/main/java/dunlinhitch/answerkeys/Evidence.java
@@ -8,12 +8,12 @@
  * The cumulative evidence of one broker about a rule in one epoch: a later value of a broker
  * includes all of its earlier ones.
  *
- * @param proposals requests whose key the rule would have changed
- * @param equalPairs pairs of equal answers
+ * @param proposals the number of requests whose key the rule would have changed
+ * @param equalPairs the number of pairs of equal answers
  * @param shards the shards of these pairs
  * @param clientKinds the client kinds of these pairs
- * @param suspect the broker suspects the rule
- * @param withdrawalReason why the broker withdrew the rule; empty where it did not
+ * @param suspect whether the broker suspects the rule
+ * @param withdrawalReason why the broker withdrew the rule; empty if it did not
  */
 public record Evidence(
     long proposals,
@@ -25,12 +25,12 @@
   static final Evidence NONE = new Evidence(0, 0, Set.of(), Set.of(), false, "");
 
   /**
-   * The number of shards or client kinds that a gossip message has capacity for; no setting may ask
-   * for a wider spread.
+   * The maximum number of shards or client kinds in a gossip message, and therefore in the trust
+   * thresholds.
    */
   static final int MAX_SPREAD = 16;
 
-  /** Copies the sets, sorted. */
+  /** Copies and sorts the sets. */
   public Evidence {
     shards = Collections.unmodifiableSet(new TreeSet<>(shards));
     clientKinds = Collections.unmodifiableSet(new TreeSet<>(clientKinds));
@@ -56,7 +56,10 @@
         : new Evidence(proposals + 1, equalPairs, shards, clientKinds, suspect, withdrawalReason);
   }
 
-  /** Adds nothing beyond {@code limit} pairs: what suffices need not be gossiped again. */
+  /**
+   * Adds an equal pair. Counts at most {@code limit} pairs, because further ones need not be
+   * gossiped.
+   */
   Evidence withEqualPair(long limit, int shard, Set<String> pairKinds) {
     return new Evidence(
         proposals,
@@ -71,7 +74,7 @@
     return new Evidence(proposals, equalPairs, shards, clientKinds, suspected, withdrawalReason);
   }
 
-  /** The first reason stays. */
+  /** Marks the rule as withdrawn; the first reason is retained. */
   Evidence withWithdrawal(String reason) {
     return new Evidence(
         proposals,
@@ -82,7 +85,7 @@
         isWithdrawn() ? withdrawalReason : reason);
   }
 
-  /** Merged with what an earlier incarnation of the same broker had published. */
+  /** Merges this with the evidence that an earlier incarnation of the same broker published. */
   Evidence mergedWith(Evidence other) {
     return new Evidence(
         Math.max(proposals, other.proposals),
--- a/src/main/java/dunlinhitch/answerkeys/FetchTable.java
+++ b/src/main/java/dunlinhitch/answerkeys/FetchTable.java
@@ -7,7 +7,7 @@
 
 /** The registry of in-flight fetches with their timers. It makes no decisions. */
 final class FetchTable {
-  /** A moment at which a fetch is checked for deadlines. */
+  /** A time at which the deadlines of a fetch are checked. */
   private record Timer(long atUs, InFlightFetch fetch) {}
 
   private final Map<AnswerKey, InFlightFetch> byKey = new HashMap<>();
@@ -33,7 +33,7 @@
     return byId.size();
   }
 
-  /** A copy, so that the caller may close fetches while it iterates. */
+  /** Returns a copy of the list, so that the caller may close fetches while it iterates. */
   List<InFlightFetch> all() {
     return List.copyOf(byId.values());
   }
@@ -59,7 +59,7 @@
     }
   }
 
-  /** Removes a waiter; where it led, the fetch is without a leader until the next election. */
+  /** Removes a waiter; if it was the leader, the fetch has no leader until the next election. */
   void remove(InFlightFetch fetch, Waiter waiter) {
     fetch.waiters.remove(waiter);
     if (waiter.isLocal()) {
@@ -74,7 +74,7 @@
     timers.add(new Timer(atUs, fetch));
   }
 
-  /** The next open fetch whose timer has fired, or null where there is none. */
+  /** Returns the next open fetch whose timer is due, or null if there is none. */
   InFlightFetch pollDue(long nowUs) {
     while (!timers.isEmpty() && timers.peek().atUs() <= nowUs) {
       InFlightFetch fetch = timers.poll().fetch();
@@ -85,7 +85,7 @@
     return null;
   }
 
-  /** The moment of the next timer of an open fetch, {@link Long#MAX_VALUE} without any. */
+  /** The time of the next timer of an open fetch, or {@link Long#MAX_VALUE} if there is none. */
   long nextTimerUs() {
     while (!timers.isEmpty() && timers.peek().fetch().closed) {
       timers.poll();
--- a/src/main/java/dunlinhitch/answerkeys/InFlightFetch.java
+++ b/src/main/java/dunlinhitch/answerkeys/InFlightFetch.java
@@ -11,28 +11,28 @@
   final long id;
   final AnswerKey key;
 
-  /** In the order of arrival, which is the order of succession. */
+  /** The waiters in the order of arrival, in which they succeed as leader. */
   final List<Waiter> waiters = new ArrayList<>();
 
-  /** One of the waiters, or null while the reply of the owner is awaited. */
+  /** The leader, one of the waiters; null while the reply of the owner is pending. */
   Waiter leader;
 
-  /** The broker that owns the key; null where this broker does, or where there is none. */
+  /** The broker that owns the key; null if this broker does or if there is no owner. */
   String owner;
 
-  /** The moment in µs until which the reply of the owner is awaited. */
+  /** The time in microseconds until which the fetch waits for the reply of the owner. */
   long ownerDeadlineUs;
 
-  /** The key as the owner names it; its generation there may differ. */
+  /** The key as the owner built it, possibly with a different generation. */
   AnswerKey ownerKey;
 
-  /** The moment in µs at which the lease of a leader at another broker ends. */
+  /** The time in microseconds at which the lease of a leader at another broker ends. */
   long leaseUntilUs;
 
-  /** The moment in µs at which the present request to a store was sent. */
+  /** The time in microseconds at which the current request to a store was sent. */
   long startedUs;
 
-  /** The part of the leader for which that request was sent; null before the first one. */
+  /** The part for which the current request was sent; null before the first request. */
   PartQuery startedFor;
 
   boolean closed;
@@ -42,7 +42,7 @@
     this.key = key;
   }
 
-  /** True where a query of this broker leads. */
+  /** Whether a query of this broker is the leader. */
   boolean isLedLocally() {
     return leader != null && leader.isLocal();
   }
--- a/src/main/java/dunlinhitch/answerkeys/KeyFactory.java
+++ b/src/main/java/dunlinhitch/answerkeys/KeyFactory.java
@@ -9,12 +9,12 @@
 import java.util.function.Predicate;
 
 /**
- * Builds the key of a part by present knowledge: the trusted rules, the attributes by which stores
- * said that their answers vary (this overrides every rule until the broker restarts), and the
- * latest generation that a store of each shard stated.
+ * Builds the key of a part from the trusted rules, the attributes by which stores declared their
+ * answers to vary (these override every rule until the broker restarts), and the latest generation
+ * reported by a store of the shard.
  */
 final class KeyFactory {
-  /** The number of shards whose generation is remembered. */
+  /** The maximum number of shards whose generation is remembered. */
   private static final int MAX_SHARDS = 1 << 16;
 
   private final RuleSet rules;
@@ -23,7 +23,7 @@
   private final Map<Integer, Long> generations = new HashMap<>();
   private final Map<String, String> fingerprints = new HashMap<>();
 
-  /** The value of {@link RuleLifecycle#changes} for which the fingerprints were made. */
+  /** The value of {@link RuleLifecycle#changes} for which the fingerprints were computed. */
   private long fingerprintedChanges = -1;
 
   KeyFactory(RuleSet rules, RuleLifecycle lifecycle) {
@@ -40,7 +40,7 @@
     return lifecycle.state(rule) == RuleState.TRUSTED;
   }
 
-  /** The key by the trusted rules. */
+  /** Builds the key with the trusted rules. */
   AnswerKey keyFor(PartQuery part) {
     return keyFor(part, this::isTrusted);
   }
@@ -58,7 +58,7 @@
     return varyingAttributes.getOrDefault(queryClass, Set.of());
   }
 
-  /** Names the rules and attributes that apply to the class: with others, keys are other keys. */
+  /** Identifies the rules and attributes that apply to the class; keys include this fingerprint. */
   String ruleFingerprint(String queryClass) {
     if (fingerprintedChanges != lifecycle.changes()) {
       fingerprints.clear();
@@ -82,14 +82,14 @@
     return generations.getOrDefault(shard, 0L);
   }
 
-  /** A store stated the generation of its data; 0 where it states none. */
+  /** Records the generation of the data that a store reported, or 0 if it reports none. */
   void recordGeneration(int shard, long generation) {
     if (generation > 0 && (generations.containsKey(shard) || generations.size() < MAX_SHARDS)) {
       generations.merge(shard, generation, Math::max);
     }
   }
 
-  /** A store stated by which attributes its answers vary; returns true where one of them is new. */
+  /** Records the attributes by which a store's answers vary; returns true if one of them is new. */
   boolean recordVaryingAttributes(String queryClass, Collection<String> attributes) {
     Set<String> declared = new TreeSet<>(attributes);
     declared.retainAll(rules.classPolicy(queryClass).attributes());
@@ -104,12 +104,12 @@
     return isNew;
   }
 
-  /** True where the class declares all attributes by which the answer varies. */
+  /** Whether the class declares all attributes by which the answer varies. */
   boolean declaresAll(String queryClass, Set<String> varies) {
     return rules.classPolicy(queryClass).attributes().containsAll(varies);
   }
 
-  /** True where the two parts are equal in these attributes, as the clients sent them. */
+  /** Whether the two parts, as sent by the clients, are equal in the given attributes. */
   static boolean equalIn(PartQuery one, PartQuery other, Set<String> attributes) {
     Map<String, String> ofOne = new TreeMap<>(one.variants());
     Map<String, String> ofOther = new TreeMap<>(other.variants());
--- a/src/main/java/dunlinhitch/answerkeys/KeysException.java
+++ b/src/main/java/dunlinhitch/answerkeys/KeysException.java
@@ -1,15 +1,15 @@
 package dunlinhitch.answerkeys;
 
 /**
- * Rules or settings of answer keys that can not be used. The message is one line: what is wrong,
- * where, and what to do.
+ * Thrown for rules or settings of answer keys that cannot be used. The message is one line with the
+ * code, the location, the problem and the remedy.
  */
 public final class KeysException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** What can be wrong. The label of each is stable: operators search for it. */
+  /** The kinds of errors. Their labels are stable, because operators search for them. */
   public enum Code {
-    /** Two rules have one name. */
+    /** Two rules have the same name. */
     NAME_TWICE("KEYS-NAME-TWICE"),
     /** The query class is not configured. */
     NO_CLASS("KEYS-NO-CLASS"),
@@ -17,7 +17,7 @@
     MAY_NOT_REUSE("KEYS-MAY-NOT-REUSE"),
     /** The query class does not declare the attribute. */
     NO_ATTRIBUTE("KEYS-NO-ATTRIBUTE"),
-    /** Two rewrites of a class are about one attribute. */
+    /** Two rewrites of a class apply to the same attribute. */
     ATTRIBUTE_TWICE("KEYS-ATTRIBUTE-TWICE"),
     /** Groups of values refer to each other in a cycle. */
     CYCLE("KEYS-CYCLE"),
@@ -45,7 +45,7 @@
   private final String remedy;
 
   /**
-   * Composes the message.
+   * Creates an exception with a message composed of the arguments.
    *
    * @param location where the rule or setting is configured
    * @param problem what is wrong
@@ -58,7 +58,7 @@
     this.remedy = remedy;
   }
 
-  /** What is wrong, for programs. */
+  /** The kind of error, for programs. */
   public Code code() {
     return code;
   }
--- a/src/main/java/dunlinhitch/answerkeys/LruCache.java
+++ b/src/main/java/dunlinhitch/answerkeys/LruCache.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * A cache bounded by bytes, which evicts the least recently used entries. An entry that exceeds the
- * bound alone is not cached. Not thread-safe.
+ * A cache bounded by bytes, which evicts the least recently used entries. An entry that is larger
+ * than the bound is not cached. Not thread-safe.
  */
 public final class LruCache<K, V> implements Cache<K, V> {
   private static final int INITIAL_CAPACITY = 16;
@@ -18,7 +18,7 @@
   private final Map<K, Entry<V>> entries = new LinkedHashMap<>(INITIAL_CAPACITY, LOAD_FACTOR, true);
   private long bytes;
 
-  /** Makes an empty cache of that capacity. */
+  /** Creates an empty cache with the given capacity in bytes. */
   public LruCache(long maxBytes) {
     this.maxBytes = maxBytes;
   }
--- a/src/main/java/dunlinhitch/answerkeys/PartQuery.java
+++ b/src/main/java/dunlinhitch/answerkeys/PartQuery.java
@@ -7,10 +7,10 @@
 /**
  * One part of a query, as the client sent it.
  *
- * @param tenant empty where there is none
+ * @param tenant empty if there is none
  * @param variants the attributes that the query class declares; an absent one counts as empty
  * @param clientKind the kind of client that the variants indicate
- * @param idempotencyKeyed the query carries an idempotency key
+ * @param idempotencyKeyed whether the query carries an idempotency key
  */
 public record PartQuery(
     String queryClass,
@@ -25,7 +25,7 @@
     variants = Collections.unmodifiableMap(new TreeMap<>(variants));
   }
 
-  /** True where the two are identical without the help of any rule. */
+  /** Whether the two are identical without the application of any rule. */
   boolean sameAs(PartQuery other) {
     return shard == other.shard
         && queryClass.equals(other.queryClass)
--- a/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
+++ b/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
@@ -1,9 +1,9 @@
 package dunlinhitch.answerkeys;
 
 /**
- * The protocol between the brokers of a cluster. The owner of a key fetches nothing for others: it
- * lets the first broker that asks fetch, under a lease, and has the others wait for the report of
- * that one.
+ * The protocol between the brokers of a cluster. The owner of a key does not fetch for others: it
+ * grants a lease to the first broker that asks, which then fetches the answer, and lets the others
+ * wait for the report of that broker.
  */
 final class PeerProtocol {
   private final RuleSet rules;
@@ -28,12 +28,12 @@
     this.output = output;
   }
 
-  /** A peer takes this broker for the owner of the key and asks for the answer. */
+  /** Handles the request of a peer that regards this broker as the owner of the key. */
   void onRequest(
       long nowUs, String peer, long fetchId, AnswerKey peerKey, PartQuery part, long deadlineUs) {
     if (!keys.isShareable(part)
         || !keys.keyFor(part).withGeneration(0).equals(peerKey.withGeneration(0))) {
-      // The peer applies other rules: until these have converged each asks for itself.
+      // The peer applies other rules: until these have converged, each broker fetches for itself.
       output.add(new Action.ReplyToPeer(peer, fetchId, peerKey, Action.OwnerReply.NONE, null));
       return;
     }
@@ -45,7 +45,7 @@
       return;
     }
     InFlightFetch current = table.byKey(key);
-    // Without a leader this broker waits for another owner: the two differ in their members.
+    // Without a leader this broker waits for another owner: the two disagree on the members.
     if (coalescer.isFull(current) || (current != null && current.leader == null)) {
       output.add(new Action.ReplyToPeer(peer, fetchId, key, Action.OwnerReply.NONE, null));
       return;
@@ -69,7 +69,7 @@
     }
   }
 
-  /** The owner replies to a request of this broker. */
+  /** Handles the reply of an owner to a request of this broker. */
   void onReply(
       long nowUs,
       String owner,
@@ -92,7 +92,7 @@
       fetch.owner = reply == Action.OwnerReply.FETCH ? owner : null;
       coalescer.electLeader(nowUs, fetch);
     } else if (reply == Action.OwnerReply.FETCH && !expected) {
-      // Nobody waits here any more: the owner may let the next one fetch.
+      // No query waits here any more: the owner may grant the lease to the next waiter.
       output.add(new Action.ReportToOwner(owner, ownerKey, null));
     }
   }
@@ -101,7 +101,7 @@
    * Caches the answer of an owner.
    *
    * @param awaiting the fetch that waits for it, or null
-   * @return true where the answer completed that fetch
+   * @return true if the answer completed that fetch
    */
   private boolean acceptAnswer(long nowUs, InFlightFetch awaiting, CachedAnswer cached) {
     if (!keys.isShareable(cached.fetchedFor())) {
@@ -116,7 +116,10 @@
     return true;
   }
 
-  /** A peer reports the result of a fetch to this broker as the owner; null where it has none. */
+  /**
+   * Handles the report of a peer to this broker as the owner; {@code cached} is null without a
+   * result.
+   */
   void onReport(long nowUs, String peer, AnswerKey key, CachedAnswer cached) {
     CachedAnswer adjusted = cached == null ? null : notAhead(nowUs, cached);
     boolean shareable =
@@ -135,7 +138,10 @@
     }
   }
 
-  /** The clock of a peer that is ahead would make an answer younger than it is. */
+  /**
+   * Corrects the request time of an answer from a peer whose clock is ahead; the answer would
+   * otherwise count as younger than it is.
+   */
   private static CachedAnswer notAhead(long nowUs, CachedAnswer cached) {
     return cached.requestedUs() <= nowUs
         ? cached
--- a/src/main/java/dunlinhitch/answerkeys/RequestCoalescer.java
+++ b/src/main/java/dunlinhitch/answerkeys/RequestCoalescer.java
@@ -7,9 +7,9 @@
 import java.util.TreeSet;
 
 /**
- * Request coalescing (single flight): requests with one key wait for one fetch, which one of them,
- * the leader, performs. Where another broker owns the key, that broker is asked first. A leader
- * that fails or leaves is succeeded by the waiter that has waited longest.
+ * Request coalescing (single flight): requests with the same key wait for one fetch, which one of
+ * them, the leader, performs. If another broker owns the key, that broker is asked first. If a
+ * leader fails or is cancelled, the waiter that has waited longest succeeds it.
  */
 final class RequestCoalescer {
   private final RuleSet rules;
@@ -38,7 +38,10 @@
     this.output = output;
   }
 
-  /** Fetches that wait for a broker which is no member any more elect another leader. */
+  /**
+   * Updates the members. Fetches that wait for a broker that is no longer a member elect another
+   * leader.
+   */
   void updateMembers(long nowUs, Collection<String> names) {
     members = new TreeSet<>(names);
     for (InFlightFetch fetch : table.all()) {
@@ -54,10 +57,10 @@
     }
   }
 
-  /** Answers a query from the cache, or has it wait, lead or bypass. */
+  /** Answers a query from the cache, or lets it wait, lead or bypass. */
   void submit(long nowUs, long query, PartQuery part, long deadlineUs) {
     if (table.byQuery(query) != null) {
-      throw new IllegalArgumentException("query " + query + " waits already");
+      throw new IllegalArgumentException("query " + query + " is already waiting");
     }
     if (!keys.isShareable(part) || nowUs >= deadlineUs) {
       output.bypass(query, AnswerKeyCounter.NOT_SHARED);
@@ -101,9 +104,7 @@
     table.join(current, waiter);
   }
 
-  /**
-   * True where no further waiter may join the fetch, or no further fetch start where it is null.
-   */
+  /** Whether no further waiter may join the fetch or, if it is null, no further fetch may start. */
   boolean isFull(InFlightFetch fetch) {
     return fetch == null
         ? table.size() >= settings.limits().fetches()
@@ -125,23 +126,23 @@
         new Action.RequestFromOwner(owner, fetch.id, fetch.key, first.part, fetch.ownerDeadlineUs));
   }
 
-  /** The leader's request to a store succeeded; the leader has the answer already. */
+  /** Handles the success of the leader's request to a store; the leader already has the answer. */
   void succeed(long nowUs, long fetchId, StoreAnswer answer) {
     InFlightFetch fetch = table.byId(fetchId);
     if (fetch == null || !fetch.isLedLocally()) {
-      return; // nobody waits for it any more
+      return; // no query waits for it any more
     }
     CachedAnswer cached = new CachedAnswer(answer, fetch.startedFor, fetch.startedUs);
     table.remove(fetch, fetch.leader);
     boolean shareable = answers.offer(nowUs, cached, fetch.key);
     complete(fetch, shareable ? cached : null, AnswerKeyCounter.JOINED);
     if (fetch.owner != null) {
-      // Also an answer that is not shareable, so that nobody waits there for the next one.
+      // An answer that is not shareable is reported too, so that no waiter there waits in vain.
       output.add(new Action.ReportToOwner(fetch.owner, fetch.ownerKey, cached.forPeers()));
     }
   }
 
-  /** The leader's request failed after that many attempts, which count for all that waited. */
+  /** Handles the failure of the leader's request; its attempts count for all waiters. */
   void fail(long nowUs, long fetchId, int attempts) {
     InFlightFetch fetch = table.byId(fetchId);
     if (fetch == null || !fetch.isLedLocally()) {
@@ -163,7 +164,7 @@
     output.add(new Action.Fail(waiter.id, reason));
   }
 
-  /** The query is cancelled. */
+  /** Handles the cancellation of a query. */
   void cancel(long nowUs, long query) {
     InFlightFetch fetch = table.byQuery(query);
     if (fetch == null) {
@@ -212,9 +213,9 @@
   }
 
   /**
-   * A leader was cancelled while its request is in flight. The first waiter with an identical part
-   * adopts that request. For any other it would be an answer by rules, which may be withdrawn
-   * before it arrives, so that the request is cancelled.
+   * Replaces a leader that was cancelled while its request is in flight. The first waiter with an
+   * identical part adopts that request. If there is none, the request is cancelled: its answer
+   * would be valid for the others only by rules that may be withdrawn before it arrives.
    */
   private void replaceCancelledLeader(long nowUs, InFlightFetch fetch) {
     Waiter successor =
@@ -230,7 +231,7 @@
     }
   }
 
-  /** The waiter that has waited longest leads; without any the fetch is closed. */
+  /** Makes the waiter that has waited longest the leader, or closes the fetch if there is none. */
   void electLeader(long nowUs, InFlightFetch fetch) {
     if (!fetch.waiters.isEmpty()) {
       promote(nowUs, fetch, fetch.waiters.get(0), false);
@@ -260,10 +261,10 @@
   }
 
   /**
-   * Closes the fetch: each waiter gets the answer, or bypasses where it may not have it.
+   * Closes the fetch: each waiter gets the answer, or bypasses if it may not share the answer.
    *
-   * @param cached null where the answer may not be shared
-   * @param source the counter for those that are answered
+   * @param cached null if the answer may not be shared
+   * @param source the counter of the waiters that are answered
    */
   void complete(InFlightFetch fetch, CachedAnswer cached, AnswerKeyCounter source) {
     table.close(fetch);
@@ -284,7 +285,7 @@
     }
   }
 
-  /** Releases those that wait under keys of rules that no longer apply, except for the leaders. */
+  /** Releases the waiters, except leaders, whose keys are based on rules that no longer apply. */
   void releaseOutdated(long nowUs) {
     for (InFlightFetch fetch : table.all()) {
       if (fetch.key.rules().equals(keys.ruleFingerprint(fetch.key.queryClass()))) {
--- a/src/main/java/dunlinhitch/answerkeys/Rewrite.java
+++ b/src/main/java/dunlinhitch/answerkeys/Rewrite.java
@@ -5,7 +5,7 @@
 
 /** One step by which a rule brings a query into its canonical form. */
 public sealed interface Rewrite {
-  /** Answers do not depend on the attribute. */
+  /** Drops the attribute, on which answers do not depend. */
   record DropVariant(String attribute) implements Rewrite {}
 
   /**
@@ -22,16 +22,16 @@
     }
   }
 
-  /** Upper and lower case are equal. */
+  /** Folds upper and lower case. */
   record FoldCase() implements Rewrite {}
 
-  /** Any white space is one space, and none at the ends or beside a separator of terms. */
+  /** Folds white space to one space, and removes it at the ends and beside separators of terms. */
   record FoldSpaces() implements Rewrite {}
 
-  /** The order of the terms does not matter. */
+  /** Sorts the terms, whose order does not matter. */
   record SortTerms(char separator) implements Rewrite {}
 
-  /** Answers do not depend on these terms. */
+  /** Drops the given terms, on which answers do not depend. */
   record DropTerms(char separator, Set<String> terms) implements Rewrite {
     /** Copies the terms. */
     public DropTerms {
@@ -39,6 +39,6 @@
     }
   }
 
-  /** Answers do not depend on the tenant. */
+  /** Drops the tenant, on which answers do not depend. */
   record AcrossTenants() implements Rewrite {}
 }
--- a/src/main/java/dunlinhitch/answerkeys/Rule.java
+++ b/src/main/java/dunlinhitch/answerkeys/Rule.java
@@ -3,11 +3,11 @@
 import java.util.List;
 
 /**
- * A claim of an operator: parts of the class that these rewrites make equal have equal answers. It
- * is trusted or withdrawn with all its rewrites.
+ * A claim by an operator that parts of the class have equal answers if these rewrites make them
+ * equal. A rule is trusted or withdrawn as a whole, with all its rewrites.
  *
- * @param epoch raised by the operator to have the rule start again without evidence
- * @param location where the rule is configured, for errors
+ * @param epoch raised by the operator to restart the rule without evidence
+ * @param location where the rule is configured, for error messages
  */
 public record Rule(
     String name, String queryClass, long epoch, List<Rewrite> rewrites, String location) {
--- a/src/main/java/dunlinhitch/answerkeys/RuleAttribution.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleAttribution.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Finds the rules to which it is due that two parts share a key. */
+/** Finds the rules that cause two parts to share a key. */
 final class RuleAttribution {
   private final KeyFactory keys;
 
@@ -12,8 +12,8 @@
   }
 
   /**
-   * The rules without which the two would not share a key; where two rules have the same effect,
-   * all that change one of the parts.
+   * Returns the rules without which the two would not share a key. If there is none, because
+   * several rules have the same effect, returns all rules that change the key of one of the parts.
    */
   List<Rule> responsible(PartQuery one, PartQuery other, List<Rule> tested) {
     if (tested.size() == 1) {
--- a/src/main/java/dunlinhitch/answerkeys/RuleLifecycle.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleLifecycle.java
@@ -13,28 +13,30 @@
 import java.util.TreeMap;
 
 /**
- * The state of each rule, by the evidence of all brokers. The evidence is a {@link ReplicatedMap},
- * so that the result does not depend on the order in which messages arrive. A withdrawal that was
- * once received is retained beyond the lifetime and the bounds of that map, and published again
- * under the name of this broker: no rule regains trust in that epoch, even when the broker that
- * compared the pair is gone.
+ * Determines the state of each rule from the evidence of all brokers. The evidence is a {@link
+ * ReplicatedMap}, so that the result does not depend on the order in which messages arrive. A
+ * received withdrawal is retained beyond the lifetime and the bounds of that map, and published
+ * again under the name of this broker, so that the rule does not regain trust in that epoch even if
+ * the broker that compared the pair is gone.
  *
- * <p>Pure: the caller passes the time. Not thread-safe; {@link AnswerKeyModule} owns it.
+ * <p>Pure: the caller passes the time. Not thread-safe; owned by {@link AnswerKeyModule}.
  */
 public final class RuleLifecycle {
-  /** The offset between the clocks of brokers that is tolerated. */
+  /** The tolerated clock skew between brokers. */
   private static final long MAX_CLOCK_SKEW_US = 2_000_000;
 
   private static final int MAX_ENTRIES = 8192;
   private static final int MAX_ENTRIES_OF_ORIGIN = 256;
 
   /**
-   * The interval at which growing counts are published; a withdrawal or a suspicion is published at
-   * once.
+   * The minimum interval between publications of growing counts; a withdrawal or a suspicion is
+   * published at once.
    */
   private static final long PUBLISH_INTERVAL_US = 1_000_000;
 
-  /** The time of a publication that never happened; the subtraction from any time is safe. */
+  /**
+   * Represents a publication that never happened; its subtraction from any time does not overflow.
+   */
   private static final long NEVER_US = Long.MIN_VALUE / 2;
 
   private final RuleSet rules;
@@ -53,10 +55,10 @@
   private int appliedSize;
 
   /**
-   * Makes the lifecycle with all rules proposed.
+   * Creates the lifecycle with all rules proposed.
    *
    * @param self the name of this broker, the origin of its evidence
-   * @throws KeysException where there are too many rules, or a threshold is too wide to be gossiped
+   * @throws KeysException if there are too many rules or a threshold is too large to be gossiped
    */
   public RuleLifecycle(RuleSet rules, AnswerKeySettings settings, String self) {
     this.rules = rules;
@@ -86,45 +88,48 @@
       throw new KeysException(
           KeysException.Code.SETTING,
           "[keys]",
-          rules.rules().size() + " rules",
-          "keep to " + MAX_ENTRIES_OF_ORIGIN);
+          rules.rules().size() + " rules are configured",
+          "reduce their number to at most " + MAX_ENTRIES_OF_ORIGIN);
     }
     if (Math.max(thresholds.shards(), thresholds.clientKinds()) > Evidence.MAX_SPREAD) {
       throw new KeysException(
           KeysException.Code.SETTING,
           "[keys]",
-          "a spread over "
+          "the thresholds require "
               + thresholds.shards()
               + " shards and "
               + thresholds.clientKinds()
-              + " kinds",
-          "ask for " + Evidence.MAX_SPREAD + " at most");
+              + " client kinds",
+          "require " + Evidence.MAX_SPREAD + " or fewer of each");
     }
   }
 
-  /** The evidence of all brokers; entries since a version are to be gossiped. */
+  /** The evidence of all brokers, whose new entries are to be gossiped. */
   public ReplicatedMap<RuleEpoch, Evidence> evidence() {
     return evidence;
   }
 
-  /** The present state of the rule. */
+  /** The current state of the rule. */
   public RuleState state(Rule rule) {
     return states.get(rule.name());
   }
 
-  /** Raised whenever the state of a rule changes. */
+  /** Incremented whenever the state of a rule changes. */
   public long changes() {
     return changes;
   }
 
-  /** True once after a rule became suspect or withdrawn here, whichever broker found it. */
+  /**
+   * Returns true once after a rule became suspect or withdrawn, by evidence of this or another
+   * broker.
+   */
   boolean takeDemoted() {
     boolean wasDemoted = demoted;
     demoted = false;
     return wasDemoted;
   }
 
-  /** The rule would have changed the key of a request. */
+  /** Records that the rule would have changed the key of a request. */
   void recordProposal(long nowUs, Rule rule) {
     if (state(rule) == RuleState.PROPOSED) {
       Evidence updated =
@@ -133,7 +138,7 @@
     }
   }
 
-  /** Two answers for which the rule makes one key were equal. */
+  /** Records that two answers with the same key by the rule were equal. */
   void recordEqualPair(long nowUs, Rule rule, int shard, Set<String> clientKinds) {
     Evidence updated =
         ownEvidence
@@ -143,8 +148,8 @@
   }
 
   /**
-   * Two answers were not equal, and the data may have changed between them: the rule is not applied
-   * until that is clarified.
+   * Suspects a rule after two unequal answers between which the data may have changed. The rule is
+   * not applied until this is resolved.
    */
   void suspect(long nowUs, Rule rule) {
     long untilUs = nowUs + settings.suspicionTimeoutUs();
@@ -153,14 +158,14 @@
     }
   }
 
-  /** The data had changed. */
+  /** Clears the suspicion of a rule, because the data had changed. */
   void clearSuspicion(long nowUs, Rule rule) {
     if (suspectUntilUs.remove(rule.ruleEpoch()) != null) {
       update(nowUs, rule, ownEvidence.get(rule.ruleEpoch()).withSuspicion(false), true);
     }
   }
 
-  /** The rule is false: it is not applied again in this epoch. */
+  /** Withdraws a rule that is false; it is not applied again in this epoch. */
   void withdraw(long nowUs, Rule rule, String reason) {
     suspectUntilUs.remove(rule.ruleEpoch());
     update(nowUs, rule, ownEvidence.get(rule.ruleEpoch()).withWithdrawal(reason), true);
@@ -173,13 +178,13 @@
     if (result == ReplicatedMap.MergeResult.NEWS
         && entry.origin().equals(self)
         && ownEvidence.containsKey(ruleEpoch)) {
-      // The pair behind an earlier suspicion is lost, so that the suspicion can not be clarified.
+      // The pair that caused an earlier suspicion is lost, so the suspicion cannot be resolved.
       Evidence earlier = entry.value().withSuspicion(false);
       ownEvidence.put(ruleEpoch, ownEvidence.get(ruleEpoch).mergedWith(earlier));
       unpublished.add(ruleEpoch);
     }
     if (entry.value().isWithdrawn()) {
-      // Even where the map rejects the entry as too old or over its bounds.
+      // This applies even if the map rejects the entry as too old or beyond its bounds.
       retainWithdrawal(ruleEpoch, entry.value().withdrawalReason());
     }
     advance(nowUs);
@@ -219,7 +224,7 @@
     return !own.equals(Evidence.NONE) && sincePublishedUs >= settings.evidenceLifetimeUs() / 2;
   }
 
-  /** The moment in µs at which {@link #advance} is to be called at the latest. */
+  /** The time in microseconds at which {@link #advance} must be called at the latest. */
   public long nextTimerUs(long nowUs) {
     long nextUs = nowUs + settings.evidenceLifetimeUs() / 4;
     for (long untilUs : suspectUntilUs.values()) {
@@ -311,8 +316,8 @@
   }
 
   /**
-   * Sums the evidence of all brokers. One broker counts for half of the required pairs at the most,
-   * where more than one broker is required.
+   * Sums the evidence of all brokers. If more than one broker is required, one broker contributes
+   * at most half of the required pairs.
    */
   private RuleStatus summarize(
       RuleEpoch ruleEpoch, List<ReplicatedEntry<RuleEpoch, Evidence>> entries) {
--- a/src/main/java/dunlinhitch/answerkeys/RuleSet.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleSet.java
@@ -11,8 +11,8 @@
 import java.util.function.Predicate;
 
 /**
- * The rules of all query classes in their order, checked when the set is made. Immutable, so that
- * threads may share it.
+ * The rules of all query classes in their order, checked when the set is created. Immutable, so
+ * that threads may share it.
  */
 public final class RuleSet {
   private final Map<String, ClassCachePolicy> classes = new LinkedHashMap<>();
@@ -22,7 +22,7 @@
   /**
    * Checks the rules.
    *
-   * @throws KeysException where a rule can not be used
+   * @throws KeysException if a rule cannot be used
    */
   public RuleSet(Collection<ClassCachePolicy> classes, List<Rule> rules) {
     classes.forEach(policy -> this.classes.put(policy.name(), policy));
@@ -32,8 +32,8 @@
         throw new KeysException(
             Code.NAME_TWICE,
             rule.location(),
-            "there is another rule " + rule.name(),
-            "give each its own name");
+            "there is another rule named " + rule.name(),
+            "give each rule a unique name");
       }
       requireReusableClass(rule);
       rulesByClass.computeIfAbsent(rule.queryClass(), name -> new ArrayList<>()).add(rule);
@@ -51,19 +51,19 @@
       throw new KeysException(
           Code.NO_CLASS,
           rule.location(),
-          "no class " + rule.queryClass(),
-          "name one of " + classes.keySet());
+          "there is no query class " + rule.queryClass(),
+          "use one of " + classes.keySet());
     }
     if (!policy.reusable()) {
       throw new KeysException(
           Code.MAY_NOT_REUSE,
           rule.location(),
-          "parts of " + policy.name() + " may not run twice or carry a key",
-          "take the rule out: answers of that class are never shared");
+          "parts of " + policy.name() + " may not run twice, or carry an idempotency key",
+          "remove the rule, because answers of this class are never shared");
     }
   }
 
-  /** The policy of the class, or null where it has none. */
+  /** The policy of the class, or null if it has none. */
   public ClassCachePolicy classPolicy(String name) {
     return classes.get(name);
   }
@@ -79,9 +79,9 @@
   }
 
   /**
-   * The key of the part by the rules that are applied.
+   * Builds the key of the part with the rules that {@code applied} selects.
    *
-   * @param varying attributes that stay as the client sent them, whatever the rules say
+   * @param varying attributes that keep the value sent by the client, regardless of the rules
    */
   AnswerKey key(
       PartQuery part,
--- a/src/main/java/dunlinhitch/answerkeys/RuleState.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleState.java
@@ -1,15 +1,15 @@
 package dunlinhitch.answerkeys;
 
-/** The state of a rule in its epoch. Only a trusted one takes part in the keys of answers. */
+/** The state of a rule in its epoch. Only trusted rules affect the keys of answers. */
 public enum RuleState {
   /** Only the requests whose key it would change are counted. */
   PROPOSED,
-  /** Answers that it would make equal are compared. */
+  /** Answers for which it would build equal keys are compared. */
   TRIED,
-  /** Enough of them were equal. */
+  /** Enough compared answers were equal. */
   TRUSTED,
-  /** Two were not, which a change of the data between them may explain. */
+  /** Two compared answers were unequal, possibly because the data changed between them. */
   SUSPECT,
-  /** Two of the same data were not; final in this epoch. */
+  /** Two answers of the same data were unequal, or a suspicion timed out; final in this epoch. */
   WITHDRAWN
 }
--- a/src/main/java/dunlinhitch/answerkeys/ShadowComparison.java
+++ b/src/main/java/dunlinhitch/answerkeys/ShadowComparison.java
@@ -8,23 +8,24 @@
 import java.util.TreeSet;
 
 /**
- * Compares the answers of requests that asked a store anyway. A rule that is tried is compared
- * alone on top of the trusted ones, so that an unequal pair is its own fault. Trusted rules are
- * compared together, and the fault is with those without which the two keys would differ.
+ * Compares the answers of requests that are sent to a store anyway. A tried rule is tested alone in
+ * addition to the trusted ones, so that an unequal pair is attributed to it. Trusted rules are
+ * tested together, and an unequal pair is attributed to those without which the two keys would
+ * differ.
  */
 final class ShadowComparison {
-  /** The number of samples for one key, each of another text of a client. */
+  /** The maximum number of samples per key, each of a different part as sent by a client. */
   private static final int MAX_SAMPLES = 4;
 
-  /** How many times the age of a reused answer a sample is compared for. */
+  /** Samples are compared up to this multiple of the maximum age of a reused answer. */
   private static final int SAMPLE_AGE_FACTOR = 2;
 
-  /** A key and the rule that is tried for it; null where the key is by the trusted rules. */
+  /** A key and the tried rule that is applied to it; null if only trusted rules are applied. */
   private record ComparisonKey(String rule, AnswerKey key) {}
 
   /**
-   * Two unequal answers of one store that states no generation. The next answer for the first text
-   * tells a change of the data from a false rule.
+   * Two unequal answers of one store that reports no generation. The next answer for the first text
+   * shows whether the data changed or the rule is false.
    */
   private record AmbiguousPair(AnswerSample first, AnswerSample second) {}
 
@@ -170,7 +171,7 @@
     }
   }
 
-  /** True where the same store answered the first text of the pair again. */
+  /** Whether the same store answered the first text of the pair again. */
   private static boolean repeatsFirst(AmbiguousPair pair, AnswerSample current) {
     return current.part().sameAs(pair.first().part())
         && current.sameStore(pair.first())
--- a/src/main/java/dunlinhitch/answerkeys/StoreAnswer.java
+++ b/src/main/java/dunlinhitch/answerkeys/StoreAnswer.java
@@ -9,11 +9,12 @@
 /**
  * The answer of a store for one part of a query.
  *
- * @param storeStartedMs the start of the store by the endpoint list when it was asked
- * @param generation the generation of the store's data, 0 where the store does not state it
- * @param varies the attributes by which the store says that the answer varies
- * @param cacheable false where the store forbids to cache the answer
- * @param complete false where some of the answer is missing
+ * @param storeStartedMs the start time of the store, according to the endpoint list at the time of
+ *     the request
+ * @param generation the generation of the store's data, 0 if the store does not report it
+ * @param varies the attributes by which the answer varies, as declared by the store
+ * @param cacheable false if the store forbids caching of the answer
+ * @param complete false if part of the answer is missing
  */
 public record StoreAnswer(
     String value,
@@ -23,10 +24,10 @@
     Set<String> varies,
     boolean cacheable,
     boolean complete) {
-  /** In {@code varies}: the answer varies by more than the attributes that are named. */
+  /** In {@code varies}: the answer varies by more than the named attributes. */
   public static final String VARIES_BY_ANY = "*";
 
-  /** An estimate of the bytes of an answer beside its value. */
+  /** The estimated size of an answer without its value, in bytes. */
   private static final int OVERHEAD_BYTES = 400;
 
   /** Copies the set of attributes. */
@@ -35,8 +36,8 @@
   }
 
   /**
-   * Equal for equal values: 64 bits of SHA-256, so that no client can construct two unequal answers
-   * that look equal.
+   * A digest of the value: 64 bits of SHA-256, so that no client can construct two unequal answers
+   * with equal digests.
    */
   long digest() {
     try {
@@ -52,7 +53,7 @@
     return new StoreAnswer("", store, storeStartedMs, generation, varies, cacheable, complete);
   }
 
-  /** An estimate of the memory that the answer takes. */
+  /** The estimated memory use of the answer in bytes. */
   long bytes() {
     return 2L * value.length() + OVERHEAD_BYTES;
   }
--- a/src/main/java/dunlinhitch/answerkeys/Waiter.java
+++ b/src/main/java/dunlinhitch/answerkeys/Waiter.java
@@ -5,7 +5,7 @@
  * that asked this one as the owner of the key. Mutable; owned by {@link FetchTable}.
  */
 final class Waiter {
-  /** The other broker, or null where a query of this broker waits. */
+  /** The other broker, or null if a query of this broker waits. */
   final String peer;
 
   /** The identifier of the query, or that of the fetch at the other broker. */
@@ -13,13 +13,13 @@
 
   final PartQuery part;
 
-  /** The moment in µs at which it stops waiting. */
+  /** The time in microseconds at which it stops waiting. */
   final long deadlineUs;
 
-  /** Failed attempts of earlier leaders that it has waited for. */
+  /** The number of failed attempts of earlier leaders that it has waited for. */
   int attemptsUsed;
 
-  /** The random draw has already decided that this waiter is no trial. */
+  /** Whether the random selection has already decided that this waiter is not a trial. */
   boolean trialDecided;
 
   Waiter(String peer, long id, PartQuery part, long deadlineUs) {
--- a/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
@@ -171,7 +171,8 @@
     module.onQuery(NOW, 2, part("A"), DEADLINE);
     module.onBypassAnswered(NOW, part("b"), answer("v", 3), NOW);
     assertResponds("v", module.onQuery(NOW, 3, part("B"), DEADLINE));
-    module.onBypassAnswered(NOW, part("B"), answer("w", 4), NOW); // later data: it may have changed
+    module.onBypassAnswered(
+        NOW, part("B"), answer("w", 4), NOW); // a later generation, so the data may have changed
     assertEquals(RuleState.TRUSTED, module.lifecycle().state(CASE));
     List<Action> actions = module.onBypassAnswered(NOW, part("b"), answer("v", 4), NOW);
     assertEquals(RuleState.WITHDRAWN, module.lifecycle().state(CASE));
@@ -179,14 +180,14 @@
     assertResponds("v", module.onQuery(NOW, 4, part("b"), DEADLINE));
     assertLeads(
         module.onQuery(NOW, 5, part("B"), DEADLINE),
-        5); // although a rule had rewritten its text to that of the other
+        5); // although the withdrawn rule had rewritten both texts to the same one
     module.onFetchSucceeded(NOW, fetchId, answer("z", 4));
     assertLeads(module.onQuery(NOW, 6, part("A"), DEADLINE), 6);
   }
 
   /**
-   * One store that states no generation: the next answer for the first text tells a change of the
-   * data from a false rule.
+   * With a store that reports no generation, the next answer for the first text shows whether the
+   * data changed or the rule is false.
    */
   @Test
   void ambiguousPairIsResolvedByTheNextAnswer() {
@@ -206,13 +207,13 @@
     AnswerKeyModule module = moduleTrustingCase("n0", settings(1));
     module.onBypassAnswered(NOW, part("a"), answer("v"), NOW);
     assertResponds(
-        "v", module.onQuery(NOW, 1, part("a"), DEADLINE)); // an identical text is no trial
+        "v", module.onQuery(NOW, 1, part("a"), DEADLINE)); // an identical text is not a trial
     assertEquals(List.of(new Action.Bypass(2)), module.onQuery(NOW, 2, part("A"), DEADLINE));
   }
 
   /**
-   * Any order of events: one leader at a time, and each query that waits ends once, by its deadline
-   * at the latest.
+   * For any order of events, a fetch has one leader at a time, and each waiting query ends exactly
+   * once, at its deadline at the latest.
    */
   @Property(tries = 300)
   void oneLeaderAtATimeAndEachQueryEndsOnce(@ForAll long seed) {
@@ -222,7 +223,7 @@
     }
   }
 
-  /** Random events for one broker, and what is to hold of the actions after each of them. */
+  /** Random events for one broker, with checks of the actions that result from each. */
   private static final class RandomSchedule {
     private final Random random;
     private final AnswerKeyModule module = module();
@@ -305,17 +306,17 @@
     private void check(List<Action> actions) {
       for (Action action : actions) {
         if (action instanceof Action.Respond respond) {
-          assertTrue(deadlines.remove(respond.query()) != null, "ends twice: " + action);
+          assertTrue(deadlines.remove(respond.query()) != null, "query ends twice: " + action);
         } else if (action instanceof Action.Bypass bypass) {
-          assertTrue(deadlines.remove(bypass.query()) != null, "ends twice: " + action);
+          assertTrue(deadlines.remove(bypass.query()) != null, "query ends twice: " + action);
         } else if (action instanceof Action.Fail fail) {
-          assertTrue(deadlines.remove(fail.query()) != null, "ends twice: " + action);
+          assertTrue(deadlines.remove(fail.query()) != null, "query ends twice: " + action);
           leaders.values().remove(fail.query());
         } else if (action instanceof Action.Fetch fetch) {
           assertTrue(
               deadlines.containsKey(fetch.query())
                   && leaders.put(fetch.fetchId(), fetch.query()) == null,
-              "two leads: " + action);
+              "fetch has two leaders, or its leader is not pending: " + action);
         } else if (action instanceof Action.RequestFromOwner request) {
           ownerRequests.add(request);
         }
--- a/src/test/java/dunlinhitch/answerkeys/RuleLifecycleTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/RuleLifecycleTest.java
@@ -86,7 +86,7 @@
     assertEquals(RuleState.WITHDRAWN, lifecycle.state(RULE));
   }
 
-  /** A restarted broker resumes from the evidence that the others have of it. */
+  /** A restarted broker resumes from its own evidence that other brokers retained. */
   @Test
   void restartedBrokerResumesItsPublishedEvidence() {
     RuleLifecycle lifecycle = lifecycle("n1");
@@ -95,7 +95,7 @@
     compare(lifecycle, NOW + 2, 1);
     assertEquals(6, lifecycle.evidence().of(RULE.ruleEpoch(), "n1").value().equalPairs());
     assertEquals(
-        RuleState.TRIED, lifecycle.state(RULE)); // the suspicion was of its previous incarnation
+        RuleState.TRIED, lifecycle.state(RULE)); // its suspicion before the restart does not count
   }
 
   @Property(tries = 200)
@@ -123,8 +123,8 @@
   }
 
   /**
-   * Three brokers, messages delayed, duplicated and lost, one broker that stops after its
-   * withdrawal, and time beyond the lifetime of any evidence.
+   * Three brokers exchange messages that may be delayed, duplicated or lost. One broker stops after
+   * it has withdrawn the rule, and the test lasts longer than the lifetime of evidence.
    */
   @Property(tries = 200)
   void noTrustAfterAWithdrawalInTheSameEpoch(@ForAll long seed) {
@@ -135,7 +135,7 @@
     long now = NOW;
     for (int step = 0; step < 150; step++) {
       now += random.nextInt(random.nextInt(10) == 0 ? 6_000_000 : 50_000);
-      int at = random.nextInt(knowsWithdrawal[2] ? 2 : 3); // the third stops once it has withdrawn
+      int at = random.nextInt(knowsWithdrawal[2] ? 2 : 3); // the third stops after its withdrawal
       RuleLifecycle lifecycle = brokers.get(at);
       switch (random.nextInt(8)) {
         case 0 -> compare(lifecycle, now, 6);
--- a/src/test/java/dunlinhitch/answerkeys/RuleSetTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/RuleSetTest.java
@@ -48,8 +48,8 @@
   }
 
   /**
-   * Whatever the text, the rewrites and their order: the canonical form is reached within the
-   * stated passes, and is a fixed point.
+   * For any text and any rewrites in any order, the canonical form is reached within the documented
+   * number of passes and is a fixed point.
    */
   @Property(tries = 1000)
   void eachTextHasOneCanonicalForm(@ForAll long seed) {
@@ -95,7 +95,7 @@
     assertEquals("large", key(rules, "", Map.of()).variants().get("client"));
   }
 
-  /** Code, location and remedy are in the one line that an operator reads. */
+  /** The one-line message for operators contains code, location and remedy. */
   @Test
   void unusableRulesAreRejectedWithCodeAndRemedy() {
     assertRejected(
@@ -120,7 +120,8 @@
     assertRejected(Code.SEPARATOR, () -> ruleSet(rule("a", new SortTerms('x'))));
     assertRejected(
         Code.SEPARATOR,
-        () -> ruleSet(rule("a", new SortTerms('\u24b6')))); // no letter, but it has a lower case
+        () ->
+            ruleSet(rule("a", new SortTerms('\u24b6')))); // not a letter, but has a lower-case form
     assertRejected(
         Code.SEPARATOR,
         () -> ruleSet(rule("a", new SortTerms(',')), rule("b", new SortTerms(';'))));
