--- a/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
@@ -26,7 +26,10 @@
   private final ActionBuffer output;
   private final Cache<AnswerKey, CachedAnswer> answers;
 
-  /** Keys whose last answer was not shareable, with the time until which their requests bypass. */
+  /**
+   * Keys whose last answer was not shareable, with the time until which their requests bypass
+   * coalescing.
+   */
   private final Cache<AnswerKey, Long> uncacheableUntilUs;
 
   /** The start time of each listed store, in milliseconds. */
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
@@ -47,7 +47,10 @@
     peers = new PeerProtocol(rules, keys, answers, table, coalescer, output);
   }
 
-  /** Handles a converged change of the members of the cluster; empty without a cluster. */
+  /**
+   * Handles a converged change of the members of the cluster; {@code names} is empty without a
+   * cluster.
+   */
   public List<Action> updateMembers(long nowUs, Collection<String> names) {
     coalescer.updateMembers(nowUs, names);
     return drain(nowUs);
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
@@ -5,7 +5,7 @@
  *
  * @param trust the evidence that a rule needs before it is trusted
  * @param trialShare the share of requests that are sent to a store although a trusted rule allows
- *     to reuse an answer
+ *     an answer to be reused
  * @param changeWindowUs two answers of a store that reports no generation count as unequal only if
  *     they were requested within this window
  * @param suspicionTimeoutUs a suspicion that is not cleared within this time becomes a withdrawal
--- a/src/main/java/dunlinhitch/answerkeys/InFlightFetch.java
+++ b/src/main/java/dunlinhitch/answerkeys/InFlightFetch.java
@@ -11,7 +11,7 @@
   final long id;
   final AnswerKey key;
 
-  /** The waiters in the order of arrival, in which they succeed as leader. */
+  /** The waiters in the order of arrival, which is the order in which they become leader. */
   final List<Waiter> waiters = new ArrayList<>();
 
   /** The leader, one of the waiters; null while the reply of the owner is pending. */
--- a/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
+++ b/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
@@ -117,8 +117,8 @@
   }
 
   /**
-   * Handles the report of a peer to this broker as the owner; {@code cached} is null without a
-   * result.
+   * Handles the report of a peer to this broker as the owner; {@code cached} is null if the fetch
+   * had no result.
    */
   void onReport(long nowUs, String peer, AnswerKey key, CachedAnswer cached) {
     CachedAnswer adjusted = cached == null ? null : notAhead(nowUs, cached);
--- a/src/main/java/dunlinhitch/answerkeys/RuleLifecycle.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleLifecycle.java
@@ -138,7 +138,7 @@
     }
   }
 
-  /** Records that two answers with the same key by the rule were equal. */
+  /** Records that two answers to which the rule assigns the same key were equal. */
   void recordEqualPair(long nowUs, Rule rule, int shard, Set<String> clientKinds) {
     Evidence updated =
         ownEvidence
--- a/src/main/java/dunlinhitch/cluster/Member.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -63,7 +63,7 @@
     }
   }
 
-  /** Whether it counts as a member; a suspect one does. */
+  /** Whether it counts as a member, as it does while alive or suspected. */
   public boolean takesPart() {
     return status == Status.ALIVE || status == Status.SUSPECT;
   }
--- a/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
@@ -42,7 +42,8 @@
     }
     Member current = members.peer(update.name());
     if (current == null && !update.takesPart() && settings.isAntiEntropyEnabled()) {
-      // It has expired here. Peers that still remember it would otherwise add it again endlessly.
+      // It has expired here. Otherwise peers that still remember it would add it again at every
+      // broker, endlessly.
       return;
     }
     if (current == null && members.peers().size() >= settings.maxMembers()) {
--- a/src/main/java/dunlinhitch/cluster/RelayedPings.java
+++ b/src/main/java/dunlinhitch/cluster/RelayedPings.java
@@ -29,7 +29,8 @@
     if (target == null || pending.size() >= settings.maxMembers()) {
       return;
     }
-    // Shorter than the requester's own timeout, so that it learns in time that its helper is alive.
+    // Shorter than the requester's timeout, so that the requester learns in time that this helper
+    // is alive.
     long deadlineUs = nowUs + settings.pingTimeoutUs() * 3 / 4;
     long sequenceNumber = sender.nextSequenceNumber();
     pending.put(
