--- a/src/main/java/dunlinhitch/cluster/Member.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -84,7 +84,7 @@
   }
 
   /** Whether its broker can still refute this state, or has no need to. */
-  boolean isBelievable() {
+  boolean isAcceptable() {
     return incarnation < MAX_ACCEPTED_INCARNATION
         || (incarnation == MAX_ACCEPTED_INCARNATION && status == Status.ALIVE);
   }
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -65,7 +65,7 @@
   }
 
   /** The member that counts under this broker's name: itself or the one that displaced it. */
-  Member selfAsCounted() {
+  Member effectiveSelf() {
     return displacedBy == null ? self : displacedBy;
   }
 
@@ -156,10 +156,10 @@
 
   /** Replaces this broker's own entry and the one that displaces it, which may be null. */
   void replaceSelf(Member newSelf, Member newDisplacedBy) {
-    digestTable.remove(selfAsCounted());
+    digestTable.remove(effectiveSelf());
     self = newSelf;
     displacedBy = newDisplacedBy;
-    digestTable.add(selfAsCounted());
+    digestTable.add(effectiveSelf());
     updateDigest();
     changed = true;
   }
@@ -230,7 +230,7 @@
    * The name of a peer at the given address that is suspected, dead or left, or null. The peer has
    * to be notified, so that it can refute its status.
    */
-  String notAliveAt(String host, int port) {
+  String notAlivePeerAt(String host, int port) {
     String suspect = firstAt(suspicions.names(), host, port);
     return suspect != null ? suspect : firstAt(departedSinceUs.keySet(), host, port);
   }
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -101,7 +101,7 @@
 
   private ClusterSnapshot takeSnapshot() {
     List<ClusterSnapshot.MemberView> views = new ArrayList<>();
-    views.add(new ClusterSnapshot.MemberView(members.selfAsCounted(), 0, members.selfVersions()));
+    views.add(new ClusterSnapshot.MemberView(members.effectiveSelf(), 0, members.selfVersions()));
     for (Member peer : members.peers()) {
       if (peer.takesPart()) {
         views.add(
--- a/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
@@ -32,7 +32,7 @@
 
   /** Merges the state of one member. */
   void merge(Member update, long nowUs) {
-    if (!update.isBelievable()) {
+    if (!update.isAcceptable()) {
       rejected++;
       return;
     }
--- a/src/main/java/dunlinhitch/cluster/MessageSender.java
+++ b/src/main/java/dunlinhitch/cluster/MessageSender.java
@@ -176,7 +176,7 @@
    */
   private List<Member> nextMemberUpdates(String host, int port, int maxBytes, int transmissions) {
     Set<String> candidates = new LinkedHashSet<>();
-    String recipient = members.notAliveAt(host, port);
+    String recipient = members.notAlivePeerAt(host, port);
     if (recipient != null) {
       candidates.add(recipient);
     }
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
@@ -44,10 +44,10 @@
   }
 
   /** Returns the default settings for a layout. */
-  public static EndpointRegistrySettings of(int cells, int inARow) {
+  public static EndpointRegistrySettings of(int cells, int cellsPerShard) {
     return new EndpointRegistrySettings(
         cells,
-        inARow,
+        cellsPerShard,
         DEFAULT_LINGER_US,
         DEFAULT_STALE_FOR_US,
         DEFAULT_FIRST_SUPPRESSION_US,
--- a/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
@@ -50,9 +50,9 @@
       status = EndpointStatus.ANNOUNCED;
       reason = StatusReason.FLAPPING;
     }
-    boolean disagreeing =
+    boolean claimsConflict =
         status == EndpointStatus.DISPUTED && reason != StatusReason.SHARED_ADDRESS;
-    if (disagreeing || evaluation.claim().source.trusted) {
+    if (claimsConflict || evaluation.claim().source.trusted) {
       addresses.remove(endpoint);
     }
     endpoint.status = status;
--- a/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
@@ -187,7 +187,7 @@
   }
 
   @Test
-  void theSourceOfPrecedenceWinsAndItsWithdrawalOverrules() {
+  void theSourceOfHigherPrecedenceWinsAndItsWithdrawalOverrules() {
     report("c", SECOND_US, claim(endpoint("s", 9, 0, 0), SECOND_US));
     report("a", 2 * SECOND_US, claim(endpoint("s", 1, 0, 0), 2 * SECOND_US));
     assertEquals(1, published.get("s").port());
@@ -207,7 +207,7 @@
   }
 
   @Test
-  void aFlappingEndpointIsHeldDownLongerEachTime() {
+  void aFlappingEndpointIsSuppressedLongerEachTime() {
     report(
         "a",
         SECOND_US,
