--- a/src/main/java/dunlinhitch/cluster/RelayedPings.java
+++ b/src/main/java/dunlinhitch/cluster/RelayedPings.java
@@ -29,7 +29,8 @@
     if (target == null || pending.size() >= settings.maxMembers()) {
       return;
     }
-    // Shorter than the requester's own timeout, so that it learns in time that its helper is alive.
+    // Shorter than the requester's timeout, so that the requester learns in time that this helper
+    // is alive.
     long deadlineUs = nowUs + settings.pingTimeoutUs() * 3 / 4;
     long sequenceNumber = sender.nextSequenceNumber();
     pending.put(
@@ -60,18 +61,19 @@
       return false;
     }
     if (settings.isLifeguardEnabled()) {
-      // Any message shows the requester that its helper is alive, and only the target is silent.
+      // Any message shows the requester that its helper is alive and only the target is
+      // unresponsive.
       sender.sendGossip(ping.requester());
     }
     return true;
   }
 
-  /** Drops all, without a message. */
+  /** Drops all pending pings without notifying their requesters. */
   void clear() {
     pending.clear();
   }
 
-  /** When the next ping times out; {@link Long#MAX_VALUE} where none is pending. */
+  /** When the next ping times out; {@link Long#MAX_VALUE} if none is pending. */
   long nextDeadlineUs() {
     long next = Long.MAX_VALUE;
     for (RelayedPing ping : pending.values()) {
