--- a/src/main/java/dunlinhitch/discovery/DiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoverySource.java
@@ -1,26 +1,26 @@
 package dunlinhitch.discovery;
 
 /**
- * A source of endpoint lists. Its updates arrive as events.
+ * A source of endpoint lists, which reports updates as events.
  *
  * <p>All methods are called on the event loop of the source's owner and do not block.
  */
 public interface DiscoverySource {
-  /** Starts to follow the source. */
+  /** Starts discovery from this source. */
   void start();
 
   /**
-   * Discovery is at that address from now on; the last list stays in force until the new address
-   * has sent one.
+   * Switches to a new address of the discovery service. The last list remains in use until the new
+   * address has sent one.
    */
   void follow(String host, int port);
 
-  /** Stops for good and closes all connections. */
+  /** Stops permanently and closes all connections. */
   void stop();
 
-  /** Polls again at once. */
+  /** Polls again immediately. */
   void resync();
 
-  /** True once the source itself has answered since the start. */
+  /** Returns true if the source has answered since the start. */
   boolean hasAnswered();
 }
--- a/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
@@ -24,10 +24,10 @@
 import java.util.function.Supplier;
 
 /**
- * Follows the discovery service over HTTP. While it is unavailable the last list stays in force;
- * the watch is opened again from the generation that is known, so that missed changes come first.
- * Where discovery moves, the old address is read until the new one has sent a list. {@link
- * WatchStateMachine} decides when to do what; this class does the I/O.
+ * Watches the endpoint list of the discovery service over HTTP. While the service is unavailable,
+ * the last list remains in use. The watch is reopened from the known generation, so that missed
+ * changes are received first. If discovery moves, the old address is read until the new one has
+ * sent a list. {@link WatchStateMachine} makes the decisions; this class performs the I/O.
  *
  * <p>Confined to the event loop on which it was created.
  */
@@ -45,7 +45,7 @@
   private final LongSupplier clock;
   private final WatchStateMachine stateMachine;
 
-  /** Requests in flight, by their numbers. */
+  /** Requests in flight by id. */
   private final Map<Long, ListRequest> requests = new HashMap<>();
 
   private long timerId = NO_TIMER;
@@ -53,13 +53,13 @@
   private boolean answered;
 
   /**
-   * Creates a watch that follows no address yet.
+   * Creates a watch that has no address yet.
    *
-   * @param settings the settings in force; a new configuration may bring others
-   * @param seed of the jitter
-   * @param initialGeneration generation of the list that is known at the start
-   * @param events gets the lists and the failures, on the event loop
-   * @param clock microseconds
+   * @param settings supplies the current settings, which a reload may change
+   * @param seed seed of the jitter
+   * @param initialGeneration generation of the list known at the start
+   * @param events receives lists and failures on the event loop
+   * @param clock clock in microseconds
    */
   public DiscoveryWatch(
       Vertx vertx,
@@ -87,7 +87,7 @@
 
   @Override
   public void start() {
-    // begins with the first address to follow
+    // the watch starts with the first call of follow()
   }
 
   @Override
@@ -100,7 +100,7 @@
     perform(stateMachine.stop());
   }
 
-  /** Polls again from the known generation; an open watch ends. */
+  /** Polls again from the known generation; ends an open watch. */
   @Override
   public void resync() {
     perform(stateMachine.resync(clock.getAsLong()));
@@ -147,7 +147,7 @@
     perform(stateMachine.onTimer(clock.getAsLong()));
   }
 
-  /** One request for the list, and what is received for it. */
+  /** One request for the list and its response. */
   private final class ListRequest {
     private final WatchAction.OpenRequest parameters;
     private final EndpointListParser parser = new EndpointListParser(MAX_LIST_BYTES);
@@ -181,8 +181,8 @@
     }
 
     /**
-     * Opens a connection outside any pool: a pool has five for an address, and while five requests
-     * hang it would open none for those that are to be made beside them.
+     * Opens a connection without a pool: a pool allows five connections per address, so five
+     * hanging requests would block every further one.
      */
     void open() {
       HttpConnectOptions options =
@@ -199,7 +199,7 @@
         return;
       }
       connection = result.result();
-      // without a handler Vert.x writes each reset to the log as an error
+      // without a handler Vert.x logs each connection reset as an error
       connection.exceptionHandler(e -> onFailure());
       if (!isActive()) {
         close();
@@ -238,7 +238,7 @@
         List<String> lists = isActive() ? parser.read(bytes) : List.of();
         perform(stateMachine.onData(clock.getAsLong(), id(), parser.isInObject()));
         for (int strayLines = parser.takeStrayLines(); strayLines > 0; strayLines--) {
-          countMalformed(); // a line that is no list changes nothing else
+          countMalformed(); // stray lines are counted and otherwise ignored
         }
         for (String list : lists) {
           if (isActive()) {
@@ -247,7 +247,7 @@
         }
         parser.check();
       } catch (MalformedListException | RuntimeException e) {
-        // the JSON library throws several kinds; the content is lost and has to be requested again
+        // the JSON library throws several exception types; the lost content must be requested again
         countMalformed();
         onFailure();
       }
--- a/src/main/java/dunlinhitch/discovery/EndpointListFile.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListFile.java
@@ -13,11 +13,12 @@
 import java.util.Map;
 
 /**
- * The last known claims on disk, in the form of {@link EndpointListFormat}. Written under another
- * name, forced to the disk and renamed, so that a reader finds the old content or the new one; the
- * folder is forced as well.
+ * Stores the last known endpoint claims on disk, encoded by {@link EndpointListFormat}. The file is
+ * written under a temporary name, synced and renamed, so that a reader sees either the complete old
+ * content or the complete new content. The directory is synced as well.
  *
- * <p>Blocking: for worker threads and the start of the process. One writer at a time.
+ * <p>Blocks on disk I/O: call it on a worker thread or during startup. Only one writer may be
+ * active at a time.
  */
 public final class EndpointListFile {
   static final String NAME = "roster.state";
@@ -28,27 +29,27 @@
   private final Path folder;
 
   /**
-   * The content of a file.
+   * Content of the file.
    *
-   * @param savedUs when it was written, Unix time in microseconds
+   * @param savedUs time of the write, in Unix microseconds
    * @param bySource the claims of each source, in the order of the file
    */
   public record Content(long savedUs, Map<String, List<EndpointClaim>> bySource) {}
 
-  /** The file in that folder, which need not exist. */
+  /** Creates an accessor for the file in {@code folder}; neither needs to exist yet. */
   public EndpointListFile(Path folder) {
     this.folder = folder;
   }
 
-  /** Where the file is. */
+  /** Returns the path of the file. */
   public Path path() {
     return folder.resolve(NAME);
   }
 
   /**
-   * Replaces the file by the claims among those rows.
+   * Replaces the content of the file with the claims contained in {@code rows}.
    *
-   * @throws IOException where it could not be written; the file before it stays then
+   * @throws IOException if the file cannot be written; the previous file is kept
    */
   public void write(long nowUs, List<EndpointRegistry.Row> rows) throws IOException {
     List<ByteBuffer> content = EndpointListFormat.encode(nowUs, rows);
@@ -72,7 +73,7 @@
     forceFolder();
   }
 
-  /** The new name is an entry of the folder: without this a crash may bring the old file back. */
+  /** Syncs the directory: without this a crash could undo the rename and restore the old file. */
   private void forceFolder() throws IOException {
     try (FileChannel channel = FileChannel.open(folder, StandardOpenOption.READ)) {
       channel.force(true);
@@ -80,11 +81,11 @@
   }
 
   /**
-   * Reads the file; null where there is none. A claim reported after {@code nowUs} (the clock was
-   * set back) counts as reported now.
+   * Reads the file, or returns null if it does not exist. A claim reported after {@code nowUs},
+   * because the clock was set back, is treated as reported now.
    *
-   * @throws IOException where it can not be read; a damaged file is renamed, and the exception's
-   *     message is a line for the log
+   * @throws IOException if the file cannot be read; a damaged file is renamed, and the message is
+   *     suitable for the log
    */
   public Content read(long nowUs) throws IOException {
     if (!Files.exists(path())) {
@@ -92,14 +93,14 @@
     }
     try {
       if (Files.size(path()) > MAX_BYTES) {
-        throw new IllegalArgumentException("larger than " + MAX_BYTES + " bytes");
+        throw new IllegalArgumentException("the file is larger than " + MAX_BYTES + " bytes");
       }
       return EndpointListFormat.decode(nowUs, Files.readAllBytes(path()));
-    } catch (RuntimeException e) { // the JSON library throws several kinds for damaged content
+    } catch (RuntimeException e) { // the JSON library throws several exception types
       Path damaged = folder.resolve(DAMAGED_NAME);
       Files.move(path(), damaged, StandardCopyOption.REPLACE_EXISTING);
       throw new IOException(
-          "the last known state can not be used ("
+          "stored endpoint list is unusable ("
               + e.getMessage()
               + ") and was set aside as "
               + damaged,
--- a/src/main/java/dunlinhitch/discovery/EndpointListFormat.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListFormat.java
@@ -22,22 +22,22 @@
 import java.util.Map;
 
 /**
- * The stored form of {@link EndpointListFile}: a header line {@code dunlinhitch-roster 1 SHA-256},
- * and behind it a JSON object which the checksum is of. Times are Unix microseconds.
+ * Codec for the content of {@link EndpointListFile}: a header line {@code dunlinhitch-roster 1
+ * SHA-256} and a JSON object, whose checksum the header contains. Times are in Unix microseconds.
  */
 final class EndpointListFormat {
-  /** Begin of the header line: the name and the version of the form. */
+  /** Start of the header line: name and version of the format. */
   private static final String MAGIC = "dunlinhitch-roster 1 ";
 
   /**
-   * A claim that never expires, such as one of a push session, is stored with an expiry so long
-   * after the file was written.
+   * A claim that never expires, for example because a push session maintains it, is stored with an
+   * expiry this long after the write.
    */
   private static final long UNBOUNDED_CLAIM_US = 60_000_000;
 
   private EndpointListFormat() {}
 
-  /** The content of a file with the claims among those rows, in pieces to be written in order. */
+  /** Encodes the claims contained in the rows; the buffers must be written in order. */
   static List<ByteBuffer> encode(long nowUs, List<EndpointRegistry.Row> rows) {
     JsonArray claims = new JsonArray();
     for (EndpointRegistry.Row row : rows) {
@@ -73,10 +73,10 @@
   }
 
   /**
-   * The claims of a file. A claim reported after {@code nowUs} (the clock was set back) counts as
-   * reported now.
+   * Decodes the content of a file. A claim reported after {@code nowUs}, because the clock was set
+   * back, is treated as reported now.
    *
-   * @throws RuntimeException where the content is of another version or damaged
+   * @throws RuntimeException if the content has another version or is damaged
    */
   static EndpointListFile.Content decode(long nowUs, byte[] content) {
     int headerEnd = 0;
@@ -85,12 +85,12 @@
     }
     String header = new String(content, 0, headerEnd, StandardCharsets.US_ASCII);
     if (!header.startsWith(MAGIC)) {
-      throw new IllegalArgumentException("not of this version");
+      throw new IllegalArgumentException("missing header or unsupported format version");
     }
     int bodyStart = Math.min(headerEnd + 1, content.length);
     byte[] body = Arrays.copyOfRange(content, bodyStart, content.length);
     if (!header.substring(MAGIC.length()).equals(checksum(body))) {
-      throw new IllegalArgumentException("its checksum does not fit");
+      throw new IllegalArgumentException("checksum mismatch");
     }
     JsonObject root = Json.parse(new String(body, StandardCharsets.UTF_8)).asObject();
     Map<String, List<EndpointClaim>> bySource = new LinkedHashMap<>();
--- a/src/main/java/dunlinhitch/discovery/EndpointListParser.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListParser.java
@@ -6,30 +6,30 @@
 import java.util.List;
 
 /**
- * Splits the stream of discovery into JSON objects, however they are broken into lines and chunks:
- * a list may be indented. An object ends with the brace that closes it. Text between objects is
- * skipped; lines of it that are not blank are counted.
+ * Splits the response stream of discovery into JSON objects, regardless of line breaks and chunk
+ * boundaries. An object ends with its closing brace. Text between objects is skipped, and its
+ * non-blank lines are counted as stray lines.
  *
- * <p>Not thread-safe; one for each response.
+ * <p>Not thread-safe; each response has its own parser.
  */
 final class EndpointListParser {
-  /** More consecutive lines that are no list mean that the sender is not discovery. */
+  /** More consecutive stray lines indicate that the server is not a discovery service. */
   private static final int MAX_STRAY_LINES = 32;
 
   private final int maxObjectBytes;
   private final JsonObjectScanner scanner = new JsonObjectScanner();
 
-  /** The bytes of an incomplete object, and room behind them. */
+  /** The bytes of an incomplete object, followed by unused capacity. */
   private byte[] buffer = new byte[0];
 
   private int length;
 
-  /** Bytes of the buffer that are scanned. */
+  /** Number of bytes in the buffer that are already scanned. */
   private int scanned;
 
   private boolean inStrayLine;
 
-  /** Stray lines since the count was taken last. */
+  /** Stray lines since the last call of {@link #takeStrayLines}. */
   private int strayLines;
 
   /** Stray lines since the last object. */
@@ -37,24 +37,24 @@
 
   private MalformedListException failure;
 
-  /** No object may be longer than {@code maxObjectBytes}. */
+  /** Creates a parser that rejects objects longer than {@code maxObjectBytes}. */
   EndpointListParser(int maxObjectBytes) {
     this.maxObjectBytes = maxObjectBytes;
   }
 
-  /** True while an object has begun and is incomplete. */
+  /** Returns true while an object has begun and is incomplete. */
   boolean isInObject() {
     return scanner.isInObject();
   }
 
-  /** Lines that were no part of an object, since the last call. */
+  /** Returns the number of stray lines since the last call. */
   int takeStrayLines() {
     int taken = strayLines;
     strayLines = 0;
     return taken;
   }
 
-  /** Throws where the text behind the objects read last is malformed. */
+  /** Throws if the text after the most recently returned objects is malformed. */
   void check() throws MalformedListException {
     if (failure != null) {
       throw failure;
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Takes the next bytes and returns the objects that they complete. Objects before a malformed
-   * place are returned; {@link #check} and the next call throw then.
+   * Reads the next bytes and returns the objects that they complete. If the text after an object is
+   * malformed, the objects before it are returned, and {@link #check} and the next call throw.
    */
   List<String> read(byte[] bytes) throws MalformedListException {
     check();
@@ -98,7 +98,7 @@
     }
     discard(from);
     if (length > maxObjectBytes) {
-      throw new MalformedListException("an object of more than " + maxObjectBytes + " bytes");
+      throw new MalformedListException("object larger than " + maxObjectBytes + " bytes");
     }
   }
 
@@ -136,7 +136,8 @@
     strayLines++;
     consecutiveStrayLines++;
     if (consecutiveStrayLines > MAX_STRAY_LINES) {
-      throw new MalformedListException("more than " + MAX_STRAY_LINES + " lines that are no list");
+      throw new MalformedListException(
+          "more than " + MAX_STRAY_LINES + " consecutive lines outside of a list");
     }
   }
 }
--- a/src/main/java/dunlinhitch/discovery/EndpointListReader.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListReader.java
@@ -14,14 +14,14 @@
 import java.util.function.Consumer;
 
 /**
- * Reads endpoint lists in discovery's JSON form; an entry that can not be used is skipped and
- * counted. Immutable: it may be used on any thread that the event consumer allows.
+ * Reads endpoint lists in the JSON format of discovery. Invalid entries are skipped and counted.
+ * Immutable, and as thread-safe as the event consumer.
  */
 public final class EndpointListReader {
   private static final int MAX_PORT = 65_535;
   private static final long MICROSECONDS_PER_MILLISECOND = 1000;
 
-  /** The latest start that can be expressed in microseconds. */
+  /** The latest start time that can be represented in microseconds. */
   private static final long LATEST_START_MS = Long.MAX_VALUE / MICROSECONDS_PER_MILLISECOND;
 
   private final List<String> zones;
@@ -30,8 +30,8 @@
   /**
    * Creates a reader.
    *
-   * @param zones the names of the zones in the settings, in their order; null: any zone is accepted
-   * @param events gets an event for each entry that is skipped
+   * @param zones the zone names of the settings, in order; if null, any zone is accepted
+   * @param events receives an event for each skipped entry
    */
   public EndpointListReader(List<String> zones, Consumer<Event> events) {
     this.zones = zones == null ? null : List.copyOf(zones);
@@ -39,15 +39,15 @@
   }
 
   /**
-   * Reads a complete list ({@code reset}) or a change of it; {@code cached}: it comes from a cache
-   * and not from discovery.
+   * Reads a complete list ({@code reset} is true in the JSON) or a change. {@code cached} means
+   * that the list comes from a cache instead of discovery.
    */
   public Event.EndpointsUpdated read(JsonObject list, boolean cached) {
     List<Endpoint> endpoints = new ArrayList<>();
     for (JsonValue value : list.get("instances").asArray()) {
       try {
         endpoints.add(endpoint(value.asObject()));
-      } catch (RuntimeException e) { // the JSON library throws several kinds for wrong types
+      } catch (RuntimeException e) { // the JSON library throws several exception types
         events.accept(new Event.ConditionCounted(Counter.ENDPOINT_ENTRIES_INVALID));
       }
     }
@@ -70,9 +70,9 @@
   }
 
   /**
-   * The endpoint of these fields, from whatever form they were read.
+   * Creates an endpoint from field values read from JSON or DNS records.
    *
-   * @throws IllegalArgumentException where a field can not be used
+   * @throws IllegalArgumentException if a field is invalid
    */
   public Endpoint endpoint(
       String name,
@@ -87,15 +87,15 @@
     int port = Integer.parseInt(hostPort.substring(colon + 1));
     ServerState state = stateOf(lifecycle);
     if (name.isEmpty()) {
-      throw new IllegalArgumentException("no id");
+      throw new IllegalArgumentException("the endpoint id is empty");
     }
     if (colon < 1 || port < 1 || port > MAX_PORT) {
-      throw new IllegalArgumentException("no address: " + hostPort);
+      throw new IllegalArgumentException("address is not HOST:PORT: " + hostPort);
     }
     checkNumbers(cell, startedAtMs, weight);
     int zoneIndex = zones == null ? 0 : zones.indexOf(zone);
     if (zoneIndex < 0 && state != ServerState.GONE) {
-      throw new IllegalArgumentException("no zone of the settings: " + zone);
+      throw new IllegalArgumentException("zone is not in the settings: " + zone);
     }
     return new Endpoint(
         name,
@@ -111,13 +111,13 @@
 
   private static void checkNumbers(int cell, long startedAtMs, double weight) {
     if (cell < 0) {
-      throw new IllegalArgumentException("no cell: " + cell);
+      throw new IllegalArgumentException("cell is negative: " + cell);
     }
     if (startedAtMs < 0 || startedAtMs > LATEST_START_MS) {
-      throw new IllegalArgumentException("no start: " + startedAtMs);
+      throw new IllegalArgumentException("start time is out of range: " + startedAtMs);
     }
     if (!Double.isFinite(weight)) {
-      throw new IllegalArgumentException("no weight: " + weight);
+      throw new IllegalArgumentException("weight is not a finite number: " + weight);
     }
   }
 
@@ -126,7 +126,7 @@
       case "ready" -> ServerState.READY;
       case "draining" -> ServerState.DRAINING;
       case "gone" -> ServerState.GONE;
-      default -> throw new IllegalArgumentException("no such state: " + lifecycle);
+      default -> throw new IllegalArgumentException("unknown lifecycle state: " + lifecycle);
     };
   }
 
@@ -134,7 +134,7 @@
     return switch (protocol.toLowerCase(Locale.ROOT)) {
       case "", "frames" -> Protocol.FRAMES;
       case "flight" -> Protocol.FLIGHT;
-      default -> throw new IllegalArgumentException("no such protocol: " + protocol);
+      default -> throw new IllegalArgumentException("unknown protocol: " + protocol);
     };
   }
 }
--- a/src/main/java/dunlinhitch/discovery/JsonObjectScanner.java
+++ b/src/main/java/dunlinhitch/discovery/JsonObjectScanner.java
@@ -1,32 +1,33 @@
 package dunlinhitch.discovery;
 
 /**
- * Finds the end of a JSON object byte by byte, by its brackets and strings alone. Not thread-safe.
+ * Finds the end of a JSON object byte by byte, looking only at brackets and strings. Not
+ * thread-safe.
  */
 final class JsonObjectScanner {
-  /** A list has three levels; the JSON parser behind this would recurse without a bound. */
+  /** Lists have three levels; the limit also bounds the recursion of the JSON parser used next. */
   private static final int MAX_DEPTH = 32;
 
   private int depth;
 
-  /** One bit for each level: 1 for a brace, 0 for a bracket; the innermost level is the lowest. */
+  /** One bit per level: 1 for a brace, 0 for a bracket. The lowest bit is the innermost level. */
   private long braces;
 
   private boolean inString;
   private boolean escaped;
 
-  /** True while an object has begun and is incomplete. */
+  /** Returns true while an object has begun and is incomplete. */
   boolean isInObject() {
     return depth > 0;
   }
 
-  /** The opening brace of an object was read. */
+  /** Starts an object whose opening brace was read. */
   void begin() {
     depth = 1;
     braces = 1;
   }
 
-  /** Takes the next byte of an object; true where it is the last one. */
+  /** Processes the next byte of an object; returns true if it is the last one. */
   boolean accept(byte next) throws MalformedListException {
     if (inString) {
       acceptInString(next);
@@ -46,8 +47,8 @@
   }
 
   private void acceptInString(byte next) throws MalformedListException {
-    if (next >= 0 && next < ' ') { // not allowed in JSON strings: the end of an object was lost
-      throw new MalformedListException("a string is not closed");
+    if (next >= 0 && next < ' ') { // not allowed in strings: part of the object was lost
+      throw new MalformedListException("unterminated string");
     }
     inString = escaped || next != '"';
     escaped = !escaped && next == '\\';
@@ -56,14 +57,14 @@
   private void open(int brace) throws MalformedListException {
     depth++;
     if (depth > MAX_DEPTH) {
-      throw new MalformedListException("more than " + MAX_DEPTH + " levels");
+      throw new MalformedListException("nested more than " + MAX_DEPTH + " levels deep");
     }
     braces = (braces << 1) | brace;
   }
 
   private void close(int brace) throws MalformedListException {
-    if ((braces & 1) != brace) { // what follows would be taken as part of the object
-      throw new MalformedListException("a bracket is not closed");
+    if ((braces & 1) != brace) { // otherwise later text would be read as part of the object
+      throw new MalformedListException("mismatched brackets");
     }
     braces >>= 1;
     depth--;
--- a/src/main/java/dunlinhitch/discovery/MalformedListException.java
+++ b/src/main/java/dunlinhitch/discovery/MalformedListException.java
@@ -1,8 +1,8 @@
 package dunlinhitch.discovery;
 
 /**
- * What discovery sent can not be an object, or is longer than any list, so that the begin of the
- * next one can not be found either.
+ * The response of discovery contains a malformed or oversized object, so the start of the next
+ * object cannot be determined.
  */
 final class MalformedListException extends Exception {
   private static final long serialVersionUID = 1L;
--- a/src/main/java/dunlinhitch/discovery/WatchAction.java
+++ b/src/main/java/dunlinhitch/discovery/WatchAction.java
@@ -1,24 +1,24 @@
 package dunlinhitch.discovery;
 
-/** What {@link WatchStateMachine} wants done; {@link DiscoveryWatch} does it. */
+/** An action that {@link WatchStateMachine} requests and {@link DiscoveryWatch} performs. */
 sealed interface WatchAction {
   /**
    * Open a connection and request the list.
    *
-   * @param requestId number of the request, unique within a state machine
-   * @param sinceGeneration generation of the list that is known, or {@link
-   *     WatchStateMachine#NO_GENERATION} for a complete one
+   * @param requestId id of the request, unique within a state machine
+   * @param sinceGeneration generation of the known list, or {@link WatchStateMachine#NO_GENERATION}
+   *     to request a complete list
    */
   record OpenRequest(long requestId, String host, int port, long sinceGeneration)
       implements WatchAction {}
 
-  /** Close the connection of that request. */
+  /** Close the connection of a request. */
   record CloseRequest(long requestId) implements WatchAction {}
 
-  /** Count a watch or a request that failed. */
+  /** Count a failed watch or request. */
   record CountFailure() implements WatchAction {}
 
-  /** Report that nothing was received since then: the known list may be out of date. */
+  /** Report that nothing was received since {@code sinceUs}; the known list may be outdated. */
   record ReportUnavailable(long sinceUs) implements WatchAction {}
 
   /** Report that discovery is available again. */
--- a/src/main/java/dunlinhitch/discovery/WatchOutput.java
+++ b/src/main/java/dunlinhitch/discovery/WatchOutput.java
@@ -4,9 +4,9 @@
 import java.util.List;
 
 /**
- * Collects the actions of one call of a {@link WatchStateMachine} and numbers its requests.
+ * Collects the actions that a call of {@link WatchStateMachine} produces, and assigns request ids.
  *
- * <p>Not thread-safe; the state machine owns it.
+ * <p>Not thread-safe; owned by the state machine.
  */
 final class WatchOutput {
   private List<WatchAction> actions = new ArrayList<>();
@@ -20,7 +20,7 @@
     return ++lastRequestId;
   }
 
-  /** The actions since the last call, in their order. */
+  /** Returns the actions added since the last call, in order. */
   List<WatchAction> drain() {
     List<WatchAction> drained = actions;
     actions = new ArrayList<>();
--- a/src/main/java/dunlinhitch/discovery/WatchSession.java
+++ b/src/main/java/dunlinhitch/discovery/WatchSession.java
@@ -6,40 +6,40 @@
 import java.util.function.Supplier;
 
 /**
- * The watch on one address of discovery: its requests, its phase and when it needs a timer.
+ * The watch on one address of discovery: its requests in flight, its phase and its timer.
  *
- * <p>Not thread-safe; {@link WatchStateMachine} owns it and decides what a failure means.
+ * <p>Not thread-safe; owned by {@link WatchStateMachine}, which decides how to handle failures.
  */
 final class WatchSession {
   /**
-   * Factor of the delay between the very first request to an address and the next: in a process
-   * that has just started the first one takes longer.
+   * Factor applied to the retry delay after the first request to an address: in a process that has
+   * just started, the first request takes longer.
    */
   private static final int FIRST_RETRY_FACTOR = 8;
 
-  /** Bound of the delay after a request that took longer than its backoff. */
+  /** Upper bound of the delay after a request that took longer than its backoff. */
   private static final long PROMPT_RETRY_US = 100_000;
 
-  /** The jitter of the idle timeout is at most this fraction of it. */
+  /** The jitter of the idle timeout is below 1/8 of the timeout. */
   private static final int IDLE_JITTER_FRACTION = 8;
 
-  /** Where a session is. */
+  /** Phase of a session. */
   enum Phase {
-    /** No request is in flight; the next is made when the backoff ends. */
+    /** No request is in flight; the next one is sent when the backoff ends. */
     BACKING_OFF,
-    /** Requests are in flight and none is answered. */
+    /** Requests are in flight and none has been answered. */
     CONNECTING,
-    /** One request is answered, and lists are read from it. */
+    /** One request has been answered, and lists are read from its response. */
     STREAMING,
-    /** Nothing happens any more. */
+    /** The session is closed. */
     ENDED
   }
 
   /**
    * A request in flight.
    *
-   * @param startedUs when it was made, in microseconds
-   * @param complete it asks for a complete list, after which its connection is of no more use
+   * @param startedUs when it was sent, in microseconds
+   * @param complete whether it requests a complete list, after which its connection is closed
    */
   record Request(long id, long startedUs, boolean complete) {}
 
@@ -50,7 +50,7 @@
   private final WatchOutput output;
   private final Backoff backoff;
 
-  /** Requests in flight, the oldest first; where one is answered it is the only one. */
+  /** Requests in flight, oldest first; once one is answered it is the only one. */
   private final List<Request> requests = new ArrayList<>();
 
   private long generation;
@@ -58,17 +58,17 @@
   private boolean firstRequestMade;
 
   /**
-   * The present requests have brought a list or have been alive for a while: if they fail, the
-   * backoff starts again.
+   * True once a list was read, or data was received when a request was older than the idle timeout.
+   * The backoff was reset at that time.
    */
   private boolean proven;
 
   private long dueUs;
 
-  /** Since when an object is incomplete, or {@link WatchStateMachine#NEVER}. */
+  /** When the incomplete object began, or {@link WatchStateMachine#NEVER} if there is none. */
   private long partialSinceUs = WatchStateMachine.NEVER;
 
-  /** {@code generation} is that of the list that is known, which may be NO_GENERATION. */
+  /** Creates a session; {@code generation} is that of the known list, or NO_GENERATION. */
   WatchSession(
       String host,
       int port,
@@ -89,12 +89,12 @@
     return phase;
   }
 
-  /** When the session needs its timer, or {@link WatchStateMachine#NEVER}. */
+  /** Returns when the session needs its timer, or {@link WatchStateMachine#NEVER}. */
   long dueUs() {
     return dueUs;
   }
 
-  /** A copy of the requests in flight, the oldest first. */
+  /** Returns a copy of the requests in flight, oldest first. */
   List<Request> requests() {
     return List.copyOf(requests);
   }
@@ -103,7 +103,7 @@
     return !requests.isEmpty();
   }
 
-  /** The request of that number, or null where it is not in flight. */
+  /** Returns the request with this id, or null if it is not in flight. */
   Request find(long requestId) {
     for (Request request : requests) {
       if (request.id() == requestId) {
@@ -113,12 +113,12 @@
     return null;
   }
 
-  /** True where a change of that generation can be applied to the list that is known. */
+  /** Returns true if a change of this generation can be applied to the known list. */
   boolean isNotOlder(long otherGeneration) {
     return otherGeneration >= generation;
   }
 
-  /** Makes a request, beside those in flight. */
+  /** Opens another request; those in flight continue. */
   void open(long nowUs) {
     phase = Phase.CONNECTING;
     partialSinceUs = WatchStateMachine.NEVER;
@@ -131,7 +131,7 @@
     output.add(new WatchAction.OpenRequest(requestId, host, port, generation));
   }
 
-  /** How long to wait for a response before the request fails or is made a second time. */
+  /** Returns how long to wait for a response before the request fails or another one is sent. */
   private long responseTimeoutUs(WatchTimings current) {
     if (current.maxRequests() == 1) {
       return current.responseTimeoutUs();
@@ -149,26 +149,26 @@
     requests().forEach(this::close);
   }
 
-  /** Closes all requests for good. */
+  /** Closes all requests and ends the session. */
   void end() {
     phase = Phase.ENDED;
     dueUs = WatchStateMachine.NEVER;
     closeAll();
   }
 
-  /** Polls again without a backoff. */
+  /** Resets the backoff and sends a new request immediately. */
   void restart(long nowUs) {
     backoff.reset();
     reopen(nowUs);
   }
 
-  /** Replaces all requests by a new one. */
+  /** Replaces all requests in flight with a new one. */
   void reopen(long nowUs) {
     closeAll();
     open(nowUs);
   }
 
-  /** Waits for the backoff after the last request has failed. */
+  /** Starts the backoff after the last request in flight has failed. */
   void backOff(long nowUs, Request failed) {
     phase = Phase.BACKING_OFF;
     long delayUs = backoff.nextDelayUs(timings.get().backoff());
@@ -176,12 +176,12 @@
       dueUs = nowUs + delayUs;
       return;
     }
-    // a request that timed out has used up its delay: the backoff counts from request to request
+    // the backoff runs from the start of the failed request: one that timed out has used it up
     long promptUs = nowUs + Math.min(delayUs, backoff.jitteredUs(PROMPT_RETRY_US));
     dueUs = Math.max(promptUs, failed.startedUs() + delayUs);
   }
 
-  /** That request is answered: the others are closed. */
+  /** Handles a response to a request and closes the other requests. */
   void onResponse(long nowUs, long requestId) {
     phase = Phase.STREAMING;
     for (Request request : requests()) {
@@ -192,7 +192,7 @@
     renewIdleTimeout(nowUs);
   }
 
-  /** Data was received; {@code partial}: an object has begun and is incomplete. */
+  /** Handles received data; {@code partial} is true while an object is incomplete. */
   void onData(long nowUs, Request request, boolean partial) {
     if (!partial) {
       partialSinceUs = WatchStateMachine.NEVER;
@@ -205,17 +205,17 @@
     }
   }
 
-  /** A list of that generation was read. */
+  /** Handles a list of this generation. */
   void onList(long nowUs, long listGeneration) {
     generation = listGeneration;
     markProven();
-    if (partialSinceUs != WatchStateMachine.NEVER) { // what is incomplete began after this list
+    if (partialSinceUs != WatchStateMachine.NEVER) { // the incomplete object began after this list
       partialSinceUs = nowUs;
       renewIdleTimeout(nowUs);
     }
   }
 
-  /** The next request asks for a complete list. */
+  /** Makes the next request ask for a complete list. */
   void forgetGeneration() {
     generation = WatchStateMachine.NO_GENERATION;
   }
--- a/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
@@ -5,51 +5,52 @@
 import java.util.function.Supplier;
 
 /**
- * State machine of the watch on discovery: when the list is requested, when a request is given up
- * and repeated, and which of two addresses is read while discovery moves. What happened goes in,
- * {@link WatchAction}s come out. Each request has a number of its own; what is received for one
- * that was closed changes nothing.
+ * State machine of the watch on discovery. It decides when the list is requested, when a request is
+ * abandoned and repeated, and which of two addresses is read while discovery moves. Its inputs are
+ * events, its outputs are {@link WatchAction}s. Each request has a unique id; events of closed
+ * requests are ignored.
  *
- * <p>Pure: no I/O, clock or threads. Times are microseconds on the broker's clock. Not thread-safe.
+ * <p>Uses no I/O, clock or threads. Times are in microseconds of the broker's clock. Not
+ * thread-safe.
  */
 final class WatchStateMachine {
-  /** No list of the address is known: another discovery has generations of its own. */
+  /** No list of the address is known; generations are numbered separately at each address. */
   static final long NO_GENERATION = -1;
 
-  /** The time of a timer that is not needed. */
+  /** Due time of a timer that is not needed. */
   static final long NEVER = Long.MAX_VALUE;
 
-  /** The timings by the settings in force. */
+  /** Supplies the timings for the current settings. */
   private final Supplier<WatchTimings> timings;
 
   private final SplittableRandom random;
   private final long initialGeneration;
   private final WatchOutput output = new WatchOutput();
 
-  /** The session on discovery's address; null until there is one. */
+  /** The session on the current address; null until an address is followed. */
   private WatchSession current;
 
-  /** The session on the address before, read until the current one has sent a list; or null. */
+  /** The session on the previous address, read until the current one has sent a list; or null. */
   private WatchSession previous;
 
-  /** When something was received last from the current address. */
+  /** When data was last received from the current address. */
   private long lastReceivedUs;
 
   private boolean unavailableReported;
 
-  /** {@code initialGeneration} is that of the list known at the start. */
+  /** Creates a state machine; {@code initialGeneration} is that of the list known at the start. */
   WatchStateMachine(Supplier<WatchTimings> timings, long initialGeneration, long seed) {
     this.timings = timings;
     this.initialGeneration = initialGeneration;
     random = new SplittableRandom(seed);
   }
 
-  /** True where what is received for that request is to be read. */
+  /** Returns true if data received for this request must be read. */
   boolean isActive(long requestId) {
     return sessionOf(requestId) != null;
   }
 
-  /** Discovery is at that address from now on; a watch that streams is read until it has a list. */
+  /** Switches to a new address; a streaming watch is read until the new one has sent a list. */
   List<WatchAction> follow(long nowUs, String host, int port) {
     boolean first = current == null;
     if (previous != null) { // the latest address has not sent a list yet
@@ -68,7 +69,7 @@
     return output.drain();
   }
 
-  /** Requests what follows the known list again; a request in flight will do. */
+  /** Requests the changes since the known list, unless such a request is already in flight. */
   List<WatchAction> resync(long nowUs) {
     boolean idle =
         current != null
@@ -80,7 +81,7 @@
     return output.drain();
   }
 
-  /** Ends the watch for good. */
+  /** Ends the watch permanently. */
   List<WatchAction> stop() {
     for (WatchSession session : sessions()) {
       session.end();
@@ -88,7 +89,7 @@
     return output.drain();
   }
 
-  /** The head of a response was received which announces a list. */
+  /** Handles the head of a successful response. */
   List<WatchAction> onResponse(long nowUs, long requestId) {
     WatchSession session = sessionOf(requestId);
     if (session != null && session.phase() == WatchSession.Phase.CONNECTING) {
@@ -98,8 +99,8 @@
   }
 
   /**
-   * Data was received, perhaps an empty line; {@code partial}: an object has begun and is
-   * incomplete.
+   * Handles received data, which may be just an empty line; {@code partial} is true while an object
+   * is incomplete.
    */
   List<WatchAction> onData(long nowUs, long requestId, boolean partial) {
     WatchSession session = sessionOf(requestId);
@@ -113,7 +114,7 @@
     return output.drain();
   }
 
-  /** A complete list or a change of that generation was read. */
+  /** Handles a complete list, or a change, of this generation. */
   List<WatchAction> onList(long nowUs, long requestId, long generation) {
     WatchSession session = sessionOf(requestId);
     if (session != null) {
@@ -122,7 +123,7 @@
         previous.end();
         previous = null;
       }
-      if (session.find(requestId).complete()) { // now follow what comes after it
+      if (session.find(requestId).complete()) { // now request the changes that follow it
         session.reopen(nowUs);
       }
     }
@@ -130,8 +131,9 @@
   }
 
   /**
-   * True where a list of that generation can be applied. A change of an older generation than the
-   * known one is of another numbering or was overtaken: its base is not known.
+   * Returns true if a list of this generation can be applied. A change older than the known
+   * generation belongs to another numbering or is outdated, so the list that it applies to is
+   * unknown.
    */
   boolean accepts(long requestId, long generation, boolean completeList) {
     WatchSession session = sessionOf(requestId);
@@ -141,7 +143,7 @@
     return completeList || session.find(requestId).complete() || session.isNotOlder(generation);
   }
 
-  /** What was received for that request can not be applied: a complete list is needed. */
+  /** Handles a list that cannot be applied, which makes a complete list necessary. */
   List<WatchAction> onUnusableList(long nowUs, long requestId) {
     WatchSession session = sessionOf(requestId);
     if (session != null) {
@@ -151,7 +153,7 @@
     return output.drain();
   }
 
-  /** The request failed, ended, or brought what is no list. */
+  /** Handles a request that failed, ended, or received malformed data. */
   List<WatchAction> onFailure(long nowUs, long requestId) {
     WatchSession session = sessionOf(requestId);
     if (session != null) {
@@ -160,7 +162,7 @@
     return output.drain();
   }
 
-  /** When {@link #onTimer} is needed at the latest, or {@link #NEVER}. */
+  /** Returns the latest time at which to call {@link #onTimer}, or {@link #NEVER}. */
   long nextUs() {
     long nextUs = NEVER;
     for (WatchSession session : sessions()) {
@@ -169,7 +171,7 @@
     return nextUs;
   }
 
-  /** Time has passed: timeouts and backoffs that are due take effect. */
+  /** Applies the timeouts and backoffs that are due. */
   List<WatchAction> onTimer(long nowUs) {
     for (WatchSession session : sessions()) {
       if (session.phase() != WatchSession.Phase.ENDED && session.dueUs() <= nowUs) {
@@ -187,7 +189,7 @@
     }
     List<WatchSession.Request> requests = session.requests();
     if (session.phase() == WatchSession.Phase.STREAMING || now.maxRequests() == 1) {
-      for (WatchSession.Request request : requests) { // several after a change of settings
+      for (WatchSession.Request request : requests) { // several after a settings change
         fail(session, nowUs, request);
       }
       return;
@@ -200,11 +202,11 @@
     session.open(nowUs);
   }
 
-  /** That request ended or is given up; others may be in flight beside it. */
+  /** Handles a request that ended or is abandoned, while others may be in flight. */
   private void fail(WatchSession session, long nowUs, WatchSession.Request request) {
     output.add(new WatchAction.CountFailure());
     session.close(request);
-    if (session != current) { // discovery has moved away from this address
+    if (session != current) { // discovery has moved to another address
       previous = null;
       session.end();
       return;
@@ -236,7 +238,7 @@
     return previous != null && previous.find(requestId) != null ? previous : null;
   }
 
-  /** The sessions there are, the previous one first. */
+  /** Returns the existing sessions, the previous one first. */
   private List<WatchSession> sessions() {
     if (current == null) {
       return List.of();
--- a/src/main/java/dunlinhitch/discovery/WatchTimings.java
+++ b/src/main/java/dunlinhitch/discovery/WatchTimings.java
@@ -3,19 +3,20 @@
 import dunlinhitch.balancer.settings.Settings;
 
 /**
- * Timeouts and delays of the watch on discovery, in microseconds. Where lists are pushed, an agent
- * on the broker's own machine answers at once and at no cost. Where discovery is polled, it is one
- * service for all brokers, and slow.
+ * Timeouts and delays of the watch on discovery, in microseconds. If lists are pushed, the source
+ * is an agent on the broker's own machine, which answers quickly and cheaply. If discovery is
+ * polled, it is a slow service shared by all brokers.
  *
- * @param idleTimeoutUs a watch has failed on which nothing is received for so long, not even the
- *     empty line that discovery sends every 2 s
- * @param stallTimeoutUs a watch has failed on which an object stays incomplete for so long
- * @param responseTimeoutUs a request has failed without a response for so long; sooner where others
- *     are in flight beside it
- * @param retryUs delay of another request beside one that is not answered, where more than one may
+ * @param idleTimeoutUs a watch fails if nothing is received for this time, not even the empty line
+ *     that discovery sends every 2 s
+ * @param stallTimeoutUs a watch fails if an object stays incomplete for this time
+ * @param responseTimeoutUs a request fails if it has no response after this time; earlier if the
+ *     limit of concurrent requests is reached
+ * @param retryUs delay before another request is sent while one is unanswered, if more than one may
  *     be in flight
- * @param maxRequests how many requests may be in flight; beyond that the oldest has failed
- * @param backoff delays between a watch that failed and the next request
+ * @param maxRequests maximum number of requests in flight; at the limit an old one is abandoned for
+ *     a new one
+ * @param backoff bounds of the delay between a failed watch and the next request
  */
 record WatchTimings(
     long idleTimeoutUs,
@@ -27,8 +28,8 @@
   private static final long SECOND_US = 1_000_000;
 
   /**
-   * The empty line comes every 2 s; the broker answers for what a watch misses from 6 s after it
-   * fell silent.
+   * Discovery sends an empty line every 2 s, and the broker must act on changes within 6 s after a
+   * watch fell silent.
    */
   private static final long IDLE_TIMEOUT_US = 2_600_000;
 
@@ -36,30 +37,29 @@
   private static final long RESPONSE_TIMEOUT_US = 3_000_000;
 
   /**
-   * After an outage the broker answers at once for what the agent has, and a request from before it
-   * may never be answered. The grace period of a drain may be 250 ms: its update is to be read
-   * within half of that.
+   * After an outage the broker must act on the agent's list immediately, but a request sent during
+   * the outage may never be answered. The grace period of a drain can be 250 ms, and its update
+   * must be read within half of that.
    */
   private static final long AGENT_RETRY_US = 120_000;
 
   private static final int AGENT_MAX_REQUESTS = 8;
   private static final Backoff.Bounds AGENT_BACKOFF = new Backoff.Bounds(60_000, 120_000);
 
-  /** A polled discovery gets one request at a time, which is not repeated before it failed. */
+  /** A shared discovery gets one request at a time, which is not repeated before it has failed. */
   private static final int SHARED_MAX_REQUESTS = 1;
 
   private static final long SHARED_RETRY_US = 0;
 
   /**
-   * A discovery shared by all brokers serves 1.4 requests a second and more: the maximum delay of
-   * each broker grows by this for each broker.
+   * A shared discovery serves at least 1.4 requests per second: the maximum delay grows by this
+   * amount for each broker.
    */
   private static final long DELAY_PER_BROKER_US = 1_250_000;
 
   /**
-   * The broker answers for what discovery has from 6 s after it could be reached, whatever failed
-   * before: a request is made at most 4 s after the one before it, which leaves 2 s for its
-   * response.
+   * The broker must use the current list within 6 s after discovery becomes reachable, regardless
+   * of earlier failures. Requests are at most 4 s apart, which leaves 2 s for the response.
    */
   private static final long LONGEST_DELAY_US = 4 * SECOND_US;
 
@@ -68,7 +68,7 @@
   /** The initial delay is this fraction of the delay between requests of one broker. */
   private static final int INITIAL_DELAY_FRACTION = 4;
 
-  /** The timings by the settings; delays fit into the time in which the rules require a poll. */
+  /** Returns the timings for the settings; the delays satisfy the poll interval of the rules. */
   static WatchTimings of(Settings settings) {
     if (!settings.mustPollServerList()) {
       return new WatchTimings(
--- a/src/main/java/dunlinhitch/discovery/dnssd/AnswerFault.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/AnswerFault.java
@@ -1,13 +1,13 @@
 package dunlinhitch.discovery.dnssd;
 
-/** Faults of an answer that are counted; none of them ends the discovery. */
+/** Faults in DNS answers. They are counted, and discovery continues. */
 enum AnswerFault {
-  /** The records of an instance make no endpoint. */
+  /** The records of an instance do not describe a usable endpoint. */
   INVALID_INSTANCE,
   /** More instances are listed than the limit allows. */
   INSTANCE_LIMIT,
-  /** A CNAME record leads to a name without an answer, or in a loop. */
+  /** A CNAME chain loops, or ends at a name for which the response has no records. */
   UNRESOLVED_ALIAS,
-  /** A negative answer without the AA bit, which is not believed. */
+  /** A negative answer lacks the AA bit and is ignored. */
   NOT_AUTHORITATIVE
 }
--- a/src/main/java/dunlinhitch/discovery/dnssd/BrowsedInstances.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/BrowsedInstances.java
@@ -14,8 +14,8 @@
 import org.xbill.DNS.Type;
 
 /**
- * The instances that the PTR records of the browsed names list, and those among them whose claims
- * are to be computed anew. Owned by {@link ServiceRecords}.
+ * Tracks the instances that the PTR records of the browsed names list, and which of them need their
+ * claims recomputed. Owned by {@link ServiceRecords}.
  */
 final class BrowsedInstances {
   private final RecordCache cache;
@@ -30,17 +30,17 @@
     this.faults = faults;
   }
 
-  /** All listed instances, in the order in which they were first listed. */
+  /** Returns all listed instances, in the order in which they were first listed. */
   Collection<ServiceInstance> all() {
     return instances.values();
   }
 
-  /** Marks the claims of these instances to be computed anew. */
+  /** Marks these instances for recomputation of their claims. */
   void markChanged(Collection<ServiceInstance> affected) {
     changed.addAll(affected);
   }
 
-  /** The instances whose claims are to be computed anew; they are no longer marked afterwards. */
+  /** Returns the instances marked for recomputation, and clears the marks. */
   List<ServiceInstance> drainChanged() {
     List<ServiceInstance> drained = List.copyOf(changed);
     changed.clear();
@@ -48,8 +48,8 @@
   }
 
   /**
-   * A PTR set was replaced: adds what it lists and removes what it no longer does. Only an
-   * authoritative answer withdraws the claims of a removed instance.
+   * Applies a new PTR set: adds the instances that it lists and removes those that it no longer
+   * lists. Only an authoritative answer withdraws the claims of a removed instance.
    */
   void onPointers(RecordSet pointers, boolean authoritative) {
     Name browsedName = pointers.key.name();
@@ -67,7 +67,7 @@
     }
   }
 
-  /** A PTR record lists the instance; false where the limit of instances has been reached. */
+  /** Adds an instance that a PTR record lists; returns false if the instance limit is reached. */
   boolean add(Name browsedName, Name name) {
     if (!instances.containsKey(name) && instances.size() >= maxInstances) {
       faults.accept(AnswerFault.INSTANCE_LIMIT);
@@ -84,7 +84,7 @@
     return true;
   }
 
-  /** A server pushed that a PTR record is removed. */
+  /** Handles the pushed removal of a PTR record. */
   void onPointerRemoved(Name browsedName, Name name) {
     ServiceInstance instance = instances.get(name);
     if (instance != null) {
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Removes an instance that no browsed name lists. Without authority its claims are not withdrawn:
-   * they are no longer refreshed, and expire.
+   * Removes an instance that no browsed name lists. After a non-authoritative answer its claims are
+   * not withdrawn; they are no longer refreshed and eventually expire.
    */
   private void remove(ServiceInstance instance, boolean authoritative) {
     cache.release(instance, instance.srv);
--- a/src/main/java/dunlinhitch/discovery/dnssd/ClaimBuilder.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ClaimBuilder.java
@@ -19,11 +19,12 @@
 import org.xbill.DNS.Type;
 
 /**
- * Makes endpoint claims of the records of an instance, and requests the address records that are
- * still needed. Several SRV or TXT records contradict each other: each combination is a claim.
+ * Builds endpoint claims from the records of an instance and requests the address records that are
+ * still missing. Multiple SRV or TXT records contradict each other, so each combination becomes a
+ * claim of its own.
  */
 final class ClaimBuilder {
-  /** Records of one set that are taken into account. */
+  /** Maximum number of records used from one record set. */
   private static final int MAX_RECORDS_IN_SET = 16;
 
   private final RecordCache cache;
@@ -36,7 +37,7 @@
     this.faults = faults;
   }
 
-  /** The claims by key, or null while a set that they need has not been answered. */
+  /** Returns the claims by key, or null while a required record set is unanswered. */
   Map<String, EndpointClaim> build(ServiceInstance instance) {
     instance.fault = "";
     if (!instance.isDescribed()) {
@@ -52,14 +53,13 @@
         return null;
       }
       if (addresses.records.isEmpty()) {
-        reportFault(instance, target.getTarget() + " has no address");
+        reportFault(instance, target.getTarget() + " has no A or AAAA record");
         continue;
       }
       addClaims(instance, target, addresses, texts, claims);
     }
     if (claims.isEmpty() && instance.fault.isEmpty()) {
-      instance.fault =
-          instance.srv.records.isEmpty() ? "it has no SRV record" : "it has no TXT record";
+      instance.fault = instance.srv.records.isEmpty() ? "no SRV record" : "no TXT record";
     }
     return claims;
   }
@@ -84,7 +84,7 @@
     }
   }
 
-  /** The key is part of the stored state, by which a later process withdraws the claim. */
+  /** Returns the claim key. It is persisted, so that a later process can withdraw the claim. */
   private static String claimKey(ServiceInstance instance, SRVRecord target, int textIndex) {
     return Names.canonicalText(instance.name)
         + "|"
@@ -95,7 +95,7 @@
         + textIndex;
   }
 
-  /** The previous claim where nothing has changed, so that it is not emitted again. */
+  /** Returns the previous claim if nothing has changed, so that it is not emitted again. */
   private EndpointClaim claim(
       String key, Endpoint endpoint, long expiresUs, EndpointClaim previous) {
     boolean unchanged =
@@ -111,8 +111,8 @@
   }
 
   /**
-   * The SRV records of the lowest priority (RFC 2782), in an order that does not depend on the
-   * answer. A target of "." says that the service is not available.
+   * Returns the SRV records with the lowest priority value (RFC 2782), in an order that is
+   * independent of the response. A target of "." means that the service is not available.
    */
   private static List<SRVRecord> preferredTargets(List<Record> records) {
     List<SRVRecord> available =
@@ -138,7 +138,9 @@
         .toList();
   }
 
-  /** Requests the IPv4 addresses of all hosts, and IPv6 ones for a host that has no IPv4 one. */
+  /**
+   * Requests IPv4 addresses for all hosts, and IPv6 addresses for hosts without an IPv4 address.
+   */
   private void requestAddresses(ServiceInstance instance, List<SRVRecord> targets) {
     Set<Name> hosts = new LinkedHashSet<>();
     targets.forEach(srv -> hosts.add(srv.getTarget()));
@@ -165,7 +167,7 @@
     }
   }
 
-  /** The lowest address as text, so that all brokers give an endpoint the same address. */
+  /** Returns the first address in text order, so that all brokers select the same address. */
   private static String lowestAddress(List<Record> records) {
     return records.stream()
         .map(ClaimBuilder::address)
--- a/src/main/java/dunlinhitch/discovery/dnssd/DiscoveryContext.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/DiscoveryContext.java
@@ -5,11 +5,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * What the parts of one discovery source share.
+ * Context shared by the components of one discovery source.
  *
  * @param source name of the source in events and log lines
- * @param events takes the events of the source
- * @param log takes log lines
+ * @param events consumer of the source's events
+ * @param log consumer of log lines
  * @param clock the broker's clock in microseconds
  */
 record DiscoveryContext(
@@ -22,7 +22,7 @@
     events.accept(event);
   }
 
-  /** Logs a line as it is. */
+  /** Logs a line without adding the name of the source. */
   void logLine(String line) {
     log.accept(line);
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
@@ -22,12 +22,12 @@
 import org.xbill.DNS.Type;
 
 /**
- * Discovery of one service at one DNS server. {@link ServiceRecords} decides what to query and
- * which claims follow, {@link Resolver} sends the queries, and {@link PushClient} brings changes as
- * they happen where a push server is configured. All methods are called on the event loop.
+ * Discovers one service through one DNS server. {@link ServiceRecords} decides what to query and
+ * derives the claims, {@link Resolver} sends the queries, and {@link PushClient} receives changes
+ * if a push server is configured. Confined to the event loop.
  */
 public final class DnsDiscoverySource implements DiscoverySource {
-  /** Time limit of a query, including its repetition over TCP. */
+  /** Time limit of a query, including its retries without EDNS and over TCP. */
   private static final long QUERY_TIMEOUT_US = 1_000_000;
 
   /** Consecutive failed queries after which the source is reported as unavailable. */
@@ -49,15 +49,15 @@
    * Settings of one source.
    *
    * @param source name of the source
-   * @param rank rank of its claims among those of other sources
+   * @param rank precedence of its claims over those of other sources; the lowest rank wins
    * @param host address of the DNS server
    * @param port port of the DNS server
    * @param service name of the service
-   * @param browsedNames the service, or its subtypes
-   * @param zone zone whose serial is polled
-   * @param serialPollIntervalUs interval of these polls in microseconds; 0 for none
+   * @param browsedNames names to browse: the service, or its subtypes
+   * @param zone zone whose SOA serial is polled
+   * @param serialPollIntervalUs interval of the serial polls in microseconds; 0 disables them
    * @param pushServer the push server, or null
-   * @param bounds limits of the records
+   * @param bounds limits on instances and queries
    */
   public record Settings(
       String source,
@@ -88,7 +88,7 @@
   private boolean answered;
   private boolean stopped;
 
-  /** A {@code seed} of 0: delays are drawn at random. */
+  /** Creates a stopped source. The {@code seed} determines its delays; 0 makes them random. */
   public DnsDiscoverySource(
       Vertx vertx,
       Settings settings,
@@ -118,12 +118,12 @@
     serialPoller = new ZoneSerialPoller(settings.serialPollIntervalUs(), context.nowUs());
   }
 
-  /** Name of the source in events and log lines. */
+  /** Returns the name of the source in events and log lines. */
   public String name() {
     return settings.source();
   }
 
-  /** Takes the keys of claims that an earlier process has stored; called before the start. */
+  /** Restores the keys of claims persisted by an earlier process; call it before the start. */
   public void restoreClaims(Collection<String> keys) {
     records.restore(keys);
   }
@@ -136,7 +136,7 @@
 
   @Override
   public void follow(String host, int port) {
-    // The address of the discovery service does not concern a DNS server.
+    // Has no effect: the address is that of the discovery service, not of the DNS server.
   }
 
   @Override
@@ -162,17 +162,17 @@
     return answered;
   }
 
-  /** Every instance as the records describe it, for display. */
+  /** Returns all instances as their records describe them, for display. */
   public List<ServiceRecords.InstanceDescription> describeInstances() {
     return records.describeInstances();
   }
 
-  /** True while a push session is up. */
+  /** Returns true while a push session is up. */
   public boolean isPushSessionUp() {
     return pushClient != null && pushClient.isUp();
   }
 
-  /** Does all that is due, emits what has changed and sets the timer for what is due next. */
+  /** Performs all due work, emits changed claims and schedules the timer for the next due time. */
   private void advance() {
     if (stopped) {
       return;
@@ -215,7 +215,7 @@
     consecutiveFailures++;
     if (consecutiveFailures == UNAVAILABLE_AFTER_FAILURES) {
       context.emit(new Event.SourceUnavailable(settings.source()));
-      context.logLine(settings.source() + " does not answer; its records stand");
+      context.logLine(settings.source() + " does not answer; its last known records remain in use");
     }
   }
 
--- a/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
@@ -11,9 +11,9 @@
 import org.xbill.DNS.WireParseException;
 
 /**
- * Codec of DNS Stateful Operations (RFC 8490) and of DNS Push Notifications on them (RFC 8765),
- * which dnsjava does not support. A message is a header of 12 bytes with opcode 6 and all counts 0,
- * followed by type-length-value (TLV) fields; names in it are not compressed.
+ * Codec for DNS Stateful Operations (DSO, RFC 8490) and DNS Push Notifications (RFC 8765), which
+ * dnsjava does not support. A message is a header of 12 bytes with opcode 6 and all counts 0,
+ * followed by type-length-value (TLV) fields; domain names are not compressed.
  */
 public final class Dso {
   /** Opcode of every DSO message. */
@@ -40,7 +40,7 @@
   /** TTL that marks the removal of a record set or name (RFC 8765 section 6.3.1). */
   static final long REMOVE_SET_TTL = 0xFFFF_FFFEL;
 
-  /** The largest TTL that is one; the values up to the two marks are reserved. */
+  /** The largest valid TTL; the values between it and the two removal marks are reserved. */
   static final int MAX_TTL = Integer.MAX_VALUE;
 
   private static final int HEADER_BYTES = 12;
@@ -60,9 +60,9 @@
    * One TLV field.
    *
    * @param type type of the field
-   * @param data its value; not copied
+   * @param data its value, which is not copied
    */
-  @SuppressWarnings("ArrayRecordComponent") // TLVs are never compared, and are read once.
+  @SuppressWarnings("ArrayRecordComponent") // TLVs are never compared.
   public record Tlv(int type, byte[] data) {}
 
   /**
@@ -78,7 +78,7 @@
    * A message.
    *
    * @param head its header
-   * @param tlvs its fields; the first is the primary TLV, which says what the message is about
+   * @param tlvs its fields; the first is the primary TLV, which determines the kind of the message
    */
   public record DsoMessage(Head head, List<Tlv> tlvs) {}
 
@@ -86,12 +86,12 @@
    * A change that a server pushes.
    *
    * @param removed true for a removal, false for an addition
-   * @param key name and type; type 255 stands for all types of the name
-   * @param record the record, or null where the complete set or name is removed
+   * @param key name and type; type 255 (ANY) means all types of the name
+   * @param record the record, or null if the complete set or name is removed
    */
   public record PushChange(boolean removed, Question key, Record record) {}
 
-  /** Encodes a message with the length prefix of a DNS message on TCP. */
+  /** Encodes a message, including the length prefix of DNS over TCP. */
   public static Buffer write(Head head, Tlv... tlvs) {
     int flags = (head.response() ? RESPONSE_FLAG : 0) | OPCODE << OPCODE_SHIFT | head.rcode();
     Buffer body =
@@ -107,7 +107,7 @@
     return Buffer.buffer().appendUnsignedShort(body.length()).appendBuffer(body);
   }
 
-  /** Decodes a message without its length prefix; throws where it is not a DSO message. */
+  /** Decodes a message without its length prefix; throws if it is not a DSO message. */
   public static DsoMessage read(byte[] bytes) throws IOException {
     DNSInput in = new DNSInput(bytes);
     int id = in.readU16();
@@ -116,7 +116,7 @@
         || bytes.length < HEADER_BYTES
         || in.readU32() != 0
         || in.readU32() != 0) {
-      throw new WireParseException("no message of stateful operations");
+      throw new WireParseException("not a DSO message");
     }
     List<Tlv> tlvs = new ArrayList<>();
     while (in.remaining() > 0) {
@@ -127,31 +127,31 @@
     return new DsoMessage(head, tlvs);
   }
 
-  /** A keep-alive with the inactivity timeout and the keep-alive interval, in milliseconds. */
+  /** Encodes a keep-alive with the inactivity timeout and the interval, in milliseconds. */
   public static Tlv keepalive(long inactivityTimeoutMs, long intervalMs) {
     Buffer data =
         Buffer.buffer().appendUnsignedInt(inactivityTimeoutMs).appendUnsignedInt(intervalMs);
     return new Tlv(KEEPALIVE, data.getBytes());
   }
 
-  /** The keep-alive interval of a {@link #KEEPALIVE}, in milliseconds. */
+  /** Decodes the interval of a {@link #KEEPALIVE}, in milliseconds. */
   static long readKeepaliveIntervalMs(Tlv tlv) throws IOException {
     DNSInput in = new DNSInput(tlv.data());
     in.readU32(); // the inactivity timeout
     return in.readU32();
   }
 
-  /** Asks the client to disconnect and to stay disconnected for that long, in milliseconds. */
+  /** Encodes a request to the client to stay disconnected for {@code delayMs} milliseconds. */
   public static Tlv retryDelay(long delayMs) {
     return new Tlv(RETRY_DELAY, Buffer.buffer().appendUnsignedInt(delayMs).getBytes());
   }
 
-  /** The delay of a {@link #RETRY_DELAY}, in milliseconds. */
+  /** Decodes the delay of a {@link #RETRY_DELAY}, in milliseconds. */
   static long readRetryDelayMs(Tlv tlv) throws IOException {
     return new DNSInput(tlv.data()).readU32();
   }
 
-  /** Subscribes to the records of a name and type. */
+  /** Encodes a subscription to the records of a name and type. */
   public static Tlv subscribe(Question key) {
     Buffer data =
         Buffer.buffer()
@@ -161,18 +161,18 @@
     return new Tlv(SUBSCRIBE, data.getBytes());
   }
 
-  /** Name and type of a {@link #SUBSCRIBE}. */
+  /** Decodes the name and type of a {@link #SUBSCRIBE}. */
   public static Question subscribed(Tlv tlv) throws IOException {
     DNSInput in = new DNSInput(tlv.data());
     return new Question(new Name(in), in.readU16());
   }
 
-  /** Ends the subscription that the message with this id requested. */
+  /** Encodes the end of the subscription that the message with this id requested. */
   public static Tlv unsubscribe(int id) {
     return new Tlv(UNSUBSCRIBE, Buffer.buffer().appendUnsignedShort(id).getBytes());
   }
 
-  /** Encodes changes. */
+  /** Encodes pushed changes. */
   public static Tlv push(List<PushChange> changes) {
     Buffer out = Buffer.buffer();
     for (PushChange change : changes) {
@@ -194,14 +194,14 @@
     return change.record() == null ? REMOVE_SET_TTL : REMOVE_RECORD_TTL;
   }
 
-  /** The changes of a {@link #PUSH}; those of another class than IN and ANY are skipped. */
+  /** Decodes the changes of a {@link #PUSH}, skipping those of classes other than IN and ANY. */
   static List<PushChange> readPush(Tlv tlv) throws IOException {
     DNSInput in = new DNSInput(tlv.data());
     List<PushChange> changes = new ArrayList<>();
     while (in.remaining() > 0) {
       Name name = new Name(in);
       if (in.remaining() < FIXED_RECORD_BYTES) {
-        throw new WireParseException("a record that is cut off");
+        throw new WireParseException("truncated record");
       }
       Question key = new Question(name, in.readU16());
       int dnsClass = in.readU16();
@@ -220,12 +220,12 @@
     }
     boolean removed = ttl == REMOVE_RECORD_TTL;
     if (!removed && ttl > MAX_TTL) {
-      throw new WireParseException("a TTL without a meaning");
+      throw new WireParseException("reserved TTL value: " + ttl);
     }
     Record record =
         Record.newRecord(key.name(), key.type(), DClass.IN, removed ? 0 : ttl, data.length, data);
     if (record == null) {
-      throw new WireParseException("a record whose data can not be read");
+      throw new WireParseException("cannot decode the data of the record");
     }
     return new PushChange(removed, key, record);
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/JitteredBackoff.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/JitteredBackoff.java
@@ -14,7 +14,10 @@
   /** Bounds the shift, so that a long series of failures does not overflow. */
   private static final int MAX_DOUBLINGS = 16;
 
-  /** Delay after {@code earlierFailures} failures in a row before this one; one random draw. */
+  /**
+   * Returns the delay after a failure that follows {@code earlierFailures} consecutive failures.
+   * Draws one random number.
+   */
   long delayUs(int earlierFailures, RandomGenerator random) {
     long baseUs = Math.min(maximumUs, initialUs << Math.min(MAX_DOUBLINGS, earlierFailures));
     return (long) (baseUs * (lowestFactor + factorRange * random.nextDouble()));
--- a/src/main/java/dunlinhitch/discovery/dnssd/Names.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Names.java
@@ -8,21 +8,23 @@
 import org.xbill.DNS.TextParseException;
 
 /**
- * Domain names of DNS-SD (RFC 6763): the first label of an instance name is any UTF-8 text, with
- * dots and spaces (section 4.3).
+ * Domain names of DNS-SD (RFC 6763). The first label of an instance name is arbitrary UTF-8 text,
+ * which may contain dots and spaces (section 4.3).
  */
 public final class Names {
-  /** Labels of a service type, such as {@code _http._tcp}. */
+  /** Number of labels in a service type such as {@code _http._tcp}. */
   private static final int SERVICE_TYPE_LABELS = 2;
 
-  /** The ASCII control character behind the printable ones. */
+  /** The ASCII control character that follows the printable characters. */
   private static final int ASCII_DELETE = 127;
 
   private Names() {}
 
   /**
    * Parses an absolute name in presentation form: {@code \.} and {@code \DDD} are escapes, other
-   * characters are encoded as UTF-8. Throws an IllegalArgumentException where it is none.
+   * characters are encoded as UTF-8.
+   *
+   * @throws IllegalArgumentException if the text is not a domain name
    */
   public static Name parse(String text) {
     StringBuilder ascii = new StringBuilder();
@@ -37,24 +39,24 @@
       return Name.fromString(ascii.toString(), Name.root);
     } catch (TextParseException exception) {
       throw new IllegalArgumentException(
-          "no domain name: " + text + ": " + exception.getMessage(), exception);
+          "not a domain name: " + text + ": " + exception.getMessage(), exception);
     }
   }
 
-  /** The name to browse for a subtype of a service (RFC 6763 section 7.1). */
+  /** Returns the name to browse for a subtype of a service (RFC 6763 section 7.1). */
   public static Name subtype(String subtype, Name service) {
     return parse((subtype.startsWith("_") ? "" : "_") + subtype + "._sub." + service);
   }
 
-  /** The domain of a service name: what follows the service type. */
+  /** Returns the domain of a service name: the labels after the service type. */
   public static Name domain(Name service) {
-    // The root counts as a label.
+    // The root is counted as a label.
     return service.labels() > SERVICE_TYPE_LABELS + 1
         ? new Name(service, SERVICE_TYPE_LABELS)
         : service;
   }
 
-  /** The instance label of a name as text; it stays escaped where it is not UTF-8. */
+  /** Returns the instance label of a name as text, in escaped form if it is not valid UTF-8. */
   public static String instanceLabel(Name name) {
     byte[] label = name.getLabel(0);
     int length = label[0];
@@ -68,7 +70,7 @@
     }
   }
 
-  /** The same text for all spellings of a name that differ in case only. */
+  /** Returns a text that is equal for all spellings of a name that differ only in case. */
   static String canonicalText(Name name) {
     return name.canonicalize().toString();
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushClient.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushClient.java
@@ -8,9 +8,9 @@
 import org.xbill.DNS.Type;
 
 /**
- * Follows the records of a service at a push server: carries out the actions of the {@link
+ * Receives changes of a service's records from a push server: performs the actions of the {@link
  * PushSession} on a {@link PushConnection} and applies pushed changes to the {@link
- * ServiceRecords}. On the event loop.
+ * ServiceRecords}. Confined to the event loop.
  */
 final class PushClient implements PushConnection.Listener {
   /** Differs from every version of the records. */
@@ -23,10 +23,12 @@
   private final Runnable afterEvent;
   private long subscribedVersion = NO_VERSION;
 
-  /** True while the session may have more to subscribe to than it has sent. */
+  /** True while the session may have subscriptions that it has not requested yet. */
   private boolean subscriptionsPending;
 
-  /** {@code afterEvent} runs after each event of the connection, and calls {@link #advance}. */
+  /**
+   * Creates a client; {@code afterEvent} runs after connection events and calls {@link #advance}.
+   */
   PushClient(
       Vertx vertx,
       DnsDiscoverySource.Push server,
@@ -41,17 +43,17 @@
     connection = new PushConnection(vertx, server, context.clock(), this);
   }
 
-  /** True while the session is up. */
+  /** Returns true while the session is up. */
   boolean isUp() {
     return session.isUp();
   }
 
-  /** When to call {@link #advance}. */
+  /** Returns when to call {@link #advance}. */
   long nextUs() {
     return session.nextUs();
   }
 
-  /** Does what is due, and subscribes to what the records have come to need. */
+  /** Performs due work and updates the subscriptions to match the required records. */
   void advance(long nowUs) {
     perform(session.onTimer(nowUs));
     if (subscribedVersion == records.version() && !subscriptionsPending) {
@@ -64,7 +66,7 @@
     perform(actions);
   }
 
-  /** Closes the connection for good. */
+  /** Closes the connection permanently. */
   void stop() {
     connection.stop();
   }
@@ -78,7 +80,8 @@
 
   @Override
   public void onConnectFailed(Throwable cause) {
-    context.logLine(context.source() + ": no push session: " + cause.getMessage());
+    context.logLine(
+        context.source() + ": cannot connect to the push server: " + cause.getMessage());
     perform(session.onConnectionLost(context.nowUs()));
     afterEvent.run();
   }
@@ -136,7 +139,7 @@
     }
   }
 
-  /** Removes the sets of all types of a name. */
+  /** Removes the record sets of all types of a name. */
   private void removeName(long nowUs, Question anyType) {
     List<Question> keys =
         records.subscriptionKeys().stream()
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushConnection.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushConnection.java
@@ -13,11 +13,11 @@
 import java.util.function.LongSupplier;
 
 /**
- * The TLS connection to a push server, one at a time, which splits the stream into messages. On the
- * event loop.
+ * Maintains at most one TLS connection to a push server and splits its byte stream into messages.
+ * Confined to the event loop.
  */
 final class PushConnection {
-  /** Events of the current connection; none come from one that was closed here. */
+  /** Receives the events of the current connection; one that was closed locally reports none. */
   interface Listener {
     /** The connection is established. */
     void onConnected();
@@ -25,13 +25,13 @@
     /** No connection could be established. */
     void onConnectFailed(Throwable cause);
 
-    /** A complete message came. */
+    /** A complete message was received. */
     void onMessage(byte[] message);
 
-    /** All complete messages of what was read have been passed on. */
+    /** All complete messages in the bytes received so far have been delivered. */
     void onReadComplete();
 
-    /** The connection has ended at the other side or by an error. */
+    /** The server closed the connection, or the connection failed. */
     void onClosed();
   }
 
@@ -50,7 +50,7 @@
     this.listener = listener;
   }
 
-  /** Connects, or fails at {@code deadlineUs}. */
+  /** Opens a connection; the attempt fails at {@code deadlineUs}. */
   void connect(long deadlineUs) {
     Connection connection = new Connection();
     current = connection;
@@ -75,14 +75,14 @@
     return options;
   }
 
-  /** Sends bytes that are framed already; without a connection they are dropped. */
+  /** Sends bytes that include their length prefix; drops them if there is no connection. */
   void send(Buffer bytes) {
     if (current != null && current.socket != null) {
       current.socket.write(bytes);
     }
   }
 
-  /** Closes the current connection; its events end. */
+  /** Closes the current connection, which then reports no further events. */
   void close() {
     Connection closing = current;
     current = null;
@@ -91,13 +91,13 @@
     }
   }
 
-  /** Closes for good. */
+  /** Closes the client permanently. */
   void stop() {
     stopped = true;
     client.close();
   }
 
-  /** One attempt to connect and the connection that comes of it. */
+  /** One connection attempt and, if it succeeds, the resulting connection. */
   private final class Connection {
     private NetSocket socket;
     private Buffer unparsed = Buffer.buffer();
@@ -119,7 +119,7 @@
       }
       socket = result.result();
       socket.handler(this::onRead);
-      socket.exceptionHandler(ignored -> {}); // The close handler follows.
+      socket.exceptionHandler(ignored -> {}); // The close handler is called next.
       socket.closeHandler(
           ignored -> {
             if (isCurrent() && !stopped) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
@@ -18,11 +18,12 @@
 
 /**
  * State machine of a client of DNS Push Notifications (RFC 8765) on a DSO session (RFC 8490): when
- * to connect, what to subscribe to, when to send keepalives and how long to stay disconnected. No
- * I/O and no clock: events in, {@link Action}s out. Not thread-safe; times are microseconds.
+ * to connect, what to subscribe to, when to send keepalives and how long to stay disconnected. Its
+ * inputs are events, its outputs are {@link Action}s; it performs no I/O and reads no clock. Not
+ * thread-safe. Times are in microseconds.
  */
 final class PushSession {
-  /** Subscriptions that may await their response, so that a new session does not send a burst. */
+  /** Limit on unanswered subscriptions, so that a new session does not send a burst. */
   static final int MAX_PENDING_SUBSCRIPTIONS = 256;
 
   private static final long CONNECT_TIMEOUT_US = 5_000_000;
@@ -36,10 +37,10 @@
 
   private static final long MAX_KEEPALIVE_US = 3_600_000_000L;
 
-  /** The longest retry delay that is obeyed; a longer one is shortened to it. */
+  /** Upper bound applied to the retry delay that a server requests. */
   private static final long MAX_RETRY_DELAY_US = 3_600_000_000L;
 
-  /** Up to this share is added to a retry delay, so that clients do not return together. */
+  /** Up to 1/10 is added to a retry delay, so that clients do not reconnect together. */
   private static final int RETRY_DELAY_JITTER_DIVISOR = 10;
 
   private static final long US_PER_MS = 1000;
@@ -53,19 +54,19 @@
 
   private static final int MAX_MESSAGE_ID = 0xffff;
 
-  /** What the owner of the session is to do. */
+  /** An action that the owner of the session must perform. */
   sealed interface Action {}
 
-  /** Connect, within the time limit. */
+  /** Connect before the deadline. */
   record Connect(long deadlineUs) implements Action {}
 
-  /** Send a message that is framed already. */
+  /** Send a message that includes its length prefix. */
   record Send(Buffer bytes) implements Action {}
 
   /** Close the connection. */
   record Close(String reason) implements Action {}
 
-  /** The server has accepted a subscription, or one has ended. */
+  /** The server has accepted a subscription, or a subscription has ended. */
   record SubscriptionChanged(Question key, boolean subscribed) implements Action {}
 
   /** The server has pushed changes. */
@@ -89,7 +90,7 @@
   private long lastSentUs;
   private int lastMessageId;
 
-  /** True once the server has answered the first keep-alive: it speaks DSO. */
+  /** True once the server has answered the first keep-alive, which shows that it supports DSO. */
   private boolean established;
 
   /** Subscriptions that await their response, by message id. */
@@ -106,7 +107,7 @@
     reconnectUs = nowUs;
   }
 
-  /** When to call {@link #onTimer}. */
+  /** Returns when to call {@link #onTimer}. */
   long nextUs() {
     return switch (phase) {
       case DISCONNECTED -> reconnectUs;
@@ -119,24 +120,24 @@
     return lastSentUs + keepaliveIntervalUs;
   }
 
-  /** When the session counts as dead: after two intervals without a message from the server. */
+  /** Returns when the session times out: after two intervals without a message from the server. */
   private long inactivityTimeoutUs() {
     return lastReceivedUs + 2 * keepaliveIntervalUs;
   }
 
-  /** True while there is a connection. */
+  /** Returns true while there is a connection. */
   boolean isUp() {
     return phase == Phase.UP;
   }
 
-  /** Time has passed. */
+  /** Performs the work that is due at {@code nowUs}. */
   List<Action> onTimer(long nowUs) {
     List<Action> actions = new ArrayList<>();
     if (phase == Phase.DISCONNECTED && nowUs >= reconnectUs) {
       phase = Phase.CONNECTING;
       actions.add(new Connect(nowUs + CONNECT_TIMEOUT_US));
     } else if (phase == Phase.UP && nowUs >= inactivityTimeoutUs()) {
-      actions.add(new Close("nothing came for twice the keep-alive"));
+      actions.add(new Close("no message from the server for two keep-alive intervals"));
       disconnect(nowUs, actions, nextBackoffUs());
     } else if (phase == Phase.UP && nowUs >= keepaliveDueUs()) {
       sendKeepalive(nowUs, actions);
@@ -144,7 +145,7 @@
     return actions;
   }
 
-  /** The connection is established. */
+  /** Handles an established connection. */
   List<Action> onConnected(long nowUs) {
     phase = Phase.UP;
     established = false;
@@ -155,7 +156,7 @@
     return actions;
   }
 
-  /** No connection was established, or it has ended. */
+  /** Handles a failed connection attempt or the end of the connection. */
   List<Action> onConnectionLost(long nowUs) {
     List<Action> actions = new ArrayList<>();
     if (phase != Phase.DISCONNECTED) {
@@ -164,7 +165,7 @@
     return actions;
   }
 
-  /** Subscribes to the keys that are new, and unsubscribes from those that are absent. */
+  /** Subscribes to new keys and unsubscribes from keys that are no longer in {@code keys}. */
   List<Action> updateSubscriptions(long nowUs, Set<Question> keys) {
     List<Action> actions = new ArrayList<>();
     if (phase != Phase.UP || !established) {
@@ -194,7 +195,7 @@
         && !pendingSubscriptions.containsValue(key);
   }
 
-  /** A complete message came. A malformed one ends the session (RFC 8490 section 5.2). */
+  /** Handles a complete message. A malformed one ends the session (RFC 8490 section 5.2). */
   List<Action> onMessage(long nowUs, byte[] bytes) {
     List<Action> actions = new ArrayList<>();
     if (phase != Phase.UP) {
@@ -209,8 +210,8 @@
         onRequest(nowUs, message, actions);
       }
     } catch (IOException | RuntimeException exception) {
-      // dnsjava throws unchecked exceptions too where the data of a record is malformed.
-      actions.add(new Close("a message that can not be read: " + exception.getMessage()));
+      // dnsjava also throws unchecked exceptions if the data of a record is malformed.
+      actions.add(new Close("malformed message from the server: " + exception.getMessage()));
       disconnect(nowUs, actions, nextBackoffUs());
     }
     return actions;
@@ -224,7 +225,8 @@
       return;
     }
     if (rcode != NOERROR) {
-      throw new IOException("the server speaks no stateful operations: response code " + rcode);
+      throw new IOException(
+          "the server does not support DNS Stateful Operations: response code " + rcode);
     }
     onKeepaliveResponse(message);
   }
@@ -251,14 +253,14 @@
   private void applyKeepalive(Tlv tlv) throws IOException {
     long intervalUs = Dso.readKeepaliveIntervalMs(tlv) * US_PER_MS;
     if (intervalUs < MIN_KEEPALIVE_US) {
-      throw new IOException("a keep-alive interval below 10 s");
+      throw new IOException("the keep-alive interval is below 10 s");
     }
     keepaliveIntervalUs = Math.min(intervalUs, MAX_KEEPALIVE_US);
   }
 
   private void onRequest(long nowUs, DsoMessage message, List<Action> actions) throws IOException {
     if (message.tlvs().isEmpty()) {
-      throw new IOException("a request about nothing");
+      throw new IOException("the request has no TLV");
     }
     Tlv primary = message.tlvs().get(0);
     switch (primary.type()) {
@@ -271,7 +273,7 @@
 
   private void onRetryDelay(long nowUs, Tlv tlv, List<Action> actions) throws IOException {
     long delayUs = Math.min(MAX_RETRY_DELAY_US, Dso.readRetryDelayMs(tlv) * US_PER_MS);
-    actions.add(new Close("the server asked to stay away"));
+    actions.add(new Close("the server requested a retry delay"));
     long jitterUs = (long) (delayUs * random.nextDouble() / RETRY_DELAY_JITTER_DIVISOR);
     disconnect(nowUs, actions, delayUs + jitterUs);
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/Question.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Question.java
@@ -12,7 +12,7 @@
  * @param type type of the records, as in {@link Type}
  */
 public record Question(Name name, int type) {
-  /** The question as dnsjava takes it: a record without data. */
+  /** Returns the question as a dnsjava record without data. */
   Record record() {
     return Record.newRecord(name, type, DClass.IN);
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordCache.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordCache.java
@@ -12,12 +12,12 @@
 import org.xbill.DNS.Type;
 
 /**
- * The cached record sets and the schedule of queries for them. A set is refreshed at 80 to 90 % of
- * its TTL, with one query in flight for each set, and retried with backoff after a failure. No I/O
- * and no clock; not thread-safe; times are microseconds.
+ * Caches record sets and schedules the queries for them. A set is refreshed at 80 to 90 % of its
+ * TTL, with at most one query in flight, and retried with backoff after a failure. Performs no I/O
+ * and reads no clock. Not thread-safe. Times are in microseconds.
  */
 final class RecordCache {
-  /** Share of the TTL after which a set is refreshed at the earliest. */
+  /** Earliest refresh of a set, as a share of its TTL. */
   private static final double REFRESH_FRACTION = 0.8;
 
   /** Width of the range over which refreshes are spread, as a share of the TTL. */
@@ -41,18 +41,18 @@
     wheel = new TimingWheel<>(nowUs);
   }
 
-  /** Latest time that {@link #advance} was called with. */
+  /** Returns the latest time that was passed to {@link #advance}. */
   long nowUs() {
     return nowUs;
   }
 
-  /** Moves the time on and queues the queries that have fallen due. */
+  /** Advances the time and queues the queries that have become due. */
   void advance(long toUs) {
     nowUs = Math.max(nowUs, toUs);
     wheel.advance(nowUs, this::queryNow);
   }
 
-  /** The set, or null where there is none. */
+  /** Returns the record set, or null if there is none. */
   RecordSet get(Question key) {
     return sets.get(key);
   }
@@ -66,22 +66,22 @@
         });
   }
 
-  /** Names and types of all sets; a live view. */
+  /** Returns a live view of the names and types of all sets. */
   Set<Question> keys() {
     return sets.keySet();
   }
 
-  /** Changes whenever {@link #keys} does. */
+  /** Returns a version that changes whenever {@link #keys} does. */
   long version() {
     return version;
   }
 
-  /** True once every set has been answered. */
+  /** Returns true if every set has been answered. */
   boolean isComplete() {
     return sets.values().stream().allMatch(set -> set.answered);
   }
 
-  /** Makes the instance depend on the set, which is queried unless it has been answered. */
+  /** Makes the instance depend on the set and queues a query if the set is unanswered. */
   RecordSet acquire(ServiceInstance instance, Question key) {
     RecordSet set = getOrCreate(key);
     set.dependents.add(instance);
@@ -91,7 +91,7 @@
     return set;
   }
 
-  /** Ends the dependency; evicts the set where it was the last one. A null set is ignored. */
+  /** Ends the dependency and evicts the set if it has no other. A null set is ignored. */
   void release(ServiceInstance instance, RecordSet set) {
     if (set == null) {
       return;
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Takes from the queue as many queries as may be in flight. */
+  /** Dequeues and returns as many queries as may be in flight. */
   List<Question> startQueries() {
     List<Question> started = new ArrayList<>();
     for (RecordSet set : List.copyOf(pendingQueries)) {
@@ -140,12 +140,12 @@
     return started;
   }
 
-  /** When {@link #startQueries} may have a query; it may also have one after each response. */
+  /** Returns when {@link #startQueries} can next return a query, unless a response comes first. */
   long nextUs() {
     return pendingQueries.isEmpty() || inFlight >= maxInFlight ? wheel.nextUs() : nowUs;
   }
 
-  /** Ends the query in flight; null where there is none, as for a set that has been evicted. */
+  /** Ends the query in flight; returns null if there is none, for example after an eviction. */
   RecordSet completeQuery(Question question) {
     RecordSet set = sets.get(question);
     if (set == null || !set.querying) {
@@ -156,12 +156,12 @@
     return set;
   }
 
-  /** Leaves the set as it is and retries its query after a backoff. */
+  /** Schedules a retry of the query after a backoff and leaves the set unchanged. */
   void retryLater(RecordSet set) {
     queryAt(set, nowUs + RETRY.delayUs(set.failures++, random));
   }
 
-  /** Replaces the records of a set and schedules its refresh, unless it is subscribed to. */
+  /** Replaces the records of a set and schedules its refresh unless it has a push subscription. */
   void store(RecordSet set, List<Record> records, long ttlUs) {
     set.answered = true;
     set.ttlUs = ttlUs;
@@ -175,10 +175,10 @@
   }
 
   /**
-   * A push session has subscribed to the set, or is no longer. A set that has not been answered is
-   * queried all the same, since a server pushes nothing where there is no record.
+   * Records the start or end of a push subscription to the set. An unanswered set is queried even
+   * while it is subscribed, since a server pushes nothing for a set without records.
    *
-   * @return true where the lifetime of the records has changed
+   * @return true if the lifetime of the records has changed
    */
   boolean setSubscribed(RecordSet set, boolean subscribed) {
     if (set.subscribed == subscribed) {
@@ -193,7 +193,7 @@
       set.expiresUs = TimingWheel.NEVER;
     } else {
       set.expiresUs = nowUs + set.ttlUs;
-      // Spread from now on: the end of a session ends all its subscriptions in one moment.
+      // The refreshes are spread from now on, because all subscriptions of a session end at once.
       queryAt(set, nowUs + (long) (set.ttlUs * REFRESH_FRACTION * random.nextDouble()));
     }
     return true;
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordRegistrar.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordRegistrar.java
@@ -20,15 +20,15 @@
 import org.xbill.DNS.TSIG;
 
 /**
- * Registers the broker itself in a zone, for clients that discover it by DNS-SD, by signed dynamic
- * updates. All methods are called on the event loop.
+ * Registers this broker in a DNS zone by dynamic updates, so that clients can discover it by
+ * DNS-SD. Updates are signed if a key is configured. Confined to the event loop.
  */
 public final class RecordRegistrar {
   private static final long UPDATE_TIMEOUT_US = 2_000_000;
   private static final long US_PER_SECOND = 1_000_000;
   private static final long NO_TIMER = -1;
 
-  /** Name, algorithm and secret. */
+  /** Number of fields in a key file: name, algorithm and secret. */
   private static final int KEY_FILE_FIELDS = 3;
 
   /**
@@ -71,7 +71,7 @@
   private long timerId = NO_TIMER;
   private boolean closed;
 
-  /** Nothing is registered before {@link #register}. */
+  /** Creates a registrar; nothing is registered before {@link #register}. */
   public RecordRegistrar(Vertx vertx, Settings settings, LongSupplier clock, Consumer<String> log) {
     this.vertx = vertx;
     this.settings = settings;
@@ -102,13 +102,13 @@
 
   /**
    * Reads a key file: one line with name, algorithm (such as hmac-sha256) and Base64 secret,
-   * separated by white space. The operator makes the file readable by its owner only; that is not
-   * checked here.
+   * separated by white space. The operator must make the file readable by its owner only; this
+   * method does not check its permissions.
    */
   public static TSIG readKeyFile(Path file) throws IOException {
     String[] fields = Files.readString(file).trim().split("\\s+", -1);
     if (fields.length != KEY_FILE_FIELDS) {
-      throw new IOException(file + " does not hold NAME ALGORITHM SECRET");
+      throw new IOException(file + ": expected NAME ALGORITHM SECRET, separated by white space");
     }
     try {
       return new TSIG(TSIG.algorithmToName(fields[1]), fields[0], fields[2]);
@@ -117,15 +117,15 @@
     }
   }
 
-  /** The broker serves: registers it, and refreshes the registration from then on. */
+  /** Registers the broker, which must be ready to serve, and keeps the registration refreshed. */
   public void register() {
     registration.onReady(clock.getAsLong());
     advance();
   }
 
   /**
-   * Withdraws the registration at once, with retries until {@link #close}. The future succeeds when
-   * the server has accepted it, and on close.
+   * Withdraws the registration immediately and retries until {@link #close}. The future succeeds
+   * once the server has accepted the withdrawal, or on close.
    */
   public Future<Void> withdraw() {
     registration.onShutdown(clock.getAsLong());
@@ -133,7 +133,7 @@
     return withdrawn.future();
   }
 
-  /** Ends all updates; what is registered then stays until its lease ends. */
+  /** Stops all updates; records that are still registered remain until their lease expires. */
   public void close() {
     closed = true;
     resolver.close();
@@ -179,7 +179,8 @@
       registration.onFailed(clock.getAsLong(), withdrawal);
       String reason =
           result.failed() ? result.cause().getMessage() : Rcode.string(result.result().getRcode());
-      log.accept("announcement " + (withdrawal ? "not withdrawn: " : "not taken: ") + reason);
+      log.accept(
+          "DNS registration " + (withdrawal ? "withdrawal failed: " : "update failed: ") + reason);
     }
     advance();
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordSet.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordSet.java
@@ -32,14 +32,16 @@
   /** Next refresh or retry. */
   TimingWheel.Handle<RecordSet> timer;
 
-  /** Instances whose claims depend on the set; a set without any is evicted, except a PTR set. */
+  /**
+   * Instances whose claims depend on this set. Except for PTR sets, a set without any is evicted.
+   */
   final Set<ServiceInstance> dependents = new LinkedHashSet<>();
 
   RecordSet(Question key) {
     this.key = key;
   }
 
-  /** True where the answer was that there is no such record. */
+  /** Returns true if the server answered that no such record exists. */
   boolean isNegative() {
     return answered && records.isEmpty();
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordsBenchmark.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordsBenchmark.java
@@ -16,15 +16,15 @@
 import org.xbill.DNS.Type;
 
 /**
- * Drives {@link ServiceRecords} without sockets, for measurements: a table takes the place of the
- * server, which responds at once and pushes changes.
+ * Drives {@link ServiceRecords} without sockets, for benchmarks. An in-memory table replaces the
+ * DNS server: it responds immediately and pushes changes.
  */
 public final class RecordsBenchmark {
   private static final Name SERVICE = Names.parse("_calendar._tcp.rooms.example.org.");
   private static final Question POINTERS = new Question(SERVICE, Type.PTR);
   private static final ServiceRecords.Limits BOUNDS = new ServiceRecords.Limits(50_000, 1_000);
 
-  /** Arbitrary time at which a refresh is measured. */
+  /** Arbitrary current time for the measurement of a refresh. */
   private static final long REFRESH_US = 1_000_000;
 
   private final ServiceRecords records;
@@ -32,7 +32,7 @@
   private final List<Record> pointers = new ArrayList<>();
   private long responseBytes;
 
-  /** The seed decides the jitter of the refreshes. */
+  /** Creates a benchmark; the seed determines the jitter of the refreshes. */
   public RecordsBenchmark(EndpointListReader reader, long seed) {
     records =
         new ServiceRecords(
@@ -40,14 +40,14 @@
   }
 
   /**
-   * Discovers the endpoints that these records describe and subscribes to their records; returns
-   * the claims in the order in which they were made.
+   * Discovers the endpoints that these records describe and subscribes to the records; returns the
+   * claims in the order in which they were emitted.
    */
   public List<EndpointClaim> fill(long nowUs, List<List<Record>> endpointRecords) throws Exception {
     endpointRecords.forEach(described -> described.forEach(this::addToZone));
     List<EndpointClaim> claims = new ArrayList<>();
-    // A response over TCP holds some two thousand pointers: the first comes in a response, the
-    // others are pushed.
+    // A TCP response holds only about two thousand PTR records: the first one is sent in a
+    // response, the others are pushed.
     respondToAll(nowUs, claims);
     pointers.forEach(pointer -> records.onRecordAdded(nowUs, pointer));
     int claimsBefore;
@@ -99,8 +99,8 @@
   }
 
   /**
-   * Pushes the removal of the pointer to one endpoint, or its addition ({@code back}); returns the
-   * claims that follow.
+   * Pushes the removal of one endpoint's PTR record, or its addition if {@code back} is true;
+   * returns the resulting claims.
    */
   public List<EndpointClaim> flip(long nowUs, int index, boolean back) throws Exception {
     Record pointer = pointers.get(index);
@@ -114,7 +114,9 @@
     return claims;
   }
 
-  /** Queries all records of these endpoints once; returns the bytes of the responses. */
+  /**
+   * Queries all records of these endpoints once; returns the total size of the responses in bytes.
+   */
   public static long refresh(List<List<Record>> endpointRecords, long seed) throws Exception {
     EndpointListReader reader = new EndpointListReader(List.of("a"), event -> {});
     RecordsBenchmark measured = new RecordsBenchmark(reader, seed);
--- a/src/main/java/dunlinhitch/discovery/dnssd/RegistrationStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RegistrationStateMachine.java
@@ -6,15 +6,15 @@
 import org.xbill.DNS.Update;
 
 /**
- * State machine of the broker's registration: when its records are registered, refreshed and
- * withdrawn. One update is in flight at a time, except that a withdrawal does not wait. No I/O and
- * no clock; not thread-safe; times are microseconds.
+ * State machine that decides when the broker's records are registered, refreshed and withdrawn. At
+ * most one update is in flight, except that a withdrawal does not wait for the update in flight.
+ * Performs no I/O and reads no clock. Not thread-safe. Times are in microseconds.
  */
 final class RegistrationStateMachine {
   /** Share of the lease after which the registration is refreshed. */
   private static final double REFRESH_FRACTION = 0.8;
 
-  /** A refresh is earlier by up to this share, so that brokers do not refresh together. */
+  /** A refresh is earlier by up to 1/10 of the delay, so that brokers do not refresh together. */
   private static final int REFRESH_JITTER_DIVISOR = 10;
 
   private static final JitteredBackoff RETRY = new JitteredBackoff(500_000, 60_000_000, 0.75, 0.5);
@@ -42,7 +42,7 @@
   private long dueUs = TimingWheel.NEVER;
   private int failures;
 
-  /** When the registration in flight was sent: its lease counts from then. */
+  /** When the registration in flight was sent, which is when its lease starts. */
   private long sentUs;
 
   RegistrationStateMachine(ServiceRegistration registration, RandomGenerator random) {
@@ -50,7 +50,7 @@
     this.random = random;
   }
 
-  /** The broker serves: its records are to be registered. */
+  /** Requests registration; the broker is ready to serve. */
   void onReady(long nowUs) {
     if (phase == Phase.IDLE) {
       phase = Phase.PENDING;
@@ -58,7 +58,7 @@
     }
   }
 
-  /** The broker is shutting down: its records are withdrawn, whatever update is in flight. */
+  /** Requests withdrawal because the broker is shutting down, even if an update is in flight. */
   void onShutdown(long nowUs) {
     boolean mayBeRegistered = phase != Phase.IDLE && phase != Phase.WITHDRAWN;
     phase = mayBeRegistered ? Phase.WITHDRAWING : Phase.WITHDRAWN;
@@ -66,22 +66,25 @@
     dueUs = mayBeRegistered ? nowUs : TimingWheel.NEVER;
   }
 
-  /** When to call {@link #startUpdate}. */
+  /** Returns when to call {@link #startUpdate}. */
   long nextUs() {
     return dueUs;
   }
 
-  /** True while the server has the records and no refresh is in flight. */
+  /** Returns true while the server has the records and no refresh is in flight. */
   boolean isRegistered() {
     return phase == Phase.REGISTERED;
   }
 
-  /** True once the server has withdrawn the records, or where they were never registered. */
+  /** Returns true once the server has withdrawn the records, or if they were never registered. */
   boolean isWithdrawn() {
     return phase == Phase.WITHDRAWN;
   }
 
-  /** The update to send now, or null; it ends with one {@link #onAccepted} or {@link #onFailed}. */
+  /**
+   * Returns the update to send now, or null. It ends with one call of {@link #onAccepted} or {@link
+   * #onFailed}.
+   */
   PendingUpdate startUpdate(long nowUs) {
     if (nowUs < dueUs) {
       return null;
@@ -95,7 +98,7 @@
     return new PendingUpdate(updates.register(), false);
   }
 
-  /** The server has accepted an update; a refresh is due before the granted lease ends. */
+  /** Handles an accepted update and schedules a refresh before the granted lease expires. */
   void onAccepted(Message response, boolean withdrawal) {
     failures = 0;
     if (withdrawal) {
@@ -108,7 +111,7 @@
     }
   }
 
-  /** The server has rejected an update, or did not respond: it is retried with backoff. */
+  /** Handles an update that was rejected or not answered; it is retried with backoff. */
   void onFailed(long nowUs, boolean withdrawal) {
     if (phase == (withdrawal ? Phase.WITHDRAWING : Phase.REGISTERING)) {
       dueUs = nowUs + RETRY.delayUs(failures++, random);
--- a/src/main/java/dunlinhitch/discovery/dnssd/RegistrationUpdates.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RegistrationUpdates.java
@@ -20,14 +20,14 @@
 import org.xbill.DNS.WireParseException;
 
 /**
- * The update messages of a registration (RFC 2136), with the lease that they request and are
- * granted in an EDNS option (RFC 9664). Immutable.
+ * Builds the DNS update messages of a registration (RFC 2136). Leases are requested and granted in
+ * an EDNS option (RFC 9664). Immutable.
  */
 final class RegistrationUpdates {
   /** EDNS option of an update lease. */
   private static final int LEASE_OPTION = 2;
 
-  /** A shorter lease is taken as this one, so that refreshes do not follow without a pause. */
+  /** Lower bound applied to granted leases, which limits the rate of refreshes. */
   private static final long MIN_LEASE_S = 5;
 
   private static final int IPV4_BYTES = 4;
@@ -39,7 +39,7 @@
     names = registration.names();
   }
 
-  /** Replaces the broker's records. */
+  /** Returns an update that replaces the broker's records. */
   Update register() {
     long ttlS = registration.ttlS();
     Update update = new Update(names.zone());
@@ -73,7 +73,7 @@
     try {
       return InetAddress.getByName(registration.host());
     } catch (UnknownHostException exception) {
-      throw new IllegalArgumentException("no IP address: " + registration.host(), exception);
+      throw new IllegalArgumentException("not an IP address: " + registration.host(), exception);
     }
   }
 
@@ -86,7 +86,7 @@
     return new OPTRecord(Resolver.UDP_PAYLOAD_BYTES, 0, 0, 0, List.of(option));
   }
 
-  /** Removes the broker's records. */
+  /** Returns an update that removes the broker's records. */
   Update withdraw() {
     Update update = new Update(names.zone());
     update.delete(new PTRRecord(names.service(), DClass.IN, 0, names.instance()));
@@ -95,7 +95,7 @@
     return update;
   }
 
-  /** The lease that a response grants; without a readable option the requested one. */
+  /** Returns the lease granted by a response, or the requested one if it has no readable option. */
   long grantedLeaseS(Message response) {
     OPTRecord opt = response.getOPT();
     if (opt == null || opt.getOptions(LEASE_OPTION).isEmpty()) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
@@ -26,13 +26,13 @@
 import org.xbill.DNS.TSIGRecord;
 
 /**
- * Sends queries and updates to one server (RFC 1035): queries over UDP with EDNS(0) (RFC 6891),
- * each from its own port and with its own id (RFC 5452), and over TCP (RFC 7766) where the response
- * was truncated; updates over TCP. Packets that do not match the query are counted and ignored. On
- * the event loop.
+ * Sends queries and updates to one DNS server (RFC 1035). Queries use UDP with EDNS(0) (RFC 6891),
+ * each with its own source port and a random id (RFC 5452), and are repeated over TCP (RFC 7766) if
+ * the response was truncated. Updates use TCP. Packets that do not match the query are counted and
+ * ignored. Confined to the event loop.
  */
 final class Resolver {
-  /** Fits an unfragmented packet on any usual path (DNS flag day 2020). */
+  /** Fits into an unfragmented packet on common network paths (DNS flag day 2020). */
   static final int UDP_PAYLOAD_BYTES = 1232;
 
   private static final int HEADER_BYTES = 12;
@@ -49,7 +49,7 @@
   private final NetClient tcpClient;
   private long unexpectedResponses;
 
-  /** The lower 16 bits of {@code messageIds} are used, and must not be predictable. */
+  /** Creates a resolver; the lower 16 bits of {@code messageIds} must be unpredictable. */
   Resolver(Vertx vertx, String host, int port, LongSupplier clock, IntSupplier messageIds) {
     this.vertx = vertx;
     this.host = host;
@@ -59,12 +59,12 @@
     tcpClient = vertx.createNetClient(new NetClientOptions().setTcpNoDelay(true));
   }
 
-  /** Packets that matched no query so far: another id or sender, or no DNS message. */
+  /** Returns the number of packets received so far that matched no query or were malformed. */
   long unexpectedResponses() {
     return unexpectedResponses;
   }
 
-  /** Queries the server; fails where no complete response has come by {@code deadlineUs}. */
+  /** Queries the server; fails if no complete response is received by {@code deadlineUs}. */
   Future<Message> query(Question question, long deadlineUs) {
     return query(question, deadlineUs, true)
         .compose(
@@ -74,7 +74,7 @@
                     : Future.succeededFuture(response));
   }
 
-  /** True for the response codes of a server that does not know EDNS(0) (RFC 6891 section 7). */
+  /** Returns true for response codes of servers without EDNS(0) support (RFC 6891 section 7). */
   private static boolean mayLackEdns(Message response) {
     return response.getRcode() == Rcode.FORMERR || response.getRcode() == Rcode.NOTIMP;
   }
@@ -100,8 +100,8 @@
   }
 
   /**
-   * Sends a dynamic update (RFC 2136), signed where {@code key} is not null (RFC 8945); then it
-   * fails unless the response is signed with the key too.
+   * Sends a dynamic update (RFC 2136). If {@code key} is not null, the update is signed (RFC 8945)
+   * and fails unless the response is signed with the same key.
    */
   Future<Message> update(Message update, TSIG key, long deadlineUs) {
     update.getHeader().setID(nextMessageId());
@@ -109,7 +109,7 @@
       byte[] wire = update.toWire(DnsTcpFraming.MAX_MESSAGE_BYTES);
       return exchangeTcp(update, wire, deadlineUs, null);
     }
-    // dnsjava signs when it encodes: the TSIG record must be the last, behind the OPT record.
+    // dnsjava signs during encoding: the TSIG record must be the last one, after the OPT record.
     update.setTSIG(key);
     byte[] wire = update.toWire(DnsTcpFraming.MAX_MESSAGE_BYTES);
     try {
@@ -150,7 +150,7 @@
   private long failAt(long deadlineUs, Promise<Message> response) {
     return vertx.setTimer(
         MicroClock.timerMs(clock.getAsLong(), deadlineUs),
-        id -> response.tryFail("no answer in time"));
+        id -> response.tryFail("no response before the deadline"));
   }
 
   private String localAddress() {
@@ -173,10 +173,10 @@
 
   // ---- TCP
 
-  /** The key of a signed request and the request's TSIG record, which the response's covers. */
+  /** Key and TSIG record of a signed request; the signature of the response covers that record. */
   private record Signature(TSIG key, TSIGRecord request) {}
 
-  /** {@code signature} is null for a request that is not signed. */
+  /** Sends a request over TCP; {@code signature} is null if the request is not signed. */
   private Future<Message> exchangeTcp(
       Message request, byte[] wire, long deadlineUs, Signature signature) {
     Promise<Message> response = Promise.promise();
@@ -201,11 +201,11 @@
     socket.handler(handler);
     socket.exceptionHandler(handler.response::tryFail);
     socket.closeHandler(
-        closed -> handler.response.tryFail("the connection ended before the answer"));
+        closed -> handler.response.tryFail("connection closed before the response"));
     socket.write(DnsTcpFraming.frame(wire));
   }
 
-  /** Collects the bytes of one response. */
+  /** Collects the bytes of one response and completes its promise. */
   private final class TcpResponseHandler implements Handler<Buffer> {
     private final Message request;
     private final Signature signature;
@@ -228,7 +228,8 @@
       Message message = parseResponse(request, wire);
       if (message == null || !isAuthentic(message, wire)) {
         unexpectedResponses++;
-        response.tryFail("the answer over TCP does not belong to the question");
+        response.tryFail(
+            "the TCP response does not match the request, or its signature is invalid");
       } else {
         response.tryComplete(message);
       }
@@ -242,7 +243,7 @@
 
   // ---- matching of responses
 
-  /** The message if it responds to this query, else null. */
+  /** Returns the message if it is a response to this query, or null. */
   static Message parseResponse(Message query, byte[] bytes) {
     if (bytes.length < HEADER_BYTES
         || messageId(bytes) != query.getHeader().getID()
@@ -253,7 +254,7 @@
       Message message = new Message(bytes);
       return isResponseTo(query, message) ? message : null;
     } catch (IOException | RuntimeException exception) {
-      // Malformed: dnsjava throws unchecked exceptions too for some of it.
+      // dnsjava throws unchecked exceptions for some malformed messages.
       return null;
     }
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/ResponseRecords.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ResponseRecords.java
@@ -13,14 +13,14 @@
 import org.xbill.DNS.Section;
 import org.xbill.DNS.Type;
 
-/** The records of one response by name and type, and the lifetimes that it gives them. */
+/** Groups the records of one response by name and type, and computes their lifetimes. */
 final class ResponseRecords {
-  /** Bounds of a TTL as it is used, whatever the server says. */
+  /** Bounds that are applied to the TTLs received from a server. */
   static final long MIN_TTL_US = 1_000_000;
 
   static final long MAX_TTL_US = 86_400_000_000L;
 
-  /** Lifetime of a negative answer that comes without an SOA record. */
+  /** Lifetime of a negative answer without an SOA record. */
   private static final long DEFAULT_NEGATIVE_TTL_US = 5_000_000;
 
   private static final long MAX_NEGATIVE_TTL_US = 60_000_000;
@@ -30,7 +30,7 @@
 
   private final Map<Question, List<Record>> byKey = new LinkedHashMap<>();
 
-  /** Takes the records of the answer and additional sections that are of class IN. */
+  /** Collects the records of class IN from the answer and additional sections. */
   ResponseRecords(Message response) {
     for (int section : SECTIONS) {
       for (Record record : response.getSection(section)) {
@@ -55,14 +55,14 @@
     }
   }
 
-  /** All record sets, in the order in which the response has them. */
+  /** Returns all record sets in the order of the response. */
   Map<Question, List<Record>> byKey() {
     return byKey;
   }
 
   /**
-   * The records that answer the question, through CNAME aliases; empty where there are none, null
-   * where an alias leads to a name without an answer or in a loop.
+   * Returns the records that answer the question, following CNAME aliases: an empty list if there
+   * are none, or null if a CNAME chain loops or ends at a name without records.
    */
   List<Record> resolve(Question question) {
     Name name = question.name();
@@ -80,13 +80,13 @@
     return null;
   }
 
-  /** The lowest TTL of the records, within the bounds. */
+  /** Returns the lowest TTL of the records, clamped to the bounds. */
   static long ttlUs(List<Record> records) {
     long lowestS = records.stream().mapToLong(Record::getTTL).min().orElse(0);
     return Math.max(MIN_TTL_US, Math.min(MAX_TTL_US, lowestS * US_PER_SECOND));
   }
 
-  /** Lifetime of a negative answer, from the zone's SOA record (RFC 2308 section 5). */
+  /** Returns the lifetime of a negative answer, from the zone's SOA record (RFC 2308 section 5). */
   static long negativeTtlUs(Message response) {
     for (Record record : response.getSection(Section.AUTHORITY)) {
       if (record instanceof SOARecord soa) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/RestoredClaims.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RestoredClaims.java
@@ -9,11 +9,11 @@
 import java.util.Set;
 
 /**
- * Keys of claims that an earlier process has stored and that no answer has confirmed yet, by the
- * canonical name of their instance.
+ * Keys of claims that were persisted by an earlier process and are not yet confirmed by an answer,
+ * grouped by the canonical name of their instance.
  */
 final class RestoredClaims {
-  /** Ends the instance's name in a claim key. */
+  /** Separates the instance name from the rest of a claim key. */
   private static final char KEY_SEPARATOR = '|';
 
   private final Map<String, Set<String>> keysByInstance = new HashMap<>();
@@ -39,7 +39,7 @@
     return keys == null ? Set.of() : keys;
   }
 
-  /** Withdraws the claims of all instances that are not listed any more. */
+  /** Withdraws the claims of all instances that are no longer listed. */
   void withdrawUnlisted(Set<String> listed, long nowUs, List<EndpointClaim> withdrawals) {
     keysByInstance.forEach(
         (instance, keys) -> {
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceInstance.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceInstance.java
@@ -9,7 +9,7 @@
 
 /**
  * One instance of the service (RFC 6763 section 4): the record sets that describe it and the claims
- * that were last made of them. Owned by {@link ServiceRecords}; compared by identity.
+ * last derived from them. Owned by {@link ServiceRecords}; compared by identity.
  */
 final class ServiceInstance {
   final Name name;
@@ -28,24 +28,26 @@
   Map<String, EndpointClaim> claims = new LinkedHashMap<>();
 
   /**
-   * True where an authoritative answer or a push has removed it: its claims are withdrawn. False
-   * for an instance that is only missing from a non-authoritative answer.
+   * True if an authoritative answer or a push removed the instance, so that its claims are
+   * withdrawn. False for an instance that is only missing from a non-authoritative answer.
    */
   boolean withdrawn;
 
-  /** Why the records make no usable endpoint; empty where they do. */
+  /** Reason why the records describe no usable endpoint; empty if they describe one. */
   String fault = "";
 
   ServiceInstance(Name name) {
     this.name = name;
   }
 
-  /** True once both the SRV and the TXT set have been answered. */
+  /** Returns true once both the SRV and the TXT set have been answered. */
   boolean isDescribed() {
     return srv != null && srv.answered && txt.answered;
   }
 
-  /** The address set of a host: its IPv4 one, unless that is known to be empty. */
+  /**
+   * Returns the IPv4 address set of a host, or the IPv6 one if it is known to have no IPv4 address.
+   */
   RecordSet addressesOf(Name host) {
     RecordSet ipv4 = ipv4Addresses.get(host);
     return ipv4.isNegative() ? ipv6Addresses.get(host) : ipv4;
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
@@ -20,22 +20,22 @@
 import org.xbill.DNS.Type;
 
 /**
- * State machine of the discovery of one service at one server (RFC 6763): responses and pushed
- * changes go in, queries and endpoint claims come out. No I/O and no clock; not thread-safe, its
- * owner calls it on the event loop. Times are microseconds.
+ * State machine that discovers one service through one server (RFC 6763). Its inputs are responses
+ * and pushed changes; its outputs are queries and endpoint claims. It performs no I/O and reads no
+ * clock. Not thread-safe; its owner calls it on the event loop. Times are in microseconds.
  *
- * <p>A negative answer counts only with the AA bit; any other failure leaves a record set as it
- * was, and its query is retried with backoff.
+ * <p>Only a negative answer with the AA bit empties a record set. After any other failure the
+ * record set is unchanged and its query is retried with backoff.
  */
 public final class ServiceRecords {
   /**
    * Limits of one service.
    *
-   * @param instances instances that are taken into account
-   * @param asking queries that may be in flight at once
+   * @param instances maximum number of instances that are used
+   * @param asking maximum number of queries in flight
    */
   public record Limits(int instances, int asking) {
-    /** The limits where nothing is configured. */
+    /** Default limits. */
     public static final Limits STANDARD = new Limits(4096, 32);
   }
 
@@ -43,17 +43,17 @@
    * One instance as the records describe it.
    *
    * @param instance the instance's label
-   * @param endpoints what its claims say
-   * @param expiresUs when the first of the claims expires; 0 without any
-   * @param fault why the records make no usable endpoint; empty where they do
+   * @param endpoints the endpoints that its claims describe
+   * @param expiresUs earliest expiry of its claims; 0 if it has none
+   * @param fault why the records describe no usable endpoint; empty if they describe one
    */
   public record InstanceDescription(
       String instance, List<Endpoint> endpoints, long expiresUs, String fault) {}
 
   /**
-   * The claims since the last update.
+   * Changes of the claims since the last update.
    *
-   * @param snapshot true once: {@code claims} are all that the source makes
+   * @param snapshot true for the one update whose {@code claims} are the complete set of the source
    * @param claims new, changed and withdrawn claims
    */
   record ClaimUpdate(boolean snapshot, List<EndpointClaim> claims) {}
@@ -66,7 +66,7 @@
   private final Map<AnswerFault, Integer> faults = new EnumMap<>(AnswerFault.class);
   private boolean snapshotEmitted;
 
-  /** {@code browsedNames}: the service, or its subtypes. */
+  /** Creates a state machine that browses {@code browsedNames}: the service, or its subtypes. */
   ServiceRecords(
       List<Name> browsedNames,
       TxtRecordParser parser,
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Claim keys that an earlier process has stored: those of an instance that is no longer listed
-   * are withdrawn.
+   * Restores claim keys persisted by an earlier process. The claims of instances that are no longer
+   * listed will be withdrawn.
    */
   void restore(Collection<String> claimKeys) {
     restoredClaims.add(claimKeys);
@@ -96,30 +96,30 @@
 
   // ---- queries
 
-  /** The queries to send now; each ends with one {@link #onResponse} or {@link #onFailure}. */
+  /** Returns the queries to send; each ends with one {@link #onResponse} or {@link #onFailure}. */
   List<Question> startQueries(long nowUs) {
     cache.advance(nowUs);
     return cache.startQueries();
   }
 
-  /** When to call {@link #startQueries} next; it is also to be called after each response. */
+  /** Returns when to call {@link #startQueries} next, apart from the call after each response. */
   long nextUs() {
     return cache.nextUs();
   }
 
-  /** Queries the list of instances again. */
+  /** Queries the lists of instances again. */
   void refreshInstanceList(long nowUs) {
     cache.advance(nowUs);
     browsedNames.forEach(name -> cache.queryNow(cache.get(pointersOf(name))));
   }
 
-  /** Queries the list of instances and every set again that no push session is subscribed to. */
+  /** Queries the lists of instances and all sets without a push subscription again. */
   void refreshAll(long nowUs) {
     refreshInstanceList(nowUs);
     cache.queryAllUnsubscribed();
   }
 
-  /** No usable response came. */
+  /** Handles a query that ended without a usable response. */
   void onFailure(long nowUs, Question question) {
     cache.advance(nowUs);
     RecordSet set = cache.completeQuery(question);
@@ -128,7 +128,7 @@
     }
   }
 
-  /** A complete response came that matches the query's server, id, name and type. */
+  /** Handles a complete response that matches the query's server, id, name and type. */
   void onResponse(long nowUs, Question question, Message response) {
     cache.advance(nowUs);
     RecordSet set = cache.completeQuery(question);
@@ -153,7 +153,9 @@
     }
   }
 
-  /** True where the answer may replace the cached records; the fault is counted otherwise. */
+  /**
+   * Returns true if the answer may replace the cached records, and counts the fault if it has one.
+   */
   private boolean isAcceptable(Message response, List<Record> answer) {
     if (answer == null) {
       count(AnswerFault.UNRESOLVED_ALIAS);
@@ -178,7 +180,7 @@
     return response.getHeader().getFlag(Flags.AA);
   }
 
-  /** Stores the other sets of an authoritative response, which saves the queries for them. */
+  /** Stores the other record sets of an authoritative response, which saves queries for them. */
   private void storeAdditional(RecordSet answered, ResponseRecords found) {
     for (Map.Entry<Question, List<Record>> additional : found.byKey().entrySet()) {
       RecordSet set = cache.get(additional.getKey());
@@ -202,7 +204,7 @@
     faults.merge(fault, 1, Integer::sum);
   }
 
-  /** The faults counted since the last call. */
+  /** Returns the faults counted since the last call. */
   Map<AnswerFault, Integer> drainFaults() {
     Map<AnswerFault, Integer> drained = new EnumMap<>(faults);
     faults.clear();
@@ -211,7 +213,7 @@
 
   // ---- claims
 
-  /** The claims that have changed since the last call. */
+  /** Returns the claims that have changed since the last call. */
   ClaimUpdate drainClaims(long nowUs) {
     cache.advance(nowUs);
     List<EndpointClaim> claims = new ArrayList<>();
@@ -233,7 +235,7 @@
     Map<String, EndpointClaim> current =
         instance.withdrawn ? Map.of() : claimBuilder.build(instance);
     if (current == null) {
-      return; // Not everything has been answered: the previous claims stand.
+      return; // A required record set is unanswered: the previous claims remain.
     }
     Set<String> previousKeys = new LinkedHashSet<>(instance.claims.keySet());
     previousKeys.addAll(restoredClaims.remove(Names.canonicalText(instance.name)));
@@ -266,17 +268,17 @@
 
   // ---- push notifications (RFC 8765)
 
-  /** Changes whenever {@link #subscriptionKeys} does. */
+  /** Returns a version that changes whenever {@link #subscriptionKeys} does. */
   long version() {
     return cache.version();
   }
 
-  /** The names and types that a push session is to subscribe to; a live view. */
+  /** Returns a live view of the names and types that a push session must subscribe to. */
   Set<Question> subscriptionKeys() {
     return cache.keys();
   }
 
-  /** The server pushes every change of the set from now on, or no longer. */
+  /** Handles the start or end of a push subscription to a record set. */
   void onSubscriptionChanged(long nowUs, Question key, boolean subscribed) {
     cache.advance(nowUs);
     RecordSet set = cache.get(key);
@@ -285,7 +287,7 @@
     }
   }
 
-  /** A record was added, or its TTL was renewed. */
+  /** Handles a pushed record that was added or whose TTL was renewed. */
   void onRecordAdded(long nowUs, Record record) {
     cache.advance(nowUs);
     RecordSet set = cache.get(new Question(record.getName(), record.getType()));
@@ -302,7 +304,7 @@
     store(set, records, ResponseRecords.ttlUs(records), true);
   }
 
-  /** Records were removed: those equal to {@code record}, or the complete set where it is null. */
+  /** Handles a pushed removal of {@code record}, or of the complete set if it is null. */
   void onRecordRemoved(long nowUs, Question key, Record record) {
     cache.advance(nowUs);
     RecordSet set = cache.get(key);
@@ -318,7 +320,7 @@
     store(set, records, set.ttlUs, true);
   }
 
-  /** Every listed instance. */
+  /** Returns a description of every listed instance. */
   List<InstanceDescription> describeInstances() {
     return instances.all().stream().map(ServiceRecords::describe).toList();
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceRegistration.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceRegistration.java
@@ -4,7 +4,7 @@
 import org.xbill.DNS.Name;
 
 /**
- * The records that the broker registers of itself.
+ * The DNS-SD records that describe this broker.
  *
  * @param names owner names of the records
  * @param host IP address at which clients reach the broker
--- a/src/main/java/dunlinhitch/discovery/dnssd/TxtRecordParser.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/TxtRecordParser.java
@@ -14,12 +14,12 @@
  * cell}, {@code zone}, {@code state}, {@code protocol}, {@code start} and {@code phases}.
  */
 final class TxtRecordParser {
-  /** Strings of one record that are read. */
+  /** Maximum number of strings that are read from one record. */
   static final int MAX_ATTRIBUTES = 64;
 
   private static final List<String> REQUIRED = List.of("id", "cell", "zone");
 
-  /** Weight of an endpoint, which TXT records do not carry. */
+  /** Weight of every endpoint, since TXT records have no attribute for it. */
   private static final double WEIGHT = 1;
 
   private final EndpointListReader endpointReader;
@@ -28,12 +28,17 @@
     this.endpointReader = endpointReader;
   }
 
-  /** Throws an IllegalArgumentException that says what is wrong with the record. */
+  /**
+   * Returns the endpoint that the record describes.
+   *
+   * @throws IllegalArgumentException if an attribute is missing or invalid; the message describes
+   *     the problem
+   */
   Endpoint endpoint(TXTRecord txt, String host, int port) {
     Map<String, String> attributes = attributes(txt);
     for (String required : REQUIRED) {
       if (attributes.getOrDefault(required, "").isEmpty()) {
-        throw new IllegalArgumentException("its TXT record has no " + required);
+        throw new IllegalArgumentException("the TXT record lacks the attribute " + required);
       }
     }
     return endpointReader
@@ -54,8 +59,8 @@
   }
 
   /**
-   * The attributes by key in lower case. The first of a key counts, one without a value is empty,
-   * and a string without a key is skipped (RFC 6763 section 6.4).
+   * Returns the attributes by lower-case key. The first occurrence of a key is used, a missing
+   * value is read as an empty one, and strings without a key are skipped (RFC 6763 section 6.4).
    */
   static Map<String, String> attributes(TXTRecord txt) {
     Map<String, String> attributes = new HashMap<>();
--- a/src/main/java/dunlinhitch/discovery/dnssd/ZoneSerialPoller.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ZoneSerialPoller.java
@@ -7,21 +7,21 @@
 import org.xbill.DNS.Section;
 
 /**
- * When the serial of the zone is polled, and whether it has changed. Serials are compared for
- * equality only, so that their order (RFC 1982) does not matter. No I/O and no clock.
+ * Schedules polls of a zone's SOA serial and detects changes. Serials are compared for equality
+ * only, so serial number arithmetic (RFC 1982) is not needed. Performs no I/O and reads no clock.
  */
 final class ZoneSerialPoller {
-  /** What a response says of the zone. */
+  /** Result of a poll. */
   enum Result {
-    /** The serial is the one of the last response, or none came. */
+    /** The serial is unchanged, or no serial was received. */
     UNCHANGED,
-    /** The first serial: whether the zone changed before it is unknown. */
+    /** This is the first serial; whether the zone changed before is unknown. */
     FIRST,
-    /** The zone has changed since the last response. */
+    /** The serial differs from that of the last response. */
     CHANGED
   }
 
-  /** Below every serial, which are unsigned. */
+  /** Lower than any serial, since serials are unsigned. */
   private static final long NO_SERIAL = -1;
 
   private final long intervalUs;
@@ -29,20 +29,20 @@
   private long dueUs;
   private boolean polling;
 
-  /** An interval of 0 or less: the serial is never polled. */
+  /** Creates a poller; an interval of 0 or less disables it. */
   ZoneSerialPoller(long intervalUs, long nowUs) {
     this.intervalUs = intervalUs;
     dueUs = intervalUs <= 0 ? TimingWheel.NEVER : nowUs;
   }
 
-  /** When to call {@link #startPoll}. */
+  /** Returns when to call {@link #startPoll}. */
   long nextUs() {
     return polling ? TimingWheel.NEVER : dueUs;
   }
 
   /**
-   * True where the serial is to be polled now, which ends with one {@link #onResponse}. A poll that
-   * falls due during a push session is skipped.
+   * Returns true if the serial must be polled now; each poll ends with one call of {@link
+   * #onResponse}. A poll that becomes due during a push session is skipped.
    */
   boolean startPoll(long nowUs, boolean pushSessionUp) {
     if (polling || nowUs < dueUs) {
@@ -53,7 +53,7 @@
     return polling;
   }
 
-  /** The poll has ended; {@code response} is null where none came. */
+  /** Ends a poll; {@code response} is null if none was received. */
   Result onResponse(Message response) {
     polling = false;
     long previous = serial;
--- a/src/main/java/dunlinhitch/discovery/dnssd/package-info.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/package-info.java
@@ -5,11 +5,12 @@
  *
  * <p>Entry points are {@link dunlinhitch.discovery.dnssd.DnsDiscoverySource} for one server and
  * service, and {@link dunlinhitch.discovery.dnssd.RecordRegistrar} for the broker's own records.
- * Both run on the event loop. {@link dunlinhitch.discovery.dnssd.Records}, the push session and the
- * registration are state machines without I/O, clock or threads: events and the current time go in,
- * queries, claims and actions come out. All times are microseconds unless a name says otherwise.
+ * Both run on the event loop. {@link dunlinhitch.discovery.dnssd.ServiceRecords}, the push session
+ * and the registration are state machines without I/O, clock or threads: their inputs are events
+ * and the current time, their outputs are queries, claims and actions. All times are in
+ * microseconds unless a name states another unit.
  *
- * <p>The package must not decide which endpoints are used: it emits claims, and the endpoint
- * registry merges those of all sources. The server loads it only where DNS-SD is configured.
+ * <p>The package only emits claims; the endpoint registry merges the claims of all sources and
+ * decides which endpoints are used. The server loads the package only if DNS-SD is configured.
  */
 package dunlinhitch.discovery.dnssd;
--- a/src/test/java/dunlinhitch/cli/RecordsCommandTest.java
+++ b/src/test/java/dunlinhitch/cli/RecordsCommandTest.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The records command against a DNS server. */
+/** The records command with a DNS server. */
 class RecordsCommandTest {
   private static String[] command(FakeNameServer responder, String service, String timeoutSeconds) {
     return new String[] {
@@ -26,7 +26,7 @@
     };
   }
 
-  /** Usable records, contradicting and incomplete ones, and a server that does not answer. */
+  /** Usable, contradictory and incomplete records, and a server that does not answer. */
   @Test
   void showsEndpointsAndWhyRecordsAreUnusable() throws Exception {
     Vertx vertx = Vertx.vertx();
@@ -57,7 +57,7 @@
           out.toString(StandardCharsets.UTF_8));
       assertTrue(
           out.toString(StandardCharsets.UTF_8)
-              .contains("instance \"South\" is of no use: its TXT record has no id"),
+              .contains("instance \"South\" is of no use: the TXT record lacks the attribute id"),
           out.toString(StandardCharsets.UTF_8));
       responder.script = question -> FakeNameServer.Fault.LOST;
       assertTrue(
--- a/src/test/java/dunlinhitch/discovery/BackoffTest.java
+++ b/src/test/java/dunlinhitch/discovery/BackoffTest.java
@@ -6,11 +6,11 @@
 import java.util.stream.LongStream;
 import org.junit.jupiter.api.Test;
 
-/** Exponential backoff with jitter. */
+/** Jitter and growth of the exponential backoff. */
 class BackoffTest {
   private static final Backoff.Bounds BOUNDS = new Backoff.Bounds(100_000, 1_000_000);
 
-  /** Equal delays would bring fourteen brokers that lost discovery at once back at once. */
+  /** With equal delays, fourteen brokers that lost discovery together would reconnect together. */
   @Test
   void brokersThatLoseDiscoveryTogetherDoNotComeBackTogether() {
     long different =
@@ -18,7 +18,7 @@
             .map(seed -> new Backoff(seed).nextDelayUs(BOUNDS) / 1_000)
             .distinct()
             .count();
-    assertTrue(different >= 10, "different ms: " + different);
+    assertTrue(different >= 10, "distinct delays in ms: " + different);
   }
 
   @Test
@@ -27,11 +27,11 @@
     long last = 0;
     for (int i = 0; i < 20; i++) {
       last = backoff.nextDelayUs(BOUNDS);
-      assertTrue(last >= 50_000 && last <= 1_000_000, "pause " + last);
+      assertTrue(last >= 50_000 && last <= 1_000_000, "delay out of bounds: " + last);
     }
-    assertTrue(last >= 500_000, "grown to " + last);
+    assertTrue(last >= 500_000, "delay after 20 failures: " + last);
     backoff.reset();
     long first = backoff.nextDelayUs(BOUNDS);
-    assertEquals(true, first >= 50_000 && first <= 100_000, "first again " + first);
+    assertEquals(true, first >= 50_000 && first <= 100_000, "first delay after a reset: " + first);
   }
 }
--- a/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The watch on real connections to a scripted discovery server; the clock is the test's. */
+/** The watch on real connections to a scripted discovery server, with a manual clock. */
 class DiscoveryWatchTest {
   private static final long RETRY_US = 120_000;
   private static final String OK = "HTTP/1.1 200 OK\r\n";
@@ -45,7 +45,7 @@
   private DiscoveryWatch watch;
   private FakeDiscovery discovery;
 
-  /** A connection on which the watch sent a request. */
+  /** A connection on which the watch has sent a request. */
   private record Request(Socket socket, String requestLine) {
     void write(String text) throws IOException {
       write(text.getBytes(StandardCharsets.UTF_8));
@@ -61,7 +61,7 @@
       socket.close();
     }
 
-    /** Waits until the watch has closed the connection; a reset counts too. */
+    /** Waits until the watch has closed or reset the connection. */
     void awaitClosed() throws IOException {
       socket.setSoTimeout(10_000);
       try {
@@ -72,7 +72,7 @@
     }
   }
 
-  /** A server that accepts, reads request heads and does nothing else by itself. */
+  /** A server that accepts connections and reads request heads; the test writes the responses. */
   private final class FakeDiscovery implements AutoCloseable {
     private final ServerSocket socket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     private final BlockingQueue<Request> requests = new LinkedBlockingQueue<>();
@@ -87,7 +87,7 @@
                     Socket accepted = socket.accept();
                     requests.add(new Request(accepted, head(accepted)));
                   } catch (IOException e) {
-                    // the test is over, or the watch has closed the connection
+                    // the test has ended, or the watch has closed the connection
                   }
                 }
               });
@@ -108,11 +108,11 @@
 
     Request next() throws InterruptedException {
       Request next = requests.poll(10, TimeUnit.SECONDS);
-      assertNotNull(next, "no request came");
+      assertNotNull(next, "no request within 10 s");
       return next;
     }
 
-    /** The request after one that failed: the backoff between is over. */
+    /** Waits for a failure, lets its backoff elapse and returns the next request. */
     Request nextAfterFailure() throws InterruptedException {
       while (true) {
         Event.ConditionCounted failure = DiscoveryWatchTest.this.next(Event.ConditionCounted.class);
@@ -183,11 +183,11 @@
         });
   }
 
-  /** The next event of that kind; others are skipped. */
+  /** Returns the next event of this kind; others are skipped. */
   private <T extends Event> T next(Class<T> kind) throws InterruptedException {
     for (; ; ) {
       Event event = events.poll(10, TimeUnit.SECONDS);
-      assertNotNull(event, "no " + kind.getSimpleName());
+      assertNotNull(event, "no event of kind " + kind.getSimpleName());
       if (kind.isInstance(event)) {
         return kind.cast(event);
       }
@@ -222,15 +222,15 @@
     return update.endpoints().stream().map(store -> store.name()).toList();
   }
 
-  /** The next request, after the longest delay of one beside those that hang. */
+  /** Advances the clock and returns the next request. */
   private Request requestAfter(long us) throws InterruptedException {
     clock.addAndGet(us);
     return discovery.next();
   }
 
   /**
-   * Discovery accepts requests and answers none. Further ones are made all the same, each on its
-   * own connection, while those before are open; when one is answered, the others are closed.
+   * Discovery accepts requests and does not answer. Further requests are sent on connections of
+   * their own while the earlier ones are open; once one is answered, the others are closed.
    */
   @Test
   void hangingRequestsDelayNoOther() throws Exception {
@@ -247,7 +247,7 @@
     }
   }
 
-  /** A request is given up while it connects: its connection is closed once it is connected. */
+  /** The connection of a request that is abandoned while connecting is closed once established. */
   @Test
   void aRequestGivenUpWhileConnectingLeavesNoConnection() throws Exception {
     FakeDiscovery other = new FakeDiscovery();
@@ -261,12 +261,12 @@
     Request closed = other.next();
     assertEquals("", closed.requestLine());
     closed.awaitClosed();
-    assertTrue(events.isEmpty(), "a request given up on purpose is no failure: " + events);
+    assertTrue(events.isEmpty(), "an abandoned request is not counted as a failure: " + events);
   }
 
   /**
-   * Discovery moves while requests to the old address hang: these are closed, and the new address
-   * is asked for its complete list.
+   * Discovery moves while requests to the old address hang: they are closed, and the complete list
+   * is requested from the new address.
    */
   @Test
   void aMoveClosesHangingRequests() throws Exception {
@@ -280,8 +280,8 @@
   }
 
   /**
-   * An indented list in pieces, cut within a character; then without a length a complete line, part
-   * of another and a reset: only complete lists count.
+   * Responses that end early: a list in single bytes, then a complete list followed by part of
+   * another one and a reset or the end of the response. Only complete lists are used.
    */
   @Test
   void completeListsCountThoughTheResponseIsCut() throws Exception {
@@ -321,7 +321,7 @@
         discovery.nextAfterFailure().requestLine());
   }
 
-  /** A change older than the known generation is ignored, and a complete list requested. */
+  /** A change older than the known generation is ignored, and a complete list is requested. */
   @Test
   void anOlderChangeIsIgnored() throws Exception {
     Request first = discovery.next();
@@ -337,7 +337,7 @@
         "GET /registry/instances?follow=1&since=3 HTTP/1.1", discovery.next().requestLine());
   }
 
-  /** Malformed lists are counted, close the connection and are requested again. */
+  /** A malformed list is counted, its connection is closed, and the list is requested again. */
   @Test
   void malformedListsCloseTheConnectionInOrder() throws Exception {
     String valid = list(5, true, "s");
@@ -377,7 +377,7 @@
     }
   }
 
-  /** Entries of wrong types are skipped and counted, and the others of the list are used. */
+  /** Invalid entries are skipped and counted; the other entries of the list are used. */
   @Test
   void onlyMalformedEntriesAreSkipped() throws Exception {
     String valid = "\"hostPort\":\"127.0.0.1:7\",\"zone\":\"a\",\"cell\":0,\"lifecycle\":\"ready\"";
@@ -410,8 +410,8 @@
   }
 
   /**
-   * A list in each form that a response may have, cut into single bytes: lengths, chunks and their
-   * extensions, trailers, interim responses.
+   * Lists in all HTTP/1.1 response forms, sent in single bytes: Content-Length, chunks with
+   * extensions and trailers, and interim responses.
    */
   @Test
   void listsAreReadInAllResponseForms() throws Exception {
--- a/src/test/java/dunlinhitch/discovery/EndpointListFileTest.java
+++ b/src/test/java/dunlinhitch/discovery/EndpointListFileTest.java
@@ -21,9 +21,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The stored form of the last known claims. */
+/** Reads and writes the stored claims; the format must remain compatible. */
 class EndpointListFileTest {
-  /** A file as versions before the split of the endpoint registry wrote it. */
+  /** A file written by versions from before the endpoint registry was split. */
   private static final String STORED =
       "dunlinhitch-roster 1 1073b09055e36af251f2abcb1c9af8917741a7163125c9ea0265a4b26d305fd4\n"
           + "{\"saved\":1700000010000000,\"claims\":["
@@ -130,7 +130,7 @@
     }
   }
 
-  /** The clock was set back: the claim counts as reported now, with its lifetime as it was. */
+  /** If the clock was set back, the claim is treated as reported now, with its full lifetime. */
   @Test
   void aClaimOfTheFutureCountsAsReportedNow() throws IOException {
     long nowUs = DRAINING_CLAIM.reportedUs() - 500_000;
--- a/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
+++ b/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
@@ -10,14 +10,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Splitting discovery's stream into objects. */
+/** Splits response streams of discovery into objects. */
 class EndpointListParserTest {
   private static final String COMPACT =
       "{\"generation\":1,\"instances\":[{\"instanceId\":\"a }\\\" é\"}]}";
   private static final String INDENTED =
       "{\n  \"generation\": 2,\n\n  \"instances\": [\n    {\n      \"zone\": \"{\"\n    }\n  ]\n}";
 
-  /** Indented or not, with empty lines between, in pieces of any size: the same objects. */
+  /** Indentation, empty lines between objects and chunk sizes do not change the result. */
   @Test
   void lineBreaksAndChunksDoNotMatter() throws MalformedListException {
     byte[] all =
@@ -30,7 +30,8 @@
         objects.addAll(
             parser.read(Arrays.copyOfRange(all, from, Math.min(all.length, from + piece))));
       }
-      assertEquals(List.of(COMPACT, INDENTED, COMPACT, COMPACT), objects, "pieces of " + piece);
+      assertEquals(
+          List.of(COMPACT, INDENTED, COMPACT, COMPACT), objects, "chunks of " + piece + " bytes");
       assertEquals(0, parser.takeStrayLines());
       assertTrue(!parser.isInObject());
     }
@@ -54,7 +55,7 @@
                 .read(("{" + " ".repeat(100)).getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Objects in front of a malformed place are returned, in the same chunk too; none behind it. */
+  /** Objects before malformed text are returned even from the same chunk, and none after it. */
   @Test
   void objectsBeforeAMalformedPlaceAreReturned() throws MalformedListException {
     for (String malformed :
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The state machine of the watch on a virtual clock: nothing here waits. */
+/** The state machine of the watch, driven by a virtual clock. */
 class WatchStateMachineTest {
   private static final long SECOND_US = 1_000_000;
   private static final Settings PUSHED_SETTINGS = BrokerFixture.settings(40);
@@ -51,13 +51,13 @@
     actions.addAll(more);
   }
 
-  /** Time passes and nothing is received. */
+  /** Advances the clock, and performs due timers, without received data. */
   private void passWithoutData(WatchStateMachine stateMachine, long delayUs) {
     long endUs = now + delayUs;
     while (stateMachine.nextUs() <= endUs) {
       now = stateMachine.nextUs();
       record(stateMachine.onTimer(now));
-      assertTrue(stateMachine.nextUs() > now, "the timer would spin");
+      assertTrue(stateMachine.nextUs() > now, "the next timer is not in the future");
     }
     now = endUs;
   }
@@ -71,7 +71,7 @@
     return requests.get(requests.size() - 1);
   }
 
-  /** The latest request is answered, and its first list is of that generation. */
+  /** Answers the latest request with a list of this generation. */
   private long openWatch(WatchStateMachine stateMachine, long generation) {
     long requestId = lastRequest().requestId();
     record(stateMachine.onResponse(now, requestId));
@@ -81,8 +81,8 @@
   }
 
   /**
-   * An empty line every 2 s keeps a watch alive; without it the watch is given up well before 6 s
-   * and opened again from the known generation.
+   * An empty line every 2 s keeps a watch alive. Without it the watch fails well before 6 s and is
+   * reopened from the known generation.
    */
   @Test
   void onlyTheIdleTimeoutEndsAWatchWithoutFailures() {
@@ -109,9 +109,9 @@
   }
 
   /**
-   * The agent is down for 9 s without a reset, and a request from then may never be answered. The
-   * broker answers for what the agent has from its return on: a request is made within 130 ms of
-   * any moment, and no more than eight are in flight.
+   * The agent is unreachable for 9 s without a reset, and requests sent in that time may never be
+   * answered. Since the broker must act on the agent's list as soon as it returns, a new request is
+   * sent at least every 130 ms, with at most eight in flight.
    */
   @Test
   void anAgentThatReturnsIsRequestedAtOnce() {
@@ -132,11 +132,11 @@
     assertEquals(
         of(WatchAction.OpenRequest.class).size() - 1,
         of(WatchAction.CloseRequest.class).size(),
-        "only the answered one is left");
+        "only the answered request remains open");
     assertTrue(stateMachine.isActive(answeredId));
   }
 
-  /** A list that stalls ends the watch, though bytes of it dribble in or empty lines follow it. */
+  /** An incomplete list ends the watch after the stall timeout, even if data still arrives. */
   @Test
   void anObjectThatStaysIncompleteEndsTheWatch() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
@@ -153,8 +153,8 @@
   }
 
   /**
-   * Discovery moves while it is unavailable: only the new address is requested, for its complete
-   * list and then for what follows; nothing of the old one is read.
+   * Discovery moves while it is unavailable: only the new address is requested, first for its
+   * complete list and then for changes. Data from the old address is not read.
    */
   @Test
   void aMoveWhileUnavailableRequestsTheNewAddressOnly() {
@@ -172,7 +172,9 @@
     assertEquals("b", lastRequest().host());
   }
 
-  /** Discovery moves while the old address streams: it is read until the new one has a list. */
+  /**
+   * Discovery moves while the old address streams: it is read until the new one has sent a list.
+   */
   @Test
   void theOldAddressIsReadUntilTheNewOneHasSentAList() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
@@ -189,8 +191,8 @@
   }
 
   /**
-   * A shared discovery fails for all brokers at once: they do not return at once, and stay within
-   * the few requests a second that it serves.
+   * A shared discovery fails for all brokers at the same time: they do not reconnect at the same
+   * time, and their requests stay within its capacity of 1.4 per second.
    */
   @Test
   void aSharedDiscoveryIsPolledSeldomAndNotInStep() {
@@ -205,19 +207,19 @@
       record(stateMachine.follow(now, "a", 1));
       openWatch(stateMachine, 50);
       record(
-          stateMachine.onFailure(
-              now, lastRequest().requestId())); // discovery went down: watches end
+          stateMachine.onFailure(now, lastRequest().requestId())); // discovery fails: watches end
       firstRetries.add(stateMachine.nextUs() / 10_000);
       for (long endUs = now + 30 * SECOND_US;
           now < endUs;
-          now = stateMachine.nextUs()) { // each request ends with 503 at once
+          now = stateMachine.nextUs()) { // each request fails immediately
         record(stateMachine.onTimer(now));
         record(stateMachine.onFailure(now, lastRequest().requestId()));
         lateRequests += now > endUs - 25 * SECOND_US ? 1 : 0;
       }
       requestCount += of(WatchAction.OpenRequest.class).size();
     }
-    assertTrue(firstRetries.stream().distinct().count() >= 3, "in step: " + firstRetries);
+    assertTrue(
+        firstRetries.stream().distinct().count() >= 3, "retries are not spread: " + firstRetries);
     assertTrue(requestCount <= 1.5 * 30 + 4, "requests in 30 s: " + requestCount);
     assertTrue(lateRequests <= 1.4 * 25, "requests in the last 25 s: " + lateRequests);
     assertTrue(
@@ -242,7 +244,7 @@
     assertEquals(WatchStateMachine.NEVER, stateMachine.nextUs());
   }
 
-  /** What happens to a request while discovery is down; it never answers one of these later. */
+  /** Fault of a request while discovery is down; such a request is never answered later. */
   private enum Fault {
     REFUSED,
     RESPONDS_503,
@@ -257,8 +259,8 @@
   }
 
   /**
-   * When a request is made that discovery, available again from {@code backUs} on, can answer;
-   * before that each request has a fault of its own.
+   * Returns the time of the first request at or after {@code backUs}, when discovery is available
+   * again. Each earlier request gets a random fault.
    */
   private long firstRequestAfter(
       WatchStateMachine stateMachine, long backUs, SplittableRandom random, Fault[] faults) {
@@ -283,7 +285,7 @@
       if (next == null || next.getKey() > stateMachine.nextUs()) {
         assertTrue(
             stateMachine.nextUs() > now || (stateMachine.nextUs() == now && next == null),
-            "the timer would spin");
+            "the next timer is not in the future");
         now = Math.max(now, stateMachine.nextUs());
         record(stateMachine.onTimer(now));
       } else {
@@ -291,7 +293,7 @@
         next.getValue().run();
       }
     }
-    throw new AssertionError("no request was made");
+    throw new AssertionError("no request was sent");
   }
 
   private void scheduleFault(
@@ -338,7 +340,7 @@
     }
   }
 
-  /** Passes an input to the state machine only while discovery is still down. */
+  /** Passes an input to the state machine only while discovery is down. */
   private Runnable untilBack(long backUs, Supplier<List<WatchAction>> input) {
     return () -> {
       if (now < backUs) {
@@ -347,7 +349,7 @@
     };
   }
 
-  /** The longest time to a request over many seeds, each with its own faults and outage. */
+  /** Returns the longest time to a request over 400 seeds, each with its own faults and outage. */
   private long latest(Settings settings, Fault... faults) {
     long latest = 0;
     for (int seed = 0; seed < 400; seed++) {
@@ -364,9 +366,9 @@
   }
 
   /**
-   * The broker answers for what discovery has from 6 s after it could be reached. Where it is
-   * polled, whatever failed before and in whatever order, a request is made early enough for a
-   * response that takes 1.8 s.
+   * The broker must use the current list within 6 s after discovery becomes reachable. With a
+   * polled discovery, a request is sent early enough for a response that takes 1.8 s, regardless of
+   * the kind and order of earlier faults.
    */
   @Test
   void afterAnyFaultsASharedDiscoveryIsReadWithinSixSeconds() {
@@ -381,8 +383,8 @@
   }
 
   /**
-   * The broker answers at once for what an agent has at its return: it is requested within 130 ms,
-   * but for a watch that fell silent, which is noticed within 3 s.
+   * The broker must act on the agent's list as soon as it returns: a request is sent within 130 ms.
+   * Only a watch that fell silent takes longer; it is detected within 3.2 s.
    */
   @Test
   void afterAnyFaultsAnAgentIsRequestedAtOnce() {
@@ -393,12 +395,12 @@
             Fault.RESPONDS_503,
             Fault.NEVER_CONNECTS,
             Fault.NEVER_ANSWERS);
-    assertTrue(delayUs <= 130_000, "requested after " + delayUs);
+    assertTrue(delayUs <= 130_000, "delay of the request in us: " + delayUs);
     delayUs = latest(PUSHED_SETTINGS, Fault.values());
-    assertTrue(delayUs <= 3_200_000, "requested after " + delayUs);
+    assertTrue(delayUs <= 3_200_000, "delay of the request in us: " + delayUs);
   }
 
-  /** An agent that takes 2 s for each response is read all the same: one request waits for it. */
+  /** An agent that takes 2 s per response is still read, because one request waits for it. */
   @Test
   void aSlowAgentIsRead() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
@@ -410,11 +412,12 @@
                 request ->
                     stateMachine.isActive(request.requestId())
                         && request.requestId() < lastRequest().requestId() - 10),
-        "each request is given up too soon");
+        "every request is abandoned too early");
   }
 
   /**
-   * Moved again before the second address has sent a list: the first is read until the third has.
+   * Discovery moves again before the second address has sent a list: the first address is read
+   * until the third one has sent a list.
    */
   @Test
   void aStreamingAddressIsReadAcrossAnAbandonedMove() {
@@ -430,7 +433,7 @@
     assertFalse(stateMachine.isActive(oldId));
   }
 
-  /** Lists without a gap between them, each chunk ending within one, are no stall. */
+  /** Consecutive lists do not count as a stall even if each chunk ends within a list. */
   @Test
   void consecutiveListsAreNoStall() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
@@ -444,7 +447,7 @@
     assertTrue(stateMachine.isActive(requestId));
   }
 
-  /** New settings apply to the requests that follow: here from pushed lists to polled ones. */
+  /** New settings, here from pushed to polled lists, apply to later requests. */
   @Test
   void newSettingsBringOtherTimings() {
     Settings[] settings = {PUSHED_SETTINGS};
@@ -461,7 +464,7 @@
         "requests in 30 s: " + (of(WatchAction.OpenRequest.class).size() - requestCount));
   }
 
-  /** A change older than the known generation can not be applied: a complete list is requested. */
+  /** A change older than the known generation is ignored, and a complete list is requested. */
   @Test
   void anOlderChangeIsIgnoredAndACompleteListRequested() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
--- a/src/test/java/dunlinhitch/discovery/dnssd/AbstractServiceRecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/AbstractServiceRecordsTest.java
@@ -16,12 +16,12 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Section;
 
-/** Records that a zone responds to, without sockets, and the claims that have come of them. */
+/** Service records that a test zone answers without sockets, and the resulting claims. */
 abstract class AbstractServiceRecordsTest {
   static final String SERVICE = "_calendar._tcp.example.org.";
   static final long US_PER_SECOND = 1_000_000;
 
-  /** Instances, and queries in flight. */
+  /** Allows 3 instances and 2 queries in flight. */
   private static final ServiceRecords.Limits BOUNDS = new ServiceRecords.Limits(3, 2);
 
   final Zone zone = new Zone("example.org.");
@@ -40,7 +40,7 @@
         nowUs);
   }
 
-  /** Pointer, SRV, TXT and address record of one endpoint. */
+  /** Returns the PTR, SRV, TXT and address records of one endpoint. */
   static List<Record> endpoint(String instance, int port, String... moreAttributes) {
     List<String> attributes = new ArrayList<>(List.of("id=" + instance, "cell=1", "zone=a"));
     attributes.addAll(List.of(moreAttributes));
@@ -59,13 +59,15 @@
     }
   }
 
-  /** The zone responds to every query that is due, until there is none. */
+  /** Answers every due query from the zone until none is left. */
   final void respondToAll(ServiceRecords source) {
     List<Question> due = source.startQueries(nowUs);
     while (!due.isEmpty()) {
-      assertTrue(due.size() <= BOUNDS.asking(), "no more at once than the bounds say");
+      assertTrue(due.size() <= BOUNDS.asking(), "too many queries in flight: " + due.size());
       assertEquals(
-          due.size(), new HashSet<>(due).size(), "one question in flight for each name and type");
+          due.size(),
+          new HashSet<>(due).size(),
+          "more than one query in flight for a name and type");
       for (Question question : due) {
         queries.add(question);
         Message response = zoneResponse(question);
@@ -77,7 +79,7 @@
     }
   }
 
-  /** Every query that is due fails, until there is none. */
+  /** Fails every due query until none is left. */
   final void failAll(ServiceRecords source) {
     List<Question> due = source.startQueries(nowUs);
     while (!due.isEmpty()) {
--- a/src/test/java/dunlinhitch/discovery/dnssd/DsoTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/DsoTest.java
@@ -13,7 +13,7 @@
 import org.xbill.DNS.PTRRecord;
 import org.xbill.DNS.Type;
 
-/** Messages of RFC 8490 and RFC 8765, byte for byte. */
+/** Encoded bytes of DSO messages (RFC 8490) and push notifications (RFC 8765). */
 class DsoTest {
   private static final String NO_COUNTS = "0000000000000000";
   private static final Question KEY = new Question(Names.parse("a.b."), Type.PTR);
--- a/src/test/java/dunlinhitch/discovery/dnssd/MalformedMessagesTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/MalformedMessagesTest.java
@@ -14,7 +14,7 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Type;
 
-/** Valid messages with random bytes changed, cut off or appended: rejected or read, never fatal. */
+/** Messages with random bytes changed, truncated or appended are read or rejected, never fatal. */
 class MalformedMessagesTest extends AbstractServiceRecordsTest {
   private static final int ROUNDS = 20_000;
   private final SplittableRandom random = new SplittableRandom(9);
@@ -28,7 +28,7 @@
     for (int i = 0; i < ROUNDS; i++) {
       readable += respondMalformed();
     }
-    assertTrue(readable > 100, "some could be read all the same: " + readable);
+    assertTrue(readable > 100, "readable responses: " + readable);
     byte[] push = validPush();
     int closed = 0;
     for (int i = 0; i < ROUNDS; i++) {
@@ -37,10 +37,10 @@
       closed += receivePush(bytes);
     }
     applyClaims(records);
-    assertTrue(closed > 1_000, "most end the session: " + closed);
+    assertTrue(closed > 1_000, "closed sessions: " + closed);
   }
 
-  /** Responds to all queries of a refresh; returns how many responses could be read. */
+  /** Sends altered responses to all queries of a refresh; returns the number of readable ones. */
   private int respondMalformed() {
     int readable = 0;
     nowUs += US_PER_SECOND;
@@ -48,7 +48,7 @@
     for (Question question : records.startQueries(nowUs)) {
       Message query = Message.newQuery(question.record());
       byte[] bytes = zone.answer(query).toWire(65_535);
-      changeBytes(bytes, 2); // The id stays: a response with another one is ignored unread.
+      changeBytes(bytes, 2); // Keeps the id, because another one is ignored.
       if (random.nextInt(4) == 0) {
         bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 20));
       }
@@ -78,7 +78,7 @@
     return DnsTcpFraming.message(framed, 0);
   }
 
-  /** Applies what a session makes of the message; returns how often it closes the connection. */
+  /** Feeds the message to a session and applies its changes; returns the number of closes. */
   private int receivePush(byte[] bytes) {
     int closed = 0;
     PushSession session = new PushSession(random, nowUs);
--- a/src/test/java/dunlinhitch/discovery/dnssd/PushSessionTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/PushSessionTest.java
@@ -19,7 +19,7 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Type;
 
-/** What a push client sends and when, without sockets. */
+/** What a push session sends and when, without sockets. */
 class PushSessionTest {
   private static final String SERVICE = "_calendar._tcp.example.org.";
   private static final Question POINTERS = new Question(Names.parse(SERVICE), Type.PTR);
@@ -28,7 +28,7 @@
   private final PushSession session = new PushSession(new SplittableRandom(5), START_US);
   private long nowUs = START_US;
 
-  /** The messages that the actions send, without their length prefixes. */
+  /** Returns the messages that the actions send, without their length prefixes. */
   private static List<DsoMessage> sentMessages(List<Action> actions) throws IOException {
     List<DsoMessage> messages = new ArrayList<>();
     for (Action action : actions) {
@@ -68,7 +68,7 @@
     assertEquals(
         List.of(),
         session.updateSubscriptions(nowUs, Set.of(POINTERS)),
-        "not before the server has shown that it supports DSO");
+        "subscribes only after the server has confirmed DSO support");
     receive(new Head(keepalive.head().id(), true, 0), Dso.keepalive(15_000, 20_000));
     DsoMessage subscribe =
         sentMessages(session.updateSubscriptions(nowUs, Set.of(POINTERS))).get(0);
@@ -82,7 +82,7 @@
     assertTrue(disconnected.contains(new SubscriptionChanged(POINTERS, false)));
     assertTrue(
         session.nextUs() >= nowUs + 90 * US_PER_SECOND,
-        "it stays disconnected for as long as it was asked to");
+        "reconnects before the requested retry delay");
     assertEquals(List.of(), session.onTimer(nowUs + 89 * US_PER_SECOND));
     nowUs += 200 * US_PER_SECOND;
     assertInactivityAndTooShortIntervalsEndASession();
--- a/src/test/java/dunlinhitch/discovery/dnssd/RecordRegistrarKeyFileTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/RecordRegistrarKeyFileTest.java
@@ -12,7 +12,7 @@
 import org.xbill.DNS.Rcode;
 import org.xbill.DNS.TSIG;
 
-/** The stored form of a TSIG key. */
+/** Reads TSIG keys from files. */
 class RecordRegistrarKeyFileTest {
   private static final String SECRET = "MDEyMzQ1Njc4OWFiY2RlZg==";
   @TempDir private Path folder;
@@ -35,6 +35,7 @@
   void rejectsAnotherNumberOfFields() throws IOException {
     Path file = keyFile("broker. hmac-sha256\n");
     IOException failure = assertThrows(IOException.class, () -> RecordRegistrar.readKeyFile(file));
-    assertEquals(file + " does not hold NAME ALGORITHM SECRET", failure.getMessage());
+    assertEquals(
+        file + ": expected NAME ALGORITHM SECRET, separated by white space", failure.getMessage());
   }
 }
--- a/src/test/java/dunlinhitch/discovery/dnssd/RegistrationStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/RegistrationStateMachineTest.java
@@ -37,11 +37,12 @@
 
   @Test
   void registersWhenReadyRefreshesBeforeTheLeaseEndsAndWithdrawsAtShutdown() {
-    assertEquals(null, registration.startUpdate(nowUs), "not before it serves");
+    assertEquals(
+        null, registration.startUpdate(nowUs), "nothing is registered before the broker is ready");
     registration.onReady(nowUs);
     PendingUpdate first = registration.startUpdate(nowUs);
     assertTrue(!first.withdrawal() && first.update().getSection(Section.UPDATE).size() >= 4);
-    assertEquals(null, registration.startUpdate(nowUs), "one at a time");
+    assertEquals(null, registration.startUpdate(nowUs), "a second update while one is in flight");
     assertRetriesBackOff();
     Message granted = grantOfSeconds((byte) 100);
     registration.onAccepted(granted, false);
@@ -49,12 +50,14 @@
     assertTrue(
         registration.nextUs() >= nowUs + 70 * US_PER_SECOND
             && registration.nextUs() <= nowUs + 80 * US_PER_SECOND,
-        "of the lease that was granted, not requested");
+        "the refresh is scheduled by the granted lease: " + registration.nextUs());
     registration.onShutdown(nowUs);
     PendingUpdate last = registration.startUpdate(nowUs);
     assertTrue(last.withdrawal());
     registration.onFailed(nowUs, true);
-    assertTrue(registration.startUpdate(registration.nextUs()).withdrawal(), "it is retried");
+    assertTrue(
+        registration.startUpdate(registration.nextUs()).withdrawal(),
+        "a failed withdrawal is retried");
     registration.onAccepted(granted, true);
     assertTrue(registration.isWithdrawn());
     assertEquals(null, registration.startUpdate(nowUs + 1_000 * US_PER_SECOND));
@@ -65,7 +68,7 @@
     for (int i = 0; i < 4; i++) {
       registration.onFailed(nowUs, false);
       long delayUs = registration.nextUs() - nowUs;
-      assertTrue(delayUs > previousDelayUs, "growing delays");
+      assertTrue(delayUs > previousDelayUs, "delay does not grow: " + delayUs);
       previousDelayUs = delayUs;
       nowUs = registration.nextUs();
       assertTrue(registration.startUpdate(nowUs) != null);
--- a/src/test/java/dunlinhitch/discovery/dnssd/ServiceRecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/ServiceRecordsTest.java
@@ -21,7 +21,7 @@
 import org.xbill.DNS.TXTRecord;
 import org.xbill.DNS.Type;
 
-/** Which claims follow from records, and which queries are sent when. */
+/** Which claims are derived from records, and which queries are sent when. */
 class ServiceRecordsTest extends AbstractServiceRecordsTest {
   private static final Name HOST = Names.parse("host-127-0-0-1.example.org.");
   private static final Name ALIAS = Names.parse("alias.example.org.");
@@ -38,18 +38,16 @@
     zone.add(new SRVRecord(one, DClass.IN, 100, 5, 0, 7002, HOST));
     respondToAll(records);
     assertEquals(List.of(7001), claimedPorts());
-    assertTrue(snapshotReceived, "all that is listed is known");
+    assertTrue(snapshotReceived, "snapshot is emitted once all listed instances are known");
     zone.add(new SRVRecord(one, DClass.IN, 100, 0, 9, 7003, HOST));
     records.refreshAll(nowUs);
     respondToAll(records);
     assertEquals(
-        List.of(7001, 7003),
-        claimedPorts(),
-        "two of one priority contradict each other: both are claimed");
+        List.of(7001, 7003), claimedPorts(), "SRV records of equal priority each become a claim");
     zone.add(new TXTRecord(one, DClass.IN, 100, List.of("id=one", "cell=2", "zone=a")));
     records.refreshAll(nowUs);
     respondToAll(records);
-    assertEquals(4, claims.size(), "each way to read it");
+    assertEquals(4, claims.size(), "one claim for each combination of SRV and TXT records");
   }
 
   @Test
@@ -66,11 +64,11 @@
         Set.of(Type.PTR, Type.SRV, Type.TXT, Type.A),
         Set.copyOf(queries.stream().map(Question::type).toList()));
     long expiresUs = claims.firstEntry().getValue().expiresUs();
-    assertTrue(expiresUs >= nowUs + 99 * US_PER_SECOND, "its expiry was moved on");
+    assertTrue(expiresUs >= nowUs + 99 * US_PER_SECOND, "a refresh extends the expiry");
     nowUs += 91 * US_PER_SECOND;
     failAll(records);
     applyClaims(records);
-    assertEquals(1, claims.size(), "failures change nothing");
+    assertEquals(1, claims.size(), "failed queries do not change claims");
     assertBackoffGrowsUpToItsMaximum(browse(Names.parse(SERVICE)));
   }
 
@@ -86,8 +84,10 @@
         due = unanswered.startQueries(nowUs);
       }
       long delayUs = nowUs - failedUs;
-      assertTrue(delayUs > previousDelayUs || delayUs > 20 * US_PER_SECOND, "growing delays");
-      assertTrue(delayUs < 40 * US_PER_SECOND, "up to a bound");
+      assertTrue(
+          delayUs > previousDelayUs || delayUs > 20 * US_PER_SECOND,
+          "delay does not grow: " + delayUs);
+      assertTrue(delayUs < 40 * US_PER_SECOND, "delay exceeds its bound: " + delayUs);
       previousDelayUs = delayUs;
     }
   }
@@ -105,7 +105,7 @@
     response.getHeader().unsetFlag(Flags.AA);
     records.onResponse(nowUs, listQuery, response);
     applyClaims(records);
-    assertEquals(2, claims.size(), "an answer without authority lists, but does not withdraw");
+    assertEquals(2, claims.size(), "a non-authoritative answer does not withdraw claims");
     zone.empty();
     nowUs += 200 * US_PER_SECOND;
     for (Question question : records.startQueries(nowUs)) {
@@ -138,7 +138,9 @@
     assertTrue(withdrawn.contains(STORED_KEY_OF_UNLISTED), withdrawn.toString());
   }
 
-  /** The keys are stored: a later version must make the same ones of the same records. */
+  /**
+   * Claim keys are persisted, so later versions must derive the same keys from the same records.
+   */
   @Test
   void claimKeysHaveTheStoredForm() {
     zone.change(List.of(), endpoint("One", 7001));
@@ -163,7 +165,7 @@
     addEndpointWithAliasedHost();
     zone.change(List.of(), endpoint("fourth", 7004));
     respondWithAlias();
-    assertEquals(3, claims.size(), "as many instances as the bounds say");
+    assertEquals(3, claims.size(), "the instance limit is reached");
     assertTrue(claimedPorts().contains(7003));
     assertTrue(records.drainFaults().containsKey(AnswerFault.INSTANCE_LIMIT));
     records.refreshAll(nowUs);
@@ -184,7 +186,7 @@
     zone.change(List.of(), third);
   }
 
-  /** As {@link #respondToAll}, where queries for the alias get a CNAME record and its target. */
+  /** Like {@link #respondToAll}, but answers queries for the alias with a CNAME and its target. */
   private void respondWithAlias() {
     List<Question> due = records.startQueries(nowUs);
     while (!due.isEmpty()) {
--- a/src/test/java/dunlinhitch/discovery/dnssd/ZoneSerialPollerTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/ZoneSerialPollerTest.java
@@ -12,7 +12,7 @@
 import org.xbill.DNS.SOARecord;
 import org.xbill.DNS.Section;
 
-/** When the serial of a zone is polled, and what its responses mean. */
+/** When the SOA serial of a zone is polled, and how responses are interpreted. */
 class ZoneSerialPollerTest {
   private static final long INTERVAL_US = 1_000;
   private final ZoneSerialPoller poller = new ZoneSerialPoller(INTERVAL_US, 0);
@@ -29,7 +29,7 @@
   void anotherSerialIsAChangeAndAFailedPollIsNone() {
     assertTrue(poller.startPoll(0, false));
     assertEquals(TimingWheel.NEVER, poller.nextUs());
-    assertFalse(poller.startPoll(2 * INTERVAL_US, false), "one poll at a time");
+    assertFalse(poller.startPoll(2 * INTERVAL_US, false), "a second poll while one is in flight");
     assertEquals(ZoneSerialPoller.Result.FIRST, poller.onResponse(responseWithSerial(7)));
     assertEquals(INTERVAL_US, poller.nextUs());
     assertEquals(ZoneSerialPoller.Result.UNCHANGED, poller.onResponse(responseWithSerial(7)));
--- a/src/test/java/dunlinhitch/discovery/dnssd/package-info.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of DNS-based service discovery, without sockets; the server tests cover the sockets. */
+/** Tests of DNS-based service discovery without sockets. The server tests cover the sockets. */
 package dunlinhitch.discovery.dnssd;
