--- a/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
+++ b/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
@@ -5,19 +5,20 @@
 import dunlinhitch.config.GossipAddresses.Peer;
 import java.util.List;
 
-/** Completes a {@code [fleet]} section that names no addresses by the platform's. */
+/** Completes a {@code [fleet]} section without addresses with the platform's addresses. */
 final class ClusterAddressResolver {
   private ClusterAddressResolver() {}
 
   /**
-   * Returns the product's settings with the platform's addresses where its own section names none.
-   * If these can not be used, the result has no section: the broker runs without a cluster. The
-   * platform's entry under the broker's own name is the address that others reach it at.
+   * Returns the product's settings, with the platform's addresses if its own section has none. If
+   * the platform's addresses are invalid, the result has no cluster settings, and the broker runs
+   * without a cluster. The platform's entry with the broker's own name is the address that is
+   * advertised to other brokers.
    *
    * @param product the product's own settings
    * @param platform the platform's addresses, or null
    * @param brokerName this broker's name
-   * @throws ConfigException if the section names no addresses and the platform has none either
+   * @throws ConfigException if neither the section nor the platform provides addresses
    */
   static Product resolve(Product product, GossipAddresses platform, String brokerName) {
     Product.Cluster cluster = product.cluster();
@@ -26,9 +27,9 @@
     }
     if (platform == null) {
       throw new ConfigException(
-          "[fleet] names no listen, and there is no "
+          "[fleet] has no listen directive, and the configuration file has no "
               + GossipAddressesReader.LISTEN
-              + " here that could stand for it");
+              + " to use instead");
     }
     if (platform.listen() == null) {
       return product.withCluster(null);
--- a/src/main/java/dunlinhitch/config/ClusterSectionReader.java
+++ b/src/main/java/dunlinhitch/config/ClusterSectionReader.java
@@ -4,7 +4,7 @@
 import dunlinhitch.config.syntax.SectionValues;
 import java.util.List;
 
-/** Reads the section {@code [fleet]}: this broker's part in a cluster of brokers. */
+/** Reads the section {@code [fleet]}, which contains the settings of the broker cluster. */
 final class ClusterSectionReader {
   /** Shortest interval of any periodic work of the cluster, in microseconds. */
   private static final long MIN_INTERVAL_US = 20_000;
@@ -15,14 +15,14 @@
     this.section = section;
   }
 
-  /** Reads and checks the section; errors are reported in the order of its directives. */
+  /** Reads and validates the section; errors are reported in the order of its directives. */
   Product.Cluster read() {
     Address listen = ProductReader.address(section, "listen");
     List<Address> peers = ProductReader.addresses(section, "peer");
     checkPeers(listen, peers);
     Address advertise = advertisedAddress(listen);
     if (section.count("least") < 1) {
-      throw section.error("least", "is 1 or more");
+      throw section.error("least", "must be 1 or more");
     }
     checkFailureDetection();
     checkHealthChecks();
@@ -43,7 +43,7 @@
   private void checkPeers(Address listen, List<Address> peers) {
     for (Address peer : peers) {
       if (!peer.isReachable()) {
-        throw section.error("peer", "is an IP address and a port: " + peer.hostAndPort());
+        throw section.error("peer", "must be an IP address and a port, not " + peer.hostAndPort());
       }
     }
     if (listen == null) {
@@ -52,14 +52,14 @@
     } else if (peers.isEmpty()) {
       throw section.error(
           "listen",
-          "is told without a peer: there must be one where the search for the others begins");
+          "requires at least one peer directive, through which this broker joins the cluster");
     }
   }
 
   private void requireAbsentWithoutListen(String name) {
     if (section.has(name)) {
       throw section.error(
-          name, "is told without listen: the platform says either all of these or none");
+          name, "requires a listen directive; without one all addresses come from the platform");
     }
   }
 
@@ -69,7 +69,8 @@
     if (advertise != null && !advertise.isReachable()) {
       throw section.error(
           section.has("advertise") ? "advertise" : "listen",
-          "is an IP address and a port, for the others are told it: " + advertise.hostAndPort());
+          "must be an IP address and a port that other brokers can reach, not "
+              + advertise.hostAndPort());
     }
     return advertise;
   }
@@ -78,7 +79,8 @@
     requireMinInterval("look");
     if (section.durationUs("suspect") < section.durationUs("look")) {
       throw section.error(
-          section.has("suspect") ? "suspect" : "look", "makes suspect shorter than look");
+          section.has("suspect") ? "suspect" : "look",
+          "is invalid: suspect must not be shorter than look");
     }
   }
 
@@ -88,7 +90,7 @@
 
   private void requireMinInterval(String name) {
     if (section.durationUs(name) < MIN_INTERVAL_US) {
-      throw section.error(name, "is 20ms or more");
+      throw section.error(name, "must be 20ms or more");
     }
   }
 
@@ -97,7 +99,7 @@
     if (behindUs < MIN_INTERVAL_US || section.durationUs("shut_out") <= behindUs) {
       throw section.error(
           section.has("shut_out") ? "shut_out" : "behind",
-          "makes a straggler shut out before it is seen, or in under 20ms");
+          "is invalid: behind must be 20ms or more, and shut_out must be longer than behind");
     }
   }
 }
--- a/src/main/java/dunlinhitch/config/Config.java
+++ b/src/main/java/dunlinhitch/config/Config.java
@@ -13,13 +13,13 @@
  * @param admin address for operators, or null
  * @param discovery address of the discovery service
  * @param seed seed of the balancer's random numbers
- * @param initialEndpoints the endpoint list as the broker last had it, empty if there was none
- * @param sockets number of file descriptors that the process may have open
+ * @param initialEndpoints the last endpoint list that the broker used, empty if there was none
+ * @param sockets maximum number of open file descriptors of the process
  * @param settings settings of the load balancer
- * @param product what the product's own settings file switches on
- * @param sharedFolder a folder that the processes of this broker share, or null
+ * @param product features enabled by the product's own settings file
+ * @param sharedFolder a directory that the processes of this broker share, or null
  * @param writtenMs when the file was written, Unix time in milliseconds; 0 if unknown
- * @param gossipAddresses what the platform says of the addresses for gossip, or null
+ * @param gossipAddresses the platform's addresses for gossip, or null
  */
 public record Config(
     String name,
@@ -34,10 +34,10 @@
     Path sharedFolder,
     long writtenMs,
     GossipAddresses gossipAddresses) {
-  /** Number of file descriptors where the file has no {@code limits.sockets}. */
+  /** Number of file descriptors if the file has no {@code limits.sockets}. */
   public static final int DEFAULT_SOCKETS = 1024;
 
-  /** Creates a configuration of a platform without addresses for gossip. */
+  /** Creates a configuration without addresses for gossip. */
   public Config(
       String name,
       Address listen,
@@ -79,7 +79,7 @@
      *
      * @param what name of the setting, for the error message
      * @param text the text to parse
-     * @throws ConfigException if the text has another form
+     * @throws ConfigException if the text is not {@code HOST:PORT}
      */
     public static Address parse(String what, String text) {
       int colon = text.lastIndexOf(':');
@@ -89,12 +89,12 @@
           return new Address(text.substring(0, colon), port);
         }
       } catch (NumberFormatException e) {
-        // reported below, as any other text that is no address
+        // reported below, as for any other invalid address
       }
-      throw new ConfigException(what + " is no HOST:PORT: " + text);
+      throw new ConfigException(what + " must be HOST:PORT, not " + text);
     }
 
-    /** Returns whether the host is written as an IP address, so that no name has to be resolved. */
+    /** Returns whether the host is an IP address, so that no name has to be resolved. */
     boolean hasIpAddress() {
       return host.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}")
           || host.matches("\\[?[0-9a-fA-F:.]*:[0-9a-fA-F:.]*\\]?");
@@ -111,11 +111,11 @@
     }
   }
 
-  /** The configuration can not be used; the message is one line in plain text. */
+  /** The configuration is invalid; the message is one line of plain text. */
   public static final class ConfigException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    /** Creates an error; line breaks in the message become blanks. */
+    /** Creates an error; line breaks in the message are replaced with spaces. */
     public ConfigException(String message) {
       super(message.replaceAll("\\s+", " "));
     }
--- a/src/main/java/dunlinhitch/config/ConfigFile.java
+++ b/src/main/java/dunlinhitch/config/ConfigFile.java
@@ -6,8 +6,8 @@
 import java.util.Map;
 
 /**
- * The platform's configuration file, read at the start and again on reload. A reload is all or
- * nothing: a file that can not be used leaves the current configuration in place.
+ * The platform's configuration file, read at startup and on reload. A reload is atomic: an invalid
+ * file leaves the current configuration in place.
  *
  * <p>Not thread-safe: at most one thread may use it at a time.
  */
@@ -19,7 +19,7 @@
   private Config current;
 
   /**
-   * Creates an object that has read nothing yet.
+   * Creates an accessor; the files are not read yet.
    *
    * @param file the platform's JSON file
    * @param productFile the product's own settings file, which need not exist
@@ -32,9 +32,9 @@
   }
 
   /**
-   * Reads both files, as at the start.
+   * Reads both files at startup.
    *
-   * @throws Config.ConfigException if a file can not be used
+   * @throws Config.ConfigException if a file is invalid
    */
   public Config read() {
     JsonObject root = ConfigReader.parse(file);
@@ -45,10 +45,11 @@
 
   /**
    * Reads the platform's file again. Its address of the discovery service takes precedence over the
-   * environment, which still has that of the start. The product's settings stay.
+   * environment, which still contains the address from the start. The product's settings are not
+   * reloaded.
    *
-   * @throws Config.ConfigException if the file can not be used, lacks a key of the current one, or
-   *     changes what needs a restart
+   * @throws Config.ConfigException if the file is invalid, lacks a key of the current one, or
+   *     changes a setting that requires a restart
    */
   public Config reload() {
     JsonObject root = ConfigReader.parse(file);
@@ -66,7 +67,7 @@
     if (!reloaded.settings().zones().equals(current.settings().zones())
         || !reloaded.settings().layout().equals(current.settings().layout())) {
       throw new Config.ConfigException(
-          file + ": other zones, or another layout of shards, want a restart");
+          file + ": a change of the zones or of the shard layout requires a restart");
     }
   }
 }
--- a/src/main/java/dunlinhitch/config/ConfigReader.java
+++ b/src/main/java/dunlinhitch/config/ConfigReader.java
@@ -20,10 +20,10 @@
   private static final String LISTEN_VARIABLE = "ROUTER_LISTEN";
   private static final String ADMIN_VARIABLE = "ROUTER_ADMIN_ADDR";
 
-  /** Environment variable with the folder that the processes of a broker share. */
+  /** Environment variable with the directory that the processes of a broker share. */
   private static final String SCRATCH_VARIABLE = "TMPDIR";
 
-  /** Smallest number of file descriptors that a broker can work with. */
+  /** Minimum number of file descriptors that a broker needs. */
   private static final int MIN_SOCKETS = 64;
 
   private static final int SEED_RADIX = 16;
@@ -35,9 +35,9 @@
     try {
       return Json.parse(Files.readString(file)).asObject();
     } catch (NoSuchFileException e) {
-      throw new ConfigException("there is no file " + file);
+      throw new ConfigException("file not found: " + file);
     } catch (IOException | RuntimeException e) {
-      // the JSON library reports other content than an object by several unchecked exceptions
+      // the JSON library reports content other than an object by several unchecked exceptions
       throw new ConfigException("cannot read " + file + ": " + e.getMessage());
     }
   }
@@ -45,7 +45,7 @@
   /**
    * Reads the content of a file.
    *
-   * @param file the file, for its age and for error messages
+   * @param file the file, for its modification time and for error messages
    * @param root its content
    * @param product the product's own settings
    * @param environment environment variables, which override the file
@@ -56,8 +56,8 @@
     } catch (ConfigException e) {
       throw new ConfigException(file + ": " + e.getMessage());
     } catch (RuntimeException e) {
-      // the JSON library reports values of another type by several unchecked exceptions
-      throw new ConfigException(file + " does not hold what it should: " + e.getMessage());
+      // the JSON library reports values of unexpected types by several unchecked exceptions
+      throw new ConfigException(file + ": invalid value: " + e.getMessage());
     }
   }
 
@@ -102,7 +102,8 @@
             ? Config.DEFAULT_SOCKETS
             : limits.asObject().getInt("sockets", Config.DEFAULT_SOCKETS);
     if (sockets < MIN_SOCKETS) {
-      throw new ConfigException("limits.sockets is under " + MIN_SOCKETS + ": " + sockets);
+      throw new ConfigException(
+          "limits.sockets must be at least " + MIN_SOCKETS + ", not " + sockets);
     }
     return sockets;
   }
@@ -115,7 +116,7 @@
     try {
       return Math.max(0, Files.getLastModifiedTime(file).toMillis());
     } catch (IOException e) {
-      return 0; // it was removed since it was read: older than any other
+      return 0; // the file was removed after it was read: treated as oldest
     }
   }
 }
--- a/src/main/java/dunlinhitch/config/DnsSectionReader.java
+++ b/src/main/java/dunlinhitch/config/DnsSectionReader.java
@@ -12,7 +12,7 @@
   /** Shortest lease of the broker's own records, in microseconds. */
   private static final long MIN_LEASE_US = 30_000_000;
 
-  /** A service type of RFC 6763 section 7, and a domain. */
+  /** A service type (RFC 6763 section 7) followed by a domain. */
   private static final String SERVICE_PATTERN = "(?i)_[a-z0-9-]{1,15}\\._(tcp|udp)\\..+";
 
   private DnsSectionReader() {}
@@ -24,7 +24,7 @@
     if (!section.text("service").matches(SERVICE_PATTERN)) {
       throw section.error(
           "service",
-          "begins with _NAME._tcp (RFC 6763 section 7) and has a domain behind it: "
+          "must be _NAME._tcp or _NAME._udp followed by a domain (RFC 6763 section 7), not "
               + section.text("service"));
     }
     return new Product.DnsService(
@@ -44,13 +44,13 @@
   private static List<Address> servers(SectionValues section) {
     List<Address> servers = ProductReader.addresses(section, "server");
     if (servers.stream().distinct().count() < servers.size()) {
-      throw section.error("server", "stands twice with the same address");
+      throw section.error("server", "is specified twice with the same address");
     }
     for (Address server : servers) {
       if (!server.hasIpAddress()) {
         throw section.error(
             "server",
-            "is an IP address, for it is what names are looked up with: " + server.host());
+            "must be an IP address, because it is needed to resolve names; found " + server.host());
       }
     }
     return servers;
@@ -58,17 +58,18 @@
 
   private static void requireRange(SectionValues section, String name, int max) {
     if (section.count(name) < 1 || section.count(name) > max) {
-      throw section.error(name, "is from 1 to " + max);
+      throw section.error(name, "must be from 1 to " + max);
     }
   }
 
   static Product.Announcement announcement(SectionValues section) {
     Address address = ProductReader.address(section, "address");
     if (!address.hasIpAddress()) {
-      throw section.error("address", "is an IP address and a port: " + section.text("address"));
+      throw section.error(
+          "address", "must be an IP address and a port, not " + section.text("address"));
     }
     if (section.durationUs("lease") < MIN_LEASE_US) {
-      throw section.error("lease", "is 30s or more");
+      throw section.error("lease", "must be 30s or more");
     }
     return new Product.Announcement(
         ProductReader.address(section, "server"),
@@ -83,7 +84,7 @@
         section.path("key"));
   }
 
-  /** Returns the host name: by default the instance name with other characters as hyphens. */
+  /** Returns the host name; by default the instance name with invalid characters as hyphens. */
   private static String target(SectionValues section) {
     String target = section.text("target");
     return target == null ? section.text("instance").replaceAll("[^A-Za-z0-9-]+", "-") : target;
--- a/src/main/java/dunlinhitch/config/GossipAddresses.java
+++ b/src/main/java/dunlinhitch/config/GossipAddresses.java
@@ -4,21 +4,22 @@
 import java.util.List;
 
 /**
- * The platform's addresses for gossip between brokers: its keys {@code peer_listen}, {@code peers}
- * and {@code peers_all}. They switch nothing on. Unusable keys do not keep a broker from starting:
- * {@code unusableReason} says what is wrong then, and there are no addresses.
+ * The platform's addresses for gossip between brokers, from the keys {@code peer_listen}, {@code
+ * peers} and {@code peers_all}. They enable nothing by themselves. Invalid keys do not prevent a
+ * broker from starting: the addresses are absent then, and {@code unusableReason} describes the
+ * problem.
  *
- * @param listen where gossip messages to this broker are delivered, or null
+ * @param listen address at which gossip messages to this broker are delivered, or null
  * @param peers the other brokers, and possibly this one
- * @param all an address that stands for all of them, or null
- * @param unusableReason why the addresses can not be used, in one line, or null
+ * @param all one address that reaches all of them, or null
+ * @param unusableReason why the addresses cannot be used, as one line, or null
  */
 public record GossipAddresses(
     Address listen, List<Peer> peers, Address all, String unusableReason) {
   /**
    * One broker of the platform's list.
    *
-   * @param name its name, empty if the platform gives none
+   * @param name its name, empty if the platform does not provide one
    * @param address its address
    */
   public record Peer(String name, Address address) {}
--- a/src/main/java/dunlinhitch/config/GossipAddressesReader.java
+++ b/src/main/java/dunlinhitch/config/GossipAddressesReader.java
@@ -14,7 +14,7 @@
   /** Key of the other brokers' addresses. */
   static final String PEERS = "peers";
 
-  /** Key of the address that gossip messages to this broker are delivered at. */
+  /** Key of the address at which gossip messages to this broker are delivered. */
   static final String LISTEN = "peer_listen";
 
   private static final String ALL = "peers_all";
@@ -31,8 +31,8 @@
     try {
       return readAddresses(root);
     } catch (RuntimeException e) {
-      // whatever is wrong with these keys, the JSON library's unchecked exceptions included, must
-      // not keep the broker from starting
+      // no error in these keys may prevent the broker from starting, including the unchecked
+      // exceptions of the JSON library
       return GossipAddresses.unusable(
           "no words between brokers by the platform's addresses: "
               + String.valueOf(e.getMessage()).replaceAll("\\s+", " "));
@@ -41,7 +41,7 @@
 
   private static GossipAddresses readAddresses(JsonObject root) {
     if (!isAllowed(root)) {
-      throw new ConfigException("the settings' Limits.PeerMessages allows none");
+      throw new ConfigException("the setting Limits.PeerMessages does not allow gossip");
     }
     JsonValue listen = root.get(LISTEN);
     if (isEmpty(listen)) {
@@ -63,7 +63,7 @@
         || (value.isObject() && value.asObject().isEmpty());
   }
 
-  /** Settings without the limit allow gossip, since the platform gave addresses for it. */
+  /** Settings without the limit allow gossip, since the platform provides addresses for it. */
   private static boolean isAllowed(JsonObject root) {
     JsonValue limits = root.get("settings").asObject().get("Limits");
     return limits == null || limits.isNull() || limits.asObject().getBoolean("PeerMessages", true);
@@ -71,11 +71,12 @@
 
   private static Address address(String key, JsonValue value) {
     if (!value.isString()) {
-      throw new ConfigException(key + " is no HOST:PORT: " + value);
+      throw new ConfigException(key + " must be HOST:PORT, not " + value);
     }
     Address address = Address.parse(key, value.asString());
     if (!address.isReachable()) {
-      throw new ConfigException(key + " is no IP address with a port: " + value.asString());
+      throw new ConfigException(
+          key + " must be an IP address with a port, not " + value.asString());
     }
     return address;
   }
@@ -89,7 +90,7 @@
       peers.addAll(peersOfEntry(value));
     }
     if (peers.size() > MAX_PEERS) {
-      throw new ConfigException(PEERS + " has over " + MAX_PEERS + " addresses");
+      throw new ConfigException(PEERS + " has more than " + MAX_PEERS + " addresses");
     }
     return peers;
   }
@@ -122,7 +123,7 @@
     return peers;
   }
 
-  /** Takes the first member that is an address; there may be others, such as a zone. */
+  /** Uses the first member that is an address; other members, such as a zone, are ignored. */
   private static List<Peer> peerWithName(String name, JsonObject object) {
     for (JsonObject.Member member : object) {
       JsonValue value = member.getValue();
--- a/src/main/java/dunlinhitch/config/JsonFields.java
+++ b/src/main/java/dunlinhitch/config/JsonFields.java
@@ -5,11 +5,11 @@
 import com.eclipsesource.json.JsonValue;
 
 /**
- * Typed access to the fields of a JSON object, with a default for fields that are absent or null.
- * Values of another type raise an unchecked exception of the JSON library.
+ * Typed access to the fields of a JSON object, with defaults for absent and null fields. Values of
+ * an unexpected type raise an unchecked exception of the JSON library.
  */
 final class JsonFields {
-  /** Bound of the absolute value of an integer; larger ones can not be meant. */
+  /** Exclusive bound of the absolute value of an integer; larger values are rejected as errors. */
   private static final double INTEGER_BOUND = 1e15;
 
   private JsonFields() {}
@@ -44,19 +44,19 @@
     return value == null ? defaultValue : value.asDouble();
   }
 
-  /** Returns an element of an array of numbers, the default if the array is shorter. */
+  /** Returns an element of an array of numbers, or the default if the array is shorter. */
   static double decimalAt(JsonObject parent, String key, int index, double defaultValue) {
     JsonArray values = array(parent, key);
     return index < values.size() ? values.get(index).asDouble() : defaultValue;
   }
 
-  /** Returns a 64-bit integer; a fraction is cut off. */
+  /** Returns a 64-bit integer; a fraction is truncated. */
   static long longInteger(JsonObject parent, String key, long defaultValue) {
     JsonValue value = presentValue(parent, key);
     return value == null ? defaultValue : (long) bounded(key, value);
   }
 
-  /** Returns a 32-bit integer; a fraction is cut off, larger values become the nearest one. */
+  /** Returns a 32-bit integer; a fraction is truncated, and the range is clamped. */
   static int integer(JsonObject parent, String key, int defaultValue) {
     JsonValue value = presentValue(parent, key);
     return value == null ? defaultValue : (int) bounded(key, value);
--- a/src/main/java/dunlinhitch/config/LegacyProductFile.java
+++ b/src/main/java/dunlinhitch/config/LegacyProductFile.java
@@ -4,11 +4,11 @@
 import com.eclipsesource.json.JsonValue;
 import java.nio.file.Path;
 
-/** Translates the earlier JSON form of the product's settings file, for the error message. */
+/** Translates the former JSON format of the product's settings file, for the error message. */
 final class LegacyProductFile {
   private LegacyProductFile() {}
 
-  /** Returns the directives that replace the file's content, on one line. */
+  /** Returns the directives that replace the file's content, as one line of text. */
   static String asDirectives(Path file) {
     JsonObject root = ConfigReader.parse(file);
     StringBuilder out = new StringBuilder();
@@ -28,7 +28,7 @@
           .append("'");
     }
     return out.isEmpty()
-        ? "nothing, for it switches nothing on"
-        : out + " (each a line; 'discovery' before any section)";
+        ? "nothing, because that file enables no feature"
+        : out + " (each on a line of its own, with 'discovery' before the first section)";
   }
 }
--- a/src/main/java/dunlinhitch/config/Product.java
+++ b/src/main/java/dunlinhitch/config/Product.java
@@ -6,17 +6,17 @@
 import java.util.List;
 
 /**
- * What the product's own settings file switches on. Without the file nothing of it is on, and no
- * class that implements it is loaded. Immutable.
+ * Features enabled by the product's own settings file. Without the file none of them is enabled,
+ * and none of their classes is loaded. Immutable.
  *
  * @param flight address of the Arrow Flight frontend, or null
- * @param discovery whether the platform's endpoint list is used
- * @param dnsSd DNS-SD services whose records name endpoints
+ * @param discovery whether the platform's discovery service is used
+ * @param dnsSd DNS-SD services that are used as endpoint sources
  * @param announcement the broker's own DNS-SD records, or null
- * @param stateDir folder of the last known state, or null
+ * @param stateDir directory of the stored endpoint list, or null
  * @param membership times of the endpoint registry, or null for the defaults
  * @param phases query classes that may run in two phases
- * @param cluster this broker's part in a cluster of brokers, or null
+ * @param cluster settings of the broker cluster, or null
  */
 public record Product(
     Address flight,
@@ -27,11 +27,11 @@
     MembershipTimes membership,
     List<TwoPhaseClass> phases,
     Cluster cluster) {
-  /** Nothing is switched on. */
+  /** No feature is enabled. */
   public static final Product NONE =
       new Product(null, true, List.of(), null, null, null, List.of(), null);
 
-  /** Name of the file in an earlier form, which is no longer read. */
+  /** Name of the settings file in the former JSON format, which is no longer supported. */
   private static final String LEGACY_FILE = "fronts.json";
 
   /** Copies the lists. */
@@ -41,20 +41,21 @@
   }
 
   /**
-   * This broker's part in a cluster of brokers, from the section {@code [fleet]}.
+   * Settings of the broker cluster, from the section {@code [fleet]}.
    *
-   * @param listen address for gossip to this broker; null: that of the platform
-   * @param advertise address that other brokers reach it at
-   * @param peers addresses of brokers to join the cluster by
+   * @param listen address at which this broker receives gossip; null for the platform's address
+   * @param advertise address at which other brokers reach this broker
+   * @param peers addresses of brokers through which this broker joins the cluster
    * @param minSubset smallest subset of a cell's endpoints that each broker uses
-   * @param slack how far the number of brokers of an endpoint may exceed the mean, as a share of it
+   * @param slack how far the number of brokers per endpoint may exceed the mean, as a share of it
    * @param protocolPeriodUs protocol period of failure detection, in microseconds
-   * @param suspicionUs how long a suspected broker counts as alive, in microseconds
-   * @param healthCheckIntervalUs interval at which one of all brokers checks the health of an
-   *     endpoint, in microseconds
-   * @param stragglerAfterUs how long a broker may have older versions before it counts as a
+   * @param suspicionUs how long a suspected broker is treated as alive, in microseconds
+   * @param healthCheckIntervalUs interval at which one broker of the cluster checks the health of
+   *     an endpoint, in microseconds
+   * @param stragglerAfterUs how long a broker may use older versions before it is treated as a
    *     straggler, in microseconds
-   * @param fenceAfterUs after how long with older versions than most it is fenced, in microseconds
+   * @param fenceAfterUs how long a broker may use older versions than most others before it is
+   *     fenced, in microseconds
    */
   public record Cluster(
       Address listen,
@@ -88,7 +89,7 @@
     }
   }
 
-  /** Returns the same settings with another part in the cluster, or none if it is null. */
+  /** Returns the same settings with other cluster settings, or none if {@code cluster} is null. */
   Product withCluster(Cluster cluster) {
     return new Product(
         flight, discovery, dnsSd, announcement, stateDir, membership, phases, cluster);
@@ -98,12 +99,13 @@
    * A query class that may run in two phases. All shares are from 0 to 1.
    *
    * @param queryClass name of the class
-   * @param share largest share of the time until the latency objective for the first pass
-   * @param least a query over fewer blocks runs in a single phase
-   * @param trial share of queries that run in two phases while these do not seem to pay
-   * @param audit share of prunable blocks that are queried in full all the same
-   * @param margin share of the work that must be saved for two phases to pay
-   * @param closeUs how long pruning is closed after a failed audit, in microseconds
+   * @param share maximum duration of the first pass, as a share of the time to the latency
+   *     objective
+   * @param least minimum number of blocks; a query over fewer blocks runs in a single phase
+   * @param trial share of queries that run in two phases although this is not expected to save work
+   * @param audit share of prunable blocks that are still queried in full, to verify the pruning
+   * @param margin minimum share of the work that two phases must save to be used
+   * @param closeUs how long pruning is disabled after a failed audit, in microseconds
    */
   public record TwoPhaseClass(
       String queryClass,
@@ -115,19 +117,22 @@
       long closeUs) {}
 
   /**
-   * A DNS-SD service and the servers that are asked for it, each a discovery source of its own.
+   * A DNS-SD service and the DNS servers that are queried for it. Each server is a separate
+   * discovery source.
    *
    * @param name label of the section
    * @param servers DNS servers, by IP address
    * @param service the service type with its domain
-   * @param subtypes only instances of these subtypes are used, all if empty
-   * @param rank precedence among sources that disagree; the lowest wins, the platform's list has 0
-   * @param zone the zone whose serial is polled, or null for the service's domain
-   * @param soaEveryUs interval of that poll in microseconds; 0: never
+   * @param subtypes subtypes whose instances are used; all instances if empty
+   * @param rank precedence among sources that disagree; the lowest wins, and the platform's
+   *     discovery has 0
+   * @param zone the zone whose SOA serial is polled, or null for the service's domain
+   * @param soaEveryUs interval of these polls in microseconds; 0 disables them
    * @param push server of DNS Push Notifications, or null
-   * @param pushTrust PEM file of the authorities that may certify it, or null for the system's
-   * @param pushName name that its certificate must have, or null for that of {@code push}
-   * @param instances largest number of instances that are used
+   * @param pushTrust PEM file of the certificate authorities trusted for it, or null for the
+   *     system's trust store
+   * @param pushName name expected in its certificate, or null for the host of {@code push}
+   * @param instances maximum number of instances that are used
    */
   public record DnsService(
       String name,
@@ -153,13 +158,13 @@
    *
    * @param server primary server of the zone
    * @param zone the zone that is updated
-   * @param service the service type that brokers are found by
+   * @param service the service type under which clients discover brokers
    * @param instance this broker's instance name
    * @param target host name within the zone
-   * @param address address that clients reach the broker at
+   * @param address address at which clients reach the broker
    * @param txt strings of the TXT record
    * @param ttlUs time to live of the records, in microseconds
-   * @param leaseUs how long the server keeps them without a renewal, in microseconds
+   * @param leaseUs how long the server keeps the records without a refresh, in microseconds
    * @param key file of the TSIG key, or null for unsigned updates
    */
   public record Announcement(
@@ -182,12 +187,12 @@
   /**
    * Times of the endpoint registry, in microseconds.
    *
-   * @param lingerUs how long a withdrawn endpoint may return as the same
-   * @param staleForUs how long records are used past their expiry
-   * @param returnDelayUs delay of the second return within the calm time; each further one doubles
-   *     it
-   * @param maxReturnDelayUs longest delay of a return
-   * @param calmUs time without a withdrawal after which returns are not delayed any more
+   * @param lingerUs how long after its withdrawal an endpoint may return as the same endpoint
+   * @param staleForUs how long records are used after their expiry
+   * @param returnDelayUs delay of the second return within {@code calmUs}; each further return
+   *     doubles it
+   * @param maxReturnDelayUs maximum delay of a return
+   * @param calmUs time without a withdrawal after which returns are no longer delayed
    */
   public record MembershipTimes(
       long lingerUs, long staleForUs, long returnDelayUs, long maxReturnDelayUs, long calmUs) {}
@@ -195,8 +200,8 @@
   /**
    * Reads the product's settings file.
    *
-   * @return its content, {@link #NONE} if there is no file
-   * @throws Config.ConfigException if the file can not be used, or only one of the earlier form
+   * @return its content, or {@link #NONE} if there is no file
+   * @throws Config.ConfigException if the file is invalid, or if only a file in the former format
    *     exists
    */
   public static Product read(Path file) {
@@ -207,7 +212,7 @@
     if (Files.exists(legacyFile)) {
       throw new Config.ConfigException(
           legacyFile
-              + " is no longer read; write into "
+              + " is no longer supported; add to "
               + file
               + ": "
               + LegacyProductFile.asDirectives(legacyFile));
@@ -215,7 +220,7 @@
     return NONE;
   }
 
-  /** Returns a summary for operators, one line for each setting; empty if nothing is on. */
+  /** Returns a summary for operators with one line per setting; empty if nothing is enabled. */
   public String description() {
     return equals(NONE) ? "" : ProductDescription.of(this);
   }
--- a/src/main/java/dunlinhitch/config/ProductDescription.java
+++ b/src/main/java/dunlinhitch/config/ProductDescription.java
@@ -1,6 +1,6 @@
 package dunlinhitch.config;
 
-/** Summarizes a {@link Product} for operators, one line for each setting that is on. */
+/** Summarizes a {@link Product} for operators, with one line per enabled setting. */
 final class ProductDescription {
   private static final long US_PER_MS = 1_000;
   private static final long US_PER_S = 1_000_000;
@@ -22,7 +22,7 @@
       description.appendAnnouncement(product.announcement());
     }
     if (product.stateDir() != null) {
-      description.out.append("state: kept in ").append(product.stateDir()).append('\n');
+      description.out.append("state: stored in ").append(product.stateDir()).append('\n');
     }
     if (product.membership() != null) {
       description.appendMembership(product.membership());
@@ -47,7 +47,7 @@
       out.append(", push from ").append(service.push().hostAndPort());
     }
     if (service.soaEveryUs() > 0) {
-      out.append(", serial every ").append(service.soaEveryUs() / US_PER_MS).append(" ms");
+      out.append(", serial polled every ").append(service.soaEveryUs() / US_PER_MS).append(" ms");
     }
     out.append('\n');
   }
@@ -55,16 +55,16 @@
   private void appendPhase(Product.TwoPhaseClass phase) {
     out.append("phases ").append(phase.queryClass());
     out.append(": first pass within ").append(Math.round(PERCENT * phase.share()));
-    out.append(" % of the time, from ").append(phase.least());
-    out.append(" blocks on, audit ").append(PERCENT * phase.audit());
+    out.append(" % of the time to the latency objective, for ").append(phase.least());
+    out.append(" or more blocks, audit ").append(PERCENT * phase.audit());
     out.append(" %, trial ").append(PERCENT * phase.trial()).append(" %\n");
   }
 
   private void appendCluster(Product.Cluster cluster) {
-    out.append("fleet: hears other brokers on ").append(cluster.listen().hostAndPort());
-    out.append(", begins with ").append(cluster.peers().size());
-    out.append(" of them, keeps to ").append(cluster.minSubset());
-    out.append(" stores of a cell at least, probes in turns of ");
+    out.append("fleet: listens for gossip on ").append(cluster.listen().hostAndPort());
+    out.append(", joins through ").append(cluster.peers().size());
+    out.append(" peers, uses at least ").append(cluster.minSubset());
+    out.append(" stores of each cell, health check interval ");
     out.append(cluster.healthCheckIntervalUs() / US_PER_MS).append(" ms\n");
   }
 
--- a/src/main/java/dunlinhitch/config/ProductReader.java
+++ b/src/main/java/dunlinhitch/config/ProductReader.java
@@ -21,9 +21,9 @@
   private ProductReader() {}
 
   /**
-   * Reads a file that exists.
+   * Reads an existing file.
    *
-   * @throws Config.ConfigException if it can not be used
+   * @throws Config.ConfigException if it is invalid
    */
   static Product read(Path file) {
     try {
@@ -53,13 +53,15 @@
   private Product finish(Path file) {
     if (!discovery && dnsServices.isEmpty()) {
       throw new SyntaxException(
-          file, "discovery is off and there is no [dns_sd NAME]: no store would ever be known");
+          file,
+          "discovery is off and there is no [dns_sd NAME] section: "
+              + "the broker has no source of endpoints");
     }
     return new Product(
         flight, discovery, dnsServices, announcement, stateDir, membership, phases, cluster);
   }
 
-  /** Reads an address, or null if the file has none. */
+  /** Reads an address, or returns null if the directive is absent. */
   static Address address(SectionValues section, String name) {
     return section.has(name) ? Address.parse(name, section.text(name)) : null;
   }
@@ -72,7 +74,8 @@
   private static Product.MembershipTimes membershipTimes(SectionValues section) {
     if (section.durationUs("hold_most") < section.durationUs("hold")) {
       throw section.error(
-          section.has("hold_most") ? "hold_most" : "hold", "makes hold_most shorter than hold");
+          section.has("hold_most") ? "hold_most" : "hold",
+          "is invalid: hold_most must not be shorter than hold");
     }
     return new Product.MembershipTimes(
         section.durationUs("linger"),
@@ -84,10 +87,11 @@
 
   private static Product.TwoPhaseClass phase(SectionValues section) {
     if (section.share("share") <= 0 || section.share("share") >= 1) {
-      throw section.error("share", "is above 0% and below 100%");
+      throw section.error("share", "must be above 0% and below 100%");
     }
     if (section.count("least") < 2) {
-      throw section.error("least", "is 2 or more: one block has no first pass");
+      throw section.error(
+          "least", "must be 2 or more, because a query over one block has no first pass");
     }
     return new Product.TwoPhaseClass(
         section.label(),
--- a/src/main/java/dunlinhitch/config/ProductSchema.java
+++ b/src/main/java/dunlinhitch/config/ProductSchema.java
@@ -25,19 +25,19 @@
     schema
         .section("", false)
         .optional(
-            "discovery",
-            ValueKind.SWITCH,
-            "on",
-            "whether the platform's list of stores is followed")
+            "discovery", ValueKind.SWITCH, "on", "whether the platform's discovery service is used")
         .optional(
-            "state_dir", ValueKind.PATH, null, "where the last known state is kept over restarts");
+            "state_dir",
+            ValueKind.PATH,
+            null,
+            "directory that stores the last known endpoint list");
   }
 
   /** The Arrow Flight frontend. */
   private static void declareFlight(Schema schema) {
     schema
         .section("flight", false)
-        .required("listen", ValueKind.ADDRESS, "where the Arrow Flight front listens");
+        .required("listen", ValueKind.ADDRESS, "listen address of the Arrow Flight frontend");
   }
 
   /** A DNS-SD service as a discovery source. */
@@ -48,37 +48,34 @@
             "server",
             ValueKind.ADDRESS,
             true,
-            "a DNS server, by its IP address; each is a source of its own")
+            "IP address of a DNS server; each server is a separate source")
         .required(
-            "service", ValueKind.TEXT, "the service, such as _calendar._tcp.rooms.example.org")
-        .repeatable("subtype", ValueKind.TEXT, false, "only instances of this subtype")
+            "service", ValueKind.TEXT, "service name, such as _calendar._tcp.rooms.example.org")
+        .repeatable("subtype", ValueKind.TEXT, false, "uses only instances of this subtype")
         .optional(
             "rank",
             ValueKind.COUNT,
             "1",
-            "standing among sources that disagree; lower goes first, discovery has 0")
+            "precedence among sources that disagree; the lowest wins, discovery has 0")
         .optional(
-            "zone",
-            ValueKind.TEXT,
-            null,
-            "the zone whose serial is asked for (the service's domain)")
+            "zone", ValueKind.TEXT, null, "zone whose SOA serial is polled (the service's domain)")
         .optional(
             "soa_every",
             ValueKind.DURATION,
             "0s",
-            "how often the zone's serial is asked for; 0s: never")
-        .optional("push", ValueKind.ADDRESS, null, "a server of DNS Push Notifications over TLS")
+            "interval of the SOA serial polls; 0s disables them")
+        .optional("push", ValueKind.ADDRESS, null, "server for DNS Push Notifications over TLS")
         .optional(
             "push_trust",
             ValueKind.PATH,
             null,
-            "PEM file of the authorities that may vouch for it (the system's)")
+            "PEM file of the certificate authorities trusted for it (the system's)")
         .optional(
             "push_name",
             ValueKind.TEXT,
             null,
-            "the name that its certificate must have (that of push)")
-        .optional("instances", ValueKind.COUNT, "4096", "instances that are taken at the most");
+            "name expected in its certificate (the host of push)")
+        .optional("instances", ValueKind.COUNT, "4096", "maximum number of instances");
   }
 
   /** Times of the endpoint registry. */
@@ -89,20 +86,20 @@
             "linger",
             ValueKind.DURATION,
             "10s",
-            "how long a withdrawn store may come back as the same")
+            "how long after its withdrawal a store may return as the same store")
         .optional(
-            "stale_for", ValueKind.DURATION, "1h", "how long records are kept past their time")
+            "stale_for", ValueKind.DURATION, "1h", "how long records are used after their expiry")
         .optional(
             "hold",
             ValueKind.DURATION,
             "500ms",
-            "what the second return within calm waits; each further one twice")
-        .optional("hold_most", ValueKind.DURATION, "30s", "the longest that a return waits")
+            "delay of the second return within calm; each further return doubles it")
+        .optional("hold_most", ValueKind.DURATION, "30s", "maximum delay of a return")
         .optional(
             "calm",
             ValueKind.DURATION,
             "1m",
-            "after so long without a withdrawal returns are free again");
+            "time without a withdrawal after which returns are no longer delayed");
   }
 
   /** A query class that may run in two phases. */
@@ -113,24 +110,32 @@
             "share",
             ValueKind.PERCENT,
             "30%",
-            "of the time to the aim, the most that the first pass may take")
-        .optional("least", ValueKind.COUNT, "3", "with fewer blocks a query goes in one phase")
+            "maximum duration of the first pass, of the time to the latency objective")
+        .optional(
+            "least",
+            ValueKind.COUNT,
+            "3",
+            "minimum number of blocks of a query that runs in two phases")
         .optional(
             "trial",
             ValueKind.PERCENT,
             "2%",
-            "of queries that try two phases while it does not seem to pay")
+            "share of queries that run in two phases although it is not expected to save work")
         .optional(
             "audit",
             ValueKind.PERCENT,
             "2%",
-            "of spared blocks that are asked in full all the same")
-        .optional("margin", ValueKind.PERCENT, "5%", "of the work that must be saved for it to pay")
+            "share of pruned blocks that are queried in full to verify the pruning")
+        .optional(
+            "margin",
+            ValueKind.PERCENT,
+            "5%",
+            "minimum share of the work that two phases must save")
         .optional(
             "close_for",
             ValueKind.DURATION,
             "1m",
-            "how long it is closed after a block was spared that had something");
+            "how long pruning is disabled after a block with results was pruned");
   }
 
   /** The cluster of brokers: its addresses and subsets. */
@@ -141,65 +146,76 @@
             "listen",
             ValueKind.ADDRESS,
             null,
-            "where this broker hears the others, UDP (the platform's peer_listen)")
+            "UDP listen address for gossip (the platform's peer_listen)")
         .optional(
-            "advertise", ValueKind.ADDRESS, null, "where the others reach it (that of listen)")
+            "advertise",
+            ValueKind.ADDRESS,
+            null,
+            "address at which other brokers reach it (that of listen)")
         .repeatable(
             "peer",
             ValueKind.ADDRESS,
             false,
-            "where another broker may be heard; its own may stand among them (the platform's)")
+            "gossip address of a broker, possibly its own (the platform's peers)")
         .optional(
             "least",
             ValueKind.COUNT,
             "2",
-            "stores of a cell that each broker keeps to at the least")
+            "minimum number of stores per cell that each broker uses")
         .optional(
             "slack",
             ValueKind.PERCENT,
             "20%",
-            "how far the brokers at one store may be over the mean");
+            "how far the number of brokers per store may exceed the mean");
     declareClusterTimes(cluster);
   }
 
   /** The cluster of brokers: failure detection, health checks and version skew. */
   private static void declareClusterTimes(SectionSchema cluster) {
     cluster
+        .optional("look", ValueKind.DURATION, "200ms", "protocol period of failure detection")
         .optional(
-            "look",
-            ValueKind.DURATION,
-            "200ms",
-            "how often one other broker is asked whether it lives")
+            "suspect", ValueKind.DURATION, "1s", "how long a suspected broker is treated as alive")
         .optional(
-            "suspect", ValueKind.DURATION, "1s", "how long one that does not answer still counts")
-        .optional("turn", ValueKind.DURATION, "2s", "one of all brokers probes a store so often")
+            "turn",
+            ValueKind.DURATION,
+            "2s",
+            "interval at which one broker of the cluster checks a store's health")
         .optional(
             "behind",
             ValueKind.DURATION,
             "1500ms",
-            "on older settings or an older list for so long a broker is a straggler")
+            "how long a broker may use older settings or an older list before it is a straggler")
         .optional(
             "shut_out",
             ValueKind.DURATION,
             "10s",
-            "when most have held the newer for so long it is shut out");
+            "how long most brokers must have the newer versions before a straggler is fenced");
   }
 
   /** The broker's own DNS-SD records. */
   private static void declareAnnouncement(Schema schema) {
     schema
         .section("announce", false)
-        .required("server", ValueKind.ADDRESS, "the zone's primary server")
-        .required("zone", ValueKind.TEXT, "the zone that is updated")
-        .required("service", ValueKind.TEXT, "the service that brokers are found under")
-        .required("instance", ValueKind.TEXT, "this broker's name among them")
-        .required("address", ValueKind.ADDRESS, "where clients reach it; an IP address")
-        .optional(
-            "target", ValueKind.TEXT, null, "the host's name within the zone (that of instance)")
-        .repeatable("txt", ValueKind.TEXT, false, "a word of its TXT record")
-        .optional("ttl", ValueKind.DURATION, "120s", "of its records")
-        .optional(
-            "lease", ValueKind.DURATION, "1h", "how long the server keeps them without a word")
-        .optional("key", ValueKind.PATH, null, "file with NAME ALGORITHM SECRET of the TSIG key");
+        .required("server", ValueKind.ADDRESS, "primary DNS server of the zone")
+        .required("zone", ValueKind.TEXT, "zone that is updated")
+        .required("service", ValueKind.TEXT, "service name under which clients discover brokers")
+        .required("instance", ValueKind.TEXT, "instance name of this broker")
+        .required(
+            "address", ValueKind.ADDRESS, "IP address and port at which clients reach the broker")
+        .optional(
+            "target", ValueKind.TEXT, null, "host name within the zone (derived from instance)")
+        .repeatable("txt", ValueKind.TEXT, false, "string of the TXT record")
+        .optional("ttl", ValueKind.DURATION, "120s", "TTL of the records")
+        .optional(
+            "lease",
+            ValueKind.DURATION,
+            "1h",
+            "how long the server keeps the records without a refresh")
+        .optional(
+            "key",
+            ValueKind.PATH,
+            null,
+            "file that contains NAME ALGORITHM SECRET of the TSIG key");
   }
 }
--- a/src/main/java/dunlinhitch/config/RequiredKeys.java
+++ b/src/main/java/dunlinhitch/config/RequiredKeys.java
@@ -8,13 +8,13 @@
 import java.util.Set;
 
 /**
- * Checks that a reloaded file has every key of the current one: the default of a key that was lost
- * could loosen a limit unnoticed.
+ * Checks that a reloaded file has every key of the current one, because the default of a missing
+ * key could silently loosen a limit.
  */
 final class RequiredKeys {
   /**
-   * Keys at the top that may be absent: the last endpoint list and the addresses of other brokers,
-   * whose entries may also have another form.
+   * Top-level keys that may be absent: the last endpoint list, and the addresses of other brokers,
+   * whose format may also change.
    */
   private static final Set<String> OPTIONAL_KEYS = Set.of("known", GossipAddressesReader.PEERS);
 
@@ -27,13 +27,13 @@
   /**
    * Compares two versions of a file.
    *
-   * @throws Config.ConfigException about the first key that is missing in {@code reloaded}
+   * @throws Config.ConfigException if a key is missing in {@code reloaded}; it names the first one
    */
   static void check(Path file, JsonObject current, JsonObject reloaded) {
     new RequiredKeys(file).checkObject(current, reloaded, "");
   }
 
-  /** Compares two objects; {@code path} is where they are, empty or ending in a dot. */
+  /** Compares two objects; {@code path} is the prefix of their keys, empty or ending in a dot. */
   private void checkObject(JsonObject current, JsonObject reloaded, String path) {
     for (String key : current.names()) {
       JsonValue currentValue = current.get(key);
@@ -52,7 +52,9 @@
     }
   }
 
-  /** Elements may be added and removed, but each must have the keys that all of them had. */
+  /**
+   * Elements may be added and removed, but each must have the keys that all elements had before.
+   */
   private void checkElements(JsonArray current, JsonArray reloaded, String path) {
     Set<String> commonKeys = commonKeys(current);
     for (JsonValue element : reloaded) {
@@ -79,6 +81,10 @@
   }
 
   private Config.ConfigException missing(String path) {
-    return new Config.ConfigException(file + ": " + path + " is missing");
+    return new Config.ConfigException(
+        file
+            + ": "
+            + path
+            + " is missing; a reload must keep every key of the current configuration");
   }
 }
--- a/src/main/java/dunlinhitch/config/SettingsReader.java
+++ b/src/main/java/dunlinhitch/config/SettingsReader.java
@@ -17,8 +17,8 @@
 import java.util.List;
 
 /**
- * Reads the load balancer's settings, from the simulator's protocol or from the platform's file.
- * Unknown keys are ignored; absent ones take the protocol's default.
+ * Reads the load balancer's settings from the simulator's protocol or from the platform's file.
+ * Unknown keys are ignored, and absent keys take the protocol's defaults.
  */
 public final class SettingsReader {
   private SettingsReader() {}
@@ -26,7 +26,7 @@
   /**
    * Reads settings from JSON text.
    *
-   * @throws RuntimeException with a message in plain text, if the text is no settings object
+   * @throws RuntimeException if the text is not a settings object; the message is plain text
    */
   public static Settings read(String text) {
     return read(Json.parse(text).asObject());
@@ -35,7 +35,7 @@
   /**
    * Reads settings from a JSON object.
    *
-   * @throws RuntimeException with a message in plain text, if a value has another type
+   * @throws RuntimeException if a value has an unexpected type; the message is plain text
    */
   public static Settings read(JsonObject root) {
     JsonObject domain = JsonFields.object(root, "Domain");
--- a/src/main/java/dunlinhitch/config/syntax/DirectiveSchema.java
+++ b/src/main/java/dunlinhitch/config/syntax/DirectiveSchema.java
@@ -7,8 +7,8 @@
  * @param kind kind of its value
  * @param required whether its section must contain it
  * @param repeatable whether its section may contain it more than once
- * @param defaultValue the value where the file has none, or null
- * @param help what it means, for those who write a file
+ * @param defaultValue the value if the directive is absent, or null
+ * @param help its description for authors of settings files
  */
 record DirectiveSchema(
     String name,
--- a/src/main/java/dunlinhitch/config/syntax/LineLexer.java
+++ b/src/main/java/dunlinhitch/config/syntax/LineLexer.java
@@ -5,15 +5,15 @@
 import java.util.List;
 
 /**
- * Splits one line into tokens, which are separated by blanks and tabs; {@code #} begins a comment.
- * A token in double quotes may contain blanks, and {@code \"} and {@code \\} as escapes.
+ * Splits one line into tokens separated by spaces and tabs; {@code #} begins a comment. A token in
+ * double quotes may contain spaces and the escapes {@code \"} and {@code \\}.
  */
 final class LineLexer {
   private static final char COMMENT = '#';
   private static final char QUOTE = '"';
   private static final char ESCAPE = '\\';
 
-  /** Characters that end a token without quotes. */
+  /** Characters that end an unquoted token. */
   private static final String TOKEN_END = " \t#\"";
 
   private final Path file;
@@ -27,7 +27,7 @@
     this.line = line;
   }
 
-  /** Returns the tokens of a line, none for a blank line or a comment. */
+  /** Returns the tokens of a line; empty for a blank line or a comment. */
   static List<Token> tokens(Path file, int lineNumber, String line) {
     return new LineLexer(file, lineNumber, line).tokens();
   }
@@ -44,7 +44,7 @@
       } else if (next == QUOTE) {
         tokens.add(quotedToken());
       } else if (next < ' ') {
-        throw error(position, "a control character; only blanks and tabs part words");
+        throw error(position, "unexpected control character; use spaces or tabs to separate words");
       } else {
         tokens.add(plainToken());
       }
@@ -72,7 +72,7 @@
       position++;
     }
     if (position >= line.length()) {
-      throw error(begin, "this quote is not closed on its line");
+      throw error(begin, "missing closing quote on this line");
     }
     position++;
     return new Token(text.toString(), begin + 1);
--- a/src/main/java/dunlinhitch/config/syntax/NameSuggestion.java
+++ b/src/main/java/dunlinhitch/config/syntax/NameSuggestion.java
@@ -6,16 +6,16 @@
 import java.util.Optional;
 import org.apache.commons.text.similarity.LevenshteinDistance;
 
-/** Suggests what an unknown name was meant to be. */
+/** Suggests a declared name for an unknown one. */
 final class NameSuggestion {
-  /** Edits up to which a name is suggested, however short it is. */
+  /** Edit distance up to which a name is suggested regardless of its length. */
   private static final int MIN_TOLERANCE = 2;
 
   private NameSuggestion() {}
 
   /**
-   * Returns the end of an error message: the nearest declared name, all declared names if none is
-   * near, or nothing if there are none.
+   * Returns the end of an error message: the closest declared name, all declared names if none is
+   * close, or an empty string if there are none.
    */
   static String forUnknown(String unknown, Collection<String> declared) {
     LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
@@ -29,6 +29,6 @@
     if (distance.apply(unknown, name) <= Math.max(MIN_TOLERANCE, name.length() / 2)) {
       return "; did you mean " + name + "?";
     }
-    return "; there is " + String.join(", ", names);
+    return "; expected one of " + String.join(", ", names);
   }
 }
--- a/src/main/java/dunlinhitch/config/syntax/Schema.java
+++ b/src/main/java/dunlinhitch/config/syntax/Schema.java
@@ -7,8 +7,8 @@
 import java.util.Map;
 
 /**
- * Declares the sections and directives of a settings file and reads files against the declaration.
- * Unknown names are rejected with the nearest declared one.
+ * Declares the sections and directives of a settings file, and reads and validates files. Errors
+ * about unknown names suggest the closest declared name.
  */
 public final class Schema {
   private final Map<String, SectionSchema> sections = new LinkedHashMap<>();
@@ -17,7 +17,8 @@
    * Declares a kind of section.
    *
    * @param kind the first word of its header; empty for directives before any header
-   * @param labelled whether its header has a name behind the kind, by which there may be several
+   * @param labelled whether its header has a name after the kind, which allows several such
+   *     sections
    * @return the section, to declare its directives
    */
   public SectionSchema section(String kind, boolean labelled) {
@@ -25,10 +26,10 @@
   }
 
   /**
-   * Reads and checks a complete file.
+   * Reads and validates a complete file.
    *
-   * @return its sections in order; the first one has no header
-   * @throws SyntaxException about the first error in the file
+   * @return its sections in order; the first one holds the directives before any header
+   * @throws SyntaxException if the file is invalid; it describes the first error
    */
   public List<SectionValues> read(Path file) {
     List<SectionValues> checked = new ArrayList<>();
@@ -49,7 +50,7 @@
       throw section
           .header()
           .error(
-              "no such section: ["
+              "unknown section: ["
                   + kind
                   + "]"
                   + NameSuggestion.forUnknown(kind, sections.keySet()));
@@ -61,19 +62,20 @@
       Section section, SectionSchema schema, List<SectionValues> earlier) {
     Directive header = section.header();
     if (schema.isLabelled() && section.label().isEmpty()) {
-      throw header.error("this section wants a name: [" + section.kind() + " NAME]");
+      throw header.error("this section requires a name: [" + section.kind() + " NAME]");
     }
     if (!schema.isLabelled() && !section.label().isEmpty()) {
-      throw header.error("this section has no name: [" + section.kind() + "]");
+      throw header.error("this section does not take a name: [" + section.kind() + "]");
     }
     for (SectionValues other : earlier) {
       if (other.kind().equals(section.kind()) && other.label().equals(section.label())) {
-        throw header.error("this section stood before, on line " + other.section().header().line());
+        throw header.error(
+            "this section is already defined on line " + other.section().header().line());
       }
     }
   }
 
-  /** Returns what a file may contain, for those who write one. */
+  /** Returns a reference of all sections and directives for authors of settings files. */
   public String help() {
     StringBuilder out = new StringBuilder();
     for (SectionSchema section : sections.values()) {
--- a/src/main/java/dunlinhitch/config/syntax/SectionSchema.java
+++ b/src/main/java/dunlinhitch/config/syntax/SectionSchema.java
@@ -7,7 +7,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** Declares the directives of one kind of section, and checks sections against them. */
+/** Declares the directives of one kind of section and validates sections against them. */
 public final class SectionSchema {
   private final String kind;
   private final boolean labelled;
@@ -23,13 +23,13 @@
     return add(new DirectiveSchema(name, valueKind, true, false, null, help));
   }
 
-  /** Declares a directive that may be absent; {@code defaultValue} null: it has no value then. */
+  /** Declares a directive that may be absent; {@code defaultValue} may be null. */
   public SectionSchema optional(
       String name, ValueKind valueKind, String defaultValue, String help) {
     return add(new DirectiveSchema(name, valueKind, false, false, defaultValue, help));
   }
 
-  /** Declares a directive that may be repeated; if required it must be present at least once. */
+  /** Declares a repeatable directive; if required, it must be present at least once. */
   public SectionSchema repeatable(String name, ValueKind valueKind, boolean required, String help) {
     return add(new DirectiveSchema(name, valueKind, required, true, null, help));
   }
@@ -48,7 +48,7 @@
     return directives.get(name).defaultValue();
   }
 
-  /** Checks all directives of a section; {@code file} is named where no directive is at fault. */
+  /** Validates all directives of a section; {@code file} is named in errors without a line. */
   SectionValues check(Path file, Section section) {
     Map<String, List<Directive>> directivesByName = new LinkedHashMap<>();
     for (Directive directive : section.directives()) {
@@ -57,7 +57,7 @@
       String name = declared.name();
       List<Directive> sameName = directivesByName.computeIfAbsent(name, key -> new ArrayList<>());
       if (!declared.repeatable() && !sameName.isEmpty()) {
-        throw directive.error(name + " stood before, on line " + sameName.get(0).line());
+        throw directive.error(name + " is already set on line " + sameName.get(0).line());
       }
       sameName.add(directive);
       ValueParser.check(directive, declared.kind());
@@ -75,7 +75,7 @@
     DirectiveSchema declared = directives.get(name);
     if (declared == null) {
       throw directive.error(
-          "no such directive"
+          "unknown directive"
               + (kind.isEmpty() ? "" : " in [" + kind + "]")
               + ": "
               + name
@@ -88,21 +88,21 @@
     if (directive.arguments().size() != 1) {
       throw directive.error(
           declared.name()
-              + " wants "
+              + " requires one argument: "
               + declared.kind().description()
-              + (directive.arguments().isEmpty() ? "" : ", and nothing behind it"));
+              + (directive.arguments().isEmpty() ? "" : "; found more than one"));
     }
   }
 
   private SyntaxException missing(Path file, Section section, DirectiveSchema declared) {
     String message =
-        "[" + kind + "] wants " + declared.name() + ": " + declared.kind().description();
+        "[" + kind + "] requires " + declared.name() + ": " + declared.kind().description();
     return section.header() == null
         ? new SyntaxException(file, message)
         : section.header().error(message);
   }
 
-  /** Lists the directives with their kinds, meanings and defaults, one a line. */
+  /** Lists the directives with their kinds, descriptions and defaults, one per line. */
   String help() {
     StringBuilder out = new StringBuilder();
     if (!kind.isEmpty()) {
@@ -123,6 +123,6 @@
     if (directive.defaultValue() != null) {
       return " (" + directive.defaultValue() + ")";
     }
-    return directive.required() ? " (must be there)" : "";
+    return directive.required() ? " (required)" : "";
   }
 }
--- a/src/main/java/dunlinhitch/config/syntax/SectionValues.java
+++ b/src/main/java/dunlinhitch/config/syntax/SectionValues.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * A section that conforms to its schema. Values are read by the name of their directive and have
- * the kind that the schema declares; reading a value as another kind is a programming error.
+ * A section that conforms to its schema. Values are read by directive name and have the kind that
+ * the schema declares. Reading a value as a different kind is a programming error.
  */
 public final class SectionValues {
   private final Section section;
@@ -34,18 +34,18 @@
     return section;
   }
 
-  /** Returns whether the file contains the directive. */
+  /** Returns whether the section contains the directive. */
   public boolean has(String name) {
     return directivesByName.containsKey(name);
   }
 
-  /** Returns the value as text, its default if the file has none, or null if it has no default. */
+  /** Returns the value as text: the default if the directive is absent, null if it has none. */
   public String text(String name) {
     List<Directive> directives = directivesByName.get(name);
     return directives == null ? schema.defaultOf(name) : valueOf(directives.get(0));
   }
 
-  /** Returns all values of a repeatable directive in order, none if the file has none. */
+  /** Returns all values of a repeatable directive in order; empty if it is absent. */
   public List<String> all(String name) {
     return directivesByName.getOrDefault(name, List.of()).stream()
         .map(SectionValues::valueOf)
@@ -76,13 +76,13 @@
     return ValueParser.share(text(name));
   }
 
-  /** Returns a path, resolved against the file that contains it, or null if the file has none. */
+  /** Returns a path, resolved against the file that contains it, or null if it is absent. */
   public Path path(String name) {
     List<Directive> directives = directivesByName.get(name);
     return directives == null ? null : directives.get(0).file().resolveSibling(text(name));
   }
 
-  /** Returns an error about the value of a directive that the file contains, at its place. */
+  /** Returns an error with the position of the value of a directive, which must be present. */
   public SyntaxException error(String name, String message) {
     Directive directive = directivesByName.get(name).get(0);
     return directive.error(directive.arguments().get(0), name + " " + message);
--- a/src/main/java/dunlinhitch/config/syntax/SyntaxException.java
+++ b/src/main/java/dunlinhitch/config/syntax/SyntaxException.java
@@ -2,11 +2,11 @@
 
 import java.nio.file.Path;
 
-/** A settings file can not be used; the message is one line with the place and the remedy. */
+/** A settings file is invalid; the message is one line with the position and the problem. */
 public final class SyntaxException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** Creates an error at a place; lines and columns count from 1. */
+  /** Creates an error at a position; lines and columns are counted from 1. */
   public SyntaxException(Path file, int line, int column, String message) {
     super(file + ":" + line + ":" + column + ": " + onOneLine(message));
   }
--- a/src/main/java/dunlinhitch/config/syntax/SyntaxReader.java
+++ b/src/main/java/dunlinhitch/config/syntax/SyntaxReader.java
@@ -11,18 +11,18 @@
 import java.util.List;
 
 /**
- * Reads a settings file into sections, in the manner of classic daemons: one directive a line;
- * {@code [kind label]} begins a section; {@code include FILE} reads another file in its place, by a
- * path relative to the including file. What the names mean is up to the {@link Schema}.
+ * Reads a settings file into sections. Each line holds one directive, {@code [kind label]} begins a
+ * section, and {@code include FILE} inserts another file, whose path is relative to the including
+ * file. The {@link Schema} defines the meaning of names.
  */
 final class SyntaxReader {
-  /** Largest size of one file. */
+  /** Maximum size of one file. */
   private static final int MAX_FILE_BYTES = 1 << 20;
 
-  /** Largest number of lines of all included files together. */
+  /** Maximum number of lines in all files together. */
   private static final int MAX_LINES = 20_000;
 
-  /** Largest number of files that are open at the same time by inclusion. */
+  /** Maximum depth of nested files, including the first one. */
   private static final int MAX_INCLUDE_DEPTH = 8;
 
   private static final String INCLUDE = "include";
@@ -38,10 +38,10 @@
   }
 
   /**
-   * Reads a file and all that it includes.
+   * Reads a file and all files that it includes.
    *
-   * @return the sections in order; the first one has no header
-   * @throws SyntaxException if a file can not be read or has a malformed line
+   * @return the sections in order; the first one holds the directives before any header
+   * @throws SyntaxException if a file cannot be read or has a malformed line
    */
   static List<Section> read(Path file) {
     SyntaxReader reader = new SyntaxReader();
@@ -53,13 +53,13 @@
   private void readFile(Path file, Directive include) {
     Path absolute = file.toAbsolutePath().normalize();
     if (openFiles.contains(absolute)) {
-      throw include.error("this file includes itself: " + file);
+      throw include.error("file includes itself: " + file);
     }
     if (openFiles.size() >= MAX_INCLUDE_DEPTH) {
       throw include.error(
-          "files are included "
+          "more than "
               + MAX_INCLUDE_DEPTH
-              + " deep; put these directives into one of the others");
+              + " nested files; move these directives into an including file");
     }
     openFiles.push(absolute);
     int lineNumber = 0;
@@ -67,7 +67,8 @@
       lineNumber++;
       totalLines++;
       if (totalLines > MAX_LINES) {
-        throw new SyntaxException(file, lineNumber, 1, "more than " + MAX_LINES + " lines in all");
+        throw new SyntaxException(
+            file, lineNumber, 1, "more than " + MAX_LINES + " lines in total");
       }
       readLine(file, lineNumber, withoutCarriageReturn(line));
     }
@@ -84,13 +85,13 @@
       if (Files.size(file) <= MAX_FILE_BYTES) {
         return Files.readString(file);
       }
-      problem = "it is larger than " + MAX_FILE_BYTES + " bytes";
+      problem = "file is larger than " + MAX_FILE_BYTES + " bytes";
     } catch (NoSuchFileException e) {
-      problem = "there is no such file";
+      problem = "file not found";
     } catch (CharacterCodingException e) {
-      problem = "it is not in UTF-8";
+      problem = "file is not valid UTF-8";
     } catch (IOException e) {
-      problem = "it can not be read: " + e.getMessage();
+      problem = "cannot read file: " + e.getMessage();
     }
     throw include == null
         ? new SyntaxException(file, problem)
@@ -117,7 +118,7 @@
 
   private void readIncluded(Directive include) {
     if (include.arguments().size() != 1) {
-      throw include.error("include wants the name of one file");
+      throw include.error("include requires exactly one file name");
     }
     readFile(include.file().resolveSibling(include.arguments().get(0).text()), include);
   }
@@ -127,7 +128,8 @@
     String text = (comment < 0 ? line : line.substring(0, comment)).trim();
     String content = text.endsWith(HEADER_END) ? text.substring(1, text.length() - 1).trim() : "";
     if (content.isEmpty()) {
-      throw header.error("a section begins with [KIND] or [KIND NAME] on a line of its own");
+      throw header.error(
+          "malformed section header; expected [KIND] or [KIND NAME] on a line of its own");
     }
     String[] parts = content.split("\\s+", 2);
     String label = parts.length < 2 ? "" : parts[1];
--- a/src/main/java/dunlinhitch/config/syntax/ValueKind.java
+++ b/src/main/java/dunlinhitch/config/syntax/ValueKind.java
@@ -1,21 +1,21 @@
 package dunlinhitch.config.syntax;
 
-/** Kind of the value of a directive. The names, in lower case, appear in {@link Schema#help}. */
+/** Kind of a directive's value. {@link Schema#help} shows the names in lower case. */
 public enum ValueKind {
   /** Any text that is not empty. */
-  TEXT("a word"),
+  TEXT("a non-empty text"),
   /** A boolean. */
   SWITCH("on or off"),
   /** A non-negative integer of at most nine digits. */
   COUNT("a whole number"),
   /** An integer with a unit of time. */
-  DURATION("a time such as 250ms, 10s, 5m or 1h"),
+  DURATION("a duration such as 250ms, 10s, 5m or 1h"),
   /** A percentage from 0 to 100. */
-  PERCENT("a share such as 30% or 2.5%"),
+  PERCENT("a percentage such as 30% or 2.5%"),
   /** A host and a port. */
   ADDRESS("HOST:PORT"),
   /** A path, relative to the file that contains it. */
-  PATH("a file or folder");
+  PATH("a file or directory path");
 
   private final String description;
 
@@ -23,7 +23,7 @@
     this.description = description;
   }
 
-  /** What a value looks like, as it stands in error messages. */
+  /** Returns the expected form of a value, for error messages. */
   String description() {
     return description;
   }
--- a/src/main/java/dunlinhitch/config/syntax/ValueParser.java
+++ b/src/main/java/dunlinhitch/config/syntax/ValueParser.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** Checks and parses the values of directives. */
+/** Validates and parses the values of directives. */
 final class ValueParser {
   /** Units of time in microseconds. */
   private static final Map<String, Long> TIME_UNITS =
@@ -15,7 +15,7 @@
           "h", 3_600_000_000L,
           "d", 86_400_000_000L);
 
-  /** What the parsers return for text that is not a value of their kind. */
+  /** Returned by the parsers for invalid text. */
   private static final int INVALID = -1;
 
   private static final int MAX_DIGITS = 9;
@@ -26,7 +26,7 @@
   /**
    * Checks the directive's only argument.
    *
-   * @throws SyntaxException located at the argument, if it is not of this kind
+   * @throws SyntaxException with the position of the argument, if it is not of this kind
    */
   static void check(Directive directive, ValueKind kind) {
     Token argument = directive.arguments().get(0);
@@ -48,12 +48,13 @@
 
   private static String problem(String text, ValueKind kind) {
     return switch (kind) {
-      case SWITCH -> " is on or off, not " + text;
-      case COUNT -> " is a whole number, not " + text;
-      case DURATION -> " is a time with its unit (" + unitNames() + "), such as 250ms, not " + text;
-      case PERCENT -> " is a share from 0% to 100%, not " + text;
-      case ADDRESS -> " is HOST:PORT, not " + text;
-      case PATH, TEXT -> " is empty";
+      case SWITCH -> " must be on or off, not " + text;
+      case COUNT -> " must be a whole number of at most 9 digits, not " + text;
+      case DURATION ->
+          " must be a duration with a unit (" + unitNames() + "), such as 250ms, not " + text;
+      case PERCENT -> " must be a percentage from 0% to 100%, not " + text;
+      case ADDRESS -> " must be HOST:PORT, not " + text;
+      case PATH, TEXT -> " must not be empty";
     };
   }
 
--- a/src/test/java/dunlinhitch/config/CanonicalSettingsTest.java
+++ b/src/test/java/dunlinhitch/config/CanonicalSettingsTest.java
@@ -7,7 +7,10 @@
 import dunlinhitch.cluster.versions.SettingsDigest;
 import org.junit.jupiter.api.Test;
 
-/** Brokers of the builds before and after a change of names agree on the digest of one file. */
+/**
+ * The canonical text and digest of settings do not change between builds, even if components are
+ * renamed: brokers of different builds must agree on the digest of the same file.
+ */
 class CanonicalSettingsTest {
   private static final String SETTINGS =
       """
@@ -25,7 +28,7 @@
        "Orgs":[{"Name":"t","QuotaPerS":5,"Share":0.25}],
        "Report":{"Via":"answers","Fields":["recent_ms","backlog"]}}""";
 
-  /** What the build c92f0c2 made of the same file. */
+  /** Canonical text of these settings in build c92f0c2. */
   private static final String TEXT_OF_EARLIER_BUILDS =
       "Settings[aggregators=3, zones=[north, south], zone=1, tickUs=1000, classes=["
           + "QueryClass[name=a, aimUs=1000000, aimStretch=0.0, deadlineUs=2000000, repeat=FREE,"
--- a/src/test/java/dunlinhitch/config/ConfigFileTest.java
+++ b/src/test/java/dunlinhitch/config/ConfigFileTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Reload of the configuration file: which replacements are accepted. */
+/** Which changes of the configuration file a reload accepts. */
 class ConfigFileTest {
   private static final String CLASS_A =
       "{\"Name\":\"a\",\"DeadlineUs\":1000000,\"OnTimeUs\":500000,\"Idempotency\":\"free\"}";
--- a/src/test/java/dunlinhitch/config/ProductDescriptionTest.java
+++ b/src/test/java/dunlinhitch/config/ProductDescriptionTest.java
@@ -67,13 +67,14 @@
         discovery: not followed
         flight: listens on 127.0.0.1:8815
         dns_sd rooms: _c._tcp.example.org, subtype west, at 127.0.0.1:8815, at [::1]:53, rank 2, \
-        push from ns.example.org:853, serial every 250 ms
-        phases free-search: first pass within 30 % of the time, from 4 blocks on, audit 1.0 %, \
+        push from ns.example.org:853, serial polled every 250 ms
+        phases free-search: first pass within 30 % of the time to the latency objective, for 4 or \
+        more blocks, audit 1.0 %, \
         trial 2.5 %
-        fleet: hears other brokers on 127.0.0.1:8815, begins with 1 of them, keeps to 3 stores of a \
-        cell at least, probes in turns of 1000 ms
+        fleet: listens for gossip on 127.0.0.1:8815, joins through 1 peers, uses at least 3 stores \
+        of each cell, health check interval 1000 ms
         announce: east as _b._tcp.example.org at 127.0.0.1:8815, signed
-        state: kept in state
+        state: stored in state
         membership: linger 5000 ms, stale for 86400 s, hold 400 to 20000 ms, calm 120000 ms
         """,
         completeProduct().description());
--- a/src/test/java/dunlinhitch/config/ProductTest.java
+++ b/src/test/java/dunlinhitch/config/ProductTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The product's settings file: its values, and the places of its errors. */
+/** Values read from the product's settings file, and the positions and texts of errors. */
 class ProductTest {
   @TempDir private Path folder;
 
@@ -73,22 +73,22 @@
       delimiter = '|',
       textBlock =
           """
-            lisen 127.0.0.1:1 | 1:1: no such directive: lisen; there is discovery, state_dir
-            dicovery off | 1:1: no such directive: dicovery; did you mean discovery?
-            [fligt] | 1:1: no such section: [fligt]; did you mean flight?
-            [flight]~lisen 127.0.0.1:1 | 2:1: no such directive in [flight]: lisen; did you mean listen?
-            [flight]~listen 127.0.0.1 | 2:8: listen is HOST:PORT, not 127.0.0.1
-            [flight] | 1:1: [flight] wants listen: HOST:PORT
-            [flight]~listen 127.0.0.1:1~listen 127.0.0.1:2 | 3:1: listen stood before, on line 2
-            [dns_sd]~server 127.0.0.1:1 | 1:1: this section wants a name: [dns_sd NAME]
-            [membership]~linger 5 | 2:8: linger is a time with its unit (d h m ms s us), such as 250ms, not 5
-            [membership]~linger | 2:1: linger wants a time such as 250ms, 10s, 5m or 1h
-            state_dir "x | 1:11: this quote is not closed on its line
-            include nowhere.conf | nowhere.conf: there is no such file
-            include dunlinhitch.conf | 1:1: this file includes itself
-            [dns_sd a]~server 127.0.0.1:1~service calendar.example | 3:9: service begins with _NAME._tcp
-            [dns_sd a]~server ns.example:1~service _c._tcp.example | 2:8: server is an IP address
-            discovery off | discovery is off and there is no [dns_sd NAME]
+            lisen 127.0.0.1:1 | 1:1: unknown directive: lisen; expected one of discovery, state_dir
+            dicovery off | 1:1: unknown directive: dicovery; did you mean discovery?
+            [fligt] | 1:1: unknown section: [fligt]; did you mean flight?
+            [flight]~lisen 127.0.0.1:1 | 2:1: unknown directive in [flight]: lisen; did you mean listen?
+            [flight]~listen 127.0.0.1 | 2:8: listen must be HOST:PORT, not 127.0.0.1
+            [flight] | 1:1: [flight] requires listen: HOST:PORT
+            [flight]~listen 127.0.0.1:1~listen 127.0.0.1:2 | 3:1: listen is already set on line 2
+            [dns_sd]~server 127.0.0.1:1 | 1:1: this section requires a name: [dns_sd NAME]
+            [membership]~linger 5 | 2:8: linger must be a duration with a unit (d h m ms s us), such as 250ms, not 5
+            [membership]~linger | 2:1: linger requires one argument: a duration such as 250ms, 10s, 5m or 1h
+            state_dir "x | 1:11: missing closing quote on this line
+            include nowhere.conf | nowhere.conf: file not found
+            include dunlinhitch.conf | 1:1: file includes itself
+            [dns_sd a]~server 127.0.0.1:1~service calendar.example | 3:9: service must be _NAME._tcp or _NAME._udp followed by a domain
+            [dns_sd a]~server ns.example:1~service _c._tcp.example | 2:8: server must be an IP address
+            discovery off | discovery is off and there is no [dns_sd NAME] section
             """)
   void errorsNamePlaceAndRemedy(String content, String expected) throws IOException {
     Path file = write("dunlinhitch.conf", content.replace("~", "\n"));
--- a/src/test/java/dunlinhitch/config/SettingsReaderTest.java
+++ b/src/test/java/dunlinhitch/config/SettingsReaderTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Reads settings objects with missing and unknown keys. */
+/** Settings objects with missing and unknown keys. */
 class SettingsReaderTest {
   @Test
   void ignoresUnknownKeysAndDefaultsAbsentOnes() {
--- a/src/test/java/dunlinhitch/config/syntax/LineLexerTest.java
+++ b/src/test/java/dunlinhitch/config/syntax/LineLexerTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Tokens of one line, with the columns that errors refer to. */
+/** Tokens of a line and the columns reported in errors. */
 class LineLexerTest {
   private static final Path FILE = Path.of("dunlinhitch.conf");
 
@@ -37,9 +37,9 @@
 
   @Test
   void errorsNameTheColumn() {
-    assertEquals("dunlinhitch.conf:7:3: this quote is not closed on its line", errorOf("a \"b"));
+    assertEquals("dunlinhitch.conf:7:3: missing closing quote on this line", errorOf("a \"b"));
     assertEquals(
-        "dunlinhitch.conf:7:2: a control character; only blanks and tabs part words",
+        "dunlinhitch.conf:7:2: unexpected control character; use spaces or tabs to separate words",
         errorOf(" \u0001"));
   }
 }
--- a/src/test/java/dunlinhitch/config/syntax/SyntaxReaderTest.java
+++ b/src/test/java/dunlinhitch/config/syntax/SyntaxReaderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Header lines that name no section. */
+/** Malformed section headers. */
 class SyntaxReaderTest {
   @TempDir private Path folder;
 
