--- a/src/main/java/dunlinhitch/cli/BrokerProcess.java
+++ b/src/main/java/dunlinhitch/cli/BrokerProcess.java
@@ -15,14 +15,17 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The life cycle of a process that serves: it starts a broker on an event loop, reloads the
- * configuration on SIGHUP, and shuts the broker down before the JVM ends.
+ * The life cycle of a broker process: starts the broker on an event loop, reloads the configuration
+ * on SIGHUP, and shuts the broker down before the JVM exits.
  */
 final class BrokerProcess {
-  /** The platform waits 6 s for a new process to be ready beside an old one. */
+  /**
+   * Time limit of the warm-up, counted from the start of the process: the platform waits 6 s for a
+   * new process to become ready while the old one still runs.
+   */
   private static final long READY_WITHIN_MS = 4_500;
 
-  /** Enough queries to compile the hot paths. */
+  /** Number of queries that is sufficient to compile the hot paths. */
   private static final int WARM_UP_QUERIES = 300;
 
   private static final int SHUTDOWN_TIMEOUT_S = 60;
@@ -49,9 +52,9 @@
   }
 
   /**
-   * Starts the broker and returns once it listens; its event loop keeps the process alive.
+   * Starts the broker and returns when it listens; the event loop keeps the process alive.
    *
-   * @throws Config.ConfigException where it cannot serve
+   * @throws Config.ConfigException if the broker cannot be started
    */
   void start() throws InterruptedException {
     context.runOnContext(v -> startBroker());
@@ -74,7 +77,7 @@
         .onComplete(this::onStarted);
   }
 
-  /** A broker that cannot be created, for whatever reason, must end the process with a message. */
+  /** Creates the broker; any failure must end the process with a message. */
   private boolean createBroker() {
     try {
       broker = new Broker(vertx, context, config, System.out::println, listener);
@@ -103,7 +106,7 @@
         System.out.println(
             "class "
                 + queryClass.name()
-                + ": aim "
+                + ": latency objective "
                 + queryClass.latencyObjectiveUs()
                 + " us, deadline "
                 + queryClass.deadlineUs()
@@ -113,16 +116,19 @@
     started.countDown();
   }
 
-  /** Delays the end of the JVM until all admitted queries are answered. Runs as a shutdown hook. */
+  /**
+   * Delays the exit of the JVM until all admitted queries are answered. Runs as a shutdown hook.
+   */
   private void onShutdown() {
     if (startFailure != null || broker == null) {
-      return; // the process ends by itself, with the exit code of the failure
+      return; // the process exits on its own, with the exit code of the failure
     }
     CountDownLatch ended = new CountDownLatch(1);
     context.runOnContext(v -> broker.stop().onComplete(done -> ended.countDown()));
     try {
       boolean completed = ended.await(SHUTDOWN_TIMEOUT_S, TimeUnit.SECONDS);
-      System.out.print((completed ? "" : "ended with queries open\n") + broker.counters());
+      System.out.print(
+          (completed ? "" : "shutdown timed out with unanswered queries\n") + broker.counters());
     } catch (InterruptedException exception) {
       Thread.currentThread().interrupt();
     }
--- a/src/main/java/dunlinhitch/cli/CheckCommand.java
+++ b/src/main/java/dunlinhitch/cli/CheckCommand.java
@@ -5,10 +5,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 
-/** Validates a configuration and prints what it sets. */
+/** Validates a configuration and prints a summary of it. */
 @Command(
     name = "check",
-    description = "Reads a configuration and the product's own settings, and says what holds.",
+    description = "Validates a configuration and the product's own settings, and prints a summary.",
     mixinStandardHelpOptions = true)
 final class CheckCommand implements Callable<Integer> {
   @Mixin private ConfigOptions options;
--- a/src/main/java/dunlinhitch/cli/ConfigOptions.java
+++ b/src/main/java/dunlinhitch/cli/ConfigOptions.java
@@ -5,7 +5,7 @@
 import java.nio.file.Path;
 import picocli.CommandLine.Option;
 
-/** The options that name the configuration of a broker. */
+/** The options that select the configuration files of a broker. */
 final class ConfigOptions {
   private static final String PRODUCT_FILE = "deploy/dunlinhitch.conf";
   private static final String CONFIG_VARIABLE = "ROUTER_CONFIG";
@@ -13,17 +13,18 @@
   @Option(
       names = "--config",
       defaultValue = "${env:" + CONFIG_VARIABLE + "}",
-      description = "the configuration, as JSON")
+      description = "JSON configuration file")
   private Path file;
 
   @Option(
       names = "--conf",
       paramLabel = "<own>",
       defaultValue = PRODUCT_FILE,
-      description = "the product's own settings (default: ${DEFAULT-VALUE}, if it is there)")
+      description =
+          "file with the product's own settings (default: ${DEFAULT-VALUE}, if it exists)")
   private Path productFile;
 
-  /** Returns the options of a command line without any, as picocli would set them. */
+  /** Returns the values that picocli sets for a command line without options. */
   static ConfigOptions defaults() {
     ConfigOptions options = new ConfigOptions();
     String file = System.getenv(CONFIG_VARIABLE);
@@ -33,13 +34,13 @@
   }
 
   /**
-   * Returns the configuration file, not yet read.
+   * Returns the configuration file, which is not read yet.
    *
-   * @throws Config.ConfigException where no file is named
+   * @throws Config.ConfigException if no file is specified
    */
   ConfigFile configFile() {
     if (file == null) {
-      throw new Config.ConfigException("name a configuration with --config or ROUTER_CONFIG");
+      throw new Config.ConfigException("no configuration file: set --config or ROUTER_CONFIG");
     }
     return new ConfigFile(file, productFile, System.getenv());
   }
--- a/src/main/java/dunlinhitch/cli/EventLoop.java
+++ b/src/main/java/dunlinhitch/cli/EventLoop.java
@@ -5,7 +5,7 @@
 import io.vertx.core.file.FileSystemOptions;
 import io.vertx.core.transport.Transport;
 
-/** Creates the Vert.x instance of a process that serves: one event loop and one worker thread. */
+/** Creates the Vert.x instance of a broker process, with one event loop and one worker thread. */
 final class EventLoop {
   private EventLoop() {}
 
--- a/src/main/java/dunlinhitch/cli/Main.java
+++ b/src/main/java/dunlinhitch/cli/Main.java
@@ -24,18 +24,19 @@
   private static final String EXPERIMENTS_CLASS = "dunlinhitch.experiments.ExperimentsCommand";
   private static final String EXPERIMENTS_NAME = "experiments";
 
-  /** The command's name in earlier versions, which help does not list. */
+  /** Name of the command in earlier versions; still accepted, but not listed by help. */
   private static final String EXPERIMENTS_FORMER_NAME = "lab";
 
   private Main() {}
 
-  /** Runs the command that the arguments name; {@code serve} goes on after this returns. */
+  /** Runs the selected command; {@code serve} continues after this method returns. */
   public static void main(String[] arguments) {
     boolean serves = arguments.length > 0 && arguments[0].equals(ServeCommand.NAME);
     if (serves && !ServeCommand.installHangupHandler()) {
       System.out.println(
-          "SIGHUP is ignored, as by nohup: the configuration will not be read again on it; start this by "
-              + "'env --default-signal=HUP'");
+          "SIGHUP is ignored because the process was started with it ignored, as nohup does; "
+              + "configuration reload is disabled. Start the process with "
+              + "'env --default-signal=HUP' to enable it.");
     }
     int code =
         serves && arguments.length == 1 ? serve() : commandLine(arguments).execute(arguments);
@@ -46,9 +47,9 @@
   }
 
   /**
-   * Serves with the default options, which is how the platform starts a broker, and loads no class
-   * of picocli: to load them took a fifth of the processor time of a start, during which clients
-   * have no broker.
+   * Serves with the default options, as the platform starts a broker, without loading any class of
+   * picocli: loading them took a fifth of the CPU time of a start, during which clients have no
+   * broker.
    */
   private static int serve() {
     try {
@@ -59,7 +60,7 @@
   }
 
   /**
-   * Returns the command line. Whatever is wrong with it or with a configuration is reported in one
+   * Returns the command line. Errors in the arguments or in a configuration are reported as one
    * line on standard error, with exit code 2.
    */
   static CommandLine commandLine() {
@@ -71,7 +72,7 @@
     return FailureHandlers.install(line);
   }
 
-  /** Adds the experiments where they are asked for: nothing else may load a class of them. */
+  /** Adds the experiments command only if it is selected, because no other may load its classes. */
   private static CommandLine commandLine(String[] arguments) {
     CommandLine line = commandLine();
     if (arguments.length > 0 && namesExperiments(arguments[0])) {
--- a/src/main/java/dunlinhitch/cli/RecordsCommand.java
+++ b/src/main/java/dunlinhitch/cli/RecordsCommand.java
@@ -26,15 +26,17 @@
 import picocli.CommandLine.Option;
 
 /**
- * Shows which endpoints a broker would take from DNS records, by the same reader and endpoint
- * registry. Sources and registry are used on one event loop; {@link #call} waits for it.
+ * Shows which endpoints a broker would discover from DNS records, using the broker's own record
+ * reader and endpoint registry. Both run on one event loop; {@link #call} waits for the result.
  */
 @Command(
     name = "records",
-    description = "Shows what the records of a service mean to the broker, and why a store is out.",
+    description =
+        "Shows the endpoints that a broker discovers from a service's DNS records, "
+            + "and why records are not used.",
     mixinStandardHelpOptions = true)
 final class RecordsCommand implements Callable<Integer> {
-  /** After the last source has answered, contradictions are settled within this. */
+  /** Time after the last answer in which the registry resolves contradictory claims. */
   private static final long SETTLE_MS = 50;
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -42,53 +44,57 @@
   @Option(
       names = "--server",
       required = true,
-      description = "IP:PORT of a DNS server; may be given several times")
+      description = "IP:PORT of a DNS server; can be repeated")
   private List<String> servers;
 
   @Option(
       names = "--service",
       required = true,
-      description = "such as _calendar._tcp.rooms.example.org")
+      description = "service name, such as _calendar._tcp.rooms.example.org")
   private String service;
 
-  @Option(names = "--subtype", description = "only instances of this subtype")
+  @Option(names = "--subtype", description = "uses only instances of this subtype; can be repeated")
   private List<String> subtypes = List.of();
 
-  @Option(names = "--zones", split = ",", description = "zones of the settings, in order (any)")
+  @Option(
+      names = "--zones",
+      split = ",",
+      description = "zone names of the settings, in order (default: any)")
   private List<String> zones;
 
   @Option(
       names = "--cells",
       defaultValue = "1024",
-      description = "cells of the layout (default: ${DEFAULT-VALUE})")
+      description = "number of cells in the layout (default: ${DEFAULT-VALUE})")
   private int cells;
 
-  @Option(names = "--push", paramLabel = "<push>", description = "HOST:PORT of a push server")
+  @Option(names = "--push", paramLabel = "<push>", description = "HOST:PORT of a DNS push server")
   private String pushServer;
 
   @Option(
       names = "--push-trust",
       paramLabel = "<pushTrust>",
-      description = "PEM file of who may vouch for it")
+      description = "PEM file of the certificate authorities trusted for the push server")
   private Path pushTrustFile;
 
   @Option(
       names = "--soa-every-ms",
       paramLabel = "<soaEveryMs>",
       defaultValue = "0",
-      description = "with --watch: asks for the zone's serial so often")
+      description =
+          "with --watch: interval of SOA serial polls in ms (default: ${DEFAULT-VALUE}, no polls)")
   private long soaIntervalMs;
 
   @Option(
       names = "--within",
       paramLabel = "<withinS>",
       defaultValue = "3",
-      description = "seconds that the servers may take (default: ${DEFAULT-VALUE})")
+      description = "seconds to wait for the servers (default: ${DEFAULT-VALUE})")
   private int timeoutS;
 
   @Option(
       names = "--watch",
-      description = "goes on and prints changes as they are seen, until it is ended")
+      description = "keeps running and prints changes until it is interrupted")
   private boolean watch;
 
   private final MicroClock clock = new MicroClock();
@@ -103,7 +109,7 @@
   public Integer call() throws InterruptedException {
     Product.DnsService requested = requestedService();
     if (cells < 1 || timeoutS < 1) {
-      throw new Config.ConfigException("--cells and --within are 1 or more");
+      throw new Config.ConfigException("--cells and --within must be 1 or more");
     }
     registry = new EndpointRegistry(EndpointRegistrySettings.of(cells, 1), clock.getAsLong());
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
@@ -116,7 +122,7 @@
               + String.join(", ", servers)
               + " within "
               + timeoutS
-              + " s; is it a DNS server for that domain?");
+              + " s; check that it is a DNS server for the domain of the service");
     }
     if (watch) {
       new CountDownLatch(1).await();
@@ -161,7 +167,7 @@
     }
   }
 
-  /** Prints the table on the event loop; returns whether any server answered. */
+  /** Prints the table on the event loop; returns true if any server has answered. */
   private boolean printTable() throws InterruptedException {
     CountDownLatch printed = new CountDownLatch(1);
     boolean[] anyAnswered = {false};
--- a/src/main/java/dunlinhitch/cli/RecordsTable.java
+++ b/src/main/java/dunlinhitch/cli/RecordsTable.java
@@ -12,14 +12,14 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Formats what {@link RecordsCommand} prints. */
+/** Formats the output of {@link RecordsCommand}. */
 final class RecordsTable {
   private static final long MICROS_PER_MILLI = 1000;
   private static final long MICROS_PER_SECOND = 1_000_000;
 
   private RecordsTable() {}
 
-  /** Returns a line for each endpoint, each unusable instance and each source. */
+  /** Returns one line per endpoint, per unusable instance and per source. */
   static String format(
       EndpointRegistry registry,
       List<DnsDiscoverySource> sources,
@@ -65,7 +65,7 @@
       if (!instance.fault().isEmpty()) {
         out.append("instance \"")
             .append(instance.instance())
-            .append("\" is of no use: ")
+            .append("\" is unusable: ")
             .append(instance.fault())
             .append('\n');
       }
@@ -75,12 +75,12 @@
 
   private static String answerState(DnsDiscoverySource source) {
     if (!source.hasAnswered()) {
-      return ": does not answer";
+      return ": no answer";
     }
-    return source.isPushSessionUp() ? ": answers and pushes" : ": answers";
+    return source.isPushSessionUp() ? ": answers, push session up" : ": answers";
   }
 
-  /** Returns the line for a change that was seen at {@code nowUs}, Unix time. */
+  /** Returns the line for a change at {@code nowUs}, in Unix microseconds. */
   static String formatChange(EndpointChange change, long nowUs) {
     return Instant.ofEpochMilli(nowUs / MICROS_PER_MILLI)
         + " "
--- a/src/main/java/dunlinhitch/cli/ServeCommand.java
+++ b/src/main/java/dunlinhitch/cli/ServeCommand.java
@@ -11,32 +11,32 @@
 import picocli.CommandLine.Mixin;
 
 /**
- * Runs a broker. {@code Main} also runs it without a command line, and then no class of picocli may
- * be loaded.
+ * Runs a broker. {@code Main} also runs this command without parsing a command line, in which case
+ * no class of picocli may be loaded.
  */
 @Command(
     name = ServeCommand.NAME,
-    description = "Runs one broker on real sockets until it is asked to end.",
+    description = "Runs one broker on real sockets until it receives SIGTERM or SIGINT.",
     mixinStandardHelpOptions = true)
 final class ServeCommand implements Callable<Integer> {
   static final String NAME = "serve";
 
-  /** Names the descriptor on which the platform passes the clients' listening socket. */
+  /** Contains the file descriptor on which the platform passes the listening socket for clients. */
   private static final String LISTENER_VARIABLE = "ROUTER_ACCEPT_FD";
 
-  /** Installed by {@link #installHangupHandler} before anything else. */
+  /** Installed by {@link #installHangupHandler} before any other work. */
   private static final HangupSignals HANGUP_SIGNALS = new HangupSignals();
 
   @Mixin private ConfigOptions options;
 
-  /** Returns a command with the options of a command line without any. */
+  /** Returns a command with the default options. */
   static ServeCommand withDefaults() {
     ServeCommand command = new ServeCommand();
     command.options = ConfigOptions.defaults();
     return command;
   }
 
-  /** Installs the handler of SIGHUP; returns false where the process was started to ignore it. */
+  /** Installs the SIGHUP handler; returns false if the process was started with SIGHUP ignored. */
   static boolean installHangupHandler() {
     return HANGUP_SIGNALS.install();
   }
@@ -50,20 +50,20 @@
     return 0;
   }
 
-  /** The log needs the rules, and cannot load them once no descriptor is left. */
-  @SuppressWarnings("ReturnValueIgnored") // called to load them
+  /** Loads the time zone rules for the log now, since this fails without a free file descriptor. */
+  @SuppressWarnings("ReturnValueIgnored") // called for its side effect
   private static void loadTimeZoneRules() {
     ZoneId.systemDefault().getRules();
   }
 
-  /** Returns the clients' listener, with the platform's socket where it passes one. */
+  /** Returns the listener for clients, with the platform's socket if it passes one. */
   private static ClientListener listener() {
     String descriptor = System.getenv(LISTENER_VARIABLE);
     if (descriptor == null || descriptor.isEmpty()) {
       return new ClientListener(null);
     }
     if (!descriptor.equals("0")) {
-      throw new Config.ConfigException("ROUTER_ACCEPT_FD is not 0: " + descriptor);
+      throw new Config.ConfigException("ROUTER_ACCEPT_FD must be 0 or empty, not " + descriptor);
     }
     try {
       return ClientListener.inherited();
--- a/src/main/java/dunlinhitch/cli/WarmUpCommand.java
+++ b/src/main/java/dunlinhitch/cli/WarmUpCommand.java
@@ -11,22 +11,21 @@
 import java.util.concurrent.TimeUnit;
 import picocli.CommandLine.Command;
 
-/** Runs the warm-up of the hot paths alone, to record the classes that it loads. */
+/** Runs only the warm-up of the hot paths, so that the build can record the loaded classes. */
 @Command(
     name = WarmUpCommand.NAME,
     description =
-        "Serves itself a query on loopback and ends; the build archives the "
-            + "classes that this loads.",
+        "Serves queries to itself on loopback and exits; the build archives the loaded classes.",
     mixinStandardHelpOptions = true)
 final class WarmUpCommand implements Callable<Integer> {
   static final String NAME = "warm-up";
 
-  /** The command's name in earlier versions, which help does not list. */
+  /** Name of the command in earlier versions; still accepted, but not listed by help. */
   static final String FORMER_NAME = "rehearse";
 
   private static final int TIMEOUT_S = 20;
 
-  /** Enough queries to load each class of the hot paths. */
+  /** Number of queries that is sufficient to load every class of the hot paths. */
   private static final int QUERIES = 20;
 
   private static final String SETTINGS =
@@ -40,7 +39,7 @@
 
   private final CountDownLatch ended = new CountDownLatch(1);
 
-  /** Written before {@link #ended} is counted down, read after. */
+  /** Written before {@link #ended} is counted down, and read after it. */
   private boolean served;
 
   @Override
--- a/src/main/java/dunlinhitch/cli/package-info.java
+++ b/src/main/java/dunlinhitch/cli/package-info.java
@@ -1,8 +1,9 @@
 /**
- * The command line: {@link dunlinhitch.cli.Main} is the entry point, and each command is a class of
- * its own. Commands parse options, print results and set the exit code; what they run is elsewhere.
+ * The command line. {@link dunlinhitch.cli.Main} is the entry point, and each command has a class
+ * of its own. Commands parse options, print results and set the exit code; other packages implement
+ * the functions that they run.
  *
- * <p>{@code serve} without options must load no class of picocli, and no command may load a class
- * of the experiments unless it was asked for them.
+ * <p>{@code serve} without options must not load any class of picocli, and only the experiments
+ * command may load classes of the experiments.
  */
 package dunlinhitch.cli;
