--- a/src/main/java/dunlinhitch/cli/BrokerProcess.java
+++ b/src/main/java/dunlinhitch/cli/BrokerProcess.java
@@ -23,7 +23,7 @@
    * Time limit of the warm-up, counted from the start of the process: the platform waits 6 s for a
    * new process to become ready while the old one still runs.
    */
-  private static final long READY_WITHIN_MS = 4_500;
+  private static final long WARM_UP_LIMIT_MS = 4_500;
 
   /** Number of queries that is sufficient to compile the hot paths. */
   private static final int WARM_UP_QUERIES = 300;
@@ -92,7 +92,7 @@
 
   private WarmUp warmUp() {
     Instant processStart = ProcessHandle.current().info().startInstant().orElseGet(Instant::now);
-    long endUs = (processStart.toEpochMilli() + READY_WITHIN_MS) * MICROS_PER_MILLI;
+    long endUs = (processStart.toEpochMilli() + WARM_UP_LIMIT_MS) * MICROS_PER_MILLI;
     return new WarmUp(
         vertx, context, config.settings(), config.listen().host(), WARM_UP_QUERIES, endUs);
   }
--- a/src/main/java/dunlinhitch/cli/RecordsTable.java
+++ b/src/main/java/dunlinhitch/cli/RecordsTable.java
@@ -21,10 +21,7 @@
 
   /** Returns one line per endpoint, per unusable instance and per source. */
   static String format(
-      EndpointRegistry registry,
-      List<DnsDiscoverySource> sources,
-      boolean namesSource,
-      long nowUs) {
+      EndpointRegistry registry, List<DnsDiscoverySource> sources, boolean showSource, long nowUs) {
     StringBuilder out =
         new StringBuilder(
             String.format(
@@ -32,14 +29,14 @@
                 "store", "address", "cell", "says", "left", "status", "why"));
     registry.rows().stream()
         .sorted(Comparator.comparing(EndpointRegistry.Row::name))
-        .forEach(row -> out.append(formatRow(row, namesSource, nowUs)));
+        .forEach(row -> out.append(formatRow(row, showSource, nowUs)));
     for (DnsDiscoverySource source : sources) {
       appendSource(out, source);
     }
     return out.toString();
   }
 
-  private static String formatRow(EndpointRegistry.Row row, boolean namesSource, long nowUs) {
+  private static String formatRow(EndpointRegistry.Row row, boolean showSource, long nowUs) {
     Endpoint endpoint = row.endpoint();
     return String.format(
         "%-20s %-24s %5s %-9s %8s  %-12s %s%s%n",
@@ -50,7 +47,7 @@
         remainingTime(row.expiresUs(), nowUs),
         label(row.status()),
         row.reason().message(),
-        namesSource ? " [" + row.source() + "]" : "");
+        showSource ? " [" + row.source() + "]" : "");
   }
 
   private static String remainingTime(long untilUs, long nowUs) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
@@ -57,7 +57,7 @@
    * @param zone zone whose SOA serial is polled
    * @param serialPollIntervalUs interval of the serial polls in microseconds; 0 disables them
    * @param pushServer the push server, or null
-   * @param bounds limits on instances and queries
+   * @param limits limits on instances and queries
    */
   public record Settings(
       String source,
@@ -69,7 +69,7 @@
       Name zone,
       long serialPollIntervalUs,
       Push pushServer,
-      ServiceRecords.Limits bounds) {}
+      ServiceRecords.Limits limits) {}
 
   private final Vertx vertx;
   private final Settings settings;
@@ -106,7 +106,7 @@
         new ServiceRecords(
             settings.browsedNames(),
             new TxtRecordParser(reader),
-            settings.bounds(),
+            settings.limits(),
             random,
             context.nowUs());
     SecureRandom messageIds = new SecureRandom();
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordsBenchmark.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordsBenchmark.java
@@ -22,7 +22,7 @@
 public final class RecordsBenchmark {
   private static final Name SERVICE = Names.parse("_calendar._tcp.rooms.example.org.");
   private static final Question POINTERS = new Question(SERVICE, Type.PTR);
-  private static final ServiceRecords.Limits BOUNDS = new ServiceRecords.Limits(50_000, 1_000);
+  private static final ServiceRecords.Limits LIMITS = new ServiceRecords.Limits(50_000, 1_000);
 
   /** Arbitrary current time for the measurement of a refresh. */
   private static final long REFRESH_US = 1_000_000;
@@ -36,7 +36,7 @@
   public RecordsBenchmark(EndpointListReader reader, long seed) {
     records =
         new ServiceRecords(
-            List.of(SERVICE), new TxtRecordParser(reader), BOUNDS, new SplittableRandom(seed), 0);
+            List.of(SERVICE), new TxtRecordParser(reader), LIMITS, new SplittableRandom(seed), 0);
   }
 
   /**
@@ -99,12 +99,12 @@
   }
 
   /**
-   * Pushes the removal of one endpoint's PTR record, or its addition if {@code back} is true;
+   * Pushes the removal of one endpoint's PTR record, or its addition if {@code added} is true;
    * returns the resulting claims.
    */
-  public List<EndpointClaim> flip(long nowUs, int index, boolean back) throws Exception {
+  public List<EndpointClaim> flip(long nowUs, int index, boolean added) throws Exception {
     Record pointer = pointers.get(index);
-    if (back) {
+    if (added) {
       records.onRecordAdded(nowUs, pointer);
     } else {
       records.onRecordRemoved(nowUs, POINTERS, pointer);
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
@@ -70,12 +70,12 @@
   ServiceRecords(
       List<Name> browsedNames,
       TxtRecordParser parser,
-      Limits bounds,
+      Limits limits,
       RandomGenerator random,
       long nowUs) {
     this.browsedNames = List.copyOf(browsedNames);
-    cache = new RecordCache(bounds.asking(), random, nowUs);
-    instances = new BrowsedInstances(cache, bounds.instances(), this::count);
+    cache = new RecordCache(limits.asking(), random, nowUs);
+    instances = new BrowsedInstances(cache, limits.instances(), this::count);
     claimBuilder = new ClaimBuilder(cache, parser, this::count);
     for (Name name : browsedNames) {
       cache.queryNow(cache.getOrCreate(pointersOf(name)));
--- a/src/test/java/dunlinhitch/config/CanonicalSettingsTest.java
+++ b/src/test/java/dunlinhitch/config/CanonicalSettingsTest.java
@@ -54,12 +54,12 @@
   private final Settings settings = SettingsReader.read(SETTINGS);
 
   @Test
-  void textIsThatOfEarlierBuilds() {
+  void textEqualsThatOfEarlierBuilds() {
     assertEquals(TEXT_OF_EARLIER_BUILDS, CanonicalSettings.of(settings));
   }
 
   @Test
-  void digestIsThatOfEarlierBuilds() {
+  void digestEqualsThatOfEarlierBuilds() {
     assertEquals(DIGEST_OF_EARLIER_BUILDS, SettingsDigest.of(CanonicalSettings.of(settings)));
   }
 }
--- a/src/test/java/dunlinhitch/config/ProductDescriptionTest.java
+++ b/src/test/java/dunlinhitch/config/ProductDescriptionTest.java
@@ -56,7 +56,7 @@
   }
 
   @Test
-  void isEmptyIfNothingIsOn() {
+  void isEmptyIfNothingIsEnabled() {
     assertEquals("", Product.NONE.description());
   }
 
--- a/src/test/java/dunlinhitch/config/ProductTest.java
+++ b/src/test/java/dunlinhitch/config/ProductTest.java
@@ -90,7 +90,7 @@
             [dns_sd a]~server ns.example:1~service _c._tcp.example | 2:8: server must be an IP address
             discovery off | discovery is off and there is no [dns_sd NAME] section
             """)
-  void errorsNamePlaceAndRemedy(String content, String expected) throws IOException {
+  void errorsNameThePositionAndTheProblem(String content, String expected) throws IOException {
     Path file = write("dunlinhitch.conf", content.replace("~", "\n"));
     String message =
         assertThrows(Config.ConfigException.class, () -> Product.read(file)).getMessage();
--- a/src/test/java/dunlinhitch/config/SettingsReaderTest.java
+++ b/src/test/java/dunlinhitch/config/SettingsReaderTest.java
@@ -12,7 +12,7 @@
 /** Settings objects with missing and unknown keys. */
 class SettingsReaderTest {
   @Test
-  void ignoresUnknownKeysAndDefaultsAbsentOnes() {
+  void ignoresUnknownKeysAndAppliesDefaults() {
     Settings settings =
         SettingsReader.read(
             """
--- a/src/test/java/dunlinhitch/discovery/BackoffTest.java
+++ b/src/test/java/dunlinhitch/discovery/BackoffTest.java
@@ -12,7 +12,7 @@
 
   /** With equal delays, fourteen brokers that lost discovery together would reconnect together. */
   @Test
-  void brokersThatLoseDiscoveryTogetherDoNotComeBackTogether() {
+  void brokersDoNotReconnectAtTheSameTime() {
     long different =
         LongStream.range(0, 14)
             .map(seed -> new Backoff(seed).nextDelayUs(BOUNDS) / 1_000)
--- a/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
@@ -233,7 +233,7 @@
    * their own while the earlier ones are open; once one is answered, the others are closed.
    */
   @Test
-  void hangingRequestsDelayNoOther() throws Exception {
+  void hangingRequestsDoNotDelayOthers() throws Exception {
     List<Request> pendingRequests =
         new ArrayList<>(List.of(discovery.next(), requestAfter(8 * RETRY_US)));
     while (pendingRequests.size() < 8) {
@@ -249,7 +249,7 @@
 
   /** The connection of a request that is abandoned while connecting is closed once established. */
   @Test
-  void aRequestGivenUpWhileConnectingLeavesNoConnection() throws Exception {
+  void abandonedRequestsDoNotLeaveConnectionsOpen() throws Exception {
     FakeDiscovery other = new FakeDiscovery();
     discovery.next();
     onLoop(
@@ -284,7 +284,7 @@
    * another one and a reset or the end of the response. Only complete lists are used.
    */
   @Test
-  void completeListsCountThoughTheResponseIsCut() throws Exception {
+  void completeListsOfTruncatedResponsesAreUsed() throws Exception {
     Request first = discovery.next();
     assertEquals("GET /registry/instances?follow=1&since=0 HTTP/1.1", first.requestLine());
     first.write(OK + "\r\n");
@@ -339,7 +339,7 @@
 
   /** A malformed list is counted, its connection is closed, and the list is requested again. */
   @Test
-  void malformedListsCloseTheConnectionInOrder() throws Exception {
+  void malformedListsCloseTheConnection() throws Exception {
     String valid = list(5, true, "s");
     List<String> malformed =
         List.of(
--- a/src/test/java/dunlinhitch/discovery/EndpointListFileTest.java
+++ b/src/test/java/dunlinhitch/discovery/EndpointListFileTest.java
@@ -132,7 +132,7 @@
 
   /** If the clock was set back, the claim is treated as reported now, with its full lifetime. */
   @Test
-  void aClaimOfTheFutureCountsAsReportedNow() throws IOException {
+  void claimsFromTheFutureAreTreatedAsReportedNow() throws IOException {
     long nowUs = DRAINING_CLAIM.reportedUs() - 500_000;
     EndpointClaim claim = stored(STORED).read(nowUs).bySource().get("push").get(0);
     assertEquals(nowUs, claim.reportedUs());
@@ -140,7 +140,7 @@
   }
 
   @Test
-  void aMissingFileIsNoError() throws IOException {
+  void aMissingFileIsReadAsNull() throws IOException {
     assertNull(new EndpointListFile(folder).read(SAVED_US));
   }
 
--- a/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
+++ b/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
@@ -57,7 +57,7 @@
 
   /** Objects before malformed text are returned even from the same chunk, and none after it. */
   @Test
-  void objectsBeforeAMalformedPlaceAreReturned() throws MalformedListException {
+  void objectsBeforeMalformedTextAreReturned() throws MalformedListException {
     for (String malformed :
         List.of("{\"a\":[}\n", "{\"a\":" + "[".repeat(40), "x\n".repeat(40), "{\"cut\n")) {
       EndpointListParser parser = new EndpointListParser(1000);
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -62,12 +62,12 @@
     now = endUs;
   }
 
-  private <T extends WatchAction> List<T> of(Class<T> kind) {
+  private <T extends WatchAction> List<T> actionsOf(Class<T> kind) {
     return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
   private WatchAction.OpenRequest lastRequest() {
-    List<WatchAction.OpenRequest> requests = of(WatchAction.OpenRequest.class);
+    List<WatchAction.OpenRequest> requests = actionsOf(WatchAction.OpenRequest.class);
     return requests.get(requests.size() - 1);
   }
 
@@ -85,7 +85,7 @@
    * reopened from the known generation.
    */
   @Test
-  void onlyTheIdleTimeoutEndsAWatchWithoutFailures() {
+  void aSilentWatchIsReopenedAfterTheIdleTimeout() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
     record(stateMachine.follow(now, "a", 1));
     assertEquals(41, lastRequest().sinceGeneration());
@@ -94,18 +94,18 @@
       passWithoutData(stateMachine, 2 * SECOND_US);
       record(stateMachine.onData(now, requestId, false));
     }
-    assertEquals(1, of(WatchAction.OpenRequest.class).size());
-    assertEquals(List.of(), of(WatchAction.ReportUnavailable.class));
+    assertEquals(1, actionsOf(WatchAction.OpenRequest.class).size());
+    assertEquals(List.of(), actionsOf(WatchAction.ReportUnavailable.class));
     long lastDataUs = now;
     passWithoutData(stateMachine, 3 * SECOND_US);
     assertEquals(
         new WatchAction.ReportUnavailable(lastDataUs),
-        of(WatchAction.ReportUnavailable.class).get(0));
+        actionsOf(WatchAction.ReportUnavailable.class).get(0));
     assertEquals(50, lastRequest().sinceGeneration());
     assertTrue(actions.contains(new WatchAction.CloseRequest(requestId)));
     assertFalse(stateMachine.isActive(requestId));
     openWatch(stateMachine, 51);
-    assertEquals(1, of(WatchAction.ReportRecovered.class).size());
+    assertEquals(1, actionsOf(WatchAction.ReportRecovered.class).size());
   }
 
   /**
@@ -114,24 +114,25 @@
    * sent at least every 130 ms, with at most eight in flight.
    */
   @Test
-  void anAgentThatReturnsIsRequestedAtOnce() {
+  void anUnreachableAgentIsRequestedContinuously() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
     record(stateMachine.follow(now, "a", 1));
     openWatch(stateMachine, 50);
     passWithoutData(stateMachine, 4 * SECOND_US);
     for (int i = 0; i < 38; i++) {
-      int requestCount = of(WatchAction.OpenRequest.class).size();
+      int requestCount = actionsOf(WatchAction.OpenRequest.class).size();
       passWithoutData(stateMachine, 130_000);
-      assertTrue(of(WatchAction.OpenRequest.class).size() > requestCount);
+      assertTrue(actionsOf(WatchAction.OpenRequest.class).size() > requestCount);
       assertTrue(
-          of(WatchAction.OpenRequest.class).size() - of(WatchAction.CloseRequest.class).size()
+          actionsOf(WatchAction.OpenRequest.class).size()
+                  - actionsOf(WatchAction.CloseRequest.class).size()
               <= 8);
     }
     long answeredId = lastRequest().requestId();
     openWatch(stateMachine, 60);
     assertEquals(
-        of(WatchAction.OpenRequest.class).size() - 1,
-        of(WatchAction.CloseRequest.class).size(),
+        actionsOf(WatchAction.OpenRequest.class).size() - 1,
+        actionsOf(WatchAction.CloseRequest.class).size(),
         "only the answered request remains open");
     assertTrue(stateMachine.isActive(answeredId));
   }
@@ -185,9 +186,9 @@
     assertTrue(stateMachine.isActive(oldId));
     openWatch(stateMachine, 3);
     assertFalse(stateMachine.isActive(oldId));
-    int requests = of(WatchAction.OpenRequest.class).size();
+    int requests = actionsOf(WatchAction.OpenRequest.class).size();
     record(stateMachine.onFailure(now, oldId));
-    assertEquals(requests, of(WatchAction.OpenRequest.class).size());
+    assertEquals(requests, actionsOf(WatchAction.OpenRequest.class).size());
   }
 
   /**
@@ -195,7 +196,7 @@
    * time, and their requests stay within its capacity of 1.4 per second.
    */
   @Test
-  void aSharedDiscoveryIsPolledSeldomAndNotInStep() {
+  void brokersDoNotOverloadASharedDiscovery() {
     List<Long> firstRetries = new ArrayList<>();
     long requestCount = 0;
     long lateRequests = 0;
@@ -216,7 +217,7 @@
         record(stateMachine.onFailure(now, lastRequest().requestId()));
         lateRequests += now > endUs - 25 * SECOND_US ? 1 : 0;
       }
-      requestCount += of(WatchAction.OpenRequest.class).size();
+      requestCount += actionsOf(WatchAction.OpenRequest.class).size();
     }
     assertTrue(
         firstRetries.stream().distinct().count() >= 3, "retries are not spread: " + firstRetries);
@@ -232,14 +233,14 @@
   }
 
   @Test
-  void aResyncMakesOneRequestNotTwo() {
+  void aResyncSendsNoSecondRequest() {
     WatchStateMachine stateMachine = stateMachine(polledSettings(4));
     record(stateMachine.follow(now, "a", 1));
     record(stateMachine.resync(now));
-    assertEquals(1, of(WatchAction.OpenRequest.class).size());
+    assertEquals(1, actionsOf(WatchAction.OpenRequest.class).size());
     openWatch(stateMachine, 50);
     record(stateMachine.resync(now));
-    assertEquals(2, of(WatchAction.OpenRequest.class).size());
+    assertEquals(2, actionsOf(WatchAction.OpenRequest.class).size());
     record(stateMachine.stop());
     assertEquals(WatchStateMachine.NEVER, stateMachine.nextUs());
   }
@@ -305,9 +306,9 @@
       SplittableRandom random) {
     long at = now + 1 + random.nextLong(300_000);
     Runnable failure = () -> record(stateMachine.onFailure(now, requestId));
-    Runnable head = untilBack(backUs, () -> stateMachine.onResponse(now, requestId));
-    Runnable emptyLine = untilBack(backUs, () -> stateMachine.onData(now, requestId, false));
-    Runnable listing = untilBack(backUs, () -> stateMachine.onList(now, requestId, 50));
+    Runnable head = whileDown(backUs, () -> stateMachine.onResponse(now, requestId));
+    Runnable emptyLine = whileDown(backUs, () -> stateMachine.onData(now, requestId, false));
+    Runnable listing = whileDown(backUs, () -> stateMachine.onList(now, requestId, 50));
     Runnable list =
         () -> {
           emptyLine.run();
@@ -341,7 +342,7 @@
   }
 
   /** Passes an input to the state machine only while discovery is down. */
-  private Runnable untilBack(long backUs, Supplier<List<WatchAction>> input) {
+  private Runnable whileDown(long backUs, Supplier<List<WatchAction>> input) {
     return () -> {
       if (now < backUs) {
         record(input.get());
@@ -350,8 +351,8 @@
   }
 
   /** Returns the longest time to a request over 400 seeds, each with its own faults and outage. */
-  private long latest(Settings settings, Fault... faults) {
-    long latest = 0;
+  private long longestDelayUs(Settings settings, Fault... faults) {
+    long longestUs = 0;
     for (int seed = 0; seed < 400; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       actions.clear();
@@ -360,9 +361,10 @@
           new WatchStateMachine(() -> WatchTimings.of(settings), 41, seed);
       record(stateMachine.follow(now, "a", 1));
       long backUs = now + SECOND_US + random.nextLong(40 * SECOND_US);
-      latest = Math.max(latest, firstRequestAfter(stateMachine, backUs, random, faults) - backUs);
+      longestUs =
+          Math.max(longestUs, firstRequestAfter(stateMachine, backUs, random, faults) - backUs);
     }
-    return latest;
+    return longestUs;
   }
 
   /**
@@ -374,10 +376,10 @@
   void afterAnyFaultsASharedDiscoveryIsReadWithinSixSeconds() {
     for (int brokers : new int[] {1, 4, 30, 100}) {
       for (Fault fault : Fault.values()) {
-        long delayUs = latest(polledSettings(brokers), fault);
+        long delayUs = longestDelayUs(polledSettings(brokers), fault);
         assertTrue(delayUs <= 4_200_000, brokers + " brokers, " + fault + ": " + delayUs);
       }
-      long delayUs = latest(polledSettings(brokers), Fault.values());
+      long delayUs = longestDelayUs(polledSettings(brokers), Fault.values());
       assertTrue(delayUs <= 4_200_000, brokers + " brokers, all: " + delayUs);
     }
   }
@@ -387,16 +389,16 @@
    * Only a watch that fell silent takes longer; it is detected within 3.2 s.
    */
   @Test
-  void afterAnyFaultsAnAgentIsRequestedAtOnce() {
+  void afterAnyFaultsAnAgentIsRequestedPromptly() {
     long delayUs =
-        latest(
+        longestDelayUs(
             PUSHED_SETTINGS,
             Fault.REFUSED,
             Fault.RESPONDS_503,
             Fault.NEVER_CONNECTS,
             Fault.NEVER_ANSWERS);
     assertTrue(delayUs <= 130_000, "delay of the request in us: " + delayUs);
-    delayUs = latest(PUSHED_SETTINGS, Fault.values());
+    delayUs = longestDelayUs(PUSHED_SETTINGS, Fault.values());
     assertTrue(delayUs <= 3_200_000, "delay of the request in us: " + delayUs);
   }
 
@@ -407,7 +409,7 @@
     record(stateMachine.follow(now, "a", 1));
     passWithoutData(stateMachine, 10 * SECOND_US);
     assertTrue(
-        of(WatchAction.OpenRequest.class).stream()
+        actionsOf(WatchAction.OpenRequest.class).stream()
             .anyMatch(
                 request ->
                     stateMachine.isActive(request.requestId())
@@ -435,7 +437,7 @@
 
   /** Consecutive lists do not count as a stall even if each chunk ends within a list. */
   @Test
-  void consecutiveListsAreNoStall() {
+  void consecutiveListsDoNotCountAsAStall() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
     record(stateMachine.follow(now, "a", 1));
     long requestId = openWatch(stateMachine, 50);
@@ -449,7 +451,7 @@
 
   /** New settings, here from pushed to polled lists, apply to later requests. */
   @Test
-  void newSettingsBringOtherTimings() {
+  void newSettingsChangeTheTimings() {
     Settings[] settings = {PUSHED_SETTINGS};
     WatchStateMachine stateMachine =
         new WatchStateMachine(() -> WatchTimings.of(settings[0]), 41, 7);
@@ -457,11 +459,11 @@
     passWithoutData(stateMachine, 3 * SECOND_US);
     settings[0] = polledSettings(100);
     passWithoutData(stateMachine, 5 * SECOND_US);
-    int requestCount = of(WatchAction.OpenRequest.class).size();
+    int requestCount = actionsOf(WatchAction.OpenRequest.class).size();
     passWithoutData(stateMachine, 30 * SECOND_US);
     assertTrue(
-        of(WatchAction.OpenRequest.class).size() - requestCount <= 12,
-        "requests in 30 s: " + (of(WatchAction.OpenRequest.class).size() - requestCount));
+        actionsOf(WatchAction.OpenRequest.class).size() - requestCount <= 12,
+        "requests in 30 s: " + (actionsOf(WatchAction.OpenRequest.class).size() - requestCount));
   }
 
   /** A change older than the known generation is ignored, and a complete list is requested. */
@@ -478,7 +480,7 @@
     record(stateMachine.onUnusableList(now, requestId));
     passWithoutData(stateMachine, 130_000);
     assertEquals(WatchStateMachine.NO_GENERATION, lastRequest().sinceGeneration());
-    assertEquals(1, of(WatchAction.CountFailure.class).size());
+    assertEquals(1, actionsOf(WatchAction.CountFailure.class).size());
     long completeListId = lastRequest().requestId();
     assertTrue(stateMachine.accepts(completeListId, 3, false));
     openWatch(stateMachine, 3);
--- a/src/test/java/dunlinhitch/discovery/dnssd/AbstractServiceRecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/AbstractServiceRecordsTest.java
@@ -22,7 +22,7 @@
   static final long US_PER_SECOND = 1_000_000;
 
   /** Allows 3 instances and 2 queries in flight. */
-  private static final ServiceRecords.Limits BOUNDS = new ServiceRecords.Limits(3, 2);
+  private static final ServiceRecords.Limits LIMITS = new ServiceRecords.Limits(3, 2);
 
   final Zone zone = new Zone("example.org.");
   final List<Question> queries = new ArrayList<>();
@@ -35,7 +35,7 @@
     return new ServiceRecords(
         List.of(browsedNames),
         new TxtRecordParser(new EndpointListReader(List.of("a"), event -> {})),
-        BOUNDS,
+        LIMITS,
         new SplittableRandom(3),
         nowUs);
   }
@@ -63,7 +63,7 @@
   final void respondToAll(ServiceRecords source) {
     List<Question> due = source.startQueries(nowUs);
     while (!due.isEmpty()) {
-      assertTrue(due.size() <= BOUNDS.asking(), "too many queries in flight: " + due.size());
+      assertTrue(due.size() <= LIMITS.asking(), "too many queries in flight: " + due.size());
       assertEquals(
           due.size(),
           new HashSet<>(due).size(),
--- a/src/test/java/dunlinhitch/discovery/dnssd/ServiceRecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/ServiceRecordsTest.java
@@ -32,7 +32,7 @@
   private static final String STORED_KEY_OF_LISTED = "one._calendar._tcp.example.org.|h.:9|0";
 
   @Test
-  void ofSeveralTargetsThoseOfTheLowestPriorityCount() {
+  void onlySrvRecordsWithTheLowestPriorityValueAreUsed() {
     zone.change(List.of(), endpoint("one", 7001));
     Name one = Names.parse("one." + SERVICE);
     zone.add(new SRVRecord(one, DClass.IN, 100, 5, 0, 7002, HOST));
@@ -151,7 +151,7 @@
   }
 
   @Test
-  void namesBoundsAliasesAndSubtypes() {
+  void namesLimitsAliasesAndSubtypes() {
     assertEquals(
         "Saal 2. Süd", Names.instanceLabel(Names.parse("Saal\\0322\\.\\032Süd." + SERVICE)));
     Name subtype = Names.subtype("amman", Names.parse(SERVICE));
--- a/src/test/java/dunlinhitch/discovery/dnssd/ZoneSerialPollerTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/ZoneSerialPollerTest.java
@@ -26,7 +26,7 @@
   }
 
   @Test
-  void anotherSerialIsAChangeAndAFailedPollIsNone() {
+  void onlyADifferentSerialIsAChange() {
     assertTrue(poller.startPoll(0, false));
     assertEquals(TimingWheel.NEVER, poller.nextUs());
     assertFalse(poller.startPoll(2 * INTERVAL_US, false), "a second poll while one is in flight");
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void withoutAnIntervalNothingIsPolled() {
+  void anIntervalOfZeroDisablesPolling() {
     ZoneSerialPoller disabled = new ZoneSerialPoller(0, 0);
     assertFalse(disabled.startPoll(1_000_000, false));
     assertEquals(TimingWheel.NEVER, disabled.nextUs());
