--- a/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
+++ b/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
@@ -30,8 +30,7 @@
         objects.addAll(
             parser.read(Arrays.copyOfRange(all, from, Math.min(all.length, from + piece))));
       }
-      assertEquals(
-          List.of(COMPACT, INDENTED, COMPACT, COMPACT), objects, "chunks of " + piece + " bytes");
+      assertEquals(List.of(COMPACT, INDENTED, COMPACT, COMPACT), objects, "chunk size " + piece);
       assertEquals(0, parser.takeStrayLines());
       assertTrue(!parser.isInObject());
     }
--- a/src/test/java/dunlinhitch/discovery/dnssd/RegistrationStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/RegistrationStateMachineTest.java
@@ -50,7 +50,7 @@
     assertTrue(
         registration.nextUs() >= nowUs + 70 * US_PER_SECOND
             && registration.nextUs() <= nowUs + 80 * US_PER_SECOND,
-        "the refresh is scheduled by the granted lease: " + registration.nextUs());
+        "the refresh is scheduled by the granted lease");
     registration.onShutdown(nowUs);
     PendingUpdate last = registration.startUpdate(nowUs);
     assertTrue(last.withdrawal());
@@ -68,7 +68,7 @@
     for (int i = 0; i < 4; i++) {
       registration.onFailed(nowUs, false);
       long delayUs = registration.nextUs() - nowUs;
-      assertTrue(delayUs > previousDelayUs, "delay does not grow: " + delayUs);
+      assertTrue(delayUs > previousDelayUs, "the delay does not grow");
       previousDelayUs = delayUs;
       nowUs = registration.nextUs();
       assertTrue(registration.startUpdate(nowUs) != null);
--- a/src/test/java/dunlinhitch/discovery/dnssd/ServiceRecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/ServiceRecordsTest.java
@@ -85,9 +85,8 @@
       }
       long delayUs = nowUs - failedUs;
       assertTrue(
-          delayUs > previousDelayUs || delayUs > 20 * US_PER_SECOND,
-          "delay does not grow: " + delayUs);
-      assertTrue(delayUs < 40 * US_PER_SECOND, "delay exceeds its bound: " + delayUs);
+          delayUs > previousDelayUs || delayUs > 20 * US_PER_SECOND, "the delay does not grow");
+      assertTrue(delayUs < 40 * US_PER_SECOND, "the delay exceeds its bound");
       previousDelayUs = delayUs;
     }
   }
