--- a/src/main/java/dunlinhitch/cli/RecordsTable.java
+++ b/src/main/java/dunlinhitch/cli/RecordsTable.java
@@ -12,19 +12,16 @@
 import java.util.List;
 import java.util.Locale;
 
-/** Formats what {@link RecordsCommand} prints. */
+/** Formats the output of {@link RecordsCommand}. */
 final class RecordsTable {
   private static final long MICROS_PER_MILLI = 1000;
   private static final long MICROS_PER_SECOND = 1_000_000;
 
   private RecordsTable() {}
 
-  /** Returns a line for each endpoint, each unusable instance and each source. */
+  /** Returns one line per endpoint, per unusable instance and per source. */
   static String format(
-      EndpointRegistry registry,
-      List<DnsDiscoverySource> sources,
-      boolean namesSource,
-      long nowUs) {
+      EndpointRegistry registry, List<DnsDiscoverySource> sources, boolean showSource, long nowUs) {
     StringBuilder out =
         new StringBuilder(
             String.format(
@@ -32,14 +29,14 @@
                 "store", "address", "cell", "says", "left", "status", "why"));
     registry.rows().stream()
         .sorted(Comparator.comparing(EndpointRegistry.Row::name))
-        .forEach(row -> out.append(formatRow(row, namesSource, nowUs)));
+        .forEach(row -> out.append(formatRow(row, showSource, nowUs)));
     for (DnsDiscoverySource source : sources) {
       appendSource(out, source);
     }
     return out.toString();
   }
 
-  private static String formatRow(EndpointRegistry.Row row, boolean namesSource, long nowUs) {
+  private static String formatRow(EndpointRegistry.Row row, boolean showSource, long nowUs) {
     Endpoint endpoint = row.endpoint();
     return String.format(
         "%-20s %-24s %5s %-9s %8s  %-12s %s%s%n",
@@ -50,7 +47,7 @@
         remainingTime(row.expiresUs(), nowUs),
         label(row.status()),
         row.reason().message(),
-        namesSource ? " [" + row.source() + "]" : "");
+        showSource ? " [" + row.source() + "]" : "");
   }
 
   private static String remainingTime(long untilUs, long nowUs) {
@@ -65,7 +62,7 @@
       if (!instance.fault().isEmpty()) {
         out.append("instance \"")
             .append(instance.instance())
-            .append("\" is of no use: ")
+            .append("\" is unusable: ")
             .append(instance.fault())
             .append('\n');
       }
@@ -75,12 +72,12 @@
 
   private static String answerState(DnsDiscoverySource source) {
     if (!source.hasAnswered()) {
-      return ": does not answer";
+      return ": no answer";
     }
-    return source.isPushSessionUp() ? ": answers and pushes" : ": answers";
+    return source.isPushSessionUp() ? ": answers, push session up" : ": answers";
   }
 
-  /** Returns the line for a change that was seen at {@code nowUs}, Unix time. */
+  /** Returns the line for a change at {@code nowUs}, in Unix microseconds. */
   static String formatChange(EndpointChange change, long nowUs) {
     return Instant.ofEpochMilli(nowUs / MICROS_PER_MILLI)
         + " "
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -16,7 +16,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** The state machine of the watch on a virtual clock: nothing here waits. */
+/** The state machine of the watch, driven by a virtual clock. */
 class WatchStateMachineTest {
   private static final long SECOND_US = 1_000_000;
   private static final Settings PUSHED_SETTINGS = BrokerFixture.settings(40);
@@ -51,27 +51,27 @@
     actions.addAll(more);
   }
 
-  /** Time passes and nothing is received. */
+  /** Advances the clock, and performs due timers, without received data. */
   private void passWithoutData(WatchStateMachine stateMachine, long delayUs) {
     long endUs = now + delayUs;
     while (stateMachine.nextUs() <= endUs) {
       now = stateMachine.nextUs();
       record(stateMachine.onTimer(now));
-      assertTrue(stateMachine.nextUs() > now, "the timer would spin");
+      assertTrue(stateMachine.nextUs() > now, "the next timer is not in the future");
     }
     now = endUs;
   }
 
-  private <T extends WatchAction> List<T> of(Class<T> kind) {
+  private <T extends WatchAction> List<T> actionsOf(Class<T> kind) {
     return actions.stream().filter(kind::isInstance).map(kind::cast).toList();
   }
 
   private WatchAction.OpenRequest lastRequest() {
-    List<WatchAction.OpenRequest> requests = of(WatchAction.OpenRequest.class);
+    List<WatchAction.OpenRequest> requests = actionsOf(WatchAction.OpenRequest.class);
     return requests.get(requests.size() - 1);
   }
 
-  /** The latest request is answered, and its first list is of that generation. */
+  /** Answers the latest request with a list of this generation. */
   private long openWatch(WatchStateMachine stateMachine, long generation) {
     long requestId = lastRequest().requestId();
     record(stateMachine.onResponse(now, requestId));
@@ -81,11 +81,11 @@
   }
 
   /**
-   * An empty line every 2 s keeps a watch alive; without it the watch is given up well before 6 s
-   * and opened again from the known generation.
+   * An empty line every 2 s keeps a watch alive. Without it the watch fails well before 6 s and is
+   * reopened from the known generation.
    */
   @Test
-  void onlyTheIdleTimeoutEndsAWatchWithoutFailures() {
+  void aSilentWatchIsReopenedAfterTheIdleTimeout() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
     record(stateMachine.follow(now, "a", 1));
     assertEquals(41, lastRequest().sinceGeneration());
@@ -94,49 +94,50 @@
       passWithoutData(stateMachine, 2 * SECOND_US);
       record(stateMachine.onData(now, requestId, false));
     }
-    assertEquals(1, of(WatchAction.OpenRequest.class).size());
-    assertEquals(List.of(), of(WatchAction.ReportUnavailable.class));
+    assertEquals(1, actionsOf(WatchAction.OpenRequest.class).size());
+    assertEquals(List.of(), actionsOf(WatchAction.ReportUnavailable.class));
     long lastDataUs = now;
     passWithoutData(stateMachine, 3 * SECOND_US);
     assertEquals(
         new WatchAction.ReportUnavailable(lastDataUs),
-        of(WatchAction.ReportUnavailable.class).get(0));
+        actionsOf(WatchAction.ReportUnavailable.class).get(0));
     assertEquals(50, lastRequest().sinceGeneration());
     assertTrue(actions.contains(new WatchAction.CloseRequest(requestId)));
     assertFalse(stateMachine.isActive(requestId));
     openWatch(stateMachine, 51);
-    assertEquals(1, of(WatchAction.ReportRecovered.class).size());
+    assertEquals(1, actionsOf(WatchAction.ReportRecovered.class).size());
   }
 
   /**
-   * The agent is down for 9 s without a reset, and a request from then may never be answered. The
-   * broker answers for what the agent has from its return on: a request is made within 130 ms of
-   * any moment, and no more than eight are in flight.
+   * The agent is unreachable for 9 s without a reset, and requests sent in that time may never be
+   * answered. Since the broker must act on the agent's list as soon as it returns, a new request is
+   * sent at least every 130 ms, with at most eight in flight.
    */
   @Test
-  void anAgentThatReturnsIsRequestedAtOnce() {
+  void anUnreachableAgentIsRequestedContinuously() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
     record(stateMachine.follow(now, "a", 1));
     openWatch(stateMachine, 50);
     passWithoutData(stateMachine, 4 * SECOND_US);
     for (int i = 0; i < 38; i++) {
-      int requestCount = of(WatchAction.OpenRequest.class).size();
+      int requestCount = actionsOf(WatchAction.OpenRequest.class).size();
       passWithoutData(stateMachine, 130_000);
-      assertTrue(of(WatchAction.OpenRequest.class).size() > requestCount);
+      assertTrue(actionsOf(WatchAction.OpenRequest.class).size() > requestCount);
       assertTrue(
-          of(WatchAction.OpenRequest.class).size() - of(WatchAction.CloseRequest.class).size()
+          actionsOf(WatchAction.OpenRequest.class).size()
+                  - actionsOf(WatchAction.CloseRequest.class).size()
               <= 8);
     }
     long answeredId = lastRequest().requestId();
     openWatch(stateMachine, 60);
     assertEquals(
-        of(WatchAction.OpenRequest.class).size() - 1,
-        of(WatchAction.CloseRequest.class).size(),
-        "only the answered one is left");
+        actionsOf(WatchAction.OpenRequest.class).size() - 1,
+        actionsOf(WatchAction.CloseRequest.class).size(),
+        "only the answered request remains open");
     assertTrue(stateMachine.isActive(answeredId));
   }
 
-  /** A list that stalls ends the watch, though bytes of it dribble in or empty lines follow it. */
+  /** An incomplete list ends the watch after the stall timeout, even if data still arrives. */
   @Test
   void anObjectThatStaysIncompleteEndsTheWatch() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
@@ -153,8 +154,8 @@
   }
 
   /**
-   * Discovery moves while it is unavailable: only the new address is requested, for its complete
-   * list and then for what follows; nothing of the old one is read.
+   * Discovery moves while it is unavailable: only the new address is requested, first for its
+   * complete list and then for changes. Data from the old address is not read.
    */
   @Test
   void aMoveWhileUnavailableRequestsTheNewAddressOnly() {
@@ -172,7 +173,9 @@
     assertEquals("b", lastRequest().host());
   }
 
-  /** Discovery moves while the old address streams: it is read until the new one has a list. */
+  /**
+   * Discovery moves while the old address streams: it is read until the new one has sent a list.
+   */
   @Test
   void theOldAddressIsReadUntilTheNewOneHasSentAList() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
@@ -183,17 +186,17 @@
     assertTrue(stateMachine.isActive(oldId));
     openWatch(stateMachine, 3);
     assertFalse(stateMachine.isActive(oldId));
-    int requests = of(WatchAction.OpenRequest.class).size();
+    int requests = actionsOf(WatchAction.OpenRequest.class).size();
     record(stateMachine.onFailure(now, oldId));
-    assertEquals(requests, of(WatchAction.OpenRequest.class).size());
+    assertEquals(requests, actionsOf(WatchAction.OpenRequest.class).size());
   }
 
   /**
-   * A shared discovery fails for all brokers at once: they do not return at once, and stay within
-   * the few requests a second that it serves.
+   * A shared discovery fails for all brokers at the same time: they do not reconnect at the same
+   * time, and their requests stay within its capacity of 1.4 per second.
    */
   @Test
-  void aSharedDiscoveryIsPolledSeldomAndNotInStep() {
+  void brokersDoNotOverloadASharedDiscovery() {
     List<Long> firstRetries = new ArrayList<>();
     long requestCount = 0;
     long lateRequests = 0;
@@ -205,19 +208,19 @@
       record(stateMachine.follow(now, "a", 1));
       openWatch(stateMachine, 50);
       record(
-          stateMachine.onFailure(
-              now, lastRequest().requestId())); // discovery went down: watches end
+          stateMachine.onFailure(now, lastRequest().requestId())); // discovery fails: watches end
       firstRetries.add(stateMachine.nextUs() / 10_000);
       for (long endUs = now + 30 * SECOND_US;
           now < endUs;
-          now = stateMachine.nextUs()) { // each request ends with 503 at once
+          now = stateMachine.nextUs()) { // each request fails immediately
         record(stateMachine.onTimer(now));
         record(stateMachine.onFailure(now, lastRequest().requestId()));
         lateRequests += now > endUs - 25 * SECOND_US ? 1 : 0;
       }
-      requestCount += of(WatchAction.OpenRequest.class).size();
+      requestCount += actionsOf(WatchAction.OpenRequest.class).size();
     }
-    assertTrue(firstRetries.stream().distinct().count() >= 3, "in step: " + firstRetries);
+    assertTrue(
+        firstRetries.stream().distinct().count() >= 3, "retries are not spread: " + firstRetries);
     assertTrue(requestCount <= 1.5 * 30 + 4, "requests in 30 s: " + requestCount);
     assertTrue(lateRequests <= 1.4 * 25, "requests in the last 25 s: " + lateRequests);
     assertTrue(
@@ -230,19 +233,19 @@
   }
 
   @Test
-  void aResyncMakesOneRequestNotTwo() {
+  void aResyncSendsNoSecondRequest() {
     WatchStateMachine stateMachine = stateMachine(polledSettings(4));
     record(stateMachine.follow(now, "a", 1));
     record(stateMachine.resync(now));
-    assertEquals(1, of(WatchAction.OpenRequest.class).size());
+    assertEquals(1, actionsOf(WatchAction.OpenRequest.class).size());
     openWatch(stateMachine, 50);
     record(stateMachine.resync(now));
-    assertEquals(2, of(WatchAction.OpenRequest.class).size());
+    assertEquals(2, actionsOf(WatchAction.OpenRequest.class).size());
     record(stateMachine.stop());
     assertEquals(WatchStateMachine.NEVER, stateMachine.nextUs());
   }
 
-  /** What happens to a request while discovery is down; it never answers one of these later. */
+  /** Fault of a request while discovery is down; such a request is never answered later. */
   private enum Fault {
     REFUSED,
     RESPONDS_503,
@@ -257,8 +260,8 @@
   }
 
   /**
-   * When a request is made that discovery, available again from {@code backUs} on, can answer;
-   * before that each request has a fault of its own.
+   * Returns the time of the first request at or after {@code backUs}, when discovery is available
+   * again. Each earlier request gets a random fault.
    */
   private long firstRequestAfter(
       WatchStateMachine stateMachine, long backUs, SplittableRandom random, Fault[] faults) {
@@ -283,7 +286,7 @@
       if (next == null || next.getKey() > stateMachine.nextUs()) {
         assertTrue(
             stateMachine.nextUs() > now || (stateMachine.nextUs() == now && next == null),
-            "the timer would spin");
+            "the next timer is not in the future");
         now = Math.max(now, stateMachine.nextUs());
         record(stateMachine.onTimer(now));
       } else {
@@ -291,7 +294,7 @@
         next.getValue().run();
       }
     }
-    throw new AssertionError("no request was made");
+    throw new AssertionError("no request was sent");
   }
 
   private void scheduleFault(
@@ -303,9 +306,9 @@
       SplittableRandom random) {
     long at = now + 1 + random.nextLong(300_000);
     Runnable failure = () -> record(stateMachine.onFailure(now, requestId));
-    Runnable head = untilBack(backUs, () -> stateMachine.onResponse(now, requestId));
-    Runnable emptyLine = untilBack(backUs, () -> stateMachine.onData(now, requestId, false));
-    Runnable listing = untilBack(backUs, () -> stateMachine.onList(now, requestId, 50));
+    Runnable head = whileDown(backUs, () -> stateMachine.onResponse(now, requestId));
+    Runnable emptyLine = whileDown(backUs, () -> stateMachine.onData(now, requestId, false));
+    Runnable listing = whileDown(backUs, () -> stateMachine.onList(now, requestId, 50));
     Runnable list =
         () -> {
           emptyLine.run();
@@ -338,8 +341,8 @@
     }
   }
 
-  /** Passes an input to the state machine only while discovery is still down. */
-  private Runnable untilBack(long backUs, Supplier<List<WatchAction>> input) {
+  /** Passes an input to the state machine only while discovery is down. */
+  private Runnable whileDown(long backUs, Supplier<List<WatchAction>> input) {
     return () -> {
       if (now < backUs) {
         record(input.get());
@@ -347,9 +350,9 @@
     };
   }
 
-  /** The longest time to a request over many seeds, each with its own faults and outage. */
-  private long latest(Settings settings, Fault... faults) {
-    long latest = 0;
+  /** Returns the longest time to a request over 400 seeds, each with its own faults and outage. */
+  private long longestDelayUs(Settings settings, Fault... faults) {
+    long longestUs = 0;
     for (int seed = 0; seed < 400; seed++) {
       SplittableRandom random = new SplittableRandom(seed);
       actions.clear();
@@ -358,63 +361,65 @@
           new WatchStateMachine(() -> WatchTimings.of(settings), 41, seed);
       record(stateMachine.follow(now, "a", 1));
       long backUs = now + SECOND_US + random.nextLong(40 * SECOND_US);
-      latest = Math.max(latest, firstRequestAfter(stateMachine, backUs, random, faults) - backUs);
+      longestUs =
+          Math.max(longestUs, firstRequestAfter(stateMachine, backUs, random, faults) - backUs);
     }
-    return latest;
+    return longestUs;
   }
 
   /**
-   * The broker answers for what discovery has from 6 s after it could be reached. Where it is
-   * polled, whatever failed before and in whatever order, a request is made early enough for a
-   * response that takes 1.8 s.
+   * The broker must use the current list within 6 s after discovery becomes reachable. With a
+   * polled discovery, a request is sent early enough for a response that takes 1.8 s, regardless of
+   * the kind and order of earlier faults.
    */
   @Test
   void afterAnyFaultsASharedDiscoveryIsReadWithinSixSeconds() {
     for (int brokers : new int[] {1, 4, 30, 100}) {
       for (Fault fault : Fault.values()) {
-        long delayUs = latest(polledSettings(brokers), fault);
+        long delayUs = longestDelayUs(polledSettings(brokers), fault);
         assertTrue(delayUs <= 4_200_000, brokers + " brokers, " + fault + ": " + delayUs);
       }
-      long delayUs = latest(polledSettings(brokers), Fault.values());
+      long delayUs = longestDelayUs(polledSettings(brokers), Fault.values());
       assertTrue(delayUs <= 4_200_000, brokers + " brokers, all: " + delayUs);
     }
   }
 
   /**
-   * The broker answers at once for what an agent has at its return: it is requested within 130 ms,
-   * but for a watch that fell silent, which is noticed within 3 s.
+   * The broker must act on the agent's list as soon as it returns: a request is sent within 130 ms.
+   * Only a watch that fell silent takes longer; it is detected within 3.2 s.
    */
   @Test
-  void afterAnyFaultsAnAgentIsRequestedAtOnce() {
+  void afterAnyFaultsAnAgentIsRequestedPromptly() {
     long delayUs =
-        latest(
+        longestDelayUs(
             PUSHED_SETTINGS,
             Fault.REFUSED,
             Fault.RESPONDS_503,
             Fault.NEVER_CONNECTS,
             Fault.NEVER_ANSWERS);
-    assertTrue(delayUs <= 130_000, "requested after " + delayUs);
-    delayUs = latest(PUSHED_SETTINGS, Fault.values());
-    assertTrue(delayUs <= 3_200_000, "requested after " + delayUs);
+    assertTrue(delayUs <= 130_000, "delay of the request in us: " + delayUs);
+    delayUs = longestDelayUs(PUSHED_SETTINGS, Fault.values());
+    assertTrue(delayUs <= 3_200_000, "delay of the request in us: " + delayUs);
   }
 
-  /** An agent that takes 2 s for each response is read all the same: one request waits for it. */
+  /** An agent that takes 2 s per response is still read, because one request waits for it. */
   @Test
   void aSlowAgentIsRead() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
     record(stateMachine.follow(now, "a", 1));
     passWithoutData(stateMachine, 10 * SECOND_US);
     assertTrue(
-        of(WatchAction.OpenRequest.class).stream()
+        actionsOf(WatchAction.OpenRequest.class).stream()
             .anyMatch(
                 request ->
                     stateMachine.isActive(request.requestId())
                         && request.requestId() < lastRequest().requestId() - 10),
-        "each request is given up too soon");
+        "every request is abandoned too early");
   }
 
   /**
-   * Moved again before the second address has sent a list: the first is read until the third has.
+   * Discovery moves again before the second address has sent a list: the first address is read
+   * until the third one has sent a list.
    */
   @Test
   void aStreamingAddressIsReadAcrossAnAbandonedMove() {
@@ -430,9 +435,9 @@
     assertFalse(stateMachine.isActive(oldId));
   }
 
-  /** Lists without a gap between them, each chunk ending within one, are no stall. */
+  /** Consecutive lists do not count as a stall even if each chunk ends within a list. */
   @Test
-  void consecutiveListsAreNoStall() {
+  void consecutiveListsDoNotCountAsAStall() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
     record(stateMachine.follow(now, "a", 1));
     long requestId = openWatch(stateMachine, 50);
@@ -444,9 +449,9 @@
     assertTrue(stateMachine.isActive(requestId));
   }
 
-  /** New settings apply to the requests that follow: here from pushed lists to polled ones. */
+  /** New settings, here from pushed to polled lists, apply to later requests. */
   @Test
-  void newSettingsBringOtherTimings() {
+  void newSettingsChangeTheTimings() {
     Settings[] settings = {PUSHED_SETTINGS};
     WatchStateMachine stateMachine =
         new WatchStateMachine(() -> WatchTimings.of(settings[0]), 41, 7);
@@ -454,14 +459,14 @@
     passWithoutData(stateMachine, 3 * SECOND_US);
     settings[0] = polledSettings(100);
     passWithoutData(stateMachine, 5 * SECOND_US);
-    int requestCount = of(WatchAction.OpenRequest.class).size();
+    int requestCount = actionsOf(WatchAction.OpenRequest.class).size();
     passWithoutData(stateMachine, 30 * SECOND_US);
     assertTrue(
-        of(WatchAction.OpenRequest.class).size() - requestCount <= 12,
-        "requests in 30 s: " + (of(WatchAction.OpenRequest.class).size() - requestCount));
+        actionsOf(WatchAction.OpenRequest.class).size() - requestCount <= 12,
+        "requests in 30 s: " + (actionsOf(WatchAction.OpenRequest.class).size() - requestCount));
   }
 
-  /** A change older than the known generation can not be applied: a complete list is requested. */
+  /** A change older than the known generation is ignored, and a complete list is requested. */
   @Test
   void anOlderChangeIsIgnoredAndACompleteListRequested() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
@@ -475,7 +480,7 @@
     record(stateMachine.onUnusableList(now, requestId));
     passWithoutData(stateMachine, 130_000);
     assertEquals(WatchStateMachine.NO_GENERATION, lastRequest().sinceGeneration());
-    assertEquals(1, of(WatchAction.CountFailure.class).size());
+    assertEquals(1, actionsOf(WatchAction.CountFailure.class).size());
     long completeListId = lastRequest().requestId();
     assertTrue(stateMachine.accepts(completeListId, 3, false));
     openWatch(stateMachine, 3);
