--- a/src/main/java/dunlinhitch/backend/BackendTransport.java
+++ b/src/main/java/dunlinhitch/backend/BackendTransport.java
@@ -6,7 +6,7 @@
 
 /**
  * The client transport to one store. It reports each attempt, health check and broken connection as
- * an event: every attempt that it was given completes exactly once, and none completes after it was
+ * an event: every attempt that is passed to it completes exactly once, and never after it was
  * cancelled. All methods are called on the event loop.
  */
 public interface BackendTransport {
@@ -18,18 +18,18 @@
   void send(List<AttemptRequest> parts);
 
   /**
-   * Cancels an attempt whose result is no longer needed and notifies the store where it has the
-   * attempt.
+   * Cancels an attempt whose result is no longer needed and notifies the store if the attempt was
+   * sent to it.
    *
-   * @param confirm whether an {@link dunlinhitch.core.Event.AttemptReleased} is wanted once the
-   *     store does not have the attempt any more; none comes where that cannot be known
-   * @return false where the attempt is not in flight on this transport
+   * @param confirm whether to report an {@link dunlinhitch.core.Event.AttemptReleased} once the
+   *     store no longer has the attempt; it is not reported if that cannot be determined
+   * @return false if the attempt is not in flight on this transport
    */
   boolean cancel(long attempt, boolean confirm);
 
   /**
-   * Withdraws an attempt without notifying the store: one that was not completely sent ends and is
-   * never sent; one that was sent goes on.
+   * Withdraws an attempt without notifying the store. An attempt that was not completely sent ends
+   * and is never sent; one that was completely sent continues.
    */
   void withdraw(long attempt);
 
@@ -44,20 +44,21 @@
   void closeIdleConnections();
 
   /**
-   * Applies the store's state in the endpoint list. A store that is not ready gets nothing that
-   * still waits for a connection; the connections to a removed one close once nothing is in flight.
+   * Applies the store's state in the endpoint list. Requests that still wait for a connection are
+   * not sent to a store that is not ready. The connections to a removed store close once nothing is
+   * in flight.
    */
   void updateState(ServerState state);
 
   /**
-   * Applies the operators' switch: while the store is administratively disabled nothing new is
-   * sent, including what waits for a connection.
+   * Sets whether the store is administratively disabled. While it is, no new request is sent,
+   * including those that wait for a connection.
    */
   void setDisabled(boolean disabled);
 
-  /** True where nothing is in flight and nothing waits for a connection. */
+  /** True if nothing is in flight and nothing waits for a connection. */
   boolean isIdle();
 
-  /** Closes all connections now; what is in flight completes as a reset. */
+  /** Closes all connections immediately; attempts in flight complete as a reset. */
   void close();
 }
--- a/src/main/java/dunlinhitch/backend/Backends.java
+++ b/src/main/java/dunlinhitch/backend/Backends.java
@@ -14,8 +14,8 @@
 import java.util.function.Function;
 
 /**
- * The transports to all stores, each over the protocol that its endpoint states. Executes the
- * reducer's effects on stores. Not thread-safe; used on the event loop only.
+ * The transports to all stores, each over the protocol of its endpoint. Executes the reducer's
+ * effects on stores. Not thread-safe; used on the event loop only.
  */
 public final class Backends {
   private record Backend(Endpoint endpoint, BackendTransport transport) {}
@@ -32,7 +32,8 @@
    * Creates a table without stores.
    *
    * @param opener makes the transport for an endpoint
-   * @param events takes the results of attempts and health checks that no transport can take
+   * @param events receives the results of attempts and health checks for which there is no
+   *     transport
    */
   public Backends(Function<Endpoint, BackendTransport> opener, Consumer<Event> events) {
     this.opener = opener;
@@ -42,7 +43,7 @@
   /**
    * Applies a new or changed endpoint. A transport to a changed address or a removed store drains.
    *
-   * @param disabled true where the store is administratively disabled
+   * @param disabled whether the store is administratively disabled
    */
   public void endpointChanged(int store, Endpoint endpoint, boolean disabled) {
     draining.removeIf(BackendTransport::isIdle);
@@ -63,7 +64,7 @@
     backends.put(store, new Backend(endpoint, transport));
   }
 
-  /** Sends a call; its attempts fail at once where the store is unknown. */
+  /** Sends a call; its attempts fail at once if the store is unknown. */
   public void send(Effect.SendRequest request) {
     Backend backend = backends.get(request.endpoint());
     if (backend != null) {
@@ -75,7 +76,7 @@
     }
   }
 
-  /** Cancels an attempt, also one on a draining transport. */
+  /** Cancels an attempt, including one on a draining transport. */
   public void cancel(Effect.CancelAttempt cancellation) {
     Backend backend = backends.get(cancellation.endpoint());
     long attempt = cancellation.attempt();
@@ -85,7 +86,7 @@
     }
   }
 
-  /** Withdraws an attempt that was not sent; a draining transport has none of these. */
+  /** Withdraws an attempt that was not sent; a draining transport has no unsent attempts. */
   public void withdraw(Effect.WithdrawAttempt withdrawal) {
     Backend backend = backends.get(withdrawal.endpoint());
     if (backend != null) {
@@ -93,7 +94,7 @@
     }
   }
 
-  /** Sends a health check, which fails at once where the store is unknown. */
+  /** Sends a health check, which fails at once if the store is unknown. */
   public void sendHealthCheck(Effect.SendHealthCheck healthCheck) {
     Backend backend = backends.get(healthCheck.endpoint());
     if (backend != null) {
@@ -113,7 +114,7 @@
     }
   }
 
-  /** Closes all transports; what is in flight completes as a reset. */
+  /** Closes all transports; attempts in flight complete as a reset. */
   public void close() {
     backends.values().forEach(backend -> backend.transport().close());
     backends.clear();
--- a/src/main/java/dunlinhitch/backend/LoadReportParser.java
+++ b/src/main/java/dunlinhitch/backend/LoadReportParser.java
@@ -7,7 +7,7 @@
 
 /**
  * Parses the load reports of stores, {@code name=value,name=value} or {@code -}, into the values of
- * the fields that the settings name, in their order. Stateless but for its settings.
+ * the fields that the settings name, in their order. Stateless except for its settings.
  */
 public final class LoadReportParser {
   private static final float[] NO_REPORT = {};
@@ -22,8 +22,10 @@
     this.order = order;
   }
 
-  /** The values; empty where there is no report, or one with a missing or malformed value. */
-  @SuppressWarnings("StringSplitter") // trailing empty pairs are dropped on purpose
+  /**
+   * Returns the values, or an empty array if there is no report or a value is missing or malformed.
+   */
+  @SuppressWarnings("StringSplitter") // trailing empty pairs are dropped intentionally
   public float[] parse(String text) {
     List<LoadReportField> wanted = order.get();
     if (wanted.isEmpty() || text.isEmpty() || text.equals("-")) {
@@ -51,7 +53,10 @@
     return report;
   }
 
-  /** Stores may use the names of the operators' protocol or those of the settings. */
+  /**
+   * Maps a name to its field. Stores may use the names of the operators' protocol or those of the
+   * settings.
+   */
   private static LoadReportField field(String name) {
     return switch (name) {
       case "inflight", "outstanding" -> LoadReportField.OUTSTANDING;
--- a/src/main/java/dunlinhitch/backend/PendingCalls.java
+++ b/src/main/java/dunlinhitch/backend/PendingCalls.java
@@ -5,8 +5,8 @@
 import java.util.List;
 
 /**
- * Calls that wait to be sent, in the order in which they arrived. Single attempts can still be
- * removed from them. Not thread-safe; its transport owns it on the event loop.
+ * Calls that wait to be sent, in the order in which they arrived. Individual attempts can be
+ * removed while they wait. Not thread-safe; owned by its transport and used on the event loop only.
  */
 public final class PendingCalls {
   private final List<List<AttemptRequest>> calls = new ArrayList<>();
@@ -25,9 +25,9 @@
   }
 
   /**
-   * Removes one attempt, and its call where that becomes empty.
+   * Removes one attempt, and its call if no attempt is left in it.
    *
-   * @return false where the attempt is not pending
+   * @return false if the attempt is not pending
    */
   public boolean remove(long attempt) {
     boolean removed =
@@ -43,7 +43,7 @@
     return drained;
   }
 
-  /** True where no call is pending. */
+  /** True if no call is pending. */
   public boolean isEmpty() {
     return calls.isEmpty();
   }
--- a/src/main/java/dunlinhitch/backend/RequestText.java
+++ b/src/main/java/dunlinhitch/backend/RequestText.java
@@ -8,7 +8,8 @@
 import java.util.List;
 
 /**
- * The text of a call and of its results, which is the same over every store protocol. Stateless.
+ * Encodes calls to stores and parses the fields of their results; the text is the same over every
+ * store protocol. Stateless.
  */
 public final class RequestText {
   private static final long US_PER_MS = 1000;
@@ -16,8 +17,8 @@
   private RequestText() {}
 
   /**
-   * Encodes a call: for each part a line {@code ID SHARD LIST LENGTH} and so many bytes of the
-   * query's text. The deadline is sent as the milliseconds that are left.
+   * Encodes a call: for each part a line {@code ID SHARD LIST LENGTH}, followed by the query's text
+   * of {@code LENGTH} bytes. The deadline is sent as the remaining time in milliseconds.
    */
   public static byte[] of(List<AttemptRequest> parts, long nowUs) {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
@@ -36,7 +37,7 @@
     return out.toByteArray();
   }
 
-  /** The result of the first pass that the part builds on. */
+  /** Encodes the result of the first step that the part builds on. */
   private static String encode(FirstStep firstPass) {
     return ",from="
         + String.join("+", firstPass.shards().stream().map(String::valueOf).toList())
@@ -45,7 +46,7 @@
   }
 
   /**
-   * Parses the score that ranks a part's result; NaN, which ranks last, where the field is no
+   * Parses the score that ranks a part's result; NaN, which ranks last, if the field is not a
    * finite number.
    */
   public static double score(String field) {
@@ -57,7 +58,7 @@
     }
   }
 
-  /** Parses how a part ended; null where the field is not defined by the protocol. */
+  /** Parses the outcome of a part; null if the protocol does not define the field's value. */
   public static AttemptOutcome end(String field) {
     return switch (field) {
       case "good" -> AttemptOutcome.OK;
--- a/src/main/java/dunlinhitch/backend/flight/AfterSending.java
+++ b/src/main/java/dunlinhitch/backend/flight/AfterSending.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Tasks that wait until a call is on its way: what is to reach the store behind the call must not
- * overtake it. Where the call is never sent they never run.
+ * Tasks deferred until a call was sent, so that messages that must reach the store after the call
+ * cannot overtake it. If the call is never sent, the tasks never run.
  *
  * <p>Not thread-safe; used on the event loop only.
  */
@@ -13,7 +13,7 @@
   private final List<Runnable> waiting = new ArrayList<>();
   private boolean sent;
 
-  /** Runs the task now if the call is on its way, else as soon as it is. */
+  /** Runs the task now if the call was sent, else as soon as it is. */
   void run(Runnable task) {
     if (sent) {
       task.run();
@@ -22,7 +22,7 @@
     }
   }
 
-  /** The call is on its way. */
+  /** Marks the call as sent and runs the deferred tasks. */
   void onSent() {
     sent = true;
     waiting.forEach(Runnable::run);
--- a/src/main/java/dunlinhitch/backend/flight/FlightActions.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightActions.java
@@ -12,8 +12,8 @@
 import org.apache.arrow.flight.Result;
 
 /**
- * Runs DoAction calls to one store on the action threads. Called on the event loop, where also the
- * results arrive.
+ * Runs DoAction calls to one store on the action threads. Called on the event loop, on which the
+ * results are delivered too.
  */
 final class FlightActions {
   private static final String HEALTH_CHECK = "probe";
@@ -26,8 +26,8 @@
   /**
    * Creates the actions of one store.
    *
-   * @param isDisabled evaluated on the action thread, just before a health check is sent; then it
-   *     fails
+   * @param isDisabled evaluated on the action thread just before a health check is sent; if true,
+   *     the check fails without being sent
    */
   FlightActions(FlightTransports shared, FlightClient client, BooleanSupplier isDisabled) {
     this.shared = shared;
@@ -35,7 +35,7 @@
     this.isDisabled = isDisabled;
   }
 
-  /** Asks for the load report; the result is empty where that failed. */
+  /** Requests the load report; the result is empty if the request failed. */
   void checkHealth(long dueUs, Consumer<Optional<String>> onResult) {
     submit(HEALTH_CHECK, "", dueUs, onResult);
   }
@@ -43,7 +43,7 @@
   /**
    * Notifies the store that the result of a part is no longer needed.
    *
-   * @param onTaken called once the store has confirmed that; never where it does not
+   * @param onTaken called once the store has confirmed the notification; not called if it does not
    */
   void cancelPart(String partId, long dueUs, Runnable onTaken) {
     submit(CANCEL, partId, dueUs, result -> result.ifPresent(ignored -> onTaken.run()));
@@ -63,7 +63,7 @@
     }
   }
 
-  /** The first result, or an empty text where there is none; empty where the action failed. */
+  /** Returns the first result, or an empty text if there is none; empty if the action failed. */
   private Optional<String> run(String type, String body, long dueUs) {
     if (isDisabled.getAsBoolean() && type.equals(HEALTH_CHECK)) {
       return Optional.empty();
@@ -74,13 +74,14 @@
               new Action(type, body.getBytes(StandardCharsets.UTF_8)),
               FlightTransport.timeout(dueUs, shared.nowUs()));
       String first = null;
-      while (results.hasNext()) { // to the end, which tells whether the action succeeded
+      while (results
+          .hasNext()) { // to the end: only the end of the stream shows whether the action succeeded
         byte[] bytes = results.next().getBody();
         first = first == null ? new String(bytes, StandardCharsets.UTF_8) : first;
       }
       return Optional.of(first == null ? "" : first);
     } catch (FlightRuntimeException e) {
-      return Optional.empty(); // the store is unreachable or has no such action
+      return Optional.empty(); // the store is unreachable or does not implement the action
     }
   }
 }
--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -25,26 +25,26 @@
 
 /**
  * One call to a store: a DoGet whose stream has a row for each part. The stream is read on a reader
- * thread, and rows are handed to the event loop batch by batch. Where the stream ends early, parts
+ * thread, and rows are passed to the event loop batch by batch. If the stream ends early, parts
  * whose rows were received are complete and the others may have run.
  */
 final class FlightCall implements Runnable {
   static final List<String> COLUMNS = List.of("id", "end", "score", "report", "value");
 
-  private static final String CANCEL_REASON = "given up";
+  private static final String CANCEL_REASON = "cancelled by the broker";
 
-  /** One row as received; a text that is no UTF-8 is null. */
+  /** One row as received; a field that is not valid UTF-8 is null. */
   private record Row(String partId, String end, double score, String report, String value) {}
 
-  /** Learns how the attempts of a call end; called on the event loop. */
+  /** Receives the outcomes of a call's attempts; called on the event loop. */
   interface Listener {
     /** Called once for each attempt that was not cancelled. */
     void onCompleted(Event.AttemptCompleted completion);
 
-    /** The call gave up an attempt, which completed as unconfirmed. */
+    /** Called after an attempt was abandoned and completed as unconfirmed. */
     void onAbandoned(FlightCall call, String partId, long attempt);
 
-    /** The store does not have a cancelled or abandoned attempt any more. */
+    /** Called when the store no longer has a cancelled or abandoned attempt. */
     void onReleased(long attempt);
   }
 
@@ -56,19 +56,19 @@
   private final long sentUs;
   private final long dueUs;
 
-  /** Attempts without their row, by part; used on the event loop only. */
+  /** Attempts whose row was not received yet, by part; used on the event loop only. */
   private final Map<String, Long> inFlight = new HashMap<>();
 
-  /** Parts that had their row or were cancelled; used on the event loop only. */
+  /** Parts whose row was received or that were cancelled; used on the event loop only. */
   private final Set<String> ended = new HashSet<>();
 
   /**
-   * Attempts that were abandoned, or cancelled with a wish for their release, by part; used on the
-   * event loop only.
+   * Attempts that were abandoned, or cancelled with their release to be reported, by part; used on
+   * the event loop only.
    */
   private final Map<String, Long> unconfirmed = new HashMap<>();
 
-  /** Attempts that must not be sent if they were not yet; read by the reader thread. */
+  /** Attempts that must not be sent any more; read by the reader thread. */
   private final Set<Long> stopped = ConcurrentHashMap.newKeySet();
 
   private final AfterSending afterSending = new AfterSending();
@@ -78,7 +78,8 @@
   /**
    * Creates a call that is not sent yet.
    *
-   * @param mayNotSend evaluated on the reader thread, just before the call is sent
+   * @param mayNotSend evaluated on the reader thread just before the call is sent; if true, the
+   *     call fails as never sent
    */
   FlightCall(
       FlightTransports shared,
@@ -96,16 +97,16 @@
     parts.forEach(part -> inFlight.put(part.partId(), part.attempt()));
   }
 
-  /** When the call was handed over for sending, in microseconds. */
+  /** When the call was created for sending, in microseconds. */
   long sentUs() {
     return sentUs;
   }
 
   /**
-   * Cancels one attempt, and the stream with the last one. On the event loop.
+   * Cancels one attempt, and the stream if no attempt is left. Called on the event loop.
    *
    * @param confirm whether the release of the attempt is to be reported
-   * @return the id of its part; empty where it ended before
+   * @return the id of its part; empty if the attempt had already ended
    */
   String cancel(long attempt, boolean confirm) {
     stop(attempt);
@@ -126,7 +127,7 @@
     return partId;
   }
 
-  /** Runs a task once the call is on its way. On the event loop. */
+  /** Runs a task once the call was sent. Called on the event loop. */
   void afterSending(Runnable task) {
     afterSending.run(task);
   }
@@ -136,13 +137,16 @@
     afterSending.onSent();
   }
 
-  /** The attempt ends as one that never ran if its call was not sent yet. */
+  /**
+   * Keeps an attempt from being sent. If its call was not sent yet, it ends as one that never ran.
+   */
   void stop(long attempt) {
     stopped.add(attempt);
   }
 
   /**
-   * Gives the call up: what has no row by now may have run, and the store may not know of the end.
+   * Abandons the call: attempts without a row may have run, and the store may still be working on
+   * them.
    */
   void abandon() {
     cancelStream();
@@ -187,8 +191,8 @@
       shared.onLoop(() -> onSent(sent.size()));
       readAll(opened);
     } catch (RuntimeException e) {
-      // Flight and gRPC throw several unrelated types where a stream is cut, cancelled or never
-      // begins; whichever it was, what has no row by now may have run
+      // Flight and gRPC throw several unrelated types if a stream breaks, is cancelled or never
+      // starts; in each case attempts without a row may have run
       if (endedByThisSide(e)) {
         shared.onLoop(this::abandon);
         return;
@@ -217,8 +221,8 @@
       opened.close();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-    } catch (Exception e) { // what AutoCloseable declares
-      throw new IllegalStateException("a stream could not be closed", e);
+    } catch (Exception e) { // declared by AutoCloseable
+      throw new IllegalStateException("could not close a Flight stream", e);
     }
   }
 
@@ -247,7 +251,7 @@
         row.partId() == null || row.end() == null ? null : RequestText.end(row.end());
     boolean requested = inFlight.containsKey(row.partId()) || ended.contains(row.partId());
     if (outcome == null || row.value() == null || !requested) {
-      // nothing that follows on such a stream can be trusted
+      // after an invalid row the rest of the stream cannot be trusted
       shared.events().accept(new Event.ConditionCounted(Counter.BAD_FRAMES));
       abandon();
       return;
@@ -278,7 +282,10 @@
     }
   }
 
-  /** A timeout or a cancellation: the status is made here, the store has not sent it. */
+  /**
+   * Returns true for a timeout or a cancellation: this side creates these statuses, they do not
+   * come from the store.
+   */
   private static boolean endedByThisSide(RuntimeException failure) {
     if (!(failure instanceof FlightRuntimeException flightFailure)) {
       return true;
@@ -287,7 +294,7 @@
     return code == FlightStatusCode.TIMED_OUT || code == FlightStatusCode.CANCELLED;
   }
 
-  /** The store has ended the stream. */
+  /** Ends all attempts after the store has ended the stream. */
   private void reset() {
     takeInFlight()
         .values()
--- a/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
@@ -15,9 +15,9 @@
 import org.apache.arrow.flight.FlightRuntimeException;
 
 /**
- * One first-pass attempt over Flight: GetFlightInfo of a command that holds the text of a call.
- * {@code total_records} of the reply is the number of records, {@code app_metadata} is {@code
- * VERSION REPORT VALUE}, the value being the empty one.
+ * One first-pass attempt over Flight: a GetFlightInfo whose command descriptor contains the text of
+ * a call. In the reply, {@code total_records} is the number of records and {@code app_metadata} is
+ * {@code VERSION REPORT VALUE}, where {@code VALUE} is the value of an empty block.
  *
  * <p>Runs on a reader thread; {@code onCompleted} and {@code onReply} are called on the event loop.
  */
@@ -36,8 +36,9 @@
   /**
    * Creates a call that is not sent yet.
    *
-   * @param mayNotSend evaluated on the reader thread, just before the call is sent
-   * @param onCompleted takes every other end than a reply
+   * @param mayNotSend evaluated on the reader thread just before the call is sent; if true, the
+   *     call fails as never sent
+   * @param onCompleted receives the outcome if the call ends without a reply
    */
   FlightFirstPassCall(
       FlightTransports shared,
@@ -54,7 +55,7 @@
     this.onReply = onReply;
   }
 
-  /** The call is not sent any more if it was not yet. */
+  /** Keeps the call from being sent if it was not sent yet. */
   void stop() {
     stopped = true;
   }
@@ -64,12 +65,12 @@
     return part.partId();
   }
 
-  /** Runs a task once the call is on its way. On the event loop. */
+  /** Runs a task once the call was sent. Called on the event loop. */
   void afterSending(Runnable task) {
     afterSending.run(task);
   }
 
-  /** Ends a call that could not be made. */
+  /** Completes a call that could not be sent. */
   void fail() {
     complete(Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.CONNECT_FAILED));
   }
@@ -117,7 +118,8 @@
 
   private Event.AttemptCompleted completionOf(FlightRuntimeException failure) {
     return switch (failure.status().code()) {
-      case CANCELLED, TIMED_OUT -> // made on this side: the store may still have it
+      case CANCELLED,
+          TIMED_OUT -> // the status was created on this side: the store may still have the attempt
           Event.AttemptCompleted.unconfirmed(part.attempt(), AttemptOutcome.RESET);
       case UNAVAILABLE -> Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.RESET);
       case RESOURCE_EXHAUSTED -> Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.FULL);
--- a/src/main/java/dunlinhitch/backend/flight/FlightFirstPasses.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPasses.java
@@ -11,31 +11,31 @@
  * The first passes in flight to one store, and those that were cancelled while the store may still
  * have them.
  *
- * <p>Not thread-safe; its transport owns it on the event loop.
+ * <p>Not thread-safe; owned by its transport and used on the event loop only.
  */
 final class FlightFirstPasses {
-  /** Makes the calls and learns of their ends; all methods are called on the event loop. */
+  /** Starts the calls and receives their outcomes; all methods are called on the event loop. */
   interface Listener {
-    /** Hands the call to a reader thread. */
+    /** Passes the call to a reader thread. */
     void start(FlightFirstPassCall call);
 
-    /** A first pass that was not cancelled has ended without a reply. */
+    /** Called when a first pass that was not cancelled has ended without a reply. */
     void onCompleted(Event.AttemptCompleted completion);
 
-    /** A first pass that was not cancelled was answered. */
+    /** Called when a first pass that was not cancelled was answered. */
     void onReply(Event.FirstPassCompleted reply);
 
-    /** The store is to be notified of a cancellation; the call is on its way to it. */
+    /** Called when the store must be notified of a cancellation; the call was sent to it before. */
     void onCancelled(String partId, long attempt, long connection);
 
-    /** The store does not have a cancelled first pass any more. */
+    /** Called when the store no longer has a cancelled first pass. */
     void onReleased(long attempt);
   }
 
   /**
    * A first pass in flight.
    *
-   * @param connection the number of the connection that it was handed to
+   * @param connection the number of the connection on which it was started
    */
   private record SentFirstPass(FlightFirstPassCall call, long connection) {}
 
@@ -57,13 +57,13 @@
     return inFlight.size();
   }
 
-  /** Starts the first pass of a part on the connection of that number. */
+  /** Starts the first pass of a part on the connection with the given number. */
   void start(AttemptRequest part, FlightFirstPassCall call, long connection) {
     inFlight.put(part.attempt(), new SentFirstPass(call, connection));
     listener.start(call);
   }
 
-  /** The call has ended without a reply. */
+  /** Handles the end of a call without a reply. */
   void onCompleted(Event.AttemptCompleted completion) {
     SentFirstPass sent = inFlight.remove(completion.attempt());
     if (sent == null) { // it was cancelled
@@ -78,7 +78,7 @@
     }
   }
 
-  /** The store has answered. */
+  /** Handles the store's reply. */
   void onReply(Event.FirstPassCompleted reply) {
     if (inFlight.remove(reply.attempt()) == null) { // it was cancelled
       release(reply.attempt());
@@ -88,11 +88,11 @@
   }
 
   /**
-   * Cancels a first pass. One that was sent ends by its deadline and costs the store little, so it
-   * may go on.
+   * Cancels a first pass. One that was sent continues: it ends by its deadline and costs the store
+   * little.
    *
    * @param confirm whether its release is to be reported
-   * @return false where it is not in flight
+   * @return false if it is not in flight
    */
   boolean cancel(long attempt, boolean confirm) {
     SentFirstPass sent = inFlight.remove(attempt);
@@ -111,7 +111,7 @@
     }
   }
 
-  /** A first pass that was not sent yet is not sent any more. */
+  /** Keeps a first pass from being sent if it was not sent yet. */
   void withdraw(long attempt) {
     SentFirstPass sent = inFlight.get(attempt);
     if (sent != null) {
--- a/src/main/java/dunlinhitch/backend/flight/FlightLivenessCheck.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightLivenessCheck.java
@@ -6,23 +6,23 @@
 import java.util.Optional;
 
 /**
- * Detects a channel that stays open although nothing crosses it any more: while attempts are in
- * flight and the store sends nothing, it is sent a health check. Not thread-safe; its transport
- * owns it on the event loop.
+ * Detects a channel that is open but no longer transports anything: a health check is sent to the
+ * store while attempts are in flight and nothing is received from it. Not thread-safe; owned by its
+ * transport and used on the event loop only.
  */
 final class FlightLivenessCheck {
-  /** The check is sent after the connect timeout divided by this. */
+  /** The delay before a check is the connect timeout divided by this. */
   private static final int DELAY_DIVISOR = 3;
 
-  /** The reply is awaited for the connect timeout divided by this. */
+  /** The timeout of the reply is the connect timeout divided by this. */
   private static final int REPLY_TIMEOUT_DIVISOR = 2;
 
-  /** What is checked. */
+  /** The transport that is checked. */
   interface Target {
-    /** True where attempts are in flight to a store that may be sent a check. */
+    /** True if attempts are in flight and the store may be sent a check. */
     boolean needsLivenessCheck();
 
-    /** False where the loss of the channel is of no interest any more. */
+    /** False once the loss of the channel no longer matters. */
     boolean isActive();
 
     /** When the oldest call in flight was sent, in microseconds; there must be one. */
@@ -49,7 +49,7 @@
     this.target = target;
   }
 
-  /** Starts the check where it is needed and not running yet. */
+  /** Starts the check if it is needed and not already running. */
   void schedule() {
     if (scheduled || !target.needsLivenessCheck()) {
       return;
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -26,26 +26,29 @@
 import org.apache.arrow.flight.FlightGrpcUtils;
 
 /**
- * Transport to a store over Arrow Flight: a DoGet for each call, on one channel. No call is made
- * before the channel is connected, so that a pending call provably did not run; what is in flight
- * when the channel breaks may have run.
+ * Transport to a store over Arrow Flight: a DoGet for each call, on one channel. No call is sent
+ * before the channel is connected, so a pending call cannot have run; attempts in flight when the
+ * channel breaks may have run.
  *
- * <p>Used on the event loop, but for the check just before a call is made, which the reader threads
- * ask.
+ * <p>Used on the event loop, except for {@link #mayNotSend}, which the reader threads evaluate just
+ * before they send a call.
  */
 final class FlightTransport implements BackendTransport {
   private static final int MAX_MESSAGE_BYTES = 256 * 1024;
 
-  /** Attempts that may be in flight to one store. */
+  /** Maximum number of attempts in flight to one store. */
   private static final int MAX_IN_FLIGHT = 256;
 
-  /** The share of the store's idle timeout after which this side closes an idle connection. */
+  /** Fraction of the store's idle timeout after which this side closes an idle connection. */
   private static final double IDLE_SHARE = 0.8;
 
-  /** A cancelled attempt without any reply for so long points to a dead host, not to a busy one. */
+  /**
+   * If a cancelled attempt was sent this long ago and no reply has arrived since, the host is
+   * considered dead rather than busy.
+   */
   private static final long UNRESPONSIVE_US = 1_000_000;
 
-  /** The reply to a health check from a store that takes itself for unhealthy. */
+  /** The reply to a health check from a store that considers itself unhealthy. */
   private static final String UNHEALTHY = "bad";
 
   private static final float[] NO_REPORT = {};
@@ -53,7 +56,7 @@
   /**
    * A call in flight.
    *
-   * @param connection the number of the connection that it was handed to
+   * @param connection the number of the connection on which it was started
    */
   private record SentCall(FlightCall call, long connection) {}
 
@@ -63,27 +66,29 @@
   private final FlightActions actions;
   private final FlightLivenessCheck livenessCheck;
 
-  /** The call of each attempt in flight, but for first passes. */
+  /** The call of each attempt in flight, except first passes. */
   private final Map<Long, SentCall> calls = new HashMap<>();
 
   private final FlightFirstPasses firstPasses = new FlightFirstPasses(new FirstPassListener());
 
-  /** Calls that wait for the channel to be connected. */
+  /** Calls that wait until the channel is connected. */
   private final PendingCalls pendingCalls = new PendingCalls();
 
-  /** Read also by reader threads. */
+  /** Also read by reader threads. */
   private volatile ServerState state = ServerState.READY;
 
-  /** Read also by reader and action threads. */
+  /** Also read by reader and action threads. */
   private volatile boolean disabled;
 
-  /** Counts attempts to connect, so that a late timer or callback of an earlier one is ignored. */
+  /**
+   * Counts attempts to connect, so that a late timer or callback of an earlier attempt is ignored.
+   */
   private long connectRound;
 
-  /** Counts the connections that this side has turned away from. */
+  /** Number of the current connection: counts the connections that this side has stopped using. */
   private long connectionNumber;
 
-  /** When the store last replied anything about a part, in microseconds. */
+  /** When the last reply to a part or to a liveness check arrived, in microseconds. */
   private long lastReplyUs;
 
   private boolean closed;
@@ -137,7 +142,7 @@
         && calls.size() + firstPasses.size() + parts.size() <= MAX_IN_FLIGHT;
   }
 
-  /** Connects for the pending calls; if that takes too long, none of them has run. */
+  /** Connects for the pending calls, which fail as never run after the connect timeout. */
   private void connect() {
     long round = ++connectRound;
     shared.events().accept(new Event.ConditionCounted(Counter.CONNECTIONS_OPENED));
@@ -163,7 +168,7 @@
       pendingCalls.drain().forEach(this::start);
       return;
     }
-    // an initial failure is that of an earlier attempt to connect
+    // an initial failure state belongs to an earlier attempt to connect
     if (current == ConnectivityState.SHUTDOWN
         || (current == ConnectivityState.TRANSIENT_FAILURE && !initial)) {
       failPending();
@@ -200,8 +205,8 @@
   }
 
   /**
-   * Asked by the reader threads just before a call: gRPC would queue a call on a channel that has
-   * disconnected again until it is connected.
+   * Evaluated by the reader threads just before they send a call: if the channel has disconnected
+   * again, gRPC would queue the call until it is connected.
    */
   private boolean mayNotSend() {
     return disabled
@@ -253,15 +258,16 @@
     String partId = call.cancel(attempt, confirm);
     call.afterSending(() -> notifyCancelled(partId, attempt, sent.connection(), confirm));
     if (lastReplyUs <= call.sentUs() && shared.nowUs() - call.sentUs() > UNRESPONSIVE_US) {
-      leaveConnection(); // a fresh connection fails soon or is established
+      leaveConnection(); // a fresh connection is established or fails soon
     }
     closeIfDrained();
     return true;
   }
 
   /**
-   * Notifies the store. Its confirmation releases the attempt, unless it may have come over a later
-   * connection: there it says nothing about a call that is still on its way.
+   * Notifies the store of a cancellation. Its confirmation releases the attempt, unless it may have
+   * been sent over a later connection: that does not prove that the store has received the call,
+   * which may still be in transit on the earlier connection.
    */
   private void notifyCancelled(String partId, long attempt, long connection, boolean confirm) {
     actions.cancelPart(
@@ -278,7 +284,7 @@
     shared.events().accept(new Event.AttemptReleased(attempt));
   }
 
-  /** New calls use a fresh connection. */
+  /** Stops using the current connection; new calls use a fresh one. */
   private void leaveConnection() {
     connectionNumber++;
     channel.enterIdle();
@@ -316,7 +322,7 @@
     return shared.nowUs() + shared.limits().connectTimeoutUs();
   }
 
-  /** The call option for a deadline: gRPC takes the time that is left. */
+  /** Returns the call option for a deadline: gRPC expects the remaining time. */
   static CallOption timeout(long dueUs, long nowUs) {
     return CallOptions.timeout(Math.max(1, dueUs - nowUs), TimeUnit.MICROSECONDS);
   }
@@ -365,12 +371,12 @@
     if (!closed) {
       closed = true;
       failPending();
-      channel.shutdownNow(); // what is in flight ends as a reset
+      channel.shutdownNow(); // attempts in flight end as a reset
       shared.closeAsync(client);
     }
   }
 
-  /** Makes first passes and reports how they end. */
+  /** Starts first passes and reports their outcomes. */
   private final class FirstPassListener implements FlightFirstPasses.Listener {
     @Override
     public void start(FlightFirstPassCall call) {
@@ -404,7 +410,7 @@
     }
   }
 
-  /** Reports how the attempts of a call end that was handed to one connection. */
+  /** Reports the outcomes of a call that was started on one connection. */
   private final class CallListener implements FlightCall.Listener {
     private final long connection;
 
@@ -428,7 +434,7 @@
     }
   }
 
-  /** What the liveness check sees and does on this transport. */
+  /** Connects the liveness check to this transport. */
   private final class LivenessTarget implements FlightLivenessCheck.Target {
     @Override
     public boolean needsLivenessCheck() {
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransports.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransports.java
@@ -22,12 +22,12 @@
 import org.apache.arrow.memory.RootAllocator;
 
 /**
- * What all Flight transports share: bounded threads for blocking calls, bounded buffers, and the
- * hand-over of results to the event loop. Opens the transports. Thread-safe but for {@link #close},
- * which the event loop calls once.
+ * Creates Flight transports and holds the resources that they share: bounded thread pools for
+ * blocking calls, bounded buffers, and the transfer of results to the event loop. Thread-safe
+ * except for {@link #close}, which the event loop calls once.
  */
 public final class FlightTransports {
-  /** Threads that read streams: also the bound of concurrent calls to all stores. */
+  /** Number of threads that read streams, which also bounds the concurrent calls to all stores. */
   private static final int READER_THREADS = 64;
 
   private static final int ACTION_THREADS = 2;
@@ -69,7 +69,7 @@
           threadFactory("flight-callback"));
 
   /**
-   * Creates what is shared; threads start on demand.
+   * Creates the shared resources; threads start on demand.
    *
    * @param context the event loop on which events are reported
    * @param clock microseconds; called from any thread
@@ -111,7 +111,8 @@
           try {
             allocator.close();
           } catch (IllegalStateException e) {
-            // a client that is still closing has buffers of it; the process ends anyway
+            // a client that is still closing holds buffers of the allocator; the process ends
+            // anyway
           }
         });
     readers.shutdown();
@@ -119,7 +120,7 @@
     callbacks.shutdown();
   }
 
-  /** Closes a client off the event loop, as that waits for its streams. */
+  /** Closes a client off the event loop, because closing waits for its streams. */
   void closeAsync(FlightClient client) {
     try {
       actions.execute(
@@ -137,7 +138,7 @@
     }
   }
 
-  /** Runs the task on the event loop, or never if that has ended. */
+  /** Runs the task on the event loop, or not at all if the loop has ended. */
   void onLoop(Runnable task) {
     try {
       context.runOnContext(ignored -> task.run());
@@ -180,7 +181,7 @@
     return actions;
   }
 
-  /** The thread on which channels report changes of their state. */
+  /** The thread on which channels report state changes. */
   ExecutorService callbacks() {
     return callbacks;
   }
--- a/src/main/java/dunlinhitch/backend/flight/SendHook.java
+++ b/src/main/java/dunlinhitch/backend/flight/SendHook.java
@@ -9,15 +9,18 @@
 import java.util.function.Supplier;
 
 /**
- * Tells when a blocking call has handed its request to the connection, which the call itself does
- * not before its reply: whatever is called on the same connection from then on is sent behind it.
+ * Reports when a blocking call has passed its request to the connection; the call itself returns
+ * only with its reply. Calls that are made on the same connection after that are sent after the
+ * request.
  *
- * <p>Thread-safe: a hook belongs to the thread that makes the call.
+ * <p>Thread-safe: the hook is stored per calling thread.
  */
 final class SendHook implements ClientInterceptor {
   private static final ThreadLocal<Runnable> HOOK = new ThreadLocal<>();
 
-  /** Makes a call on this thread and runs the hook, on this thread, once its request is sent. */
+  /**
+   * Makes a call on this thread and runs the hook, on the same thread, once the request is sent.
+   */
   static <T> T call(Supplier<T> call, Runnable onSent) {
     HOOK.set(onSent);
     try {
--- a/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
+++ b/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
@@ -9,30 +9,28 @@
 import java.util.Locale;
 
 /**
- * How a connection to a store ends, and whether that proves that the store has seen the end. This
- * side closes in two steps: it sends its end of stream, and waits for the store's, which comes only
- * after the store has read that far. A timeout, an unreachable host, or this side's own close prove
- * nothing.
+ * Tracks how a connection to a store ends, and whether that proves that the store has seen the end.
+ * This side closes in two steps: it sends its end of stream and waits for the store's, which the
+ * store sends only after it has read up to there. A timeout, an unreachable host or this side's own
+ * close is no proof.
  *
- * <p>Not thread-safe; its connection owns it on the event loop.
+ * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
 final class ConnectionEnd {
-  /** How long the store's end of stream is awaited; the file descriptor is held meanwhile. */
+  /** Timeout for the store's end of stream; the file descriptor stays open until then. */
   private static final long STORE_END_TIMEOUT_MS = 1_000;
 
   private boolean closedHere;
   private boolean failedWithoutProof;
 
-  /** Ends the connection at once; what is still to be written is dropped. */
+  /** Closes the connection immediately; pending writes are dropped. */
   @SuppressWarnings("FutureReturnValueIgnored") // the channel's closeFuture reports the close
   void close(ChannelHandlerContext context) {
     closedHere = true;
     context.close();
   }
 
-  /**
-   * Sends the end of stream, without what is still to be written, and waits for that of the store.
-   */
+  /** Sends the end of stream, dropping pending writes, and waits for the store's end of stream. */
   @SuppressWarnings("FutureReturnValueIgnored") // the channel's closeFuture reports the close
   void closeAfterStore(Vertx vertx, ChannelHandlerContext context) {
     ((DuplexChannel) context.channel()).shutdownOutput();
@@ -40,14 +38,14 @@
     context.channel().closeFuture().addListener(ignored -> vertx.cancelTimer(timer));
   }
 
-  /** The connection has failed and closes because of it. */
+  /** Records a failure that closes the connection. */
   void onFailure(Throwable failure) {
     failedWithoutProof |= !provesEndAtStore(failure);
   }
 
   /**
-   * A write has failed. Where the cause is not the network's the connection was closed already, or
-   * its output was shut down.
+   * Records a failed write. A failure other than a network error means that the connection was
+   * already closed or its output shut down, and is ignored.
    */
   void onWriteFailure(Throwable failure) {
     boolean closedBefore =
@@ -58,12 +56,12 @@
     }
   }
 
-  /** After the connection has closed: whether the store is known to have ended it. */
+  /** Returns, after the connection has closed, whether the store is known to have ended it. */
   boolean isKnownToStore() {
     return !closedHere && !failedWithoutProof;
   }
 
-  /** The operating system has no typed errors here: a reset is told by its message. */
+  /** The JDK has no exception type for a reset, so it is recognised by its message. */
   private static boolean provesEndAtStore(Throwable failure) {
     String message = String.valueOf(failure.getMessage()).toLowerCase(Locale.ROOT);
     return message.contains("reset") || message.contains("broken pipe");
--- a/src/main/java/dunlinhitch/backend/frames/Frame.java
+++ b/src/main/java/dunlinhitch/backend/frames/Frame.java
@@ -4,17 +4,17 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * One frame of the stores' protocol: four bytes of length, least significant first, the type and
- * the payload. The length counts the type and the payload.
+ * One frame of the stores' protocol: a 32-bit little-endian length, the type byte and the payload.
+ * The length covers the type and the payload.
  *
- * @param type one of {@link FrameType} where the frame is valid
- * @param payload what follows the type
+ * @param type one of {@link FrameType} if the frame is valid
+ * @param payload the bytes after the type
  */
 record Frame(char type, Buffer payload) {
-  /** Bytes of the length field. */
+  /** Size of the length field in bytes. */
   static final int LENGTH_BYTES = 4;
 
-  /** No frame of a store is longer: one that announces more is malformed. */
+  /** Maximum length of a store's frame; a frame that announces more is malformed. */
   static final int MAX_BYTES = 256 * 1024;
 
   /** Encodes a frame with a binary payload. */
--- a/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -17,22 +17,26 @@
 import java.util.function.Consumer;
 
 /**
- * One connection to a store: its life from connecting to closed, and the writing of calls. One call
- * at a time is on its way into the socket. Calls behind it, and calls that wait for the connection
- * to be established, can still be withdrawn and are checked again before they are written.
+ * One connection to a store: its lifecycle from connecting to closed, and the writing of calls. One
+ * call at a time is written to the socket. Calls queued behind it, and calls that wait for the
+ * connection to be established, can still be withdrawn and are checked again before they are
+ * written.
  *
- * <p>Not thread-safe; its transport owns it on the event loop.
+ * <p>Not thread-safe; owned by its transport and used on the event loop only.
  */
 final class FrameConnection {
   private static final int WRITE_QUEUE_BYTES = 512 * 1024;
 
-  /** A cancelled attempt without any reply for so long points to a dead host, not to a busy one. */
+  /**
+   * If a cancelled attempt was sent this long ago and nothing has been received since, the host is
+   * considered dead rather than busy.
+   */
   private static final long UNRESPONSIVE_US = 1_000_000;
 
   private final FrameTransport.Shared shared;
   private final Consumer<FrameConnection> onClosed;
 
-  /** Called once, when the file descriptor is free again. */
+  /** Called once, when the file descriptor is released. */
   private final Runnable onDescriptorReleased;
 
   private final PendingCalls pendingCalls = new PendingCalls();
@@ -47,18 +51,24 @@
   /** Null until the connection is established. */
   private NetSocket socket;
 
-  /** Completes once the call that was written last was completely handed to the kernel. */
+  /** Completes once the last written call was completely passed to the kernel. */
   private Future<Void> lastWrite = Future.succeededFuture();
 
   private boolean closed;
 
-  /** True while a liveness check is to be sent behind the cancellations of this pass. */
+  /**
+   * True while a liveness check is scheduled after the cancellations of this pass of the event
+   * loop.
+   */
   private boolean confirmationScheduled;
 
-  /** True once the connection takes no new calls and closes as soon as it is idle. */
+  /** True once the connection accepts no new calls and closes as soon as it is idle. */
   private boolean draining;
 
-  /** True after a cancelled attempt had no reply for too long, until something is received. */
+  /**
+   * True after a cancelled attempt had no reply for {@link #UNRESPONSIVE_US}, until something is
+   * received.
+   */
   private boolean unresponsive;
 
   private long lastUsedUs;
@@ -67,9 +77,10 @@
   /**
    * Creates a connection that is not connected yet.
    *
-   * @param mayCheck false where the store is to get nothing new, not even a liveness check
-   * @param onClosed called once, when the connection takes and reports nothing any more
-   * @param onDescriptorReleased called once, when the file descriptor is free again
+   * @param mayCheck false if nothing new may be sent to the store, not even a liveness check
+   * @param onClosed called once, when the connection accepts no more calls and has nothing more to
+   *     report
+   * @param onDescriptorReleased called once, when the file descriptor is released
    */
   FrameConnection(
       FrameTransport.Shared shared,
@@ -92,7 +103,7 @@
     return shared.clock.getAsLong();
   }
 
-  /** Connects; what was sent before waits until the connection is established. */
+  /** Connects; calls sent before wait until the connection is established. */
   void connect(String host, int port) {
     shared
         .connect(host, port)
@@ -128,8 +139,8 @@
   }
 
   /**
-   * The Netty context of a socket. A close through it is not queued behind what is still to be
-   * written, as one through Vert.x is.
+   * The Netty context of a socket. A close through it takes effect immediately, whereas a close
+   * through Vert.x is queued behind pending writes.
    */
   private static ChannelHandlerContext channelContext(NetSocket socket) {
     return ((NetSocketInternal) socket).channelHandlerContext();
@@ -143,14 +154,14 @@
     return inFlight.isEmpty() && pendingCalls.isEmpty() && healthChecks.isEmpty();
   }
 
-  /** True while a call is not completely handed to the kernel. */
+  /** True while a call is not completely passed to the kernel. */
   boolean isWriting() {
     return !lastWrite.isComplete();
   }
 
   /**
-   * True where a call of so many parts may be sent here. Closes a connection that was idle for so
-   * long that the store is about to close it.
+   * Returns true if a call with this number of parts may be sent here. Closes the connection if it
+   * was idle for so long that the store is about to close it.
    */
   boolean accepts(int parts, Set<String> partIds) {
     if (isIdle() && nowUs() - lastUsedUs >= shared.idleTimeoutUs()) {
@@ -170,8 +181,8 @@
   }
 
   /**
-   * Sends a call as soon as the connection is established and the calls ahead are written. Where no
-   * file descriptor was left the connection may have failed before its first call: such a call
+   * Sends a call as soon as the connection is established and the calls ahead are written. If no
+   * file descriptor was available, the connection may have failed before its first call, which then
    * fails at once.
    */
   void send(List<AttemptRequest> parts) {
@@ -184,7 +195,9 @@
     }
   }
 
-  /** Writes pending calls, without the parts whose deadline passed while they waited. */
+  /**
+   * Writes pending calls; parts whose deadline passed while they waited fail without being sent.
+   */
   private void writePending() {
     while (!closed && !pendingCalls.isEmpty() && !isWriting()) {
       long nowUs = nowUs();
@@ -258,7 +271,7 @@
    * Cancels an attempt and notifies the store.
    *
    * @param confirm whether the release of the attempt is to be reported
-   * @return false where the attempt is not on this connection
+   * @return false if the attempt is not on this connection
    */
   boolean cancel(long attempt, boolean confirm) {
     if (removePending(attempt)) {
@@ -273,7 +286,7 @@
     }
     inFlight.remove(cancelled);
     if (cancelled.isIncomplete()) {
-      close(); // a notification would arrive behind the very call that it is to prevent
+      close(); // a notification would arrive after the call that it is meant to prevent
       if (confirm) {
         release(attempt);
       }
@@ -285,8 +298,8 @@
       unconfirmed.add(cancelled.partId(), attempt);
       requestConfirmation();
     }
-    // the connections of a dead host stay open: new calls need a fresh one, which fails soon and
-    // so proves that nothing ran, or is established
+    // the connections to a dead host stay open: new calls use a fresh connection, which is either
+    // established or fails soon and so proves that they did not run
     unresponsive |=
         lastReceivedUs <= cancelled.sentUs() && nowUs() - cancelled.sentUs() > UNRESPONSIVE_US;
     if (unresponsive || draining) {
@@ -296,9 +309,9 @@
   }
 
   /**
-   * Sees to it that the store shows that it has read the cancellations: by the reply to one
-   * liveness check behind all those of this pass of the event loop, or by the end of the connection
-   * where the store may not be checked.
+   * Requests proof that the store has read the cancellations: the reply to one liveness check sent
+   * after all cancellations of this pass of the event loop, or the end of the connection if the
+   * store must not be checked.
    */
   private void requestConfirmation() {
     if (!confirmationScheduled) {
@@ -328,7 +341,7 @@
     shared.events.accept(new Event.AttemptReleased(attempt));
   }
 
-  /** Fails all calls that were not written: the store is to get nothing new. */
+  /** Fails all calls that were not written, because nothing new may be sent to the store. */
   void failPending() {
     for (List<AttemptRequest> parts : pendingCalls.drain()) {
       parts.forEach(part -> complete(part.attempt(), AttemptOutcome.CONNECT_FAILED));
@@ -341,7 +354,7 @@
     }
   }
 
-  /** Takes no new calls from now on and closes once nothing is in flight. */
+  /** Accepts no new calls from now on and closes once nothing is in flight. */
   void drain() {
     draining = true;
     if (isIdle()) {
@@ -350,10 +363,10 @@
   }
 
   /**
-   * Closes and drops what is still to be written: a call that was not completely written is
-   * reported as one that never ran, and an orderly close would first write it. Cancellations that
-   * are dropped with it are implied by the close itself. Where the store may still have attempts,
-   * its end of the connection is awaited, which releases them.
+   * Closes the connection and drops pending writes. A call that was not completely written is
+   * reported as never run, whereas an orderly close would first write the rest of it. Cancellations
+   * that are dropped are implied by the close itself. If the store may still have attempts, the
+   * connection waits for the store's end of stream, which releases them.
    */
   void close() {
     if (closed) {
@@ -370,7 +383,7 @@
     }
   }
 
-  /** Closes at once, for good: what the store still has is not waited for. */
+  /** Closes the connection immediately, without waiting for the store to release attempts. */
   void abort() {
     reportClosed(false);
     if (socket != null) {
@@ -386,9 +399,9 @@
   }
 
   /**
-   * Reports the end of all that was in flight.
+   * Reports the end of everything that was in flight.
    *
-   * @param knownToStore false where the store may still have what was written to it
+   * @param knownToStore false if the store may still have attempts that were written to it
    */
   private void reportClosed(boolean knownToStore) {
     if (closed) {
@@ -433,7 +446,7 @@
     closeIfDrained();
   }
 
-  /** What the liveness check sees and does on this connection. */
+  /** Connects the liveness check to this connection. */
   private final class LivenessTarget implements LivenessCheck.Target {
     @Override
     public boolean isClosed() {
--- a/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
@@ -3,16 +3,17 @@
 import io.vertx.core.buffer.Buffer;
 
 /**
- * Cuts the bytes received on one connection into frames. A connection owns one; not thread-safe.
+ * Splits the bytes received on one connection into frames. Each connection has its own; not
+ * thread-safe.
  */
 final class FrameDecoder {
-  /** Takes each frame as soon as it is complete. */
+  /** Receives each frame as soon as it is complete. */
   interface Handler {
-    /** Handles one frame; throws where it makes the connection unusable. */
+    /** Handles one frame; throws if the frame makes the connection unusable. */
     void handle(Frame frame) throws MalformedFrameException;
   }
 
-  /** Bytes of a frame whose end was not received yet. */
+  /** Bytes of a frame that is not complete yet. */
   private Buffer incomplete = Buffer.buffer();
 
   /**
@@ -25,7 +26,7 @@
     while (all.length() - consumed >= Frame.LENGTH_BYTES) {
       long length = all.getUnsignedIntLE(consumed);
       if (length < 1 || length > Frame.MAX_BYTES) {
-        throw new MalformedFrameException("a frame of " + length + " bytes");
+        throw new MalformedFrameException("frame length out of range: " + length + " bytes");
       }
       if (all.length() - consumed - Frame.LENGTH_BYTES < length) {
         break;
@@ -37,8 +38,10 @@
     retainIncomplete(all, consumed);
   }
 
-  /** Avoids a copy of an incomplete frame for each piece that is appended to it. */
-  @SuppressWarnings("ReferenceEquality") // asks whether this very buffer was appended to
+  /** Keeps the incomplete frame without copying it again for each chunk that is appended to it. */
+  @SuppressWarnings(
+      "ReferenceEquality") // identity is intended: checks whether the buffer was appended to in
+  // place
   private void retainIncomplete(Buffer all, int consumed) {
     if (consumed > 0) {
       incomplete = all.getBuffer(consumed, all.length());
@@ -47,7 +50,7 @@
     }
   }
 
-  /** True where the start of a frame was received but not its end. */
+  /** True if the start of a frame was received but not its end. */
   boolean hasIncompleteFrame() {
     return incomplete.length() > 0;
   }
--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -31,20 +31,20 @@
  */
 public final class FrameTransport implements BackendTransport {
   /**
-   * The share of the store's idle timeout after which this side closes an idle connection, so that
-   * no call crosses the store's close.
+   * Fraction of the store's idle timeout after which this side closes an idle connection, so that
+   * no call is sent while the store closes it.
    */
   private static final double IDLE_SHARE = 0.8;
 
-  /** No idle timeout is set; far below the overflow of a time that it is added to. */
+  /** Idle timeout if none is set; small enough that adding it to a time cannot overflow. */
   private static final long NO_IDLE_TIMEOUT_US = Long.MAX_VALUE / 4;
 
-  /** Connections to one store. */
+  /** Maximum number of connections to one store. */
   private static final int MAX_CONNECTIONS = 8;
 
   private static final float[] NO_REPORT = {};
 
-  /** What all frame transports of a broker share. */
+  /** Resources that all frame transports of a broker share. */
   public static final class Shared {
     final Vertx vertx;
     final LivenessCheckDelay livenessCheckDelay = new LivenessCheckDelay();
@@ -55,13 +55,13 @@
     private final Supplier<Limits> limits;
     private final IntSupplier maxConnections;
 
-    /** Connections to all stores that have a file descriptor. */
+    /** Number of connections to all stores that hold a file descriptor. */
     private int connections;
 
     /**
-     * Creates what is shared.
+     * Creates the shared resources.
      *
-     * @param maxConnections how many connections may be open to all stores together
+     * @param maxConnections maximum number of open connections to all stores together
      * @param clock microseconds
      * @param events called on the event loop
      */
@@ -85,7 +85,7 @@
       return limits.get();
     }
 
-    /** Connects within the connect timeout of the settings, if there is one. */
+    /** Connects within the connect timeout of the settings, if one is set. */
     Future<NetSocket> connect(String host, int port) {
       ConnectOptions options = new ConnectOptions().setHost(host).setPort(port);
       long nowUs = clock.getAsLong();
@@ -96,7 +96,7 @@
       return client.connect(options);
     }
 
-    /** After how many microseconds without use a connection is closed rather than used again. */
+    /** Idle time in microseconds after which a connection is closed instead of reused. */
     long idleTimeoutUs() {
       return limits().connectionIdleUs() <= 0
           ? NO_IDLE_TIMEOUT_US
@@ -114,7 +114,7 @@
   private ServerState state = ServerState.READY;
   private boolean disabled;
 
-  /** Creates a transport without connections; the endpoint gives the address. */
+  /** Creates a transport without connections to the endpoint's address. */
   public FrameTransport(Shared shared, Endpoint endpoint) {
     this.shared = shared;
     this.endpoint = endpoint;
@@ -137,7 +137,7 @@
     return state != ServerState.GONE && state != ServerState.WITHDRAWN && !disabled;
   }
 
-  /** An established connection where there is one, else a connecting or a new one; or null. */
+  /** Returns an established connection if possible, else a connecting or a new one, or null. */
   private FrameConnection connectionForCall(List<AttemptRequest> parts) {
     Set<String> partIds = parts.stream().map(AttemptRequest::partId).collect(Collectors.toSet());
     FrameConnection best = null;
@@ -152,8 +152,8 @@
   }
 
   /**
-   * False where the call would wait although the store is already draining: it would be sent after
-   * this broker learnt that.
+   * Returns false if a call would have to wait on the connection although the store is already
+   * draining, because it would then be sent after this broker was informed of that.
    */
   private boolean writesBeforeStateChange(FrameConnection connection) {
     return state == ServerState.READY || (connection.isOpen() && !connection.isWriting());
@@ -186,7 +186,7 @@
 
   private FrameConnection connectionForHealthCheck() {
     FrameConnection best = null;
-    // over a copy: accepts() closes a connection that was idle for too long
+    // iterates over a copy because accepts() closes a connection that was idle for too long
     for (FrameConnection candidate : List.copyOf(connections)) {
       if (candidate.accepts(0, Set.of()) && (best == null || candidate.isOpen())) {
         best = candidate;
@@ -250,7 +250,7 @@
     }
   }
 
-  /** Closes connections with a half-written call, which would be complete only later. */
+  /** Closes connections with a partly written call, so that the rest of the call is never sent. */
   private void closeWriting() {
     List.copyOf(connections).stream()
         .filter(FrameConnection::isWriting)
--- a/src/main/java/dunlinhitch/backend/frames/FrameType.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameType.java
@@ -11,10 +11,10 @@
   /** To the store: the result of a part is no longer needed. */
   static final char CANCEL = 'n';
 
-  /** To the store: health check; from the store: its reply. */
+  /** To the store: health check; from the store: the reply to it. */
   static final char HEALTH_CHECK = 'p';
 
-  /** To the store: liveness check of the connection; from the store: its reply. */
+  /** To the store: liveness check of the connection; from the store: the reply to it. */
   static final char LIVENESS_CHECK = 'o';
 
   /** From the store: the reply to one part. */
@@ -23,7 +23,7 @@
   /** From the store: the reply to one first-pass part. */
   static final char FIRST_PASS_REPLY = 't';
 
-  /** From the store: it could not use a frame. */
+  /** From the store: it rejected a frame. */
   static final char REJECTION = 'r';
 
   private FrameType() {}
--- a/src/main/java/dunlinhitch/backend/frames/InFlightAttempts.java
+++ b/src/main/java/dunlinhitch/backend/frames/InFlightAttempts.java
@@ -9,27 +9,33 @@
 import java.util.Set;
 
 /**
- * The attempts in flight on one connection, and which part each reply belongs to. Replies name a
- * part, not an attempt: a part that was cancelled here and may still be answered must not be sent
- * here again, so that each reply belongs to one attempt.
+ * The attempts in flight on one connection, and the matching of replies to them. A reply identifies
+ * a part, not an attempt: a part that was cancelled on this connection and may still be answered
+ * must not be sent on it again, so that each reply belongs to one attempt.
  *
- * <p>Not thread-safe; its connection owns it on the event loop.
+ * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
 final class InFlightAttempts {
-  /** Cancelled parts that are remembered; older ones belong to queries that ended long ago. */
+  /**
+   * Number of cancelled parts that are remembered; older ones belong to queries that ended long
+   * ago.
+   */
   private static final int MAX_CANCELLED = 256;
 
-  /** Answered parts that are remembered, so that a duplicate reply is recognised. */
+  /** Number of answered parts that are remembered, so that duplicate replies are recognised. */
   private static final int MAX_ANSWERED = 64;
 
   /**
    * One attempt that was written to the socket.
    *
-   * @param write completes once the last byte of the attempt's frame was handed to the kernel
+   * @param write completes once the last byte of the attempt's frame was passed to the kernel
    */
   record InFlightAttempt(
       long attempt, String partId, long sentUs, Future<Void> write, boolean firstPass) {
-    /** True until the complete frame was handed to the kernel: the store cannot have run it. */
+    /**
+     * True until the complete frame was passed to the kernel; until then the store cannot have run
+     * it.
+     */
     boolean isIncomplete() {
       return !write.succeeded();
     }
@@ -57,12 +63,14 @@
     return byPart.values().iterator().next().sentUs();
   }
 
-  /** True where a reply to the part would be ambiguous if the part were sent here now. */
+  /**
+   * True if a reply to the part would be ambiguous if the part were sent on this connection now.
+   */
   boolean mayStillAnswer(String partId) {
     return cancelled.contains(partId) || byPart.containsKey(partId);
   }
 
-  /** The attempt of that id, or null. */
+  /** Returns the attempt with this id, or null. */
   InFlightAttempt find(long attempt) {
     return byPart.values().stream()
         .filter(candidate -> candidate.attempt() == attempt)
@@ -81,21 +89,23 @@
   }
 
   /**
-   * Matches a reply.
+   * Matches a reply with its attempt.
    *
-   * @return the attempt that the reply ends, or null where it was cancelled or the reply is a
+   * @return the attempt that the reply completes, or null if it was cancelled or the reply is a
    *     duplicate
    */
   InFlightAttempt onReply(String partId, boolean firstPass) throws MalformedFrameException {
     InFlightAttempt ended = byPart.get(partId);
     if (ended != null && ended.firstPass() != firstPass) {
-      throw new MalformedFrameException("a reply of the other phase");
+      throw new MalformedFrameException(
+          "reply type does not match the pass of the attempt in flight");
     }
     byPart.remove(partId);
     if (ended != null || cancelled.remove(partId)) {
       remember(answered, partId, MAX_ANSWERED);
-    } else if (!answered.contains(partId)) { // not a duplicate, so it belongs to another request
-      throw new MalformedFrameException("a reply that nobody waits for");
+    } else if (!answered.contains(partId)) { // neither in flight, cancelled nor a duplicate
+      throw new MalformedFrameException(
+          "reply to a part that was not requested on this connection");
     }
     return ended;
   }
--- a/src/main/java/dunlinhitch/backend/frames/LivenessCheck.java
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheck.java
@@ -6,17 +6,17 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Detects a connection that stays open although nothing crosses it any more. While attempts are in
- * flight and nothing is received, the store is sent a liveness check, to which also a busy one
- * replies at once, beside its queue; without a reply the connection is closed.
+ * Detects a connection that is open but no longer transports anything. While attempts are in flight
+ * and nothing is received, a liveness check is sent to the store. Even a busy store replies to it
+ * at once, bypassing its queue; without a reply the connection is closed.
  *
- * <p>Not thread-safe; its connection owns it on the event loop.
+ * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
 final class LivenessCheck {
-  /** The reply is awaited for the connect timeout divided by this. */
+  /** The timeout of the reply is the connect timeout divided by this. */
   private static final int REPLY_TIMEOUT_DIVISOR = 2;
 
-  /** What is checked. */
+  /** The connection that is checked. */
   interface Target {
     boolean isClosed();
 
@@ -25,7 +25,7 @@
     /** When the oldest attempt in flight was sent, in microseconds; there must be one. */
     long oldestSentUs();
 
-    /** When bytes were received last, in microseconds. */
+    /** When bytes were last received, in microseconds. */
     long lastReceivedUs();
 
     void sendLivenessCheck();
@@ -37,13 +37,13 @@
   private final BooleanSupplier mayCheck;
   private final Target target;
 
-  /** True while a timer of this check is running. */
+  /** True while a timer of this check is pending. */
   private boolean scheduled;
 
   /**
    * Creates a check that has not started.
    *
-   * @param mayCheck false where the store is to get nothing new, not even a check
+   * @param mayCheck false if nothing new may be sent to the store, not even a check
    */
   LivenessCheck(FrameTransport.Shared shared, BooleanSupplier mayCheck, Target target) {
     this.shared = shared;
@@ -51,7 +51,7 @@
     this.target = target;
   }
 
-  /** Starts the check where it is needed and not running yet. */
+  /** Starts the check if it is needed and not already running. */
   void schedule() {
     if (scheduled
         || target.isClosed()
@@ -81,7 +81,7 @@
     shared.events.accept(new Event.ConditionCounted(Counter.CONNECTIONS_CHECKED));
     target.sendLivenessCheck();
     long replyDueUs = sentUs + shared.limits().connectTimeoutUs() / REPLY_TIMEOUT_DIVISOR;
-    // the second timer lets the loop first read what was received in the meantime
+    // the second timer lets the event loop first read what has arrived in the meantime
     runAt(replyDueUs, () -> runAt(nowUs(), () -> onReplyDue(sentUs)));
   }
 
--- a/src/main/java/dunlinhitch/backend/frames/MalformedFrameException.java
+++ b/src/main/java/dunlinhitch/backend/frames/MalformedFrameException.java
@@ -1,6 +1,9 @@
 package dunlinhitch.backend.frames;
 
-/** Received bytes are no frame, or one that a store may not send now. */
+/**
+ * Thrown if received bytes are not a valid frame, or are a frame that the store may not send in the
+ * current state.
+ */
 final class MalformedFrameException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/dunlinhitch/backend/frames/PendingHealthChecks.java
+++ b/src/main/java/dunlinhitch/backend/frames/PendingHealthChecks.java
@@ -7,8 +7,8 @@
 import java.util.OptionalLong;
 
 /**
- * Health checks of one connection that have no reply yet. Replies carry no id and arrive in the
- * order of the requests. Not thread-safe; its connection owns it on the event loop.
+ * Health checks of one connection that have no reply yet. Replies have no id and arrive in the
+ * order of the requests. Not thread-safe; owned by its connection and used on the event loop only.
  */
 final class PendingHealthChecks {
   private final List<Long> unsent = new ArrayList<>();
@@ -31,7 +31,7 @@
     sent.add(healthCheck);
   }
 
-  /** The health check that the next reply belongs to; empty where none is open. */
+  /** Returns the health check that the reply belongs to; empty if none is pending. */
   OptionalLong onReply() {
     Long answered = sent.poll();
     return answered == null ? OptionalLong.empty() : OptionalLong.of(answered);
--- a/src/main/java/dunlinhitch/backend/frames/ReplyParser.java
+++ b/src/main/java/dunlinhitch/backend/frames/ReplyParser.java
@@ -5,13 +5,16 @@
 import dunlinhitch.balancer.AttemptOutcome;
 import io.vertx.core.buffer.Buffer;
 
-/** Parses the payloads of the stores' reply frames. */
+/** Parses the payloads of reply frames from stores. Stateless. */
 final class ReplyParser {
   private static final int PART_FIELDS = 4;
   private static final int FIRST_PASS_FIELDS = 6;
   private static final int MAX_VERSION_LENGTH = 64;
 
-  /** A load report that cannot be parsed may hold any byte; it invalidates only itself. */
+  /**
+   * Maps every byte to a character: arbitrary bytes in a load report must not invalidate the rest
+   * of the reply.
+   */
   private static final String HEADER_CHARSET = "ISO-8859-1";
 
   /** The reply to one part; {@code report} is the text of the load report. */
@@ -29,22 +32,26 @@
 
   private ReplyParser() {}
 
-  /** Parses {@code ID END SCORE REPORT}, a line end and the value. */
+  /** Parses {@code ID END SCORE REPORT}, a line feed and the value. */
   static PartReply partReply(Buffer payload) throws MalformedFrameException {
     int lineEnd = lineEnd(payload);
     String[] fields = payload.getString(0, lineEnd, HEADER_CHARSET).split(" ", PART_FIELDS);
     if (lineEnd == payload.length() || fields.length != PART_FIELDS) {
-      throw new MalformedFrameException("a reply without its line of four words");
+      throw new MalformedFrameException(
+          "malformed part reply: expected a header line with 4 fields");
     }
     String value = ExactText.of(payload.getBytes(lineEnd + 1, payload.length()));
     if (value == null) {
-      throw new MalformedFrameException("a value that is no UTF-8");
+      throw new MalformedFrameException("value of a part reply is not valid UTF-8");
     }
     double score = RequestText.score(fields[2]);
     return new PartReply(fields[0], outcome(fields[1]), score, fields[3], value);
   }
 
-  /** Parses {@code ID END SCORE REPORT RECORDS VERSION}, a line end and the empty value. */
+  /**
+   * Parses {@code ID END SCORE REPORT RECORDS VERSION}, a line feed and the value of an empty
+   * block.
+   */
   static FirstPassReply firstPassReply(Buffer payload) throws MalformedFrameException {
     int lineEnd = lineEnd(payload);
     String[] fields = payload.getString(0, lineEnd, HEADER_CHARSET).split(" ", FIRST_PASS_FIELDS);
@@ -57,7 +64,7 @@
         || !fields[4].matches("[0-9]{1,18}")
         || fields[5].length() > MAX_VERSION_LENGTH) {
       throw new MalformedFrameException(
-          "a first answer without its line of six words, or no UTF-8");
+          "malformed first-pass reply: expected a header line with 6 fields and a UTF-8 value");
     }
     long records = Long.parseLong(fields[4]);
     return new FirstPassReply(fields[0], outcome(fields[1]), fields[3], records, fields[5], value);
@@ -74,7 +81,7 @@
   private static AttemptOutcome outcome(String end) throws MalformedFrameException {
     AttemptOutcome outcome = RequestText.end(end);
     if (outcome == null) {
-      throw new MalformedFrameException("an end of the name " + end);
+      throw new MalformedFrameException("unknown outcome in a reply: " + end);
     }
     return outcome;
   }
--- a/src/main/java/dunlinhitch/backend/frames/ReplyReader.java
+++ b/src/main/java/dunlinhitch/backend/frames/ReplyReader.java
@@ -10,16 +10,17 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Turns the bytes received on one connection into events. A malformed frame, or one that stays
- * incomplete for too long, makes the connection unusable; complete frames ahead of it count.
+ * Converts the bytes received on one connection into events. A malformed frame, or one that stays
+ * incomplete for too long, makes the connection unusable; complete frames ahead of it are still
+ * handled.
  *
- * <p>Not thread-safe; its connection owns it on the event loop.
+ * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
 final class ReplyReader {
-  /** A frame must be complete so soon after its start: it delays all frames behind it. */
+  /** Timeout of an incomplete frame, which delays all frames behind it. */
   private static final long FRAME_TIMEOUT_US = 400_000;
 
-  /** The payload of a health check's reply from a store that takes itself for unhealthy. */
+  /** The payload of a health check reply from a store that considers itself unhealthy. */
   private static final String UNHEALTHY = "bad";
 
   private static final float[] NO_REPORT = {};
@@ -32,15 +33,15 @@
   private final Runnable closeConnection;
   private final FrameDecoder decoder = new FrameDecoder();
 
-  /** When the bytes that are being read were received. */
+  /** When the bytes that are being read were received, in microseconds. */
   private long receivedUs;
 
-  /** Complete frames so far; tells an incomplete frame from the next one. */
+  /** Number of complete frames so far, which identifies the incomplete frame behind them. */
   private long completeFrames;
 
   private boolean awaitsFrameEnd;
 
-  /** The value of {@link #completeFrames} for which the timeout was started last. */
+  /** The value of {@link #completeFrames} when the timeout was last started. */
   private long timeoutStartedAt = -1;
 
   ReplyReader(
@@ -58,7 +59,7 @@
     this.closeConnection = closeConnection;
   }
 
-  /** Reads bytes that were received at that time, in microseconds. */
+  /** Reads bytes that were received at {@code nowUs}, in microseconds. */
   void read(Buffer bytes, long nowUs) {
     receivedUs = nowUs;
     try {
@@ -108,8 +109,8 @@
       case FrameType.LIVENESS_CHECK -> unconfirmed.onCheckReply();
       case FrameType.HEALTH_CHECK -> onHealthCheckReply(frame.payload().toString());
       case FrameType.REJECTION ->
-          throw new MalformedFrameException("the store could not use a frame: " + frame.payload());
-      default -> throw new MalformedFrameException("a frame of letter " + (int) frame.type());
+          throw new MalformedFrameException("store rejected a frame: " + frame.payload());
+      default -> throw new MalformedFrameException("unknown frame type: " + (int) frame.type());
     }
   }
 
--- a/src/main/java/dunlinhitch/backend/frames/UnconfirmedAttempts.java
+++ b/src/main/java/dunlinhitch/backend/frames/UnconfirmedAttempts.java
@@ -7,21 +7,21 @@
 import java.util.function.LongConsumer;
 
 /**
- * The attempts of one connection that this side has given up and that the store may still have. A
- * store that has read the bytes behind a cancellation has read the cancellation: the reply to a
- * liveness check that was sent behind it is the proof, as are the attempt's own reply and the
- * store's end of the connection. That time has passed is none.
+ * The attempts of one connection that this side has cancelled or lost and that the store may still
+ * have. A store that has read bytes sent after a cancellation has read the cancellation, so the
+ * reply to a liveness check sent after it proves that the attempt is released. The attempt's own
+ * reply and the store's end of the connection prove it as well; elapsed time does not.
  *
- * <p>Not thread-safe; its connection owns it on the event loop.
+ * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
 final class UnconfirmedAttempts {
-  /** No liveness check was sent behind the cancellation yet. */
+  /** No liveness check was sent after the cancellation yet. */
   private static final long NO_CHECK = Long.MAX_VALUE;
 
   private static final class Unconfirmed {
     private final long attempt;
 
-    /** The number of the first liveness check behind its cancellation. */
+    /** The number of the first liveness check after its cancellation. */
     private long check = NO_CHECK;
 
     Unconfirmed(long attempt) {
@@ -37,7 +37,7 @@
   /**
    * Creates an empty set.
    *
-   * @param onReleased takes each attempt that the store does not have any more
+   * @param onReleased receives each attempt that the store no longer has
    */
   UnconfirmedAttempts(LongConsumer onReleased) {
     this.onReleased = onReleased;
@@ -47,7 +47,7 @@
     return byPart.isEmpty();
   }
 
-  /** True where a cancellation has no liveness check behind it. */
+  /** True if no liveness check was sent after one of the cancellations. */
   boolean needsCheck() {
     return byPart.values().stream().anyMatch(unconfirmed -> unconfirmed.check == NO_CHECK);
   }
@@ -57,7 +57,7 @@
     byPart.put(partId, new Unconfirmed(attempt));
   }
 
-  /** A liveness check was written. */
+  /** Records that a liveness check was written. */
   void onCheckSent() {
     checksSent++;
     byPart.values().stream()
@@ -66,8 +66,8 @@
   }
 
   /**
-   * A reply to a liveness check was read. Replies carry no id: so many replies prove only that so
-   * many checks were read, the first ones.
+   * Handles the reply to a liveness check. Replies have no id: n replies prove only that the first
+   * n checks were read.
    */
   void onCheckReply() {
     if (checksAnswered == checksSent) {
@@ -77,7 +77,7 @@
     release(byPart.values().stream().filter(it -> it.check <= checksAnswered).toList());
   }
 
-  /** The reply to the part was read. */
+  /** Handles the reply to a part. */
   void onReply(String partId) {
     Unconfirmed answered = byPart.get(partId);
     if (answered != null) {
@@ -85,7 +85,7 @@
     }
   }
 
-  /** The store has ended the connection. */
+  /** Releases all attempts after the store has ended the connection. */
   void onConnectionEndedByStore() {
     release(new ArrayList<>(byPart.values()));
   }
--- a/src/main/java/dunlinhitch/backend/frames/package-info.java
+++ b/src/main/java/dunlinhitch/backend/frames/package-info.java
@@ -1,7 +1,7 @@
 /**
  * Transport for stores that speak the length-prefixed frame protocol.
  *
- * <p>Entry point: {@link dunlinhitch.backend.frames.FrameTransport}. Everything here runs on the
- * event loop; nothing here may block.
+ * <p>Entry point: {@link dunlinhitch.backend.frames.FrameTransport}. All code of this package runs
+ * on the event loop and must not block.
  */
 package dunlinhitch.backend.frames;
--- a/src/main/java/dunlinhitch/backend/package-info.java
+++ b/src/main/java/dunlinhitch/backend/package-info.java
@@ -5,8 +5,8 @@
  * the transport of the addressed store; {@link dunlinhitch.backend.BackendTransport} is what each
  * protocol implements ({@code frames}, {@code flight}).
  *
- * <p>This package turns effects into bytes and bytes into events. It decides nothing: which store
- * gets a request, when an attempt is retried and when it is cancelled is decided by the reducer.
- * Everything runs on the event loop unless a class states otherwise.
+ * <p>This package converts effects into bytes and bytes into events. The reducer decides which
+ * store gets a request and when an attempt is retried or cancelled. Everything runs on the event
+ * loop unless a class states otherwise.
  */
 package dunlinhitch.backend;
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The Flight transport to one store against a scripted store, where only its inside shows. */
+/** Behaviour of the Flight transport to a scripted store that is visible only at its interface. */
 class FlightTransportTest {
   private final Vertx vertx = Vertx.vertx();
   private final Context context = vertx.getOrCreateContext();
@@ -39,7 +39,7 @@
   private volatile long advancedUs;
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
-  /** Threads of that name block where they read the clock, which they do just before a call. */
+  /** Threads with this name block when they read the clock, which they do just before a call. */
   private volatile String blockedThread = "none";
 
   private volatile CountDownLatch released = new CountDownLatch(0);
@@ -64,7 +64,7 @@
     return systemClock.getAsLong() + advancedUs;
   }
 
-  /** With a connect timeout that also a busy machine keeps. */
+  /** Limits with a connect timeout that is long enough for a busy machine. */
   private static Limits limits() {
     Limits limits = BrokerFixture.settings(100).limits();
     return new Limits(
@@ -105,7 +105,7 @@
     return new AttemptRequest(attempt, "q." + shard, shard, "", nowUs() + 60_000_000, "text");
   }
 
-  /** Skips the reports of written calls, which arrive at any time. */
+  /** Returns the next event other than reports of written calls, which may arrive at any time. */
   private Event nextEvent() throws InterruptedException {
     Event event = events.poll(5, TimeUnit.SECONDS);
     while (event instanceof Event.AttemptsWritten) {
@@ -119,12 +119,12 @@
     while (event instanceof Event.ConditionCounted) {
       event = nextEvent();
     }
-    assertTrue(event instanceof Event.AttemptCompleted, "came: " + event);
+    assertTrue(event instanceof Event.AttemptCompleted, "unexpected event: " + event);
     assertEquals(attempt, ((Event.AttemptCompleted) event).attempt());
     assertEquals(outcome, ((Event.AttemptCompleted) event).outcome());
   }
 
-  /** No call is made before the channel is connected, so what waited for it has not run. */
+  /** No call is sent before the channel is connected, so calls that waited for it have not run. */
   @ParameterizedTest
   @EnumSource(
       value = ServerState.class,
@@ -146,14 +146,16 @@
     expectCompletion(3, AttemptOutcome.CONNECT_FAILED);
   }
 
-  /** What makes a call superfluous that its thread is just about to send. */
+  /** Events that make a call obsolete when its thread is just about to send it. */
   enum Stop {
     CANCELLED,
     GONE,
     TOO_LATE
   }
 
-  /** A part that is no longer needed is not sent, although its call was handed to a thread. */
+  /**
+   * A part that is no longer needed is not sent, although its call was passed to a reader thread.
+   */
   @ParameterizedTest
   @CsvSource({
     "CANCELLED, false",
@@ -217,7 +219,7 @@
     expectCompletion(2, AttemptOutcome.OK);
   }
 
-  /** The connection to a dead host stays open: new calls use another one. */
+  /** The connection to a dead host stays open, so new calls must use another one. */
   @Test
   void unresponsiveConnectionGetsNoNewCalls() throws Exception {
     BackendTransport transport = open(store.port());
@@ -258,7 +260,10 @@
     assertEquals("q.0", store.cancelledParts.poll(5, TimeUnit.SECONDS));
   }
 
-  /** A timeout of gRPC is this side's own: the store is told, and its confirmation releases. */
+  /**
+   * A gRPC timeout occurs on this side only: the store is notified, and its confirmation releases
+   * the attempt.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aTimeoutOfTheCallIsNoEndAtTheStore(boolean firstPass) throws Exception {
@@ -290,18 +295,18 @@
             && lost.attempt() == 2
             && lost.outcome() == AttemptOutcome.RESET
             && lost.unconfirmed(),
-        "came: " + event);
+        "unexpected event: " + event);
     expectRelease(2);
   }
 
-  /** Over a later connection the confirmation may overtake the call itself. */
+  /** A confirmation that is sent over a later connection may overtake the call itself. */
   @Test
   void aConfirmationOverALaterConnectionReleasesNothing() throws Exception {
     BackendTransport transport = open(store.port());
     store.script = part -> part.shard() == 0 ? Behavior.NOTHING : Behavior.GOOD;
     onLoop(() -> transport.send(List.of(part(1, 0))));
     assertTrue(store.receivedParts.poll(5, TimeUnit.SECONDS) != null);
-    advancedUs = 1_500_000; // so late without any reply the connection counts as dead
+    advancedUs = 1_500_000; // after this time without a reply the connection is considered dead
     onLoop(() -> transport.cancel(1, true));
     assertEquals("q.0", store.cancelledParts.poll(5, TimeUnit.SECONDS));
     onLoop(() -> transport.send(List.of(part(2, 1))));
--- a/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
@@ -23,8 +23,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The broker gives an attempt up while its store, here a socket that reads and writes only when the
- * test does, still has it: nothing is released before the store has shown that it has not.
+ * The broker cancels or loses an attempt while the store still has it: the attempt must not be
+ * released before the store has proved that it no longer has it. The store is a socket that reads
+ * and writes only when the test does.
  */
 class AttemptReleaseTest extends FrameTransportFixture {
   private static final byte[] MALFORMED = {-1, -1, -1, 127, 'q'};
@@ -66,7 +67,7 @@
     return type;
   }
 
-  /** Reads frames, without liveness checks, until one of another type. */
+  /** Skips liveness checks and returns the type of the next other frame. */
   private int readFrameBesideChecks() throws IOException {
     int type = readFrame();
     while (type == FrameType.LIVENESS_CHECK) {
@@ -79,7 +80,7 @@
     peer.getOutputStream().write(bytes.getBytes());
   }
 
-  /** All that the transport has reported by now: an event behind it must be the next. */
+  /** Posts a marker event, which must be the next one: nothing was released before it. */
   private void assertNothingReleased() throws InterruptedException {
     onLoop(() -> completions.add(Event.AttemptCompleted.of(-1, AttemptOutcome.MOOT)));
     assertEquals(-1, nextCompletion().attempt());
@@ -114,7 +115,7 @@
     assertEquals(1, nextRelease());
   }
 
-  /** What an attempt proved by its own answer needs no other. */
+  /** The reply to the attempt itself is sufficient proof. */
   @Test
   void itsReplyReleasesACancelledAttempt() throws Exception {
     FrameTransport transport = transportTo(listener.getLocalPort());
@@ -127,7 +128,10 @@
     assertEquals(0, completions.size());
   }
 
-  /** A store that may not be checked shows by its end of the connection that it has read ours. */
+  /**
+   * If liveness checks are not allowed, the store's end of the connection proves that it has read
+   * this side's end.
+   */
   @Test
   void withoutChecksTheStoresEndOfTheConnectionReleases() throws Exception {
     FrameTransport transport = withoutLivenessChecks(listener.getLocalPort(), 3);
@@ -143,7 +147,7 @@
     assertEquals(1, nextRelease());
   }
 
-  /** The broker closes the connection; what was in flight on it counts as lost, not as over. */
+  /** If the broker closes the connection, the attempts in flight are lost but not released. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aConnectionClosedHereReleasesOnceTheStoreHasClosedItToo(boolean cancelledBefore)
@@ -164,9 +168,12 @@
     assertEquals(1, nextRelease());
   }
 
-  /** The store's end does not come in time, so nothing is known, however long that lasts. */
+  /**
+   * Without the store's end of the connection the attempt stays unconfirmed, even after the
+   * timeout.
+   */
   @Test
-  @SuppressWarnings("ThreadPriorityCheck") // only makes the wait for the close cheaper
+  @SuppressWarnings("ThreadPriorityCheck") // reduces the cost of waiting for the close
   void aStoreThatNeverClosesReleasesNothing() throws Exception {
     FrameTransport transport = transportTo(listener.getLocalPort());
     sendOne(transport);
@@ -194,7 +201,10 @@
     assertEquals(false, lost.unconfirmed());
   }
 
-  /** A half-written call never becomes complete, and the call ahead of it has a neighbour less. */
+  /**
+   * A partly written call is never completed: its connection is closed, and the call ahead of it is
+   * lost.
+   */
   @Test
   void aHalfWrittenCallTakesItsConnectionWithIt() throws Exception {
     FrameTransport transport = withoutLivenessChecks(listener.getLocalPort(), 1);
@@ -211,7 +221,7 @@
     for (int count = 0; count >= 0; count = peer.getInputStream().read(some)) {
       read += count;
     }
-    assertTrue(read < BIG_TEXT_LENGTH, "the call came whole");
+    assertTrue(read < BIG_TEXT_LENGTH, "the call was completely sent");
     assertNothingReleased();
     peer.close();
     assertEquals(1, nextRelease());
--- a/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
@@ -9,11 +9,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which ends of a connection prove that the store has seen the end. */
+/** Which kinds of connection end prove that the store has seen the end. */
 class ConnectionEndTest {
   private final ConnectionEnd end = new ConnectionEnd();
 
-  /** The kernel gave up, or a router replied: the store may still have what it was sent. */
+  /** Errors from the kernel or a router: the store may still have what was sent to it. */
   @ParameterizedTest
   @ValueSource(
       strings = {"Connection timed out", "No route to host", "Network is unreachable", "Bad file"})
--- a/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
@@ -25,8 +25,8 @@
 /** Connections that break, are unresponsive or deliver malformed frames. */
 class FrameConnectionFailureTest extends FrameTransportFixture {
   /**
-   * A busy store answers a liveness check beside its queue, so its attempts stay in flight; a
-   * connection without any reply is closed, and new calls use another.
+   * A busy store replies to a liveness check without queueing it, so its attempts stay in flight; a
+   * connection without any reply is closed, and new calls use another one.
    */
   @Test
   void closesConnectionOnlyIfLivenessCheckIsUnanswered() throws Exception {
@@ -47,7 +47,8 @@
   }
 
   /**
-   * The connections to a dead host stay open: new calls must not join those that it never answered.
+   * The connections to a dead host stay open, so new calls must not be sent over connections that
+   * never got a reply.
    */
   @Test
   void unresponsiveConnectionGetsNoNewCalls() throws Exception {
@@ -77,7 +78,7 @@
     assertEquals(AttemptOutcome.RESET, nextCompletion().outcome());
   }
 
-  /** Complete frames ahead of a malformed one count, also when they were read together. */
+  /** Complete frames ahead of a malformed one are handled, even if they were read together. */
   @Test
   void framesAheadOfMalformedFrameAreHandled() throws Exception {
     store.script = part -> Behavior.NOTHING;
@@ -92,8 +93,9 @@
   }
 
   /**
-   * An incomplete frame blocks all frames behind it; its timeout is far shorter than that of the
-   * parts. Replies to liveness checks would fill it up.
+   * An incomplete frame blocks all frames behind it, so its timeout is far shorter than that of the
+   * parts. With liveness checks enabled, the replies to them are read as the rest of the incomplete
+   * frame.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -113,8 +115,8 @@
   }
 
   /**
-   * Blocks the event loop until {@code peer} is done; then {@code task} runs before the loop reads
-   * anything that arrived in the meantime.
+   * Blocks the event loop until {@code peer} is done, then runs {@code task} before the event loop
+   * reads what has arrived in the meantime.
    */
   private void whileLoopIsBlocked(Callable<?> peer, Runnable task) throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
@@ -135,8 +137,8 @@
   }
 
   /**
-   * The store closes an idle connection and a call is written before that is read: it may have run.
-   * Where the store resets the connection nothing can be written, and the call has not run.
+   * The store closes an idle connection, and a call is written before the close is read: it may
+   * have run. If the store resets the connection, nothing can be written and the call has not run.
    */
   @ParameterizedTest
   @EnumSource(
@@ -165,11 +167,12 @@
   }
 
   /**
-   * The store has sent an incomplete frame that nobody read: the close resets the connection,
-   * attempts in flight end as that, and other connections go on.
+   * The broker closes a connection with an incomplete, unread frame from the store: the close
+   * resets the connection, its attempts in flight end as reset, and other connections are not
+   * affected.
    */
   @Test
-  @SuppressWarnings("ThreadPriorityCheck") // only makes the wait for the reset cheaper
+  @SuppressWarnings("ThreadPriorityCheck") // reduces the cost of waiting for the reset
   void closeWithUnreadBytesResetsAttemptsInFlight() throws Exception {
     try (ServerSocket peer = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
       FrameTransport target = withoutLivenessChecks(peer.getLocalPort(), 3);
@@ -213,7 +216,10 @@
     assertEquals(AttemptOutcome.OK, nextCompletion().outcome());
     onLoop(
         () -> {
-          store.sockets.get(0).close(); // the loop reads of it only after the call is written
+          store
+              .sockets
+              .get(0)
+              .close(); // the event loop reads the close only after the call is written
           transport.send(List.of(part(2, 1)));
         });
     assertEquals(AttemptOutcome.RESET, nextCompletion().outcome());
--- a/src/test/java/dunlinhitch/backend/frames/FrameDecoderTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameDecoderTest.java
@@ -15,7 +15,9 @@
 
 /** Decoding of received bytes into frames and replies. */
 class FrameDecoderTest {
-  /** A frame that arrives byte by byte used to be copied completely for each of them. */
+  /**
+   * Guards against copying the complete frame for each byte of a frame that arrives byte by byte.
+   */
   @Test
   void frameInSmallPiecesIsNotCopiedForEach() throws Exception {
     ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -28,7 +30,7 @@
     }
     long spent = threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - before;
     assertEquals(1, read.size());
-    assertTrue(spent < 64L << 20, "bytes: " + spent);
+    assertTrue(spent < 64L << 20, "allocated bytes: " + spent);
   }
 
   @Test
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportFixture.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportFixture.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.BeforeEach;
 
-/** A transport to a scripted store, on an event loop and a clock that the test can advance. */
+/** A transport to a scripted store, with an event loop and a clock that the test can advance. */
 abstract class FrameTransportFixture {
   private static final int MAX_CONNECTIONS = 3;
 
@@ -56,7 +56,9 @@
     return transportTo(port, MAX_CONNECTIONS, BrokerFixture.settings(100).limits());
   }
 
-  /** Without liveness checks, which depend on how long the test takes. */
+  /**
+   * Creates a transport without liveness checks, which would depend on the duration of the test.
+   */
   final FrameTransport withoutLivenessChecks(int port, int maxConnections) {
     Limits limits = BrokerFixture.settings(100).limits();
     return transportTo(
@@ -104,20 +106,20 @@
     vertx.runOnContext(ignored -> task.run());
   }
 
-  /** A part whose deadline is later than any machine needs for a test. */
+  /** A part whose deadline does not pass during a test, even on a slow machine. */
   final AttemptRequest part(long attempt, int shard) {
     return new AttemptRequest(attempt, "q." + shard, shard, "", nowUs() + 60_000_000, "text");
   }
 
   final long nextRelease() throws InterruptedException {
     Long released = releases.poll(5, TimeUnit.SECONDS);
-    assertTrue(released != null, "nothing was released");
+    assertTrue(released != null, "no attempt was released");
     return released;
   }
 
   final Event.AttemptCompleted nextCompletion() throws InterruptedException {
     Event.AttemptCompleted completion = completions.poll(5, TimeUnit.SECONDS);
-    assertTrue(completion != null, "no end came");
+    assertTrue(completion != null, "no attempt was completed");
     return completion;
   }
 }
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
@@ -50,8 +50,8 @@
   }
 
   /**
-   * A store that is administratively disabled gets nothing new, not even a liveness check; what
-   * waits for a connection fails.
+   * Nothing new is sent to an administratively disabled store, not even a liveness check; calls
+   * that wait for a connection fail.
    */
   @Test
   void disabledStoreGetsNoNewRequests() throws Exception {
@@ -76,7 +76,7 @@
     assertTrue(store.receivedParts.poll(5, TimeUnit.SECONDS) != null);
     assertTrue(
         checks <= 1 && store.healthChecks.isEmpty() && store.receivedParts.isEmpty(),
-        "checks " + checks);
+        "liveness checks: " + checks);
   }
 
   /**
@@ -125,8 +125,8 @@
   }
 
   /**
-   * Replies name no attempt: a retry of a part goes where the reply to the first attempt cannot
-   * answer it.
+   * Replies do not identify the attempt, so a retry of a part must use another connection than the
+   * first attempt.
    */
   @Test
   void lateReplyOfCancelledAttemptIsNotTakenForRetry() throws Exception {
@@ -149,8 +149,8 @@
   }
 
   /**
-   * The store closes idle connections, and a call that crosses that is lost: this side closes them
-   * first.
+   * The store closes idle connections, and a call that is sent meanwhile is lost, so this side must
+   * close them first.
    */
   @Test
   void connectionPastIdleTimeoutIsNotReused() throws Exception {
@@ -183,8 +183,8 @@
   }
 
   /**
-   * No file descriptor is left (EMFILE): the call fails as after a refused connection and does not
-   * count as a connection.
+   * No file descriptor is left (EMFILE): the call fails as after a refused connection, and the
+   * failed connection does not count towards the bound.
    */
   @Test
   void exhaustedFileDescriptorsFailAttemptAsNeverRun() throws Exception {
@@ -195,7 +195,7 @@
       public ChannelFactory<? extends Channel> channelFactory(boolean domainSocket) {
         ChannelFactory<? extends Channel> real = super.channelFactory(domainSocket);
         return () -> {
-          if (left.getAndDecrement() > 0) { // as the JDK's own
+          if (left.getAndDecrement() > 0) { // same exception as the JDK's
             throw new ChannelException(
                 "Failed to open a socket.", new SocketException("Too many open files"));
           }
@@ -226,8 +226,8 @@
   }
 
   /**
-   * The failure may be known before the connection gets the call that it was opened for: such a
-   * call used to wait for its timeout.
+   * A connection may fail before it gets the call that it was opened for. Guards against a call
+   * that waits for its timeout on such a connection.
    */
   @Test
   void callOnFailedConnectionEndsAtOnce() throws Exception {
@@ -264,8 +264,8 @@
   }
 
   /**
-   * A connection that is abandoned while it connects has its file descriptor until it is
-   * established and closed, or has failed.
+   * A connection that is closed while it connects holds its file descriptor until it is established
+   * and closed, or has failed.
    */
   @Test
   void connectingConnectionCountsUntilClosed() throws Exception {
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
@@ -25,7 +25,7 @@
 
 /** Calls that are cancelled, withdrawn or expire before they are completely sent. */
 class FrameTransportWithdrawalTest extends FrameTransportFixture {
-  /** A store that accepts connections and reads nothing until the test does. */
+  /** A store that accepts connections but reads nothing until the test does. */
   private static ServerSocket slowPeer() throws Exception {
     ServerSocket peer = new ServerSocket();
     peer.setReceiveBufferSize(4096);
@@ -40,7 +40,7 @@
         attempt, "big", 0, "", nowUs() + 300_000_500, "x".repeat(BIG_TEXT_LENGTH));
   }
 
-  /** What makes a call superfluous while it is half written. */
+  /** Events that make a call obsolete while it is partly written. */
   enum Stop {
     DISABLED,
     CANCELLED,
@@ -62,9 +62,9 @@
   }
 
   /**
-   * The store's host accepts no more bytes while a call is written, and then the call must not be
-   * sent any more. An orderly close used to write the rest of it as soon as the store read again,
-   * although it had been reported as one that never ran, with the cancellation behind it.
+   * A call is stopped while it is partly written because the store does not read. Guards against an
+   * orderly close that writes the rest of the call, which was reported as never run, as soon as the
+   * store reads again.
    */
   @ParameterizedTest
   @EnumSource(Stop.class)
@@ -78,7 +78,7 @@
         onLoop(
             () -> {
               stop.apply(slow);
-              // comes after every completion that the stop itself reports
+              // completes after every completion that the stop itself reports
               completions.add(Event.AttemptCompleted.of(-1, AttemptOutcome.MOOT));
             });
         if (stop != Stop.CANCELLED) {
@@ -94,18 +94,18 @@
               count >= 0;
               count = accepted.getInputStream().read(some)) {
             read += count;
-            assertTrue(read < BIG_TEXT_LENGTH, "the call came whole");
+            assertTrue(read < BIG_TEXT_LENGTH, "the call was completely sent");
           }
         } catch (SocketException e) {
-          // a reset ends it as well
+          // a reset is also accepted
         }
       }
     }
   }
 
   /**
-   * A call that waits behind one that the store does not read can still be withdrawn: it is never
-   * sent.
+   * A call that is queued behind one that the store does not read can still be withdrawn and is
+   * never sent.
    */
   @Test
   void pendingCallCanBeWithdrawn() throws Exception {
@@ -122,7 +122,7 @@
               }
               slow.cancel(2, false);
               slow.withdraw(3);
-              advancedUs.addAndGet(60_000_000); // the time of those ahead is over
+              advancedUs.addAndGet(60_000_000); // the deadline of the calls ahead has passed
               slow.send(List.of(part(6, 6)));
             });
         assertEquals(3, nextCompletion().attempt());
@@ -138,8 +138,8 @@
   }
 
   /**
-   * The connection is established only when the parts may not be sent any more: the deadline, or
-   * the time in which a repetition is safe, has passed.
+   * The connection is established after the deadline of the parts, or after the time in which a
+   * retry is safe: the parts must not be sent.
    */
   @ParameterizedTest
   @ValueSource(longs = {60_000_000, 30_000_000})
@@ -160,7 +160,7 @@
                       false,
                       null),
                   part(2, 2)));
-          advancedUs.set(advanceUs); // before the loop can learn that it is up
+          advancedUs.set(advanceUs); // before the event loop detects that it is established
         });
     assertEquals(1, nextCompletion().attempt());
     Event.AttemptCompleted second = nextCompletion();
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Withdrawing does not notify the store: what waits for the connection ends all the same, and
-   * what was sent goes on.
+   * Withdrawing does not notify the store: an attempt that waits for the connection ends, and one
+   * that was sent continues.
    */
   @Test
   void withdrawnAttemptEndsOnlyIfNotSent() throws Exception {
--- a/src/test/java/dunlinhitch/backend/frames/LivenessCheckDelayTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/LivenessCheckDelayTest.java
@@ -6,7 +6,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** How long a connection may be quiet before its liveness is checked. */
+/** The delay before the liveness of a silent connection is checked. */
 class LivenessCheckDelayTest {
   private static final long CONNECT_US = 250_000;
   private final LivenessCheckDelay delay = new LivenessCheckDelay();
@@ -19,14 +19,14 @@
   }
 
   /**
-   * With a fixed delay of 83 ms fourteen brokers together sent one liveness check for every three
-   * parts.
+   * Guards against a fixed delay: with 83 ms, fourteen brokers together sent one liveness check for
+   * every three parts.
    */
   @Test
   void storeAsSlowAsAllOthersIsNotChecked() {
     replies(400, 60_000, 140_000);
     long delayUs = delay.delayUs(CONNECT_US);
-    assertTrue(delayUs > 140_000 && delayUs < CONNECT_US, "us " + delayUs);
+    assertTrue(delayUs > 140_000 && delayUs < CONNECT_US, "delay in us: " + delayUs);
   }
 
   @Test
--- a/src/test/java/dunlinhitch/backend/frames/UnconfirmedAttemptsTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/UnconfirmedAttemptsTest.java
@@ -8,12 +8,15 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** What proves that a store does not have an attempt any more. */
+/** Which replies prove that a store no longer has an attempt. */
 class UnconfirmedAttemptsTest {
   private final List<Long> released = new ArrayList<>();
   private final UnconfirmedAttempts unconfirmed = new UnconfirmedAttempts(released::add);
 
-  /** The second reply proves that two checks were read: only the second is behind the attempt. */
+  /**
+   * Of two checks only the second was sent after the cancellation, so only the second reply is
+   * proof.
+   */
   @Test
   void theReplyToACheckAheadOfTheCancellationProvesNothing() {
     unconfirmed.onCheckSent();
@@ -40,7 +43,7 @@
     assertTrue(unconfirmed.isEmpty());
   }
 
-  /** A store that replies more often than it was asked proves nothing ahead of time. */
+  /** Surplus replies must not count as replies to later checks. */
   @Test
   void surplusRepliesAreIgnored() {
     unconfirmed.onCheckReply();
