--- a/src/main/java/dunlinhitch/frontend/Exchanges.java
+++ b/src/main/java/dunlinhitch/frontend/Exchanges.java
@@ -8,15 +8,15 @@
 import java.util.function.Consumer;
 
 /**
- * Queries that wait for their response, over all frontends: each is an exchange with a number,
- * which the response carries too. Used on the event loop only.
+ * Queries of all frontends that wait for their response. Each is an exchange with a number, which
+ * also identifies its response. Used on the event loop only.
  */
 public final class Exchanges {
   private final Map<Long, Consumer<QueryResponse>> openCount = new HashMap<>();
   private final Consumer<Event> events;
   private long lastExchange;
 
-  /** Creates a table without exchanges; {@code events} takes the queries. */
+  /** Creates a table without exchanges; {@code events} receives the queries. */
   public Exchanges(Consumer<Event> events) {
     this.events = events;
   }
@@ -24,7 +24,7 @@
   /**
    * Opens an exchange for a query.
    *
-   * @param writer gets the one response, unless the client disconnects first
+   * @param writer receives the response, unless the client disconnects first
    * @return the number of the exchange
    */
   public long open(QueryRequest query, Consumer<QueryResponse> writer) {
@@ -34,14 +34,14 @@
     return exchange;
   }
 
-  /** The client has disconnected; ignored where the exchange is completed. */
+  /** Handles a client's disconnect; ignored if the exchange is already completed. */
   public void clientDisconnected(long exchange) {
     if (openCount.remove(exchange) != null) {
       events.accept(new Event.ClientDisconnected(exchange));
     }
   }
 
-  /** Completes an exchange; ignored where the client has disconnected. */
+  /** Completes an exchange; ignored if the client has disconnected. */
   public void complete(long exchange, QueryResponse response) {
     Consumer<QueryResponse> writer = openCount.remove(exchange);
     if (writer != null) {
--- a/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
+++ b/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
@@ -8,35 +8,35 @@
  * The graceful shutdown of a frontend as a state machine over its connections: events in, actions
  * out, without a clock, threads or I/O of its own.
  *
- * <p>The order that it guarantees: a connection is half-closed after a response that announced it,
- * or when a last read of what had arrived found that no request had started; what is read after
- * that is discarded. Idle connections are closed while the listener is still open, so that a client
- * whose request crosses the close can connect again. Then the listener accepts the connections in
- * its queue and closes, and their requests are still read: such a query is refused, never dropped.
- * All of it ends by an absolute deadline.
+ * <p>It guarantees this order: a connection is half-closed only after a response that announced the
+ * close, or after a final read found that no request had started; bytes that are read later are
+ * discarded. Idle connections are closed while the listener is still open, so that a client that
+ * sends a request during the close can connect again. Then the listener accepts the connections in
+ * its queue and closes. The requests on them are still read, and their queries are refused rather
+ * than dropped. The shutdown is complete by an absolute deadline.
  *
  * <p>Not thread-safe. All times are in microseconds on one clock.
  *
  * @param <C> a connection, compared by its {@code equals}
  */
 public final class GracefulShutdown<C> {
-  /** How far the shutdown of the frontend is. */
+  /** Stages of the shutdown, in order. */
   public enum Stage {
     /** No shutdown was requested. */
     SERVING,
-    /** Queries are served, but each response ends its connection. */
+    /** Queries are served, but each response closes its connection. */
     DRAINING,
-    /** No query is forwarded any more. */
+    /** Queries are refused. */
     REFUSING,
     /** The shutdown is complete. */
     CLOSED
   }
 
-  /** What happens to a request that was received completely. */
+  /** How a completely received request is handled. */
   public enum Disposition {
     /** It is served. */
     FORWARD,
-    /** It gets a response that refuses it. */
+    /** It is answered with a refusal. */
     REFUSE,
     /** It is ignored: it arrived after the half-close. */
     DROP
@@ -49,24 +49,27 @@
     HALF_CLOSED
   }
 
-  /** What the frontend does for the state machine. */
+  /** Actions that the frontend executes for the state machine. */
   public interface Actions<C> {
     /**
-     * Reads what has arrived; where that is something, {@link #requestStarted} is called before
+     * Reads the bytes that have arrived; if there are any, {@link #requestStarted} is called before
      * this returns.
      */
     void readOnce(C connection);
 
-    /** Sends what was written and shuts the output down; what arrives later is discarded. */
+    /** Sends pending writes and shuts down the output; bytes that arrive later are discarded. */
     void halfClose(C connection);
 
-    /** Refuses an incomplete request with a response that ends the connection. */
+    /** Refuses an incomplete request with a response that closes the connection. */
     void refuse(C connection);
 
-    /** Accepts the queued connections and closes; {@link #listenerClosed} is called after that. */
+    /**
+     * Accepts the queued connections and closes the listener; {@link #listenerClosed} is called
+     * after that.
+     */
     void closeListener();
 
-    /** The shutdown is complete; connections that are still open are to be aborted. */
+    /** Called when the shutdown is complete; connections that are still open must be aborted. */
     void closed();
   }
 
@@ -84,15 +87,15 @@
   private final long requestTransitUs;
   private Stage stage = Stage.SERVING;
 
-  /** When an idle connection was closed last. */
+  /** When an idle connection was last closed. */
   private long idleClosedUs = Long.MIN_VALUE / 2;
 
   private long deadlineUs = Long.MAX_VALUE;
 
-  /** When the listener is to be closed. */
+  /** When the listener must be closed. */
   private long closeListenerUs = Long.MAX_VALUE;
 
-  /** From when on incomplete requests are refused. */
+  /** The time from which incomplete requests are refused. */
   private long refuseIncompleteUs = Long.MAX_VALUE;
 
   private boolean listenerClosed;
@@ -100,32 +103,32 @@
   /**
    * Creates a state machine without connections.
    *
-   * @param requestTransitUs how long a request may be in transit that crosses the close of its
-   *     connection
+   * @param requestTransitUs how long a request may be in transit that was sent while its connection
+   *     was closed
    */
   public GracefulShutdown(Actions<C> actions, long requestTransitUs) {
     this.actions = actions;
     this.requestTransitUs = requestTransitUs;
   }
 
-  /** How far the shutdown is. */
+  /** Returns the current stage of the shutdown. */
   public Stage stage() {
     return stage;
   }
 
-  /** True where the next response on any connection is its last. */
+  /** Returns true if the next response on any connection is its last. */
   public boolean isDraining() {
     return stage != Stage.SERVING;
   }
 
   // ---- events of connections
 
-  /** A connection was accepted. */
+  /** Records an accepted connection. */
   public void accepted(long nowUs, C connection) {
     entries.put(connection, new Entry(nowUs));
   }
 
-  /** The first bytes of a request were read. */
+  /** Records that the first bytes of a request were read. */
   public void requestStarted(C connection) {
     Entry entry = entries.get(connection);
     if (entry != null && entry.state == State.IDLE) {
@@ -133,7 +136,7 @@
     }
   }
 
-  /** A request was received completely; the result says what to do with it. */
+  /** Records that a request was received completely; returns how to handle it. */
   public Disposition requestReceived(C connection) {
     Entry entry = entries.get(connection);
     if (entry == null || entry.state != State.READING) {
@@ -146,9 +149,9 @@
   }
 
   /**
-   * A response was written.
+   * Records that a response was written.
    *
-   * @param last true where it announced that the connection ends
+   * @param last whether it announced the close of the connection
    */
   public void responseWritten(C connection, boolean last) {
     Entry entry = entries.get(connection);
@@ -162,7 +165,7 @@
     }
   }
 
-  /** The connection is being closed for another reason. */
+  /** Records that a connection is being closed for another reason. */
   public void halfClosed(C connection) {
     Entry entry = entries.get(connection);
     if (entry != null) {
@@ -170,17 +173,17 @@
     }
   }
 
-  /** The connection is closed completely. */
+  /** Records that a connection is completely closed. */
   public void disconnected(C connection) {
     entries.remove(connection);
     closeIfDone();
   }
 
   /**
-   * Half-closes a connection on which no request has started, not even in what has arrived and was
-   * not read yet.
+   * Half-closes a connection on which no request has started. Bytes that have arrived are read
+   * first.
    *
-   * @return false where a request has started
+   * @return false if a request has started
    */
   public boolean closeIfIdle(long nowUs, C connection) {
     Entry entry = entries.get(connection);
@@ -193,9 +196,9 @@
   }
 
   /**
-   * Refuses a request that is incomplete, even with what has arrived and was not read yet.
+   * Refuses an incomplete request. Bytes that have arrived are read first.
    *
-   * @return false where there is no incomplete request
+   * @return false if there is no incomplete request
    */
   public boolean refuseIfIncomplete(C connection) {
     Entry entry = entries.get(connection);
@@ -207,7 +210,10 @@
     return true;
   }
 
-  /** True where the connection is in that state, also after a read of what has arrived. */
+  /**
+   * Returns true if the connection is in the expected state before and after arrived bytes are
+   * read.
+   */
   private boolean isStillAfterRead(C connection, Entry entry, State expected) {
     if (entry == null || entry.state != expected) {
       return false;
@@ -224,9 +230,9 @@
   // ---- events of the frontend
 
   /**
-   * From now on each response ends its connection.
+   * Starts the drain: from now on each response closes its connection.
    *
-   * @param closeIdle true where idle connections are closed now
+   * @param closeIdle whether to close idle connections now
    */
   public void drain(long nowUs, boolean closeIdle) {
     if (stage == Stage.SERVING) {
@@ -237,7 +243,7 @@
     }
   }
 
-  /** From now on no query is forwarded, and the shutdown is complete by the deadline. */
+  /** Starts to refuse queries; the shutdown is complete by the deadline. */
   public void refuse(long nowUs, long newDeadlineUs) {
     if (stage == Stage.REFUSING || stage == Stage.CLOSED) {
       return;
@@ -251,7 +257,10 @@
     advance(nowUs);
   }
 
-  /** Spares connections that were accepted just now: a request is probably in transit on them. */
+  /**
+   * Closes idle connections, except recently accepted ones, on which a request is probably in
+   * transit.
+   */
   private void closeIdleConnections(long nowUs) {
     for (Map.Entry<C, Entry> connection : List.copyOf(entries.entrySet())) {
       if (nowUs - connection.getValue().acceptedUs >= requestTransitUs) {
@@ -260,14 +269,16 @@
     }
   }
 
-  /** The listener is closed and accepts no more. */
+  /** Records that the listener is closed. */
   public void listenerClosed(long nowUs) {
     listenerClosed = true;
     refuseIncompleteUs = nowUs + Math.min(requestTransitUs, Math.max(0, deadlineUs - nowUs) / 2);
     closeIfDone();
   }
 
-  /** Does what is due; to be called every few milliseconds during the shutdown. */
+  /**
+   * Executes the actions that are due; must be called every few milliseconds during the shutdown.
+   */
   public void advance(long nowUs) {
     if (stage != Stage.REFUSING) {
       return;
--- a/src/main/java/dunlinhitch/frontend/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -17,14 +17,14 @@
 import java.util.regex.Pattern;
 
 /**
- * Parses a query from what every frontend has of it: a class, headers and a JSON body. Thread-safe
- * if the supplier of the settings is.
+ * Parses a query from its class, headers and JSON body, which are the same for every frontend.
+ * Thread-safe if the supplier of the settings is.
  */
 public final class QueryReader {
   /** The largest body that any frontend accepts. */
   public static final int MAX_BODY_BYTES = 64 * 1024;
 
-  /** Request header: the response shall list the pruned shards, under {@link #PRUNED}. */
+  /** Request header: the response lists the pruned shards in {@link #PRUNED}. */
   public static final String SHOW_PRUNED = "X-Show-Pruned";
 
   /** Response header: the pruned shards. */
@@ -33,10 +33,10 @@
   /** Request header: the id of the query. */
   public static final String TRACE_ID = "X-Trace-Id";
 
-  /** Request header: seconds to the deadline. */
+  /** Request header: seconds until the deadline. */
   public static final String EXPIRES_IN = "X-Expires-In";
 
-  /** Request header: the client retries a query. */
+  /** Request header: the query is a client's retry. */
   public static final String CLIENT_RETRY = "X-Second-Try";
 
   /** Request header: the tenant. */
@@ -46,17 +46,19 @@
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
   /**
-   * Ids and keys, which are fields of the stores' protocol: without blanks, commas, equals signs
-   * and line ends.
+   * Ids and keys. They are fields of the stores' protocol and therefore contain no spaces, commas,
+   * equals signs or line feeds.
    */
   private static final Pattern TOKEN = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
 
   private static final Pattern DECIMAL_SECONDS = Pattern.compile("-?[0-9]{1,9}(\\.[0-9]{1,9})?");
 
-  /** How far the sum of the portions may be from 1, as each is rounded. */
+  /**
+   * Tolerated difference between the sum of the portions and 1, because each portion is rounded.
+   */
   private static final double PORTION_SUM_TOLERANCE = 0.005;
 
-  /** The largest portion, as portions are rounded. */
+  /** The largest valid portion: above 1 because portions are rounded. */
   private static final double MAX_PORTION = 1.001;
 
   private static final double MAX_PRICE = 1e12;
@@ -65,12 +67,12 @@
 
   private final Supplier<Settings> settings;
 
-  /** Creates a reader that reads the settings in force for each query. */
+  /** Creates a reader that uses the settings in force at each query. */
   public QueryReader(Supplier<Settings> settings) {
     this.settings = settings;
   }
 
-  /** The class of that name in the settings in force, or null. */
+  /** Returns the class with this name in the settings in force, or null. */
   public QueryClass classOf(String name) {
     return settings.get().classes().stream()
         .filter(queryClass -> queryClass.name().equals(name))
@@ -81,10 +83,10 @@
   /**
    * Parses a query.
    *
-   * @param header gives the value of a header, or null
+   * @param header returns the value of a header, or null
    * @param customers all values of {@link #CUSTOMER}
    * @param receivedUs when the last byte of the request was received, in microseconds
-   * @throws MalformedQueryException where the request is no valid query
+   * @throws MalformedQueryException if the request is not a valid query
    */
   public QueryRequest read(
       QueryClass queryClass,
@@ -116,7 +118,10 @@
     }
   }
 
-  /** The earlier of the deadline of the class and the one that the client requests. */
+  /**
+   * Returns the time to the deadline of the class or to the client's deadline, whichever is
+   * earlier.
+   */
   private static long timeoutUs(QueryClass queryClass, String expiresIn)
       throws MalformedQueryException {
     if (expiresIn == null) {
@@ -130,9 +135,9 @@
   }
 
   /**
-   * The tenant's name where the settings have it, else empty: a query that names no configured
-   * tenant, or two, has no quota of its own and is served with the unnamed ones. It is not
-   * rejected, as the rules promise service to every client.
+   * Returns the tenant's name if it is configured, else an empty name. A query that names no
+   * configured tenant, or several, is served under the quota of unnamed queries. It is not
+   * rejected, because the platform's rules guarantee service to every client.
    */
   private String tenant(Iterable<String> customers) {
     String result = "";
--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -46,8 +46,8 @@
 import org.apache.arrow.vector.types.pojo.Schema;
 
 /**
- * The Arrow Flight frontend: a query is a DoGet whose ticket holds the same body as over HTTP, with
- * the class and the identity in headers.
+ * The Arrow Flight frontend: a query is a DoGet whose ticket contains the same body as over HTTP,
+ * with the class and the query's identity in headers.
  *
  * <p>Calls arrive on gRPC's threads and responses are written on the call threads; the exchange of
  * a query is opened and completed on the event loop.
@@ -86,7 +86,7 @@
   /**
    * Creates a frontend that does not listen yet.
    *
-   * @param context the event loop on which queries are opened
+   * @param context the event loop on which exchanges are opened
    * @param clock microseconds; called from any thread
    */
   public FlightFrontend(
@@ -123,7 +123,10 @@
         });
   }
 
-  /** Loads the classes of both ends of a call, so that the first query does not wait for them. */
+  /**
+   * Loads the classes of both ends of a call, so that the first query is not delayed by class
+   * loading.
+   */
   private void warmUp(String host, int boundPort) throws InterruptedException {
     try (VectorSchemaRoot root = VectorSchemaRoot.create(schema(true, null), allocator)) {
       fill(root, List.of(new QueryResponse.PartValue(0, "")));
@@ -133,7 +136,7 @@
     try {
       self.doAction(new Action("warm-up")).forEachRemaining(result -> {});
     } catch (FlightRuntimeException e) {
-      // expected, as the frontend has no actions
+      // expected: the frontend implements no actions
     } finally {
       self.close();
     }
@@ -155,7 +158,7 @@
         });
   }
 
-  /** Called on gRPC's threads; nothing here blocks. */
+  /** Handles calls on gRPC's threads without blocking. */
   private final class Producer extends NoOpFlightProducer {
     @Override
     public void getStream(CallContext call, Ticket ticket, ServerStreamListener listener) {
@@ -197,7 +200,10 @@
     }
   }
 
-  /** A call as the event loop sees it: its exchange, or that its client disconnected before. */
+  /**
+   * State of a call on the event loop: its exchange, or that its client disconnected before it was
+   * opened.
+   */
   private static final class Call {
     private long exchange;
     private boolean disconnected;
@@ -245,7 +251,7 @@
       listener.start(root);
       listener.putNext();
       listener.completed();
-    } catch (RuntimeException e) { // whatever Arrow throws, the client must get an end of the call
+    } catch (RuntimeException e) { // whatever Arrow throws, the call must be completed
       listener.error(
           CallStatus.INTERNAL
               .withDescription("the answer could not be written")
--- a/src/main/java/dunlinhitch/frontend/http/BodyReader.java
+++ b/src/main/java/dunlinhitch/frontend/http/BodyReader.java
@@ -6,11 +6,11 @@
 import java.util.function.Consumer;
 
 /**
- * Reads the body of one request, with or without a stated length, and never buffers more than a
- * bound. Used on the event loop only.
+ * Reads the body of one request, with or without a Content-Length, and buffers a bounded number of
+ * bytes. Used on the event loop only.
  */
 final class BodyReader {
-  /** A Content-Length of more digits is over every bound. */
+  /** A Content-Length with more digits exceeds every bound. */
   private static final String PLAUSIBLE_LENGTH = "[0-9]{1,6}";
 
   private final int maxBytes;
@@ -18,7 +18,7 @@
   private final Runnable onTooLarge;
   private final Buffer body = Buffer.buffer();
 
-  /** True once the body is too large or the client has disconnected within it. */
+  /** True once the body is too large or the client has disconnected before its end. */
   private boolean aborted;
 
   private BodyReader(int maxBytes, Consumer<Buffer> onBody, Runnable onTooLarge) {
@@ -28,10 +28,11 @@
   }
 
   /**
-   * Starts to read. Neither callback is called where the client disconnects within the body.
+   * Starts to read. Neither callback is called if the client disconnects before the end of the
+   * body.
    *
-   * @param onBody takes the complete body
-   * @param onTooLarge called once, as soon as the body is known to be over the bound
+   * @param onBody receives the complete body
+   * @param onTooLarge called once, as soon as the body is known to exceed the bound
    */
   static void read(
       HttpServerRequest request, int maxBytes, Consumer<Buffer> onBody, Runnable onTooLarge) {
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -19,15 +19,18 @@
 import java.util.function.LongSupplier;
 
 /**
- * The connections of clients and their timeouts. Closes those that send nothing or never complete a
- * request, as they cost file descriptors and memory that clients with a query need. The shutdown is
- * the business of {@link GracefulShutdown}, which also guarantees that no connection is closed on
- * which a request has arrived unread.
+ * The connections of clients and their timeouts. Closes connections that send nothing or never
+ * complete a request, because they occupy file descriptors and memory that clients with a query
+ * need. {@link GracefulShutdown} controls the shutdown and guarantees that no connection is closed
+ * on which an unread request has arrived.
  *
  * <p>Used on the event loop only.
  */
 final class ClientConnections {
-  /** From the accept to the end of a first request, or from first to last byte of a later one. */
+  /**
+   * Timeout from the accept to the end of the first request, or from the first to the last byte of
+   * a later one.
+   */
   private static final long REQUEST_TIMEOUT_US = 2_500_000;
 
   private static final long IDLE_TIMEOUT_US = 5_000_000;
@@ -37,18 +40,18 @@
 
   private static final int BUSY_DIVISOR = 4;
 
-  /** A client that accepts nothing of its response for so long is disconnected. */
+  /** A client that reads nothing of its response for this long is disconnected. */
   private static final long WRITE_TIMEOUT_US = 5_000_000;
 
   private static final long LINGER_US = 1_000_000;
   private static final long US_PER_MS = 1000;
 
-  /** How long a request may be in transit that crosses the close of its connection. */
+  /** How long a request may be in transit that was sent while its connection was closed. */
   static final long REQUEST_TRANSIT_US = 150_000;
 
-  /** The part of the shutdown that the frontend does itself. */
+  /** Shutdown actions that the frontend implements. */
   interface Host {
-    /** Refuses a request whose head was read, with a response that ends the connection. */
+    /** Refuses a request whose head was read, with a response that closes the connection. */
     void refuse(HttpServerRequest request);
 
     void closeListener();
@@ -57,11 +60,11 @@
   }
 
   private enum Stage {
-    /** Nothing was received yet. */
+    /** Nothing was received yet on the connection. */
     NEW,
     /** Some bytes of a request were received. */
     READING_HEAD,
-    /** The head of a request was read. */
+    /** The head of a request was read, but not its complete body. */
     READING_BODY,
     /** A complete request waits for its response. */
     AWAITING_RESPONSE,
@@ -72,7 +75,7 @@
     private final HttpConnection connection;
     private final long acceptedUs;
 
-    /** True where bytes were received that are not part of a request yet. */
+    /** True if bytes were received that are not parsed as part of a request yet. */
     private final BooleanSupplier hasUnparsedBytes;
 
     private LingeringClose channel;
@@ -80,16 +83,16 @@
     private long stageSinceUs;
     private boolean firstRequest = true;
 
-    /** The request that was read last and has no response yet. */
+    /** The last request that was read, while it has no response yet. */
     private HttpServerRequest request;
 
-    /** Called on disconnect for the last query; has no effect once that is completed. */
+    /** Called on disconnect for the last query; has no effect once the query is completed. */
     private Runnable onDisconnect = () -> {};
 
-    /** The next response is the last, as the client sent too much. */
+    /** The next response is the last, because the client sent too much. */
     private boolean flooded;
 
-    /** The next response is the last, as no connection could be evicted for this one. */
+    /** The next response is the last, because no other connection could be evicted for this one. */
     private boolean excess;
 
     /** The last response is being written. */
@@ -106,7 +109,7 @@
   /** Open connections in the order in which they were accepted. */
   private final Map<HttpConnection, ClientConnection> connections = new LinkedHashMap<>();
 
-  /** Half-closed connections, which still have file descriptors, in the order of their close. */
+  /** Half-closed connections, which still hold file descriptors, in the order of their close. */
   private final Set<ClientConnection> lingering = new LinkedHashSet<>();
 
   private final IntSupplier maxConnections;
@@ -119,7 +122,7 @@
   /**
    * Creates a table without connections.
    *
-   * @param maxDescriptors the bound on open and lingering connections together
+   * @param maxDescriptors maximum number of open and lingering connections together
    */
   ClientConnections(
       IntSupplier maxConnections,
@@ -135,8 +138,8 @@
   }
 
   /**
-   * Adds an accepted connection. Above the bound, one without an open query is evicted for it, or
-   * its own first response will be its last.
+   * Adds an accepted connection. Above the bound, a connection without an open query is evicted; if
+   * there is none, the first response on the new connection is its last.
    */
   void accepted(HttpConnection connection, BooleanSupplier hasUnparsedBytes) {
     ClientConnection client = new ClientConnection(connection, clock.getAsLong(), hasUnparsedBytes);
@@ -153,7 +156,7 @@
 
   /**
    * Evicts the connection whose loss costs least: one that never sent anything, else the one that
-   * is idle for longest, else one with an incomplete request.
+   * has been idle for longest, else one with an incomplete request.
    */
   private boolean evictOne() {
     List<ClientConnection> candidates = new ArrayList<>(connections.values());
@@ -208,16 +211,17 @@
   }
 
   /**
-   * The head of a request was read.
+   * Handles the head of a request.
    *
-   * @return false where it follows the last response and must be ignored
+   * @return false if it follows the last response and must be ignored
    */
   boolean headReceived(HttpServerRequest request) {
     ClientConnection client = connections.get(request.connection());
     if (client == null || client.closing) {
       return false;
     }
-    if (client.request != null) { // pipelined, read as the response to the one ahead was ended
+    if (client.request
+        != null) { // pipelined: read while the response to the previous request was ended
       shutdown.responseWritten(client, false);
     }
     shutdown.requestStarted(client);
@@ -228,8 +232,8 @@
     return true;
   }
 
-  /** The request was received completely; the result says what to do with it. */
-  @SuppressWarnings("ReferenceEquality") // asks for this very request, not for an equal one
+  /** Records that a request was received completely; returns how to handle it. */
+  @SuppressWarnings("ReferenceEquality") // identity is intended: the same request
   Disposition requestReceived(HttpServerRequest request) {
     ClientConnection client = connections.get(request.connection());
     if (client == null || client.closing || client.request != request) {
@@ -240,7 +244,7 @@
     return disposition == Disposition.FORWARD && client.excess ? Disposition.REFUSE : disposition;
   }
 
-  /** Sets what is called, for the query received last, in the read that finds a disconnect. */
+  /** Sets the callback for a disconnect of the client of the last received query. */
   void onDisconnect(HttpServerRequest request, Runnable onDisconnect) {
     ClientConnection client = connections.get(request.connection());
     if (client != null) {
@@ -248,13 +252,13 @@
     }
   }
 
-  /** True where the response that is written next ends its connection. */
+  /** Returns true if the next response closes its connection. */
   boolean isLastResponse(HttpConnection connection) {
     ClientConnection client = connections.get(connection);
     return shutdown.isDraining() || client == null || client.flooded || client.excess;
   }
 
-  /** The last response is being written: requests after it are ignored. */
+  /** Records that the last response is being written; later requests are ignored. */
   void closing(HttpConnection connection) {
     ClientConnection client = connections.get(connection);
     if (client != null) {
@@ -262,11 +266,11 @@
     }
   }
 
-  /** The response to the request was written. */
-  @SuppressWarnings("ReferenceEquality") // asks for this very request, not for an equal one
+  /** Records that the response to a request was written. */
+  @SuppressWarnings("ReferenceEquality") // identity is intended: the same request
   void responseWritten(HttpServerRequest request) {
     ClientConnection client = connections.get(request.connection());
-    if (client == null || client.request != request) { // the next request is being read already
+    if (client == null || client.request != request) { // the next request is already being read
       return;
     }
     client.request = null;
@@ -302,7 +306,7 @@
         : IDLE_TIMEOUT_US;
   }
 
-  /** Closes connections whose timeout has passed; to be called periodically. */
+  /** Closes connections whose timeout has passed; must be called periodically. */
   void closeTimedOut() {
     long nowUs = clock.getAsLong();
     for (ClientConnection client : List.copyOf(connections.values())) {
@@ -323,28 +327,30 @@
 
   // ---- shutdown
 
-  /** From now on each response is the last of its connection; see {@link GracefulShutdown}. */
+  /**
+   * Starts the drain: each response is the last of its connection; see {@link GracefulShutdown}.
+   */
   void drain(boolean closeIdle) {
     shutdown.drain(clock.getAsLong(), closeIdle);
   }
 
-  /** From now on queries are refused, and all connections are closed by the deadline. */
+  /** Starts to refuse queries; all connections are closed by the deadline. */
   void refuse(long deadlineUs) {
     shutdownDeadlineUs = deadlineUs;
     shutdown.refuse(clock.getAsLong(), deadlineUs);
   }
 
-  /** Advances the shutdown; to be called every few milliseconds. */
+  /** Advances the shutdown; must be called every few milliseconds. */
   void advanceShutdown() {
     shutdown.advance(clock.getAsLong());
   }
 
-  /** The listener is closed. */
+  /** Records that the listener is closed. */
   void listenerClosed() {
     shutdown.listenerClosed(clock.getAsLong());
   }
 
-  /** The client sent too much behind a request: its next response is the last. */
+  /** Records that the client sent too much after a request: its next response is the last. */
   void flooded(HttpConnection connection) {
     ClientConnection client = connections.get(connection);
     if (client != null) {
@@ -352,7 +358,7 @@
     }
   }
 
-  /** Events of one connection's channel. */
+  /** Receives the events of one connection's channel. */
   private final class ChannelListener implements LingeringClose.Listener {
     private final ClientConnection client;
 
--- a/src/main/java/dunlinhitch/frontend/http/ClientListener.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientListener.java
@@ -22,28 +22,32 @@
 import java.util.function.Supplier;
 
 /**
- * The socket that clients connect to, made known to Vert.x as its transport. It accepts on a thread
- * of its own, so it counts open connections and pauses at a bound: an event loop that is behind
- * closes nothing, and a process without file descriptors loses more than connections.
+ * The socket that clients connect to, provided to Vert.x as its transport. Because it accepts
+ * connections on a separate thread, it counts open connections and pauses at a bound: an event loop
+ * that lags does not close connections, and a process without free file descriptors also loses its
+ * other functions.
  *
  * <p>The socket may be inherited, and another process of a hot restart may accept from it too. Such
- * a socket is never bound, shut down or closed here: the other process goes on with it, and with
- * the inherited channel the JDK would close the descriptors that the log is written to.
+ * a socket is never bound, shut down or closed here: the other process continues to use it, and
+ * closing the inherited channel would make the JDK close the descriptors that the log is written
+ * to.
  */
 public final class ClientListener extends NioTransport implements Transport {
   private static final long RETRY_ACCEPT_MS = 5;
 
-  /** Failures of accept that are passed over while the queue is emptied before the close. */
+  /**
+   * Maximum number of accept failures that are ignored while the queue is emptied before the close.
+   */
   private static final int MAX_FAILURES_AT_CLOSE = 64;
 
-  /** Takes the next queued connection; null where there is none. */
+  /** Accepts the next queued connection; null if there is none. */
   interface Acceptor {
     SocketChannel accept(ServerSocketChannel listener) throws IOException;
   }
 
   private final Acceptor acceptor;
 
-  /** Null where the socket is created by binding. */
+  /** Null if the socket is created by binding. */
   private final ServerSocketChannel inheritedChannel;
 
   private final OpenResourceCounter<AcceptedChannel> open =
@@ -56,42 +60,41 @@
   /**
    * Creates a listener.
    *
-   * @param inheritedChannel a listening socket; null where one is to be created when the server
-   *     starts
+   * @param inheritedChannel a listening socket, or null to create one when the server starts
    */
   public ClientListener(ServerSocketChannel inheritedChannel) {
     this(inheritedChannel, ServerSocketChannel::accept);
   }
 
-  /** Creates a listener that accepts by other means. */
+  /** Creates a listener with a custom acceptor. */
   ClientListener(ServerSocketChannel inheritedChannel, Acceptor acceptor) {
     this.inheritedChannel = inheritedChannel;
     this.acceptor = acceptor;
   }
 
-  /** True where another process may accept from the same socket. */
+  /** Returns true if another process may accept from the same socket. */
   public boolean isShared() {
     return inheritedChannel != null;
   }
 
-  /** Accepted connections that still have their file descriptor. */
+  /** Returns the number of accepted connections that still hold a file descriptor. */
   public int open() {
     return open.count();
   }
 
-  /** The listener on the socket that this process was started with as descriptor 0. */
+  /** Creates a listener on the socket that this process inherited as file descriptor 0. */
   public static ClientListener inherited() throws IOException {
     java.nio.channels.Channel channel = System.inheritedChannel();
     if (channel instanceof ServerSocketChannel listener) {
       return new ClientListener(listener);
     }
-    throw new IOException("descriptor 0 is no listening socket");
+    throw new IOException("file descriptor 0 is not a listening socket");
   }
 
   /**
-   * Makes the server that {@code listen} starts accept from this listener.
+   * Makes the server that {@code listen} starts use this listener.
    *
-   * @param maxConnections how many connections may be open before accepting pauses
+   * @param maxConnections number of open connections at which accepting pauses
    */
   <T> Future<T> install(int maxConnections, Supplier<Future<T>> listen) {
     maxOpen = maxConnections;
@@ -99,7 +102,7 @@
     return listen.get().onComplete(done -> installing = false);
   }
 
-  /** Stops accepting: queued connections are left to the other process. */
+  /** Stops accepting; queued connections are left to the other process. */
   void stopAccepting() {
     stopped = true;
     if (serverChannel != null) {
@@ -108,9 +111,9 @@
   }
 
   /**
-   * Accepts the queued connections, as their clients are connected already, and closes.
+   * Accepts the queued connections, whose clients are already connected, and closes the listener.
    *
-   * @param done called at the end, on any thread
+   * @param done called when the listener is closed, on any thread
    */
   void close(Runnable done) {
     stopped = true;
@@ -166,8 +169,8 @@
     }
 
     /**
-     * True once the file descriptor is free: a closed channel keeps it until the selector has
-     * deregistered it, which an event loop that is behind does late.
+     * True once the file descriptor is released: a closed channel keeps it until the selector has
+     * deregistered the channel, which is delayed if the event loop lags.
      */
     boolean isReleased() {
       return !javaChannel().isRegistered();
@@ -179,7 +182,7 @@
     private int failureCount;
 
     AcceptingChannel() {
-      // bound as any other channel
+      // bound like any other channel
     }
 
     AcceptingChannel(ServerSocketChannel inheritedChannel) {
@@ -196,8 +199,8 @@
       try {
         socket = acceptor.accept(javaChannel());
       } catch (IOException e) {
-        // the client left its place in the queue, or the system is short of descriptors or memory:
-        // the listener is sound, and Netty would pause it for a second
+        // the client has left the queue, or the system is short of descriptors or memory: the
+        // listener itself still works, and Netty would pause it for a second
         failureCount++;
         pause();
         return 0;
@@ -218,7 +221,7 @@
       scheduleResume();
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // the task handles its own failure
+    @SuppressWarnings("FutureReturnValueIgnored") // the task handles its own failures
     private void scheduleResume() {
       eventLoop().schedule(this::resumeAccepting, RETRY_ACCEPT_MS, TimeUnit.MILLISECONDS);
     }
@@ -256,7 +259,7 @@
     protected void doClose() throws Exception {
       if (inheritedChannel == null) {
         super.doClose();
-      } // an inherited socket is only deregistered, as the other process goes on with it
+      } // an inherited socket is only deregistered, because the other process continues to use it
     }
   }
 }
--- a/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
@@ -33,8 +33,8 @@
 import java.util.function.Supplier;
 
 /**
- * The HTTP/1.1 frontend, where each query is a POST. It parses requests and writes responses; what
- * the response is, the reducer decides. Used on the event loop only.
+ * The HTTP/1.1 frontend: each query is a POST request. It parses requests and writes responses; the
+ * reducer decides on the response. Used on the event loop only.
  */
 public final class HttpFrontend implements Frontend {
   private static final long TIMEOUT_CHECK_MS = 200;
@@ -61,7 +61,7 @@
   private final HttpServer server;
   private final ClientConnections connections;
 
-  /** The socket that it accepts from; null where Vert.x creates one. */
+  /** The listener to accept from, or null if Vert.x creates the socket. */
   private final ClientListener listener;
 
   private final int maxDescriptors;
@@ -73,11 +73,12 @@
    * Creates a frontend that does not listen yet.
    *
    * @param clock microseconds
-   * @param maxConnections how many connections may be open before idle ones are evicted
+   * @param maxConnections number of open connections at which idle ones are evicted
    * @param ready whether this broker is ready for queries
    * @param stats the text of the statistics page
-   * @param listener the socket that it accepts from; null where Vert.x creates one
-   * @param maxDescriptors how many connections may have file descriptors, closing ones included
+   * @param listener the listener to accept from, or null if Vert.x creates the socket
+   * @param maxDescriptors maximum number of connections that hold file descriptors, including those
+   *     being closed
    */
   public HttpFrontend(
       Vertx vertx,
@@ -121,7 +122,7 @@
 
   private void onConnection(HttpConnection connection, HttpServerOptions options) {
     StrictDecoder decoder = StrictDecoder.install(connection, options);
-    // without a handler Vert.x writes each reset to the log as an error
+    // without a handler Vert.x logs each reset as an error
     connection.exceptionHandler(
         error ->
             events.accept(
@@ -155,9 +156,9 @@
   }
 
   /**
-   * Begins a hot restart, where another process accepts from the same socket: new connections are
-   * left to that process, and each connection ends with its next response. Idle connections stay
-   * until {@link #drain}.
+   * Begins a hot restart, in which another process accepts from the same socket: new connections
+   * are left to that process, and each connection closes with its next response. Idle connections
+   * stay open until {@link #drain}.
    */
   public void beginHotRestart() {
     connections.drain(false);
@@ -165,9 +166,9 @@
   }
 
   /**
-   * Begins the shutdown: new connections are still accepted, but each ends with its next response,
-   * and idle ones are closed now. A client whose request crosses that close can connect again while
-   * the broker still listens.
+   * Begins the shutdown: new connections are still accepted, but each closes with its next
+   * response, and idle ones are closed now. A client that sends a request during that close can
+   * connect again while the broker still listens.
    */
   public void drain() {
     connections.drain(true);
@@ -180,7 +181,7 @@
     return shutdownComplete.future();
   }
 
-  /** The part of the shutdown that is not about connections. */
+  /** Shutdown actions that go beyond a single connection, and refusals. */
   private final class ShutdownHost implements ClientConnections.Host {
     @Override
     public void refuse(HttpServerRequest request) {
@@ -235,7 +236,7 @@
     }
   }
 
-  /** The class that the first segment of the path names, or null. */
+  /** Returns the class that is named by the first segment of the path, or null. */
   private QueryClass queryClassOf(String path) {
     if (path.isEmpty()) {
       return null;
@@ -254,7 +255,10 @@
     respond(request, status, TEXT, Buffer.buffer(status == OK ? text : "not " + text), false);
   }
 
-  /** Ends the connection where the body is still to be received: it may be long. */
+  /**
+   * Closes the connection if the body was not completely received, because the rest of it may be
+   * long.
+   */
   private void respondBadRequest(HttpServerRequest request, int status, String reason) {
     events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS));
     respond(request, status, TEXT, Buffer.buffer(reason + "\n"), !request.isEnded());
@@ -324,7 +328,7 @@
     respond(request, UNAVAILABLE, TEXT, Buffer.buffer(REFUSED), true);
   }
 
-  /** The same decision that Vert.x takes on whether it closes the connection after the response. */
+  /** Returns whether Vert.x keeps the connection open after the response. */
   private static boolean keepsAlive(HttpServerRequest request) {
     String connectionOptions =
         String.join(",", request.headers().getAll(HttpHeaders.CONNECTION)).toLowerCase(Locale.ROOT);
--- a/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
+++ b/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
@@ -16,12 +16,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * The first handler of a client's channel, next to the socket. Turns every close by the broker,
- * whoever requests it, into a lingering one: what was written is sent, the output is shut down, and
- * what still arrives is read and discarded until the client closes or a bound is reached. A close
- * with unread bytes would reset the connection and could discard the response before the client has
- * read it; and nothing that arrives after a close may reach the decoder. A connection that the
- * client closes is closed by Netty at once.
+ * The first handler of a client's channel, next to the socket. Turns every close by the broker into
+ * a lingering close: pending writes are sent, the output is shut down, and bytes that still arrive
+ * are read and discarded until the client closes or a bound is reached. A close with unread bytes
+ * would reset the connection and could discard the response before the client has read it. Bytes
+ * that arrive after a close must not reach the decoder. If the client closes the connection, Netty
+ * closes it at once.
  *
  * <p>Used on the channel's event loop only.
  */
@@ -39,18 +39,20 @@
               "refused\n")
           .getBytes(StandardCharsets.US_ASCII);
 
-  /** Is notified of what happens on the channel. */
+  /** Receives the events of the channel. */
   interface Listener {
-    /** Bytes were received; they are passed on after this. */
+    /** Called when bytes were received, before they are passed on. */
     void bytesReceived();
 
-    /** The broker closes the connection. */
+    /** Called when the broker closes the connection. */
     void halfClosing();
 
-    /** The socket is closed, whoever closed it. */
+    /** Called when the socket is closed, by either side. */
     void closed();
 
-    /** How long the connection may linger, in milliseconds; 0 or less: not at all. */
+    /**
+     * Returns how long the connection may linger, in milliseconds; 0 or less to close it at once.
+     */
     long lingerMs();
   }
 
@@ -86,12 +88,15 @@
         .addListener(closed -> listener.closed()); // before channelInactive, which is a later task
   }
 
-  /** Since when writes are pending without progress, in microseconds; MAX_VALUE: none pending. */
+  /**
+   * Returns since when pending writes have made no progress, in microseconds; {@link
+   * Long#MAX_VALUE} if no write is pending.
+   */
   long writeStalledSinceUs() {
     return writeStalledSinceUs;
   }
 
-  /** Reads at once what the socket has received, if anything. */
+  /** Immediately reads the bytes that the socket has received, if any. */
   void readOnce() {
     if (context.channel().unsafe() instanceof AbstractNioChannel.NioUnsafe socket
         && context.channel().isActive()) {
@@ -100,10 +105,11 @@
   }
 
   /**
-   * Refuses a request whose head is incomplete and closes. Bypasses the encoder, which has no
-   * response in progress then.
+   * Refuses a request whose head is incomplete and closes the connection. Bypasses the encoder,
+   * which has no response in progress in this state.
    */
-  @SuppressWarnings("FutureReturnValueIgnored") // a failed write ends in the close that follows
+  @SuppressWarnings(
+      "FutureReturnValueIgnored") // a failed write is covered by the close that follows
   void refuse() {
     context.write(Unpooled.wrappedBuffer(REFUSAL), context.newPromise());
     close(context, context.newPromise());
@@ -182,7 +188,7 @@
     if (!closing) {
       ctx.fireChannelReadComplete();
     } else if (ctx.channel().isActive()) {
-      ctx.read(); // also where Vert.x has paused reading
+      ctx.read(); // even if Vert.x has paused reading
     }
   }
 
@@ -196,7 +202,7 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable error) {
     if (closing) {
-      abort(); // the client has reset a connection that was closing anyway
+      abort(); // the client has reset a connection that was already closing
     } else {
       ctx.fireExceptionCaught(error);
     }
--- a/src/main/java/dunlinhitch/frontend/http/ParkingSelectStrategy.java
+++ b/src/main/java/dunlinhitch/frontend/http/ParkingSelectStrategy.java
@@ -6,22 +6,25 @@
 import java.util.function.LongSupplier;
 
 /**
- * How an event loop waits when its next timer is less than half a millisecond away. Netty rounds
- * that wait to zero and polls the selector in a busy loop until the timer is due, which costs
- * processor time that a broker on part of a core needs. Here the thread parks for a short pause
- * instead. Incoming I/O waits for at most that pause, as the selector does not wake a parked
- * thread.
+ * Select strategy that parks an event loop whose next timer is less than half a millisecond away.
+ * Netty rounds that wait to zero and polls the selector in a busy loop until the timer is due,
+ * which costs processor time that a broker with a fraction of a core needs. This strategy parks the
+ * thread for a short pause instead. Incoming I/O is delayed by at most that pause, because the
+ * selector does not wake a parked thread.
  *
- * <p>Each event loop has its own; used on its thread only.
+ * <p>Each event loop has its own instance, which is used on its thread only.
  */
 final class ParkingSelectStrategy implements SelectStrategy {
   /**
-   * The pause; also, a round of the loop that took less did not wait. Five pauses fill the longest
-   * time for which Netty would poll.
+   * The pause, and the duration below which a round of the loop counts as not having waited. Five
+   * pauses cover the longest time for which Netty would poll.
    */
   private static final long PAUSE_NS = 100_000;
 
-  /** A round that did I/O can be as quick as one that polled: only a second one is a sign. */
+  /**
+   * A round that did I/O can be as short as one that polled, so the loop parks only from the second
+   * consecutive short round on.
+   */
   private static final int MIN_QUICK_ROUNDS = 2;
 
   private final LongSupplier nanoClock;
@@ -33,7 +36,7 @@
    * Creates a strategy for one event loop.
    *
    * @param nanoClock nanoseconds
-   * @param park parks the calling thread for so many nanoseconds
+   * @param park parks the calling thread for the given number of nanoseconds
    */
   ParkingSelectStrategy(LongSupplier nanoClock, LongConsumer park) {
     this.nanoClock = nanoClock;
--- a/src/main/java/dunlinhitch/frontend/http/ReadAhead.java
+++ b/src/main/java/dunlinhitch/frontend/http/ReadAhead.java
@@ -12,10 +12,10 @@
 import java.util.Deque;
 
 /**
- * Goes on reading where Vert.x has paused: it reads nothing more of a client whose request waits
- * for its response, and so would not detect a disconnect behind pipelined bytes. What is received
- * meanwhile is buffered up to a bound; beyond that it is discarded, and the next response ends the
- * connection.
+ * Continues to read while Vert.x has paused reading. Vert.x pauses for a client whose request waits
+ * for its response, and so would not detect a disconnect behind pipelined bytes. Bytes that are
+ * received meanwhile are buffered up to a bound; above it they are discarded, and the next response
+ * closes the connection.
  *
  * <p>Used on the channel's event loop only.
  */
@@ -23,7 +23,7 @@
   private static final String HANDLER_NAME = "readAhead";
   private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-  /** Reads in one turn of the event loop; Netty's default. */
+  /** Maximum number of reads in one turn of the event loop; Netty's default. */
   private static final int MAX_READS = 16;
 
   private final Deque<Object> buffered = new ArrayDeque<>();
@@ -36,17 +36,17 @@
   }
 
   /**
-   * Adds a handler in front of the decoder; to be called before {@link LingeringClose#install}.
+   * Adds a handler in front of the decoder; must be called before {@link LingeringClose#install}.
    *
-   * @param onFlooded called once, when the client has sent more than is buffered
+   * @param onFlooded called once, when the client has sent more than the bound
    */
   static ReadAhead install(HttpConnection connection, Runnable onFlooded) {
     ChannelPipeline pipeline =
         ((HttpServerConnection) connection).channelHandlerContext().pipeline();
     ReadAhead handler = new ReadAhead(onFlooded);
     pipeline.addFirst(HANDLER_NAME, handler);
-    // a read that does not fill its buffer must not end the turn: the disconnect of a client may
-    // stand behind its request, and must be read before the request is handled
+    // a read that does not fill its buffer must not end the turn: a client's disconnect may follow
+    // its request, and must be read before the request is handled
     pipeline
         .channel()
         .config()
@@ -57,7 +57,7 @@
     return handler;
   }
 
-  /** True where bytes were received that Vert.x has not read. */
+  /** True if bytes were received that Vert.x has not read. */
   boolean hasBufferedBytes() {
     return !buffered.isEmpty();
   }
@@ -89,7 +89,7 @@
     }
   }
 
-  /** Vert.x reads again: it first gets what is buffered, in a task of its own. */
+  /** Called when Vert.x reads again: buffered bytes are delivered first, in a separate task. */
   @Override
   public void read(ChannelHandlerContext ctx) {
     if (!buffered.isEmpty()) {
--- a/src/main/java/dunlinhitch/frontend/http/StrictDecoder.java
+++ b/src/main/java/dunlinhitch/frontend/http/StrictDecoder.java
@@ -10,10 +10,11 @@
 import java.util.List;
 
 /**
- * Vert.x's request decoder with protection against request smuggling. Netty ignores the length of a
- * request that is also chunked, and treats an unknown transfer coding as none, so what follows such
- * a body may be a hidden request (RFC 9112, 6.1 and 6.3). Here such a message is invalid, and
- * nothing after it is read. Repeated and malformed lengths are invalid to Netty already.
+ * Vert.x's request decoder with protection against request smuggling. Netty ignores the
+ * Content-Length of a chunked request, and treats an unknown transfer coding as no coding, so the
+ * bytes after such a body may be a smuggled request (RFC 9112, 6.1 and 6.3). This decoder rejects
+ * such a message as invalid and reads nothing after it. Netty itself rejects repeated and malformed
+ * lengths.
  */
 final class StrictDecoder extends VertxHttpRequestDecoder {
   private static final String HANDLER_NAME = "httpDecoder";
@@ -32,12 +33,12 @@
     return decoder;
   }
 
-  /** True where an incomplete head is buffered. */
+  /** True if an incomplete head is buffered. */
   boolean hasBufferedBytes() {
     return actualReadableBytes() > 0;
   }
 
-  /** Called by Netty after the head is read and before the body. */
+  /** Netty calls this after the head is read and before the body. */
   @Override
   protected boolean isContentAlwaysEmpty(HttpMessage message) {
     List<String> codings = message.headers().getAll(HttpHeaderNames.TRANSFER_ENCODING);
@@ -46,7 +47,8 @@
             && HttpHeaderValues.CHUNKED.contentEqualsIgnoreCase(codings.get(0).trim());
     if (!codings.isEmpty()
         && (!chunked || message.headers().contains(HttpHeaderNames.CONTENT_LENGTH))) {
-      throw new IllegalArgumentException("a body is chunked or states its length, once");
+      throw new IllegalArgumentException(
+          "invalid body framing: expected one chunked Transfer-Encoding or one Content-Length");
     }
     return super.isContentAlwaysEmpty(message);
   }
--- a/src/test/java/dunlinhitch/frontend/GracefulShutdownTest.java
+++ b/src/test/java/dunlinhitch/frontend/GracefulShutdownTest.java
@@ -11,12 +11,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** The graceful shutdown with simulated clients, sockets and listener, in many orders. */
+/**
+ * The graceful shutdown with simulated clients, sockets and listener, in random orders of events.
+ */
 class GracefulShutdownTest {
   private static final long REQUEST_TRANSIT_US = 10;
   private static final long DEADLINE_US = 60;
 
-  /** What of a request is in the socket of a connection, or was read from it. */
+  /** How much of a request is in the socket of a connection, or was read from it. */
   private enum Bytes {
     NONE,
     INCOMPLETE,
@@ -65,7 +67,7 @@
         Disposition disposition = shutdown.requestReceived(client);
         assertTrue(
             disposition == Disposition.REFUSE || disposition == Disposition.FORWARD,
-            "dropped, though it was read before the half-close");
+            "request was dropped although it was read before the half-close");
         assertEquals(shutdown.stage() == Stage.REFUSING, disposition == Disposition.REFUSE);
         client.forwarded = disposition == Disposition.FORWARD;
         if (disposition == Disposition.REFUSE) {
@@ -94,10 +96,11 @@
 
     @Override
     public void halfClose(Client client) {
-      assertFalse(client.halfClosed, "twice");
-      assertEquals(Bytes.NONE, client.read, "a request that was read gets no answer");
+      assertFalse(client.halfClosed, "connection was half-closed twice");
+      assertEquals(
+          Bytes.NONE, client.read, "half-closed before the response to a request that was read");
       assertTrue(
-          client.announcedClose || client.unread == Bytes.NONE, "what had come before goes unread");
+          client.announcedClose || client.unread == Bytes.NONE, "half-closed with unread bytes");
       client.halfClosed = true;
     }
 
@@ -115,18 +118,20 @@
 
     @Override
     public void closed() {
-      assertFalse(complete, "twice");
+      assertFalse(complete, "shutdown was completed twice");
       complete = true;
-      assertTrue(nowUs >= DEADLINE_US || (clients.isEmpty() && !listening), "cut before its time");
+      assertTrue(
+          nowUs >= DEADLINE_US || (clients.isEmpty() && !listening),
+          "shutdown was completed before its deadline with open connections");
       assertTrue(
           clients.stream().noneMatch(client -> client.read != Bytes.NONE && !client.forwarded),
-          "half a request is left without an answer");
+          "an incomplete request was not answered");
     }
   }
 
   /**
-   * Whatever the order of what clients, the event loop, the shutdown and time do, the checks of the
-   * frontend hold and the shutdown is complete by its deadline.
+   * In any order of events from clients, the event loop, the shutdown and the clock, the checks of
+   * the frontend pass and the shutdown is complete by its deadline.
    */
   @Test
   void randomOrdersOfEventsKeepTheInvariants() {
@@ -142,13 +147,13 @@
         step(frontend, client, random);
       }
       finish(frontend);
-      assertTrue(frontend.complete, "it does not end");
+      assertTrue(frontend.complete, "shutdown is not complete after its deadline");
       refusals += frontend.refusals;
     }
-    assertTrue(refusals > 1_000, "the walks come to the rare moments: " + refusals);
+    assertTrue(refusals > 1_000, "too few refusals in the random runs: " + refusals);
   }
 
-  /** One random event; {@code client} is one of those connected, or null. */
+  /** Executes one random event; {@code client} is a connected client, or null. */
   private static void step(Frontend frontend, Client client, SplittableRandom random) {
     switch (random.nextInt(10)) {
       case 0 -> connectStep(frontend);
@@ -207,7 +212,7 @@
     frontend.shutdown.advance(frontend.nowUs);
   }
 
-  /** Responds to all that was forwarded and lets the deadline pass. */
+  /** Responds to all forwarded requests and lets the deadline pass. */
   private static void finish(Frontend frontend) {
     frontend.shutdown.drain(frontend.nowUs, true);
     frontend.clients.stream()
@@ -219,7 +224,8 @@
   }
 
   /**
-   * Idle connections close first, queued ones are accepted, and only their requests are awaited.
+   * Idle connections are closed first, then queued ones are accepted and their requests are
+   * awaited.
    */
   @Test
   void listenerClosesAfterIdleConnectionsAndQueuedRequestsAreRead() {
@@ -228,9 +234,12 @@
     frontend.nowUs = 20;
     Client fresh = frontend.connect();
     frontend.shutdown.drain(frontend.nowUs, true);
-    assertTrue(idle.halfClosed && !fresh.halfClosed, "a new one has its request under way");
+    assertTrue(
+        idle.halfClosed && !fresh.halfClosed,
+        "a recently accepted connection is kept open for a request in transit");
     frontend.shutdown.refuse(frontend.nowUs, DEADLINE_US);
-    assertFalse(frontend.listenerCloseRequested, "what crosses the close comes again");
+    assertFalse(
+        frontend.listenerCloseRequested, "the listener must stay open for clients that reconnect");
     frontend.nowUs += REQUEST_TRANSIT_US;
     frontend.shutdown.advance(frontend.nowUs);
     assertTrue(frontend.listenerCloseRequested && fresh.halfClosed);
@@ -240,9 +249,12 @@
     frontend.send(announcedClose, Bytes.COMPLETE);
     frontend.nowUs += REQUEST_TRANSIT_US;
     frontend.shutdown.advance(frontend.nowUs);
-    assertTrue(announcedClose.halfClosed && frontend.refusals == 1, "read at the last moment");
+    assertTrue(
+        announcedClose.halfClosed && frontend.refusals == 1,
+        "the queued request was not read and refused");
     List.copyOf(frontend.clients).forEach(frontend::disconnect);
     assertTrue(
-        frontend.complete && frontend.nowUs < DEADLINE_US, "it does not wait for its deadline");
+        frontend.complete && frontend.nowUs < DEADLINE_US,
+        "shutdown must complete before its deadline");
   }
 }
--- a/src/test/java/dunlinhitch/frontend/QueryReaderTest.java
+++ b/src/test/java/dunlinhitch/frontend/QueryReaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a client reads of a query that lacks a field. */
+/** Error messages for queries with a missing field. */
 class QueryReaderTest {
   private final Settings settings = BrokerFixture.settings(40);
   private final QueryReader reader = new QueryReader(() -> settings);
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Requests as bytes, good and bad. */
+/** Valid and invalid requests, sent as raw bytes. */
 class HttpFrontendTest {
   private BrokerFixture stage;
 
@@ -41,7 +41,7 @@
     stage.close();
   }
 
-  /** The status of the response to a request on a connection of its own. */
+  /** Sends a request on a separate connection and returns the status of the response. */
   private int status(String text) throws IOException {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
       socket.setSoTimeout(5_000);
@@ -53,15 +53,17 @@
     }
   }
 
-  /** Everything that is received until the connection closes; fails where it does not. */
+  /**
+   * Returns everything that is received until the connection closes; fails if it does not close.
+   */
   private String untilClosed(Socket socket) throws IOException {
     socket.setSoTimeout(5_000);
     return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
   }
 
   /**
-   * Guards against a process without file descriptors: connections are accepted on a thread of
-   * their own, also while the event loop that would close the excess ones is blocked.
+   * Guards against a process without file descriptors: connections are accepted on a separate
+   * thread, even while the event loop that closes excess connections is blocked.
    */
   @Test
   void acceptsNoMoreThanTheBoundWhileLoopIsBlocked() throws Exception {
@@ -81,7 +83,7 @@
     int maxOpen =
         stage.maxSockets
             - stage.maxSockets / 4
-            - 24; // the remainder after the stores' share and the program's own
+            - 24; // the remainder after the shares of the stores and of the process itself
     for (int i = 0; i < 2 * stage.maxSockets; i++) {
       many.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
     }
@@ -130,7 +132,10 @@
     assertEquals(0, stage.counter("queries_taken"));
   }
 
-  /** A tenant that is named twice must be the same; a header as long as a body is rejected. */
+  /**
+   * A repeated tenant header is valid only with equal values; a header with the size of a body is
+   * rejected.
+   */
   @Test
   void repeatedTenantHeaderIsUnknownUnlessEqual() throws Exception {
     tearDown();
@@ -209,7 +214,7 @@
           .getOutputStream()
           .write("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8));
       assertTrue(socket.getInputStream().read() >= 0);
-      socket.setSoLinger(true, 0); // with the rest unread and no linger, its close is a reset
+      socket.setSoLinger(true, 0); // with unread bytes and no linger time, the close is a reset
       socket.close();
       while (stage.counter("clients_reset") < 1 && lines.isEmpty()) {
         Thread.onSpinWait();
@@ -277,7 +282,7 @@
                     + Client.body(1).getBytes(StandardCharsets.UTF_8).length
                     + "\r\n",
                 Client.body(1))));
-    while (stage.counter("bad_requests") < 8) { // counted in the turn that follows the answer
+    while (stage.counter("bad_requests") < 8) { // counted in the turn after the response
       Thread.onSpinWait();
     }
     assertEquals(0, stage.counter("queries_taken"));
@@ -291,7 +296,7 @@
             "/free-search",
             "X-Trace-Id: a\r\nX-Expires-In: 0.1\r\nTransfer-Encoding: chunked\r\n",
             Integer.toHexString(body.length) + "\r\n" + Client.body(1) + "\r\n0\r\n\r\n");
-    assertEquals(503, status(text), "no store holds the range: refused in time");
+    assertEquals(503, status(text), "no store has the range, so the query is rejected");
     assertEquals(1, stage.counter("queries_taken"));
   }
 
@@ -312,11 +317,11 @@
             .write("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8));
         assertTrue(in.readLine().contains("200"));
         while (!in.readLine().equals("live")) {
-          assertTrue(!ended.isDone(), "it is served first");
+          assertTrue(!ended.isDone(), "connections are still served");
         }
       }
       while (in.readLine() != null) {
-        assertTrue(!ended.isDone(), "it must be closed before the listener");
+        assertTrue(!ended.isDone(), "connection must be closed before the listener");
       }
       assertEquals(200, status("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"));
       ended.get(5, TimeUnit.SECONDS);
@@ -338,7 +343,10 @@
         Client.body(1));
   }
 
-  /** Behind a waiting request Vert.x soon stops reading, and by itself would miss a disconnect. */
+  /**
+   * While a request waits for its response, Vert.x stops reading and so would not detect a
+   * disconnect.
+   */
   @Test
   void disconnectBehindPipelinedRequestsIsDetected() throws Exception {
     for (int more : List.of(1, 40, 2_000)) {
@@ -354,7 +362,7 @@
           && stage.counter("refused") + stage.counter("out_of_time") == 0) {
         Thread.onSpinWait();
       }
-      assertEquals(left + 1, stage.counter("client_left"), more + " more");
+      assertEquals(left + 1, stage.counter("client_left"), more + " more requests");
     }
   }
 
@@ -378,7 +386,7 @@
       assertEquals(
           socket == sockets.get(2) ? "" : "HTTP/1.1 503",
           untilClosed(socket).split(" Service", -1)[0]);
-      assertTrue(!ended.isDone(), "it ends with its clients told");
+      assertTrue(!ended.isDone(), "shutdown completed before its clients were answered");
     }
     ended.get(5, TimeUnit.SECONDS);
     for (Socket socket : sockets) {
@@ -386,7 +394,7 @@
     }
   }
 
-  /** A watch without any sign of life is reopened, and the cached list stays valid. */
+  /** A watch that receives nothing is reopened, and the cached list stays in use. */
   @Test
   void unresponsiveWatchIsReopened() throws Exception {
     stage.discovery.pushChange(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
@@ -414,7 +422,7 @@
     assertTrue(stage.counter("roster_lost") >= 1);
   }
 
-  /** Lists may be indented, so that a line end is no end of a list. */
+  /** Lists may be indented, so a line feed does not mark the end of a list. */
   @Test
   void indentedListIsParsed() throws Exception {
     assertEquals(
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -32,13 +32,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The frontend alone, on a clock that the test advances: timers that cross received bytes. */
+/** The frontend alone, with a test clock: timeouts that coincide with received bytes. */
 class HttpFrontendTimingTest {
   private final AtomicLong nowUs = new AtomicLong(1);
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   private final Exchanges exchanges = new Exchanges(events::add);
 
-  /** How many calls of accept are still to fail. */
+  /** Number of calls of accept that still fail. */
   private final AtomicInteger failingAccepts = new AtomicInteger();
 
   private Vertx vertx;
@@ -110,7 +110,7 @@
         + body;
   }
 
-  /** Reads the head and a body of the stated length. */
+  /** Reads the head of a response, and its body according to the Content-Length. */
   private static String readResponse(Socket socket) throws IOException {
     InputStream in = socket.getInputStream();
     StringBuilder text = new StringBuilder();
@@ -129,9 +129,7 @@
     void run() throws Exception;
   }
 
-  /**
-   * Runs the client's action while the event loop is blocked, then {@code loop} before any read.
-   */
+  /** Runs {@code client} while the event loop is blocked, then {@code loop} before it reads. */
   private void whileLoopIsBlocked(Action client, long advanceUs, Action loop) throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch done = new CountDownLatch(1);
@@ -154,7 +152,7 @@
     assertTrue(finished.await(5, TimeUnit.SECONDS));
   }
 
-  /** A request that arrives just as its connection times out or is drained. */
+  /** A request is served if it arrives just as its connection times out or is drained. */
   @Test
   void requestCrossingTimeoutIsServed() throws Exception {
     try (Socket idle = connect();
@@ -180,7 +178,7 @@
       assertEquals(
           -1,
           resting.getInputStream().read(),
-          "it had been idle for as long and was asked nothing");
+          "a connection that was idle for as long, without a request, is closed");
       for (int i = 1; i <= 2; i++) {
         long exchange = i;
         vertx.runOnContext(v -> exchanges.complete(exchange, new QueryResponse.Rejected(0)));
@@ -196,7 +194,7 @@
     }
   }
 
-  /** Such a client would occupy its connection and the response for ever. */
+  /** Such a client would occupy its connection and the memory of its response forever. */
   @Test
   void clientThatNeverReadsResponseIsDisconnected() throws Exception {
     String large = "x".repeat(32 << 20);
@@ -221,15 +219,15 @@
             n = socket.getInputStream().read(buffer)) {
           received += n;
         }
-      } catch (java.net.SocketException reset) { // as good
+      } catch (java.net.SocketException reset) { // also accepted
       }
-      assertTrue(received < large.length(), "all of it was still there");
+      assertTrue(received < large.length(), "the complete response was still buffered");
     }
   }
 
-  /** A client that goes on writing after its response reads the end of it without a reset. */
+  /** A client that continues to write after its response reads the end of stream, not a reset. */
   @Test
-  @SuppressWarnings("ThreadPriorityCheck") // lets the frontend close between two writes
+  @SuppressWarnings("ThreadPriorityCheck") // gives the frontend time to close between two writes
   void everyCloseLingersAndLaterRequestsAreIgnored() throws Exception {
     for (String request :
         List.of(
@@ -240,7 +238,7 @@
       try (Socket socket = connect()) {
         write(socket, request);
         readResponse(socket);
-        assertEquals(-1, socket.getInputStream().read(), "it says that no more comes");
+        assertEquals(-1, socket.getInputStream().read(), "the output was not shut down");
         for (int i = 0; i < 50; i++) {
           write(socket, post("behind"));
           Thread.yield();
@@ -253,8 +251,8 @@
   }
 
   /**
-   * Vert.x handles the next request in the turn in which a response ends: it is served, unless that
-   * response announced the close.
+   * Vert.x handles a pipelined request in the turn in which the previous response ends: it is
+   * served unless that response announced the close.
    */
   @Test
   void pipelinedRequestIsServedUnlessAfterLastResponse() throws Exception {
@@ -275,14 +273,14 @@
       whileLoopIsBlocked(
           () -> {}, 0, () -> exchanges.complete(query.exchange(), new QueryResponse.Rejected(0)));
       assertTrue(readResponse(socket).startsWith("HTTP/1.1 503 "));
-      assertEquals(-1, socket.getInputStream().read(), "one answer");
+      assertEquals(-1, socket.getInputStream().read(), "more than one response");
     }
     assertTrue(events.isEmpty(), events.toString());
   }
 
   /**
-   * An incomplete request behind another one has started when the response to that one is written:
-   * draining spares the connection and the rest of the request is awaited.
+   * The start of a second request is already received when the response to the first one is
+   * written: draining must not close the connection, and the rest of the request is awaited.
    */
   @Test
   void connectionWithStartedRequestIsNotIdle() throws Exception {
@@ -295,13 +293,13 @@
       assertTrue(readResponse(socket).startsWith("HTTP/1.1 503 "));
       whileLoopIsBlocked(() -> {}, 200_000, frontend::drain);
       write(socket, next.substring(30));
-      assertTrue(events.poll(5, TimeUnit.SECONDS) instanceof Event.QueryReceived, "it is closed");
+      assertTrue(events.poll(5, TimeUnit.SECONDS) instanceof Event.QueryReceived, "not served");
     }
   }
 
   /**
-   * Connections that the system made while the accepting thread was behind are accepted and
-   * refused, and then the listener closes.
+   * Connections that are still queued when the shutdown starts are accepted and refused before the
+   * listener closes.
    */
   @Test
   void queuedConnectionsAreAcceptedAndRefused() throws Exception {
@@ -321,7 +319,7 @@
         });
     blocked.await();
     List<Socket> queue = new ArrayList<>();
-    for (int i = 0; i < 18; i++) { // more than Netty accepts in one go
+    for (int i = 0; i < 18; i++) { // more than Netty accepts in one read loop
       queue.add(connect());
       write(queue.get(i), post("q" + i));
     }
@@ -349,8 +347,8 @@
   }
 
   /**
-   * The end of the stream or a reset within a body is no query; a half-close after a complete
-   * request is a disconnect.
+   * The end of the stream or a reset before the end of a body yields no query; a half-close after a
+   * complete request is a disconnect.
    */
   @Test
   void disconnectWithinRequestIsNoQueryAndHalfCloseIsDisconnect() throws Exception {
@@ -366,7 +364,7 @@
       for (boolean reset : List.of(false, true)) {
         try (Socket socket = connect()) {
           write(socket, part);
-          whileLoopIsBlocked(() -> {}, 0, () -> {}); // it is read
+          whileLoopIsBlocked(() -> {}, 0, () -> {}); // lets the event loop read the bytes
           socket.setSoLinger(reset, 0);
         }
       }
@@ -387,9 +385,9 @@
         events.toString());
   }
 
-  /** Where file descriptors are short, the oldest lingering connection is aborted. */
+  /** If file descriptors run short, the oldest lingering connection is aborted. */
   @Test
-  @SuppressWarnings("ThreadPriorityCheck") // lets the reset arrive between two writes
+  @SuppressWarnings("ThreadPriorityCheck") // gives the reset time to arrive between two writes
   void oldestLingeringConnectionIsEvicted() throws Exception {
     List<Socket> lingering = new ArrayList<>();
     for (int i = 0; i < 24; i++) {
@@ -411,10 +409,10 @@
     }
   }
 
-  /** Accept fails for a moment, which is no reason to leave who waits unserved for seconds. */
+  /** Temporary failures of accept must not delay waiting clients by seconds. */
   @Test
   void failuresOfAcceptAreRetriedWithinMilliseconds() throws Exception {
-    failingAccepts.set(20); // one second each, if Netty saw them
+    failingAccepts.set(20); // Netty itself would pause for one second after each
     try (Socket socket = connect()) {
       write(socket, post("a"));
       assertTrue(events.poll(5, TimeUnit.SECONDS) instanceof Event.QueryReceived);
@@ -422,7 +420,7 @@
     assertEquals(0, failingAccepts.get());
   }
 
-  /** The listener closes while accept fails: who waits in its queue is answered all the same. */
+  /** The listener closes while accept fails: clients in its queue are still answered. */
   @Test
   void queuedConnectionsAreAcceptedThoughAcceptFailsAtTheClose() throws Exception {
     failingAccepts.set(20);
@@ -438,7 +436,7 @@
     assertTrue(complete.await(5, TimeUnit.SECONDS));
   }
 
-  /** A client that reads nothing of its response delays the shutdown until the deadline only. */
+  /** A client that reads nothing of its response delays the shutdown at most to the deadline. */
   @Test
   void shutdownCompletesAtDeadlineDespiteClientThatReadsNothing() throws Exception {
     CountDownLatch complete = new CountDownLatch(1);
@@ -461,21 +459,21 @@
         try (Socket next =
             new Socket(
                 InetAddress.getLoopbackAddress(),
-                port)) { // it is let in or refused, but the listener closes
+                port)) { // accepted or refused until the listener is closed
           assertTrue(next.isConnected());
         } catch (java.net.ConnectException closed) {
           break;
         } catch (java.net.SocketException reset) {
-          // connected in the very moment of the close: only a refusal shows that it is over
+          // connected just before the close; only a refused connection proves the close
         }
       }
-      assertEquals(1, complete.getCount(), "nothing holds it up");
+      assertEquals(1, complete.getCount(), "shutdown completed before its deadline");
       whileLoopIsBlocked(() -> {}, 1_000_000, () -> {});
       assertTrue(complete.await(5, TimeUnit.SECONDS));
     }
   }
 
-  /** After a close only so many bytes are read and discarded. */
+  /** After a close only a bounded number of bytes is read and discarded. */
   @Test
   void discardedBytesAreBounded() throws Exception {
     try (Socket socket = connect()) {
--- a/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
@@ -16,11 +16,11 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** When an event loop parks in place of polling its selector. */
+/** When an event loop parks instead of polling its selector. */
 class ParkingSelectStrategyTest {
   private static final int TIMERS = 50;
 
-  /** Five pauses and a few quick rounds before each; a polling loop takes hundreds. */
+  /** Five pauses and a few short rounds before each; a polling loop takes hundreds of rounds. */
   private static final int MAX_ROUNDS_PER_TIMER = 16;
 
   private long nowNs;
@@ -43,7 +43,7 @@
     for (int i = 0; i < 4; i++) {
       assertEquals(SelectStrategy.SELECT, round(0, false));
     }
-    assertEquals(2, parked.size(), "all but the two that may have read or written");
+    assertEquals(2, parked.size(), "all rounds except the two that may have done I/O");
   }
 
   @Test
@@ -53,7 +53,7 @@
           i % 2 == 0 ? SelectStrategy.SELECT : 3, i % 2 == 0 ? round(0, false) : round(3, true));
     }
     assertEquals(
-        SelectStrategy.SELECT, round(0, false)); // the second quick round is the first that polls
+        SelectStrategy.SELECT, round(0, false)); // the second short round is the first that polls
     assertEquals(7, round(7, false));
     assertEquals(List.of(), parked);
   }
@@ -67,7 +67,9 @@
     assertEquals(List.of(), parked);
   }
 
-  /** Netty's own strategy fails this: it polls for some 400 µs before each of these timers. */
+  /**
+   * Netty's own strategy fails this test: it polls for about 400 µs before each of these timers.
+   */
   @Test
   void eventLoopDoesNotPollBeforeATimer() throws Exception {
     AtomicInteger rounds = new AtomicInteger();
