--- a/src/main/java/dunlinhitch/admin/AdminServer.java
+++ b/src/main/java/dunlinhitch/admin/AdminServer.java
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Completes a pending operator call; one that is not pending any more is ignored.
+   * Completes a pending operator call; ignored if the call is no longer pending.
    *
    * @param call number of the call, as in its event
    * @param httpStatus HTTP status of the response
@@ -115,7 +115,7 @@
       closeOldestConnection();
     }
     acceptedUs.put(connection, clock.getAsLong());
-    // an exception is followed by the close, which is all that matters here
+    // an exception is followed by the close, which is handled
     connection.exceptionHandler(ignored -> {});
     connection.closeHandler(closed -> acceptedUs.remove(connection));
   }
--- a/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
+++ b/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
@@ -59,8 +59,7 @@
    * Reads the folder and creates it if necessary.
    *
    * @param shared whether to poll the folder for changes by other processes from now on
-   * @return whether the folder existed, that is whether another process of this broker was here
-   *     before
+   * @return whether the folder existed, which means that another process of this broker has used it
    */
   public Future<Boolean> start(boolean shared) {
     if (folder == null) {
@@ -80,7 +79,7 @@
   }
 
   /**
-   * Stores that an endpoint is disabled, or that it is enabled again.
+   * Stores that an endpoint was disabled or enabled.
    *
    * @return completes when the change is stored
    */
@@ -150,7 +149,7 @@
     try {
       ids.add(new String(Base64.getUrlDecoder().decode(fileName), StandardCharsets.UTF_8));
     } catch (IllegalArgumentException e) {
-      // not written by a broker: other files in the folder are ignored
+      // not written by a broker: ignored
     }
   }
 
--- a/src/main/java/dunlinhitch/admin/MetricsText.java
+++ b/src/main/java/dunlinhitch/admin/MetricsText.java
@@ -66,7 +66,7 @@
     out.append(' ').append(type).append('\n');
   }
 
-  /** Escapes a label value as the format demands. */
+  /** Escapes a label value as the format requires. */
   private static String escape(String labelValue) {
     return labelValue.replace("\\", "\\\\").replace("\"", "\\\"").replace("\n", "\\n");
   }
--- a/src/main/java/dunlinhitch/admin/package-info.java
+++ b/src/main/java/dunlinhitch/admin/package-info.java
@@ -6,7 +6,7 @@
  * dunlinhitch.admin.DisabledEndpointFolder} stores the disabled endpoints across restarts and
  * shares them between overlapping processes of one broker.
  *
- * <p>The package passes operators' requests on as events of the core and renders the core's status;
- * it decides nothing about endpoints itself and does not use frontends or backends.
+ * <p>The package passes operators' requests to the core as events and renders the core's status. It
+ * makes no decisions about endpoints and does not use frontends or backends.
  */
 package dunlinhitch.admin;
--- a/src/main/java/dunlinhitch/server/AdminInterface.java
+++ b/src/main/java/dunlinhitch/server/AdminInterface.java
@@ -11,7 +11,7 @@
 import java.util.function.Consumer;
 
 /**
- * The operators' side of a broker: the admin server, where the configuration has an address for it,
+ * The operators' side of a broker: the admin server, if the configuration has an address for it,
  * and the folder in which administratively disabled endpoints are persisted. Runs on the event
  * loop.
  */
@@ -26,7 +26,7 @@
   private final Config config;
   private final Consumer<String> log;
 
-  /** Null without an address; effects for operators only follow from calls to it. */
+  /** Null without an address; effects for operators result only from calls to this server. */
   private final AdminServer server;
 
   private final DisabledEndpointFolder disabledEndpoints;
@@ -49,7 +49,7 @@
                 events.accept(new Event.DisabledEndpointsChanged(disabled, enabled)));
   }
 
-  /** Listens; the result is the port, or 0 where there is no admin server. */
+  /** Listens; the result is the port, or 0 if there is no admin server. */
   Future<Integer> listen() {
     return server == null
         ? Future.succeededFuture(0)
@@ -58,15 +58,16 @@
 
   /**
    * Reads and follows the disabled endpoints; the result is whether another process of this broker
-   * has used the folder before. A folder that cannot be used fails no start: the operators' calls
-   * that cannot be persisted are answered with that error.
+   * has used the folder before. An unusable folder does not fail the start; operators' calls that
+   * cannot be persisted are answered with that error.
    */
   Future<Boolean> restoreDisabledEndpoints(boolean shared) {
     return disabledEndpoints
         .start(shared)
         .recover(
             cause -> {
-              log.accept("stores out by hand can not be kept: " + cause);
+              log.accept(
+                  "administratively disabled endpoints cannot be restored or persisted: " + cause);
               return Future.succeededFuture(false);
             });
   }
--- a/src/main/java/dunlinhitch/server/BackendTransportFactory.java
+++ b/src/main/java/dunlinhitch/server/BackendTransportFactory.java
@@ -9,7 +9,7 @@
 import dunlinhitch.endpoints.Endpoint;
 import java.util.function.Consumer;
 
-/** Opens the transport that an endpoint speaks. Runs on the event loop. */
+/** Opens the transport for the protocol of an endpoint. Runs on the event loop. */
 final class BackendTransportFactory {
   private final BrokerRuntime runtime;
   private final Reducer reducer;
@@ -17,7 +17,7 @@
   private final LoadReportParser loadReportParser;
   private final FrameTransport.Shared frames;
 
-  /** Null until an endpoint speaks Arrow Flight: no class of Arrow is loaded before that. */
+  /** Null until an endpoint uses Arrow Flight, so that Arrow's classes are not loaded before. */
   private FlightTransports flightStores;
 
   BackendTransportFactory(
@@ -53,7 +53,10 @@
     return flightStores.open(endpoint);
   }
 
-  /** Releases what the transports share; the transports themselves must be closed. */
+  /**
+   * Releases the resources that the transports share; the transports themselves must already be
+   * closed.
+   */
   void close() {
     if (flightStores != null) {
       flightStores.close();
--- a/src/main/java/dunlinhitch/server/Broker.java
+++ b/src/main/java/dunlinhitch/server/Broker.java
@@ -16,20 +16,21 @@
 import java.util.function.Supplier;
 
 /**
- * One real broker: the frontends, the reducer, the backends and the endpoint sources, wired on one
- * event loop. All methods are called on that event loop.
+ * A broker: wires the frontends, the reducer, the backends and the endpoint sources on one event
+ * loop. All methods are called on that event loop.
  */
 public final class Broker {
   /**
-   * For so long a new process takes its predecessor for alive where that one is of a release that
-   * holds no lock, so that its end can not be seen.
+   * How long a new process assumes that its predecessor is running if that one is of a release
+   * without process locks, so that its end cannot be detected.
    */
   private static final long UNSEEN_OVERLAP_US = 6_000_000;
 
   /** Folder of the processes' locks, below the folder that processes of a broker share. */
   private static final String LOCK_FOLDER = "processes";
 
-  private static final String STOPPED_BEFORE_LISTENING = "it was asked to end before it listened";
+  private static final String STOPPED_BEFORE_LISTENING =
+      "broker was asked to stop before it started to listen";
 
   private final BrokerRuntime runtime;
   private final Vertx vertx;
@@ -46,26 +47,31 @@
   private final Readiness readiness;
   private final ConfigurationReloader configurationReloader;
 
-  /** Null unless the product's settings file has a {@code [fleet]}: its classes stay unloaded. */
+  /**
+   * Null unless the product's settings file has a {@code [fleet]} section, so that its classes stay
+   * unloaded.
+   */
   private final ClusterGossip clusterGossip;
 
-  /** Null where there is no folder that processes of this broker share. */
+  /** Null if the processes of this broker share no folder. */
   private final OverlapMonitor overlapMonitor;
 
   /** True once clients may have been accepted. */
   private boolean opened;
 
-  /** Null unless a graceful shutdown has begun. */
+  /** Null until a graceful shutdown begins. */
   private ShutdownDeadlines shutdownDeadlines;
 
-  /** Creates a broker with a listener of its own; called on the event loop that is to run it. */
+  /**
+   * Creates a broker that creates its own listening socket; called on the event loop that runs it.
+   */
   public Broker(Vertx vertx, Context context, Config config, Consumer<String> log) {
     this(vertx, context, config, log, null);
   }
 
   /**
-   * Creates a broker that accepts clients from {@code listener}; called on the event loop that is
-   * to run it.
+   * Creates a broker that accepts clients from {@code listener}; called on the event loop that runs
+   * it.
    */
   public Broker(
       Vertx vertx, Context context, Config config, Consumer<String> log, ClientListener listener) {
@@ -131,8 +137,8 @@
   }
 
   /**
-   * Listens for operators, before clients are accepted; the result is the port, or 0 where the
-   * configuration has no address for them.
+   * Listens for operators, before clients are accepted; the result is the port, or 0 if the
+   * configuration has no admin address.
    */
   public Future<Integer> listenForAdmin() {
     return admin.listen();
@@ -140,7 +146,7 @@
 
   /**
    * Listens for clients and follows the endpoint sources; the result is the port of the HTTP
-   * frontend. Fails where the broker was asked to end before it listened.
+   * frontend. Fails if the broker was asked to stop before it listened.
    */
   public Future<Integer> start() {
     if (readiness.isStopping()) {
@@ -168,7 +174,10 @@
     return watchForOverlap(hasPredecessor).compose(v -> frontends.listen());
   }
 
-  /** Where another process may accept from the same socket, both keep to half of shared budgets. */
+  /**
+   * Watches for other processes if they may accept from the same socket; each then uses half of the
+   * shared budgets.
+   */
   private Future<Void> watchForOverlap(boolean hasPredecessor) {
     if (!shared) {
       return Future.succeededFuture();
@@ -177,7 +186,7 @@
         overlapMonitor == null ? Future.succeededFuture(false) : overlapMonitor.start();
     return seen.otherwise(
             cause -> {
-              runtime.log().accept("other processes of this broker can not be seen: " + cause);
+              runtime.log().accept("cannot watch for other processes of this broker: " + cause);
               return false;
             })
         .map(
@@ -196,11 +205,16 @@
     String name = runtime.config().name();
     return clusterGossip
         .listen(loop)
-        .onSuccess(port -> runtime.log().accept(name + " hears other brokers on port " + port))
+        .onSuccess(
+            port ->
+                runtime.log().accept(name + " receives gossip from other brokers on port " + port))
         .mapEmpty();
   }
 
-  /** Logs and counts a fault; what it left open ends by its own deadline. Runs on any thread. */
+  /**
+   * Logs and counts a fault; queries that it left open end by their own deadlines. Runs on any
+   * thread.
+   */
   private void reportFault(Throwable fault) {
     StackTraceElement[] trace = fault.getStackTrace();
     runtime.log().accept("fault: " + fault + (trace.length > 0 ? " at " + trace[0] : ""));
@@ -212,13 +226,14 @@
   }
 
   /**
-   * Shuts down gracefully; the result is the end of it.
+   * Shuts down gracefully; the result completes when the shutdown has ended.
    *
-   * <p>Until half of the longest query deadline before its end the broker serves connected clients
-   * as before: the others may be restarting too, and the next process starts no sooner if this one
-   * leaves early. Then each response closes its connection (from the start where another process
-   * accepts from the same socket), and the broker ends once nothing is in flight. Before it listens
-   * there is nothing to wait for, and it ends at once.
+   * <p>The broker serves connected clients as before until half of the longest query deadline
+   * before its end: the other brokers may be restarting too, and the next process does not start
+   * earlier if this one leaves early. After that each response closes its connection, and the
+   * broker ends once nothing is in flight. If another process accepts from the same socket,
+   * responses close their connections from the start. A broker that does not listen yet ends at
+   * once.
    */
   public Future<Void> stop() {
     readiness.onStopping();
@@ -247,7 +262,10 @@
     vertx.setTimer(MicroClock.timerMs(nowUs, dueUs), timer -> task.run());
   }
 
-  /** Shuts down at once, where no client can be sending a request; the result is the end of it. */
+  /**
+   * Shuts down at once, which requires that no client can be sending a request; the result
+   * completes when the shutdown has ended.
+   */
   public Future<Void> close() {
     loop.accept(new Event.ShutdownRequested());
     return ended.future();
@@ -274,7 +292,7 @@
     configurationReloader.reload(reader);
   }
 
-  /** Sets how the configuration is read again once other brokers are seen to have a newer one. */
+  /** Sets how the configuration is read again when other brokers have a newer one. */
   public void setConfigurationReader(Supplier<Config> reader) {
     configurationReloader.setReader(reader);
   }
--- a/src/main/java/dunlinhitch/server/BrokerRuntime.java
+++ b/src/main/java/dunlinhitch/server/BrokerRuntime.java
@@ -7,11 +7,11 @@
 import java.util.function.Consumer;
 
 /**
- * What the parts of one broker share.
+ * Objects that the parts of one broker share.
  *
  * @param vertx owner of the event loop, timers and sockets
  * @param context the event loop on which the broker runs
- * @param config the configuration as it was at start
+ * @param config the configuration that the broker was started with
  * @param clock microseconds since an arbitrary origin
  * @param log receives one line at a time for the operators
  */
--- a/src/main/java/dunlinhitch/server/ClusterGossip.java
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -25,26 +25,31 @@
 import java.util.function.Consumer;
 
 /**
- * This broker's part in its cluster, where the product's settings file has a {@code [fleet]}
- * section: its identity, from which the reducer runs the membership protocol, and the gossip
+ * This broker's participation in its cluster, if the product's settings file has a {@code [fleet]}
+ * section: its identity, with which the reducer runs the membership protocol, and the gossip
  * socket. Runs on the event loop.
  */
 final class ClusterGossip {
-  /** An ack may take this part of a protocol period; then other members send indirect probes. */
+  /**
+   * The timeout of an ack is the protocol period divided by this; after it other members send
+   * indirect probes.
+   */
   private static final int ACK_TIMEOUT_DIVISOR = 3;
 
-  /** How long a failed member is remembered at the least. */
+  /** Minimum time for which a failed member is remembered. */
   private static final long MINIMUM_RETENTION_US = 30_000_000;
 
-  /** The same, as a multiple of the suspicion timeout. */
+  /**
+   * Minimum time for which a failed member is remembered, as a multiple of the suspicion timeout.
+   */
   private static final int RETENTION_SUSPICION_TIMEOUTS = 10;
 
   /**
-   * Part of a duty rotation period that each broker waits for the one before it in the rotation.
+   * Fraction of a duty rotation period that each broker waits for its predecessor in the rotation.
    */
   private static final double DUTY_TIMEOUT_PART = 0.4;
 
-  /** The platform's protocol forbids longer datagrams. */
+  /** Maximum datagram length of the platform's protocol. */
   private static final int PLATFORM_DATAGRAM_BYTES = 256;
 
   private static final long MICROS_PER_MILLI = 1000;
@@ -92,9 +97,9 @@
   }
 
   /**
-   * Returns the addresses of the members. Where the platform's configuration lists them, only those
-   * are members. This broker is added under its own address, whatever address others have for it:
-   * otherwise it would take itself for a different member of its name.
+   * Returns the addresses of the members. If the platform's configuration lists them, only those
+   * are members. This broker is added under its own address, whatever address others use for it:
+   * otherwise it would treat itself as a different member with the same name.
    */
   static AddressBook addressBook(Product.Cluster fleet, GossipAddresses platform, String self) {
     boolean platformListens = platform != null && platform.listen() != null;
@@ -138,7 +143,7 @@
         standard.maxEndpoints());
   }
 
-  /** Returns the identity from which the reducer runs the membership protocol. */
+  /** Returns the identity with which the reducer runs the membership protocol. */
   ClusterIdentity identity() {
     return identity;
   }
@@ -150,7 +155,8 @@
   }
 
   /**
-   * Sends a message; one that is sent before the socket listens is lost, as any datagram may be.
+   * Sends a message. A message sent before the socket listens is dropped, which is safe because any
+   * datagram may be lost.
    */
   void send(Effect.SendGossip gossip) {
     if (socket != null) {
--- a/src/main/java/dunlinhitch/server/ConfigurationReloader.java
+++ b/src/main/java/dunlinhitch/server/ConfigurationReloader.java
@@ -10,8 +10,8 @@
 import java.util.function.Supplier;
 
 /**
- * Reads the configuration again, off the event loop and one reading at a time, and applies what was
- * read in the order of the requests. Its methods are called on the event loop.
+ * Reloads the configuration. Files are read off the event loop, one at a time, and applied in the
+ * order of the requests. Its methods are called on the event loop.
  */
 final class ConfigurationReloader {
   private final Vertx vertx;
@@ -19,7 +19,7 @@
   private final Consumer<String> log;
   private Supplier<Config> reader;
 
-  /** The reading that is under way, or the last one. */
+  /** The read in progress, or the last one. */
   private Future<Config> lastReading = Future.succeededFuture();
 
   private long appliedWrittenMs;
@@ -31,12 +31,14 @@
     this.events = events;
   }
 
-  /** Sets how {@link #reloadIfChanged} reads the configuration; it does nothing without. */
+  /**
+   * Sets how {@link #reloadIfChanged} reads the configuration; without a reader it does nothing.
+   */
   void setReader(Supplier<Config> reader) {
     this.reader = reader;
   }
 
-  /** Reads and applies the configuration; where that fails the current one stays in force. */
+  /** Reads and applies the configuration; if reading fails, the current one stays in force. */
   void reload(Supplier<Config> configurationReader) {
     read(configurationReader)
         .onComplete(
@@ -50,7 +52,7 @@
             });
   }
 
-  /** Reads the configuration and applies it unless the file is still the one that was applied. */
+  /** Reads the configuration and applies it if the file has changed since it was last applied. */
   void reloadIfChanged() {
     if (reader == null) {
       return;
@@ -65,8 +67,8 @@
   }
 
   /**
-   * Starts after the reading before it has been applied: a reading that ends at once would
-   * otherwise be applied before an earlier one whose end the loop has yet to process.
+   * Starts a read after the previous one was applied: a read that completes at once could otherwise
+   * be applied before an earlier one whose completion the event loop has not processed yet.
    */
   private Future<Config> read(Supplier<Config> configurationReader) {
     lastReading =
--- a/src/main/java/dunlinhitch/server/DnsSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -24,9 +24,9 @@
 import org.xbill.DNS.Name;
 
 /**
- * DNS service discovery as the product's settings file describes it: a source for each server and
+ * DNS service discovery as configured in the product's settings file: a source for each server and
  * service, the last known state on disk, and the registration of this broker in DNS. Created only
- * where there is such a file, so that a broker without it loads no class of DNS.
+ * if there is such a file, so that a broker without it does not load the DNS classes.
  *
  * <p>Runs on the event loop; the state is written on a worker thread.
  */
@@ -41,7 +41,7 @@
   private final List<DnsDiscoverySource> sources = new ArrayList<>();
   private final EndpointListFile file;
 
-  /** Null where no state is kept on disk. */
+  /** Null if no state is saved to disk. */
   private final EndpointListSaver saver;
 
   private final RecordRegistrar registrar;
@@ -75,9 +75,9 @@
   }
 
   /**
-   * Returns the settings of the source that follows one service at one server.
+   * Returns the settings of the source for one service at one server.
    *
-   * @throws Config.ConfigException where a name in the settings file is not a DNS name
+   * @throws Config.ConfigException if a name in the settings file is not a DNS name
    */
   public static DnsDiscoverySource.Settings sourceSettings(
       Product.DnsService service, Address server) {
@@ -162,7 +162,7 @@
         EndpointListSaver.SAVE_INTERVAL_MS, t -> saver.saveIfChanged(endpointRegistry.get()));
   }
 
-  /** Passes on the saved claims of the sources that are still configured, with their ages. */
+  /** Restores the saved claims of the sources that are still configured, with their ages. */
   private void restore(EndpointListFile.Content saved, long nowUs) {
     for (DnsDiscoverySource source : sources) {
       List<EndpointClaim> claims = saved.bySource().getOrDefault(source.name(), List.of());
@@ -174,28 +174,30 @@
             source.name()
                 + ": "
                 + claims.size()
-                + " claims from "
+                + " claims from the state saved "
                 + Math.max(0, (nowUs - saved.savedUs()) / MICROS_PER_SECOND)
-                + " s ago hold until it speaks");
+                + " s ago are used until the source answers");
       }
     }
   }
 
-  /** Registers this broker in DNS, where that is configured: it accepts clients. */
+  /** Registers this broker, which now accepts clients, in DNS if that is configured. */
   void register() {
     if (registrar != null) {
       registrar.register();
     }
   }
 
-  /** Withdraws the registration: the first step of a shutdown. */
+  /** Withdraws the registration, as the first step of a shutdown. */
   void deregister() {
     if (registrar != null) {
       registrar.withdraw();
     }
   }
 
-  /** Ends the registration and saves the last known state; the result is when it is written. */
+  /**
+   * Ends the registration and saves the last known state; the result completes when it is written.
+   */
   Future<Void> close() {
     if (registrar != null) {
       registrar.close();
--- a/src/main/java/dunlinhitch/server/EffectDispatcher.java
+++ b/src/main/java/dunlinhitch/server/EffectDispatcher.java
@@ -18,13 +18,13 @@
   /**
    * Runs the handler of the effect's type.
    *
-   * @throws IllegalStateException where there is none
+   * @throws IllegalStateException if there is no handler
    */
   @Override
   public void accept(Effect effect) {
     Consumer<Effect> handler = handlers.get(effect.getClass());
     if (handler == null) {
-      throw new IllegalStateException("no handler for " + effect);
+      throw new IllegalStateException("no handler registered for effect " + effect);
     }
     handler.accept(effect);
   }
--- a/src/main/java/dunlinhitch/server/EndpointListSaver.java
+++ b/src/main/java/dunlinhitch/server/EndpointListSaver.java
@@ -11,16 +11,16 @@
 import java.util.function.LongSupplier;
 
 /**
- * Saves the endpoint registry to disk whenever it has changed. A write that fails is counted and
- * tried again at the next interval, for a disk that is full or faulty may recover.
+ * Saves the endpoint registry to disk whenever it has changed. A failed write is counted and
+ * retried at the next interval, because a full or faulty disk may recover.
  *
- * <p>Not thread-safe; used on the event loop, files are written on a worker thread.
+ * <p>Not thread-safe; used on the event loop. Files are written on a worker thread.
  */
 final class EndpointListSaver {
-  /** Interval at which a change is looked for; also the pause after a failed write. */
+  /** Interval between checks for a change; also the delay before a failed write is retried. */
   static final long SAVE_INTERVAL_MS = 1_000;
 
-  /** An unchanged state is written again after so long, so that the ages in it stay correct. */
+  /** Age at which an unchanged state is written again, so that the ages in it stay correct. */
   private static final long MAXIMUM_SAVE_AGE_US = 30_000_000;
 
   private static final long NEVER_SAVED = -1;
@@ -48,14 +48,17 @@
     this.log = log;
   }
 
-  /** Saves the registry where it has changed and no write is under way. */
+  /** Saves the registry if it has changed and no write is in progress. */
   void saveIfChanged(EndpointRegistry registry) {
     if (lastSave.isComplete() && isDue(registry)) {
       save(registry);
     }
   }
 
-  /** Saves what is not saved yet, behind a write that is under way; completes in any case. */
+  /**
+   * Saves unsaved changes after a write in progress; completes in any case, even if the write
+   * fails.
+   */
   Future<Void> saveLast(EndpointRegistry registry) {
     return lastSave
         .otherwiseEmpty()
@@ -92,8 +95,8 @@
       failing = failure != null;
       log.accept(
           failing
-              ? "the last known state can not be kept: " + failure
-              : "the last known state is kept again");
+              ? "cannot save the last known state, will retry: " + failure
+              : "the last known state is saved again");
     }
   }
 }
--- a/src/main/java/dunlinhitch/server/EndpointSources.java
+++ b/src/main/java/dunlinhitch/server/EndpointSources.java
@@ -14,20 +14,19 @@
 import java.util.function.Consumer;
 
 /**
- * All sources of endpoints that the configuration names: the endpoint list that was known before
- * the start, the watch of the platform's discovery service, and DNS service discovery where it is
- * on. Runs on the event loop.
+ * All configured sources of endpoints: the endpoint list in the configuration, the watch of the
+ * platform's discovery service, and DNS service discovery if it is enabled. Runs on the event loop.
  */
 final class EndpointSources {
   private final List<DiscoverySource> sources;
 
-  /** Null unless the product's own settings file is there: no class of DNS is loaded without it. */
+  /** Null if the product's settings file is absent, so that the DNS classes are not loaded. */
   private final DnsSources dnsSources;
 
-  /** An empty list does not count: readiness on it would reject every query. */
+  /** False also for an empty list: a broker that became ready with it would reject every query. */
   private final boolean hasInitialList;
 
-  /** Creates the sources and passes on the endpoint list from before the start, if there is one. */
+  /** Creates the sources and passes on the initial endpoint list, if there is one. */
   EndpointSources(BrokerRuntime runtime, Reducer reducer, Consumer<Event> events) {
     Config config = runtime.config();
     EndpointListReader reader = new EndpointListReader(config.settings().zones(), events);
@@ -62,7 +61,8 @@
   }
 
   /**
-   * An absent file is the one instance {@link Product#NONE}; one that was read may be equal to it.
+   * Compares by identity: an absent file is the instance {@link Product#NONE}, and one that was
+   * read may be equal to it.
    */
   @SuppressWarnings("ReferenceEquality")
   private static boolean hasProductFile(Config config) {
@@ -77,14 +77,14 @@
     }
   }
 
-  /** Announces that this broker accepts clients, where it is registered in DNS. */
+  /** Registers this broker, which now accepts clients, in DNS if that is configured. */
   void register() {
     if (dnsSources != null) {
       dnsSources.register();
     }
   }
 
-  /** Withdraws that registration, so that no new client finds this broker. */
+  /** Withdraws the registration, so that new clients do not find this broker. */
   void deregister() {
     if (dnsSources != null) {
       dnsSources.deregister();
@@ -106,17 +106,17 @@
     return sources.stream().anyMatch(DiscoverySource::hasAnswered);
   }
 
-  /** Returns whether endpoints are known from before the start. */
+  /** Returns whether endpoints are known from the initial list or from restored state. */
   boolean hasInitialEndpoints() {
     return hasInitialList || (dnsSources != null && dnsSources.restored());
   }
 
-  /** Stops all sources; {@link #close} still saves what they had. */
+  /** Stops all sources; {@link #close} still saves their state. */
   void stop() {
     sources.forEach(DiscoverySource::stop);
   }
 
-  /** Saves the last known state where it is persisted; the result is when that is done. */
+  /** Saves the last known state if it is persisted; the result completes when that is done. */
   Future<Void> close() {
     return dnsSources == null ? Future.succeededFuture() : dnsSources.close();
   }
--- a/src/main/java/dunlinhitch/server/Frontends.java
+++ b/src/main/java/dunlinhitch/server/Frontends.java
@@ -15,14 +15,14 @@
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 
-/** The frontends of a broker: HTTP always, Arrow Flight where it is on. Runs on the event loop. */
+/** The frontends of a broker: HTTP, and Arrow Flight if it is enabled. Runs on the event loop. */
 final class Frontends {
   private final Config config;
   private final Consumer<String> log;
   private final Exchanges exchanges;
   private final HttpFrontend http;
 
-  /** Null where it is off: no class of Arrow is loaded then. */
+  /** Null if Arrow Flight is disabled, so that Arrow's classes are not loaded. */
   private final Frontend flight;
 
   private int httpPort;
@@ -63,7 +63,7 @@
                 runtime.clock());
   }
 
-  /** Listens for HTTP and then for Arrow Flight, where it is on. */
+  /** Listens for HTTP and then for Arrow Flight, if it is enabled. */
   Future<Void> listen() {
     return http.listen(config.listen().host(), config.listen().port())
         .onSuccess(port -> httpPort = port)
@@ -103,7 +103,7 @@
     http.beginHotRestart();
   }
 
-  /** From now on each HTTP response closes its connection. */
+  /** Starts the drain: each HTTP response closes its connection. */
   void drain() {
     http.drain();
   }
--- a/src/main/java/dunlinhitch/server/HangupSignals.java
+++ b/src/main/java/dunlinhitch/server/HangupSignals.java
@@ -1,9 +1,9 @@
 package dunlinhitch.server;
 
 /**
- * Handler of SIGHUP, to be installed as the first step of a process because the signal's default is
- * to end the JVM. Signals that arrive before there is a task for them are remembered and run it
- * once, because the configuration file may have been replaced after the start had read it.
+ * Handler of SIGHUP. It must be installed as the first step of a process, because by default the
+ * signal ends the JVM. Signals that arrive before the task is set run it once when it is set,
+ * because the configuration file may have been replaced after it was read at the start.
  *
  * <p>Thread-safe; the task runs on the thread of the signal or of {@link #setTask}.
  */
@@ -12,13 +12,13 @@
   private boolean pending;
 
   /**
-   * Installs the handler; returns false where it will never run, see {@link ProcessSignals#handle}.
+   * Installs the handler; returns false if it will never run, see {@link ProcessSignals#handle}.
    */
   public boolean install() {
     return ProcessSignals.handle("HUP", this::onSignal);
   }
 
-  /** Runs the task, or remembers the signal until there is one. */
+  /** Runs the task, or records the signal until the task is set. */
   synchronized void onSignal() {
     if (task == null) {
       pending = true;
@@ -27,7 +27,7 @@
     }
   }
 
-  /** Sets the task of each later signal and runs it at once if one has arrived before. */
+  /** Sets the task of each later signal, and runs it at once if a signal has already arrived. */
   public synchronized void setTask(Runnable newTask) {
     task = newTask;
     if (pending) {
--- a/src/main/java/dunlinhitch/server/OverlapMonitor.java
+++ b/src/main/java/dunlinhitch/server/OverlapMonitor.java
@@ -8,9 +8,9 @@
 import java.util.function.LongSupplier;
 
 /**
- * Watches whether another process of this broker is alive, as in a hot restart, and reports the
- * begin and the end of such an overlap: what both may do together is halved between them until the
- * other is known to have ended. That its time to end has passed would not show that.
+ * Watches whether another process of this broker is running, as in a hot restart, and reports the
+ * start and the end of such an overlap. Shared budgets are halved between the two processes until
+ * the other is known to have ended; that its shutdown deadline has passed does not prove that.
  *
  * <p>Not thread-safe; used on the event loop.
  */
@@ -28,9 +28,9 @@
   private boolean polling;
 
   /**
-   * Creates a monitor that does nothing yet.
+   * Creates a monitor that is not started yet.
    *
-   * @param folder shared by the processes of this broker and by nothing else
+   * @param folder shared by the processes of this broker only
    */
   OverlapMonitor(
       Vertx vertx, Path folder, LongSupplier clock, Consumer<Event> events, Consumer<String> log) {
@@ -42,9 +42,9 @@
   }
 
   /**
-   * Makes this process known and watches for others from now on.
+   * Registers this process and starts to watch for others.
    *
-   * @return whether another one is alive; fails where the folder can not be used
+   * @return whether another process is running; fails if the folder cannot be used
    */
   Future<Boolean> start() {
     return vertx
@@ -61,7 +61,7 @@
             });
   }
 
-  /** Stops watching; what was reported last stays. */
+  /** Stops watching; the last reported state stays in force. */
   void stop() {
     if (timer != NO_TIMER) {
       vertx.cancelTimer(timer);
@@ -69,7 +69,7 @@
     }
   }
 
-  /** Makes the end of this process known; for one that goes on as a thread among others. */
+  /** Deregisters this process; needed only if the virtual machine continues to run. */
   Future<Void> close() {
     stop();
     return vertx.executeBlocking(
@@ -91,7 +91,7 @@
               polling = false;
               if (counted.succeeded() && timer != NO_TIMER) {
                 onCounted(counted.result());
-              } // else nothing is known: what was known last stays
+              } // otherwise the last known state stays in force
             });
   }
 
@@ -103,7 +103,7 @@
     events.accept(new Event.OverlapStarted(overlapping ? Long.MAX_VALUE : clock.getAsLong()));
     log.accept(
         overlapping
-            ? "another process of this broker is alive: shared budgets are halved"
-            : "no other process of this broker is alive any more: budgets are whole again");
+            ? "another process of this broker is running: using half of the shared budgets"
+            : "no other process of this broker is running any more: using the full budgets again");
   }
 }
--- a/src/main/java/dunlinhitch/server/ProcessLocks.java
+++ b/src/main/java/dunlinhitch/server/ProcessLocks.java
@@ -14,12 +14,12 @@
 import java.util.stream.Stream;
 
 /**
- * Which other processes of the same broker are alive. Each holds a lock on a file of its own in a
- * folder that they share; the operating system releases it when the process ends, in whatever way,
- * and not before. A file has its final name only once it is locked: whoever sees the name without
- * the lock knows that its process has ended.
+ * Detects other running processes of the same broker. Each process holds a lock on its own file in
+ * a shared folder; the operating system releases the lock exactly when the process ends, however it
+ * ends. A file gets its final name only after it is locked, so a file with the final name but
+ * without a lock belongs to a process that has ended.
  *
- * <p>Blocking and not thread-safe: for one worker thread at a time.
+ * <p>Blocking and not thread-safe; must be used by one worker thread at a time.
  */
 final class ProcessLocks implements AutoCloseable {
   private static final String SUFFIX = ".lock";
@@ -33,7 +33,7 @@
     ownFile = folder.resolve(UUID.randomUUID() + SUFFIX);
   }
 
-  /** Makes this process known to the others. */
+  /** Registers this process by locking its file. */
   void acquire() throws IOException {
     Files.createDirectories(folder);
     Path unlocked = folder.resolve(ownFile.getFileName() + ".new");
@@ -43,7 +43,7 @@
     Files.move(unlocked, ownFile, StandardCopyOption.ATOMIC_MOVE);
   }
 
-  /** Counts the other processes that are alive; removes the files of those that have ended. */
+  /** Counts the other running processes and removes the files of those that have ended. */
   int countOthers() throws IOException {
     List<Path> others;
     try (Stream<Path> files = Files.list(folder)) {
@@ -69,13 +69,13 @@
         FileLock lock = channel.tryLock()) {
       return lock == null;
     } catch (OverlappingFileLockException e) {
-      return true; // held within this virtual machine
+      return true; // locked within this virtual machine
     } catch (NoSuchFileException e) {
-      return false; // another process has just removed it
+      return false; // removed by another process in the meantime
     }
   }
 
-  /** Ends this process's claim. */
+  /** Releases the lock and removes the file of this process. */
   @Override
   public void close() throws IOException {
     if (ownChannel != null) {
--- a/src/main/java/dunlinhitch/server/ProcessSignals.java
+++ b/src/main/java/dunlinhitch/server/ProcessSignals.java
@@ -4,7 +4,7 @@
 
 /**
  * Handlers of operating system signals. The JDK has no public interface for them; its internal
- * {@code sun.misc.Signal} is accessible, but the compiler warns where it is named, hence the
+ * {@code sun.misc.Signal} is accessible, but the compiler warns about references to it, hence the
  * reflection.
  */
 final class ProcessSignals {
@@ -14,7 +14,7 @@
    * Runs the task, on a thread of the JVM, whenever the process receives the signal.
    *
    * @param name the signal without its prefix, such as {@code HUP}
-   * @return false where the task will never run because the process was started with the signal
+   * @return false if the task will never run because the process was started with the signal
    *     ignored, as nohup does for SIGHUP: the JVM then keeps SIGHUP, SIGINT and SIGTERM ignored
    */
   static boolean handle(String name, Runnable task) {
@@ -41,7 +41,8 @@
               .invoke(null, signal.getConstructor(String.class).newInstance(name), proxy);
       return !handler.getField("SIG_IGN").get(null).equals(previousHandler);
     } catch (ReflectiveOperationException exception) {
-      throw new IllegalStateException("no signal " + name + " on this JVM", exception);
+      throw new IllegalStateException(
+          "cannot install a handler for signal " + name + " on this JVM", exception);
     }
   }
 }
--- a/src/main/java/dunlinhitch/server/Readiness.java
+++ b/src/main/java/dunlinhitch/server/Readiness.java
@@ -4,11 +4,15 @@
 import dunlinhitch.core.Reducer;
 
 /**
- * Decides what the readiness check answers. A broker is ready once it listens and has endpoints,
- * until it is asked to end or is fenced. Owned by {@link Broker}; runs on the event loop.
+ * Determines the result of the readiness check. A broker is ready once it listens and has
+ * endpoints, until it is asked to stop or is fenced. Owned by {@link Broker}; runs on the event
+ * loop.
  */
 final class Readiness {
-  /** An endpoint list from before the start is used if no source answers for so long. */
+  /**
+   * Time without an answer from any source after which the initial or restored endpoint list is
+   * used.
+   */
   private static final long DISCOVERY_TIMEOUT_US = 1_000_000;
 
   private final EndpointSources endpointSources;
@@ -30,7 +34,7 @@
     started = true;
   }
 
-  /** Records that the broker was asked to end. */
+  /** Records that the broker was asked to stop. */
   void onStopping() {
     stopping = true;
   }
--- a/src/main/java/dunlinhitch/server/ReducerFactory.java
+++ b/src/main/java/dunlinhitch/server/ReducerFactory.java
@@ -16,8 +16,8 @@
   /**
    * Creates a reducer.
    *
-   * @param identity this broker's identity in its cluster, or null where it has none
-   * @param startUs the time of the first turn at the earliest, in microseconds
+   * @param identity this broker's identity in its cluster, or null if it belongs to none
+   * @param startUs earliest time of the first turn, in microseconds
    */
   static Reducer create(Config config, ClusterIdentity identity, long startUs) {
     return new Reducer(
@@ -29,7 +29,7 @@
         startUs);
   }
 
-  /** Returns null where the product's settings file does not set the times: defaults apply then. */
+  /** Returns null if the product's settings file does not set the times; defaults apply then. */
   private static EndpointRegistrySettings registrySettings(Config config) {
     Product.MembershipTimes times = config.product().membership();
     if (times == null) {
--- a/src/main/java/dunlinhitch/server/ReducerLoop.java
+++ b/src/main/java/dunlinhitch/server/ReducerLoop.java
@@ -33,8 +33,9 @@
   private long nextTurnUs = Long.MAX_VALUE;
 
   /**
-   * When the next turn was requested, or is due if that is later. If it begins after that, the loop
-   * was busy or without processor time meanwhile, and its events may have waited unread since then.
+   * When the next turn was requested, or is due if that is later. If the turn begins after that,
+   * the event loop was busy or had no processor time meanwhile, and events may have been waiting
+   * since then.
    */
   private long turnRequestedUs;
 
@@ -56,7 +57,7 @@
     this.faultHandler = faultHandler;
   }
 
-  /** Sets the handler of effects and schedules a turn; effects before that are dropped. */
+  /** Sets the handler of effects and schedules a turn; earlier effects are dropped. */
   void setEffectHandler(Consumer<Effect> handler) {
     effectHandler = handler;
     scheduleTurn(clock.getAsLong());
@@ -101,7 +102,10 @@
     }
   }
 
-  /** A fault in one turn must not end the loop: later turns time out what this one left open. */
+  /**
+   * Runs a turn. A fault in one turn must not end the loop: later turns time out the queries that
+   * it left open.
+   */
   private List<Effect> reduce(List<Event> events) {
     try {
       return reducer.turn(lastTurnUs, Math.min(turnRequestedUs, lastTurnUs), events);
@@ -111,16 +115,19 @@
     }
   }
 
-  /** A fault in one handler must not keep the other effects of the turn from being handled. */
+  /**
+   * Handles one effect. A fault in its handler must not prevent the other effects of the turn from
+   * being handled.
+   */
   private void dispatch(Effect effect) {
     if (effect instanceof Effect.ScheduleWakeUp wakeUp) {
-      if (!shutdownCompleted) { // afterwards no timer may keep the process alive
+      if (!shutdownCompleted) { // after the shutdown no timer may keep the process alive
         scheduleTurn(Math.max(wakeUp.dueUs(), lastTurnUs + tickUs.getAsLong()));
       }
       return;
     }
     if (effect instanceof Effect.ShutdownCompleted) {
-      // Events still get their turns: a frontend may read until it is closed.
+      // Turns still run for events, because a frontend may read until it is closed.
       shutdownCompleted = true;
     }
     try {
--- a/src/main/java/dunlinhitch/server/ShutdownDeadlines.java
+++ b/src/main/java/dunlinhitch/server/ShutdownDeadlines.java
@@ -6,19 +6,19 @@
 /**
  * The points in time of one graceful shutdown, in microseconds of the broker's clock.
  *
- * @param drainUs from here on each response closes its connection
- * @param shutdownUs from here on the broker ends as soon as nothing is in flight
+ * @param drainUs from then on each response closes its connection
+ * @param shutdownUs from then on the broker ends as soon as nothing is in flight
  * @param lastResponseUs the last response is written by then
- * @param closedUs the frontends are closed by then, whatever is still open
+ * @param closedUs the frontends are closed by then, even if connections are still open
  */
 record ShutdownDeadlines(long drainUs, long shutdownUs, long lastResponseUs, long closedUs) {
   /**
-   * The platform's protocol: after the request to end, the process is left running for this and the
-   * longest query deadline, and connections that stay open remain in use.
+   * Defined by the platform's protocol: after the stop request, the process may run for this time
+   * plus the longest query deadline, and clients continue to use connections that stay open.
    */
   private static final long GRACE_PERIOD_US = 700_000;
 
-  /** The platform's limit on the longest query deadline in that sum. */
+  /** Upper limit of the longest query deadline in that sum, also defined by the platform. */
   private static final long MAXIMUM_DEADLINE_US = 3_000_000;
 
   /** Margin between the last response and the end of the process. */
@@ -27,13 +27,13 @@
   /** Margin between the closing of the frontends and the end of the process. */
   private static final long CLOSE_MARGIN_US = 100_000;
 
-  /** A request may still arrive so long after the listener has closed its connection. */
+  /** How long after the close of its connection a request may still arrive. */
   private static final long LATE_REQUEST_US = 150_000;
 
-  /** How long the closing of the frontends may take in a graceful shutdown. */
+  /** Maximum time for closing the frontends in a graceful shutdown. */
   private static final long CLOSE_TIMEOUT_US = 1_000_000;
 
-  /** The same where no client can be sending a request meanwhile. */
+  /** Maximum time for closing the frontends if no client can be sending a request. */
   private static final long IMMEDIATE_CLOSE_TIMEOUT_US = 300_000;
 
   /** Returns the deadlines of a shutdown that is requested at {@code nowUs}. */
@@ -51,7 +51,7 @@
         endUs - CLOSE_MARGIN_US);
   }
 
-  /** Returns when frontends that start closing at {@code nowUs} are to be closed. */
+  /** Returns the time by which frontends that start to close at {@code nowUs} must be closed. */
   static long closeDueUs(ShutdownDeadlines deadlines, long nowUs) {
     return deadlines == null
         ? nowUs + IMMEDIATE_CLOSE_TIMEOUT_US
--- a/src/main/java/dunlinhitch/server/TwoPhaseSettingsFactory.java
+++ b/src/main/java/dunlinhitch/server/TwoPhaseSettingsFactory.java
@@ -10,7 +10,7 @@
 
 /**
  * Translates the {@code [phases]} sections of the product's settings file. Only idempotent classes
- * may use two phases, because the first pass is requested beside the full one.
+ * may use two phases, because the first pass is requested in addition to the full one.
  */
 final class TwoPhaseSettingsFactory {
   private TwoPhaseSettingsFactory() {}
@@ -18,7 +18,7 @@
   /**
    * Returns the settings of each section, in the order of the file.
    *
-   * @throws Config.ConfigException where a section names a class that does not exist or that cannot
+   * @throws Config.ConfigException if a section names a class that does not exist or that cannot
    *     use two phases
    */
   static List<TwoPhaseSettings> create(Config config) {
@@ -47,19 +47,19 @@
             () ->
                 failure(
                     name,
-                    "the settings have no such class; there is "
+                    "unknown class; the configured classes are "
                         + classes.stream().map(QueryClass::name).toList()));
   }
 
   private static void requireSupported(QueryClass queryClass) {
     if (queryClass.idempotency() != Idempotency.FREE) {
       throw failure(
-          queryClass.name(), "the class is not safe to repeat, and only such go in two phases");
+          queryClass.name(), "the class is not idempotent; two phases require an idempotent class");
     }
     if (queryClass.followUp() > 0) {
       throw failure(
           queryClass.name(),
-          "the class has a second step, which ranks full answers, and so can not go in two phases");
+          "the class has a second step, which ranks full answers and cannot be combined with two phases");
     }
   }
 
--- a/src/main/java/dunlinhitch/server/WarmUp.java
+++ b/src/main/java/dunlinhitch/server/WarmUp.java
@@ -18,10 +18,11 @@
 import java.util.List;
 
 /**
- * Warm-up of the hot paths: a temporary broker serves made-up queries over both of its wires before
- * the real one accepts clients, so that everything that serving needs is loaded and compiled.
- * Without it, a broker on part of a core rejected a fifth of the queries of its first seconds. The
- * build also records in a warm-up which classes it archives.
+ * Warm-up of the hot paths: a temporary broker serves synthetic queries, over its client and its
+ * backend protocol, before the real one accepts clients, so that the code of the hot paths is
+ * loaded and compiled. Without it, a broker with a fraction of a core rejected a fifth of the
+ * queries of its first seconds. The build also uses a warm-up to record the classes for the class
+ * data archive.
  *
  * <p>Runs on the event loop.
  */
@@ -30,17 +31,17 @@
   private static final int QUERIES_PER_CONNECTION = 2;
   private static final int MAXIMUM_PARTS = 6;
 
-  /** Clients of the real broker wait no longer than this. */
+  /** Upper limit of the delay that the warm-up adds to the start. */
   private static final long MAXIMUM_DURATION_US = 3_000_000;
 
   private static final long MINIMUM_DURATION_US = 500_000;
 
-  /** How long the responses to the last queries are waited for. */
+  /** Timeout for the responses to the last queries. */
   private static final long RESPONSE_TIMEOUT_US = 1_000_000;
 
   /**
-   * Text of each part. It ends a line, so that a call has a line for each part and an empty one
-   * after it, which {@link WarmUpBackend} skips.
+   * Text of each part. It is a line feed, so that a call consists of a line for each part followed
+   * by an empty line, which {@link WarmUpBackend} skips.
    */
   private static final String PREDICATE = "\n";
 
@@ -60,9 +61,9 @@
   /**
    * Creates a warm-up.
    *
-   * @param host the address to listen on, on temporary ports of its own
-   * @param queries ends once so many queries were answered in full
-   * @param endUs when to cut it short, in microseconds of the system's clock
+   * @param host the address to listen on, on ephemeral ports
+   * @param queries number of completely answered queries after which the warm-up ends
+   * @param endUs when to end the warm-up at the latest, in microseconds of the system clock
    */
   public WarmUp(
       Vertx vertx, Context context, Settings settings, String host, int queries, long endUs) {
@@ -88,9 +89,10 @@
   }
 
   /**
-   * Runs the warm-up; the result is how many queries were answered in full, and comes once the
-   * temporary broker has ended. It never fails and never waits for long: without a free descriptor
-   * the broker cannot accept the connections of its own clients, which then get no response.
+   * Runs the warm-up; the result is the number of completely answered queries, available once the
+   * temporary broker has ended. It never fails, and its duration is bounded: without a free file
+   * descriptor the broker cannot accept the connections of its own clients, which then get no
+   * response.
    */
   public Future<Integer> run() {
     WarmUpBackend backend = new WarmUpBackend(vertx, settings, host);
@@ -140,7 +142,7 @@
     return completed.future().onComplete(v -> vertx.cancelTimer(timer));
   }
 
-  /** Sends a few queries on each connection, since clients connect anew all the time. */
+  /** Sends a few queries on each connection, because real clients reconnect frequently. */
   private Future<Void> sendQueries(NetClient client, int port) {
     return client
         .connect(port, host)
@@ -150,16 +152,16 @@
 
   /**
    * Ignores the exceptions of a connection. All connections end with the warm-up, many by a reset,
-   * and without a handler Vert.x logs each: to load the logger's classes takes processor time that
-   * a starting broker is short of.
+   * and without a handler Vert.x logs each. Loading the logger's classes would take processor time
+   * that a starting broker lacks.
    */
   static void ignoreExceptions(NetSocket socket) {
     socket.exceptionHandler(exception -> {});
   }
 
   /**
-   * Rejected queries do not count: before its code is compiled, a broker on part of a core is too
-   * late for most of them.
+   * Returns whether to send more queries. Rejected ones do not count: before its code is compiled,
+   * a broker with a fraction of a core answers most queries too late.
    */
   private boolean needsMoreQueries() {
     return successfulResponses < requiredResponses && clock.getAsLong() < deadlineUs;
@@ -181,7 +183,7 @@
         + body;
   }
 
-  /** One connection of a client, closed after its last response. */
+  /** One client connection, which is closed after its last response. */
   private final class ClientConnection {
     private final NetSocket socket;
     private final Promise<Void> closed = Promise.promise();
--- a/src/main/java/dunlinhitch/server/WarmUpBackend.java
+++ b/src/main/java/dunlinhitch/server/WarmUpBackend.java
@@ -11,18 +11,18 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Emulates, on one port, the discovery service and all backends of a warm-up: a connection that
- * sends HTTP gets the endpoint list, one that sends frames gets a reply to each part of each call.
- * Runs on the event loop.
+ * Emulates, on one port, the discovery service and all backends of a warm-up: an HTTP connection
+ * gets the endpoint list, a connection with frames gets a reply to each part of each call. Runs on
+ * the event loop.
  */
 final class WarmUpBackend {
-  /** Replicas that the balancer can choose from, as in service. */
+  /** Number of replicas per cell: more than one, so that the balancer has a choice. */
   private static final int REPLICAS_PER_CELL = 2;
 
-  /** One reply in so many rejects its part, so that the paths of retries are compiled too. */
+  /** One in this many replies rejects its part, so that the retry paths are compiled too. */
   private static final int REJECTED_INTERVAL = 20;
 
-  /** One reply in so many fails its part. */
+  /** One in this many replies fails its part. */
   private static final int FAILED_INTERVAL = 33;
 
   private static final String REJECTED = "later";
@@ -83,9 +83,9 @@
         + "\n";
   }
 
-  /** One connection; its first byte tells HTTP from frames. */
+  /** One connection; its first byte distinguishes HTTP from frames. */
   private final class Connection {
-    /** A frame's length, as a little-endian 32-bit integer, and its type. */
+    /** Size of a frame's header: its length as a little-endian 32-bit integer, and its type. */
     private static final int HEADER_BYTES = 5;
 
     private static final int LENGTH_BYTES = HEADER_BYTES - 1;
--- a/src/test/java/dunlinhitch/admin/DisabledEndpointFolderTest.java
+++ b/src/test/java/dunlinhitch/admin/DisabledEndpointFolderTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The stored form of disabled endpoints, which earlier releases have written and must read. */
+/** The storage format of disabled endpoints, which must stay compatible with other releases. */
 class DisabledEndpointFolderTest {
   /** File names as stored: ids in URL-safe base64 without padding. */
   private static final String FILE_OF_S3 = "cy0z";
--- a/src/test/java/dunlinhitch/admin/MetricsTextTest.java
+++ b/src/test/java/dunlinhitch/admin/MetricsTextTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The metrics text, whose names and labels dashboards depend on. */
+/** The metrics text; dashboards depend on its names and labels. */
 class MetricsTextTest {
   @Test
   void rendersEveryMetricWithHelpAndType() {
--- a/src/test/java/dunlinhitch/server/AdminTest.java
+++ b/src/test/java/dunlinhitch/server/AdminTest.java
@@ -41,7 +41,7 @@
     stage.close();
   }
 
-  /** Sends one request on a connection of its own and returns the complete response. */
+  /** Sends one request on a separate connection and returns the complete response. */
   private String call(String line) throws IOException {
     try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort)) {
       socket
@@ -118,8 +118,8 @@
   }
 
   /**
-   * The same for both backend protocols: an endpoint is disabled from the response on, also where a
-   * new endpoint list names it; disabling it twice is the same as once; it is used again soon after
+   * For both backend protocols: an endpoint is disabled as soon as the request is answered, even if
+   * a new endpoint list contains it; disabling is idempotent; the endpoint is used again soon after
    * it was enabled.
    */
   @Test
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Processes share the folder: what one was asked applies at the other, and at one that starts
-   * later.
+   * Processes share the folder: a change at one process also applies at the others, including one
+   * that starts later.
    */
   @Test
   void otherProcessesFollowDisabledEndpoints() throws Exception {
@@ -196,7 +196,10 @@
     awaitNotification(notifications, "later 2");
     second.persist("a", false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     awaitNotification(notifications, "one [][a]");
-    assertEquals(4, notifications.size(), "own changes are no news: " + notifications);
+    assertEquals(
+        4,
+        notifications.size(),
+        "a process must not be notified of its own changes: " + notifications);
   }
 
   /**
@@ -233,11 +236,13 @@
     assertEquals(405, status(call("POST /ready")));
     assertEquals(405, status(call("DELETE /metrics")));
     String answer =
-        call("GET /ready"); // the watch was answered long before the broker listened for clients
+        call("GET /ready"); // the watch was answered before the broker listened for clients
     assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
   }
 
-  /** More callers than may be connected send nothing or half a request; the next is answered. */
+  /**
+   * Connections above the bound send nothing or half a request; the next request is still answered.
+   */
   @Test
   void idleAndIncompleteCallersDoNotBlockOthers() throws Exception {
     stage.start(BrokerFixture.settings(100), null);
--- a/src/test/java/dunlinhitch/server/CancellationInTransitTest.java
+++ b/src/test/java/dunlinhitch/server/CancellationInTransitTest.java
@@ -22,19 +22,19 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Incident: under disturbed links, stores had two attempts of one part at once in a deployment that
- * allows one at a time. The broker wrote a cancellation at the first attempt's time limit, counted
- * that attempt as ended, and sent the next one 5 ms later; the first store read the cancellation
- * only 80 to 200 ms after that. Proof: in every reported pair the second attempt follows the time
- * limit by exactly those 5 ms, and the store ends the first one as given up after the second has
- * arrived. Here a process of the real program and a proxy that holds the cancellation back.
+ * Guards against two concurrent attempts of one part where only one at a time is allowed. This
+ * happened on slow links: the broker cancelled an attempt at its time limit, counted it as ended
+ * and sent the next one 5 ms later, while the first store read the cancellation only 80 to 200 ms
+ * after that. The test runs a broker process behind a proxy that delays the cancellation.
  */
 class CancellationInTransitTest {
   private static final int WAIT_S = 40;
   private static final String PART = "q.0";
   private static final int OTHER_QUERIES = 20;
 
-  /** One attempt at a time; the time limit of an attempt is before the first liveness check. */
+  /**
+   * Allows one attempt at a time; the time limit of an attempt is before the first liveness check.
+   */
   private static final String SETTINGS =
       """
       {"ReplicasOfMe":%d,"FailureDomains":["here"],"TickUs":5000,
@@ -43,7 +43,9 @@
        "Limits":{"MaxAttempts":4,"MostHeld":2000,"MayCancel":true,"MayProbe":true,
         "ConnectTimeoutUs":1000000,"StreamsPerConn":32}}""";
 
-  /** Records what reaches it, and holds back what follows the first attempt of the part. */
+  /**
+   * Records attempts and cancellations, and blocks its link after the first attempt of the part.
+   */
   private final class RecordingStore extends FrameStore {
     RecordingStore(Vertx vertx, String name) throws Exception {
       super(vertx, name);
@@ -68,7 +70,9 @@
     }
   }
 
-  /** What the stores saw of the part, in order: all stores share one thread. */
+  /**
+   * Attempts and cancellations of the part at the stores, in order; all stores share one thread.
+   */
   private final List<String> history = new CopyOnWriteArrayList<>();
 
   private volatile String firstStore;
@@ -98,7 +102,7 @@
         "search", Map.of("X-Trace-Id", id, "X-Expires-In", "20"), Client.body(shard));
   }
 
-  /** Queries at another shard, one after another: each takes the broker through several turns. */
+  /** Sends queries for another shard one after another, so that the broker runs many turns. */
   private void askOthers() throws Exception {
     for (int i = 0; i < OTHER_QUERIES; i++) {
       assertEquals("whole", ask("other" + i, 1).get(WAIT_S, TimeUnit.SECONDS).outcome());
@@ -109,7 +113,7 @@
   void noSecondAttemptBeforeTheFirstStoreHasReadTheCancellation() throws Exception {
     CompletableFuture<Response> answer = ask("q", 0);
     TestBed.await(
-        "the cancellation is written and held back",
+        "the cancellation is written and blocked",
         WAIT_S,
         () -> firstStore != null && bed.onLoop(() -> broker.proxyTo(firstStore).holdsBytes()));
     askOthers();
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -34,7 +34,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The platform's addresses for gossip between brokers: read always, used only where the product's
+ * The platform's addresses for gossip between brokers: always read, but used only if the product's
  * settings file has a {@code [fleet]} section.
  */
 class ClusterGossipTest {
@@ -77,13 +77,16 @@
     }
     assertNull(
         read("\"peers\":[],\"peer_listen\":null,", "").gossipAddresses(),
-        "a platform without words between brokers");
+        "a platform without gossip between brokers");
     assertNull(
         read(LISTEN + "\"peers\":{\"n1\":\"10.0.0.1:7400\"},", "").product().cluster(),
-        "nothing is switched on by them");
+        "the addresses alone must not enable gossip");
   }
 
-  /** Unusable addresses are logged and fail no start; the broker then runs without a cluster. */
+  /**
+   * Unusable addresses are logged but do not fail the start; the broker then runs without a
+   * cluster.
+   */
   @Test
   void unusablePeerAddressesDisableGossip() throws IOException {
     for (String bad :
@@ -112,7 +115,7 @@
         Config.ConfigException.class, () -> read(LISTEN, "[fleet]\nlisten 127.0.0.1:7400\n"));
   }
 
-  /** Peers may be added and removed between two readings of the file. */
+  /** Peers may be added and removed between two reads of the file. */
   @Test
   void reloadAcceptsOtherPeers() throws IOException {
     ConfigFile file = file(LISTEN + "\"peers\":{\"n1\":\"10.0.0.1:7400\"},", true, "[fleet]\n");
@@ -125,7 +128,10 @@
     return future.toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
   }
 
-  /** Peers may have another address of this broker: it does not take itself for a namesake. */
+  /**
+   * Peers may use another address for this broker: it must not treat itself as a different member
+   * with the same name.
+   */
   @Test
   void advertisesItsOwnAddressWhateverPeersWereGiven() throws Exception {
     Vertx vertx = Vertx.vertx();
@@ -213,7 +219,7 @@
       assertEquals(256, clusterGossip.identity().settings().membership().maxMessageBytes());
       assertFalse(
           clusterGossip.identity().settings().membership().addresses(),
-          "others may be told other addresses");
+          "others may use other addresses");
       List<Member> peers = membersWithLongNames(12);
       await(clusterGossip.listen(event -> {}));
       clusterGossip.send(
@@ -230,7 +236,7 @@
                   List.of())));
       for (int i = 0; i < 2; i++) {
         Integer size = sizes.poll(5, TimeUnit.SECONDS);
-        assertTrue(size != null && size <= 256, "a datagram of " + size);
+        assertTrue(size != null && size <= 256, "datagram size: " + size);
       }
     } finally {
       await(vertx.close());
--- a/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
@@ -14,7 +14,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Several broker processes with injected faults; every wait is for a condition, not for a time. */
+/**
+ * Several broker processes with injected faults; every wait is for a condition rather than for a
+ * time.
+ */
 class ClusterTestBedTest {
   private static final int WAIT_S = 40;
   @TempDir private Path dir;
@@ -38,8 +41,8 @@
             NetworkFaults.Harm.LOST,
             0,
             1);
-    TestBed.await("the others go on without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
-    assertEquals(cached, nodes.get(3).kept(), "one that hears nobody keeps to what it had");
+    TestBed.await("the others agree without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
+    assertEquals(cached, nodes.get(3).kept(), "an isolated broker must keep its subset");
     rig.links.remove(cut);
     TestBed.await("n3 is back", WAIT_S, () -> TestBed.agree(nodes));
   }
@@ -48,7 +51,7 @@
     List<TestBed.Node> nodes = rig.nodes();
     nodes.get(1).kill();
     List<TestBed.Node> survivors = List.of(nodes.get(0), nodes.get(2), nodes.get(3));
-    TestBed.await("the others go on without n1", WAIT_S, () -> TestBed.agree(survivors));
+    TestBed.await("the others agree without n1", WAIT_S, () -> TestBed.agree(survivors));
     assertEvenLoad(rig);
     rig.start(List.of(nodes.get(1)));
     TestBed.await("n1 is back", WAIT_S, () -> TestBed.agree(nodes));
@@ -56,9 +59,9 @@
   }
 
   /**
-   * One broker is partitioned from the others, one is killed and restarted, and one endpoint falls
-   * silent to one broker. No query is lost, no value is invented, and after each fault the brokers
-   * converge again with an even load of the endpoints.
+   * One broker is partitioned from the others, one is killed and restarted, and one endpoint stops
+   * responding to one broker. No query is lost, every value comes from a store, and after each
+   * fault the brokers converge again with an even load of the endpoints.
    */
   @Test
   void partitionsKillsAndSilenceLoseNoQuery() throws Exception {
@@ -77,13 +80,12 @@
       rig.links.add(
           (from, to) -> from.equals(endpoint) && to.equals("n0"), NetworkFaults.Harm.LOST, 0, 1);
       int ended = clients.ended();
-      TestBed.await(
-          "a hundred queries more came to an end", WAIT_S, () -> clients.ended() >= ended + 100);
+      TestBed.await("a hundred more queries ended", WAIT_S, () -> clients.ended() >= ended + 100);
       rig.links.clear();
       rig.reset(nodes.get(0));
 
       nodes.get(2).terminate();
-      TestBed.await("n2 ended as asked", WAIT_S, () -> !nodes.get(2).isUp());
+      TestBed.await("n2 has terminated", WAIT_S, () -> !nodes.get(2).isUp());
       Map<QueryLoad.End, Integer> ends = clients.stop();
       assertTrue(
           ends.keySet().stream().noneMatch(QueryLoad::isBreach), () -> ends + " " + notes(clients));
@@ -101,9 +103,9 @@
   }
 
   /**
-   * One broker is cut from discovery while an endpoint starts draining: it detects that it is
-   * behind, fences itself and admits no query, and the others go on without it. With the connection
-   * back it gets the list and rejoins. No query is lost meanwhile.
+   * One broker is disconnected from discovery while an endpoint starts draining: it detects that
+   * its list is outdated, fences itself and admits no query, and the others continue without it.
+   * Once reconnected, it gets the list and rejoins. No query is lost.
    */
   @Test
   void brokerCutFromDiscoveryIsFencedAndRejoins() throws Exception {
@@ -122,26 +124,25 @@
               1);
       rig.change("s0-2", "draining");
       TestBed.await(
-          "n3 knows that it is behind",
+          "n3 has detected that its list is outdated",
           WAIT_S,
           () -> logged(cut, "this broker is behind: it acts on roster 1, and 2 is newest"));
+      TestBed.await("n3 has fenced itself", WAIT_S, () -> logged(cut, "this broker is shut out: "));
       TestBed.await(
-          "n3 is shut out by itself", WAIT_S, () -> logged(cut, "this broker is shut out: "));
-      TestBed.await(
-          "the others go on without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
+          "the others agree without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
       assertTrue(
           logged(nodes.get(0), "broker n3 is behind: ")
               && logged(nodes.get(0), "broker n3 is shut out: "));
       TestBed.await(
-          "n3 has turned a query away", WAIT_S, () -> clients.ended(QueryLoad.End.REFUSED) > 0);
+          "n3 has rejected a query", WAIT_S, () -> clients.ended(QueryLoad.End.REFUSED) > 0);
       rig.links.remove(rule);
       rig.resetStalled(cut);
       TestBed.await(
           "n3 has the list", WAIT_S, () -> logged(cut, "this broker has caught up: roster 2"));
-      TestBed.await("all count on n3 again", WAIT_S, () -> TestBed.agree(nodes));
+      TestBed.await("all brokers agree again", WAIT_S, () -> TestBed.agree(nodes));
       assertTrue(
           nodes.stream().noneMatch(node -> node.kept().contains("s0-2")),
-          "it drains, and nobody keeps to it");
+          "no broker may use the draining endpoint");
       Map<QueryLoad.End, Integer> ends = clients.stop();
       assertTrue(
           ends.keySet().stream().noneMatch(QueryLoad::isBreach), () -> ends + " " + notes(clients));
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -28,13 +28,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A client that disconnects while its part waits for a slow connection to a backend, from the
- * client's socket to the backend's.
+ * End-to-end test of a client that disconnects while its part waits for a slow connection to a
+ * backend.
  */
 class DepartedClientTest {
   /**
-   * A backend that accepts connections only when the test does: its backlog is full before that,
-   * and a new connection stays pending.
+   * A backend that accepts connections only when the test does. Until then its backlog is full, so
+   * a new connection stays pending.
    */
   private static final class LateStore extends Store implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -74,7 +74,10 @@
     }
   }
 
-  /** Deadlines so long that a connection is waited for that the system retries after seconds. */
+  /**
+   * Settings with deadlines that are longer than the seconds after which the system retries a
+   * connection.
+   */
   private static Settings longDeadlines(boolean mayCancel) {
     Settings settings = BrokerFixture.settings(300);
     Limits limits = settings.limits();
@@ -125,7 +128,7 @@
   private static void await(BooleanSupplier condition) {
     long end = System.nanoTime() + 10_000_000_000L;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "it never came to be");
+      assertTrue(System.nanoTime() < end, "condition was not met in time");
       Thread.onSpinWait();
     }
   }
@@ -165,7 +168,10 @@
     }
   }
 
-  /** Request and disconnect arrive while the loop is blocked: one turn of the reducer gets both. */
+  /**
+   * Request and disconnect arrive while the event loop is blocked, so one turn of the reducer gets
+   * both.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void requestReadTogetherWithItsClientsDisconnectIsNotSent(boolean reset) throws Exception {
@@ -180,13 +186,13 @@
       try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
         Client.http(stage.httpPort)
             .send("none", Map.of(), "")
-            .get(10, TimeUnit.SECONDS); // so both connections are made
+            .get(10, TimeUnit.SECONDS); // establishes both connections
         stage.vertx.runOnContext(
             v -> {
               blocked.countDown();
               try {
                 resume.await();
-                Thread.sleep(20); // the next turn is due at once
+                Thread.sleep(20); // makes the next turn due at once
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
--- a/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
+++ b/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
@@ -37,8 +37,8 @@
 import org.xbill.DNS.Type;
 
 /**
- * A complete broker whose backends register in DNS, over both backend protocols, with name servers
- * that misbehave.
+ * A complete broker whose backends are registered in DNS, over both backend protocols, with faulty
+ * name servers.
  */
 class DnsDiscoveryTest {
   private static final String SERVICE = "_calendar._tcp.rooms.example.org.";
@@ -123,7 +123,7 @@
   private static void await(BooleanSupplier condition) {
     long end = System.nanoTime() + 10_000_000_000L;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "it never came to be");
+      assertTrue(System.nanoTime() < end, "condition was not met in time");
       Thread.onSpinWait();
     }
   }
@@ -153,14 +153,16 @@
     prepare(wire);
     start(true, 0);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
-    assertTrue(one.receivedParts.size() > 0 && two.receivedParts.size() > 0, "both are known");
+    assertTrue(
+        one.receivedParts.size() > 0 && two.receivedParts.size() > 0,
+        "both endpoints must be in use");
     zone.remove(pointer(one));
     await(() -> stage.counter("members_withdrawn") == 1);
     one.receivedParts.clear();
     for (int i = 0; i < 5; i++) {
       assertEquals("whole", ask(0, 1, 2, 3).outcome());
     }
-    assertEquals(0, one.receivedParts.size(), "nothing new");
+    assertEquals(0, one.receivedParts.size(), "a withdrawn endpoint got a new part");
     zone.add(pointer(one));
     await(
         () -> {
@@ -170,10 +172,11 @@
             throw new IllegalStateException(e);
           }
         });
-    assertEquals(0, stage.counter("members_gone"), "back before it was gone");
+    assertEquals(
+        0, stage.counter("members_gone"), "the endpoint returned before it was considered gone");
   }
 
-  /** A part that waits for a connection to a withdrawn endpoint is never sent there. */
+  /** A part that waits for a connection to a withdrawn endpoint is never sent to it. */
   @ParameterizedTest
   @EnumSource(Wire.class)
   void partWaitingForAConnectionMovesToAnotherEndpoint(Wire wire) throws Exception {
@@ -202,7 +205,7 @@
     start(false, 100_000);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> responder.queries.stream().anyMatch(q -> q.type() == Type.SOA));
-    zone.remove(pointer(one)); // its records hold for 120 s, but the serial has changed
+    zone.remove(pointer(one)); // its records are valid for 120 s, but the serial has changed
     await(() -> stage.counter("members_withdrawn") == 1);
   }
 
@@ -226,14 +229,14 @@
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     responder.script = q -> q.type() == Type.SOA ? Fault.NONE : fault;
     responder.queries.clear();
-    zone.empty(); // nobody can tell it now
+    zone.empty(); // no valid answer reports it yet
     await(() -> responder.queries.stream().filter(q -> q.type() == Type.PTR).count() >= 2);
     one.receivedParts.clear();
     two.receivedParts.clear();
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     assertEquals(4, one.receivedParts.size() + two.receivedParts.size());
     assertEquals(0, stage.counter("members_withdrawn"));
-    responder.script = q -> Fault.NONE; // now the same empty zone is said with authority
+    responder.script = q -> Fault.NONE; // now the empty zone is answered with authority
     await(() -> stage.counter("members_withdrawn") == 2);
   }
 
@@ -261,7 +264,9 @@
     await(() -> stage.counter("members_withdrawn") == 1);
   }
 
-  /** Malformed push messages; malformed answers are among the faults above. */
+  /**
+   * Malformed push messages; {@link #lostAndForgedAnswersWithdrawNothing} covers malformed answers.
+   */
   @Test
   void survivesThousandsOfMalformedPushMessages() throws Exception {
     prepare(Wire.FRAMES);
@@ -270,7 +275,7 @@
     for (int i = 0; i < 2_000; i++) {
       byte[] noise = new byte[random.nextInt(60)];
       random.nextBytes(noise);
-      if (noise.length > 3 && i % 2 == 0) { // past the first looks at a head
+      if (noise.length > 3 && i % 2 == 0) { // passes the first checks of the message header
         noise[2] = (byte) 0x30;
         noise[3] = 0;
         java.util.Arrays.fill(noise, 4, Math.min(12, noise.length), (byte) 0);
@@ -283,7 +288,10 @@
     assertEquals(0, stage.counter("members_withdrawn"));
   }
 
-  /** Two contradicting records for one id: nothing is sent to it until one is withdrawn. */
+  /**
+   * Two records contradict each other for one id: nothing is sent to the endpoint until one is
+   * withdrawn.
+   */
   @Test
   void disputedEndpointReceivesNothingUntilSettled() throws Exception {
     prepare(Wire.FRAMES);
@@ -350,7 +358,7 @@
         again.logLines.stream().anyMatch(line -> line.contains("2 claims from")),
         again.logLines.toString());
     again.close();
-    // a damaged file is set aside, and said so once
+    // a damaged file is set aside and logged once
     Path file = folder.resolve("state/roster.state");
     byte[] bytes = Files.readAllBytes(file);
     bytes[bytes.length / 2] ^= 4;
@@ -364,8 +372,8 @@
   }
 
   /**
-   * The broker's own records: present once it is ready, removed as the first step of a shutdown;
-   * the server accepts only signed updates.
+   * The broker's own records are present once it is ready and removed as the first step of a
+   * shutdown. The server accepts only signed updates.
    */
   @Test
   void registersItselfAndDeregistersFirst() throws Exception {
@@ -391,12 +399,14 @@
     await(() -> !zone.get(new Question(service, Type.PTR)).isEmpty());
     Name instance = Names.parse("n0\\032east\\.wing._broker._tcp.rooms.example.org.");
     assertEquals(
-        1, zone.get(new Question(instance, Type.SRV)).size(), "blanks and dots are part of a name");
-    var unused = stage.stop(); // only the deregistration, its first step, is awaited
+        1,
+        zone.get(new Question(instance, Type.SRV)).size(),
+        "an instance name may contain spaces and dots");
+    var unused = stage.stop(); // waits only for the deregistration, which is the first step
     await(
         () ->
             zone.get(new Question(service, Type.PTR)).isEmpty()
                 && zone.all(instance, Type.ANY).isEmpty());
-    assertEquals("whole", ask(0, 1).outcome(), "who is connected is still served");
+    assertEquals("whole", ask(0, 1).outcome(), "connected clients are still served");
   }
 }
--- a/src/test/java/dunlinhitch/server/EndpointListSaverTest.java
+++ b/src/test/java/dunlinhitch/server/EndpointListSaverTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A folder that can not be written for a while: what was to be kept is kept once it can. */
+/** The state is saved after a temporary write failure, and at the end of the process. */
 class EndpointListSaverTest {
   private static final long NOW_US = 1_700_000_000_000_000L;
 
@@ -76,19 +76,24 @@
 
   @Test
   void aFailedWriteIsRepeatedThoughNothingChangedSince() throws Exception {
-    Path folder = Files.createFile(parent.resolve("state")); // no folder, so that writes fail
+    Path folder =
+        Files.createFile(
+            parent.resolve("state")); // a file instead of a folder, so that writes fail
     EndpointListSaver saver = saver(folder);
     onLoop(() -> saver.saveIfChanged(registry));
     assertEquals(
         new Event.ConditionCounted(Counter.STATE_WRITES_FAILED), events.poll(5, TimeUnit.SECONDS));
-    assertTrue(lines.poll(5, TimeUnit.SECONDS).startsWith("the last known state can not be kept"));
+    assertTrue(
+        lines
+            .poll(5, TimeUnit.SECONDS)
+            .startsWith("cannot save the last known state, will retry: "));
     Files.delete(folder);
     onLoop(() -> saver.saveIfChanged(registry));
-    assertEquals("the last known state is kept again", lines.poll(5, TimeUnit.SECONDS));
+    assertEquals("the last known state is saved again", lines.poll(5, TimeUnit.SECONDS));
     assertEquals(1, savedClaims(folder));
   }
 
-  /** The end of the process: a change that came while a write was under way is kept as well. */
+  /** At the end of the process, a change that was made during a write is saved as well. */
   @Test
   void theLastSaveComesBehindOneThatIsUnderWay() throws Exception {
     EndpointListSaver saver = saver(parent);
--- a/src/test/java/dunlinhitch/server/HangupSignalsTest.java
+++ b/src/test/java/dunlinhitch/server/HangupSignalsTest.java
@@ -4,9 +4,9 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Hangup signals that arrive before and after there is a task for them. */
+/** Hangup signals that arrive before and after the task is set. */
 class HangupSignalsTest {
-  /** All signals before there is a task are one run of it; each later signal is one. */
+  /** All signals before the task is set cause one run; each later signal causes one. */
   @Test
   void signalsBeforeThereIsATaskRunItOnce() {
     HangupSignals signals = new HangupSignals();
--- a/src/test/java/dunlinhitch/server/NoDelayTest.java
+++ b/src/test/java/dunlinhitch/server/NoDelayTest.java
@@ -22,11 +22,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * STANDING.md: small writes that the system holds back, without TCP_NODELAY, are lost with a close
- * over unread bytes.
+ * Guards against lost responses: without TCP_NODELAY the system delays small writes, and they are
+ * lost if the socket is closed with unread bytes.
  */
 class NoDelayTest {
-  /** Reads TCP_NODELAY of each socket of the event loop, by its local and its remote port. */
+  /** Returns TCP_NODELAY of each socket of the event loop, by its local and its remote port. */
   private static Map<Integer, Boolean> noDelayByPort(BrokerFixture stage) throws Exception {
     CompletableFuture<Map<Integer, Boolean>> result = new CompletableFuture<>();
     Object loop = ((VertxInternal) stage.vertx).nettyEventLoopGroup().iterator().next();
@@ -76,7 +76,7 @@
       }
       try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort)) {
         Map<Integer, Boolean> all = noDelayByPort(stage);
-        while (!all.containsKey(operator.getPort())) { // accepted on another thread
+        while (!all.containsKey(operator.getPort())) { // the accept runs on another thread
           all = noDelayByPort(stage);
         }
         for (Map.Entry<String, Integer> port :
--- a/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
+++ b/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
@@ -16,8 +16,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * A hot restart whose old process takes longer than any time that was set for it: the new one kept
- * to half of the slow-start budgets for six seconds, and then to the whole beside the old one.
+ * Guards against overlapping processes that both use the full budgets: in a hot restart the old
+ * process may run longer than any fixed time, while the new one used half of the slow-start budgets
+ * for six seconds only.
  */
 class OverlapMonitorTest {
   private static final Event.OverlapStarted BEGUN = new Event.OverlapStarted(Long.MAX_VALUE);
@@ -27,7 +28,7 @@
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   @TempDir private Path folder;
 
-  /** Another process, which holds a lock until it is killed. */
+  /** Entry point of the other process, which holds a lock until it is killed. */
   public static void main(String[] arguments) throws Exception {
     new ProcessLocks(Path.of(arguments[0])).acquire();
     System.out.println("locked");
@@ -67,14 +68,14 @@
     Process other = startOther();
     assertTrue(get(monitor().start()));
     assertEquals(BEGUN, events.poll(5, TimeUnit.SECONDS));
-    other.destroyForcibly().waitFor(10, TimeUnit.SECONDS); // it releases nothing by itself
+    other.destroyForcibly().waitFor(10, TimeUnit.SECONDS); // a killed process releases nothing
     assertEquals(new Event.OverlapStarted(NOW_US), events.poll(5, TimeUnit.SECONDS));
     try (var files = Files.list(folder)) {
-      assertEquals(1, files.count(), "what the dead process left is removed");
+      assertEquals(1, files.count(), "the file of the killed process was not removed");
     }
   }
 
-  /** The old process has to know of the new one as well: both halve, not one. */
+  /** The old process must detect the new one as well, so that both use half of the budgets. */
   @Test
   void aProcessThatComesLaterIsSeen() throws Exception {
     OverlapMonitor old = monitor();
@@ -87,7 +88,10 @@
     assertEquals(new Event.OverlapStarted(NOW_US), events.poll(5, TimeUnit.SECONDS));
   }
 
-  /** Between the making of a file and its lock another process may look: it must not remove it. */
+  /**
+   * Another process may list the folder after a file is created and before it is locked, and must
+   * not remove the file.
+   */
   @Test
   void aFileThatIsNotLockedYetIsLeftAlone() throws Exception {
     Path unlocked = Files.createFile(folder.resolve("other.lock.new"));
--- a/src/test/java/dunlinhitch/server/OwnTransport.java
+++ b/src/test/java/dunlinhitch/server/OwnTransport.java
@@ -3,7 +3,7 @@
 import io.vertx.core.impl.transports.NioTransport;
 import io.vertx.core.transport.Transport;
 
-/** A transport for tests that create the channels themselves. */
+/** Base class of transports with which tests create their own channels. */
 public abstract class OwnTransport extends NioTransport implements Transport {
   @Override
   public String name() {
--- a/src/test/java/dunlinhitch/server/ReducerLoopTest.java
+++ b/src/test/java/dunlinhitch/server/ReducerLoopTest.java
@@ -62,7 +62,10 @@
     vertx.close();
   }
 
-  /** A request that was read after the reducer had finished once had no turn, and no response. */
+  /**
+   * Guards against a request without a response because it was read after the reducer had shut
+   * down.
+   */
   @Test
   void queriesAfterShutdownCompletedAreRejected() throws Exception {
     Vertx vertx = Vertx.vertx();
@@ -85,12 +88,12 @@
         });
     Object effect = effects.poll(5, TimeUnit.SECONDS);
     while (!(effect instanceof Effect.ShutdownCompleted)) {
-      assertTrue(effect != null, "it does not finish");
+      assertTrue(effect != null, "shutdown does not complete");
       effect = effects.poll(5, TimeUnit.SECONDS);
     }
     for (long exchange = 1;
         exchange <= 3;
-        exchange++) { // a turn that was due before may still take the first
+        exchange++) { // a turn that was already due may still take the first one
       Event late =
           new Event.QueryReceived(
               exchange,
--- a/src/test/java/dunlinhitch/server/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -43,7 +43,10 @@
     }
   }
 
-  /** SIGHUP arrives before a reload, started because others have a newer file, is applied. */
+  /**
+   * SIGHUP arrives before a reload that was started because other brokers have a newer file is
+   * applied.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void lastReadConfigurationApplies(boolean slow) throws Exception {
@@ -70,8 +73,8 @@
                   return config(stage, BrokerFixture.settings(40), 1);
                 });
             stage.broker.reloadIfChanged();
-            if (slow) { // on a context of its own, for whose reading none but the broker lets this
-              // one end first
+            if (slow) {
+              // on a separate context, so that only the broker itself orders the two reads
               new Thread(() -> stage.vertx.runOnContext(w -> reload.run())).start();
             } else {
               reload.run();
--- a/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
+++ b/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
@@ -28,8 +28,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * The rules of serving, checked for every pair of client protocol and backend protocol, and for
- * backends of both protocols.
+ * The rules for serving queries, checked for every combination of client and backend protocol, and
+ * for mixed backends.
  */
 class RulesOnBothPathsTest {
   enum Path {
@@ -112,7 +112,7 @@
             (shard, value) -> assertTrue(value.matches("s-[01]/" + shard + "/tenors é"), value));
     assertTrue(
         one.receivedParts.size() > 0 && two.receivedParts.size() > 0,
-        "both hold the shards, and both were asked");
+        "both stores have the shards, so both must be used");
     for (ReceivedPart part : one.receivedParts) {
       assertTrue(
           part.list().matches("d=[0-9]+") && part.id().equals("q1." + part.shard()),
@@ -131,15 +131,15 @@
     String first = one.receivedParts.peek().id();
     assertTrue(
         got.parts().get(one.receivedParts.peek().shard()).startsWith("s-0/"),
-        "the row that came whole is in");
+        "the completely received row must be part of the answer");
     assertEquals(1, one.receivedParts.stream().filter(p -> p.id().equals(first)).count());
     assertTrue(two.receivedParts.stream().noneMatch(p -> p.id().equals(first)));
     assertTrue(stage.counter("attempts_reset") >= 1);
   }
 
   /**
-   * A spoilt answer may have run: it is asked for again, and nothing but what a store gave reaches
-   * the client.
+   * An attempt with a malformed answer may have run: it is retried, and only values from a store
+   * reach the client.
    */
   @ParameterizedTest
   @EnumSource(Path.class)
@@ -156,7 +156,7 @@
     assertEquals(3, stage.counter("bad_frames"));
   }
 
-  /** What comes beside a good answer spoils neither it nor what follows. */
+  /** A duplicate or a bad load report affects neither the valid answer nor later ones. */
   @ParameterizedTest
   @EnumSource(Path.class)
   void duplicateOrBadLoadReportDoesNotFailTheAnswer(Path path) throws Exception {
@@ -183,7 +183,8 @@
     script(part -> part.shard() >= 2 ? Behavior.NOTHING : Behavior.GOOD);
     got = wait(ask("free-search", 0, 1, 2, 3));
     assertTrue(
-        List.of("refused", "late").contains(got.outcome()), "half is under the floor: " + got);
+        List.of("refused", "late").contains(got.outcome()),
+        "half of the answer is below the minimum: " + got);
   }
 
   @ParameterizedTest
@@ -203,12 +204,12 @@
     assertEquals("failed", wait(ask("slot-booking", 5)).outcome());
     assertTrue(
         one.receivedParts.size() + two.receivedParts.size() <= 4,
-        "no more attempts than the settings allow");
+        "number of attempts must match the settings");
   }
 
   /**
-   * A client that comes again while its first query is out is another query: parts of their own,
-   * which stores know by the key.
+   * A client's retry while its first query is in flight is a separate query with its own parts;
+   * stores recognise it by the idempotency key.
    */
   @ParameterizedTest
   @EnumSource(Path.class)
@@ -344,8 +345,8 @@
   }
 
   /**
-   * The two highest scores of four; one that is no number ranks last. The answer is the second
-   * step's.
+   * The second step queries the parts with the two highest scores of four, and its answer is
+   * returned. A score that is not a number ranks last.
    */
   @ParameterizedTest
   @EnumSource(Path.class)
@@ -370,8 +371,8 @@
   }
 
   /**
-   * In a class that wants all parts a second step that lacks one is no answer, and its parts keep
-   * the rule on attempts.
+   * In a class that requires all parts, an incomplete second step is not an answer. The limit on
+   * attempts applies to its parts too.
    */
   @ParameterizedTest
   @EnumSource(Path.class)
@@ -383,7 +384,7 @@
     long attempts = secondParts().stream().filter(p -> p.id().equals("q1.0.r")).count();
     assertTrue(
         attempts >= 2 && attempts <= 4,
-        "tried again, and no more often than the settings allow: " + attempts);
+        "parts must be retried within the limit of the settings: " + attempts);
     AtomicInteger rejections = new AtomicInteger();
     script(
         part ->
@@ -391,7 +392,9 @@
                 ? Behavior.LATER
                 : Behavior.GOOD);
     assertEquals(
-        "whole", wait(ask("report", 0, 1)).outcome(), "what is turned away is asked elsewhere");
+        "whole",
+        wait(ask("report", 0, 1)).outcome(),
+        "a rejected part must be retried at another endpoint");
     assertEquals(2, rejections.get());
   }
 
@@ -406,8 +409,8 @@
   }
 
   /**
-   * A tenant is known by its name; what names none, another or two is served as the unnamed one,
-   * and counted.
+   * A query with no tenant, an unknown tenant or two tenants is served as unnamed; unknown tenants
+   * are counted.
    */
   @ParameterizedTest
   @EnumSource(Path.class)
@@ -440,9 +443,11 @@
     CompletableFuture<Void> ended = stage.stop();
     script(part -> Behavior.GOOD);
     assertEquals(
-        "whole", wait(ask("free-search", 0, 1)).outcome(), "the grace still takes queries");
+        "whole",
+        wait(ask("free-search", 0, 1)).outcome(),
+        "queries must be accepted during the grace period");
     assertTrue(
-        List.of("whole", "late").contains(wait(open).outcome()), "what was open gets its answer");
+        List.of("whole", "late").contains(wait(open).outcome()), "open queries must be answered");
     ended.get(10, TimeUnit.SECONDS);
   }
 }
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -20,9 +20,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a start waits for, and what it does when it is asked to end meanwhile. */
+/** The conditions of a start, and stop requests that arrive during it. */
 class StartTest {
-  /** A timer of the broker's own loop; the grace with half of the longest deadline is 1.25 s. */
+  /** Shorter than the grace period plus half of the longest query deadline, which is 1.25 s. */
   private static final long GRACE_MS = 1_200;
 
   private static final int INITIAL_LIST_ACCEPTED_MS = 1_100;
@@ -44,7 +44,10 @@
         0);
   }
 
-  /** It never listens, and ends long before the grace period of a graceful shutdown is over. */
+  /**
+   * Checks that the broker never listens, and that it ends well before the grace period of a
+   * graceful shutdown.
+   */
   private void endsBeforeListening(boolean started) throws Exception {
     BrokerFixture stage = new BrokerFixture();
     Config config = config(stage.discovery.port(), "{}", dir);
@@ -65,9 +68,10 @@
           v -> {
             stage.broker = new Broker(stage.vertx, context, config, line -> {});
             if (started) {
-              // tasks of one context run in order: the folder is read after the stop
+              // tasks of one context run in order, so the read of the folder completes after the
+              // stop
               stage.vertx.executeBlocking(() -> stopRequested.await(10, TimeUnit.SECONDS));
-              starts.run(); // reads the shared folder first, off the loop
+              starts.run(); // first reads the shared folder, off the event loop
             }
             stage.vertx.setTimer(GRACE_MS, t -> first.complete("the grace"));
             stage.broker.stop().onComplete(done -> first.complete("the end"));
@@ -76,7 +80,8 @@
               starts.run();
             }
           });
-      assertEquals("it was asked to end before it listened", start.get(10, TimeUnit.SECONDS));
+      assertEquals(
+          "broker was asked to stop before it started to listen", start.get(10, TimeUnit.SECONDS));
       assertEquals("the end", first.get(10, TimeUnit.SECONDS));
     } finally {
       stage.close();
@@ -100,8 +105,8 @@
   }
 
   /**
-   * Starts the broker of the stage while discovery is down; returns the status of its readiness
-   * check once an endpoint list from before the start is accepted.
+   * Starts the broker of the fixture while discovery is down; returns the status of its readiness
+   * check after the time at which the initial endpoint list is accepted.
    */
   private static int withoutDiscovery(BrokerFixture stage, int discovery, String initialList)
       throws Exception {
@@ -113,7 +118,7 @@
           stage.broker =
               new Broker(stage.vertx, context, config(discovery, initialList, null), line -> {});
           stage.vertx.setTimer(
-              INITIAL_LIST_ACCEPTED_MS, t -> elapsed.complete(null)); // later only lets it be surer
+              INITIAL_LIST_ACCEPTED_MS, t -> elapsed.complete(null)); // a later check is also valid
           stage.broker.start().onSuccess(port::complete).onFailure(port::completeExceptionally);
         });
     elapsed.get(10, TimeUnit.SECONDS);
@@ -121,7 +126,10 @@
     return readinessStatus(stage.httpPort);
   }
 
-  /** An empty endpoint list from before the start does not count: it would reject every query. */
+  /**
+   * An empty initial endpoint list must not make the broker ready, because it would reject every
+   * query.
+   */
   @Test
   void notReadyWhileNoEndpointIsKnown() throws Exception {
     int port;
@@ -143,7 +151,7 @@
           Thread.sleep(10);
           status = readinessStatus(stage.httpPort);
         }
-        assertEquals(200, status, "discovery is back");
+        assertEquals(200, status, "must become ready once discovery is back");
       }
     } finally {
       store.close();
--- a/src/test/java/dunlinhitch/server/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -26,8 +26,8 @@
 import org.junit.jupiter.params.provider.EnumSource;
 
 /**
- * Queries in two phases over both backend protocols, with summaries that are late, wrong or
- * missing. Every query attempts two phases here.
+ * Queries in two phases over both backend protocols, with first-pass replies that are late, wrong
+ * or missing. In this test every query of the class uses two phases if possible.
  */
 class TwoPhasesTest {
   enum Wire {
@@ -81,7 +81,7 @@
   private static void await(BooleanSupplier condition) {
     long end = System.nanoTime() + 5_000_000_000L;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "it never came to be");
+      assertTrue(System.nanoTime() < end, "condition was not met in time");
       Thread.onSpinWait();
     }
   }
@@ -101,13 +101,13 @@
     Response got = ask(0, 1, 2, 3, 4, 5);
     assertEquals("whole", got.outcome());
     assertEquals(Set.of(0, 1, 2, 3, 4, 5), got.parts().keySet());
-    assertEquals(NONE, got.parts().get(0), "the store's own empty value");
+    assertEquals(NONE, got.parts().get(0), "must be the store's value of an empty block");
     assertTrue(got.parts().get(1).matches("s-[01]/1/tenors é"));
     assertEquals(3, secondPassParts());
     assertEquals(6, one.firstPasses.size() + two.firstPasses.size());
     assertEquals(3, stage.counter("blocks_pruned"));
     got = ask(0, 2, 4);
-    assertEquals("whole", got.outcome(), "all of them empty");
+    assertEquals("whole", got.outcome(), "all blocks are empty");
     assertEquals(3, secondPassParts());
     assertEquals(0, stage.counter("sends_barred"));
     assertEquals(0, stage.counter("faults"));
@@ -118,15 +118,15 @@
   void oneBlockAndMixedBackendsUseOnePhase(Wire wire) throws Exception {
     begin(wire, 0, true);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
-    assertEquals(4, secondPassParts(), "a store that knows one phase is never pruned");
+    assertEquals(4, secondPassParts(), "blocks of a store without first passes must not be pruned");
     assertEquals("whole", ask(0).outcome());
     assertEquals(0, one.firstPasses.size());
     assertEquals(2, stage.counter("queries_in_one_phase"));
   }
 
   /**
-   * First answers that never come: the second pass starts on time with what is known, and nothing
-   * is spared.
+   * First-pass replies that never arrive: the second pass starts on time, and blocks without a
+   * reply are not pruned.
    */
   @ParameterizedTest
   @EnumSource(Wire.class)
@@ -140,18 +140,20 @@
     assertTrue(elapsedMs >= 250 && elapsedMs < 1_000, "after ms: " + elapsedMs);
     assertEquals(2, secondPassParts());
     assertEquals(1, stage.counter("first_passes_late"));
-    assertTrue(got.parts().get(0).startsWith("s-"), "what had no first answer is asked in full");
+    assertTrue(
+        got.parts().get(0).startsWith("s-"),
+        "a block without a first-pass reply must get a full pass");
   }
 
-  /** A store that says it has nothing but has: an audit finds out, and pruning closes. */
+  /** A store wrongly reports an empty block: an audit detects this and pruning is disabled. */
   @ParameterizedTest
   @EnumSource(Wire.class)
   void wrongSummaryDisablesPruning(Wire wire) throws Exception {
     begin(wire, 1, false);
     Response got = ask(0, 1, 2, 3);
     assertEquals("whole", got.outcome());
-    assertEquals(4, secondPassParts(), "all that would be spared is audited");
-    assertTrue(got.parts().get(0).startsWith("s-"), "the full answer counts");
+    assertEquals(4, secondPassParts(), "every block that would be pruned is audited");
+    assertTrue(got.parts().get(0).startsWith("s-"), "the value of the full pass must be used");
     await(() -> stage.counter("audits_bad") >= 1);
     assertTrue(
         stage.logLines.stream()
@@ -159,12 +161,15 @@
     one.firstPasses.clear();
     two.firstPasses.clear();
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
-    assertEquals(0, one.firstPasses.size() + two.firstPasses.size(), "closed: one phase");
+    assertEquals(
+        0,
+        one.firstPasses.size() + two.firstPasses.size(),
+        "queries must use one phase while pruning is disabled");
   }
 
   /**
-   * A store that fails its first passes, or drains between the phases: the other does the full
-   * work.
+   * A store fails its first passes or drains between the phases: the other store gets the full
+   * passes.
    */
   @ParameterizedTest
   @EnumSource(Wire.class)
@@ -194,11 +199,11 @@
     one.firstAnswerDelayMs = 1;
     two.firstAnswerDelayMs = 1;
     assertEquals("whole", ask(0, 1).outcome());
-    assertEquals(1, secondPassParts(), "only of the second query");
+    assertEquals(1, secondPassParts(), "only the second query may have a full pass");
     assertEquals(0, stage.counter("faults"));
   }
 
-  /** Attempts of both phases count together, and never are two out for a part. */
+  /** Attempts of both phases count towards one limit, and a part never has two at once. */
   @ParameterizedTest
   @EnumSource(Wire.class)
   void attemptsOfBothPhasesStayWithinTheLimit(Wire wire) throws Exception {
@@ -220,7 +225,7 @@
     }
   }
 
-  /** The least share of an answer counts what was spared as well as what came in full. */
+  /** Pruned blocks count towards the minimum share of a partial answer. */
   @ParameterizedTest
   @EnumSource(Wire.class)
   void partialAnswerCountsPrunedBlocks(Wire wire) throws Exception {
@@ -235,7 +240,7 @@
     assertEquals(Set.of(3, 5, 7), got.parts().keySet());
   }
 
-  /** What comes after its block was sent in full is passed over; the full answer counts. */
+  /** A first-pass reply that arrives after the full pass was sent is ignored. */
   @ParameterizedTest
   @EnumSource(Wire.class)
   void lateSummaryChangesNothing(Wire wire) throws Exception {
@@ -255,8 +260,8 @@
   }
 
   /**
-   * A block changes between two queries, under the same predicate: what was known of it spares
-   * nothing.
+   * A block changes between two queries with the same predicate: the earlier first-pass reply must
+   * not prune it.
    */
   @ParameterizedTest
   @EnumSource(Wire.class)
@@ -268,14 +273,16 @@
             new FirstAnswer(
                 part.shard() == 2 ? 5 : 0,
                 "v1",
-                NONE)); // restarted with other data, under the same version
+                NONE)); // restarted with other data but the same version
     Response got = ask(0, 2, 4);
     assertTrue(got.parts().get(2).startsWith("s-"), got.toString());
-    first(part -> new FirstAnswer(0, "v2", NONE)); // and emptied by a booking
+    first(part -> new FirstAnswer(0, "v2", NONE)); // the block is emptied by a booking
     assertEquals(NONE, ask(0, 2, 4).parts().get(0));
   }
 
-  /** A store that dies between the phases: the full work goes to the other, the answer is whole. */
+  /**
+   * A store fails between the phases: the other store gets the full passes, and no part is lost.
+   */
   @ParameterizedTest
   @EnumSource(Wire.class)
   void endpointFailingBetweenPhasesLosesNothing(Wire wire) throws Exception {
@@ -295,14 +302,14 @@
   }
 
   /**
-   * A client that asks again in the middle gets an answer for each, with no attempt of one mistaken
-   * for the other's.
+   * A client's retry between the phases is a separate query: both are answered, and their attempts
+   * are not mixed up.
    */
   @ParameterizedTest
   @EnumSource(Wire.class)
   void clientRetryBetweenPhasesIsASeparateQuery(Wire wire) throws Exception {
     begin(wire, 0, false);
-    for (int i = 0; i < 5; i++) { // what a part takes is known then, and admission has no doubts
+    for (int i = 0; i < 5; i++) { // gives admission an estimate of the latency of a part
       assertEquals("whole", ask(0, 1).outcome());
     }
     one.firstPasses.clear();
--- a/src/test/java/dunlinhitch/server/UpgradeTest.java
+++ b/src/test/java/dunlinhitch/server/UpgradeTest.java
@@ -55,9 +55,9 @@
   }
 
   /**
-   * Clients that connect after the old process was asked to end are accepted by the new one; those
-   * connected to the old one are served there, and that response closes their connection. The
-   * listening socket stays open, for it belongs to neither.
+   * Clients that connect after the old process was asked to stop are accepted by the new one.
+   * Clients of the old process are served by it, and the response closes their connection. The
+   * listening socket stays open, because neither process owns it.
    */
   @Test
   void newClientsGoToTheSuccessorAndConnectedOnesAreServed() throws Exception {
--- a/src/test/java/dunlinhitch/server/WarmUpTest.java
+++ b/src/test/java/dunlinhitch/server/WarmUpTest.java
@@ -14,9 +14,12 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Warm-up of a broker that has no descriptor left. */
+/** Warm-up of a broker that has no file descriptor left. */
 class WarmUpTest {
-  /** As where no descriptor is left: the system connects, and the broker never accepts. */
+  /**
+   * Emulates a lack of file descriptors: the system establishes connections, but the broker never
+   * accepts them.
+   */
   private static final class NonAcceptingTransport extends OwnTransport {
     @Override
     public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
@@ -31,7 +34,7 @@
     }
   }
 
-  /** It ends by its own deadline, so that the start goes on. */
+  /** The warm-up ends by its own deadline, so that the start continues. */
   @Test
   void doesNotWaitForQueriesThatAreNeverAnswered() throws Exception {
     Vertx vertx =
