--- a/src/test/java/dunlinhitch/KnownFailures.java
+++ b/src/test/java/dunlinhitch/KnownFailures.java
@@ -12,9 +12,10 @@
 import org.junit.jupiter.api.extension.ExtensionContext;
 
 /**
- * Passes over the tests listed in {@code KNOWN-RED.txt} at the root, and prints each: a test that
- * fails for a real fault may land before its repair. A line is {@code Class.method, cause, issue};
- * at most {@value #MAX_LINES} are allowed, and no line may stand for a whole class.
+ * Skips the tests that are listed in {@code KNOWN-RED.txt} in the root folder, and prints each, so
+ * that a test that exposes a fault can be committed before the fix. A line is {@code Class.method,
+ * cause, issue}; at most {@value #MAX_LINES} lines are allowed, and a line cannot list a whole
+ * class.
  */
 public final class KnownFailures implements ExecutionCondition {
   private static final Path LIST = Path.of("KNOWN-RED.txt");
@@ -32,7 +33,8 @@
       for (String line : Files.readAllLines(LIST)) {
         String[] fields = line.split(", ", FIELDS);
         if (fields.length != FIELDS || !fields[0].matches("\\w+\\.\\w+")) {
-          throw new IllegalStateException(LIST + ": not \"Class.method, cause, issue\": " + line);
+          throw new IllegalStateException(
+              LIST + ": malformed line, expected \"Class.method, cause, issue\": " + line);
         }
         lines.put(fields[0], line);
       }
--- a/src/test/java/dunlinhitch/PackagesTest.java
+++ b/src/test/java/dunlinhitch/PackagesTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Dependencies point inward: what each package may import of the project, and that the core knows
- * no wire.
+ * Dependency rules: which packages of the project each package may import, and that the core does
+ * not depend on protocols or libraries.
  */
 class PackagesTest {
   private static final Path ROOT = Path.of("src/main/java/dunlinhitch");
@@ -25,8 +25,8 @@
       Pattern.compile("^import (?:static )?([a-z.]+)\\.[A-Z]", Pattern.MULTILINE);
 
   /**
-   * For each package, the packages of the project that it may import; one that is not named here
-   * belongs to the one above it.
+   * The packages of the project that each package may import. A package that is not listed here
+   * follows the rule of its parent.
    */
   private static final Map<String, Set<String>> ALLOWED =
       Map.ofEntries(
@@ -51,7 +51,7 @@
               "cluster/gossip", Set.of("cluster/gossip", "core", "cluster", "cluster/versions")),
           Map.entry("simulator", Set.of("simulator", "config", "balancer")));
 
-  /** Packages that import nothing but the JDK and the project itself. */
+  /** Packages that import only the JDK and the project itself. */
   private static final Set<String> WITHOUT_LIBRARIES =
       Set.of("core", "balancer", "endpoints", "answerkeys");
 
@@ -61,7 +61,7 @@
     for (Path file : sources(ROOT)) {
       String room = roomOf(ROOT.relativize(file.getParent()).toString());
       if (room == null) {
-        continue; // wiring, commands and experiments may import any
+        continue; // wiring, commands and experiments may import any package
       }
       Matcher matcher = IMPORT.matcher(Files.readString(file));
       while (matcher.find()) {
@@ -101,8 +101,8 @@
   }
 
   /**
-   * A plug-in's classes are built against the interface alone: so is the interface, and so are the
-   * scorers that ship.
+   * Plug-ins are compiled against the scoring API only, so the API itself and the shipped scorers
+   * must not depend on anything else.
    */
   @Test
   void theInterfaceOfScorersStandsAlone() throws IOException {
@@ -121,7 +121,7 @@
     assertEquals(Map.of(), wrong);
   }
 
-  /** What measures and stands in is no part of what serves. */
+  /** Measurements and emulators must not be used by production code. */
   @Test
   void nothingThatServesKnowsTheLab() throws IOException {
     List<Path> wrong = new java.util.ArrayList<>();
@@ -135,7 +135,8 @@
   }
 
   /**
-   * What decides, and what plays days, has no clock, thread or chance but those that it is given.
+   * Decision code and simulations use only the clock, threads and random numbers that are passed to
+   * them.
    */
   @Test
   void decisionsHaveNoClockOfTheirOwn() throws IOException {
@@ -158,13 +159,12 @@
             "experiments/modelchecker")) {
       for (Path file : sources(ROOT.resolve(part))) {
         Matcher matcher = clock.matcher(Files.readString(file));
+        // exempt: plug-in threads, the clock itself, and commands that report their progress
         boolean mayLook =
             file.startsWith(ROOT.resolve("scoring/host"))
                 || file.endsWith("MicroClock.java")
                 || file.endsWith("SimulationCommands.java")
-                || file.endsWith(
-                    "ExploreCommand.java"); // threads of plug-ins, the edge's own clock, progress
-        // lines
+                || file.endsWith("ExploreCommand.java");
         if (!mayLook && matcher.find()) {
           wrong.put(file.toString(), matcher.group());
         }
