--- a/src/main/java/dunlinhitch/backend/RequestText.java
+++ b/src/main/java/dunlinhitch/backend/RequestText.java
@@ -38,18 +38,18 @@
   }
 
   /** Encodes the result of the first step that the part builds on. */
-  private static String encode(FirstStep firstPass) {
+  private static String encode(FirstStep firstStep) {
     return ",from="
-        + String.join("+", firstPass.shards().stream().map(String::valueOf).toList())
+        + String.join("+", firstStep.shards().stream().map(String::valueOf).toList())
         + ",whole="
-        + (firstPass.complete() ? 1 : 0);
+        + (firstStep.complete() ? 1 : 0);
   }
 
   /**
    * Parses the score that ranks a part's result; NaN, which ranks last, if the field is not a
    * finite number.
    */
-  public static double score(String field) {
+  public static double parseScore(String field) {
     try {
       double score = Double.parseDouble(field);
       return Double.isFinite(score) ? score : Double.NaN;
@@ -59,7 +59,7 @@
   }
 
   /** Parses the outcome of a part; null if the protocol does not define the field's value. */
-  public static AttemptOutcome end(String field) {
+  public static AttemptOutcome parseOutcome(String field) {
     return switch (field) {
       case "good" -> AttemptOutcome.OK;
       case "bad" -> AttemptOutcome.ERROR;
--- a/src/main/java/dunlinhitch/backend/flight/FlightActions.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightActions.java
@@ -43,10 +43,11 @@
   /**
    * Notifies the store that the result of a part is no longer needed.
    *
-   * @param onTaken called once the store has confirmed the notification; not called if it does not
+   * @param onConfirmed called once the store has confirmed the notification; not called if it does
+   *     not
    */
-  void cancelPart(String partId, long dueUs, Runnable onTaken) {
-    submit(CANCEL, partId, dueUs, result -> result.ifPresent(ignored -> onTaken.run()));
+  void cancelPart(String partId, long dueUs, Runnable onConfirmed) {
+    submit(CANCEL, partId, dueUs, result -> result.ifPresent(ignored -> onConfirmed.run()));
   }
 
   private void submit(String type, String body, long dueUs, Consumer<Optional<String>> onResult) {
--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -50,7 +50,7 @@
 
   private final FlightTransports shared;
   private final FlightClient client;
-  private final BooleanSupplier mayNotSend;
+  private final BooleanSupplier mustNotSend;
   private final Listener listener;
   private final List<AttemptRequest> parts;
   private final long sentUs;
@@ -78,18 +78,18 @@
   /**
    * Creates a call that is not sent yet.
    *
-   * @param mayNotSend evaluated on the reader thread just before the call is sent; if true, the
+   * @param mustNotSend evaluated on the reader thread just before the call is sent; if true, the
    *     call fails as never sent
    */
   FlightCall(
       FlightTransports shared,
       FlightClient client,
       List<AttemptRequest> parts,
-      BooleanSupplier mayNotSend,
+      BooleanSupplier mustNotSend,
       Listener listener) {
     this.shared = shared;
     this.client = client;
-    this.mayNotSend = mayNotSend;
+    this.mustNotSend = mustNotSend;
     this.listener = listener;
     this.parts = List.copyOf(parts);
     sentUs = shared.nowUs();
@@ -172,7 +172,7 @@
   @Override
   public void run() {
     long nowUs = shared.nowUs();
-    boolean maySend = !cancelled && !mayNotSend.getAsBoolean();
+    boolean maySend = !cancelled && !mustNotSend.getAsBoolean();
     List<AttemptRequest> sent =
         parts.stream()
             .filter(part -> maySend && part.maySendAt(nowUs) && !stopped.contains(part.attempt()))
@@ -239,7 +239,7 @@
           new Row(
               values.get(0),
               values.get(1),
-              values.get(2) == null ? Double.NaN : RequestText.score(values.get(2)),
+              values.get(2) == null ? Double.NaN : RequestText.parseScore(values.get(2)),
               values.get(3),
               values.get(4)));
     }
@@ -248,7 +248,7 @@
 
   private void onRow(Row row) {
     AttemptOutcome outcome =
-        row.partId() == null || row.end() == null ? null : RequestText.end(row.end());
+        row.partId() == null || row.end() == null ? null : RequestText.parseOutcome(row.end());
     boolean requested = inFlight.containsKey(row.partId()) || ended.contains(row.partId());
     if (outcome == null || row.value() == null || !requested) {
       // after an invalid row the rest of the stream cannot be trusted
--- a/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
@@ -26,7 +26,7 @@
 
   private final FlightTransports shared;
   private final FlightClient client;
-  private final BooleanSupplier mayNotSend;
+  private final BooleanSupplier mustNotSend;
   private final Consumer<Event.AttemptCompleted> onCompleted;
   private final Consumer<Event.FirstPassCompleted> onReply;
   private final AttemptRequest part;
@@ -36,7 +36,7 @@
   /**
    * Creates a call that is not sent yet.
    *
-   * @param mayNotSend evaluated on the reader thread just before the call is sent; if true, the
+   * @param mustNotSend evaluated on the reader thread just before the call is sent; if true, the
    *     call fails as never sent
    * @param onCompleted receives the outcome if the call ends without a reply
    */
@@ -44,13 +44,13 @@
       FlightTransports shared,
       FlightClient client,
       AttemptRequest part,
-      BooleanSupplier mayNotSend,
+      BooleanSupplier mustNotSend,
       Consumer<Event.AttemptCompleted> onCompleted,
       Consumer<Event.FirstPassCompleted> onReply) {
     this.shared = shared;
     this.client = client;
     this.part = part;
-    this.mayNotSend = mayNotSend;
+    this.mustNotSend = mustNotSend;
     this.onCompleted = onCompleted;
     this.onReply = onReply;
   }
@@ -78,7 +78,7 @@
   @Override
   public void run() {
     long nowUs = shared.nowUs();
-    if (stopped || mayNotSend.getAsBoolean() || !part.maySendAt(nowUs)) {
+    if (stopped || mustNotSend.getAsBoolean() || !part.maySendAt(nowUs)) {
       fail();
       return;
     }
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -30,8 +30,8 @@
  * before the channel is connected, so a pending call cannot have run; attempts in flight when the
  * channel breaks may have run.
  *
- * <p>Used on the event loop, except for {@link #mayNotSend}, which the reader threads evaluate just
- * before they send a call.
+ * <p>Used on the event loop, except for {@link #mustNotSend}, which the reader threads evaluate
+ * just before they send a call.
  */
 final class FlightTransport implements BackendTransport {
   private static final int MAX_MESSAGE_BYTES = 256 * 1024;
@@ -186,7 +186,7 @@
     SentCall sent =
         new SentCall(
             new FlightCall(
-                shared, client, parts, this::mayNotSend, new CallListener(connectionNumber)),
+                shared, client, parts, this::mustNotSend, new CallListener(connectionNumber)),
             connectionNumber);
     parts.forEach(part -> calls.put(part.attempt(), sent));
     livenessCheck.schedule();
@@ -200,7 +200,12 @@
   private void startFirstPass(AttemptRequest part) {
     FlightFirstPassCall call =
         new FlightFirstPassCall(
-            shared, client, part, this::mayNotSend, firstPasses::onCompleted, firstPasses::onReply);
+            shared,
+            client,
+            part,
+            this::mustNotSend,
+            firstPasses::onCompleted,
+            firstPasses::onReply);
     firstPasses.start(part, call, connectionNumber);
   }
 
@@ -208,7 +213,7 @@
    * Evaluated by the reader threads just before they send a call: if the channel has disconnected
    * again, gRPC would queue the call until it is connected.
    */
-  private boolean mayNotSend() {
+  private boolean mustNotSend() {
     return disabled
         || state == ServerState.WITHDRAWN
         || state == ServerState.GONE
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransports.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransports.java
@@ -111,8 +111,7 @@
           try {
             allocator.close();
           } catch (IllegalStateException e) {
-            // a client that is still closing holds buffers of the allocator; the process ends
-            // anyway
+            // a client that is still closing holds buffers; the process ends anyway
           }
         });
     readers.shutdown();
--- a/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
+++ b/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
@@ -20,13 +20,13 @@
   /** Timeout for the store's end of stream; the file descriptor stays open until then. */
   private static final long STORE_END_TIMEOUT_MS = 1_000;
 
-  private boolean closedHere;
+  private boolean closedLocally;
   private boolean failedWithoutProof;
 
   /** Closes the connection immediately; pending writes are dropped. */
   @SuppressWarnings("FutureReturnValueIgnored") // the channel's closeFuture reports the close
   void close(ChannelHandlerContext context) {
-    closedHere = true;
+    closedLocally = true;
     context.close();
   }
 
@@ -58,7 +58,7 @@
 
   /** Returns, after the connection has closed, whether the store is known to have ended it. */
   boolean isKnownToStore() {
-    return !closedHere && !failedWithoutProof;
+    return !closedLocally && !failedWithoutProof;
   }
 
   /** The JDK has no exception type for a reset, so it is recognised by its message. */
--- a/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -171,7 +171,7 @@
         && !draining
         && !unresponsive
         && hasCapacity(parts)
-        && partIds.stream().noneMatch(inFlight::mayStillAnswer);
+        && partIds.stream().noneMatch(inFlight::mayStillBeAnswered);
   }
 
   private boolean hasCapacity(int parts) {
--- a/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
@@ -39,9 +39,7 @@
   }
 
   /** Keeps the incomplete frame without copying it again for each chunk that is appended to it. */
-  @SuppressWarnings(
-      "ReferenceEquality") // identity is intended: checks whether the buffer was appended to in
-  // place
+  @SuppressWarnings("ReferenceEquality") // identity is intended: same buffer object
   private void retainIncomplete(Buffer all, int consumed) {
     if (consumed > 0) {
       incomplete = all.getBuffer(consumed, all.length());
--- a/src/main/java/dunlinhitch/backend/frames/InFlightAttempts.java
+++ b/src/main/java/dunlinhitch/backend/frames/InFlightAttempts.java
@@ -66,7 +66,7 @@
   /**
    * True if a reply to the part would be ambiguous if the part were sent on this connection now.
    */
-  boolean mayStillAnswer(String partId) {
+  boolean mayStillBeAnswered(String partId) {
     return cancelled.contains(partId) || byPart.containsKey(partId);
   }
 
--- a/src/main/java/dunlinhitch/backend/frames/ReplyParser.java
+++ b/src/main/java/dunlinhitch/backend/frames/ReplyParser.java
@@ -44,7 +44,7 @@
     if (value == null) {
       throw new MalformedFrameException("value of a part reply is not valid UTF-8");
     }
-    double score = RequestText.score(fields[2]);
+    double score = RequestText.parseScore(fields[2]);
     return new PartReply(fields[0], outcome(fields[1]), score, fields[3], value);
   }
 
@@ -79,7 +79,7 @@
   }
 
   private static AttemptOutcome outcome(String end) throws MalformedFrameException {
-    AttemptOutcome outcome = RequestText.end(end);
+    AttemptOutcome outcome = RequestText.parseOutcome(end);
     if (outcome == null) {
       throw new MalformedFrameException("unknown outcome in a reply: " + end);
     }
--- a/src/main/java/dunlinhitch/frontend/Exchanges.java
+++ b/src/main/java/dunlinhitch/frontend/Exchanges.java
@@ -12,7 +12,7 @@
  * also identifies its response. Used on the event loop only.
  */
 public final class Exchanges {
-  private final Map<Long, Consumer<QueryResponse>> openCount = new HashMap<>();
+  private final Map<Long, Consumer<QueryResponse>> openExchanges = new HashMap<>();
   private final Consumer<Event> events;
   private long lastExchange;
 
@@ -29,21 +29,21 @@
    */
   public long open(QueryRequest query, Consumer<QueryResponse> writer) {
     long exchange = ++lastExchange;
-    openCount.put(exchange, writer);
+    openExchanges.put(exchange, writer);
     events.accept(new Event.QueryReceived(exchange, query));
     return exchange;
   }
 
   /** Handles a client's disconnect; ignored if the exchange is already completed. */
   public void clientDisconnected(long exchange) {
-    if (openCount.remove(exchange) != null) {
+    if (openExchanges.remove(exchange) != null) {
       events.accept(new Event.ClientDisconnected(exchange));
     }
   }
 
   /** Completes an exchange; ignored if the client has disconnected. */
   public void complete(long exchange, QueryResponse response) {
-    Consumer<QueryResponse> writer = openCount.remove(exchange);
+    Consumer<QueryResponse> writer = openExchanges.remove(exchange);
     if (writer != null) {
       writer.accept(response);
     }
@@ -51,6 +51,6 @@
 
   /** The number of exchanges without a response. */
   public int openCount() {
-    return openCount.size();
+    return openExchanges.size();
   }
 }
--- a/src/main/java/dunlinhitch/server/BackendTransportFactory.java
+++ b/src/main/java/dunlinhitch/server/BackendTransportFactory.java
@@ -18,7 +18,7 @@
   private final FrameTransport.Shared frames;
 
   /** Null until an endpoint uses Arrow Flight, so that Arrow's classes are not loaded before. */
-  private FlightTransports flightStores;
+  private FlightTransports flightTransports;
 
   BackendTransportFactory(
       BrokerRuntime runtime, Reducer reducer, DescriptorBudget budget, Consumer<Event> events) {
@@ -40,8 +40,8 @@
     if (endpoint.protocol() == Endpoint.Protocol.FRAMES) {
       return new FrameTransport(frames, endpoint);
     }
-    if (flightStores == null) {
-      flightStores =
+    if (flightTransports == null) {
+      flightTransports =
           new FlightTransports(
               runtime.vertx(),
               runtime.context(),
@@ -50,7 +50,7 @@
               runtime.clock(),
               events);
     }
-    return flightStores.open(endpoint);
+    return flightTransports.open(endpoint);
   }
 
   /**
@@ -58,8 +58,8 @@
    * closed.
    */
   void close() {
-    if (flightStores != null) {
-      flightStores.close();
+    if (flightTransports != null) {
+      flightTransports.close();
     }
   }
 }
--- a/src/main/java/dunlinhitch/server/Broker.java
+++ b/src/main/java/dunlinhitch/server/Broker.java
@@ -24,7 +24,7 @@
    * How long a new process assumes that its predecessor is running if that one is of a release
    * without process locks, so that its end cannot be detected.
    */
-  private static final long UNSEEN_OVERLAP_US = 6_000_000;
+  private static final long UNDETECTED_OVERLAP_US = 6_000_000;
 
   /** Folder of the processes' locks, below the folder that processes of a broker share. */
   private static final String LOCK_FOLDER = "processes";
@@ -192,7 +192,7 @@
         .map(
             overlapping -> {
               if (hasPredecessor && !overlapping) {
-                loop.accept(new Event.OverlapStarted(clock.getAsLong() + UNSEEN_OVERLAP_US));
+                loop.accept(new Event.OverlapStarted(clock.getAsLong() + UNDETECTED_OVERLAP_US));
               }
               return null;
             });
@@ -251,7 +251,7 @@
         overlapMonitor.stop();
       }
       loop.accept(new Event.OverlapStarted(Long.MAX_VALUE));
-      frontends.leaveToSibling();
+      frontends.beginHotRestart();
     }
     schedule(nowUs, deadlines.drainUs(), frontends::drain);
     schedule(nowUs, deadlines.shutdownUs(), () -> loop.accept(new Event.ShutdownRequested()));
--- a/src/main/java/dunlinhitch/server/ClusterGossip.java
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -55,7 +55,7 @@
   private static final long MICROS_PER_MILLI = 1000;
 
   private final Vertx vertx;
-  private final Product.Cluster fleet;
+  private final Product.Cluster cluster;
   private final ClusterIdentity identity;
   private final AddressBook addressBook;
 
@@ -64,8 +64,8 @@
 
   ClusterGossip(Vertx vertx, Config config, MicroClock clock) {
     this.vertx = vertx;
-    fleet = config.product().cluster();
-    addressBook = addressBook(fleet, config.gossipAddresses(), config.name());
+    cluster = config.product().cluster();
+    addressBook = addressBook(cluster, config.gossipAddresses(), config.name());
     long startMs = System.currentTimeMillis();
     List<String> zones = config.settings().zones();
     int zoneIndex = config.settings().zone();
@@ -73,22 +73,22 @@
         new Member(
             config.name(),
             zoneIndex < zones.size() ? Integer.toString(zoneIndex) : "",
-            fleet.advertise().host(),
-            fleet.advertise().port(),
+            cluster.advertise().host(),
+            cluster.advertise().port(),
             startMs,
             Member.Status.ALIVE);
     identity =
         new ClusterIdentity(
             self,
-            fleet.peers().stream()
+            cluster.peers().stream()
                 .map(peer -> new MembershipProtocol.Seed(peer.host(), peer.port()))
                 .toList(),
-            clusterSettings(fleet, addressBook),
+            clusterSettings(cluster, addressBook),
             startMs * MICROS_PER_MILLI - clock.getAsLong(),
             new VersionSkewSettings(
-                fleet.stragglerAfterUs(),
+                cluster.stragglerAfterUs(),
                 VersionSkewSettings.STANDARD.againUs(),
-                fleet.fenceAfterUs()),
+                cluster.fenceAfterUs()),
             new VersionVector(
                 BuildVersion.TEXT,
                 SettingsDigest.of(CanonicalSettings.of(config.settings())),
@@ -101,11 +101,11 @@
    * are members. This broker is added under its own address, whatever address others use for it:
    * otherwise it would treat itself as a different member with the same name.
    */
-  static AddressBook addressBook(Product.Cluster fleet, GossipAddresses platform, String self) {
+  static AddressBook addressBook(Product.Cluster cluster, GossipAddresses platform, String self) {
     boolean platformListens = platform != null && platform.listen() != null;
     List<AddressBook.BrokerAddress> members = new ArrayList<>();
     if (platformListens
-        && platform.listen().equals(fleet.listen())
+        && platform.listen().equals(cluster.listen())
         && !platform.peers().isEmpty()) {
       platform
           .peers()
@@ -115,30 +115,32 @@
                       new AddressBook.BrokerAddress(
                           peer.name(), peer.address().host(), peer.address().port())));
       members.add(
-          new AddressBook.BrokerAddress(self, fleet.advertise().host(), fleet.advertise().port()));
+          new AddressBook.BrokerAddress(
+              self, cluster.advertise().host(), cluster.advertise().port()));
     }
     return new AddressBook(
         platformListens ? PLATFORM_DATAGRAM_BYTES : GossipSocket.DEFAULT_MAX_BYTES, members);
   }
 
   /** Returns the cluster's settings; messages are limited to what the socket can send. */
-  static ClusterSettings clusterSettings(Product.Cluster fleet, AddressBook addressBook) {
+  static ClusterSettings clusterSettings(Product.Cluster cluster, AddressBook addressBook) {
     ClusterSettings standard = ClusterSettings.STANDARD;
     MembershipProtocolSettings protocol =
         new MembershipProtocolSettings(
-                fleet.protocolPeriodUs(),
-                fleet.protocolPeriodUs() / ACK_TIMEOUT_DIVISOR,
+                cluster.protocolPeriodUs(),
+                cluster.protocolPeriodUs() / ACK_TIMEOUT_DIVISOR,
                 standard.membership().indirectProbes(),
-                fleet.suspicionUs(),
-                Math.max(MINIMUM_RETENTION_US, RETENTION_SUSPICION_TIMEOUTS * fleet.suspicionUs()),
+                cluster.suspicionUs(),
+                Math.max(
+                    MINIMUM_RETENTION_US, RETENTION_SUSPICION_TIMEOUTS * cluster.suspicionUs()),
                 standard.membership().maxMembers())
             .withMaxMessageBytes(addressBook.maxDatagramBytes())
             .withAddresses(!addressBook.isConfigured());
     return new ClusterSettings(
-        new SubsetSettings(fleet.minSubset(), standard.subsets().spread(), fleet.slack()),
+        new SubsetSettings(cluster.minSubset(), standard.subsets().spread(), cluster.slack()),
         protocol,
-        fleet.healthCheckIntervalUs(),
-        (long) (DUTY_TIMEOUT_PART * fleet.healthCheckIntervalUs()),
+        cluster.healthCheckIntervalUs(),
+        (long) (DUTY_TIMEOUT_PART * cluster.healthCheckIntervalUs()),
         standard.maxAgeUs(),
         standard.maxEndpoints());
   }
@@ -151,7 +153,7 @@
   /** Listens for gossip; the result is the port. */
   Future<Integer> listen(Consumer<Event> events) {
     socket = new GossipSocket(vertx, addressBook, events);
-    return socket.listen(fleet.listen().host(), fleet.listen().port());
+    return socket.listen(cluster.listen().host(), cluster.listen().port());
   }
 
   /**
--- a/src/main/java/dunlinhitch/server/Frontends.java
+++ b/src/main/java/dunlinhitch/server/Frontends.java
@@ -99,7 +99,7 @@
   }
 
   /** Leaves new connections to the other process that accepts from the same socket. */
-  void leaveToSibling() {
+  void beginHotRestart() {
     http.beginHotRestart();
   }
 
--- a/src/test/java/dunlinhitch/PackagesTest.java
+++ b/src/test/java/dunlinhitch/PackagesTest.java
@@ -59,19 +59,20 @@
   void dependenciesPointInward() throws IOException {
     Map<String, String> wrong = new TreeMap<>();
     for (Path file : sources(ROOT)) {
-      String room = roomOf(ROOT.relativize(file.getParent()).toString());
-      if (room == null) {
+      String rulePackage = rulePackageOf(ROOT.relativize(file.getParent()).toString());
+      if (rulePackage == null) {
         continue; // wiring, commands and experiments may import any package
       }
       Matcher matcher = IMPORT.matcher(Files.readString(file));
       while (matcher.find()) {
         String name = matcher.group(1);
         if (name.startsWith("dunlinhitch.")) {
-          String imported = roomOf(name.substring("dunlinhitch.".length()).replace('.', '/'));
-          if (imported == null || !ALLOWED.get(room).contains(imported)) {
+          String imported =
+              rulePackageOf(name.substring("dunlinhitch.".length()).replace('.', '/'));
+          if (imported == null || !ALLOWED.get(rulePackage).contains(imported)) {
             wrong.put(file.toString(), name);
           }
-        } else if (WITHOUT_LIBRARIES.contains(room) && !name.startsWith("java.")) {
+        } else if (WITHOUT_LIBRARIES.contains(rulePackage) && !name.startsWith("java.")) {
           wrong.put(file.toString(), name);
         }
       }
@@ -81,12 +82,12 @@
 
   @Test
   void everyPackageWithRulesHasSources() throws IOException {
-    for (String room : ALLOWED.keySet()) {
-      assertFalse(sources(ROOT.resolve(room)).isEmpty(), room);
+    for (String rulePackage : ALLOWED.keySet()) {
+      assertFalse(sources(ROOT.resolve(rulePackage)).isEmpty(), rulePackage);
     }
   }
 
-  private static String roomOf(String packagePath) {
+  private static String rulePackageOf(String packagePath) {
     for (String path = packagePath; !path.isEmpty(); path = parentOf(path)) {
       if (ALLOWED.containsKey(path)) {
         return path;
@@ -105,7 +106,7 @@
    * must not depend on anything else.
    */
   @Test
-  void theInterfaceOfScorersStandsAlone() throws IOException {
+  void scoringApiAndShippedScorersImportNothingElse() throws IOException {
     Map<String, String> wrong = new TreeMap<>();
     for (String part : List.of("scoring/api", "scoring/shipped")) {
       for (Path file : sources(ROOT.resolve(part))) {
@@ -123,7 +124,7 @@
 
   /** Measurements and emulators must not be used by production code. */
   @Test
-  void nothingThatServesKnowsTheLab() throws IOException {
+  void productionCodeDoesNotImportExperiments() throws IOException {
     List<Path> wrong = new java.util.ArrayList<>();
     for (Path file : sources(ROOT)) {
       if (!file.startsWith(ROOT.resolve("experiments"))
@@ -139,7 +140,7 @@
    * them.
    */
   @Test
-  void decisionsHaveNoClockOfTheirOwn() throws IOException {
+  void decisionCodeUsesNoClockThreadOrRandomSource() throws IOException {
     Pattern clock =
         Pattern.compile(
             "System\\.(nanoTime|currentTimeMillis)|Math\\.random|new Random\\(\\)|new Thread|Instant\\.now");
@@ -160,12 +161,12 @@
       for (Path file : sources(ROOT.resolve(part))) {
         Matcher matcher = clock.matcher(Files.readString(file));
         // exempt: plug-in threads, the clock itself, and commands that report their progress
-        boolean mayLook =
+        boolean exempt =
             file.startsWith(ROOT.resolve("scoring/host"))
                 || file.endsWith("MicroClock.java")
                 || file.endsWith("SimulationCommands.java")
                 || file.endsWith("ExploreCommand.java");
-        if (!mayLook && matcher.find()) {
+        if (!exempt && matcher.find()) {
           wrong.put(file.toString(), matcher.group());
         }
       }
--- a/src/test/java/dunlinhitch/admin/DisabledEndpointFolderTest.java
+++ b/src/test/java/dunlinhitch/admin/DisabledEndpointFolderTest.java
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void readsAFolderOfTheStoredForm() throws Exception {
+  void readsStorageFormat() throws Exception {
     Path folder = Files.createDirectory(parent.resolve("disabled"));
     for (String name : Set.of(FILE_OF_S3, FILE_OF_PATH_LIKE_ID, FILE_OF_NON_ASCII_ID)) {
       Files.write(folder.resolve(name), new byte[0]);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void writesTheStoredForm() throws Exception {
+  void writesStorageFormat() throws Exception {
     Path folder = parent.resolve("new").resolve("disabled");
     DisabledEndpointFolder store = open(folder);
     assertFalse(await(store.start(false)), "the folder did not exist");
--- a/src/test/java/dunlinhitch/backend/RequestTextTest.java
+++ b/src/test/java/dunlinhitch/backend/RequestTextTest.java
@@ -15,9 +15,9 @@
   /** The time is rounded down, so that a store never gets more time than its client has left. */
   @ParameterizedTest
   @CsvSource({"0, 500", "100001, 399", "498500, 1", "499999, 1"})
-  void theTimeLeftIsReckonedWhenTheBytesAreWritten(long writtenUs, long toldMs) {
+  void remainingTimeIsComputedWhenRequestIsEncoded(long writtenUs, long expectedMs) {
     AttemptRequest part = new AttemptRequest(1, "q.0", 0, "", DUE_US, "text");
     String text = new String(RequestText.of(List.of(part), writtenUs), StandardCharsets.UTF_8);
-    assertEquals("q.0 0 d=" + toldMs + " 4\ntext", text);
+    assertEquals("q.0 0 d=" + expectedMs + " 4\ntext", text);
   }
 }
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -250,7 +250,7 @@
   }
 
   @Test
-  void theStoresConfirmationReleasesACancelledAttempt() throws Exception {
+  void storeConfirmationReleasesCancelledAttempt() throws Exception {
     BackendTransport transport = open(store.port());
     store.script = part -> part.shard() == 0 ? Behavior.NOTHING : Behavior.GOOD;
     onLoop(() -> transport.send(List.of(part(1, 0))));
@@ -266,7 +266,7 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aTimeoutOfTheCallIsNoEndAtTheStore(boolean firstPass) throws Exception {
+  void timedOutCallStaysUnconfirmedUntilStoreConfirms(boolean firstPass) throws Exception {
     BackendTransport transport = open(store.port());
     store.script = part -> part.shard() == 0 ? Behavior.NOTHING : Behavior.GOOD;
     store.firstAnswer = part -> null;
@@ -301,7 +301,7 @@
 
   /** A confirmation that is sent over a later connection may overtake the call itself. */
   @Test
-  void aConfirmationOverALaterConnectionReleasesNothing() throws Exception {
+  void confirmationOverLaterConnectionDoesNotReleaseAttempt() throws Exception {
     BackendTransport transport = open(store.port());
     store.script = part -> part.shard() == 0 ? Behavior.NOTHING : Behavior.GOOD;
     onLoop(() -> transport.send(List.of(part(1, 0))));
--- a/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
@@ -68,7 +68,7 @@
   }
 
   /** Skips liveness checks and returns the type of the next other frame. */
-  private int readFrameBesideChecks() throws IOException {
+  private int readFrameSkippingChecks() throws IOException {
     int type = readFrame();
     while (type == FrameType.LIVENESS_CHECK) {
       type = readFrame();
@@ -101,11 +101,11 @@
   }
 
   @Test
-  void theReplyToTheCheckBehindTheCancellationReleases() throws Exception {
+  void replyToCheckSentAfterCancellationReleasesAttempt() throws Exception {
     FrameTransport transport = transportTo(listener.getLocalPort());
     sendOne(transport);
     onLoop(() -> transport.cancel(1, true));
-    assertEquals(FrameType.CANCEL, readFrameBesideChecks());
+    assertEquals(FrameType.CANCEL, readFrameSkippingChecks());
     assertEquals(FrameType.LIVENESS_CHECK, readFrame());
     assertNothingReleased();
     // at most two more checks may have been sent ahead of the cancellation while the test ran
@@ -117,11 +117,11 @@
 
   /** The reply to the attempt itself is sufficient proof. */
   @Test
-  void itsReplyReleasesACancelledAttempt() throws Exception {
+  void replyReleasesCancelledAttempt() throws Exception {
     FrameTransport transport = transportTo(listener.getLocalPort());
     sendOne(transport);
     onLoop(() -> transport.cancel(1, true));
-    assertEquals(FrameType.CANCEL, readFrameBesideChecks());
+    assertEquals(FrameType.CANCEL, readFrameSkippingChecks());
     assertNothingReleased();
     write(FrameStore.frame(FrameType.PART_REPLY, "q.0 good 1 -\nv"));
     assertEquals(1, nextRelease());
@@ -133,7 +133,7 @@
    * this side's end.
    */
   @Test
-  void withoutChecksTheStoresEndOfTheConnectionReleases() throws Exception {
+  void storeClosingConnectionReleasesAttemptsWithoutLivenessChecks() throws Exception {
     FrameTransport transport = withoutLivenessChecks(listener.getLocalPort(), 3);
     sendOne(transport);
     onLoop(() -> transport.cancel(1, true));
@@ -150,7 +150,7 @@
   /** If the broker closes the connection, the attempts in flight are lost but not released. */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void aConnectionClosedHereReleasesOnceTheStoreHasClosedItToo(boolean cancelledBefore)
+  void locallyClosedConnectionReleasesAttemptsOnceStoreClosesIt(boolean cancelledBefore)
       throws Exception {
     FrameTransport transport = transportTo(listener.getLocalPort());
     sendOne(transport);
@@ -174,7 +174,7 @@
    */
   @Test
   @SuppressWarnings("ThreadPriorityCheck") // reduces the cost of waiting for the close
-  void aStoreThatNeverClosesReleasesNothing() throws Exception {
+  void storeThatNeverClosesDoesNotReleaseAttempts() throws Exception {
     FrameTransport transport = transportTo(listener.getLocalPort());
     sendOne(transport);
     write(Buffer.buffer(MALFORMED));
@@ -191,7 +191,7 @@
   }
 
   @Test
-  void aResetByTheStoreIsKnownToIt() throws Exception {
+  void resetByStoreIsConfirmedEnd() throws Exception {
     FrameTransport transport = transportTo(listener.getLocalPort());
     sendOne(transport);
     peer.setSoLinger(true, 0);
@@ -206,7 +206,7 @@
    * lost.
    */
   @Test
-  void aHalfWrittenCallTakesItsConnectionWithIt() throws Exception {
+  void cancellingPartlyWrittenCallClosesItsConnection() throws Exception {
     FrameTransport transport = withoutLivenessChecks(listener.getLocalPort(), 1);
     sendOne(transport);
     AttemptRequest big =
@@ -217,8 +217,8 @@
     expectUnconfirmedReset(1);
     assertEquals(2, nextRelease());
     long read = 1;
-    byte[] some = new byte[1 << 16];
-    for (int count = 0; count >= 0; count = peer.getInputStream().read(some)) {
+    byte[] chunk = new byte[1 << 16];
+    for (int count = 0; count >= 0; count = peer.getInputStream().read(chunk)) {
       read += count;
     }
     assertTrue(read < BIG_TEXT_LENGTH, "the call was completely sent");
--- a/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
@@ -17,20 +17,20 @@
   @ParameterizedTest
   @ValueSource(
       strings = {"Connection timed out", "No route to host", "Network is unreachable", "Bad file"})
-  void anErrorOfTheNetworkProvesNothing(String message) {
+  void networkErrorDoesNotProveEndAtStore(String message) {
     end.onFailure(new IOException(message));
     assertEquals(false, end.isKnownToStore());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"Connection timed out", "No route to host"})
-  void soDoesOneThatAWriteMeets(String message) {
+  void networkErrorOfWriteDoesNotProveEndAtStore(String message) {
     end.onWriteFailure(new IOException(message));
     assertEquals(false, end.isKnownToStore());
   }
 
   @Test
-  void anEndOfStreamOrAResetComesFromTheStore() {
+  void endOfStreamAndResetProveEndAtStore() {
     assertEquals(true, end.isKnownToStore());
     end.onFailure(new SocketException("Connection reset"));
     end.onWriteFailure(new IOException("Broken pipe"));
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
@@ -11,7 +11,7 @@
 import dunlinhitch.experiments.fakes.BrokerFixture;
 import dunlinhitch.experiments.fakes.FrameStore;
 import dunlinhitch.experiments.fakes.Store.Behavior;
-import dunlinhitch.server.OwnTransport;
+import dunlinhitch.server.CustomTransport;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelException;
 import io.netty.channel.ChannelFactory;
@@ -188,14 +188,14 @@
    */
   @Test
   void exhaustedFileDescriptorsFailAttemptAsNeverRun() throws Exception {
-    class Full extends OwnTransport {
-      private final AtomicInteger left = new AtomicInteger(2);
+    class Full extends CustomTransport {
+      private final AtomicInteger remaining = new AtomicInteger(2);
 
       @Override
       public ChannelFactory<? extends Channel> channelFactory(boolean domainSocket) {
         ChannelFactory<? extends Channel> real = super.channelFactory(domainSocket);
         return () -> {
-          if (left.getAndDecrement() > 0) { // same exception as the JDK's
+          if (remaining.getAndDecrement() > 0) { // same exception as the JDK's
             throw new ChannelException(
                 "Failed to open a socket.", new SocketException("Too many open files"));
           }
@@ -281,8 +281,8 @@
       assertEquals(1, nextCompletion().attempt());
       assertEquals(2, nextCompletion().attempt());
       assertEquals(-1, nextCompletion().attempt());
-      try (Socket left = peer.accept()) {
-        assertEquals(-1, left.getInputStream().read());
+      try (Socket remaining = peer.accept()) {
+        assertEquals(-1, remaining.getInputStream().read());
       }
       onLoop(() -> limited.send(List.of(part(3, 2))));
       try (Socket accepted = peer.accept()) {
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
@@ -88,11 +88,11 @@
         }
         assertEquals(-1, nextCompletion().attempt());
         long read = 1;
-        byte[] some = new byte[1 << 16];
+        byte[] buffer = new byte[1 << 16];
         try {
-          for (int count = accepted.getInputStream().read(some);
+          for (int count = accepted.getInputStream().read(buffer);
               count >= 0;
-              count = accepted.getInputStream().read(some)) {
+              count = accepted.getInputStream().read(buffer)) {
             read += count;
             assertTrue(read < BIG_TEXT_LENGTH, "the call was completely sent");
           }
--- a/src/test/java/dunlinhitch/backend/frames/UnconfirmedAttemptsTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/UnconfirmedAttemptsTest.java
@@ -18,7 +18,7 @@
    * proof.
    */
   @Test
-  void theReplyToACheckAheadOfTheCancellationProvesNothing() {
+  void replyToCheckSentBeforeCancellationReleasesNothing() {
     unconfirmed.onCheckSent();
     unconfirmed.add("q.0", 1);
     assertTrue(unconfirmed.needsCheck());
@@ -31,7 +31,7 @@
   }
 
   @Test
-  void oneCheckConfirmsAllCancellationsAheadOfIt() {
+  void oneCheckConfirmsAllEarlierCancellations() {
     unconfirmed.add("q.0", 1);
     unconfirmed.add("q.1", 2);
     unconfirmed.onCheckSent();
--- a/src/test/java/dunlinhitch/frontend/QueryReaderTest.java
+++ b/src/test/java/dunlinhitch/frontend/QueryReaderTest.java
@@ -25,7 +25,7 @@
         "portion is missing | {'ranges':[{'range':0}],'predicate':'x'}"
       },
       quoteCharacter = '"')
-  void theMissingFieldIsNamed(String message, String body) {
+  void missingFieldIsNamed(String message, String body) {
     Map<String, String> headers = Map.of("X-Trace-Id", "t1", "X-Expires-In", "1.0");
     MalformedQueryException error =
         assertThrows(
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -26,24 +26,24 @@
 
 /** Valid and invalid requests, sent as raw bytes. */
 class HttpFrontendTest {
-  private BrokerFixture stage;
+  private BrokerFixture fixture;
 
   @BeforeEach
   void setUp() throws Exception {
-    stage = new BrokerFixture();
-    stage.maxSockets = 64;
-    stage.discovery.setList();
-    stage.start(BrokerFixture.settings(300), null);
+    fixture = new BrokerFixture();
+    fixture.maxSockets = 64;
+    fixture.discovery.setList();
+    fixture.start(BrokerFixture.settings(300), null);
   }
 
   @AfterEach
   void tearDown() throws Exception {
-    stage.close();
+    fixture.close();
   }
 
   /** Sends a request on a separate connection and returns the status of the response. */
   private int status(String text) throws IOException {
-    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort)) {
       socket.setSoTimeout(5_000);
       socket.getOutputStream().write(text.getBytes(StandardCharsets.UTF_8));
       return Integer.parseInt(
@@ -69,7 +69,7 @@
   void acceptsNoMoreThanTheBoundWhileLoopIsBlocked() throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch released = new CountDownLatch(1);
-    stage.vertx.runOnContext(
+    fixture.vertx.runOnContext(
         v -> {
           blocked.countDown();
           try {
@@ -79,23 +79,23 @@
           }
         });
     blocked.await();
-    List<Socket> many = new ArrayList<>();
+    List<Socket> connections = new ArrayList<>();
     int maxOpen =
-        stage.maxSockets
-            - stage.maxSockets / 4
+        fixture.maxSockets
+            - fixture.maxSockets / 4
             - 24; // the remainder after the shares of the stores and of the process itself
-    for (int i = 0; i < 2 * stage.maxSockets; i++) {
-      many.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
+    for (int i = 0; i < 2 * fixture.maxSockets; i++) {
+      connections.add(new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort));
     }
     long endMs = System.currentTimeMillis() + 5_000;
-    while (stage.listener.open() < maxOpen && System.currentTimeMillis() < endMs) {
+    while (fixture.listener.open() < maxOpen && System.currentTimeMillis() < endMs) {
       Thread.onSpinWait();
     }
-    assertEquals(maxOpen, stage.listener.open());
+    assertEquals(maxOpen, fixture.listener.open());
     released.countDown();
     assertEquals(200, status("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"));
-    assertTrue(stage.listener.open() <= maxOpen);
-    for (Socket socket : many) {
+    assertTrue(fixture.listener.open() <= maxOpen);
+    for (Socket socket : connections) {
       socket.close();
     }
   }
@@ -119,7 +119,7 @@
             "Content-Length: -5\r\n",
             "Content-Length: 99999999999999999999\r\n",
             "Content-Length: 0x5\r\n")) {
-      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
+      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort)) {
         socket
             .getOutputStream()
             .write(
@@ -129,7 +129,7 @@
             untilClosed(socket).matches("(?s)HTTP/1.1 4[0-9][0-9] (?!.*HTTP/1.1).*"), framing);
       }
     }
-    assertEquals(0, stage.counter("queries_taken"));
+    assertEquals(0, fixture.counter("queries_taken"));
   }
 
   /**
@@ -139,24 +139,24 @@
   @Test
   void repeatedTenantHeaderIsUnknownUnlessEqual() throws Exception {
     tearDown();
-    stage = new BrokerFixture();
-    stage.discovery.setList();
-    stage.start(BrokerFixture.twoSteps(300), null);
-    String twice =
+    fixture = new BrokerFixture();
+    fixture.discovery.setList();
+    fixture.start(BrokerFixture.twoSteps(300), null);
+    String repeatedHeaders =
         "X-Trace-Id: a%d\r\nX-Expires-In: 0.050\r\nX-Customer: north\r\nX-Customer: %s\r\nContent-Length: "
             + Client.body(1).getBytes(StandardCharsets.UTF_8).length
             + "\r\n";
-    status(post("/free-search", twice.formatted(1, "north"), Client.body(1)));
-    assertEquals(0, stage.counter("tenants_unknown"));
-    status(post("/free-search", twice.formatted(2, "south"), Client.body(1)));
-    assertEquals(1, stage.counter("tenants_unknown"));
+    status(post("/free-search", repeatedHeaders.formatted(1, "north"), Client.body(1)));
+    assertEquals(0, fixture.counter("tenants_unknown"));
+    status(post("/free-search", repeatedHeaders.formatted(2, "south"), Client.body(1)));
+    assertEquals(1, fixture.counter("tenants_unknown"));
     assertEquals(
         431,
         status(
             "POST /free-search HTTP/1.1\r\nHost: x\r\nX-Customer: "
                 + "n".repeat(60_000)
                 + "\r\n\r\n"));
-    assertEquals(2, stage.counter("queries_taken"));
+    assertEquals(2, fixture.counter("queries_taken"));
   }
 
   /** A silent connection, and a head or a body that never ends, are closed within 3 s. */
@@ -168,7 +168,7 @@
             "",
             "POST /free-search HTTP/1.1\r\nX-",
             post("/free-search", "X-Trace-Id: a\r\nContent-Length: 500\r\n", "{"))) {
-      sockets.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
+      sockets.add(new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort));
       sockets
           .get(sockets.size() - 1)
           .getOutputStream()
@@ -209,18 +209,18 @@
         };
     Logger.getLogger("").addHandler(handler);
     try {
-      Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort);
+      Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort);
       socket
           .getOutputStream()
           .write("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8));
       assertTrue(socket.getInputStream().read() >= 0);
       socket.setSoLinger(true, 0); // with unread bytes and no linger time, the close is a reset
       socket.close();
-      while (stage.counter("clients_reset") < 1 && lines.isEmpty()) {
+      while (fixture.counter("clients_reset") < 1 && lines.isEmpty()) {
         Thread.onSpinWait();
       }
       assertEquals(List.of(), lines);
-      assertEquals(0, stage.counter("faults"));
+      assertEquals(0, fixture.counter("faults"));
     } finally {
       Logger.getLogger("").removeHandler(handler);
     }
@@ -230,11 +230,11 @@
   @Test
   void silentConnectionsAreEvictedForAQuery() throws IOException {
     List<Socket> silent = new ArrayList<>();
-    for (int i = 0; i < 2 * stage.maxSockets; i++) {
-      silent.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
+    for (int i = 0; i < 2 * fixture.maxSockets; i++) {
+      silent.add(new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort));
     }
     assertEquals(200, status("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n"));
-    assertTrue(stage.counter("clients_crowded_out") >= stage.maxSockets);
+    assertTrue(fixture.counter("clients_crowded_out") >= fixture.maxSockets);
     for (Socket socket : silent) {
       socket.close();
     }
@@ -243,7 +243,7 @@
   /** The body of a rejected request is not awaited. */
   @Test
   void rejectionBeforeBodyEndsConnection() throws IOException {
-    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort)) {
       socket
           .getOutputStream()
           .write(
@@ -282,10 +282,10 @@
                     + Client.body(1).getBytes(StandardCharsets.UTF_8).length
                     + "\r\n",
                 Client.body(1))));
-    while (stage.counter("bad_requests") < 8) { // counted in the turn after the response
+    while (fixture.counter("bad_requests") < 8) { // counted in the turn after the response
       Thread.onSpinWait();
     }
-    assertEquals(0, stage.counter("queries_taken"));
+    assertEquals(0, fixture.counter("queries_taken"));
   }
 
   @Test
@@ -297,7 +297,7 @@
             "X-Trace-Id: a\r\nX-Expires-In: 0.1\r\nTransfer-Encoding: chunked\r\n",
             Integer.toHexString(body.length) + "\r\n" + Client.body(1) + "\r\n0\r\n\r\n");
     assertEquals(503, status(text), "no store has the range, so the query is rejected");
-    assertEquals(1, stage.counter("queries_taken"));
+    assertEquals(1, fixture.counter("queries_taken"));
   }
 
   /**
@@ -306,11 +306,11 @@
    */
   @Test
   void connectionsAreServedDuringDrainAndClosedBeforeListener() throws Exception {
-    try (Socket idle = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
+    try (Socket idle = new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort)) {
       idle.setSoTimeout(5_000);
       BufferedReader in =
           new BufferedReader(new InputStreamReader(idle.getInputStream(), StandardCharsets.UTF_8));
-      var ended = stage.stop();
+      var ended = fixture.stop();
       assertEquals(503, status("GET /health/ready HTTP/1.1\r\nHost: x\r\n\r\n"));
       for (int i = 0; i < 2; i++) {
         idle.getOutputStream()
@@ -350,19 +350,19 @@
   @Test
   void disconnectBehindPipelinedRequestsIsDetected() throws Exception {
     for (int more : List.of(1, 40, 2_000)) {
-      long left = stage.counter("client_left");
+      long disconnects = fixture.counter("client_left");
       StringBuilder text = new StringBuilder(query("first" + more, 1.0, ""));
       for (int i = 0; i < more; i++) {
         text.append(query("more" + more + "." + i, 1.0, ""));
       }
-      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
+      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort)) {
         socket.getOutputStream().write(text.toString().getBytes(StandardCharsets.UTF_8));
       }
-      while (stage.counter("client_left") == left
-          && stage.counter("refused") + stage.counter("out_of_time") == 0) {
+      while (fixture.counter("client_left") == disconnects
+          && fixture.counter("refused") + fixture.counter("out_of_time") == 0) {
         Thread.onSpinWait();
       }
-      assertEquals(left + 1, stage.counter("client_left"), more + " more requests");
+      assertEquals(disconnects + 1, fixture.counter("client_left"), more + " more requests");
     }
   }
 
@@ -370,13 +370,13 @@
   @Test
   void incompleteRequestIsRefusedAtShutdownWithoutDelay() throws Exception {
     List<Socket> sockets = new ArrayList<>();
-    var ended = stage.stop();
+    var ended = fixture.stop();
     for (String start :
         List.of(
             "POST /free-search HTTP/1.1\r\nX-",
             post("/free-search", "X-Trace-Id: a\r\nContent-Length: 500\r\n", "{"),
             "")) {
-      sockets.add(new Socket(InetAddress.getLoopbackAddress(), stage.httpPort));
+      sockets.add(new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort));
       sockets
           .get(sockets.size() - 1)
           .getOutputStream()
@@ -397,51 +397,55 @@
   /** A watch that receives nothing is reopened, and the cached list stays in use. */
   @Test
   void unresponsiveWatchIsReopened() throws Exception {
-    stage.discovery.pushChange(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
-    assertTrue(stage.discovery.requests.poll(5, TimeUnit.SECONDS) != null);
+    fixture.discovery.pushChange(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
+    assertTrue(fixture.discovery.requests.poll(5, TimeUnit.SECONDS) != null);
     assertEquals(
         "/registry/instances?follow=1&since=2",
-        stage.discovery.requests.poll(12, TimeUnit.SECONDS));
-    assertEquals(1, stage.counter("roster_lost"));
+        fixture.discovery.requests.poll(12, TimeUnit.SECONDS));
+    assertEquals(1, fixture.counter("roster_lost"));
   }
 
   @Test
   void watchResumesFromItsRevision() throws Exception {
-    String asked = stage.discovery.requests.poll(5, TimeUnit.SECONDS);
-    assertEquals("/registry/instances?follow=1&since=0", asked);
-    stage.discovery.pushChange(
+    String requested = fixture.discovery.requests.poll(5, TimeUnit.SECONDS);
+    assertEquals("/registry/instances?follow=1&since=0", requested);
+    fixture.discovery.pushChange(
         Discovery.entry("s-9", 9, "a", 0, "ready", ""),
         "{\"instanceId\":\"bad\"}",
         Discovery.entry("s-8", 8, "nowhere", 0, "ready", ""));
-    while (stage.counter("bad_roster_entries") < 2) {
+    while (fixture.counter("bad_roster_entries") < 2) {
       Thread.onSpinWait();
     }
-    stage.discovery.watches.get(0).reset();
+    fixture.discovery.watches.get(0).reset();
     assertEquals(
-        "/registry/instances?follow=1&since=2", stage.discovery.requests.poll(5, TimeUnit.SECONDS));
-    assertTrue(stage.counter("roster_lost") >= 1);
+        "/registry/instances?follow=1&since=2",
+        fixture.discovery.requests.poll(5, TimeUnit.SECONDS));
+    assertTrue(fixture.counter("roster_lost") >= 1);
   }
 
   /** Lists may be indented, so a line feed does not mark the end of a list. */
   @Test
   void indentedListIsParsed() throws Exception {
     assertEquals(
-        "/registry/instances?follow=1&since=0", stage.discovery.requests.poll(5, TimeUnit.SECONDS));
-    stage.discovery.indented = true;
-    stage.discovery.pushChange(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
-    stage.discovery.setList(Discovery.entry("s-8", 8, "a", 0, "ready", ""));
-    while (stage.counter("roster_news") < 2) {
+        "/registry/instances?follow=1&since=0",
+        fixture.discovery.requests.poll(5, TimeUnit.SECONDS));
+    fixture.discovery.indented = true;
+    fixture.discovery.pushChange(Discovery.entry("s-9", 9, "a", 0, "ready", ""));
+    fixture.discovery.setList(Discovery.entry("s-8", 8, "a", 0, "ready", ""));
+    while (fixture.counter("roster_news") < 2) {
       Thread.onSpinWait();
     }
-    stage.discovery.watches.get(0).reset();
+    fixture.discovery.watches.get(0).reset();
     assertEquals(
-        "/registry/instances?follow=1&since=2", stage.discovery.requests.poll(5, TimeUnit.SECONDS));
-    while (stage.counter("roster_news") < 3) {
+        "/registry/instances?follow=1&since=2",
+        fixture.discovery.requests.poll(5, TimeUnit.SECONDS));
+    while (fixture.counter("roster_news") < 3) {
       Thread.onSpinWait();
     }
-    stage.discovery.watches.get(1).reset();
+    fixture.discovery.watches.get(1).reset();
     assertEquals(
-        "/registry/instances?follow=1&since=3", stage.discovery.requests.poll(5, TimeUnit.SECONDS));
-    assertEquals(0, stage.counter("bad_roster_entries"));
+        "/registry/instances?follow=1&since=3",
+        fixture.discovery.requests.poll(5, TimeUnit.SECONDS));
+    assertEquals(0, fixture.counter("bad_roster_entries"));
   }
 }
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -422,7 +422,7 @@
 
   /** The listener closes while accept fails: clients in its queue are still answered. */
   @Test
-  void queuedConnectionsAreAcceptedThoughAcceptFailsAtTheClose() throws Exception {
+  void queuedConnectionsAreAcceptedDespiteAcceptFailuresAtClose() throws Exception {
     failingAccepts.set(20);
     CountDownLatch complete = new CountDownLatch(1);
     try (Socket socket = connect()) {
--- a/src/test/java/dunlinhitch/server/AdminTest.java
+++ b/src/test/java/dunlinhitch/server/AdminTest.java
@@ -29,21 +29,21 @@
 
 /** Requests of operators to the admin server, over loopback. */
 class AdminTest {
-  private final BrokerFixture stage;
+  private final BrokerFixture fixture;
   @TempDir private Path dir;
 
   AdminTest() throws Exception {
-    stage = new BrokerFixture();
+    fixture = new BrokerFixture();
   }
 
   @AfterEach
   void close() throws Exception {
-    stage.close();
+    fixture.close();
   }
 
   /** Sends one request on a separate connection and returns the complete response. */
   private String call(String line) throws IOException {
-    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort)) {
+    try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.adminPort)) {
       socket
           .getOutputStream()
           .write((line + " HTTP/1.1\r\nHost: ops\r\n\r\n").getBytes(StandardCharsets.UTF_8));
@@ -67,12 +67,12 @@
   /** The metrics are those of the reducer, not of a frontend. */
   @Test
   void countsRequestsOfBothProtocolsInTheSameMetrics() throws Exception {
-    FrameStore frames = new FrameStore(stage.vertx, "f");
+    FrameStore frames = new FrameStore(fixture.vertx, "f");
     FlightStore flight = new FlightStore("g");
-    stage.publishStores(frames, flight);
-    stage.start(BrokerFixture.settings(100), null);
-    Client http = Client.http(stage.httpPort);
-    Client arrow = Client.flight(stage.broker.flightPort());
+    fixture.publishStores(frames, flight);
+    fixture.start(BrokerFixture.settings(100), null);
+    Client http = Client.http(fixture.httpPort);
+    Client arrow = Client.flight(fixture.broker.flightPort());
     for (int i = 0; i < 4; i++) {
       assertEquals(
           "whole",
@@ -124,19 +124,19 @@
    */
   @Test
   void disabledEndpointReceivesNothingUntilEnabled() throws Exception {
-    stage.scratchDirectory = dir;
-    FrameStore frames = new FrameStore(stage.vertx, "s/1 é");
+    fixture.scratchDirectory = dir;
+    FrameStore frames = new FrameStore(fixture.vertx, "s/1 é");
     FlightStore flight = new FlightStore("g");
-    stage.publishStores(frames, flight);
-    stage.start(BrokerFixture.settings(100), null);
-    Client http = Client.http(stage.httpPort);
+    fixture.publishStores(frames, flight);
+    fixture.start(BrokerFixture.settings(100), null);
+    Client http = Client.http(fixture.httpPort);
     for (Store disabled : List.of(frames, flight)) {
       String id = URLEncoder.encode(disabled.name, StandardCharsets.UTF_8);
       disable(id, true, 200);
       disable(id, true, 200);
       assertEquals(1, disabledEndpointCount());
       assertEquals(1, metric("skipped_calendar_stores"));
-      stage.publishStores(frames, flight);
+      fixture.publishStores(frames, flight);
       disabled.receivedParts.clear();
       disabled.healthChecks.clear();
       for (int i = 0; i < 10; i++) {
@@ -179,10 +179,10 @@
     List<String> notifications = new CopyOnWriteArrayList<>();
     DisabledEndpointFolder first =
         new DisabledEndpointFolder(
-            stage.vertx, dir, (disabled, back) -> notifications.add("one " + disabled + back));
+            fixture.vertx, dir, (disabled, back) -> notifications.add("one " + disabled + back));
     DisabledEndpointFolder second =
         new DisabledEndpointFolder(
-            stage.vertx, dir, (disabled, back) -> notifications.add("two " + disabled + back));
+            fixture.vertx, dir, (disabled, back) -> notifications.add("two " + disabled + back));
     first.start(true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     second.start(true).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     for (String id : List.of("a", "../b c")) {
@@ -191,7 +191,7 @@
     }
     DisabledEndpointFolder restarted =
         new DisabledEndpointFolder(
-            stage.vertx, dir, (disabled, back) -> notifications.add("later " + disabled.size()));
+            fixture.vertx, dir, (disabled, back) -> notifications.add("later " + disabled.size()));
     restarted.start(false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     awaitNotification(notifications, "later 2");
     second.persist("a", false).toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
@@ -208,13 +208,13 @@
    */
   @Test
   void reportsAnErrorWhenDisablingCannotBePersisted() throws Exception {
-    stage.scratchDirectory = Files.createFile(dir.resolve("no-folder"));
-    FrameStore store = new FrameStore(stage.vertx, "s");
-    stage.publishStores(store);
-    stage.start(BrokerFixture.settings(100), null);
+    fixture.scratchDirectory = Files.createFile(dir.resolve("no-folder"));
+    FrameStore store = new FrameStore(fixture.vertx, "s");
+    fixture.publishStores(store);
+    fixture.start(BrokerFixture.settings(100), null);
     assertEquals(
         "whole",
-        Client.http(stage.httpPort)
+        Client.http(fixture.httpPort)
             .send("free-search", Map.of("X-Trace-Id", "q", "X-Expires-In", "1.0"), Client.body(0))
             .get(5, TimeUnit.SECONDS)
             .outcome());
@@ -231,7 +231,7 @@
 
   @Test
   void rejectsInvalidAdminRequests() throws Exception {
-    stage.start(BrokerFixture.settings(100), null);
+    fixture.start(BrokerFixture.settings(100), null);
     assertEquals(404, status(call("GET /nothing")));
     assertEquals(405, status(call("POST /ready")));
     assertEquals(405, status(call("DELETE /metrics")));
@@ -245,10 +245,10 @@
    */
   @Test
   void idleAndIncompleteCallersDoNotBlockOthers() throws Exception {
-    stage.start(BrokerFixture.settings(100), null);
+    fixture.start(BrokerFixture.settings(100), null);
     List<Socket> idleCallers = new ArrayList<>();
     for (int i = 0; i < 80; i++) {
-      Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort);
+      Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.adminPort);
       idleCallers.add(socket);
       if (i % 2 == 0) {
         socket
--- a/src/test/java/dunlinhitch/server/CancellationInTransitTest.java
+++ b/src/test/java/dunlinhitch/server/CancellationInTransitTest.java
@@ -59,7 +59,7 @@
               return Behavior.GOOD;
             }
             firstStore = name;
-            held = bed.links.add((from, to) -> to.equals(name), Harm.HELD, 0, 1);
+            held = testBed.links.add((from, to) -> to.equals(name), Harm.HELD, 0, 1);
             return Behavior.NOTHING;
           };
     }
@@ -77,16 +77,17 @@
 
   private volatile String firstStore;
   private volatile NetworkFaults.Rule held;
-  private TestBed bed;
+  private TestBed testBed;
   private TestBed.Node broker;
   private Client client;
   @TempDir private Path directory;
 
   @BeforeEach
   void start() throws Exception {
-    bed = new TestBed(directory, 1, new TestBed.Plan(1, 2, 2, SETTINGS, null, RecordingStore::new));
-    bed.start(bed.nodes());
-    broker = bed.nodes().get(0);
+    testBed =
+        new TestBed(directory, 1, new TestBed.Plan(1, 2, 2, SETTINGS, null, RecordingStore::new));
+    testBed.start(testBed.nodes());
+    broker = testBed.nodes().get(0);
     client = Client.http(broker.httpPort);
     assertEquals("whole", ask("warm", 1).get(WAIT_S, TimeUnit.SECONDS).outcome());
   }
@@ -94,7 +95,7 @@
   @AfterEach
   void stop() throws Exception {
     client.close();
-    bed.close();
+    testBed.close();
   }
 
   private CompletableFuture<Response> ask(String id, int shard) {
@@ -115,12 +116,12 @@
     TestBed.await(
         "the cancellation is written and blocked",
         WAIT_S,
-        () -> firstStore != null && bed.onLoop(() -> broker.proxyTo(firstStore).holdsBytes()));
+        () -> firstStore != null && testBed.onLoop(() -> broker.proxyTo(firstStore).holdsBytes()));
     askOthers();
     assertEquals(List.of("attempt at " + firstStore), history);
-    bed.onLoop(
+    testBed.onLoop(
         () -> {
-          bed.links.remove(held);
+          testBed.links.remove(held);
           broker.proxyTo(firstStore).release();
           return null;
         });
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -61,7 +61,7 @@
   private static final String LISTEN = "\"peer_listen\":\"127.0.0.1:7400\",";
 
   @Test
-  void readsPeersInAnyFormThatNamesAddresses() throws IOException {
+  void readsPeersInAllSupportedForms() throws IOException {
     Address one = new Address("10.0.0.1", 7400);
     Address two = new Address("10.0.0.2", 7401);
     for (String form :
@@ -133,7 +133,7 @@
    * with the same name.
    */
   @Test
-  void advertisesItsOwnAddressWhateverPeersWereGiven() throws Exception {
+  void advertisesItsOwnAddressRegardlessOfPeerConfiguration() throws Exception {
     Vertx vertx = Vertx.vertx();
     try {
       GossipSocket other = new GossipSocket(vertx, new AddressBook(256, List.of()), event -> {});
--- a/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
@@ -22,20 +22,20 @@
   private static final int WAIT_S = 40;
   @TempDir private Path dir;
 
-  private static void assertEvenLoad(TestBed rig) {
-    int brokers = (int) rig.nodes().stream().filter(TestBed.Node::isUp).count();
-    Map<String, Integer> load = rig.load(TestBed.Node::isUp);
+  private static void assertEvenLoad(TestBed testBed) {
+    int brokers = (int) testBed.nodes().stream().filter(TestBed.Node::isUp).count();
+    Map<String, Integer> load = testBed.load(TestBed.Node::isUp);
     assertTrue(
         load.values().stream()
             .allMatch(l -> l >= 1 && l <= SubsetSettings.STANDARD.maxLoad(brokers, 3)),
         load.toString());
   }
 
-  private static void partitionAndHeal(TestBed rig) throws Exception {
-    List<TestBed.Node> nodes = rig.nodes();
+  private static void partitionAndHeal(TestBed testBed) throws Exception {
+    List<TestBed.Node> nodes = testBed.nodes();
     List<String> cached = nodes.get(3).kept();
     NetworkFaults.Rule cut =
-        rig.links.add(
+        testBed.links.add(
             (from, to) ->
                 from.startsWith("n") && to.startsWith("n") && from.equals("n3") != to.equals("n3"),
             NetworkFaults.Harm.LOST,
@@ -43,19 +43,19 @@
             1);
     TestBed.await("the others agree without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
     assertEquals(cached, nodes.get(3).kept(), "an isolated broker must keep its subset");
-    rig.links.remove(cut);
+    testBed.links.remove(cut);
     TestBed.await("n3 is back", WAIT_S, () -> TestBed.agree(nodes));
   }
 
-  private static void killAndRestart(TestBed rig) throws Exception {
-    List<TestBed.Node> nodes = rig.nodes();
+  private static void killAndRestart(TestBed testBed) throws Exception {
+    List<TestBed.Node> nodes = testBed.nodes();
     nodes.get(1).kill();
     List<TestBed.Node> survivors = List.of(nodes.get(0), nodes.get(2), nodes.get(3));
     TestBed.await("the others agree without n1", WAIT_S, () -> TestBed.agree(survivors));
-    assertEvenLoad(rig);
-    rig.start(List.of(nodes.get(1)));
+    assertEvenLoad(testBed);
+    testBed.start(List.of(nodes.get(1)));
     TestBed.await("n1 is back", WAIT_S, () -> TestBed.agree(nodes));
-    assertEvenLoad(rig);
+    assertEvenLoad(testBed);
   }
 
   /**
@@ -64,25 +64,25 @@
    * fault the brokers converge again with an even load of the endpoints.
    */
   @Test
-  void partitionsKillsAndSilenceLoseNoQuery() throws Exception {
-    try (TestBed rig = new TestBed(dir, 3, 4, 2, 3, "")) {
-      List<TestBed.Node> nodes = rig.nodes();
-      rig.start(nodes);
+  void partitionsCrashesAndUnresponsiveEndpointsLoseNoQuery() throws Exception {
+    try (TestBed testBed = new TestBed(dir, 3, 4, 2, 3, "")) {
+      List<TestBed.Node> nodes = testBed.nodes();
+      testBed.start(nodes);
       TestBed.await("all agree", WAIT_S, () -> TestBed.agree(nodes));
-      assertEvenLoad(rig);
-      QueryLoad clients = new QueryLoad(rig, 100);
+      assertEvenLoad(testBed);
+      QueryLoad clients = new QueryLoad(testBed, 100);
       clients.start();
 
-      partitionAndHeal(rig);
-      killAndRestart(rig);
+      partitionAndHeal(testBed);
+      killAndRestart(testBed);
 
       String endpoint = nodes.get(0).kept().get(0);
-      rig.links.add(
+      testBed.links.add(
           (from, to) -> from.equals(endpoint) && to.equals("n0"), NetworkFaults.Harm.LOST, 0, 1);
       int ended = clients.ended();
       TestBed.await("a hundred more queries ended", WAIT_S, () -> clients.ended() >= ended + 100);
-      rig.links.clear();
-      rig.reset(nodes.get(0));
+      testBed.links.clear();
+      testBed.reset(nodes.get(0));
 
       nodes.get(2).terminate();
       TestBed.await("n2 has terminated", WAIT_S, () -> !nodes.get(2).isUp());
@@ -109,20 +109,20 @@
    */
   @Test
   void brokerCutFromDiscoveryIsFencedAndRejoins() throws Exception {
-    try (TestBed rig = new TestBed(dir, 4, 4, 2, 3, "behind 500ms\nshut_out 2s\n")) {
-      List<TestBed.Node> nodes = rig.nodes();
+    try (TestBed testBed = new TestBed(dir, 4, 4, 2, 3, "behind 500ms\nshut_out 2s\n")) {
+      List<TestBed.Node> nodes = testBed.nodes();
       TestBed.Node cut = nodes.get(3);
-      rig.start(nodes);
+      testBed.start(nodes);
       TestBed.await("all agree", WAIT_S, () -> TestBed.agree(nodes));
-      QueryLoad clients = new QueryLoad(rig, 100);
+      QueryLoad clients = new QueryLoad(testBed, 100);
       clients.start();
       NetworkFaults.Rule rule =
-          rig.links.add(
+          testBed.links.add(
               (from, to) -> List.of(from, to).containsAll(List.of("n3", "d")),
               NetworkFaults.Harm.LOST,
               0,
               1);
-      rig.change("s0-2", "draining");
+      testBed.change("s0-2", "draining");
       TestBed.await(
           "n3 has detected that its list is outdated",
           WAIT_S,
@@ -135,8 +135,8 @@
               && logged(nodes.get(0), "broker n3 is shut out: "));
       TestBed.await(
           "n3 has rejected a query", WAIT_S, () -> clients.ended(QueryLoad.End.REFUSED) > 0);
-      rig.links.remove(rule);
-      rig.resetStalled(cut);
+      testBed.links.remove(rule);
+      testBed.resetStalled(cut);
       TestBed.await(
           "n3 has the list", WAIT_S, () -> logged(cut, "this broker has caught up: roster 2"));
       TestBed.await("all brokers agree again", WAIT_S, () -> TestBed.agree(nodes));
--- a/src/test/java/dunlinhitch/server/OwnTransport.java
+++ b/src/test/java/dunlinhitch/server/CustomTransport.java
@@ -4,7 +4,7 @@
 import io.vertx.core.transport.Transport;
 
 /** Base class of transports with which tests create their own channels. */
-public abstract class OwnTransport extends NioTransport implements Transport {
+public abstract class CustomTransport extends NioTransport implements Transport {
   @Override
   public String name() {
     return "own";
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -140,19 +140,19 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void partOfADepartedClientIsNotSentOnceConnected(boolean mayCancel) throws Exception {
-    BrokerFixture stage = new BrokerFixture();
+  void partOfDisconnectedClientIsNotSentOnceConnected(boolean mayCancel) throws Exception {
+    BrokerFixture fixture = new BrokerFixture();
     try (LateStore store = new LateStore()) {
-      stage.publishStores(store);
-      stage.start(longDeadlines(mayCancel), null);
-      Client client = Client.http(stage.httpPort);
-      await(() -> stage.counter("roster_news") > 0);
+      fixture.publishStores(store);
+      fixture.start(longDeadlines(mayCancel), null);
+      Client client = Client.http(fixture.httpPort);
+      await(() -> fixture.counter("roster_news") > 0);
       CompletableFuture<Response> departed = ask(client, "q1");
-      await(() -> stage.counter("attempts_sent") == 1);
+      await(() -> fixture.counter("attempts_sent") == 1);
       departed.cancel(true);
-      await(() -> stage.counter("client_left") == 1);
+      await(() -> fixture.counter("client_left") == 1);
       CompletableFuture<Response> remaining = ask(client, "q2");
-      await(() -> stage.counter("attempts_sent") == 2);
+      await(() -> fixture.counter("attempts_sent") == 2);
       try (Socket accepted = store.accept()) {
         accepted.setSoTimeout(10_000);
         DataInputStream in = new DataInputStream(accepted.getInputStream());
@@ -160,11 +160,11 @@
         assertEquals("mq2.0 ", new String(frame, 0, 6, StandardCharsets.US_ASCII));
         accepted.getOutputStream().write(FrameStore.frame('q', "q2.0 good 1 -\nv").getBytes());
         assertEquals("whole", remaining.get(10, TimeUnit.SECONDS).outcome());
-        assertEquals(1, stage.counter("attempts_written"));
+        assertEquals(1, fixture.counter("attempts_written"));
       }
       client.close();
     } finally {
-      stage.close();
+      fixture.close();
     }
   }
 
@@ -174,20 +174,20 @@
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void requestReadTogetherWithItsClientsDisconnectIsNotSent(boolean reset) throws Exception {
-    BrokerFixture stage = new BrokerFixture();
-    FrameStore store = new FrameStore(stage.vertx, "s-0");
+  void requestReceivedTogetherWithDisconnectIsNotSent(boolean reset) throws Exception {
+    BrokerFixture fixture = new BrokerFixture();
+    FrameStore store = new FrameStore(fixture.vertx, "s-0");
     try {
-      stage.publishStores(store);
-      stage.start(longDeadlines(true), null);
-      await(() -> stage.counter("roster_news") > 0);
+      fixture.publishStores(store);
+      fixture.start(longDeadlines(true), null);
+      await(() -> fixture.counter("roster_news") > 0);
       CountDownLatch blocked = new CountDownLatch(1);
       CountDownLatch resume = new CountDownLatch(1);
-      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
-        Client.http(stage.httpPort)
+      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort)) {
+        Client.http(fixture.httpPort)
             .send("none", Map.of(), "")
             .get(10, TimeUnit.SECONDS); // establishes both connections
-        stage.vertx.runOnContext(
+        fixture.vertx.runOnContext(
             v -> {
               blocked.countDown();
               try {
@@ -210,12 +210,12 @@
         socket.setSoLinger(reset, 0);
       }
       resume.countDown();
-      await(() -> stage.counter("client_left") == 1);
-      assertEquals(0, stage.counter("attempts_sent"));
-      assertEquals(1, stage.counter("queries_taken"));
+      await(() -> fixture.counter("client_left") == 1);
+      assertEquals(0, fixture.counter("attempts_sent"));
+      assertEquals(1, fixture.counter("queries_taken"));
     } finally {
       store.close();
-      stage.close();
+      fixture.close();
     }
   }
 }
--- a/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
+++ b/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
@@ -49,24 +49,26 @@
   }
 
   @TempDir private Path folder;
-  private BrokerFixture stage;
+  private BrokerFixture fixture;
   private FakeNameServer responder;
   private final Vertx dns = Vertx.vertx();
   private final Zone zone = new Zone("rooms.example.org.");
-  private Store one;
-  private Store two;
+  private Store firstStore;
+  private Store secondStore;
   private Client client;
-  private int asked;
+  private int queryCount;
 
   private void prepare(Wire wire) throws Exception {
     responder = new FakeNameServer(dns, zone);
-    stage = new BrokerFixture();
-    stage.membershipTimes =
+    fixture = new BrokerFixture();
+    fixture.membershipTimes =
         new Product.MembershipTimes(2_000_000, 3_600_000_000L, 500_000, 4_000_000, 60_000_000);
-    one = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-0") : new FlightStore("s-0");
-    two = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-1") : new FlightStore("s-1");
-    announce(one, 0);
-    announce(two, 1);
+    firstStore =
+        wire == Wire.FRAMES ? new FrameStore(fixture.vertx, "s-0") : new FlightStore("s-0");
+    secondStore =
+        wire == Wire.FRAMES ? new FrameStore(fixture.vertx, "s-1") : new FlightStore("s-1");
+    announce(firstStore, 0);
+    announce(secondStore, 1);
   }
 
   private List<Record> records(Store store, int cell, String... more) {
@@ -93,7 +95,7 @@
 
   private void start(boolean push, long soaEveryUs) throws Exception {
     Address pushed = push ? new Address("localhost", responder.startPush(folder)) : null;
-    stage.start(
+    fixture.start(
         BrokerFixture.settings(300),
         new Product.DnsService(
             "main",
@@ -107,10 +109,10 @@
             push ? responder.trust() : null,
             null,
             4096));
-    client = Client.http(stage.httpPort);
+    client = Client.http(fixture.httpPort);
     await(
         () ->
-            stage
+            fixture
                 .broker
                 .counters()
                 .lines()
@@ -129,7 +131,7 @@
   }
 
   private Response ask(int... shards) throws Exception {
-    String id = "q" + ++asked;
+    String id = "q" + ++queryCount;
     return client
         .send("free-search", Map.of("X-Trace-Id", id, "X-Expires-In", "1.000"), Client.body(shards))
         .get(5, TimeUnit.SECONDS);
@@ -140,9 +142,9 @@
     if (client != null) {
       client.close();
     }
-    one.close();
-    two.close();
-    stage.close();
+    firstStore.close();
+    secondStore.close();
+    fixture.close();
     responder.close();
     dns.close();
   }
@@ -154,26 +156,26 @@
     start(true, 0);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     assertTrue(
-        one.receivedParts.size() > 0 && two.receivedParts.size() > 0,
+        firstStore.receivedParts.size() > 0 && secondStore.receivedParts.size() > 0,
         "both endpoints must be in use");
-    zone.remove(pointer(one));
-    await(() -> stage.counter("members_withdrawn") == 1);
-    one.receivedParts.clear();
+    zone.remove(pointer(firstStore));
+    await(() -> fixture.counter("members_withdrawn") == 1);
+    firstStore.receivedParts.clear();
     for (int i = 0; i < 5; i++) {
       assertEquals("whole", ask(0, 1, 2, 3).outcome());
     }
-    assertEquals(0, one.receivedParts.size(), "a withdrawn endpoint got a new part");
-    zone.add(pointer(one));
+    assertEquals(0, firstStore.receivedParts.size(), "a withdrawn endpoint got a new part");
+    zone.add(pointer(firstStore));
     await(
         () -> {
           try {
-            return ask(0, 1, 2, 3).outcome().equals("whole") && one.receivedParts.size() > 0;
+            return ask(0, 1, 2, 3).outcome().equals("whole") && firstStore.receivedParts.size() > 0;
           } catch (Exception e) {
             throw new IllegalStateException(e);
           }
         });
     assertEquals(
-        0, stage.counter("members_gone"), "the endpoint returned before it was considered gone");
+        0, fixture.counter("members_gone"), "the endpoint returned before it was considered gone");
   }
 
   /** A part that waits for a connection to a withdrawn endpoint is never sent to it. */
@@ -182,21 +184,21 @@
   void partWaitingForAConnectionMovesToAnotherEndpoint(Wire wire) throws Exception {
     prepare(wire);
     start(true, 0);
-    zone.remove(pointer(one));
-    zone.remove(pointer(two));
-    await(() -> stage.counter("members_withdrawn") == 2);
-    one.receivedParts.clear();
-    two.receivedParts.clear();
+    zone.remove(pointer(firstStore));
+    zone.remove(pointer(secondStore));
+    await(() -> fixture.counter("members_withdrawn") == 2);
+    firstStore.receivedParts.clear();
+    secondStore.receivedParts.clear();
     var open =
         client.send(
             "free-search",
             Map.of("X-Trace-Id", "open", "X-Expires-In", "1.000"),
             Client.body(0, 1));
-    await(() -> stage.counter("queries_taken") == 1);
-    zone.add(pointer(two));
-    Response got = open.get(5, TimeUnit.SECONDS);
-    assertTrue(List.of("whole", "refused").contains(got.outcome()), got.toString());
-    assertEquals(0, one.receivedParts.size());
+    await(() -> fixture.counter("queries_taken") == 1);
+    zone.add(pointer(secondStore));
+    Response response = open.get(5, TimeUnit.SECONDS);
+    assertTrue(List.of("whole", "refused").contains(response.outcome()), response.toString());
+    assertEquals(0, firstStore.receivedParts.size());
   }
 
   @Test
@@ -205,8 +207,8 @@
     start(false, 100_000);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> responder.queries.stream().anyMatch(q -> q.type() == Type.SOA));
-    zone.remove(pointer(one)); // its records are valid for 120 s, but the serial has changed
-    await(() -> stage.counter("members_withdrawn") == 1);
+    zone.remove(pointer(firstStore)); // its records are valid for 120 s, but the serial has changed
+    await(() -> fixture.counter("members_withdrawn") == 1);
   }
 
   @ParameterizedTest
@@ -231,13 +233,13 @@
     responder.queries.clear();
     zone.empty(); // no valid answer reports it yet
     await(() -> responder.queries.stream().filter(q -> q.type() == Type.PTR).count() >= 2);
-    one.receivedParts.clear();
-    two.receivedParts.clear();
+    firstStore.receivedParts.clear();
+    secondStore.receivedParts.clear();
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
-    assertEquals(4, one.receivedParts.size() + two.receivedParts.size());
-    assertEquals(0, stage.counter("members_withdrawn"));
+    assertEquals(4, firstStore.receivedParts.size() + secondStore.receivedParts.size());
+    assertEquals(0, fixture.counter("members_withdrawn"));
     responder.script = q -> Fault.NONE; // now the empty zone is answered with authority
-    await(() -> stage.counter("members_withdrawn") == 2);
+    await(() -> fixture.counter("members_withdrawn") == 2);
   }
 
   @ParameterizedTest
@@ -248,7 +250,7 @@
     prepare(Wire.FRAMES);
     responder.script = q -> fault;
     start(false, 0);
-    await(() -> stage.counter("roster_news") >= 1);
+    await(() -> fixture.counter("roster_news") >= 1);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
   }
 
@@ -257,11 +259,11 @@
     prepare(Wire.FRAMES);
     start(true, 0);
     responder.cutSessions(true);
-    await(() -> stage.counter("push_ended") >= 1);
+    await(() -> fixture.counter("push_ended") >= 1);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> responder.subscriptions() >= 6);
-    zone.remove(pointer(two));
-    await(() -> stage.counter("members_withdrawn") == 1);
+    zone.remove(pointer(secondStore));
+    await(() -> fixture.counter("members_withdrawn") == 1);
   }
 
   /**
@@ -282,10 +284,10 @@
       }
       responder.pushRaw(Buffer.buffer().appendUnsignedShort(noise.length).appendBytes(noise));
     }
-    await(() -> stage.counter("push_ended") >= 1);
+    await(() -> fixture.counter("push_ended") >= 1);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
-    assertEquals(0, stage.counter("faults"));
-    assertEquals(0, stage.counter("members_withdrawn"));
+    assertEquals(0, fixture.counter("faults"));
+    assertEquals(0, fixture.counter("members_withdrawn"));
   }
 
   /**
@@ -301,23 +303,23 @@
             SERVICE,
             "Impostor",
             "127.0.0.1",
-            two.port() == 9 ? 10 : 9,
+            secondStore.port() == 9 ? 10 : 9,
             120,
             "id=s-0",
             "cell=0",
             "zone=a");
     zone.change(List.of(), other);
-    await(() -> stage.counter("members_disputed") == 1);
-    one.receivedParts.clear();
+    await(() -> fixture.counter("members_disputed") == 1);
+    firstStore.receivedParts.clear();
     for (int i = 0; i < 3; i++) {
       assertEquals("whole", ask(0, 1, 2, 3).outcome());
     }
-    assertEquals(0, one.receivedParts.size());
+    assertEquals(0, firstStore.receivedParts.size());
     zone.remove(Zone.pointer(SERVICE, "Impostor", 120));
     await(
         () -> {
           try {
-            return ask(0, 1).outcome().equals("whole") && one.receivedParts.size() > 0;
+            return ask(0, 1).outcome().equals("whole") && firstStore.receivedParts.size() > 0;
           } catch (Exception e) {
             throw new IllegalStateException(e);
           }
@@ -342,15 +344,15 @@
   @Test
   void restartWithDnsDownServesFromTheSavedState() throws Exception {
     prepare(Wire.FRAMES);
-    stage.stateDirectory = folder.resolve("state");
+    fixture.stateDirectory = folder.resolve("state");
     start(false, 0);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> Files.exists(folder.resolve("state/roster.state")));
-    stage.stop().get(10, TimeUnit.SECONDS);
+    fixture.stop().get(10, TimeUnit.SECONDS);
     client.close();
     responder.script = q -> Fault.LOST;
     BrokerFixture again = new BrokerFixture();
-    again.stateDirectory = stage.stateDirectory;
+    again.stateDirectory = fixture.stateDirectory;
     again.start(BrokerFixture.settings(300), serviceWithoutPush());
     client = Client.http(again.httpPort);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
@@ -364,7 +366,7 @@
     bytes[bytes.length / 2] ^= 4;
     Files.write(file, bytes);
     BrokerFixture third = new BrokerFixture();
-    third.stateDirectory = stage.stateDirectory;
+    third.stateDirectory = fixture.stateDirectory;
     third.start(BrokerFixture.settings(300), serviceWithoutPush());
     assertEquals(1, third.logLines.stream().filter(line -> line.contains("set aside")).count());
     assertTrue(Files.exists(folder.resolve("state/roster.state.damaged")));
@@ -382,7 +384,7 @@
     Path key =
         Files.writeString(
             folder.resolve("key"), "broker. hmac-sha256 c2VjcmV0IHNlY3JldCBzZWNyZXQ=\n");
-    stage.announcement =
+    fixture.announcement =
         new Product.Announcement(
             new Address("127.0.0.1", responder.port()),
             "rooms.example.org.",
@@ -402,7 +404,7 @@
         1,
         zone.get(new Question(instance, Type.SRV)).size(),
         "an instance name may contain spaces and dots");
-    var unused = stage.stop(); // waits only for the deregistration, which is the first step
+    var unused = fixture.stop(); // waits only for the deregistration, which is the first step
     await(
         () ->
             zone.get(new Question(service, Type.PTR)).isEmpty()
--- a/src/test/java/dunlinhitch/server/EndpointListSaverTest.java
+++ b/src/test/java/dunlinhitch/server/EndpointListSaverTest.java
@@ -75,7 +75,7 @@
   }
 
   @Test
-  void aFailedWriteIsRepeatedThoughNothingChangedSince() throws Exception {
+  void failedWriteIsRetriedWithoutFurtherChange() throws Exception {
     Path folder =
         Files.createFile(
             parent.resolve("state")); // a file instead of a folder, so that writes fail
@@ -95,7 +95,7 @@
 
   /** At the end of the process, a change that was made during a write is saved as well. */
   @Test
-  void theLastSaveComesBehindOneThatIsUnderWay() throws Exception {
+  void lastSaveRunsAfterWriteInProgress() throws Exception {
     EndpointListSaver saver = saver(parent);
     CountDownLatch saved = new CountDownLatch(1);
     onLoop(
--- a/src/test/java/dunlinhitch/server/HangupSignalsTest.java
+++ b/src/test/java/dunlinhitch/server/HangupSignalsTest.java
@@ -8,7 +8,7 @@
 class HangupSignalsTest {
   /** All signals before the task is set cause one run; each later signal causes one. */
   @Test
-  void signalsBeforeThereIsATaskRunItOnce() {
+  void signalsBeforeTaskIsSetRunItOnce() {
     HangupSignals signals = new HangupSignals();
     int[] runs = {0};
     signals.onSignal();
--- a/src/test/java/dunlinhitch/server/NoDelayTest.java
+++ b/src/test/java/dunlinhitch/server/NoDelayTest.java
@@ -27,15 +27,15 @@
  */
 class NoDelayTest {
   /** Returns TCP_NODELAY of each socket of the event loop, by its local and its remote port. */
-  private static Map<Integer, Boolean> noDelayByPort(BrokerFixture stage) throws Exception {
+  private static Map<Integer, Boolean> noDelayByPort(BrokerFixture fixture) throws Exception {
     CompletableFuture<Map<Integer, Boolean>> result = new CompletableFuture<>();
-    Object loop = ((VertxInternal) stage.vertx).nettyEventLoopGroup().iterator().next();
+    Object loop = ((VertxInternal) fixture.vertx).nettyEventLoopGroup().iterator().next();
     Field handler =
         Class.forName("io.netty.channel.SingleThreadIoEventLoop").getDeclaredField("ioHandler");
     handler.setAccessible(true);
     Method registered = handler.get(loop).getClass().getDeclaredMethod("registeredSet");
     registered.setAccessible(true);
-    stage.vertx.runOnContext(
+    fixture.vertx.runOnContext(
         v -> {
           Map<Integer, Boolean> all = new TreeMap<>();
           try {
@@ -63,39 +63,39 @@
 
   @Test
   void everySocketOfTheBrokerHasTcpNoDelay() throws Exception {
-    BrokerFixture stage = new BrokerFixture();
-    FrameStore store = new FrameStore(stage.vertx, "s-0");
+    BrokerFixture fixture = new BrokerFixture();
+    FrameStore store = new FrameStore(fixture.vertx, "s-0");
     try {
-      stage.publishStores(store);
-      stage.start(BrokerFixture.settings(300), null);
-      Client client = Client.http(stage.httpPort);
-      while (stage.counter("attempts_written") == 0) {
+      fixture.publishStores(store);
+      fixture.start(BrokerFixture.settings(300), null);
+      Client client = Client.http(fixture.httpPort);
+      while (fixture.counter("attempts_written") == 0) {
         client
             .send("free-search", Map.of("X-Trace-Id", "q", "X-Expires-In", "1"), Client.body(0))
             .get(10, TimeUnit.SECONDS);
       }
-      try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), stage.adminPort)) {
-        Map<Integer, Boolean> all = noDelayByPort(stage);
+      try (Socket operator = new Socket(InetAddress.getLoopbackAddress(), fixture.adminPort)) {
+        Map<Integer, Boolean> all = noDelayByPort(fixture);
         while (!all.containsKey(operator.getPort())) { // the accept runs on another thread
-          all = noDelayByPort(stage);
+          all = noDelayByPort(fixture);
         }
         for (Map.Entry<String, Integer> port :
             Map.of(
                     "clients",
-                    stage.httpPort,
+                    fixture.httpPort,
                     "operators",
-                    stage.adminPort,
+                    fixture.adminPort,
                     "the store",
                     store.port(),
                     "discovery",
-                    stage.discovery.port())
+                    fixture.discovery.port())
                 .entrySet()) {
           assertEquals(true, all.get(port.getValue()), port.getKey());
         }
       }
     } finally {
       store.close();
-      stage.close();
+      fixture.close();
     }
   }
 }
--- a/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
+++ b/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
@@ -64,7 +64,7 @@
   }
 
   @Test
-  void theOverlapLastsUntilTheOtherProcessHasEnded() throws Exception {
+  void overlapLastsUntilOtherProcessEnds() throws Exception {
     Process other = startOther();
     assertTrue(get(monitor().start()));
     assertEquals(BEGUN, events.poll(5, TimeUnit.SECONDS));
@@ -77,7 +77,7 @@
 
   /** The old process must detect the new one as well, so that both use half of the budgets. */
   @Test
-  void aProcessThatComesLaterIsSeen() throws Exception {
+  void laterProcessIsDetected() throws Exception {
     OverlapMonitor old = monitor();
     assertEquals(false, get(old.start()));
     OverlapMonitor successor =
@@ -93,7 +93,7 @@
    * not remove the file.
    */
   @Test
-  void aFileThatIsNotLockedYetIsLeftAlone() throws Exception {
+  void unlockedNewFileIsNotRemoved() throws Exception {
     Path unlocked = Files.createFile(folder.resolve("other.lock.new"));
     try (ProcessLocks locks = new ProcessLocks(folder)) {
       locks.acquire();
@@ -108,7 +108,7 @@
   }
 
   @Test
-  void aFolderThatCanNotBeUsedIsToldAndChangesNothing() throws Exception {
+  void unusableFolderFailsStartWithoutEvents() throws Exception {
     Path file = Files.createFile(folder.resolve("file"));
     OverlapMonitor blocked = new OverlapMonitor(vertx, file, () -> NOW_US, events::add, line -> {});
     assertTrue(
--- a/src/test/java/dunlinhitch/server/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -19,16 +19,16 @@
 class ReloadTest {
   private static final String APPLIED = "the configuration was taken: classes ";
 
-  private static Config config(BrokerFixture stage, Settings settings, long writtenMs) {
-    Address any = new Address("127.0.0.1", 0);
+  private static Config config(BrokerFixture fixture, Settings settings, long writtenMs) {
+    Address anyPort = new Address("127.0.0.1", 0);
     return new Config(
         "n0",
-        any,
-        any,
-        new Address("127.0.0.1", stage.discovery.port()),
+        anyPort,
+        anyPort,
+        new Address("127.0.0.1", fixture.discovery.port()),
         7,
         Json.object(),
-        stage.maxSockets,
+        fixture.maxSockets,
         settings,
         Product.NONE,
         null,
@@ -50,32 +50,32 @@
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
   void lastReadConfigurationApplies(boolean slow) throws Exception {
-    BrokerFixture stage = new BrokerFixture();
+    BrokerFixture fixture = new BrokerFixture();
     try {
-      stage.publishStores();
-      stage.start(BrokerFixture.settings(40), null);
+      fixture.publishStores();
+      fixture.start(BrokerFixture.settings(40), null);
       CompletableFuture<Void> bothApplied = new CompletableFuture<>();
       CountDownLatch anyLogged = new CountDownLatch(1);
-      stage.logListener =
+      fixture.logListener =
           line -> {
             anyLogged.countDown();
-            if (stage.logLines.stream().filter(one -> one.startsWith(APPLIED)).count() == 2) {
+            if (fixture.logLines.stream().filter(one -> one.startsWith(APPLIED)).count() == 2) {
               bothApplied.complete(null);
             }
           };
       Runnable reload =
-          () -> stage.broker.reload(() -> config(stage, BrokerFixture.twoSteps(40), 2));
-      stage.vertx.runOnContext(
+          () -> fixture.broker.reload(() -> config(fixture, BrokerFixture.twoSteps(40), 2));
+      fixture.vertx.runOnContext(
           v -> {
-            stage.broker.setConfigurationReader(
+            fixture.broker.setConfigurationReader(
                 () -> {
                   waitFor(anyLogged, slow ? 1 : 0);
-                  return config(stage, BrokerFixture.settings(40), 1);
+                  return config(fixture, BrokerFixture.settings(40), 1);
                 });
-            stage.broker.reloadIfChanged();
+            fixture.broker.reloadIfChanged();
             if (slow) {
               // on a separate context, so that only the broker itself orders the two reads
-              new Thread(() -> stage.vertx.runOnContext(w -> reload.run())).start();
+              new Thread(() -> fixture.vertx.runOnContext(w -> reload.run())).start();
             } else {
               reload.run();
             }
@@ -85,9 +85,9 @@
           List.of(
               APPLIED + "[free-search, slot-booking]",
               APPLIED + "[free-search, slot-booking, report]"),
-          stage.logLines.stream().filter(one -> one.startsWith(APPLIED)).toList());
+          fixture.logLines.stream().filter(one -> one.startsWith(APPLIED)).toList());
     } finally {
-      stage.close();
+      fixture.close();
     }
   }
 }
--- a/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
+++ b/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
@@ -40,51 +40,51 @@
     HTTP_TO_MIXED,
     FLIGHT_TO_MIXED;
 
-    Client client(BrokerFixture stage) {
+    Client client(BrokerFixture fixture) {
       return name().startsWith("HTTP")
-          ? Client.http(stage.httpPort)
-          : Client.flight(stage.broker.flightPort());
+          ? Client.http(fixture.httpPort)
+          : Client.flight(fixture.broker.flightPort());
     }
 
-    Store store(BrokerFixture stage, int number) throws Exception {
+    Store store(BrokerFixture fixture, int number) throws Exception {
       boolean flight = name().endsWith("FLIGHT") || (name().endsWith("MIXED") && number == 0);
-      return flight ? new FlightStore("s-" + number) : new FrameStore(stage.vertx, "s-" + number);
+      return flight ? new FlightStore("s-" + number) : new FrameStore(fixture.vertx, "s-" + number);
     }
   }
 
-  private BrokerFixture stage;
-  private Store one;
-  private Store two;
+  private BrokerFixture fixture;
+  private Store firstStore;
+  private Store secondStore;
   private Client client;
-  private int asked;
+  private int queryCount;
 
   private void begin(Path path, int maximumInFlight) throws Exception {
-    stage = new BrokerFixture();
-    one = path.store(stage, 0);
-    two = path.store(stage, 1);
-    stage.publishStores(one, two);
-    stage.start(BrokerFixture.twoSteps(maximumInFlight), null);
-    client = path.client(stage);
-    assertNotNull(stage.discovery.requests.poll(5, TimeUnit.SECONDS));
+    fixture = new BrokerFixture();
+    firstStore = path.store(fixture, 0);
+    secondStore = path.store(fixture, 1);
+    fixture.publishStores(firstStore, secondStore);
+    fixture.start(BrokerFixture.twoSteps(maximumInFlight), null);
+    client = path.client(fixture);
+    assertNotNull(fixture.discovery.requests.poll(5, TimeUnit.SECONDS));
   }
 
   @AfterEach
   void end() throws Exception {
     client.close();
-    one.close();
-    two.close();
-    stage.close();
+    firstStore.close();
+    secondStore.close();
+    fixture.close();
   }
 
   private CompletableFuture<Response> ask(String queryClass, int... shards) {
-    String id = "q" + ++asked;
+    String id = "q" + ++queryCount;
     return client.send(
         queryClass,
         Map.of("X-Trace-Id", id, "X-Expires-In", "1.100", "Idempotency-Key", "key-" + id),
         Client.body(shards));
   }
 
-  private CompletableFuture<Response> askUnder(String key, String id) {
+  private CompletableFuture<Response> askWithKey(String key, String id) {
     return client.send(
         "slot-booking",
         Map.of("X-Trace-Id", id, "X-Expires-In", "1.100", "Idempotency-Key", key),
@@ -96,24 +96,25 @@
   }
 
   private void script(java.util.function.Function<ReceivedPart, Behavior> script) {
-    one.script = script;
-    two.script = script;
+    firstStore.script = script;
+    secondStore.script = script;
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
-  void completeAnswerHoldsTheBackendsValues(Path path) throws Exception {
+  void completeAnswerContainsTheBackendsValues(Path path) throws Exception {
     begin(path, 300);
-    Response got = wait(ask("free-search", 0, 1, 2, 3, 4, 5));
-    assertEquals("whole", got.outcome());
-    assertEquals(6, got.parts().size());
-    got.parts()
+    Response response = wait(ask("free-search", 0, 1, 2, 3, 4, 5));
+    assertEquals("whole", response.outcome());
+    assertEquals(6, response.parts().size());
+    response
+        .parts()
         .forEach(
             (shard, value) -> assertTrue(value.matches("s-[01]/" + shard + "/tenors é"), value));
     assertTrue(
-        one.receivedParts.size() > 0 && two.receivedParts.size() > 0,
+        firstStore.receivedParts.size() > 0 && secondStore.receivedParts.size() > 0,
         "both stores have the shards, so both must be used");
-    for (ReceivedPart part : one.receivedParts) {
+    for (ReceivedPart part : firstStore.receivedParts) {
       assertTrue(
           part.list().matches("d=[0-9]+") && part.id().equals("q1." + part.shard()),
           part.toString());
@@ -125,16 +126,16 @@
   void interruptedStreamRetriesOnlyTheMissingParts(Path path) throws Exception {
     begin(path, 300);
     AtomicInteger taken = new AtomicInteger();
-    one.script = part -> taken.incrementAndGet() == 2 ? Behavior.CUT : Behavior.GOOD;
-    Response got = wait(ask("free-search", 0, 1, 2, 3, 4, 5, 6, 7));
-    assertEquals("whole", got.outcome());
-    String first = one.receivedParts.peek().id();
+    firstStore.script = part -> taken.incrementAndGet() == 2 ? Behavior.CUT : Behavior.GOOD;
+    Response response = wait(ask("free-search", 0, 1, 2, 3, 4, 5, 6, 7));
+    assertEquals("whole", response.outcome());
+    String first = firstStore.receivedParts.peek().id();
     assertTrue(
-        got.parts().get(one.receivedParts.peek().shard()).startsWith("s-0/"),
+        response.parts().get(firstStore.receivedParts.peek().shard()).startsWith("s-0/"),
         "the completely received row must be part of the answer");
-    assertEquals(1, one.receivedParts.stream().filter(p -> p.id().equals(first)).count());
-    assertTrue(two.receivedParts.stream().noneMatch(p -> p.id().equals(first)));
-    assertTrue(stage.counter("attempts_reset") >= 1);
+    assertEquals(1, firstStore.receivedParts.stream().filter(p -> p.id().equals(first)).count());
+    assertTrue(secondStore.receivedParts.stream().noneMatch(p -> p.id().equals(first)));
+    assertTrue(fixture.counter("attempts_reset") >= 1);
   }
 
   /**
@@ -145,15 +146,15 @@
   @EnumSource(Path.class)
   void malformedAnswerIsAFailureAndNeverForwarded(Path path) throws Exception {
     begin(path, 300);
-    for (Behavior how : List.of(Behavior.NO_TEXT, Behavior.NO_PART, Behavior.NO_END)) {
+    for (Behavior behavior : List.of(Behavior.NO_TEXT, Behavior.NO_PART, Behavior.NO_END)) {
       AtomicInteger taken = new AtomicInteger();
-      script(part -> taken.incrementAndGet() == 1 ? how : Behavior.GOOD);
-      Response got = wait(ask("slot-booking", 5));
-      assertEquals("whole", got.outcome(), how.name());
-      assertTrue(got.parts().get(5).matches("s-[01]/5/tenors é"), how.name());
-      assertEquals(2, taken.get(), how.name());
+      script(part -> taken.incrementAndGet() == 1 ? behavior : Behavior.GOOD);
+      Response response = wait(ask("slot-booking", 5));
+      assertEquals("whole", response.outcome(), behavior.name());
+      assertTrue(response.parts().get(5).matches("s-[01]/5/tenors é"), behavior.name());
+      assertEquals(2, taken.get(), behavior.name());
     }
-    assertEquals(3, stage.counter("bad_frames"));
+    assertEquals(3, fixture.counter("bad_frames"));
   }
 
   /** A duplicate or a bad load report affects neither the valid answer nor later ones. */
@@ -161,15 +162,15 @@
   @EnumSource(Path.class)
   void duplicateOrBadLoadReportDoesNotFailTheAnswer(Path path) throws Exception {
     begin(path, 300);
-    for (Behavior how : List.of(Behavior.TWICE, Behavior.NO_REPORT)) {
-      script(part -> how);
+    for (Behavior behavior : List.of(Behavior.TWICE, Behavior.NO_REPORT)) {
+      script(part -> behavior);
       for (int i = 0; i < 3; i++) {
-        assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).outcome(), how.name());
+        assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).outcome(), behavior.name());
       }
     }
-    assertEquals(24, stage.counter("attempts_sent"));
-    assertEquals(24, stage.counter("attempts_served"));
-    assertEquals(0, stage.counter("bad_frames"));
+    assertEquals(24, fixture.counter("attempts_sent"));
+    assertEquals(24, fixture.counter("attempts_served"));
+    assertEquals(0, fixture.counter("bad_frames"));
   }
 
   @ParameterizedTest
@@ -177,14 +178,14 @@
   void partialAnswerReachesTheMinimumAndIsNotMarkedComplete(Path path) throws Exception {
     begin(path, 300);
     script(part -> part.shard() == 3 ? Behavior.NOTHING : Behavior.GOOD);
-    Response got = wait(ask("free-search", 0, 1, 2, 3));
-    assertEquals("partial", got.outcome());
-    assertEquals(Set.of(0, 1, 2), got.parts().keySet());
+    Response response = wait(ask("free-search", 0, 1, 2, 3));
+    assertEquals("partial", response.outcome());
+    assertEquals(Set.of(0, 1, 2), response.parts().keySet());
     script(part -> part.shard() >= 2 ? Behavior.NOTHING : Behavior.GOOD);
-    got = wait(ask("free-search", 0, 1, 2, 3));
+    response = wait(ask("free-search", 0, 1, 2, 3));
     assertTrue(
-        List.of("refused", "late").contains(got.outcome()),
-        "half of the answer is below the minimum: " + got);
+        List.of("refused", "late").contains(response.outcome()),
+        "half of the answer is below the minimum: " + response);
   }
 
   @ParameterizedTest
@@ -194,16 +195,16 @@
     AtomicInteger taken = new AtomicInteger();
     script(part -> taken.incrementAndGet() == 1 ? Behavior.BAD : Behavior.GOOD);
     assertEquals("whole", wait(ask("slot-booking", 5)).outcome());
-    assertEquals(2, one.receivedParts.size() + two.receivedParts.size());
-    for (Store store : List.of(one, two)) {
+    assertEquals(2, firstStore.receivedParts.size() + secondStore.receivedParts.size());
+    for (Store store : List.of(firstStore, secondStore)) {
       store.receivedParts.forEach(p -> assertTrue(p.list().endsWith(",k=key-q1"), p.list()));
     }
     script(part -> Behavior.BAD);
-    one.receivedParts.clear();
-    two.receivedParts.clear();
+    firstStore.receivedParts.clear();
+    secondStore.receivedParts.clear();
     assertEquals("failed", wait(ask("slot-booking", 5)).outcome());
     assertTrue(
-        one.receivedParts.size() + two.receivedParts.size() <= 4,
+        firstStore.receivedParts.size() + secondStore.receivedParts.size() <= 4,
         "number of attempts must match the settings");
   }
 
@@ -216,27 +217,27 @@
   void repeatedIdempotencyKeyInFlightIsASeparateQuery(Path path) throws Exception {
     begin(path, 300);
     script(part -> part.id().startsWith("q1.") ? Behavior.NOTHING : Behavior.GOOD);
-    var unused = askUnder("same", "q1"); // never answered
-    while (one.receivedParts.isEmpty() && two.receivedParts.isEmpty()) {
+    var unused = askWithKey("same", "q1"); // never answered
+    while (firstStore.receivedParts.isEmpty() && secondStore.receivedParts.isEmpty()) {
       Thread.onSpinWait();
     }
-    assertEquals("whole", wait(askUnder("same", "q2")).outcome());
-    List<ReceivedPart> seen = new ArrayList<>(one.receivedParts);
-    seen.addAll(two.receivedParts);
+    assertEquals("whole", wait(askWithKey("same", "q2")).outcome());
+    List<ReceivedPart> seen = new ArrayList<>(firstStore.receivedParts);
+    seen.addAll(secondStore.receivedParts);
     assertEquals(
         Set.of("q1.2", "q2.2"), seen.stream().map(ReceivedPart::id).collect(Collectors.toSet()));
     assertTrue(seen.stream().allMatch(part -> part.list().endsWith(",k=same")), seen.toString());
-    assertEquals(0, stage.counter("sends_barred") + stage.counter("turned_away"));
+    assertEquals(0, fixture.counter("sends_barred") + fixture.counter("turned_away"));
   }
 
   @ParameterizedTest
   @EnumSource(Path.class)
   void rejectedPartIsRetriedAtAnotherEndpoint(Path path) throws Exception {
     begin(path, 300);
-    one.script = part -> Behavior.LATER;
+    firstStore.script = part -> Behavior.LATER;
     assertEquals("whole", wait(ask("slot-booking", 1)).outcome());
     assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).outcome());
-    assertEquals(0, stage.counter("sends_barred"));
+    assertEquals(0, fixture.counter("sends_barred"));
   }
 
   @ParameterizedTest
@@ -244,18 +245,18 @@
   void drainingEndpointReceivesNothingNew(Path path) throws Exception {
     begin(path, 300);
     assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).outcome());
-    stage.discovery.pushChange(Discovery.entry(one, "a", 0, "draining"));
-    while (stage.counter("roster_news") < 2) {
+    fixture.discovery.pushChange(Discovery.entry(firstStore, "a", 0, "draining"));
+    while (fixture.counter("roster_news") < 2) {
       Thread.onSpinWait();
     }
-    one.receivedParts.clear();
+    firstStore.receivedParts.clear();
     for (int i = 0; i < 5; i++) {
       assertEquals("whole", wait(ask("free-search", 0, 1, 2, 3)).outcome());
     }
-    assertNull(one.receivedParts.poll());
-    stage.discovery.pushChange(Discovery.entry(one, "a", 0, "gone"));
+    assertNull(firstStore.receivedParts.poll());
+    fixture.discovery.pushChange(Discovery.entry(firstStore, "a", 0, "gone"));
     assertEquals("whole", wait(ask("slot-booking", 0)).outcome());
-    assertNull(one.receivedParts.poll());
+    assertNull(firstStore.receivedParts.poll());
   }
 
   @ParameterizedTest
@@ -264,9 +265,9 @@
     begin(path, 300);
     script(part -> Behavior.NOTHING);
     long from = System.nanoTime();
-    Response got = wait(ask("slot-booking", 2));
+    Response response = wait(ask("slot-booking", 2));
     long elapsedMs = (System.nanoTime() - from) / 1_000_000;
-    assertEquals("late", got.outcome());
+    assertEquals("late", response.outcome());
     assertTrue(elapsedMs >= 800 && elapsedMs < 1_500, "after ms: " + elapsedMs);
   }
 
@@ -278,18 +279,20 @@
     CompletableFuture<Response> answer = ask("slot-booking", 2);
     ReceivedPart part = null;
     while (part == null) {
-      part = one.receivedParts.poll(10, TimeUnit.MILLISECONDS);
-      part = part == null ? two.receivedParts.poll(10, TimeUnit.MILLISECONDS) : part;
+      part = firstStore.receivedParts.poll(10, TimeUnit.MILLISECONDS);
+      part = part == null ? secondStore.receivedParts.poll(10, TimeUnit.MILLISECONDS) : part;
     }
     answer.cancel(true);
     String cancelled = null;
     while (cancelled == null) {
-      cancelled = one.cancelledParts.poll(10, TimeUnit.MILLISECONDS);
+      cancelled = firstStore.cancelledParts.poll(10, TimeUnit.MILLISECONDS);
       cancelled =
-          cancelled == null ? two.cancelledParts.poll(10, TimeUnit.MILLISECONDS) : cancelled;
+          cancelled == null
+              ? secondStore.cancelledParts.poll(10, TimeUnit.MILLISECONDS)
+              : cancelled;
     }
     assertEquals(part.id(), cancelled);
-    assertEquals(1, stage.counter("client_left"));
+    assertEquals(1, fixture.counter("client_left"));
   }
 
   @ParameterizedTest
@@ -298,12 +301,12 @@
     begin(path, 4);
     script(part -> Behavior.NOTHING);
     CompletableFuture<Response> admitted = ask("slot-booking", 2);
-    while (stage.counter("queries_taken") < 1) {
+    while (fixture.counter("queries_taken") < 1) {
       Thread.onSpinWait();
     }
-    Response got = wait(ask("free-search", 0, 1, 2));
-    assertEquals("refused", got.outcome());
-    assertTrue(Double.parseDouble(got.retryAfter()) > 0);
+    Response response = wait(ask("free-search", 0, 1, 2));
+    assertEquals("refused", response.outcome());
+    assertTrue(Double.parseDouble(response.retryAfter()) > 0);
     assertFalse(admitted.isDone());
     assertEquals("late", wait(admitted).outcome());
   }
@@ -331,15 +334,16 @@
         wait(client.send("slot-booking", Map.of("X-Trace-Id", "a"), Client.body(1))).outcome());
     assertEquals(
         "bad", wait(client.send("other", Map.of("X-Trace-Id", "a"), Client.body(1))).outcome());
-    assertEquals(0, stage.counter("queries_taken"));
+    assertEquals(0, fixture.counter("queries_taken"));
   }
 
   private CompletableFuture<Response> ask(String queryClass, String body) {
-    return client.send(queryClass, Map.of("X-Trace-Id", "q" + ++asked), body);
+    return client.send(queryClass, Map.of("X-Trace-Id", "q" + ++queryCount), body);
   }
 
   private List<ReceivedPart> secondParts() {
-    return java.util.stream.Stream.concat(one.receivedParts.stream(), two.receivedParts.stream())
+    return java.util.stream.Stream.concat(
+            firstStore.receivedParts.stream(), secondStore.receivedParts.stream())
         .filter(p -> p.id().endsWith(".r"))
         .toList();
   }
@@ -350,14 +354,15 @@
    */
   @ParameterizedTest
   @EnumSource(Path.class)
-  void secondStepQueriesTheBestOfTheFirstAndIsTheAnswer(Path path) throws Exception {
+  void secondStepQueriesBestPartsAndProvidesAnswer(Path path) throws Exception {
     begin(path, 300);
-    one.score = part -> part.shard() == 3 ? "much" : "" + 1840277000L * (1 + part.shard());
-    two.score = one.score;
-    Response got = wait(ask("report", 0, 1, 2, 3));
-    assertEquals("whole", got.outcome());
-    assertEquals(Set.of(1, 2), got.parts().keySet());
-    got.parts()
+    firstStore.score = part -> part.shard() == 3 ? "much" : "" + 1840277000L * (1 + part.shard());
+    secondStore.score = firstStore.score;
+    Response response = wait(ask("report", 0, 1, 2, 3));
+    assertEquals("whole", response.outcome());
+    assertEquals(Set.of(1, 2), response.parts().keySet());
+    response
+        .parts()
         .forEach(
             (shard, value) ->
                 assertTrue(value.matches("s-[01]/" + shard + "/tenors é/again"), value));
@@ -366,8 +371,8 @@
       assertEquals("q1." + part.shard() + ".r", part.id());
       assertTrue(part.list().matches("d=[0-9]+,from=0\\+1\\+2\\+3,whole=1"), part.list());
     }
-    assertEquals(1, stage.counter("second_steps"));
-    assertEquals(1, stage.counter("bad_scores"));
+    assertEquals(1, fixture.counter("second_steps"));
+    assertEquals(1, fixture.counter("bad_scores"));
   }
 
   /**
@@ -376,11 +381,12 @@
    */
   @ParameterizedTest
   @EnumSource(Path.class)
-  void incompleteSecondStepIsNoAnswer(Path path) throws Exception {
+  void incompleteSecondStepIsNotAnAnswer(Path path) throws Exception {
     begin(path, 300);
     script(part -> part.id().equals("q1.0.r") ? Behavior.BAD : Behavior.GOOD);
-    Response got = wait(ask("report", 0, 1));
-    assertTrue(List.of("refused", "late", "failed").contains(got.outcome()), got.toString());
+    Response response = wait(ask("report", 0, 1));
+    assertTrue(
+        List.of("refused", "late", "failed").contains(response.outcome()), response.toString());
     long attempts = secondParts().stream().filter(p -> p.id().equals("q1.0.r")).count();
     assertTrue(
         attempts >= 2 && attempts <= 4,
@@ -403,8 +409,8 @@
   void incompleteFirstStepHasNoSecondStep(Path path) throws Exception {
     begin(path, 300);
     script(part -> part.shard() == 3 ? Behavior.NOTHING : Behavior.GOOD);
-    Response got = wait(ask("report", 0, 1, 2, 3));
-    assertTrue(List.of("refused", "late").contains(got.outcome()), got.toString());
+    Response response = wait(ask("report", 0, 1, 2, 3));
+    assertTrue(List.of("refused", "late").contains(response.outcome()), response.toString());
     assertEquals(List.of(), secondParts());
   }
 
@@ -419,7 +425,8 @@
     for (String customer :
         List.of("north", "south", "", "nobody", "N".repeat(4000), "north,south")) {
       Map<String, String> headers =
-          new java.util.HashMap<>(Map.of("X-Trace-Id", "t" + ++asked, "X-Expires-In", "1.100"));
+          new java.util.HashMap<>(
+              Map.of("X-Trace-Id", "t" + ++queryCount, "X-Expires-In", "1.100"));
       if (!customer.isEmpty()) {
         headers.put("X-Customer", customer);
       }
@@ -428,7 +435,7 @@
           wait(client.send("free-search", headers, Client.body(0, 1))).outcome(),
           customer);
     }
-    assertEquals(4, stage.counter("tenants_unknown"));
+    assertEquals(4, fixture.counter("tenants_unknown"));
   }
 
   @ParameterizedTest
@@ -437,10 +444,10 @@
     begin(path, 300);
     script(part -> Behavior.NOTHING);
     CompletableFuture<Response> open = ask("slot-booking", 2);
-    while (stage.counter("attempts_sent") < 1) {
+    while (fixture.counter("attempts_sent") < 1) {
       Thread.onSpinWait();
     }
-    CompletableFuture<Void> ended = stage.stop();
+    CompletableFuture<Void> ended = fixture.stop();
     script(part -> Behavior.GOOD);
     assertEquals(
         "whole",
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -29,11 +29,11 @@
   @TempDir private Path dir;
 
   private static Config config(int discovery, String initialList, Path scratch) {
-    Address any = new Address("127.0.0.1", 0);
+    Address anyPort = new Address("127.0.0.1", 0);
     return new Config(
         "n0",
-        any,
-        any,
+        anyPort,
+        anyPort,
         new Address("127.0.0.1", discovery),
         7,
         Json.parse(initialList).asObject(),
@@ -49,15 +49,15 @@
    * graceful shutdown.
    */
   private void endsBeforeListening(boolean started) throws Exception {
-    BrokerFixture stage = new BrokerFixture();
-    Config config = config(stage.discovery.port(), "{}", dir);
+    BrokerFixture fixture = new BrokerFixture();
+    Config config = config(fixture.discovery.port(), "{}", dir);
     CompletableFuture<String> start = new CompletableFuture<>();
     CompletableFuture<String> first = new CompletableFuture<>();
     CountDownLatch stopRequested = new CountDownLatch(1);
-    io.vertx.core.Context context = stage.vertx.getOrCreateContext();
+    io.vertx.core.Context context = fixture.vertx.getOrCreateContext();
     Runnable starts =
         () ->
-            stage
+            fixture
                 .broker
                 .start()
                 .onComplete(
@@ -66,15 +66,14 @@
     try {
       context.runOnContext(
           v -> {
-            stage.broker = new Broker(stage.vertx, context, config, line -> {});
+            fixture.broker = new Broker(fixture.vertx, context, config, line -> {});
             if (started) {
-              // tasks of one context run in order, so the read of the folder completes after the
-              // stop
-              stage.vertx.executeBlocking(() -> stopRequested.await(10, TimeUnit.SECONDS));
+              // tasks of one context run in order: the folder is read after the stop
+              fixture.vertx.executeBlocking(() -> stopRequested.await(10, TimeUnit.SECONDS));
               starts.run(); // first reads the shared folder, off the event loop
             }
-            stage.vertx.setTimer(GRACE_MS, t -> first.complete("the grace"));
-            stage.broker.stop().onComplete(done -> first.complete("the end"));
+            fixture.vertx.setTimer(GRACE_MS, t -> first.complete("the grace"));
+            fixture.broker.stop().onComplete(done -> first.complete("the end"));
             stopRequested.countDown();
             if (!started) {
               starts.run();
@@ -84,7 +83,7 @@
           "broker was asked to stop before it started to listen", start.get(10, TimeUnit.SECONDS));
       assertEquals("the end", first.get(10, TimeUnit.SECONDS));
     } finally {
-      stage.close();
+      fixture.close();
     }
   }
 
@@ -108,22 +107,22 @@
    * Starts the broker of the fixture while discovery is down; returns the status of its readiness
    * check after the time at which the initial endpoint list is accepted.
    */
-  private static int withoutDiscovery(BrokerFixture stage, int discovery, String initialList)
+  private static int withoutDiscovery(BrokerFixture fixture, int discovery, String initialList)
       throws Exception {
-    io.vertx.core.Context context = stage.vertx.getOrCreateContext();
+    io.vertx.core.Context context = fixture.vertx.getOrCreateContext();
     CompletableFuture<Void> elapsed = new CompletableFuture<>();
     CompletableFuture<Integer> port = new CompletableFuture<>();
     context.runOnContext(
         v -> {
-          stage.broker =
-              new Broker(stage.vertx, context, config(discovery, initialList, null), line -> {});
-          stage.vertx.setTimer(
+          fixture.broker =
+              new Broker(fixture.vertx, context, config(discovery, initialList, null), line -> {});
+          fixture.vertx.setTimer(
               INITIAL_LIST_ACCEPTED_MS, t -> elapsed.complete(null)); // a later check is also valid
-          stage.broker.start().onSuccess(port::complete).onFailure(port::completeExceptionally);
+          fixture.broker.start().onSuccess(port::complete).onFailure(port::completeExceptionally);
         });
     elapsed.get(10, TimeUnit.SECONDS);
-    stage.httpPort = port.get(10, TimeUnit.SECONDS);
-    return readinessStatus(stage.httpPort);
+    fixture.httpPort = port.get(10, TimeUnit.SECONDS);
+    return readinessStatus(fixture.httpPort);
   }
 
   /**
@@ -136,27 +135,27 @@
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
-    BrokerFixture stage = new BrokerFixture();
+    BrokerFixture fixture = new BrokerFixture();
     BrokerFixture other = new BrokerFixture();
-    FrameStore store = new FrameStore(stage.vertx, "s");
+    FrameStore store = new FrameStore(fixture.vertx, "s");
     String entry = Discovery.entry(store, "a", 0, "ready");
     try {
       assertEquals(
           200, withoutDiscovery(other, port, "{\"generation\":3,\"instances\":[" + entry + "]}"));
-      assertEquals(503, withoutDiscovery(stage, port, "{\"generation\":3,\"instances\":[]}"));
-      try (Discovery discovery = new Discovery(stage.vertx, port)) {
+      assertEquals(503, withoutDiscovery(fixture, port, "{\"generation\":3,\"instances\":[]}"));
+      try (Discovery discovery = new Discovery(fixture.vertx, port)) {
         discovery.setList(entry);
         int status = 503;
         for (int i = 0; i < 1_000 && status != 200; i++) {
           Thread.sleep(10);
-          status = readinessStatus(stage.httpPort);
+          status = readinessStatus(fixture.httpPort);
         }
         assertEquals(200, status, "must become ready once discovery is back");
       }
     } finally {
       store.close();
       other.close();
-      stage.close();
+      fixture.close();
     }
   }
 }
--- a/src/test/java/dunlinhitch/server/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -36,34 +36,36 @@
   }
 
   private static final String NONE = "{}";
-  private BrokerFixture stage;
-  private Store one;
-  private Store two;
+  private BrokerFixture fixture;
+  private Store firstStore;
+  private Store secondStore;
   private Client client;
-  private int asked;
+  private int queryCount;
 
   private void begin(Wire wire, double audit, boolean mixed) throws Exception {
-    stage = new BrokerFixture();
-    stage.twoPhaseClasses =
+    fixture = new BrokerFixture();
+    fixture.twoPhaseClasses =
         List.of(new Product.TwoPhaseClass("free-search", 0.4, 2, 1, audit, 0.05, 60_000_000));
-    one = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-0") : new FlightStore("s-0");
-    two = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-1") : new FlightStore("s-1");
-    first(part -> new FirstAnswer(part.shard() % 2 == 0 ? 0 : 3, "v1", NONE));
+    firstStore =
+        wire == Wire.FRAMES ? new FrameStore(fixture.vertx, "s-0") : new FlightStore("s-0");
+    secondStore =
+        wire == Wire.FRAMES ? new FrameStore(fixture.vertx, "s-1") : new FlightStore("s-1");
+    answerFirstPasses(part -> new FirstAnswer(part.shard() % 2 == 0 ? 0 : 3, "v1", NONE));
     if (mixed) {
-      two.firstAnswer = null;
+      secondStore.firstAnswer = null;
     }
-    stage.publishStores(one, two);
-    stage.start(BrokerFixture.settings(300), null);
-    client = Client.http(stage.httpPort);
+    fixture.publishStores(firstStore, secondStore);
+    fixture.start(BrokerFixture.settings(300), null);
+    client = Client.http(fixture.httpPort);
   }
 
-  private void first(Function<ReceivedPart, FirstAnswer> summary) {
-    one.firstAnswer = summary;
-    two.firstAnswer = summary;
+  private void answerFirstPasses(Function<ReceivedPart, FirstAnswer> summary) {
+    firstStore.firstAnswer = summary;
+    secondStore.firstAnswer = summary;
   }
 
   private CompletableFuture<Response> open(int... shards) {
-    String id = "q" + ++asked;
+    String id = "q" + ++queryCount;
     return client.send(
         "free-search",
         Map.of("X-Trace-Id", id, "X-Expires-In", "1.100", "X-Show-Pruned", "1"),
@@ -75,7 +77,7 @@
   }
 
   private long secondPassParts() {
-    return (long) one.receivedParts.size() + two.receivedParts.size();
+    return (long) firstStore.receivedParts.size() + secondStore.receivedParts.size();
   }
 
   private static void await(BooleanSupplier condition) {
@@ -89,28 +91,28 @@
   @AfterEach
   void end() throws Exception {
     client.close();
-    one.close();
-    two.close();
-    stage.close();
+    firstStore.close();
+    secondStore.close();
+    fixture.close();
   }
 
   @ParameterizedTest
   @EnumSource(Wire.class)
   void emptyBlocksArePrunedAndTheAnswerIsComplete(Wire wire) throws Exception {
     begin(wire, 0, false);
-    Response got = ask(0, 1, 2, 3, 4, 5);
-    assertEquals("whole", got.outcome());
-    assertEquals(Set.of(0, 1, 2, 3, 4, 5), got.parts().keySet());
-    assertEquals(NONE, got.parts().get(0), "must be the store's value of an empty block");
-    assertTrue(got.parts().get(1).matches("s-[01]/1/tenors é"));
+    Response response = ask(0, 1, 2, 3, 4, 5);
+    assertEquals("whole", response.outcome());
+    assertEquals(Set.of(0, 1, 2, 3, 4, 5), response.parts().keySet());
+    assertEquals(NONE, response.parts().get(0), "must be the store's value of an empty block");
+    assertTrue(response.parts().get(1).matches("s-[01]/1/tenors é"));
     assertEquals(3, secondPassParts());
-    assertEquals(6, one.firstPasses.size() + two.firstPasses.size());
-    assertEquals(3, stage.counter("blocks_pruned"));
-    got = ask(0, 2, 4);
-    assertEquals("whole", got.outcome(), "all blocks are empty");
+    assertEquals(6, firstStore.firstPasses.size() + secondStore.firstPasses.size());
+    assertEquals(3, fixture.counter("blocks_pruned"));
+    response = ask(0, 2, 4);
+    assertEquals("whole", response.outcome(), "all blocks are empty");
     assertEquals(3, secondPassParts());
-    assertEquals(0, stage.counter("sends_barred"));
-    assertEquals(0, stage.counter("faults"));
+    assertEquals(0, fixture.counter("sends_barred"));
+    assertEquals(0, fixture.counter("faults"));
   }
 
   @ParameterizedTest
@@ -120,8 +122,8 @@
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     assertEquals(4, secondPassParts(), "blocks of a store without first passes must not be pruned");
     assertEquals("whole", ask(0).outcome());
-    assertEquals(0, one.firstPasses.size());
-    assertEquals(2, stage.counter("queries_in_one_phase"));
+    assertEquals(0, firstStore.firstPasses.size());
+    assertEquals(2, fixture.counter("queries_in_one_phase"));
   }
 
   /**
@@ -132,16 +134,16 @@
   @EnumSource(Wire.class)
   void lateFirstPassLeavesTimeForTheSecond(Wire wire) throws Exception {
     begin(wire, 0, false);
-    first(part -> part.shard() < 2 ? null : new FirstAnswer(0, "v1", NONE));
+    answerFirstPasses(part -> part.shard() < 2 ? null : new FirstAnswer(0, "v1", NONE));
     long from = System.nanoTime();
-    Response got = ask(0, 1, 2, 3);
+    Response response = ask(0, 1, 2, 3);
     long elapsedMs = (System.nanoTime() - from) / 1_000_000;
-    assertEquals("whole", got.outcome());
+    assertEquals("whole", response.outcome());
     assertTrue(elapsedMs >= 250 && elapsedMs < 1_000, "after ms: " + elapsedMs);
     assertEquals(2, secondPassParts());
-    assertEquals(1, stage.counter("first_passes_late"));
+    assertEquals(1, fixture.counter("first_passes_late"));
     assertTrue(
-        got.parts().get(0).startsWith("s-"),
+        response.parts().get(0).startsWith("s-"),
         "a block without a first-pass reply must get a full pass");
   }
 
@@ -150,20 +152,20 @@
   @EnumSource(Wire.class)
   void wrongSummaryDisablesPruning(Wire wire) throws Exception {
     begin(wire, 1, false);
-    Response got = ask(0, 1, 2, 3);
-    assertEquals("whole", got.outcome());
+    Response response = ask(0, 1, 2, 3);
+    assertEquals("whole", response.outcome());
     assertEquals(4, secondPassParts(), "every block that would be pruned is audited");
-    assertTrue(got.parts().get(0).startsWith("s-"), "the value of the full pass must be used");
-    await(() -> stage.counter("audits_bad") >= 1);
+    assertTrue(response.parts().get(0).startsWith("s-"), "the value of the full pass must be used");
+    await(() -> fixture.counter("audits_bad") >= 1);
     assertTrue(
-        stage.logLines.stream()
+        fixture.logLines.stream()
             .anyMatch(line -> line.startsWith("pruning is closed for free-search")));
-    one.firstPasses.clear();
-    two.firstPasses.clear();
+    firstStore.firstPasses.clear();
+    secondStore.firstPasses.clear();
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     assertEquals(
         0,
-        one.firstPasses.size() + two.firstPasses.size(),
+        firstStore.firstPasses.size() + secondStore.firstPasses.size(),
         "queries must use one phase while pruning is disabled");
   }
 
@@ -175,32 +177,32 @@
   @EnumSource(Wire.class)
   void endpointDrainingBetweenPhasesReceivesNoSecondPass(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.firstAnswerDelayMs = 200;
-    two.firstAnswerDelayMs = 200;
+    firstStore.firstAnswerDelayMs = 200;
+    secondStore.firstAnswerDelayMs = 200;
     CompletableFuture<Response> open = open(0, 1, 2, 3);
-    await(() -> one.firstPasses.size() + two.firstPasses.size() == 4);
-    stage.discovery.pushChange(Discovery.entry(one, "a", 0, "draining"));
-    Response got = open.get(5, TimeUnit.SECONDS);
-    assertEquals("whole", got.outcome());
-    assertEquals(0, one.receivedParts.size());
-    assertEquals(2, two.receivedParts.size());
+    await(() -> firstStore.firstPasses.size() + secondStore.firstPasses.size() == 4);
+    fixture.discovery.pushChange(Discovery.entry(firstStore, "a", 0, "draining"));
+    Response response = open.get(5, TimeUnit.SECONDS);
+    assertEquals("whole", response.outcome());
+    assertEquals(0, firstStore.receivedParts.size());
+    assertEquals(2, secondStore.receivedParts.size());
   }
 
   @ParameterizedTest
   @EnumSource(Wire.class)
   void clientDisconnectBetweenPhasesEndsTheQuery(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.firstAnswerDelayMs = 300;
-    two.firstAnswerDelayMs = 300;
+    firstStore.firstAnswerDelayMs = 300;
+    secondStore.firstAnswerDelayMs = 300;
     CompletableFuture<Response> open = open(0, 1, 2, 3);
-    await(() -> one.firstPasses.size() + two.firstPasses.size() == 4);
+    await(() -> firstStore.firstPasses.size() + secondStore.firstPasses.size() == 4);
     open.cancel(true);
-    await(() -> stage.counter("client_left") == 1);
-    one.firstAnswerDelayMs = 1;
-    two.firstAnswerDelayMs = 1;
+    await(() -> fixture.counter("client_left") == 1);
+    firstStore.firstAnswerDelayMs = 1;
+    secondStore.firstAnswerDelayMs = 1;
     assertEquals("whole", ask(0, 1).outcome());
     assertEquals(1, secondPassParts(), "only the second query may have a full pass");
-    assertEquals(0, stage.counter("faults"));
+    assertEquals(0, fixture.counter("faults"));
   }
 
   /** Attempts of both phases count towards one limit, and a part never has two at once. */
@@ -208,13 +210,14 @@
   @EnumSource(Wire.class)
   void attemptsOfBothPhasesStayWithinTheLimit(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.script = part -> Behavior.BAD;
-    two.script = part -> Behavior.BAD;
-    Response got = ask(1, 3);
-    assertTrue(List.of("failed", "late", "refused").contains(got.outcome()), got.toString());
+    firstStore.script = part -> Behavior.BAD;
+    secondStore.script = part -> Behavior.BAD;
+    Response response = ask(1, 3);
+    assertTrue(
+        List.of("failed", "late", "refused").contains(response.outcome()), response.toString());
     for (int shard : new int[] {1, 3}) {
       long attempts =
-          List.of(one, two).stream()
+          List.of(firstStore, secondStore).stream()
               .flatMap(
                   s ->
                       java.util.stream.Stream.concat(
@@ -230,14 +233,14 @@
   @EnumSource(Wire.class)
   void partialAnswerCountsPrunedBlocks(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.script = part -> part.shard() == 1 ? Behavior.NOTHING : Behavior.GOOD;
-    two.script = one.script;
-    Response got = ask(0, 1, 2, 4);
-    assertEquals("partial", got.outcome());
-    assertEquals(Set.of(0, 2, 4), got.parts().keySet());
-    got = ask(1, 3, 5, 7);
-    assertEquals("partial", got.outcome());
-    assertEquals(Set.of(3, 5, 7), got.parts().keySet());
+    firstStore.script = part -> part.shard() == 1 ? Behavior.NOTHING : Behavior.GOOD;
+    secondStore.script = firstStore.script;
+    Response response = ask(0, 1, 2, 4);
+    assertEquals("partial", response.outcome());
+    assertEquals(Set.of(0, 2, 4), response.parts().keySet());
+    response = ask(1, 3, 5, 7);
+    assertEquals("partial", response.outcome());
+    assertEquals(Set.of(3, 5, 7), response.parts().keySet());
   }
 
   /** A first-pass reply that arrives after the full pass was sent is ignored. */
@@ -245,18 +248,19 @@
   @EnumSource(Wire.class)
   void lateSummaryChangesNothing(Wire wire) throws Exception {
     begin(wire, 0, false);
-    one.firstAnswerDelayMs = 450;
-    two.firstAnswerDelayMs = 450;
-    one.answerDelayMs = 300;
-    two.answerDelayMs = 300;
-    Response got = ask(0, 1, 2, 3);
-    assertEquals("whole", got.outcome());
-    got.parts()
+    firstStore.firstAnswerDelayMs = 450;
+    secondStore.firstAnswerDelayMs = 450;
+    firstStore.answerDelayMs = 300;
+    secondStore.answerDelayMs = 300;
+    Response response = ask(0, 1, 2, 3);
+    assertEquals("whole", response.outcome());
+    response
+        .parts()
         .forEach(
             (shard, value) -> assertTrue(value.startsWith("s-"), "shard " + shard + ": " + value));
     assertEquals(4, secondPassParts());
-    assertEquals(0, stage.counter("bad_frames"));
-    assertEquals(0, stage.counter("blocks_pruned"));
+    assertEquals(0, fixture.counter("bad_frames"));
+    assertEquals(0, fixture.counter("blocks_pruned"));
   }
 
   /**
@@ -268,15 +272,15 @@
   void staleSummaryNeverPrunesABlock(Wire wire) throws Exception {
     begin(wire, 0, false);
     assertEquals(NONE, ask(0, 2, 4).parts().get(2));
-    first(
+    answerFirstPasses(
         part ->
             new FirstAnswer(
                 part.shard() == 2 ? 5 : 0,
                 "v1",
                 NONE)); // restarted with other data but the same version
-    Response got = ask(0, 2, 4);
-    assertTrue(got.parts().get(2).startsWith("s-"), got.toString());
-    first(part -> new FirstAnswer(0, "v2", NONE)); // the block is emptied by a booking
+    Response response = ask(0, 2, 4);
+    assertTrue(response.parts().get(2).startsWith("s-"), response.toString());
+    answerFirstPasses(part -> new FirstAnswer(0, "v2", NONE)); // the block is emptied by a booking
     assertEquals(NONE, ask(0, 2, 4).parts().get(0));
   }
 
@@ -287,18 +291,19 @@
   @EnumSource(Wire.class)
   void endpointFailingBetweenPhasesLosesNothing(Wire wire) throws Exception {
     begin(wire, 0, false);
-    two.firstAnswerDelayMs = 150;
-    one.firstAnswerDelayMs = 150;
+    secondStore.firstAnswerDelayMs = 150;
+    firstStore.firstAnswerDelayMs = 150;
     CompletableFuture<Response> open = open(0, 1, 2, 3, 5, 7);
-    await(() -> one.firstPasses.size() + two.firstPasses.size() == 6);
-    one.close();
-    Response got = open.get(5, TimeUnit.SECONDS);
-    assertTrue(List.of("whole", "partial").contains(got.outcome()), got.toString());
-    got.parts()
+    await(() -> firstStore.firstPasses.size() + secondStore.firstPasses.size() == 6);
+    firstStore.close();
+    Response response = open.get(5, TimeUnit.SECONDS);
+    assertTrue(List.of("whole", "partial").contains(response.outcome()), response.toString());
+    response
+        .parts()
         .forEach(
             (shard, value) ->
                 assertTrue(value.equals(NONE) ? shard % 2 == 0 : value.startsWith("s-"), value));
-    assertEquals(0, stage.counter("faults"));
+    assertEquals(0, fixture.counter("faults"));
   }
 
   /**
@@ -312,14 +317,14 @@
     for (int i = 0; i < 5; i++) { // gives admission an estimate of the latency of a part
       assertEquals("whole", ask(0, 1).outcome());
     }
-    one.firstPasses.clear();
-    two.firstPasses.clear();
-    one.receivedParts.clear();
-    two.receivedParts.clear();
-    one.firstAnswerDelayMs = 100;
-    two.firstAnswerDelayMs = 100;
+    firstStore.firstPasses.clear();
+    secondStore.firstPasses.clear();
+    firstStore.receivedParts.clear();
+    secondStore.receivedParts.clear();
+    firstStore.firstAnswerDelayMs = 100;
+    secondStore.firstAnswerDelayMs = 100;
     CompletableFuture<Response> before = open(0, 1, 2, 3);
-    await(() -> one.firstPasses.size() + two.firstPasses.size() == 4);
+    await(() -> firstStore.firstPasses.size() + secondStore.firstPasses.size() == 4);
     CompletableFuture<Response> again =
         client.send(
             "free-search",
@@ -328,6 +333,6 @@
     assertEquals("whole", before.get(5, TimeUnit.SECONDS).outcome());
     assertEquals("whole", again.get(5, TimeUnit.SECONDS).outcome());
     assertEquals(4, secondPassParts());
-    assertEquals(0, stage.counter("sends_barred"));
+    assertEquals(0, fixture.counter("sends_barred"));
   }
 }
--- a/src/test/java/dunlinhitch/server/UpgradeTest.java
+++ b/src/test/java/dunlinhitch/server/UpgradeTest.java
@@ -21,11 +21,11 @@
 
 /** Hot restart: two processes of one broker on one listening socket, the old one shutting down. */
 class UpgradeTest {
-  private static BrokerFixture stage(ServerSocketChannel listener) throws Exception {
-    BrokerFixture stage = new BrokerFixture(new ClientListener(listener));
-    stage.publishStores(new FrameStore(stage.vertx, "a"), new FrameStore(stage.vertx, "b"));
-    stage.start(BrokerFixture.settings(100), null);
-    return stage;
+  private static BrokerFixture fixture(ServerSocketChannel listener) throws Exception {
+    BrokerFixture fixture = new BrokerFixture(new ClientListener(listener));
+    fixture.publishStores(new FrameStore(fixture.vertx, "a"), new FrameStore(fixture.vertx, "b"));
+    fixture.start(BrokerFixture.settings(100), null);
+    return fixture;
   }
 
   private static void ask(Socket socket, String id) throws IOException {
@@ -47,9 +47,9 @@
     byte[] bytes = new byte[4096];
     String read = "";
     while (!read.contains("}")) {
-      int got = socket.getInputStream().read(bytes);
-      assertTrue(got > 0, "closed after: " + read);
-      read += new String(bytes, 0, got, StandardCharsets.UTF_8);
+      int count = socket.getInputStream().read(bytes);
+      assertTrue(count > 0, "closed after: " + read);
+      read += new String(bytes, 0, count, StandardCharsets.UTF_8);
     }
     return read;
   }
@@ -60,16 +60,16 @@
    * listening socket stays open, because neither process owns it.
    */
   @Test
-  void newClientsGoToTheSuccessorAndConnectedOnesAreServed() throws Exception {
+  void newClientsConnectToNewProcessAndOldOnesAreServed() throws Exception {
     try (ServerSocketChannel listener = ServerSocketChannel.open()) {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
       int port = ((InetSocketAddress) listener.getLocalAddress()).getPort();
-      BrokerFixture old = stage(listener);
+      BrokerFixture old = fixture(listener);
       assertEquals(port, old.httpPort);
       try (Socket connected = new Socket(InetAddress.getLoopbackAddress(), port)) {
         ask(connected, "q0");
         assertFalse(answer(connected).toLowerCase(Locale.ROOT).contains("connection: close"));
-        BrokerFixture next = stage(listener);
+        BrokerFixture next = fixture(listener);
         CompletableFuture<Void> ended = old.stop();
         old.vertx
             .executeBlocking(() -> null)
--- a/src/test/java/dunlinhitch/server/WarmUpTest.java
+++ b/src/test/java/dunlinhitch/server/WarmUpTest.java
@@ -20,7 +20,7 @@
    * Emulates a lack of file descriptors: the system establishes connections, but the broker never
    * accepts them.
    */
-  private static final class NonAcceptingTransport extends OwnTransport {
+  private static final class NonAcceptingTransport extends CustomTransport {
     @Override
     public ChannelFactory<? extends ServerChannel> serverChannelFactory(boolean domainSocket) {
       return () ->
