--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -152,8 +152,8 @@
   }
 
   /**
-   * Returns false if a call would have to wait on the connection although the store is already
-   * draining, because it would then be sent after this broker was informed of that.
+   * Returns false if the store is already draining and a call would have to wait on the connection:
+   * it must not be sent after this broker was informed of the drain.
    */
   private boolean writesBeforeStateChange(FrameConnection connection) {
     return state == ServerState.READY || (connection.isOpen() && !connection.isWriting());
--- a/src/main/java/dunlinhitch/server/BrokerRuntime.java
+++ b/src/main/java/dunlinhitch/server/BrokerRuntime.java
@@ -12,7 +12,7 @@
  * @param vertx owner of the event loop, timers and sockets
  * @param context the event loop on which the broker runs
  * @param config the configuration that the broker was started with
- * @param clock microseconds since an arbitrary origin
+ * @param clock monotonic clock in microseconds
  * @param log receives one line at a time for the operators
  */
 record BrokerRuntime(
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Behaviour of the Flight transport to a scripted store that is visible only at its interface. */
+/** The Flight transport to a scripted store, tested at its own interface. */
 class FlightTransportTest {
   private final Vertx vertx = Vertx.vertx();
   private final Context context = vertx.getOrCreateContext();
--- a/src/test/java/dunlinhitch/frontend/package-info.java
+++ b/src/test/java/dunlinhitch/frontend/package-info.java
@@ -1,2 +1,2 @@
-/** Tests of what all frontends share. */
+/** Tests of the code that all frontends share. */
 package dunlinhitch.frontend;
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Settings with deadlines that are longer than the seconds after which the system retries a
-   * connection.
+   * Settings with deadlines long enough for the system to retry a connection, which it does only
+   * after seconds.
    */
   private static Settings longDeadlines(boolean mayCancel) {
     Settings settings = BrokerFixture.settings(300);
--- a/src/test/java/dunlinhitch/server/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -44,8 +44,8 @@
   }
 
   /**
-   * SIGHUP arrives before a reload that was started because other brokers have a newer file is
-   * applied.
+   * SIGHUP arrives while an earlier reload, triggered by another broker's newer file, is not
+   * applied yet: the configuration that was read last must apply.
    */
   @ParameterizedTest
   @ValueSource(booleans = {false, true})
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -20,7 +20,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The conditions of a start, and stop requests that arrive during it. */
+/**
+ * Conditions for the start of a broker, and stop requests that arrive before or during the start.
+ */
 class StartTest {
   /** Shorter than the grace period plus half of the longest query deadline, which is 1.25 s. */
   private static final long GRACE_MS = 1_200;
@@ -45,7 +47,7 @@
   }
 
   /**
-   * Checks that the broker never listens, and that it ends well before the grace period of a
+   * Checks that the broker never listens and that it ends without waiting for the grace period of a
    * graceful shutdown.
    */
   private void endsBeforeListening(boolean started) throws Exception {
