--- a/src/main/java/dunlinhitch/server/BackendTransportFactory.java
+++ b/src/main/java/dunlinhitch/server/BackendTransportFactory.java
@@ -9,7 +9,7 @@
 import dunlinhitch.endpoints.Endpoint;
 import java.util.function.Consumer;
 
-/** Opens the transport that an endpoint speaks. Runs on the event loop. */
+/** Opens the transport for the protocol of an endpoint. Runs on the event loop. */
 final class BackendTransportFactory {
   private final BrokerRuntime runtime;
   private final Reducer reducer;
@@ -17,8 +17,8 @@
   private final LoadReportParser loadReportParser;
   private final FrameTransport.Shared frames;
 
-  /** Null until an endpoint speaks Arrow Flight: no class of Arrow is loaded before that. */
-  private FlightTransports flightStores;
+  /** Null until an endpoint uses Arrow Flight, so that Arrow's classes are not loaded before. */
+  private FlightTransports flightTransports;
 
   BackendTransportFactory(
       BrokerRuntime runtime, Reducer reducer, DescriptorBudget budget, Consumer<Event> events) {
@@ -40,8 +40,8 @@
     if (endpoint.protocol() == Endpoint.Protocol.FRAMES) {
       return new FrameTransport(frames, endpoint);
     }
-    if (flightStores == null) {
-      flightStores =
+    if (flightTransports == null) {
+      flightTransports =
           new FlightTransports(
               runtime.vertx(),
               runtime.context(),
@@ -50,13 +50,16 @@
               runtime.clock(),
               events);
     }
-    return flightStores.open(endpoint);
+    return flightTransports.open(endpoint);
   }
 
-  /** Releases what the transports share; the transports themselves must be closed. */
+  /**
+   * Releases the resources that the transports share; the transports themselves must already be
+   * closed.
+   */
   void close() {
-    if (flightStores != null) {
-      flightStores.close();
+    if (flightTransports != null) {
+      flightTransports.close();
     }
   }
 }
--- a/src/test/java/dunlinhitch/PackagesTest.java
+++ b/src/test/java/dunlinhitch/PackagesTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Dependencies point inward: what each package may import of the project, and that the core knows
- * no wire.
+ * Dependency rules: which packages of the project each package may import, and that the core does
+ * not depend on protocols or libraries.
  */
 class PackagesTest {
   private static final Path ROOT = Path.of("src/main/java/dunlinhitch");
@@ -25,8 +25,8 @@
       Pattern.compile("^import (?:static )?([a-z.]+)\\.[A-Z]", Pattern.MULTILINE);
 
   /**
-   * For each package, the packages of the project that it may import; one that is not named here
-   * belongs to the one above it.
+   * The packages of the project that each package may import. A package that is not listed here
+   * follows the rule of its parent.
    */
   private static final Map<String, Set<String>> ALLOWED =
       Map.ofEntries(
@@ -51,7 +51,7 @@
               "cluster/gossip", Set.of("cluster/gossip", "core", "cluster", "cluster/versions")),
           Map.entry("simulator", Set.of("simulator", "config", "balancer")));
 
-  /** Packages that import nothing but the JDK and the project itself. */
+  /** Packages that import only the JDK and the project itself. */
   private static final Set<String> WITHOUT_LIBRARIES =
       Set.of("core", "balancer", "endpoints", "answerkeys");
 
@@ -59,19 +59,20 @@
   void dependenciesPointInward() throws IOException {
     Map<String, String> wrong = new TreeMap<>();
     for (Path file : sources(ROOT)) {
-      String room = roomOf(ROOT.relativize(file.getParent()).toString());
-      if (room == null) {
-        continue; // wiring, commands and experiments may import any
+      String rulePackage = rulePackageOf(ROOT.relativize(file.getParent()).toString());
+      if (rulePackage == null) {
+        continue; // wiring, commands and experiments may import any package
       }
       Matcher matcher = IMPORT.matcher(Files.readString(file));
       while (matcher.find()) {
         String name = matcher.group(1);
         if (name.startsWith("dunlinhitch.")) {
-          String imported = roomOf(name.substring("dunlinhitch.".length()).replace('.', '/'));
-          if (imported == null || !ALLOWED.get(room).contains(imported)) {
+          String imported =
+              rulePackageOf(name.substring("dunlinhitch.".length()).replace('.', '/'));
+          if (imported == null || !ALLOWED.get(rulePackage).contains(imported)) {
             wrong.put(file.toString(), name);
           }
-        } else if (WITHOUT_LIBRARIES.contains(room) && !name.startsWith("java.")) {
+        } else if (WITHOUT_LIBRARIES.contains(rulePackage) && !name.startsWith("java.")) {
           wrong.put(file.toString(), name);
         }
       }
@@ -81,12 +82,12 @@
 
   @Test
   void everyPackageWithRulesHasSources() throws IOException {
-    for (String room : ALLOWED.keySet()) {
-      assertFalse(sources(ROOT.resolve(room)).isEmpty(), room);
+    for (String rulePackage : ALLOWED.keySet()) {
+      assertFalse(sources(ROOT.resolve(rulePackage)).isEmpty(), rulePackage);
     }
   }
 
-  private static String roomOf(String packagePath) {
+  private static String rulePackageOf(String packagePath) {
     for (String path = packagePath; !path.isEmpty(); path = parentOf(path)) {
       if (ALLOWED.containsKey(path)) {
         return path;
@@ -101,11 +102,11 @@
   }
 
   /**
-   * A plug-in's classes are built against the interface alone: so is the interface, and so are the
-   * scorers that ship.
+   * Plug-ins are compiled against the scoring API only, so the API itself and the shipped scorers
+   * must not depend on anything else.
    */
   @Test
-  void theInterfaceOfScorersStandsAlone() throws IOException {
+  void scoringApiAndShippedScorersImportNothingElse() throws IOException {
     Map<String, String> wrong = new TreeMap<>();
     for (String part : List.of("scoring/api", "scoring/shipped")) {
       for (Path file : sources(ROOT.resolve(part))) {
@@ -121,9 +122,9 @@
     assertEquals(Map.of(), wrong);
   }
 
-  /** What measures and stands in is no part of what serves. */
+  /** Measurements and emulators must not be used by production code. */
   @Test
-  void nothingThatServesKnowsTheLab() throws IOException {
+  void productionCodeDoesNotImportExperiments() throws IOException {
     List<Path> wrong = new java.util.ArrayList<>();
     for (Path file : sources(ROOT)) {
       if (!file.startsWith(ROOT.resolve("experiments"))
@@ -135,10 +136,11 @@
   }
 
   /**
-   * What decides, and what plays days, has no clock, thread or chance but those that it is given.
+   * Decision code and simulations use only the clock, threads and random numbers that are passed to
+   * them.
    */
   @Test
-  void decisionsHaveNoClockOfTheirOwn() throws IOException {
+  void decisionCodeUsesNoClockThreadOrRandomSource() throws IOException {
     Pattern clock =
         Pattern.compile(
             "System\\.(nanoTime|currentTimeMillis)|Math\\.random|new Random\\(\\)|new Thread|Instant\\.now");
@@ -158,14 +160,13 @@
             "experiments/modelchecker")) {
       for (Path file : sources(ROOT.resolve(part))) {
         Matcher matcher = clock.matcher(Files.readString(file));
-        boolean mayLook =
+        // exempt: plug-in threads, the clock itself, and commands that report their progress
+        boolean exempt =
             file.startsWith(ROOT.resolve("scoring/host"))
                 || file.endsWith("MicroClock.java")
                 || file.endsWith("SimulationCommands.java")
-                || file.endsWith(
-                    "ExploreCommand.java"); // threads of plug-ins, the edge's own clock, progress
-        // lines
-        if (!mayLook && matcher.find()) {
+                || file.endsWith("ExploreCommand.java");
+        if (!exempt && matcher.find()) {
           wrong.put(file.toString(), matcher.group());
         }
       }
--- a/src/test/java/dunlinhitch/admin/DisabledEndpointFolderTest.java
+++ b/src/test/java/dunlinhitch/admin/DisabledEndpointFolderTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The stored form of disabled endpoints, which earlier releases have written and must read. */
+/** The storage format of disabled endpoints, which must stay compatible with other releases. */
 class DisabledEndpointFolderTest {
   /** File names as stored: ids in URL-safe base64 without padding. */
   private static final String FILE_OF_S3 = "cy0z";
@@ -58,7 +58,7 @@
   }
 
   @Test
-  void readsAFolderOfTheStoredForm() throws Exception {
+  void readsStorageFormat() throws Exception {
     Path folder = Files.createDirectory(parent.resolve("disabled"));
     for (String name : Set.of(FILE_OF_S3, FILE_OF_PATH_LIKE_ID, FILE_OF_NON_ASCII_ID)) {
       Files.write(folder.resolve(name), new byte[0]);
@@ -70,7 +70,7 @@
   }
 
   @Test
-  void writesTheStoredForm() throws Exception {
+  void writesStorageFormat() throws Exception {
     Path folder = parent.resolve("new").resolve("disabled");
     DisabledEndpointFolder store = open(folder);
     assertFalse(await(store.start(false)), "the folder did not exist");
--- a/src/test/java/dunlinhitch/frontend/QueryReaderTest.java
+++ b/src/test/java/dunlinhitch/frontend/QueryReaderTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** What a client reads of a query that lacks a field. */
+/** Error messages for queries with a missing field. */
 class QueryReaderTest {
   private final Settings settings = BrokerFixture.settings(40);
   private final QueryReader reader = new QueryReader(() -> settings);
@@ -25,7 +25,7 @@
         "portion is missing | {'ranges':[{'range':0}],'predicate':'x'}"
       },
       quoteCharacter = '"')
-  void theMissingFieldIsNamed(String message, String body) {
+  void missingFieldIsNamed(String message, String body) {
     Map<String, String> headers = Map.of("X-Trace-Id", "t1", "X-Expires-In", "1.0");
     MalformedQueryException error =
         assertThrows(
--- a/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
@@ -14,76 +14,78 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Several broker processes with injected faults; every wait is for a condition, not for a time. */
+/**
+ * Several broker processes with injected faults; every wait is for a condition rather than for a
+ * time.
+ */
 class ClusterTestBedTest {
   private static final int WAIT_S = 40;
   @TempDir private Path dir;
 
-  private static void assertEvenLoad(TestBed rig) {
-    int brokers = (int) rig.nodes().stream().filter(TestBed.Node::isUp).count();
-    Map<String, Integer> load = rig.load(TestBed.Node::isUp);
+  private static void assertEvenLoad(TestBed testBed) {
+    int brokers = (int) testBed.nodes().stream().filter(TestBed.Node::isUp).count();
+    Map<String, Integer> load = testBed.load(TestBed.Node::isUp);
     assertTrue(
         load.values().stream()
             .allMatch(l -> l >= 1 && l <= SubsetSettings.STANDARD.maxLoad(brokers, 3)),
         load.toString());
   }
 
-  private static void partitionAndHeal(TestBed rig) throws Exception {
-    List<TestBed.Node> nodes = rig.nodes();
+  private static void partitionAndHeal(TestBed testBed) throws Exception {
+    List<TestBed.Node> nodes = testBed.nodes();
     List<String> cached = nodes.get(3).kept();
     NetworkFaults.Rule cut =
-        rig.links.add(
+        testBed.links.add(
             (from, to) ->
                 from.startsWith("n") && to.startsWith("n") && from.equals("n3") != to.equals("n3"),
             NetworkFaults.Harm.LOST,
             0,
             1);
-    TestBed.await("the others go on without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
-    assertEquals(cached, nodes.get(3).kept(), "one that hears nobody keeps to what it had");
-    rig.links.remove(cut);
+    TestBed.await("the others agree without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
+    assertEquals(cached, nodes.get(3).kept(), "an isolated broker must keep its subset");
+    testBed.links.remove(cut);
     TestBed.await("n3 is back", WAIT_S, () -> TestBed.agree(nodes));
   }
 
-  private static void killAndRestart(TestBed rig) throws Exception {
-    List<TestBed.Node> nodes = rig.nodes();
+  private static void killAndRestart(TestBed testBed) throws Exception {
+    List<TestBed.Node> nodes = testBed.nodes();
     nodes.get(1).kill();
     List<TestBed.Node> survivors = List.of(nodes.get(0), nodes.get(2), nodes.get(3));
-    TestBed.await("the others go on without n1", WAIT_S, () -> TestBed.agree(survivors));
-    assertEvenLoad(rig);
-    rig.start(List.of(nodes.get(1)));
+    TestBed.await("the others agree without n1", WAIT_S, () -> TestBed.agree(survivors));
+    assertEvenLoad(testBed);
+    testBed.start(List.of(nodes.get(1)));
     TestBed.await("n1 is back", WAIT_S, () -> TestBed.agree(nodes));
-    assertEvenLoad(rig);
+    assertEvenLoad(testBed);
   }
 
   /**
-   * One broker is partitioned from the others, one is killed and restarted, and one endpoint falls
-   * silent to one broker. No query is lost, no value is invented, and after each fault the brokers
-   * converge again with an even load of the endpoints.
+   * One broker is partitioned from the others, one is killed and restarted, and one endpoint stops
+   * responding to one broker. No query is lost, every value comes from a store, and after each
+   * fault the brokers converge again with an even load of the endpoints.
    */
   @Test
-  void partitionsKillsAndSilenceLoseNoQuery() throws Exception {
-    try (TestBed rig = new TestBed(dir, 3, 4, 2, 3, "")) {
-      List<TestBed.Node> nodes = rig.nodes();
-      rig.start(nodes);
+  void partitionsCrashesAndUnresponsiveEndpointsLoseNoQuery() throws Exception {
+    try (TestBed testBed = new TestBed(dir, 3, 4, 2, 3, "")) {
+      List<TestBed.Node> nodes = testBed.nodes();
+      testBed.start(nodes);
       TestBed.await("all agree", WAIT_S, () -> TestBed.agree(nodes));
-      assertEvenLoad(rig);
-      QueryLoad clients = new QueryLoad(rig, 100);
+      assertEvenLoad(testBed);
+      QueryLoad clients = new QueryLoad(testBed, 100);
       clients.start();
 
-      partitionAndHeal(rig);
-      killAndRestart(rig);
+      partitionAndHeal(testBed);
+      killAndRestart(testBed);
 
       String endpoint = nodes.get(0).kept().get(0);
-      rig.links.add(
+      testBed.links.add(
           (from, to) -> from.equals(endpoint) && to.equals("n0"), NetworkFaults.Harm.LOST, 0, 1);
       int ended = clients.ended();
-      TestBed.await(
-          "a hundred queries more came to an end", WAIT_S, () -> clients.ended() >= ended + 100);
-      rig.links.clear();
-      rig.reset(nodes.get(0));
+      TestBed.await("a hundred more queries ended", WAIT_S, () -> clients.ended() >= ended + 100);
+      testBed.links.clear();
+      testBed.reset(nodes.get(0));
 
       nodes.get(2).terminate();
-      TestBed.await("n2 ended as asked", WAIT_S, () -> !nodes.get(2).isUp());
+      TestBed.await("n2 has terminated", WAIT_S, () -> !nodes.get(2).isUp());
       Map<QueryLoad.End, Integer> ends = clients.stop();
       assertTrue(
           ends.keySet().stream().noneMatch(QueryLoad::isBreach), () -> ends + " " + notes(clients));
@@ -101,47 +103,46 @@
   }
 
   /**
-   * One broker is cut from discovery while an endpoint starts draining: it detects that it is
-   * behind, fences itself and admits no query, and the others go on without it. With the connection
-   * back it gets the list and rejoins. No query is lost meanwhile.
+   * One broker is disconnected from discovery while an endpoint starts draining: it detects that
+   * its list is outdated, fences itself and admits no query, and the others continue without it.
+   * Once reconnected, it gets the list and rejoins. No query is lost.
    */
   @Test
   void brokerCutFromDiscoveryIsFencedAndRejoins() throws Exception {
-    try (TestBed rig = new TestBed(dir, 4, 4, 2, 3, "behind 500ms\nshut_out 2s\n")) {
-      List<TestBed.Node> nodes = rig.nodes();
+    try (TestBed testBed = new TestBed(dir, 4, 4, 2, 3, "behind 500ms\nshut_out 2s\n")) {
+      List<TestBed.Node> nodes = testBed.nodes();
       TestBed.Node cut = nodes.get(3);
-      rig.start(nodes);
+      testBed.start(nodes);
       TestBed.await("all agree", WAIT_S, () -> TestBed.agree(nodes));
-      QueryLoad clients = new QueryLoad(rig, 100);
+      QueryLoad clients = new QueryLoad(testBed, 100);
       clients.start();
       NetworkFaults.Rule rule =
-          rig.links.add(
+          testBed.links.add(
               (from, to) -> List.of(from, to).containsAll(List.of("n3", "d")),
               NetworkFaults.Harm.LOST,
               0,
               1);
-      rig.change("s0-2", "draining");
+      testBed.change("s0-2", "draining");
       TestBed.await(
-          "n3 knows that it is behind",
+          "n3 has detected that its list is outdated",
           WAIT_S,
           () -> logged(cut, "this broker is behind: it acts on roster 1, and 2 is newest"));
+      TestBed.await("n3 has fenced itself", WAIT_S, () -> logged(cut, "this broker is shut out: "));
       TestBed.await(
-          "n3 is shut out by itself", WAIT_S, () -> logged(cut, "this broker is shut out: "));
-      TestBed.await(
-          "the others go on without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
+          "the others agree without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
       assertTrue(
           logged(nodes.get(0), "broker n3 is behind: ")
               && logged(nodes.get(0), "broker n3 is shut out: "));
       TestBed.await(
-          "n3 has turned a query away", WAIT_S, () -> clients.ended(QueryLoad.End.REFUSED) > 0);
-      rig.links.remove(rule);
-      rig.resetStalled(cut);
+          "n3 has rejected a query", WAIT_S, () -> clients.ended(QueryLoad.End.REFUSED) > 0);
+      testBed.links.remove(rule);
+      testBed.resetStalled(cut);
       TestBed.await(
           "n3 has the list", WAIT_S, () -> logged(cut, "this broker has caught up: roster 2"));
-      TestBed.await("all count on n3 again", WAIT_S, () -> TestBed.agree(nodes));
+      TestBed.await("all brokers agree again", WAIT_S, () -> TestBed.agree(nodes));
       assertTrue(
           nodes.stream().noneMatch(node -> node.kept().contains("s0-2")),
-          "it drains, and nobody keeps to it");
+          "no broker may use the draining endpoint");
       Map<QueryLoad.End, Integer> ends = clients.stop();
       assertTrue(
           ends.keySet().stream().noneMatch(QueryLoad::isBreach), () -> ends + " " + notes(clients));
--- a/src/test/java/dunlinhitch/server/OwnTransport.java
+++ b/src/test/java/dunlinhitch/server/CustomTransport.java
@@ -3,8 +3,8 @@
 import io.vertx.core.impl.transports.NioTransport;
 import io.vertx.core.transport.Transport;
 
-/** A transport for tests that create the channels themselves. */
-public abstract class OwnTransport extends NioTransport implements Transport {
+/** Base class of transports with which tests create their own channels. */
+public abstract class CustomTransport extends NioTransport implements Transport {
   @Override
   public String name() {
     return "own";
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -28,13 +28,13 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * A client that disconnects while its part waits for a slow connection to a backend, from the
- * client's socket to the backend's.
+ * End-to-end test of a client that disconnects while its part waits for a slow connection to a
+ * backend.
  */
 class DepartedClientTest {
   /**
-   * A backend that accepts connections only when the test does: its backlog is full before that,
-   * and a new connection stays pending.
+   * A backend that accepts connections only when the test does. Until then its backlog is full, so
+   * a new connection stays pending.
    */
   private static final class LateStore extends Store implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
@@ -74,7 +74,10 @@
     }
   }
 
-  /** Deadlines so long that a connection is waited for that the system retries after seconds. */
+  /**
+   * Settings with deadlines long enough for the system to retry a connection, which it does only
+   * after seconds.
+   */
   private static Settings longDeadlines(boolean mayCancel) {
     Settings settings = BrokerFixture.settings(300);
     Limits limits = settings.limits();
@@ -125,7 +128,7 @@
   private static void await(BooleanSupplier condition) {
     long end = System.nanoTime() + 10_000_000_000L;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "it never came to be");
+      assertTrue(System.nanoTime() < end, "condition was not met in time");
       Thread.onSpinWait();
     }
   }
@@ -137,19 +140,19 @@
 
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void partOfADepartedClientIsNotSentOnceConnected(boolean mayCancel) throws Exception {
-    BrokerFixture stage = new BrokerFixture();
+  void partOfDisconnectedClientIsNotSentOnceConnected(boolean mayCancel) throws Exception {
+    BrokerFixture fixture = new BrokerFixture();
     try (LateStore store = new LateStore()) {
-      stage.publishStores(store);
-      stage.start(longDeadlines(mayCancel), null);
-      Client client = Client.http(stage.httpPort);
-      await(() -> stage.counter("roster_news") > 0);
+      fixture.publishStores(store);
+      fixture.start(longDeadlines(mayCancel), null);
+      Client client = Client.http(fixture.httpPort);
+      await(() -> fixture.counter("roster_news") > 0);
       CompletableFuture<Response> departed = ask(client, "q1");
-      await(() -> stage.counter("attempts_sent") == 1);
+      await(() -> fixture.counter("attempts_sent") == 1);
       departed.cancel(true);
-      await(() -> stage.counter("client_left") == 1);
+      await(() -> fixture.counter("client_left") == 1);
       CompletableFuture<Response> remaining = ask(client, "q2");
-      await(() -> stage.counter("attempts_sent") == 2);
+      await(() -> fixture.counter("attempts_sent") == 2);
       try (Socket accepted = store.accept()) {
         accepted.setSoTimeout(10_000);
         DataInputStream in = new DataInputStream(accepted.getInputStream());
@@ -157,36 +160,39 @@
         assertEquals("mq2.0 ", new String(frame, 0, 6, StandardCharsets.US_ASCII));
         accepted.getOutputStream().write(FrameStore.frame('q', "q2.0 good 1 -\nv").getBytes());
         assertEquals("whole", remaining.get(10, TimeUnit.SECONDS).outcome());
-        assertEquals(1, stage.counter("attempts_written"));
+        assertEquals(1, fixture.counter("attempts_written"));
       }
       client.close();
     } finally {
-      stage.close();
+      fixture.close();
     }
   }
 
-  /** Request and disconnect arrive while the loop is blocked: one turn of the reducer gets both. */
+  /**
+   * Request and disconnect arrive while the event loop is blocked, so one turn of the reducer gets
+   * both.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
-  void requestReadTogetherWithItsClientsDisconnectIsNotSent(boolean reset) throws Exception {
-    BrokerFixture stage = new BrokerFixture();
-    FrameStore store = new FrameStore(stage.vertx, "s-0");
+  void requestReceivedTogetherWithDisconnectIsNotSent(boolean reset) throws Exception {
+    BrokerFixture fixture = new BrokerFixture();
+    FrameStore store = new FrameStore(fixture.vertx, "s-0");
     try {
-      stage.publishStores(store);
-      stage.start(longDeadlines(true), null);
-      await(() -> stage.counter("roster_news") > 0);
+      fixture.publishStores(store);
+      fixture.start(longDeadlines(true), null);
+      await(() -> fixture.counter("roster_news") > 0);
       CountDownLatch blocked = new CountDownLatch(1);
       CountDownLatch resume = new CountDownLatch(1);
-      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), stage.httpPort)) {
-        Client.http(stage.httpPort)
+      try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort)) {
+        Client.http(fixture.httpPort)
             .send("none", Map.of(), "")
-            .get(10, TimeUnit.SECONDS); // so both connections are made
-        stage.vertx.runOnContext(
+            .get(10, TimeUnit.SECONDS); // establishes both connections
+        fixture.vertx.runOnContext(
             v -> {
               blocked.countDown();
               try {
                 resume.await();
-                Thread.sleep(20); // the next turn is due at once
+                Thread.sleep(20); // makes the next turn due at once
               } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
               }
@@ -204,12 +210,12 @@
         socket.setSoLinger(reset, 0);
       }
       resume.countDown();
-      await(() -> stage.counter("client_left") == 1);
-      assertEquals(0, stage.counter("attempts_sent"));
-      assertEquals(1, stage.counter("queries_taken"));
+      await(() -> fixture.counter("client_left") == 1);
+      assertEquals(0, fixture.counter("attempts_sent"));
+      assertEquals(1, fixture.counter("queries_taken"));
     } finally {
       store.close();
-      stage.close();
+      fixture.close();
     }
   }
 }
--- a/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
+++ b/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
@@ -37,8 +37,8 @@
 import org.xbill.DNS.Type;
 
 /**
- * A complete broker whose backends register in DNS, over both backend protocols, with name servers
- * that misbehave.
+ * A complete broker whose backends are registered in DNS, over both backend protocols, with faulty
+ * name servers.
  */
 class DnsDiscoveryTest {
   private static final String SERVICE = "_calendar._tcp.rooms.example.org.";
@@ -49,24 +49,26 @@
   }
 
   @TempDir private Path folder;
-  private BrokerFixture stage;
+  private BrokerFixture fixture;
   private FakeNameServer responder;
   private final Vertx dns = Vertx.vertx();
   private final Zone zone = new Zone("rooms.example.org.");
-  private Store one;
-  private Store two;
+  private Store firstStore;
+  private Store secondStore;
   private Client client;
-  private int asked;
+  private int queryCount;
 
   private void prepare(Wire wire) throws Exception {
     responder = new FakeNameServer(dns, zone);
-    stage = new BrokerFixture();
-    stage.membershipTimes =
+    fixture = new BrokerFixture();
+    fixture.membershipTimes =
         new Product.MembershipTimes(2_000_000, 3_600_000_000L, 500_000, 4_000_000, 60_000_000);
-    one = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-0") : new FlightStore("s-0");
-    two = wire == Wire.FRAMES ? new FrameStore(stage.vertx, "s-1") : new FlightStore("s-1");
-    announce(one, 0);
-    announce(two, 1);
+    firstStore =
+        wire == Wire.FRAMES ? new FrameStore(fixture.vertx, "s-0") : new FlightStore("s-0");
+    secondStore =
+        wire == Wire.FRAMES ? new FrameStore(fixture.vertx, "s-1") : new FlightStore("s-1");
+    announce(firstStore, 0);
+    announce(secondStore, 1);
   }
 
   private List<Record> records(Store store, int cell, String... more) {
@@ -93,7 +95,7 @@
 
   private void start(boolean push, long soaEveryUs) throws Exception {
     Address pushed = push ? new Address("localhost", responder.startPush(folder)) : null;
-    stage.start(
+    fixture.start(
         BrokerFixture.settings(300),
         new Product.DnsService(
             "main",
@@ -107,10 +109,10 @@
             push ? responder.trust() : null,
             null,
             4096));
-    client = Client.http(stage.httpPort);
+    client = Client.http(fixture.httpPort);
     await(
         () ->
-            stage
+            fixture
                 .broker
                 .counters()
                 .lines()
@@ -123,13 +125,13 @@
   private static void await(BooleanSupplier condition) {
     long end = System.nanoTime() + 10_000_000_000L;
     while (!condition.getAsBoolean()) {
-      assertTrue(System.nanoTime() < end, "it never came to be");
+      assertTrue(System.nanoTime() < end, "condition was not met in time");
       Thread.onSpinWait();
     }
   }
 
   private Response ask(int... shards) throws Exception {
-    String id = "q" + ++asked;
+    String id = "q" + ++queryCount;
     return client
         .send("free-search", Map.of("X-Trace-Id", id, "X-Expires-In", "1.000"), Client.body(shards))
         .get(5, TimeUnit.SECONDS);
@@ -140,9 +142,9 @@
     if (client != null) {
       client.close();
     }
-    one.close();
-    two.close();
-    stage.close();
+    firstStore.close();
+    secondStore.close();
+    fixture.close();
     responder.close();
     dns.close();
   }
@@ -153,47 +155,50 @@
     prepare(wire);
     start(true, 0);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
-    assertTrue(one.receivedParts.size() > 0 && two.receivedParts.size() > 0, "both are known");
-    zone.remove(pointer(one));
-    await(() -> stage.counter("members_withdrawn") == 1);
-    one.receivedParts.clear();
+    assertTrue(
+        firstStore.receivedParts.size() > 0 && secondStore.receivedParts.size() > 0,
+        "both endpoints must be in use");
+    zone.remove(pointer(firstStore));
+    await(() -> fixture.counter("members_withdrawn") == 1);
+    firstStore.receivedParts.clear();
     for (int i = 0; i < 5; i++) {
       assertEquals("whole", ask(0, 1, 2, 3).outcome());
     }
-    assertEquals(0, one.receivedParts.size(), "nothing new");
-    zone.add(pointer(one));
+    assertEquals(0, firstStore.receivedParts.size(), "a withdrawn endpoint got a new part");
+    zone.add(pointer(firstStore));
     await(
         () -> {
           try {
-            return ask(0, 1, 2, 3).outcome().equals("whole") && one.receivedParts.size() > 0;
+            return ask(0, 1, 2, 3).outcome().equals("whole") && firstStore.receivedParts.size() > 0;
           } catch (Exception e) {
             throw new IllegalStateException(e);
           }
         });
-    assertEquals(0, stage.counter("members_gone"), "back before it was gone");
+    assertEquals(
+        0, fixture.counter("members_gone"), "the endpoint returned before it was considered gone");
   }
 
-  /** A part that waits for a connection to a withdrawn endpoint is never sent there. */
+  /** A part that waits for a connection to a withdrawn endpoint is never sent to it. */
   @ParameterizedTest
   @EnumSource(Wire.class)
   void partWaitingForAConnectionMovesToAnotherEndpoint(Wire wire) throws Exception {
     prepare(wire);
     start(true, 0);
-    zone.remove(pointer(one));
-    zone.remove(pointer(two));
-    await(() -> stage.counter("members_withdrawn") == 2);
-    one.receivedParts.clear();
-    two.receivedParts.clear();
+    zone.remove(pointer(firstStore));
+    zone.remove(pointer(secondStore));
+    await(() -> fixture.counter("members_withdrawn") == 2);
+    firstStore.receivedParts.clear();
+    secondStore.receivedParts.clear();
     var open =
         client.send(
             "free-search",
             Map.of("X-Trace-Id", "open", "X-Expires-In", "1.000"),
             Client.body(0, 1));
-    await(() -> stage.counter("queries_taken") == 1);
-    zone.add(pointer(two));
-    Response got = open.get(5, TimeUnit.SECONDS);
-    assertTrue(List.of("whole", "refused").contains(got.outcome()), got.toString());
-    assertEquals(0, one.receivedParts.size());
+    await(() -> fixture.counter("queries_taken") == 1);
+    zone.add(pointer(secondStore));
+    Response response = open.get(5, TimeUnit.SECONDS);
+    assertTrue(List.of("whole", "refused").contains(response.outcome()), response.toString());
+    assertEquals(0, firstStore.receivedParts.size());
   }
 
   @Test
@@ -202,8 +207,8 @@
     start(false, 100_000);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> responder.queries.stream().anyMatch(q -> q.type() == Type.SOA));
-    zone.remove(pointer(one)); // its records hold for 120 s, but the serial has changed
-    await(() -> stage.counter("members_withdrawn") == 1);
+    zone.remove(pointer(firstStore)); // its records are valid for 120 s, but the serial has changed
+    await(() -> fixture.counter("members_withdrawn") == 1);
   }
 
   @ParameterizedTest
@@ -226,15 +231,15 @@
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     responder.script = q -> q.type() == Type.SOA ? Fault.NONE : fault;
     responder.queries.clear();
-    zone.empty(); // nobody can tell it now
+    zone.empty(); // no valid answer reports it yet
     await(() -> responder.queries.stream().filter(q -> q.type() == Type.PTR).count() >= 2);
-    one.receivedParts.clear();
-    two.receivedParts.clear();
+    firstStore.receivedParts.clear();
+    secondStore.receivedParts.clear();
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
-    assertEquals(4, one.receivedParts.size() + two.receivedParts.size());
-    assertEquals(0, stage.counter("members_withdrawn"));
-    responder.script = q -> Fault.NONE; // now the same empty zone is said with authority
-    await(() -> stage.counter("members_withdrawn") == 2);
+    assertEquals(4, firstStore.receivedParts.size() + secondStore.receivedParts.size());
+    assertEquals(0, fixture.counter("members_withdrawn"));
+    responder.script = q -> Fault.NONE; // now the empty zone is answered with authority
+    await(() -> fixture.counter("members_withdrawn") == 2);
   }
 
   @ParameterizedTest
@@ -245,7 +250,7 @@
     prepare(Wire.FRAMES);
     responder.script = q -> fault;
     start(false, 0);
-    await(() -> stage.counter("roster_news") >= 1);
+    await(() -> fixture.counter("roster_news") >= 1);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
   }
 
@@ -254,14 +259,16 @@
     prepare(Wire.FRAMES);
     start(true, 0);
     responder.cutSessions(true);
-    await(() -> stage.counter("push_ended") >= 1);
+    await(() -> fixture.counter("push_ended") >= 1);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> responder.subscriptions() >= 6);
-    zone.remove(pointer(two));
-    await(() -> stage.counter("members_withdrawn") == 1);
+    zone.remove(pointer(secondStore));
+    await(() -> fixture.counter("members_withdrawn") == 1);
   }
 
-  /** Malformed push messages; malformed answers are among the faults above. */
+  /**
+   * Malformed push messages; {@link #lostAndForgedAnswersWithdrawNothing} covers malformed answers.
+   */
   @Test
   void survivesThousandsOfMalformedPushMessages() throws Exception {
     prepare(Wire.FRAMES);
@@ -270,20 +277,23 @@
     for (int i = 0; i < 2_000; i++) {
       byte[] noise = new byte[random.nextInt(60)];
       random.nextBytes(noise);
-      if (noise.length > 3 && i % 2 == 0) { // past the first looks at a head
+      if (noise.length > 3 && i % 2 == 0) { // passes the first checks of the message header
         noise[2] = (byte) 0x30;
         noise[3] = 0;
         java.util.Arrays.fill(noise, 4, Math.min(12, noise.length), (byte) 0);
       }
       responder.pushRaw(Buffer.buffer().appendUnsignedShort(noise.length).appendBytes(noise));
     }
-    await(() -> stage.counter("push_ended") >= 1);
+    await(() -> fixture.counter("push_ended") >= 1);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
-    assertEquals(0, stage.counter("faults"));
-    assertEquals(0, stage.counter("members_withdrawn"));
+    assertEquals(0, fixture.counter("faults"));
+    assertEquals(0, fixture.counter("members_withdrawn"));
   }
 
-  /** Two contradicting records for one id: nothing is sent to it until one is withdrawn. */
+  /**
+   * Two records contradict each other for one id: nothing is sent to the endpoint until one is
+   * withdrawn.
+   */
   @Test
   void disputedEndpointReceivesNothingUntilSettled() throws Exception {
     prepare(Wire.FRAMES);
@@ -293,23 +303,23 @@
             SERVICE,
             "Impostor",
             "127.0.0.1",
-            two.port() == 9 ? 10 : 9,
+            secondStore.port() == 9 ? 10 : 9,
             120,
             "id=s-0",
             "cell=0",
             "zone=a");
     zone.change(List.of(), other);
-    await(() -> stage.counter("members_disputed") == 1);
-    one.receivedParts.clear();
+    await(() -> fixture.counter("members_disputed") == 1);
+    firstStore.receivedParts.clear();
     for (int i = 0; i < 3; i++) {
       assertEquals("whole", ask(0, 1, 2, 3).outcome());
     }
-    assertEquals(0, one.receivedParts.size());
+    assertEquals(0, firstStore.receivedParts.size());
     zone.remove(Zone.pointer(SERVICE, "Impostor", 120));
     await(
         () -> {
           try {
-            return ask(0, 1).outcome().equals("whole") && one.receivedParts.size() > 0;
+            return ask(0, 1).outcome().equals("whole") && firstStore.receivedParts.size() > 0;
           } catch (Exception e) {
             throw new IllegalStateException(e);
           }
@@ -334,15 +344,15 @@
   @Test
   void restartWithDnsDownServesFromTheSavedState() throws Exception {
     prepare(Wire.FRAMES);
-    stage.stateDirectory = folder.resolve("state");
+    fixture.stateDirectory = folder.resolve("state");
     start(false, 0);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> Files.exists(folder.resolve("state/roster.state")));
-    stage.stop().get(10, TimeUnit.SECONDS);
+    fixture.stop().get(10, TimeUnit.SECONDS);
     client.close();
     responder.script = q -> Fault.LOST;
     BrokerFixture again = new BrokerFixture();
-    again.stateDirectory = stage.stateDirectory;
+    again.stateDirectory = fixture.stateDirectory;
     again.start(BrokerFixture.settings(300), serviceWithoutPush());
     client = Client.http(again.httpPort);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
@@ -350,13 +360,13 @@
         again.logLines.stream().anyMatch(line -> line.contains("2 claims from")),
         again.logLines.toString());
     again.close();
-    // a damaged file is set aside, and said so once
+    // a damaged file is set aside and logged once
     Path file = folder.resolve("state/roster.state");
     byte[] bytes = Files.readAllBytes(file);
     bytes[bytes.length / 2] ^= 4;
     Files.write(file, bytes);
     BrokerFixture third = new BrokerFixture();
-    third.stateDirectory = stage.stateDirectory;
+    third.stateDirectory = fixture.stateDirectory;
     third.start(BrokerFixture.settings(300), serviceWithoutPush());
     assertEquals(1, third.logLines.stream().filter(line -> line.contains("set aside")).count());
     assertTrue(Files.exists(folder.resolve("state/roster.state.damaged")));
@@ -364,8 +374,8 @@
   }
 
   /**
-   * The broker's own records: present once it is ready, removed as the first step of a shutdown;
-   * the server accepts only signed updates.
+   * The broker's own records are present once it is ready and removed as the first step of a
+   * shutdown. The server accepts only signed updates.
    */
   @Test
   void registersItselfAndDeregistersFirst() throws Exception {
@@ -374,7 +384,7 @@
     Path key =
         Files.writeString(
             folder.resolve("key"), "broker. hmac-sha256 c2VjcmV0IHNlY3JldCBzZWNyZXQ=\n");
-    stage.announcement =
+    fixture.announcement =
         new Product.Announcement(
             new Address("127.0.0.1", responder.port()),
             "rooms.example.org.",
@@ -391,12 +401,14 @@
     await(() -> !zone.get(new Question(service, Type.PTR)).isEmpty());
     Name instance = Names.parse("n0\\032east\\.wing._broker._tcp.rooms.example.org.");
     assertEquals(
-        1, zone.get(new Question(instance, Type.SRV)).size(), "blanks and dots are part of a name");
-    var unused = stage.stop(); // only the deregistration, its first step, is awaited
+        1,
+        zone.get(new Question(instance, Type.SRV)).size(),
+        "an instance name may contain spaces and dots");
+    var unused = fixture.stop(); // waits only for the deregistration, which is the first step
     await(
         () ->
             zone.get(new Question(service, Type.PTR)).isEmpty()
                 && zone.all(instance, Type.ANY).isEmpty());
-    assertEquals("whole", ask(0, 1).outcome(), "who is connected is still served");
+    assertEquals("whole", ask(0, 1).outcome(), "connected clients are still served");
   }
 }
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -20,20 +20,22 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What a start waits for, and what it does when it is asked to end meanwhile. */
+/**
+ * Conditions for the start of a broker, and stop requests that arrive before or during the start.
+ */
 class StartTest {
-  /** A timer of the broker's own loop; the grace with half of the longest deadline is 1.25 s. */
+  /** Shorter than the grace period plus half of the longest query deadline, which is 1.25 s. */
   private static final long GRACE_MS = 1_200;
 
   private static final int INITIAL_LIST_ACCEPTED_MS = 1_100;
   @TempDir private Path dir;
 
   private static Config config(int discovery, String initialList, Path scratch) {
-    Address any = new Address("127.0.0.1", 0);
+    Address anyPort = new Address("127.0.0.1", 0);
     return new Config(
         "n0",
-        any,
-        any,
+        anyPort,
+        anyPort,
         new Address("127.0.0.1", discovery),
         7,
         Json.parse(initialList).asObject(),
@@ -44,17 +46,20 @@
         0);
   }
 
-  /** It never listens, and ends long before the grace period of a graceful shutdown is over. */
+  /**
+   * Checks that the broker never listens and that it ends without waiting for the grace period of a
+   * graceful shutdown.
+   */
   private void endsBeforeListening(boolean started) throws Exception {
-    BrokerFixture stage = new BrokerFixture();
-    Config config = config(stage.discovery.port(), "{}", dir);
+    BrokerFixture fixture = new BrokerFixture();
+    Config config = config(fixture.discovery.port(), "{}", dir);
     CompletableFuture<String> start = new CompletableFuture<>();
     CompletableFuture<String> first = new CompletableFuture<>();
     CountDownLatch stopRequested = new CountDownLatch(1);
-    io.vertx.core.Context context = stage.vertx.getOrCreateContext();
+    io.vertx.core.Context context = fixture.vertx.getOrCreateContext();
     Runnable starts =
         () ->
-            stage
+            fixture
                 .broker
                 .start()
                 .onComplete(
@@ -63,23 +68,24 @@
     try {
       context.runOnContext(
           v -> {
-            stage.broker = new Broker(stage.vertx, context, config, line -> {});
+            fixture.broker = new Broker(fixture.vertx, context, config, line -> {});
             if (started) {
               // tasks of one context run in order: the folder is read after the stop
-              stage.vertx.executeBlocking(() -> stopRequested.await(10, TimeUnit.SECONDS));
-              starts.run(); // reads the shared folder first, off the loop
+              fixture.vertx.executeBlocking(() -> stopRequested.await(10, TimeUnit.SECONDS));
+              starts.run(); // first reads the shared folder, off the event loop
             }
-            stage.vertx.setTimer(GRACE_MS, t -> first.complete("the grace"));
-            stage.broker.stop().onComplete(done -> first.complete("the end"));
+            fixture.vertx.setTimer(GRACE_MS, t -> first.complete("the grace"));
+            fixture.broker.stop().onComplete(done -> first.complete("the end"));
             stopRequested.countDown();
             if (!started) {
               starts.run();
             }
           });
-      assertEquals("it was asked to end before it listened", start.get(10, TimeUnit.SECONDS));
+      assertEquals(
+          "broker was asked to stop before it started to listen", start.get(10, TimeUnit.SECONDS));
       assertEquals("the end", first.get(10, TimeUnit.SECONDS));
     } finally {
-      stage.close();
+      fixture.close();
     }
   }
 
@@ -100,55 +106,58 @@
   }
 
   /**
-   * Starts the broker of the stage while discovery is down; returns the status of its readiness
-   * check once an endpoint list from before the start is accepted.
+   * Starts the broker of the fixture while discovery is down; returns the status of its readiness
+   * check after the time at which the initial endpoint list is accepted.
    */
-  private static int withoutDiscovery(BrokerFixture stage, int discovery, String initialList)
+  private static int withoutDiscovery(BrokerFixture fixture, int discovery, String initialList)
       throws Exception {
-    io.vertx.core.Context context = stage.vertx.getOrCreateContext();
+    io.vertx.core.Context context = fixture.vertx.getOrCreateContext();
     CompletableFuture<Void> elapsed = new CompletableFuture<>();
     CompletableFuture<Integer> port = new CompletableFuture<>();
     context.runOnContext(
         v -> {
-          stage.broker =
-              new Broker(stage.vertx, context, config(discovery, initialList, null), line -> {});
-          stage.vertx.setTimer(
-              INITIAL_LIST_ACCEPTED_MS, t -> elapsed.complete(null)); // later only lets it be surer
-          stage.broker.start().onSuccess(port::complete).onFailure(port::completeExceptionally);
+          fixture.broker =
+              new Broker(fixture.vertx, context, config(discovery, initialList, null), line -> {});
+          fixture.vertx.setTimer(
+              INITIAL_LIST_ACCEPTED_MS, t -> elapsed.complete(null)); // a later check is also valid
+          fixture.broker.start().onSuccess(port::complete).onFailure(port::completeExceptionally);
         });
     elapsed.get(10, TimeUnit.SECONDS);
-    stage.httpPort = port.get(10, TimeUnit.SECONDS);
-    return readinessStatus(stage.httpPort);
+    fixture.httpPort = port.get(10, TimeUnit.SECONDS);
+    return readinessStatus(fixture.httpPort);
   }
 
-  /** An empty endpoint list from before the start does not count: it would reject every query. */
+  /**
+   * An empty initial endpoint list must not make the broker ready, because it would reject every
+   * query.
+   */
   @Test
   void notReadyWhileNoEndpointIsKnown() throws Exception {
     int port;
     try (ServerSocket free = new ServerSocket(0)) {
       port = free.getLocalPort();
     }
-    BrokerFixture stage = new BrokerFixture();
+    BrokerFixture fixture = new BrokerFixture();
     BrokerFixture other = new BrokerFixture();
-    FrameStore store = new FrameStore(stage.vertx, "s");
+    FrameStore store = new FrameStore(fixture.vertx, "s");
     String entry = Discovery.entry(store, "a", 0, "ready");
     try {
       assertEquals(
           200, withoutDiscovery(other, port, "{\"generation\":3,\"instances\":[" + entry + "]}"));
-      assertEquals(503, withoutDiscovery(stage, port, "{\"generation\":3,\"instances\":[]}"));
-      try (Discovery discovery = new Discovery(stage.vertx, port)) {
+      assertEquals(503, withoutDiscovery(fixture, port, "{\"generation\":3,\"instances\":[]}"));
+      try (Discovery discovery = new Discovery(fixture.vertx, port)) {
         discovery.setList(entry);
         int status = 503;
         for (int i = 0; i < 1_000 && status != 200; i++) {
           Thread.sleep(10);
-          status = readinessStatus(stage.httpPort);
+          status = readinessStatus(fixture.httpPort);
         }
-        assertEquals(200, status, "discovery is back");
+        assertEquals(200, status, "must become ready once discovery is back");
       }
     } finally {
       store.close();
       other.close();
-      stage.close();
+      fixture.close();
     }
   }
 }
