--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -15,8 +15,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Generates days from seeds, reads and writes day files, searches many seeds for a violation and
- * shrinks a day that has one.
+ * Generates schedules from seeds, parses and formats schedule files ({@code *.day}), searches many
+ * seeds for a violation and shrinks a schedule that has one. Stateless; thread-safe.
  */
 public final class Days {
   private static final int DEFAULT_SECONDS = 60;
@@ -25,7 +25,7 @@
 
   private Days() {}
 
-  /** Generates a random day with two to six faults that may overlap. */
+  /** Generates a random schedule with two to six faults that may overlap. */
   public static SimulatedDay generate(long seed, Defect defect) {
     UniformRandomProvider random = new RandomStreams(seed).stream("day");
     List<Fault> faults = new ArrayList<>();
@@ -81,8 +81,9 @@
   }
 
   /**
-   * Reads a day file; a line {@code day seed 7 seconds 60 rate 38 defect X} may set the other
-   * properties. A non-null seed takes precedence over that of the file.
+   * Reads a schedule file. Its line {@code day seed 7 seconds 60 rate 38 defect X} sets the seed,
+   * the duration, the query rate and the defect; each has a default. A non-null {@code seed} takes
+   * precedence over that of the file.
    */
   public static SimulatedDay parse(Path file, Long seed) throws IOException {
     return parse(file, Files.readAllLines(file), seed);
@@ -108,7 +109,7 @@
         Defect.valueOf(head.getOrDefault("defect", "NONE")));
   }
 
-  /** Formats a day as a day file. */
+  /** Formats a schedule as the text of a schedule file. */
   public static String format(SimulatedDay day) {
     StringBuilder out =
         new StringBuilder(
@@ -127,17 +128,17 @@
   /**
    * The result of a search.
    *
-   * @param played the number of days simulated
+   * @param played the number of schedules simulated
    * @param steps the number of scheduled tasks that ran
    * @param meanShare mean share of the offered weight that was served
-   * @param violations the days with a violation, by seed
+   * @param violations the results with a violation, in the order of their seeds
    */
   public record SearchResult(
       int played, long steps, double meanShare, List<SimulationResult> violations) {}
 
   /**
-   * Simulates the generated days of a range of seeds on all cores; with {@code first} it stops
-   * after the first violation.
+   * Simulates the generated schedules of a range of seeds on all cores; if {@code first} is true,
+   * no simulation starts after the first violation.
    */
   public static SearchResult search(long fromSeed, int seeds, Defect defect, boolean first) {
     ConcurrentLinkedQueue<SimulationResult> breaches = new ConcurrentLinkedQueue<>();
@@ -170,13 +171,15 @@
   }
 
   /**
-   * Reduces the faults, the duration and the query rate of a day while the same invariant is
-   * violated.
+   * Reduces the faults, the duration and the query rate of a schedule as long as the same invariant
+   * is still violated.
+   *
+   * @throws IllegalArgumentException if the schedule violates no invariant
    */
   public static SimulatedDay shrink(SimulatedDay day) {
     SimulationResult whole = Simulation.play(day, false);
     if (whole.violation() == null) {
-      throw new IllegalArgumentException("no rule breaks on this day");
+      throw new IllegalArgumentException("cannot shrink: the schedule violates no invariant");
     }
     String rule = whole.violation().rule();
     Predicate<SimulatedDay> breaks =
--- a/src/main/java/dunlinhitch/experiments/simulation/Defect.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Defect.java
@@ -1,32 +1,32 @@
 package dunlinhitch.experiments.simulation;
 
-/** A defect injected at the edges of the brokers to show that the checker detects violations. */
+/** A defect injected at the edges of the brokers to verify that the checker detects violations. */
 public enum Defect {
   NONE,
-  /** Now and then an answer is given twice. */
+  /** Some queries are answered twice. */
   TWO_ANSWERS,
-  /** Now and then one is lost. */
+  /** Some answers are lost. */
   LOST_ANSWER,
-  /** It comes after the client's time. */
+  /** Some answers arrive after the deadline of the query. */
   LATE_ANSWER,
-  /** A partial answer is marked whole. */
+  /** Partial answers are marked as complete. */
   FALSE_WHOLE,
-  /** A value is another part's. */
+  /** Some answers carry the value of another part. */
   OTHER_VALUE,
-  /** Half of an answer's values are left out. */
+  /** Some answers are reduced to their first value, below the minimum share of the class. */
   UNDER_THE_FLOOR,
-  /** A part is sent a second time while it is out. */
+  /** Some parts are sent a second time while the first attempt is in flight. */
   TWO_OUT,
-  /** Sent again after all its attempts. */
+  /** Some parts are sent more often than the attempt limit allows. */
   MANY_ATTEMPTS,
-  /** A booking is sent again after its window. */
+  /** Some bookings are sent again after their deduplication window. */
   AFTER_THE_WINDOW,
-  /** What the roster says of drains comes late. */
+  /** Notifications of drains reach the brokers 2 s late. */
   LATE_DRAIN,
-  /** A drained store is sent to on purpose. */
+  /** Attempts are redirected to draining stores. */
   TO_THE_DRAINED,
-  /** A store is sent a shard that it does not hold. */
+  /** Some parts are sent to a store that does not hold their shard. */
   WRONG_SHARD,
-  /** A cold store is taken for a warm one. */
+  /** Stores are reported without a start time, so that brokers do not apply the slow start. */
   COLD_FLOOD
 }
--- a/src/main/java/dunlinhitch/experiments/simulation/Fault.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Fault.java
@@ -7,29 +7,32 @@
 import java.util.Map;
 
 /**
- * One trouble of a day. A script has one a line, {@code #} begins a comment:
+ * One fault of a schedule. A schedule file has one fault per line; {@code #} begins a comment:
  *
  * <pre>
- * at 12s crash s1 s2 for 8s          stores die and come back cold
- * at 12s drain s3 for 20s            told to all brokers, then gone, then back under its old id
- * at 12s move s3                     the same id at another address, restarted
- * at 12s replace s3                  its successor has a new id and is cold
- * at 12s..18s slow s4 x5             crawls
- * at 12s..18s slow-all x1.6
- * at 12s..18s jump x1.8              of the traffic
- * at 12s..18s late 3s                load reports
- * at 12s..14s cut b0 s3              nothing passes between the two
- * at 12s room a for 5s               all stores of a room
- * at 12s kill b1 for 2s              a broker, which begins from nothing
- * at 12s withdraw s2 for 500ms       its record is withdrawn and back
- * at 12s..20s garble x0.1            of the answers are spoilt
- * at 12s settings for 10s            a class is dropped with queries open, and comes back
- * when s3 cold jump x2               from when the store has started cold, for 3 s
+ * at 12s crash s1 s2 for 8s          the stores crash and restart in slow start
+ * at 12s drain s3 for 20s            all brokers are notified; the store restarts under its id
+ * at 12s move s3                     the store restarts at another address under the same id
+ * at 12s replace s3                  the store drains; a store with a new id starts in slow start
+ * at 12s..18s slow s4 x5             the store takes 5 times as long
+ * at 12s..18s slow-all x1.6          all stores take 1.6 times as long
+ * at 12s..18s jump x1.8              the query rate is multiplied by 1.8
+ * at 12s..18s late 3s                load reports are missing
+ * at 12s..14s cut b0 s3              the link between broker and store is partitioned
+ * at 12s room a for 5s               all stores of zone a crash
+ * at 12s kill b1 for 2s              the broker crashes and restarts without state
+ * at 12s withdraw s2 for 500ms       discovery withdraws the store and lists it again
+ * at 12s..20s garble x0.1            10 % of the answers are corrupted
+ * at 12s settings for 10s            a reload drops a query class, a later one restores it
+ * when s3 cold jump x2               applies for 3 s from the restart of the store
  * </pre>
  *
- * @param fromUs since the start of the day (microseconds); below 0: when {@code coldStartOf} starts
- *     cold
- * @param toUs the end, where it has one
+ * @param fromUs time since the start of the run in microseconds; below 0, the fault starts when the
+ *     store {@code coldStartOf} restarts
+ * @param toUs end in microseconds, or below 0 for the default duration of the kind
+ * @param coldStartOf name of the store, or empty if {@code fromUs} is set
+ * @param targets names of stores, brokers or zones
+ * @param factor the number after {@code x}, or the delay of {@code late} in microseconds
  */
 public record Fault(
     long fromUs, long toUs, String coldStartOf, String kind, List<String> targets, double factor) {
@@ -57,8 +60,9 @@
   }
 
   /**
-   * Parses the lines of a day file; throws an {@link IllegalArgumentException} that names the line
-   * and the error.
+   * Parses the lines of a schedule file.
+   *
+   * @throws IllegalArgumentException with the file, the line and the error
    */
   static List<Fault> parse(Path file, List<String> lines) {
     List<Fault> faults = new ArrayList<>();
@@ -76,7 +80,7 @@
                   + line
                   + ": "
                   + (e instanceof IndexOutOfBoundsException
-                      ? "something is missing"
+                      ? "the line is incomplete"
                       : e.getMessage()));
         }
       }
@@ -97,15 +101,15 @@
     } else if (how.equals("when")) {
       cold = words.remove(0);
       if (!words.remove(0).equals("cold")) {
-        throw new IllegalArgumentException("when STORE cold ...");
+        throw new IllegalArgumentException("expected: when STORE cold KIND ...");
       }
     } else {
-      throw new IllegalArgumentException("a line begins with at or when");
+      throw new IllegalArgumentException("the line must begin with at or when, not " + how);
     }
     String what = words.remove(0);
     if (!KINDS.contains(what)) {
       throw new IllegalArgumentException(
-          "no such trouble: " + what + "; there is " + String.join(", ", KINDS));
+          "unknown fault kind: " + what + "; expected one of " + String.join(", ", KINDS));
     }
     double by = 0;
     List<String> who = new ArrayList<>();
@@ -132,29 +136,29 @@
     }
     Long unit = UNITS.get(text.substring(digits));
     if (digits == 0 || unit == null) {
-      throw new IllegalArgumentException("no time with a unit (us ms s m): " + text);
+      throw new IllegalArgumentException("not a duration with a unit (us, ms, s or m): " + text);
     }
     return Math.round(Double.parseDouble(text.substring(0, digits)) * unit);
   }
 
-  private static String parseTime(long us) {
+  private static String formatTime(long us) {
     return us % 1_000 != 0
         ? us + "us"
         : us % 1_000_000 != 0 ? us / 1_000 + "ms" : us / 1_000_000 + "s";
   }
 
-  /** As a script has it. */
+  /** Formats the fault as a line of a schedule file. */
   @Override
   public String toString() {
     StringBuilder out =
         new StringBuilder(
             fromUs < 0
                 ? "when " + coldStartOf + " cold"
-                : "at " + parseTime(fromUs) + (toUs >= 0 ? ".." + parseTime(toUs) : ""));
+                : "at " + formatTime(fromUs) + (toUs >= 0 ? ".." + formatTime(toUs) : ""));
     out.append(' ').append(kind);
     targets.forEach(name -> out.append(' ').append(name));
     if (kind.equals("late")) {
-      out.append(' ').append(parseTime((long) factor));
+      out.append(' ').append(formatTime((long) factor));
     } else if (factor != 0) {
       out.append(String.format(Locale.ROOT, " x%s", factor));
     }
--- a/src/main/java/dunlinhitch/experiments/simulation/FaultInjector.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/FaultInjector.java
@@ -7,8 +7,8 @@
 import java.util.function.Consumer;
 
 /**
- * Applies the faults of a day to the stores, the network and the brokers, and ends them. One
- * thread.
+ * Starts and ends the faults of a schedule at the stores, the network, the clients and the brokers.
+ * Not thread-safe.
  */
 final class FaultInjector {
   private static final long DEFAULT_DURATION_US = 5_000_000;
@@ -33,29 +33,30 @@
     this.startUs = startUs;
   }
 
-  /** The factor on the query rate of the clients. */
+  /** Returns the factor on the query rate of the clients. */
   double trafficFactor() {
     return trafficFactor;
   }
 
-  /** The delay of load reports in microseconds; above 0 answers carry none. */
+  /** Returns the delay of load reports in microseconds; if above 0, answers carry no report. */
   long reportDelayUs() {
     return reportDelayUs;
   }
 
-  /** The share of answers that are corrupt. */
+  /** Returns the share of answers that are corrupted. */
   double corruptShare() {
     return corruptShare;
   }
 
   /**
-   * Whether the link is partitioned: the slot of a broker and the name of a store, {@code b0 s3}.
+   * Returns whether a link is partitioned; {@code link} consists of the slot of a broker and the
+   * name of a store, such as {@code b0 s3}.
    */
   boolean isPartitioned(String link) {
     return partitions.getOrDefault(link, 0) > 0;
   }
 
-  /** Begins a fault now and schedules its end. */
+  /** Starts a fault now and schedules its end. */
   void apply(Fault fault) {
     simulation.line("trouble " + fault);
     switch (fault.kind()) {
@@ -85,7 +86,7 @@
         case "move" -> move(store);
         case "replace" -> replace(store);
         case "withdraw" -> withdraw(store, endUs(fault, DEFAULT_WITHDRAWAL_US));
-        default -> throw new IllegalStateException(fault.kind());
+        default -> throw new IllegalStateException("unhandled fault kind: " + fault.kind());
       }
     }
   }
@@ -94,7 +95,7 @@
     return fault.targets().stream().map(simulation::store).toList();
   }
 
-  /** The end of a fault, or that long from now where it has none. */
+  /** Returns the end of a fault, or now plus {@code defaultUs} if it specifies none. */
   private long endUs(Fault fault, long defaultUs) {
     return fault.toUs() >= 0 ? startUs + fault.toUs() : time.now() + defaultUs;
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
@@ -11,19 +11,18 @@
 import java.util.Set;
 
 /**
- * Checks the required invariants at every step, from what crosses the edges of a broker and not
- * from its internal state. Keeps the first violation with the recent trace lines that mention its
- * query or endpoint.
+ * Checks the required invariants at every step, using only the messages that enter and leave a
+ * broker. Keeps the first violation with the recent trace lines that mention its query or endpoint.
  */
 public final class InvariantChecker {
-  /** Tolerance of every time limit for network latency, in microseconds. */
+  /** Added to every time limit to allow for network latency, in microseconds. */
   private static final long TIME_TOLERANCE_US = 50_000;
 
   private static final double WEIGHT_TOLERANCE = 0.001;
   private static final int MAX_ATTEMPTS = 4;
   private static final int RECENT_LINES = 400;
 
-  /** A violated invariant, its time and step, and the trace that led to it. */
+  /** A violated invariant, its time and step, and the trace lines about its subject. */
   public record Violation(String rule, long atUs, long step, String subject, String trace) {}
 
   private static final class PartState {
@@ -88,7 +87,7 @@
     }
   }
 
-  /** A broker crashed: its queries need no answer any more. */
+  /** Called when a broker crashes: its queries no longer require an answer. */
   void brokerCrashed(int broker) {
     queries.values().removeIf(query -> query.broker == broker);
     unavailableSinceUs.keySet().removeIf(key -> key.startsWith(broker + " "));
@@ -98,14 +97,14 @@
   void queryAnswered(String id, QueryResponse answer) {
     QueryState query = queries.get(id);
     if (query == null) {
-      reportViolation("an answer to no query", id);
+      reportViolation("an answer to an unknown query", id);
       return;
     }
     if (++query.answers > 1) {
-      reportViolation("two final answers", id);
+      reportViolation("a second answer to a query", id);
     }
     if (time.now() > query.request.deadlineUs() + TIME_TOLERANCE_US) {
-      reportViolation("an answer after the client's time", id);
+      reportViolation("an answer after the deadline of the query", id);
     }
     if (answer instanceof QueryResponse.Served served) {
       double servedShare = 0;
@@ -116,21 +115,21 @@
                 .mapToDouble(QueryRequest.PartRequest::weight)
                 .sum();
         if (!value.value().equals(Simulation.value(query.request.text(), value.shard()))) {
-          reportViolation("a value that no store made for this part", id);
+          reportViolation("a part value that differs from the value of its store", id);
         }
       }
       if (servedShare < query.request.queryClass().floor() - WEIGHT_TOLERANCE) {
-        reportViolation("an answer from less than the least share", id);
+        reportViolation("an answer below the minimum share of its query class", id);
       }
       if (served.complete() && servedShare < query.request.queryClass().need() - WEIGHT_TOLERANCE) {
-        reportViolation("an answer marked whole that is not", id);
+        reportViolation("an incomplete answer marked as complete", id);
       }
     }
   }
 
   /**
-   * Discovery has notified a broker of an endpoint; after a grace period an unavailable one may
-   * receive nothing new.
+   * Called when discovery notifies a broker of an endpoint; an unavailable endpoint may receive no
+   * attempts after the drain grace period.
    */
   void endpointNotified(int broker, String store, boolean takesWork) {
     String key = broker + " " + store;
@@ -141,7 +140,7 @@
     }
   }
 
-  /** A broker sent an attempt. */
+  /** Called when a broker sends an attempt; {@code ask} is null if its client has disconnected. */
   void attemptSent(
       int broker,
       SimulatedStore store,
@@ -151,31 +150,31 @@
       long attempt,
       int cells) {
     if (store.cell != shard % cells) {
-      reportViolation("a part to a store that does not hold its shard", partId);
+      reportViolation("an attempt at a store that does not hold the shard", partId);
     }
     Long unavailable = unavailableSinceUs.get(broker + " " + store.name);
     if (unavailable != null && time.now() > unavailable + 250_000 + TIME_TOLERANCE_US) {
-      reportViolation("work for a store that drains or is gone", partId);
+      reportViolation("an attempt at a draining or removed store", partId);
     }
     PartState part = parts.computeIfAbsent(broker + " " + partId, k -> new PartState());
     if (part.outstanding > 0) {
-      reportViolation("two attempts out for a part", partId);
+      reportViolation("two attempts of a part in flight", partId);
     }
     part.outstanding++;
     if (++part.attempts > MAX_ATTEMPTS) {
-      reportViolation("more attempts than allowed", partId);
+      reportViolation("more attempts of a part than allowed", partId);
     }
     if (ask != null
         && ask.queryClass().idempotency() == Idempotency.GUARDED
         && part.possiblyExecutedUs >= 0
         && time.now()
             > part.possiblyExecutedUs + ask.queryClass().dedupWindowUs() + TIME_TOLERANCE_US) {
-      reportViolation("a repeat after its window", partId);
+      reportViolation("a repeated attempt after the deduplication window", partId);
     }
     part.possiblyExecutedUs = part.possiblyExecutedUs < 0 ? time.now() : part.possiblyExecutedUs;
   }
 
-  /** An attempt has ended for the broker. */
+  /** Called when an attempt ends; {@code neverRan} is true if its store has not executed it. */
   void attemptEnded(int broker, String partId, long attempt, boolean neverRan) {
     PartState part = parts.get(broker + " " + partId);
     if (part != null && endedAttempts.add(broker + " " + attempt)) {
@@ -186,27 +185,27 @@
     }
   }
 
-  /** The simulated day and its drain period are over: every accepted query must have one answer. */
+  /** Called after the drain period: every accepted query must have been answered exactly once. */
   void simulationEnded(int openInBrokers) {
     queries.forEach(
         (id, query) -> {
           if (query.answers == 0 && !query.clientDisconnected) {
-            reportViolation("a query without an answer", id);
+            reportViolation("a query without an answer at the end of the run", id);
           }
         });
     if (openInBrokers > 0) {
-      reportViolation("queries that are still open", openInBrokers + " ");
+      reportViolation("queries still open at the end of the run", openInBrokers + " ");
     }
   }
 
-  /** Reports queries past their deadline without an answer and forgets completed ones. */
+  /** Reports unanswered queries past their deadline and removes completed queries. */
   void checkOverdueQueries() {
     for (Map.Entry<String, QueryState> entry : queries.entrySet()) {
       QueryState query = entry.getValue();
       if (query.answers == 0
           && !query.clientDisconnected
           && time.now() > query.request.deadlineUs() + TIME_TOLERANCE_US) {
-        reportViolation("a query without an answer in its client's time", entry.getKey());
+        reportViolation("a query without an answer by its deadline", entry.getKey());
       }
     }
     queries
--- a/src/main/java/dunlinhitch/experiments/simulation/RandomStreams.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/RandomStreams.java
@@ -6,8 +6,8 @@
 import org.apache.commons.statistics.distribution.LogNormalDistribution;
 
 /**
- * One random stream for each named component, so that a change in one component does not shift the
- * draws of another.
+ * Provides an independent random stream for each named component, so that additional draws in one
+ * component do not change those of another.
  */
 final class RandomStreams {
   private final long seed;
@@ -29,14 +29,14 @@
     return from + (to - from) * random.nextDouble();
   }
 
-  /** An exponential variate, such as a gap of a Poisson process. */
+  /** Draws an exponential variate, such as the time between two events of a Poisson process. */
   static double exponential(UniformRandomProvider random, double mean) {
     return ExponentialDistribution.of(mean).createSampler(random).sample();
   }
 
   /**
-   * A log-normal variate with that median; {@code sigma} is the standard deviation of its
-   * logarithm.
+   * Draws a log-normal variate with the given median; {@code sigma} is the standard deviation of
+   * its logarithm.
    */
   static double logNormal(UniformRandomProvider random, double median, double sigma) {
     return LogNormalDistribution.of(Math.log(median), sigma).createSampler(random).sample();
--- a/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
@@ -5,7 +5,7 @@
 
 /**
  * A discrete-event scheduler on virtual time in microseconds. Tasks run in the order of their time
- * and, at the same time, in the order in which they were scheduled. One thread.
+ * and, at equal times, in the order in which they were scheduled. Not thread-safe.
  */
 final class Scheduler {
   private record ScheduledTask(long atUs, long order, Runnable task)
@@ -29,7 +29,7 @@
     return nowUs;
   }
 
-  /** The number of tasks run so far. */
+  /** Returns the number of tasks run so far. */
   long steps() {
     return steps;
   }
@@ -42,7 +42,7 @@
     scheduleAt(nowUs + Math.max(0, inUs), task);
   }
 
-  /** Runs all tasks that are due by then, while {@code mayContinue} holds. */
+  /** Runs all tasks that are due until {@code endUs}, as long as {@code mayContinue} is true. */
   void runUntil(long endUs, BooleanSupplier mayContinue) {
     while (!queue.isEmpty() && queue.peek().atUs() <= endUs && mayContinue.getAsBoolean()) {
       ScheduledTask due = queue.poll();
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
@@ -19,23 +19,24 @@
 import java.util.function.Supplier;
 
 /**
- * Simulates many brokers with a scorer each in front of stores of which some are slower than they
- * report. The brokers use Graham's rule with scorer factors, the stores serve first come, first
- * served, and a query has one part. Hedging, rejection and health checks are not modelled. One
- * thread, virtual time.
+ * Simulates several brokers, each with its own scorer, and stores of which some are slower than
+ * they report. A broker sends a part to the store with the least estimated work (Graham's rule),
+ * multiplied by the factor of its scorer; stores serve parts in the order of arrival; a query has
+ * one part. Hedging, rejection and health checks are not modelled. One thread, virtual time.
  */
 public final class ScorerSimulation {
   /**
-   * What one run is made of.
+   * The parameters of a run.
    *
-   * @param workUs mean work of a part
-   * @param slowShare stores that take 4 to 8 times as long, and report as few parts of what waits
-   *     there
-   * @param load of what all stores can do
-   * @param scorer one for each broker, or null for Graham's rule alone
-   * @param shared whether weights ride from broker to broker
-   * @param together whether all brokers' rounds are at one moment
-   * @param staleUs the oldest that a word is when it is heard
+   * @param replicas stores in each cell
+   * @param workUs mean service time of a part at a store that is not slow
+   * @param slowShare share of the stores that take 4 to 8 times as long and divide the queue length
+   *     that they report by the same factor
+   * @param load offered load as a share of the capacity of all stores
+   * @param scorer creates the scorer of each broker, or null for Graham's rule without factors
+   * @param shared whether brokers send their weights to each other
+   * @param together whether all brokers run their scoring rounds at the same time
+   * @param staleUs maximum delay of weights between two brokers
    */
   public record Plan(
       int brokers,
@@ -52,7 +53,7 @@
 
   private static final int QUERY_CLASS = 0;
   private static final long CLOCK_START_US = 1_700_000_000_000_000L;
-  private static final double REPORT_DECAY_OBJECTIVES = 4; // aims
+  private static final double REPORT_DECAY_OBJECTIVES = 4;
 
   private static final class Store {
     private final double slowdown;
@@ -179,7 +180,7 @@
       scheduler.scheduleAt(nextUs, this::runScoringRound);
     }
 
-    /** Sends the own weights to every other broker, each after a random delay. */
+    /** Sends the weights that changed at this broker to all others, each after a random delay. */
     private void shareWeights() {
       String self = "n" + brokers.indexOf(this);
       List<ReplicatedEntry<WeightKey, Weight>> news =
@@ -223,14 +224,14 @@
     int many = plan.cells() * plan.replicas();
     double able = 0;
     for (int i = 0; i < many; i++) {
-      // spread over the cells, so that none has slow ones alone
+      // spreads slow stores over the cells, so that no cell consists of slow stores only
       boolean slow = Math.floor((i + 1) * plan.slowShare()) > Math.floor(i * plan.slowShare());
       double times = slow ? 4 + 4 * random.nextDouble() : 1;
       stores.add(new Store("s" + i, times));
       able += 1 / times;
     }
     meanGapUs =
-        plan.workUs() / (able * plan.load()) * plan.brokers(); // from query to query at one broker
+        plan.workUs() / (able * plan.load()) * plan.brokers(); // between queries of a broker
     for (int i = 0; i < plan.brokers(); i++) {
       join();
     }
@@ -241,8 +242,8 @@
   }
 
   /**
-   * Adds a broker without any weights; it receives those of the first broker at once, as any broker
-   * that joins.
+   * Adds a broker that has no weights of its own; if weights are shared, it receives those of the
+   * first broker immediately, as a broker does when it joins the cluster.
    */
   public void join() {
     Broker fresh = new Broker(brokers.size());
@@ -271,7 +272,7 @@
         });
   }
 
-  /** Runs the simulation up to that virtual time, in microseconds. */
+  /** Runs the simulation until virtual time {@code untilUs}, in microseconds. */
   public void playTo(long untilUs) {
     scheduler.runUntil(untilUs, () -> true);
   }
@@ -284,14 +285,15 @@
     store.countsByWindow[window]++;
   }
 
-  /** Which store each part went to. */
+  /** The index of the store that each part was sent to, in the order of sending. */
   public List<Integer> chosen() {
     return List.copyOf(chosen);
   }
 
   /**
-   * Share of what was sent in that time that was answered within the aim; {@code newest}: of the
-   * broker that joined last alone.
+   * The share of the parts completed so far that met the latency objective, among those sent from
+   * {@code fromUs} until {@code untilUs}; if {@code newest} is true, only parts of the broker that
+   * joined last count.
    */
   public double worth(long fromUs, long untilUs, boolean newest) {
     double[] took = latencies(fromUs, untilUs, newest);
@@ -299,7 +301,7 @@
         / (double) Math.max(1, took.length);
   }
 
-  /** The 99th percentile of the latency, in microseconds. */
+  /** The 99th percentile of the latency in microseconds, over the same parts as {@link #worth}. */
   public double p99(long fromUs, long untilUs, boolean newest) {
     double[] took = latencies(fromUs, untilUs, newest);
     Arrays.sort(took);
@@ -315,8 +317,8 @@
   }
 
   /**
-   * Parts at a store from second to second: by how much of the mean they lie beside it, root of the
-   * mean square, over all stores.
+   * The coefficient of variation of the number of parts that a store receives per second, averaged
+   * over all stores.
    */
   public double swing(long fromUs, long untilUs) {
     double sum = 0;
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
@@ -13,13 +13,13 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The clients of a simulated day: send queries at random times, disconnect now and then, retry
- * failed queries and account for the weight that was served in time. One thread.
+ * The clients of a simulated run. They send queries at random times, sometimes disconnect before
+ * the answer, retry failed queries and account for the served weight. Not thread-safe.
  */
 final class SimulatedClients {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** A query of a client, with the number of retries before it. */
+  /** A query of a client; {@code retries} counts the retries that precede it. */
   private record ClientQuery(
       QueryRequest request, int retries, long startedUs, boolean honorsRetryAfter) {}
 
@@ -54,23 +54,23 @@
     this.random = random;
   }
 
-  /** The weight of the answers so far. */
+  /** Returns the weight of the answers so far. */
   double servedWeight() {
     return servedWeight;
   }
 
-  /** The weight of the queries so far, without retries. */
+  /** Returns the weight of the queries so far; retries are not counted. */
   double offeredWeight() {
     return offeredWeight;
   }
 
-  /** The request of an open query, or null. */
+  /** Returns the request of an open query, or null. */
   QueryRequest openRequest(String id) {
     ClientQuery query = openQueries.get(id);
     return query == null ? null : query.request();
   }
 
-  /** Sends a query and schedules the next one until the end of the day. */
+  /** Sends a query and schedules the next one, until the end of the load. */
   void arrive() {
     if (time.now() >= Simulation.START_US + day.seconds() * 1_000_000L) {
       return;
@@ -112,7 +112,7 @@
   private void submit(ClientQuery query) {
     SimulatedBroker broker = simulation.broker(random.nextInt(SimulationSettings.BROKER_COUNT));
     if (broker.isCrashed()) {
-      return; // the connection is refused
+      return; // a crashed broker refuses the connection
     }
     openQueries.put(query.request().id(), query);
     simulation.line(
@@ -139,12 +139,12 @@
     }
   }
 
-  /** Delivers the answer of a broker to the client, if it is still connected. */
+  /** Delivers an answer to its client if the client is still connected. */
   void reply(SimulatedBroker broker, long exchange, QueryResponse answer) {
     String id = exchanges.get(broker.number + " " + exchange);
     ClientQuery query = openQueries.get(id);
     if (query == null) {
-      return; // the client has disconnected meanwhile
+      return; // the client has disconnected
     }
     if (simulation.injects(Defect.LOST_ANSWER, 0.01)) {
       return;
@@ -191,8 +191,8 @@
   }
 
   /**
-   * Accounts for an answer, or schedules a retry after a rejection; some clients ignore
-   * Retry-After.
+   * Adds the weight of a served answer, or schedules a retry of a query that was not served; some
+   * clients ignore Retry-After.
    */
   private void onAnswer(ClientQuery query, QueryResponse answer) {
     QueryClass queryClass = query.request().queryClass();
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
@@ -8,12 +8,12 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * A store with {@code CORES} cores and one queue of at most {@code QUEUE_LIMIT} parts. The service
- * time of a part is its work x slowdown / slow-start weight, and the weight rises linearly from
- * {@code COLD_WEIGHT} to 1 within {@code SLOW_START_US} after a start. A warming store that
+ * A model of a store with {@code CORES} cores and one queue of at most {@code QUEUE_LIMIT} parts.
+ * The service time of a part is its work x slowdown / slow-start weight; the weight rises linearly
+ * from {@code COLD_WEIGHT} to 1 within {@code SLOW_START_US} after a start. A warming store that
  * receives more than {@code OVERLOAD_FACTOR} times its capacity within {@code OVERLOAD_WINDOW_US}
- * collapses and stays down. Load reports are refreshed every 140 to 740 ms. A part with an
- * idempotency key that ran is not run again for 4 s.
+ * collapses and stays down. Load reports are refreshed every 140 to 740 ms. A part whose
+ * idempotency key was executed within the last 4 s is answered without being executed again.
  */
 final class SimulatedStore {
   static final int CORES = 2;
@@ -24,10 +24,12 @@
   private static final int QUEUE_LIMIT = 200;
   private static final long DEDUPLICATION_WINDOW_US = 4_000_000;
 
-  /** A queued part with its idempotency key, or an empty one, and its completion callback. */
+  /**
+   * A queued part; {@code key} is its idempotency key or empty, {@code done} runs on completion.
+   */
   private record Job(String key, long workUs, Runnable done) {}
 
-  /** Whether a part was accepted. */
+  /** Result of submitting a part. */
   enum Admission {
     ACCEPTED,
     REJECTED,
@@ -43,7 +45,7 @@
   boolean draining;
   boolean collapsed;
 
-  /** Counts restarts: work of an earlier incarnation ends without a result. */
+  /** Incremented on each start and stop; parts of an earlier incarnation end without a result. */
   int incarnation;
 
   double slowdown = 1;
@@ -88,7 +90,7 @@
     return startedUs > 0 && time.now() - startedUs < SLOW_START_US;
   }
 
-  /** Restarts the store, which is empty and warming up. */
+  /** Starts the store with an empty queue and in slow start. */
   void start() {
     incarnation++;
     running = true;
@@ -109,7 +111,7 @@
     busy = 0;
   }
 
-  /** Submits a part; {@code done} runs when its result is sent. */
+  /** Submits a part; {@code done} runs when the part is completed. */
   Admission submit(String key, long workUs, Runnable done) {
     if (!running) {
       return Admission.DOWN;
@@ -126,7 +128,7 @@
     return Admission.ACCEPTED;
   }
 
-  /** Compares the work received within the window with the capacity of a warming store. */
+  /** Collapses a warming store that received more work than its capacity allows in the window. */
   private void trackWarmUpLoad(long workUs) {
     if (!isWarmingUp()) {
       return;
@@ -151,7 +153,7 @@
       if (!job.key().isEmpty()
           && completedAtUs.getOrDefault(job.key(), Long.MIN_VALUE / 2)
               > time.now() - DEDUPLICATION_WINDOW_US) {
-        job.done().run(); // dropped as a repeat: its answer stands
+        job.done().run(); // duplicate of an executed part: answered without executing it again
         continue;
       }
       busy++;
@@ -174,7 +176,7 @@
     }
   }
 
-  /** {@code latency_ms} and {@code queue} as of the last refresh. */
+  /** Returns {@code latency_ms} and {@code queue} as of the last refresh of the load report. */
   float[] report() {
     if (time.now() >= reportAtUs) {
       reportedMs = (float) (smoothedLatencyMs * RandomStreams.uniform(random, 0.9, 1.1));
--- a/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -24,9 +24,9 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Simulates a day: production brokers from the reducer inward, and models of the stores, the
- * network, discovery and the clients. docs/simulation.md describes the models and their limits. One
- * thread; the same seed, schedule and build give the same trace byte for byte.
+ * Simulates one schedule with production reducers and with models of the stores, the network,
+ * discovery and the clients. docs/simulation.md describes the models and their limits. Runs on one
+ * thread; the same schedule and build give a byte-for-byte identical trace.
  */
 public final class Simulation {
   private static final int REPLICA_SETS = 3;
@@ -36,7 +36,7 @@
   private static final long DRAIN_PERIOD_US = 8_000_000;
   private static final String DNS_SOURCE = "dns_sd day";
 
-  /** A store as one broker reaches it. */
+  /** A store and the port under which a broker knows it. */
   private record Route(SimulatedStore store, int port) {}
 
   /** An attempt in flight. */
@@ -97,7 +97,7 @@
     }
   }
 
-  /** Simulates the day to its end, or to the first violation. */
+  /** Simulates a schedule until its end or the first violation. */
   public static SimulationResult play(SimulatedDay day, boolean keepTrace) {
     return new Simulation(day, keepTrace).run();
   }
@@ -114,7 +114,7 @@
       startBroker(slot);
     }
     for (Fault fault : day.faults()) {
-      if (fault.fromUs() >= 0) { // the others wait for their store to start
+      if (fault.fromUs() >= 0) { // faults without a time are applied when their store restarts
         time.scheduleAt(START_US + fault.fromUs(), () -> faults.apply(fault));
       }
     }
@@ -139,17 +139,17 @@
         trace);
   }
 
-  /** The broker that runs in a slot, or the crashed one that ran there last. */
+  /** Returns the broker in a slot, which may have crashed. */
   SimulatedBroker broker(int slot) {
     return slots[slot];
   }
 
-  /** All stores, in the order in which they were added. */
+  /** Returns all stores in the order in which they were added. */
   List<SimulatedStore> stores() {
     return stores;
   }
 
-  /** Allocates a port that no store has used. */
+  /** Returns a port that no store has used before. */
   int allocatePort() {
     return ++lastPort;
   }
@@ -164,7 +164,8 @@
   }
 
   /**
-   * Crashes the broker in a slot; its outstanding attempts are lost. Returns false if it is down.
+   * Crashes the broker in a slot and drops its outstanding attempts. Returns false if it had
+   * already crashed.
    */
   boolean crashBroker(int slot) {
     SimulatedBroker broker = slots[slot];
@@ -205,7 +206,7 @@
             streams.stream("store " + name),
             sentUs -> {
               line("store " + name + " fell over after " + sentUs + " us of work");
-              checker.reportViolation("a cold store was pushed over", name);
+              checker.reportViolation("a store overloaded during slow start", name);
             });
     made[0].startedUs = startedUs;
     stores.add(made[0]);
@@ -216,7 +217,7 @@
     return stores.stream()
         .filter(s -> s.name.equals(name))
         .findFirst()
-        .orElseThrow(() -> new IllegalArgumentException("no such store: " + name));
+        .orElseThrow(() -> new IllegalArgumentException("unknown store: " + name));
   }
 
   private Endpoint endpoint(SimulatedStore s, ServerState state) {
@@ -257,7 +258,10 @@
         : new EndpointClaim(entry.name(), entry, time.now(), TimingWheel.NEVER);
   }
 
-  /** Every broker is told after a delay of its own; {@code quick}: by a push of records. */
+  /**
+   * Notifies all brokers of an endpoint's state, each after a random delay: a short one if {@code
+   * quick} is true, as by a push of records.
+   */
   void notifyBrokers(SimulatedStore s, ServerState state, boolean quick) {
     Endpoint entry = endpoint(s, state);
     for (SimulatedBroker broker : slots) {
@@ -267,7 +271,7 @@
                   ? RandomStreams.uniform(discovery, 1_000, 60_000)
                   : RandomStreams.uniform(discovery, 200_000, 3_000_000));
       boolean late = day.defect() == Defect.LATE_DRAIN && state != ServerState.READY;
-      // one agent tells a broker, in the order of what happened
+      // a broker receives its notifications in the order of the changes
       long atUs = Math.max(time.now() + delay, lastNotificationUs.getOrDefault(broker.number, 0L));
       lastNotificationUs.put(broker.number, atUs);
       time.scheduleAt(
@@ -294,7 +298,7 @@
     notifyBrokers(s, ServerState.GONE, false);
   }
 
-  /** Attempts at a store fail with its connections. */
+  /** Resets the attempts in flight at a store. */
   void failAttempts(SimulatedStore s) {
     for (int i = 0; i < outstanding.size(); i++) {
       SimulatedBroker broker = allBrokers.get(i);
@@ -381,14 +385,14 @@
     } else if (effect instanceof Effect.LogMessage e) {
       line("broker " + broker.number + ": " + e.text());
       if (e.text().startsWith("fault")) {
-        checker.reportViolation("a fault in the decisions", "broker " + broker.number);
+        checker.reportViolation("a broker logged an internal fault", "broker " + broker.number);
       }
     }
   }
 
   /**
-   * The store reads the cancellation after the latency of the route, its confirmation takes as long
-   * again; over a partitioned route neither arrives.
+   * Cancels an attempt. The store reads the cancellation after the latency of the route, and its
+   * confirmation takes the latency once more; over a partitioned route neither arrives.
    */
   private void cancel(SimulatedBroker broker, Effect.CancelAttempt cancellation) {
     OutstandingAttempt out = outstanding.get(broker.number).remove(cancellation.attempt());
@@ -455,7 +459,7 @@
           });
     }
     if (isCut(broker, store)) {
-      return; // nothing comes back; the broker gives it up
+      return; // over a partitioned link nothing arrives; the attempt times out at the broker
     }
     boolean booking = ask != null && ask.queryClass().idempotency() == Idempotency.GUARDED;
     long workUs = (long) RandomStreams.logNormal(work, booking ? 67_000 : 84_000, 0.3) + 46_000 / 4;
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
@@ -9,25 +9,26 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Parameters;
 
-/** The commands that simulate days. */
+/** The commands that run, search, shrink and print simulated runs. */
 public final class SimulationCommands {
   private SimulationCommands() {}
 
-  /** The day to simulate: that of a file, or the generated one of a seed. */
+  /** Selects a schedule: read from a file, or generated from a seed. */
   static final class DaySelection {
     @Parameters(
         arity = "0..1",
         paramLabel = "FILE",
-        description = "a day; without it the drawn one of the seed")
+        description =
+            "a schedule file (*.day); without it, the schedule is generated from the seed")
     private Path file;
 
-    @Option(names = "--seed", description = "of all that is drawn")
+    @Option(names = "--seed", description = "seed of the random generators")
     private Long seed;
 
     @Option(
         names = "--defect",
         defaultValue = "NONE",
-        description = "for a drawn day: one of ${COMPLETION-CANDIDATES}")
+        description = "defect to inject into a generated schedule: one of ${COMPLETION-CANDIDATES}")
     private Defect defect;
 
     SimulatedDay day() throws IOException {
@@ -38,7 +39,7 @@
   private static void printResult(SimulationResult result) {
     System.out.printf(
         Locale.ROOT,
-        "seed %d: worth %.3f of what was asked for, %d steps, digest %s%n",
+        "seed %d: served %.3f of the offered weight, %d steps, digest %s%n",
         result.day().seed(),
         result.share(),
         result.steps(),
@@ -47,7 +48,7 @@
       InvariantChecker.Violation violation = result.violation();
       System.out.printf(
           Locale.ROOT,
-          "broken: %s (%s) at step %d, %.6f s%n%s",
+          "violation: %s (%s) at step %d, %.6f s%n%s",
           violation.rule(),
           violation.subject(),
           violation.step(),
@@ -59,7 +60,7 @@
   @Command(
       name = "run",
       description =
-          "Plays a day of a file, or the drawn one of a seed; exit code 1 if a rule breaks.",
+          "Simulates the schedule of a file or a seed; exit code 1 if an invariant is violated.",
       mixinStandardHelpOptions = true)
   public static final class Run implements Callable<Integer> {
     @Mixin private DaySelection selection;
@@ -77,25 +78,25 @@
   @Command(
       name = "search",
       description =
-          "Plays the drawn days of many seeds on all cores; exit code 1 if a rule breaks.",
+          "Simulates the schedules of many seeds on all cores; exit code 1 if an invariant is violated.",
       mixinStandardHelpOptions = true)
   public static final class Search implements Callable<Integer> {
     @Option(
         names = "--seeds",
         defaultValue = "100",
-        description = "how many (default: ${DEFAULT-VALUE})")
+        description = "number of seeds (default: ${DEFAULT-VALUE})")
     private int seeds;
 
     @Option(
         names = "--from",
         defaultValue = "1",
-        description = "the first (default: ${DEFAULT-VALUE})")
+        description = "first seed (default: ${DEFAULT-VALUE})")
     private long from;
 
     @Option(
         names = "--defect",
         defaultValue = "NONE",
-        description = "one of ${COMPLETION-CANDIDATES}")
+        description = "defect to inject: one of ${COMPLETION-CANDIDATES}")
     private Defect defect;
 
     @Override
@@ -104,7 +105,7 @@
       Days.SearchResult found = Days.search(from, seeds, defect, false);
       System.out.printf(
           Locale.ROOT,
-          "%d seeds in %.1f s, %d steps, worth %.3f of what was asked for, %d breaches%n",
+          "%d seeds in %.1f s, %d steps, served %.3f of the offered weight, %d violations%n",
           found.played(),
           (System.nanoTime() - begin) / 1e9,
           found.steps(),
@@ -125,7 +126,7 @@
 
   @Command(
       name = "shrink",
-      description = "Prints the shortest day found that breaks the same rule.",
+      description = "Prints the smallest schedule found that violates the same invariant.",
       mixinStandardHelpOptions = true)
   public static final class Shrink implements Callable<Integer> {
     @Mixin private DaySelection selection;
@@ -141,7 +142,7 @@
 
   @Command(
       name = "show",
-      description = "Prints the time line of a day, or of a query or store of it.",
+      description = "Prints the trace of a simulated run, or its lines about one query or store.",
       mixinStandardHelpOptions = true)
   public static final class Show implements Callable<Integer> {
     @Mixin private DaySelection selection;
@@ -149,7 +150,7 @@
     @Option(
         names = "--of",
         defaultValue = "",
-        description = "a query such as q12, or a store such as s3")
+        description = "query or store whose lines are printed, such as q12 or s3")
     private String of;
 
     @Override
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationResult.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationResult.java
@@ -2,7 +2,16 @@
 
 import java.util.List;
 
-/** The outcome of a day; {@code trace} is empty unless requested. */
+/**
+ * The result of a simulated run.
+ *
+ * @param violation the first violated invariant, or null
+ * @param servedWeight weight of the answers
+ * @param offeredWeight weight of the queries
+ * @param steps number of scheduled tasks that ran
+ * @param digest SHA-256 of the trace
+ * @param trace the trace lines; empty unless requested
+ */
 public record SimulationResult(
     SimulatedDay day,
     InvariantChecker.Violation violation,
@@ -11,7 +20,7 @@
     long steps,
     String digest,
     List<String> trace) {
-  /** The share of the offered weight that was served; 1 where nothing was offered. */
+  /** Returns the served share of the offered weight, or 1 if no weight was offered. */
   public double share() {
     return offeredWeight == 0 ? 1 : servedWeight / offeredWeight;
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationSettings.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationSettings.java
@@ -13,13 +13,13 @@
 
 /** The settings of the simulated brokers, as in the deployment for three brokers. */
 final class SimulationSettings {
-  /** Cells of the shard layout. */
+  /** Number of cells in the shard layout. */
   static final int CELL_COUNT = 6;
 
-  /** Shards of the shard layout. */
+  /** Number of shards in the shard layout. */
   static final int SHARD_COUNT = 24;
 
-  /** Brokers that run at the same time. */
+  /** Number of brokers that run at the same time. */
   static final int BROKER_COUNT = 3;
 
   private SimulationSettings() {}
--- a/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
@@ -31,7 +31,7 @@
     return world;
   }
 
-  /** Says nothing of any store. */
+  /** A scorer that returns no judgement for any store. */
   private static final class NoOpinionScorer implements Scorer {
     @Override
     public int api() {
@@ -67,6 +67,8 @@
     double shared =
         simulate(StorePace::new, ScoringSettings.STANDARD, true)
             .worth(10 * SECOND_US, 18 * SECOND_US, false);
-    assertTrue(shared > alone, shared + " against " + alone);
+    assertTrue(
+        shared > alone,
+        "share within the objective: " + shared + " with shared weights, " + alone + " without");
   }
 }
--- a/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Simulated days: found breaches that were mended, fixed seeds, and that the checkers can fail. */
+/**
+ * Replays the recorded schedules of violations that have been fixed, simulates a range of seeds and
+ * verifies that the checker detects each injected defect.
+ */
 class SimulationTest {
   private static final Path SCHEDULES = Path.of("src/test/resources/stories");
 
@@ -45,16 +48,19 @@
             .map(r -> r.day().seed() + ": " + r.violation().rule())
             .toList());
     assertEquals(50, found.played());
-    assertTrue(found.meanShare() > 0.9, "worth served: " + found.meanShare());
+    assertTrue(
+        found.meanShare() > 0.9, "mean served share of the offered weight: " + found.meanShare());
   }
 
   @ParameterizedTest
   @EnumSource(value = Defect.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
   void everyInjectedDefectIsDetected(Defect defect) {
-    assertTrue(!Days.search(1, 200, defect, true).violations().isEmpty(), defect + " goes unseen");
+    assertTrue(
+        !Days.search(1, 200, defect, true).violations().isEmpty(),
+        "no seed detects the injected defect " + defect);
   }
 
-  /** The same lines from the same seed, here and in a process of its own. */
+  /** A seed gives the same trace in repeated runs and the same digest in another process. */
   @Test
   void sameSeedGivesSameTrace() throws Exception {
     SimulatedDay day = Days.generate(7, Defect.NONE);
@@ -85,7 +91,7 @@
     assertTrue(shrunk.faults().isEmpty() && shrunk.seconds() < 60, shrunk.toString());
     SimulationResult result = Simulation.play(shrunk, false);
     assertNotNull(result.violation());
-    assertEquals("a part to a store that does not hold its shard", result.violation().rule());
+    assertEquals("an attempt at a store that does not hold the shard", result.violation().rule());
     assertTrue(result.violation().trace().contains(result.violation().subject()));
     SimulatedDay again = Days.parse(Path.of("x"), Days.format(day).lines().toList(), null);
     assertEquals(Simulation.play(day, false).digest(), Simulation.play(again, false).digest());
@@ -94,10 +100,10 @@
                 IllegalArgumentException.class,
                 () -> Fault.parse(Path.of("x"), List.of("", "at 3s craash s1")))
             .getMessage()
-            .startsWith("x:2: at 3s craash s1: no such trouble"));
+            .startsWith("x:2: at 3s craash s1: unknown fault kind"));
     assertTrue(
         assertThrows(IllegalArgumentException.class, () -> Fault.parse(Path.of("x"), List.of("at")))
             .getMessage()
-            .contains("something is missing"));
+            .contains("the line is incomplete"));
   }
 }
