--- a/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
@@ -30,16 +30,18 @@
   public static final int BROKER_COUNT = 3;
 
   /**
-   * Upper bound of deliveries in one step of the convergence phase; more count as endless messages.
+   * Maximum number of deliveries in one step of the convergence phase; a step that exceeds it is
+   * reported as an endless exchange of messages.
    */
   private static final int MAX_DELIVERIES_PER_STEP = 2_000;
 
   /**
-   * Upper bounds of the faults and updates in one execution.
+   * Maximum numbers of faults and updates in one execution.
    *
    * @param warmUpSteps steps without faults before the initial state
    * @param maxDelaySteps steps that a message may be in flight before it is lost
-   * @param maxInFlight messages in flight above which no action that only sends is offered
+   * @param maxInFlight number of messages in flight from which on only actions that publish an
+   *     update are enabled
    */
   public record Budget(
       int warmUpSteps,
@@ -78,8 +80,7 @@
   }
 
   /** A message in flight, with its digest under each symmetry. */
-  @SuppressWarnings(
-      "ArrayRecordComponent") // the array is never changed, and flights are compared by identity
+  @SuppressWarnings("ArrayRecordComponent") // never modified, and compared by identity
   private record InFlightMessage<W>(
       int from, int to, W message, int sentAt, boolean duplicated, Digest[] digests) {}
 
@@ -105,7 +106,7 @@
     }
   }
 
-  /** What a transition does. */
+  /** The kind of a transition. */
   private enum TransitionKind {
     DELIVER,
     DROP,
@@ -118,7 +119,7 @@
     ACTION
   }
 
-  /** One transition; {@code message} and {@code action} are null where the kind has none. */
+  /** One transition; {@code message} and {@code action} are null unless the kind needs them. */
   public record Transition<W>(
       TransitionKind kind, int first, int second, InFlightMessage<W> message, String action) {}
 
@@ -135,8 +136,8 @@
   }
 
   /**
-   * Starts all brokers at once and runs the warm-up steps without faults. Each broker receives the
-   * messages of the next broker before those of the one after.
+   * Starts all brokers at the same time and runs the warm-up steps without faults. Each broker
+   * receives the messages of the broker with the next number first.
    */
   @Override
   public State<W, V> initialState() {
@@ -162,8 +163,8 @@
   }
 
   /**
-   * Delivers all messages in flight; the replies are in flight afterwards. The order of delivery is
-   * symmetric in the broker numbers.
+   * Delivers all messages in flight, which leaves only the replies in flight. The order of delivery
+   * is symmetric in the broker numbers.
    */
   private State<W, V> deliverRound(State<W, V> state) {
     List<InFlightMessage<W>> flights = state.inFlight();
@@ -209,7 +210,7 @@
             : text;
   }
 
-  /** The name and host of the broker with that number. */
+  /** Returns the name of broker {@code number}, which is also its host. */
   static String name(int number) {
     return "n" + number;
   }
@@ -229,7 +230,7 @@
               flight.from(),
               flight.to(),
               flight.duplicated(),
-              flight.digests()[0]))) { // else one like it was there
+              flight.digests()[0]))) { // only the first of several equal messages
         if (state.isUp(flight.to())) {
           moves.add(
               new Transition<>(TransitionKind.DELIVER, flight.from(), flight.to(), flight, null));
@@ -263,7 +264,7 @@
   private void addBrokerTransitions(State<W, V> state, int number, List<Transition<W>> moves) {
     UsedBudget spent = state.used();
     if (!state.isUp(number)) {
-      if (state.now() > state.downSince().get(number)) { // a start takes its time
+      if (state.now() > state.downSince().get(number)) { // a restart takes at least one step
         moves.add(new Transition<>(TransitionKind.RESTART, number, number, null, null));
       }
       return;
@@ -371,7 +372,8 @@
   }
 
   /**
-   * Advances time by one step for all brokers that are up; messages that exceed the delay are lost.
+   * Advances time by one step for all brokers that are up; messages in flight for longer than the
+   * maximum delay are lost.
    */
   private State<W, V> tick(State<W, V> state) {
     int now = state.now() + 1;
@@ -411,8 +413,8 @@
   }
 
   /**
-   * Puts the messages that a broker sent on its last input in flight, where the receiver is
-   * reachable.
+   * Adds the messages that a broker sent on its last input to those in flight, except messages to
+   * unreachable brokers.
    */
   private State<W, V> enqueueOutgoing(State<W, V> state, int from) {
     List<InFlightMessage<W>> flights = new ArrayList<>(state.inFlight());
@@ -440,7 +442,7 @@
         state.now(), locals, state.downSince(), state.partitionedLinks(), flights, spent);
   }
 
-  @SuppressWarnings("ReferenceEquality") // two flights may be equal: this one is meant
+  @SuppressWarnings("ReferenceEquality") // removes this message, not another equal one
   private static <W, V> List<InFlightMessage<W>> replaceMessage(
       State<W, V> state, InFlightMessage<W> gone, InFlightMessage<W> instead) {
     List<InFlightMessage<W>> flights = new ArrayList<>();
@@ -455,8 +457,8 @@
   }
 
   /**
-   * The smallest digest under all symmetries, which is equal for states that differ only in the
-   * names of the brokers.
+   * Returns the smallest digest under all symmetries; it is equal for states that differ only in
+   * the names of symmetric brokers.
    */
   @Override
   public Digest digest(State<W, V> state) {
@@ -516,7 +518,7 @@
         state.histories().stream().map(NodeHistory::observation).toList(), reachableGroups(state));
   }
 
-  /** The brokers that are up, in groups connected directly or through other brokers. */
+  /** Groups the brokers that are up by reachability, directly or through other brokers. */
   private static <W, V> List<List<Integer>> reachableGroups(State<W, V> state) {
     List<List<Integer>> sides = new ArrayList<>();
     Set<Integer> placed = new HashSet<>();
@@ -539,8 +541,8 @@
   }
 
   /**
-   * Runs the convergence phase: all links heal, messages arrive in the order in which they were
-   * sent, time advances, and crashed brokers stay down.
+   * Runs the convergence phase on copies of the nodes: all links heal, messages arrive in the order
+   * of sending, time advances, and crashed brokers stay down.
    */
   @Override
   public Optional<String> convergenceViolation(State<W, V> state) {
@@ -583,7 +585,7 @@
     int lasted = 0;
     for (int now = begin; now <= begin + subject.convergenceSteps(); now++) {
       if (!deliverQueue(now, nodes, queue)) {
-        return Optional.of("words without an end at step " + now);
+        return Optional.of("endless exchange of messages at step " + now);
       }
       for (int i : live) {
         for (String act : subject.convergenceActions(i)) {
@@ -603,11 +605,11 @@
       }
     }
     return wrong
-        .or(() -> Optional.of("it did not last"))
-        .map(what -> what + ", " + subject.convergenceSteps() + " steps on");
+        .or(() -> Optional.of("converged, but not for the required number of steps"))
+        .map(what -> what + ", after " + subject.convergenceSteps() + " steps");
   }
 
-  /** Returns false where messages never end. */
+  /** Returns false if messages remain after the maximum number of deliveries. */
   private boolean deliverQueue(
       int now, List<Node<W, V>> nodes, Deque<NodeHistory.OutgoingMessage<W>> queue) {
     for (int delivered = 0; delivered < MAX_DELIVERIES_PER_STEP && !queue.isEmpty(); delivered++) {
@@ -622,24 +624,28 @@
     String one = name(move.first());
     return switch (move.kind()) {
       case DELIVER ->
-          name(move.second()) + " hears " + one + ": " + subject.describe(move.message().message());
+          name(move.second())
+              + " receives from "
+              + one
+              + ": "
+              + subject.describe(move.message().message());
       case DROP ->
           name(move.second())
-              + " never hears "
+              + " does not receive the lost message of "
               + one
               + ": "
               + subject.describe(move.message().message());
       case DUPLICATE ->
           name(move.second())
-              + " hears, and will again, "
+              + " receives the first copy of a duplicated message of "
               + one
               + ": "
               + subject.describe(move.message().message());
       case CRASH -> one + " crashes";
-      case RESTART -> one + " starts anew";
-      case PARTITION -> one + " and " + name(move.second()) + " are cut";
-      case HEAL -> one + " and " + name(move.second()) + " reach each other again";
-      case TICK -> "a step of time passes";
+      case RESTART -> one + " restarts";
+      case PARTITION -> one + " and " + name(move.second()) + " are partitioned";
+      case HEAL -> one + " and " + name(move.second()) + " are connected again";
+      case TICK -> "time advances by one step";
       case ACTION -> one + ": " + move.action();
     };
   }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Digest.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Digest.java
@@ -4,7 +4,9 @@
 import com.google.common.hash.Hashing;
 import java.nio.ByteBuffer;
 
-/** A 128-bit hash of a state. Two of a million states collide with a probability of 1 in 10^27. */
+/**
+ * A 128-bit hash of a state; a collision among a million states has a probability of 1 in 10^27.
+ */
 public record Digest(long high, long low) implements Comparable<Digest> {
   static Hasher newHasher() {
     return Hashing.murmur3_128().newHasher();
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ExploreCommand.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ExploreCommand.java
@@ -10,23 +10,24 @@
 @Command(
     name = "explore",
     description =
-        "Runs modules of three brokers through every order of words and troubles, up to a "
-            + "depth; exit code 1 if something is wrong.",
+        "Explores all orders of messages and faults of a model with three brokers up to a "
+            + "depth; exit code 1 if a property is violated.",
     mixinStandardHelpOptions = true)
 public final class ExploreCommand implements Callable<Integer> {
-  @Parameters(paramLabel = "MODEL", description = "what to explore")
+  @Parameters(paramLabel = "MODEL", description = "name of the model")
   private String name;
 
   @Option(
       names = "--depth",
       defaultValue = "6",
-      description = "moves at the most (default: ${DEFAULT-VALUE})")
+      description =
+          "maximum number of transitions from the initial state (default: ${DEFAULT-VALUE})")
   private int depth;
 
   @Option(
       names = "--states",
       defaultValue = "200000",
-      description = "states at the most (default: ${DEFAULT-VALUE})")
+      description = "maximum number of distinct states (default: ${DEFAULT-VALUE})")
   private int states;
 
   @Override
@@ -36,7 +37,7 @@
         Explorer.explore(Models.create(name), new Explorer.Limits(depth, states));
     System.out.printf(
         Locale.ROOT,
-        "%s: %d states, %d moves in %.1f s; all up to %d moves deep%n",
+        "%s: %d states, %d transitions in %.1f s; complete up to depth %d%n",
         name,
         report.states(),
         report.transitions(),
@@ -47,10 +48,14 @@
         .ifPresent(
             found -> {
               System.out.println(
-                  "broken: " + found.description() + ", after " + found.trace().size() + " moves:");
+                  "violation: "
+                      + found.description()
+                      + ", after "
+                      + found.trace().size()
+                      + " transitions:");
               found.trace().forEach(move -> System.out.println("  " + move));
             });
-    System.out.println(name + (report.violation().isEmpty() ? " held" : " broken"));
+    System.out.println(name + (report.violation().isEmpty() ? " without violations" : " violated"));
     return report.violation().isEmpty() ? 0 : 1;
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
@@ -9,16 +9,16 @@
 import java.util.Set;
 
 /**
- * Explores the states of a model breadth first, each once, and checks each of them. A reported
- * trace is therefore a shortest one, and a report without a violation covers all states up to its
- * depth. Successors and checks are computed on all cores but merged in one order: the same model
- * and limits give the same report.
+ * Explores the states of a model in breadth-first order, visits each once and checks its
+ * properties. A reported trace is therefore one of the shortest, and a report without a violation
+ * covers all states up to its depth. Successors and checks are computed on all cores and merged in
+ * a fixed order, so that the same model and limits give the same report.
  *
  * @param <S> the state type
  * @param <M> the transition type
  */
 public final class Explorer<S, M> {
-  /** States that are expanded in parallel before their results are merged. */
+  /** Number of states that are expanded in parallel before their results are merged. */
   private static final int CHUNK_STATES = 2_000;
 
   /**
@@ -28,16 +28,19 @@
    * @param states the maximum number of distinct states
    */
   public record Limits(int depth, int states) {
-    /** Rejects bounds that are out of range. */
+    /** Validates the bounds. */
     public Limits {
       if (depth < 0 || states < 1) {
         throw new IllegalArgumentException(
-            "a depth from 0 and one state or more: " + depth + ", " + states);
+            "depth must be at least 0 and states at least 1: depth "
+                + depth
+                + ", states "
+                + states);
       }
     }
   }
 
-  /** A violated property and the transitions that lead to it, as text. */
+  /** A violated property and the transitions that lead to the violation, as text. */
   public record Violation(String description, List<String> trace) {}
 
   /**
@@ -59,7 +62,7 @@
   /** A state whose transitions have not been taken yet. */
   private record Unexplored<S>(int number, S state) {}
 
-  /** A successor state, or the failure of computing it. */
+  /** A successor state, or the failure to compute it. */
   private record Successor<S, M>(
       int predecessor, M transition, S state, Digest digest, String failure) {}
 
@@ -138,16 +141,17 @@
       try {
         S state = model.successor(open.state(), move);
         all.add(new Successor<>(open.number(), move, state, model.digest(state), null));
-      } catch (RuntimeException e) { // a module that throws is a finding of the exploration
-        all.add(new Successor<>(open.number(), move, null, null, "threw " + e));
+      } catch (RuntimeException e) { // an exception of the module is reported as a violation
+        all.add(
+            new Successor<>(open.number(), move, null, null, "exception in a transition: " + e));
       }
     }
     return all;
   }
 
   /**
-   * Records the first violation among these states; a failed transition is recorded only after
-   * them.
+   * Records the first violation among these states. It takes precedence over a transition that
+   * failed after them, because it replaces the recorded violation.
    */
   private void checkStates(List<Unexplored<S>> fresh) {
     List<Optional<String>> wrongs =
@@ -166,9 +170,11 @@
           .safetyViolation(state)
           .or(
               () ->
-                  model.convergenceViolation(state).map(what -> "after the calm ending: " + what));
-    } catch (RuntimeException e) { // a check that throws is a finding of the exploration
-      return Optional.of("threw " + e);
+                  model
+                      .convergenceViolation(state)
+                      .map(what -> "after the convergence phase: " + what));
+    } catch (RuntimeException e) { // an exception of a check is reported as a violation
+      return Optional.of("exception in a check: " + e);
     }
   }
 
--- a/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
@@ -13,24 +13,24 @@
 import java.util.function.Predicate;
 import java.util.function.UnaryOperator;
 
-/** The membership protocol of the production code. */
+/** Adapts the production membership protocol for the model checker. */
 public final class MembershipSubject
     implements Subject<GossipMessage, MembershipSubject.Observation> {
   /**
-   * A ping every second step with a timeout of one step; suspicion lasts two to four steps. One
-   * failed ping is enough to suspect, and the local health multiplier reacts at once, so that both
+   * A ping every second step with a timeout of one step; suspicion lasts two to four steps. A
+   * single failed ping raises a suspicion and changes the local health multiplier, so that both
    * occur within a few transitions.
    */
   private static final MembershipProtocolSettings SETTINGS =
       new MembershipProtocolSettings(2, 1, 1, 2, 1_000, 16, 1, 1, 2, 1_200, 4_800, true);
 
   /**
-   * The distance between the incarnations of restarts one step apart: larger than the refutations
-   * in one incarnation.
+   * Difference of the incarnations of two starts that are one step apart. It exceeds the number of
+   * refutations between two starts, each of which increments the incarnation.
    */
   private static final long INCARNATION_STRIDE = 1_000;
 
-  /** The steps within which the views must converge. */
+  /** Number of steps within which the views must converge. */
   private static final int CONVERGENCE_STEPS = 80;
 
   /**
@@ -51,7 +51,7 @@
             view -> view.snapshot().isConverged());
   }
 
-  /** What is visible of the view of one broker. */
+  /** The observable part of the view of one broker. */
   public record Observation(
       Member self, Set<String> members, List<Member> peers, boolean converged, String violation) {}
 
@@ -59,8 +59,8 @@
   private final Mutation mutation;
 
   /**
-   * Creates a subject on the production module; {@code seed} determines the ping order of all
-   * brokers.
+   * Creates a subject without defects; {@code seed} determines the order in which brokers ping each
+   * other.
    */
   public MembershipSubject(long seed) {
     this(seed, Mutation.NONE);
@@ -98,14 +98,15 @@
 
     @Override
     public void perform(int now, int order, String what) {
-      throw new IllegalStateException("a view does nothing of its own accord but in time");
+      throw new IllegalStateException(
+          "the membership protocol has no actions, but was asked to perform: " + what);
     }
 
     private void checkIncarnation() {
       if (protocol.self().incarnation() < incarnation) {
         violation =
             protocol.self().name()
-                + " went back from incarnation "
+                + " decreased its incarnation from "
                 + incarnation
                 + " to "
                 + protocol.self().incarnation();
@@ -134,7 +135,7 @@
       int number, int now, Node.MessageSender<GossipMessage> mouth) {
     String name = ClusterModel.name(number);
     List<MembershipProtocol.Seed> seeds = new ArrayList<>();
-    for (int hop = 1; hop < ClusterModel.BROKER_COUNT; hop++) { // from itself on
+    for (int hop = 1; hop < ClusterModel.BROKER_COUNT; hop++) { // from the next broker on
       seeds.add(
           new MembershipProtocol.Seed(
               ClusterModel.name((number + hop) % ClusterModel.BROKER_COUNT), 1));
@@ -153,7 +154,7 @@
         mutation);
   }
 
-  /** Only the identity: digests and buckets depend on the names. */
+  /** Returns only the identity, because digests and buckets depend on the names. */
   @Override
   public List<int[]> symmetries() {
     return List.of(new int[] {0, 1, 2});
@@ -187,28 +188,28 @@
         for (Member peer : one.peers()) {
           Member self = seen.get(ClusterModel.number(peer.name())).self();
           if (peer.name().equals(one.self().name())) {
-            return Optional.of(peer.name() + " counts itself among the others");
+            return Optional.of(peer.name() + " lists itself among its peers");
           }
           if (peer.incarnation() > self.incarnation()) {
             return Optional.of(
                 one.self().name()
-                    + " holds incarnation "
+                    + " has recorded incarnation "
                     + peer.incarnation()
                     + " of "
                     + peer.name()
-                    + ", which is in "
+                    + ", whose own incarnation is "
                     + self.incarnation());
           }
         }
         if (one.converged() && !one.members().equals(first.get().members())) {
           return Optional.of(
-              "settled and at odds: "
+              "converged views differ: "
                   + first.get().self().name()
-                  + " with "
+                  + " has members "
                   + first.get().members()
                   + ", "
                   + one.self().name()
-                  + " with "
+                  + " has members "
                   + one.members());
         }
       }
@@ -226,13 +227,12 @@
       if (!one.members().equals(all) || suspected.isPresent() || !one.converged()) {
         return Optional.of(
             one.self().name()
-                + " holds "
+                + " has members "
                 + one.members()
-                + " where "
+                + ", but the live brokers are "
                 + all
-                + " are up"
                 + suspected.map(peer -> ", and suspects " + peer.name()).orElse("")
-                + (one.converged() ? "" : ", and is not settled"));
+                + (one.converged() ? "" : ", and has not converged"));
       }
     }
     return Optional.empty();
@@ -243,7 +243,7 @@
     return CONVERGENCE_STEPS;
   }
 
-  /** One complete round of pings. */
+  /** Covers one complete round of pings. */
   @Override
   public int stableSteps() {
     return 4;
@@ -256,7 +256,7 @@
     if (!message.subject().isEmpty()) {
       text.append(" about ").append(message.subject());
     }
-    text.append(", itself in ").append(message.from().incarnation());
+    text.append(", own incarnation ").append(message.from().incarnation());
     message
         .memberUpdates()
         .forEach(
@@ -265,7 +265,7 @@
                     .append(peer.name())
                     .append(' ')
                     .append(peer.status())
-                    .append(" in ")
+                    .append(" in incarnation ")
                     .append(peer.incarnation()));
     return text.toString();
   }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
@@ -11,28 +11,28 @@
  * @param <M> the transition type
  */
 public interface Model<S, M> {
-  /** The state in which every execution begins. */
+  /** Returns the state in which every execution begins. */
   S initialState();
 
-  /** The transitions enabled in a state, in a deterministic order. */
+  /** Returns the transitions enabled in a state, in a deterministic order. */
   List<M> transitions(S state);
 
-  /** The state after a transition. */
+  /** Returns the state after a transition. */
   S successor(S state, M move);
 
-  /** A digest that is equal exactly for states that differ only in the names of symmetric nodes. */
+  /** Returns a digest, equal exactly for states that differ only in names of symmetric nodes. */
   Digest digest(S state);
 
-  /** A safety property that the state violates, or empty. */
+  /** Returns the description of a safety property that the state violates, or empty. */
   Optional<String> safetyViolation(S state);
 
   /**
-   * A property that still fails after the convergence phase, in which faults end and time advances,
-   * or empty.
+   * Runs the convergence phase, in which faults end and time advances, and returns the description
+   * of a property that is still violated after it, or empty.
    */
   Optional<String> convergenceViolation(S state);
 
-  /** A transition as text. */
+  /** Returns a transition as text. */
   default String describe(M move) {
     return move.toString();
   }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
@@ -6,11 +6,11 @@
 import java.util.function.Supplier;
 
 /**
- * The registry of models by name. A module of another package is added by a {@link Subject} and an
- * entry here.
+ * The registry of models by name. To add a module, implement {@link Subject} and register a factory
+ * here.
  */
 public final class Models {
-  /** How far the clock of one broker is ahead, in microseconds. */
+  /** Offset of the clock that is ahead of the others, in microseconds. */
   private static final long CLOCK_OFFSET_US = 500;
 
   private static final Map<String, Supplier<Model<?, ?>>> FACTORIES = new LinkedHashMap<>();
@@ -35,8 +35,8 @@
   private Models() {}
 
   /**
-   * The fault budget of membership models; 0 warm-up steps: the exploration begins at the start of
-   * all brokers.
+   * The fault budget of membership models. With 0 warm-up steps the exploration begins at the start
+   * of all brokers.
    */
   static ClusterModel.Budget membershipBudget(int settled) {
     return new ClusterModel.Budget(settled, 3, 0, 1, 2, 1, 1, 0);
@@ -47,20 +47,21 @@
     return new ClusterModel.Budget(0, 2, 2, 1, 1, 0, 1, 4);
   }
 
-  /** The names of all models. */
+  /** Returns the names of all models. */
   public static List<String> names() {
     return List.copyOf(FACTORIES.keySet());
   }
 
   /**
-   * Creates the model of that name, or throws an {@link IllegalArgumentException} that lists the
-   * names.
+   * Creates the model with a name.
+   *
+   * @throws IllegalArgumentException if there is none; the message lists the names
    */
   public static Model<?, ?> create(String name) {
     Supplier<Model<?, ?>> model = FACTORIES.get(name);
     if (model == null) {
       throw new IllegalArgumentException(
-          "no such model: " + name + "; there is " + String.join(", ", names()));
+          "unknown model: " + name + "; expected one of " + String.join(", ", names()));
     }
     return model.get();
   }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
@@ -1,34 +1,34 @@
 package dunlinhitch.experiments.modelchecker;
 
 /**
- * The module of one broker as driven by a model. It is mutable; the model copies it by replaying
- * its inputs on a new one. Times are steps of the model.
+ * The module of one broker under the control of a model. A node is mutable; the model copies it by
+ * replaying its inputs on a new one. Times are steps of the model.
  *
  * @param <W> the message type
  * @param <V> the observation of the node
  */
 public interface Node<W, V> {
-  /** Sends messages to the broker with a number. */
+  /** Sends messages of a node to other brokers. */
   interface MessageSender<W> {
-    /** Sends a message to that broker. */
+    /** Sends a message to broker {@code to}. */
     void send(int to, W message);
   }
 
-  /** Time has advanced to that step. */
+  /** Called when time advances to step {@code now}. */
   void onTick(int now);
 
-  /** A message has arrived. */
+  /** Called when a message arrives. */
   void onMessage(int now, W message);
 
   /**
-   * Performs an action of its own; {@code order} is the number of updates that all brokers have
-   * published before.
+   * Performs one of the {@link Subject#actions actions} of the node; {@code order} is the number of
+   * updates that all brokers together have published before.
    */
   void perform(int now, int order, String action);
 
-  /** An immutable snapshot of what is visible from outside. */
+  /** Returns an immutable snapshot of the externally visible state. */
   V observe();
 
-  /** All state that the future behaviour depends on, see {@link StateHasher}. */
+  /** Returns all state that future behaviour depends on, to be hashed by {@link StateHasher}. */
   Object state();
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/NodeHistory.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/NodeHistory.java
@@ -18,7 +18,7 @@
     ACTION
   }
 
-  /** An input to a node; {@code message} and {@code action} are null where the kind has none. */
+  /** An input to a node; {@code message} and {@code action} are null unless the kind needs them. */
   record Input<W>(InputKind kind, int now, W message, String action, int order) {
     void applyTo(Node<W, ?> node) {
       switch (kind) {
@@ -29,7 +29,7 @@
     }
   }
 
-  /** A message to the broker with that number. */
+  /** A message to broker {@code to}. */
   record OutgoingMessage<W>(int to, W message) {}
 
   private final Function<Node.MessageSender<W>, Node<W, V>> nodeFactory;
@@ -41,7 +41,7 @@
   private final Digest[] digests;
   private final Map<Input<W>, NodeHistory<W, V>> successors = new ConcurrentHashMap<>(2);
 
-  /** A life that begins; {@code digester} returns the state's digest under each symmetry. */
+  /** Starts a history without inputs; {@code digester} returns the digests under all symmetries. */
   NodeHistory(
       Function<Node.MessageSender<W>, Node<W, V>> birth, Function<Object, Digest[]> digester) {
     this(birth, digester, null, null);
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Replays the history on a new module. {@code beforeLastInput} runs before the last input, so
-   * that a caller can discard messages that were sent earlier.
+   * Replays the history on a new module and returns it. {@code beforeLastInput} runs before the
+   * last input, so that a caller can discard messages that were sent earlier.
    */
   Node<W, V> replay(Node.MessageSender<W> mouth, Runnable beforeLastInput) {
     List<Input<W>> inputs = new ArrayList<>();
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -14,7 +14,10 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** The replicated map of the production code; a message carries all entries of its sender. */
+/**
+ * Adapts the production replicated map for the model checker; a message carries all entries of its
+ * sender.
+ */
 public final class ReplicatedMapSubject
     implements Subject<List<ReplicatedEntry<String, Integer>>, ReplicatedMapSubject.Observation> {
   /** The duration of one step of the model, in microseconds. */
@@ -23,10 +26,10 @@
   static final ReplicatedMapSettings SETTINGS =
       new ReplicatedMapSettings(3 * STEP_US, STEP_US, 2, 1);
   private static final List<String> KEYS = List.of("a", "b");
-  private static final String PUBLISH_PREFIX = "says something of ";
-  private static final String SEND_PREFIX = "tells ";
+  private static final String PUBLISH_PREFIX = "publishes ";
+  private static final String SEND_PREFIX = "sends its entries to ";
 
-  /** The map under test: the production module or a deliberately faulty one. */
+  /** The map under test: the production module, or a faulty one in tests of the model checker. */
   interface Replica {
     void merge(long nowUs, ReplicatedEntry<String, Integer> entry);
 
@@ -56,7 +59,7 @@
     }
   }
 
-  /** What is visible of a broker; {@code clockUs} is the reading of its clock. */
+  /** The observable state of a broker; {@code clockUs} is the reading of its clock. */
   public record Observation(
       long clockUs, List<ReplicatedEntry<String, Integer>> entries, String violation) {}
 
@@ -67,7 +70,7 @@
   /**
    * Creates a subject on the production module.
    *
-   * @param clockOffsetUs how far the clock of n0 is ahead, in microseconds
+   * @param clockOffsetUs offset by which the clock of n0 is ahead, in microseconds
    * @param simultaneousUpdates whether brokers may publish at the same instant
    */
   public ReplicatedMapSubject(long clockOffsetUs, boolean simultaneousUpdates) {
@@ -80,7 +83,7 @@
     this.simultaneousUpdates = simultaneousUpdates;
   }
 
-  /** One broker, with the entries that it once had and has removed. */
+  /** The map of one broker; also tracks removed entries to detect that one reappears. */
   private final class ReplicaNode
       implements Node<List<ReplicatedEntry<String, Integer>>, Observation> {
     private final String name;
@@ -111,7 +114,7 @@
       replica.entries().stream()
           .filter(entry -> entry.timestampUs() <= clockUs - SETTINGS.timeToLiveUs())
           .findFirst()
-          .ifPresent(entry -> violation = name + " still holds " + entry);
+          .ifPresent(entry -> violation = name + " still holds the expired entry " + entry);
       checkInvariants();
     }
 
@@ -127,7 +130,7 @@
         String key = what.substring(PUBLISH_PREFIX.length());
         long at = simultaneousUpdates ? clockUs : clockUs + order;
         Long last = lastPublishedUs.put(key, at);
-        if (last == null || last < at) { // of one key an author says one thing at a moment
+        if (last == null || last < at) { // at most one entry per key and timestamp
           replica.merge(clockUs, new ReplicatedEntry<>(key, name, at, order));
         }
       } else {
@@ -144,7 +147,7 @@
       now.stream()
           .filter(removed::contains)
           .findFirst()
-          .ifPresent(entry -> violation = name + " holds again what it had let go: " + entry);
+          .ifPresent(entry -> violation = name + " holds a removed entry again: " + entry);
       long most =
           now.stream()
               .collect(Collectors.groupingBy(ReplicatedEntry::origin, Collectors.counting()))
@@ -154,7 +157,8 @@
               .max()
               .orElse(0);
       if (now.size() > SETTINGS.maxEntries() || most > SETTINGS.maxEntriesPerOrigin()) {
-        violation = name + " holds " + now.size() + " facts, " + most + " of them of one author";
+        violation =
+            name + " holds " + now.size() + " entries, " + most + " of them from one origin";
       }
     }
 
@@ -175,7 +179,7 @@
     return new ReplicaNode(number, now, mouth);
   }
 
-  /** With simultaneous updates the names break ties, so no two brokers are symmetric. */
+  /** With simultaneous updates names break ties, so that no two brokers are symmetric. */
   @Override
   public List<int[]> symmetries() {
     List<int[]> same = new ArrayList<>(List.of(new int[] {0, 1, 2}));
@@ -203,7 +207,7 @@
     return act.startsWith(PUBLISH_PREFIX);
   }
 
-  /** Each broker sends its entries to every other one. */
+  /** Each broker sends its entries to all others. */
   @Override
   public List<String> convergenceActions(int number) {
     List<String> sendActions = new ArrayList<>();
@@ -224,7 +228,10 @@
         .findFirst();
   }
 
-  /** All have the same entries, except those that a clock ahead of the others has expired. */
+  /**
+   * Checks that all brokers hold the same entries, apart from those that have expired by the clock
+   * that is ahead.
+   */
   @Override
   public Optional<String> convergenceViolation(List<Observation> live, List<Integer> numbers) {
     long latest = live.stream().mapToLong(Observation::clockUs).max().orElse(0);
@@ -242,16 +249,16 @@
             ClusterModel.name(numbers.get(0))
                 + " holds "
                 + entriesByBroker.get(0)
-                + ", "
+                + ", but "
                 + ClusterModel.name(numbers.get(i))
-                + " "
+                + " holds "
                 + entriesByBroker.get(i));
       }
     }
     return live.stream().map(Observation::violation).filter(wrong -> wrong != null).findFirst();
   }
 
-  /** One exchange of all entries is enough. */
+  /** Returns 0: a single exchange of all entries suffices. */
   @Override
   public int convergenceSteps() {
     return 0;
@@ -265,7 +272,7 @@
   @Override
   public String describe(List<ReplicatedEntry<String, Integer>> message) {
     return message.stream()
-        .map(entry -> entry.origin() + " of " + entry.key() + " at " + entry.timestampUs())
+        .map(entry -> entry.key() + " from " + entry.origin() + " at " + entry.timestampUs())
         .collect(Collectors.joining(", ", "[", "]"));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
@@ -18,10 +18,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Hashes all state that an object holds, so that a module need not list what its behaviour depends
- * on. Fields are read by reflection where the class belongs to the project; of the JDK, values and
- * collections are supported, and unordered sets and maps are hashed by content alone. Functions and
- * random generators are left out: states that differ only in future random draws count as one.
+ * Hashes all state that is reachable from an object, so that a module need not list the fields that
+ * its behaviour depends on. Fields of the project's classes are read by reflection. Of the JDK,
+ * simple values and collections are supported; the hash of an unordered set or map does not depend
+ * on iteration order. Lambdas and random generators are not hashed: states that differ only in
+ * future random draws are considered equal.
  */
 final class StateHasher {
   private static final String PROJECT_PACKAGE_PREFIX = "dunlinhitch.";
@@ -94,7 +95,7 @@
       putFields(hasher, value);
     } else {
       throw new IllegalArgumentException(
-          "it is not known how to tell two of these apart: " + value.getClass().getName());
+          "cannot hash an object of an unsupported class: " + value.getClass().getName());
     }
   }
 
--- a/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
+++ b/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Modules in every order of words and troubles: what holds, and that what is put wrong on purpose
- * is found.
+ * Explores the production modules under all orders of messages and faults, and verifies that the
+ * explorer detects deliberate defects.
  */
 class ExplorerTest {
   private static final Explorer.Limits SHALLOW = new Explorer.Limits(4, 30_000);
@@ -36,7 +36,8 @@
     Explorer.Report report =
         Explorer.explore(Models.create(name), new Explorer.Limits(depth, 100_000));
     assertEquals(Optional.empty(), report.violation());
-    assertEquals(depth, report.depth(), "not all was gone through: " + report);
+    assertEquals(
+        depth, report.depth(), "exploration stopped before the depth was complete: " + report);
     assertTrue(report.states() > 300, report.toString());
   }
 
@@ -47,7 +48,7 @@
         .orElseThrow();
   }
 
-  /** Whoever was suspected once stays dead. */
+  /** Incarnations above the initial one are ignored, so that no suspicion can be refuted. */
   @Test
   void ignoredRefutationIsFound() {
     UnaryOperator<GossipMessage> deaf =
@@ -67,7 +68,7 @@
         findViolation(
             new MembershipSubject.Mutation(
                 deaf, now -> 1_000, MembershipSubject.Mutation.NONE.convergence()));
-    assertTrue(found.description().startsWith("after the calm ending: "), found.toString());
+    assertTrue(found.description().startsWith("after the convergence phase: "), found.toString());
   }
 
   private static Member inFirstIncarnation(Member peer) {
@@ -88,8 +89,9 @@
                 word -> word,
                 now -> now == 0 ? 1_000 : 0,
                 MembershipSubject.Mutation.NONE.convergence()));
-    assertTrue(found.description().contains("which is in 0"), found.toString());
-    assertEquals(3, found.trace().size(), "a crash, a step of time and a start: " + found.trace());
+    assertTrue(found.description().contains("whose own incarnation is 0"), found.toString());
+    assertEquals(
+        3, found.trace().size(), "expected a crash, a time step and a restart: " + found.trace());
   }
 
   @Test
@@ -98,12 +100,12 @@
         findViolation(
             new MembershipSubject.Mutation(
                 word -> word, MembershipSubject.Mutation.NONE.incarnation(), view -> true));
-    assertTrue(found.description().startsWith("settled and at odds: "), found.toString());
+    assertTrue(found.description().startsWith("converged views differ: "), found.toString());
   }
 
   /**
-   * Facts put wrong: {@code latest} says which of two of one key and author stays, {@code bounded}
-   * and {@code expires} what else is done.
+   * A defective map: {@code latest} selects between two entries of the same key and origin, {@code
+   * bounded} enables the limit of entries per origin, {@code expires} enables expiry.
    */
   private static final class FaultyReplica implements ReplicatedMapSubject.Replica {
     private final Map<String, ReplicatedEntry<String, Integer>> entriesByOwner = new HashMap<>();
@@ -160,9 +162,9 @@
 
   @ParameterizedTest
   @CsvSource({
-    "true, true, true, after the calm ending",
-    "false, false, true, 'holds 2 facts, 2 of them'",
-    "false, true, false, still holds"
+    "true, true, true, after the convergence phase",
+    "false, false, true, 'holds 2 entries, 2 of them'",
+    "false, true, false, still holds the expired entry"
   })
   void faultyReplicasAreFound(boolean byArrival, boolean bounded, boolean forgets, String wrong) {
     BinaryOperator<ReplicatedEntry<String, Integer>> latest =
@@ -176,7 +178,7 @@
     assertTrue(report.violation().orElseThrow().description().contains(wrong), report.toString());
   }
 
-  /** Two counters that are alike; wrong where they are 2 and 3. */
+  /** Two symmetric counters; the values 2 and 3 violate the convergence property. */
   private record Pair(int one, int other) {}
 
   private static final Model<Pair, String> COUNTERS =
@@ -223,10 +225,12 @@
     assertEquals(1 + 1 + 2 + 2 + 3, whole.states());
     assertEquals(Optional.empty(), whole.violation());
     assertEquals(
-        3, Explorer.explore(COUNTERS, new Explorer.Limits(9, 7)).depth(), "stopped by the states");
+        3,
+        Explorer.explore(COUNTERS, new Explorer.Limits(9, 7)).depth(),
+        "the limit of states stops the exploration");
     Explorer.Violation found =
         Explorer.explore(COUNTERS, new Explorer.Limits(9, 1_000)).violation().orElseThrow();
-    assertEquals("after the calm ending: 2 and 3", found.description());
+    assertEquals("after the convergence phase: 2 and 3", found.description());
     assertEquals(5, found.trace().size());
   }
 
@@ -247,7 +251,8 @@
   }
 
   /**
-   * Sets go by content, lists and what keeps its order by that too, names as they are exchanged.
+   * Unordered sets and maps are hashed without regard to order, lists and linked sets in order, and
+   * names after their mapping.
    */
   @Test
   void hashesDifferWhereStatesDiffer() {
