--- a/src/main/java/dunlinhitch/experiments/soak/FrameTap.java
+++ b/src/main/java/dunlinhitch/experiments/soak/FrameTap.java
@@ -5,8 +5,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Reads along what a broker writes to one connection and tells of each part of a call, by its id
- * and the time that it tells the store. Not thread-safe; used on the event loop.
+ * Parses the frames that a broker writes to one connection of a store and reports each part of a
+ * call with its id and timeout. Not thread-safe; used on the event loop.
  */
 final class FrameTap {
   private static final int LENGTH_BYTES = 4;
@@ -16,9 +16,9 @@
   private Buffer pending = Buffer.buffer();
 
   /**
-   * Creates a tap at the start of a connection.
+   * Creates a parser for a new connection.
    *
-   * @param onPart takes the id of each part and the milliseconds that it tells
+   * @param onPart receives the id of each part and its timeout in milliseconds
    */
   FrameTap(BiConsumer<String, Long> onPart) {
     this.onPart = onPart;
--- a/src/main/java/dunlinhitch/experiments/soak/Observation.java
+++ b/src/main/java/dunlinhitch/experiments/soak/Observation.java
@@ -1,14 +1,16 @@
 package dunlinhitch.experiments.soak;
 
-/** Something that was seen outside of the brokers. Times are microseconds of one clock. */
+/** An event observed outside of the brokers. All times are microseconds of the same clock. */
 public sealed interface Observation {
-  /** When it was seen. */
+  /** Returns the time of the event. */
   long atUs();
 
-  /** The query that it belongs to, or the endpoint or broker where it belongs to none. */
+  /**
+   * Returns the query that the event concerns, or the endpoint or broker if it concerns no query.
+   */
   String subject();
 
-  /** How a request ended for its client. */
+  /** The outcome of a request for its client; {@code LEFT}: the client closed its connection. */
   enum RequestEnd {
     SERVED,
     REJECTED,
@@ -17,7 +19,7 @@
     BROKEN
   }
 
-  /** A client has sent a request. */
+  /** A client sent a request. */
   record RequestSent(long atUs, String query, String broker, String queryClass, long timeoutUs)
       implements Observation {
     @Override
@@ -26,7 +28,7 @@
     }
   }
 
-  /** A request has ended for its client. */
+  /** A request ended for its client. */
   record RequestEnded(long atUs, String query, RequestEnd end) implements Observation {
     @Override
     public String subject() {
@@ -35,9 +37,9 @@
   }
 
   /**
-   * The network has taken an attempt from a broker, to its last byte.
+   * The network received the last byte of an attempt from a broker.
    *
-   * @param timeoutUs the time that the attempt tells its store
+   * @param timeoutUs the timeout that the attempt carries
    */
   record AttemptSent(long atUs, String part, String broker, String store, long timeoutUs)
       implements Observation {
@@ -47,7 +49,7 @@
     }
   }
 
-  /** A store has read an attempt from one of its connections. */
+  /** A store read an attempt from one of its connections. */
   record AttemptRead(long atUs, String part, String store, int connection) implements Observation {
     @Override
     public String subject() {
@@ -55,7 +57,7 @@
     }
   }
 
-  /** A store has answered an attempt, read its cancellation, or seen its connection end. */
+  /** A store answered an attempt, read its cancellation, or detected that its connection ended. */
   record AttemptOver(long atUs, String part, String store, int connection) implements Observation {
     @Override
     public String subject() {
@@ -63,7 +65,7 @@
     }
   }
 
-  /** Discovery has told a broker that an endpoint takes work, or that it does not. */
+  /** Discovery notified a broker that an endpoint is ready, or that it is not. */
   record EndpointTold(long atUs, String broker, String store, boolean ready)
       implements Observation {
     @Override
@@ -72,7 +74,7 @@
     }
   }
 
-  /** A broker was asked to end, and is killed if it does not. */
+  /** A broker was asked to terminate; it is killed if it does not. */
   record BrokerStopped(long atUs, String broker) implements Observation {
     @Override
     public String subject() {
@@ -80,7 +82,7 @@
     }
   }
 
-  /** The query of a part's id. */
+  /** Returns the query id that a part id begins with. */
   static String queryOf(String part) {
     return part.substring(0, part.indexOf('.'));
   }
--- a/src/main/java/dunlinhitch/experiments/soak/Observations.java
+++ b/src/main/java/dunlinhitch/experiments/soak/Observations.java
@@ -4,14 +4,14 @@
 import java.util.List;
 import java.util.function.LongFunction;
 
-/** What was seen in one run, by any thread, on one monotonic clock. Thread-safe. */
+/** The observations of one run, with times of one monotonic clock. Thread-safe. */
 final class Observations {
   private static final long NANOS_PER_MICRO = 1_000;
 
   private final List<Observation> list = new ArrayList<>();
   private final long startNanos = System.nanoTime();
 
-  /** Records what is seen now. */
+  /** Adds the observation that the function creates for the current time in microseconds. */
   synchronized void add(LongFunction<Observation> observation) {
     list.add(observation.apply((System.nanoTime() - startNanos) / NANOS_PER_MICRO));
   }
--- a/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
@@ -17,36 +17,38 @@
 import java.util.Set;
 
 /**
- * Judges one run by its observations. One use each; not thread-safe.
- *
- * <p>Pure: the same observations give the same breaches.
+ * Checks the observations of one run against the rules. The result depends only on the limits and
+ * the observations. An instance checks one run and is not thread-safe.
  */
 public final class SoakChecker {
-  /** What the rules leave a broker that is held up between reading its clock and writing. */
+  /** Tolerance for a broker that is delayed between reading its clock and writing. */
   static final long STALL_US = 150_000;
 
-  /** After this an attempt for a client that has left is a lost request. */
+  /** Time after the departure of a client within which attempts may still start for it. */
   static final long DEPARTURE_GRACE_US = 100_000;
 
-  /** After a request's time its answer earns nothing; after this it is lost. */
+  /** Time after the deadline in which a late answer is not yet a lost one; it earns no weight. */
   static final long ANSWER_GRACE_US = 500_000;
 
-  /** The share of the requests of clients that stay which must be served. */
+  /** Minimum share of served requests among those whose clients and brokers stay until the end. */
   static final double MIN_SERVED_SHARE = 0.3;
 
   /**
-   * A broken rule.
+   * A violation of a rule.
    *
-   * @param subject the query, or what else it is about
-   * @param timeline all that was seen of the subject
+   * @param subject the query, or the served and total counts for {@link SoakRule#SERVED_SHARE}
+   * @param timeline all observations of the subject
    */
   public record Breach(SoakRule rule, String subject, List<String> timeline) {}
 
   /**
-   * What the run allows.
+   * The limits that a run must observe.
    *
-   * @param windowUs the deduplication window of the classes with idempotency keys
-   * @param idempotentClass the class that has them
+   * @param parallelAttempts whether a part may have several attempts in flight
+   * @param maxAttempts maximum number of attempts of a part
+   * @param drainGraceUs time after the notification of a drain in which attempts may still start
+   * @param idempotentClass the query class with idempotency keys
+   * @param windowUs the deduplication window of that class
    */
   public record Limits(
       boolean parallelAttempts,
@@ -72,7 +74,7 @@
         observations.stream().sorted(Comparator.comparingLong(Observation::atUs)).toList();
   }
 
-  /** The rules that these observations break. */
+  /** Returns the violations of the rules in the order in which they are found. */
   public static List<Breach> check(Limits limits, List<Observation> observations) {
     SoakChecker checker = new SoakChecker(limits, observations);
     checker.observations.forEach(checker::handle);
@@ -180,7 +182,7 @@
     return request.atUs() + request.timeoutUs();
   }
 
-  /** The client left, or its broker was asked to end before the request's time was over. */
+  /** True if the client left, or its broker was asked to terminate before the answer was due. */
   private boolean isExcused(RequestSent request, RequestEnded end) {
     Long stopped = stoppedUs.get(request.broker());
     return (end != null && end.end() == RequestEnd.LEFT)
--- a/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
@@ -12,8 +12,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clients of one broker: requests at a steady rate, some of whose clients leave early. All but
- * the ends of requests runs on the executor's thread.
+ * The clients of one broker. They send requests at a constant rate, and some close their connection
+ * before the answer. Requests end on the threads of the HTTP client; everything else runs on the
+ * executor's thread.
  */
 final class SoakClients {
   private static final int INTERVAL_MS = 25;
@@ -44,12 +45,12 @@
     random = new SplittableRandom(plan.seed() * 31 + number);
   }
 
-  /** Sends requests from now on, until the executor ends. */
+  /** Starts sending requests, which continues until the executor is shut down. */
   void start() {
     var unused = executor.scheduleAtFixedRate(this::send, 0, INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Completes once no request is open any more. */
+  /** Returns a future that completes when all requests that are open now have ended. */
   CompletableFuture<Void> allEnded() {
     return CompletableFuture.allOf(open.values().toArray(CompletableFuture[]::new));
   }
@@ -82,7 +83,7 @@
     }
   }
 
-  /** The client closes its connection. */
+  /** Closes the connection of the client that waits for a response. */
   private void leave(String query, CompletableFuture<Client.Response> response) {
     departed.add(query);
     response.cancel(true);
--- a/src/main/java/dunlinhitch/experiments/soak/SoakCommand.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakCommand.java
@@ -10,11 +10,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** Command that plays soak runs by their seeds and reports what rules they broke. */
+/** The command that plays the soak runs of a range of seeds and reports violations of the rules. */
 @Command(
     name = "soak",
-    description =
-        "Processes of the program under faults that are drawn from a seed; exit code 1 if a rule is broken.",
+    description = "Runs broker processes under random faults; exit code 1 if a rule is violated.",
     mixinStandardHelpOptions = true)
 public final class SoakCommand implements Callable<Integer> {
   private static final int MAX_TIMELINE_LINES = 24;
@@ -25,24 +24,23 @@
   @Option(
       names = "--seeds",
       defaultValue = "1-5",
-      description = "first and last seed (default: ${DEFAULT-VALUE})")
+      description = "one seed, or the first and the last of a range (default: ${DEFAULT-VALUE})")
   private String seeds;
 
   @Option(
       names = "--seconds",
       defaultValue = "20",
-      description = "load of each run (default: ${DEFAULT-VALUE})")
+      description = "duration of the load in each run (default: ${DEFAULT-VALUE})")
   private int seconds;
 
   @Override
   public Integer call() throws Exception {
     if (!seeds.matches(SEED_RANGE) || seconds < MIN_SECONDS || seconds > MAX_SECONDS) {
       throw new IllegalArgumentException(
-          "a soak has seeds such as 1-50, and "
+          "--seeds must be a seed or a range such as 1-50, and --seconds must be from "
               + MIN_SECONDS
               + " to "
-              + MAX_SECONDS
-              + " seconds of load each");
+              + MAX_SECONDS);
     }
     String[] range = seeds.split("-", 2);
     long first = Long.parseLong(range[0]);
@@ -57,14 +55,14 @@
       List<SoakChecker.Breach> breaches = SoakChecker.check(plan.limits(), seen);
       long requests = seen.stream().filter(Observation.RequestSent.class::isInstance).count();
       System.out.println(
-          "seed " + seed + ": " + requests + " requests, " + breaches.size() + " breaches");
+          "seed " + seed + ": " + requests + " requests, " + breaches.size() + " violations");
       breaches.forEach(breach -> byRule.merge(breach.rule(), 1, Integer::sum));
       if (!breaches.isEmpty()) {
         print(plan, breaches.get(0), result.logLines());
       }
     }
     System.out.println("faults: " + byKind);
-    System.out.println("breaches: " + byRule);
+    System.out.println("violations: " + byRule);
     return byRule.isEmpty() ? 0 : 1;
   }
 
@@ -75,7 +73,7 @@
         .forEach(line -> System.out.println("    " + line));
     logLines.stream()
         .filter(line -> line.contains(breach.subject() + "."))
-        .forEach(line -> System.out.println("    log of " + line));
+        .forEach(line -> System.out.println("    broker log: " + line));
     System.out.println(
         "  again: experiments soak --seeds "
             + plan.seed()
--- a/src/main/java/dunlinhitch/experiments/soak/SoakPlan.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakPlan.java
@@ -6,13 +6,19 @@
 import java.util.SplittableRandom;
 
 /**
- * One run, drawn from its seed alone: the deployment, its load and its faults.
+ * The plan of one soak run: deployment, load and faults. {@link #draw} generates it from a seed.
  *
- * @param brokers how many processes
- * @param storesPerCell replicas of each shard
- * @param objectiveMs latency objective of both classes
- * @param deadlineMs their deadline, which is also how long clients wait
+ * @param seed seed of all random draws of the run
+ * @param seconds duration of the load
+ * @param brokers number of broker processes
+ * @param storesPerCell number of replicas of each shard
+ * @param parallelAttempts whether a part may have several attempts in flight
+ * @param mayCancel whether brokers may cancel attempts
+ * @param mayHealthCheck whether brokers may send health checks
+ * @param objectiveMs latency objective of both query classes
+ * @param deadlineMs deadline of both query classes, after which clients no longer wait
  * @param windowMs deduplication window of the class with idempotency keys
+ * @param faults the faults in the order of their start
  */
 public record SoakPlan(
     long seed,
@@ -30,10 +36,10 @@
   static final int MAX_ATTEMPTS = 4;
   static final int DRAIN_GRACE_MS = 250;
 
-  /** The class without keys, which may be answered in part. */
+  /** The query class without idempotency keys, which permits partial answers. */
   static final String SEARCH = "search";
 
-  /** The class with idempotency keys. */
+  /** The query class with idempotency keys. */
   static final String BOOKING = "booking";
 
   private static final int MIN_FAULT_GAP_MS = 150;
@@ -41,15 +47,18 @@
   private static final int MIN_FAULT_MS = 40;
   private static final int MAX_FAULT_MS = 1_500;
 
-  /** A pause for which the rules leave time; a longer one is another kind of fault. */
+  /**
+   * Maximum duration of a process pause. It is below {@link SoakChecker#STALL_US}: a longer pause
+   * could violate the timed rules although the broker is correct.
+   */
   private static final int MAX_PAUSE_MS = 120;
 
-  /** Copies the list. */
+  /** Creates a plan with an immutable copy of the faults. */
   public SoakPlan {
     faults = List.copyOf(faults);
   }
 
-  /** Draws the run of a seed. */
+  /** Generates the plan of a seed. */
   public static SoakPlan draw(long seed, int seconds) {
     SplittableRandom random = new SplittableRandom(seed);
     int brokers = random.nextInt(1, 4);
@@ -89,13 +98,16 @@
     return faults;
   }
 
-  /** What the run allows. */
+  /** Returns the limits that the run must observe. */
   public SoakChecker.Limits limits() {
     return new SoakChecker.Limits(
         parallelAttempts, MAX_ATTEMPTS, DRAIN_GRACE_MS * 1_000L, BOOKING, windowMs * 1_000L);
   }
 
-  /** The settings of its brokers, with places for the numbers of brokers, cells and shards. */
+  /**
+   * Returns the format of the broker settings, with %d for the numbers of brokers, cells and
+   * shards.
+   */
   String settings() {
     String classes =
         String.format(
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRule.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRule.java
@@ -1,22 +1,24 @@
 package dunlinhitch.experiments.soak;
 
-/** The rules that a soak run is judged by. */
+/** The rules that {@link SoakChecker} checks. */
 public enum SoakRule {
-  /** Every request gets one final answer, in its time. */
+  /** Every request receives exactly one answer by its deadline. */
   ONE_ANSWER(false),
-  /** No part has two attempts at stores where one at a time is allowed. */
+  /** Unless parallel attempts are allowed, no part has two attempts at stores at the same time. */
   ONE_ATTEMPT_AT_A_TIME(false),
   /** No part has more attempts than the settings allow. */
   ATTEMPT_LIMIT(false),
-  /** No attempt begins more than 0.1 s after its client has left. */
+  /** No attempt starts more than 0.1 s after its client has closed the connection. */
   DEPARTED_CLIENT(true),
-  /** Nothing is sent to an endpoint that drains, after the grace period. */
+  /** No attempt is sent to a draining endpoint after the drain grace period. */
   DRAIN(true),
-  /** An attempt tells its store no more time than its client has left. */
+  /** The timeout of an attempt does not exceed the remaining time of its request. */
   DEADLINE(true),
-  /** An attempt that may repeat an executed one keeps to the deduplication window. */
+  /** An attempt that may repeat an executed one starts within the deduplication window. */
   WINDOW(true),
-  /** Refusing everything is no way out. */
+  /**
+   * A minimum share of requests is served: a broker must not satisfy the rules by rejecting all.
+   */
   SERVED_SHARE(true);
 
   private final boolean timed;
@@ -25,7 +27,7 @@
     this.timed = timed;
   }
 
-  /** True where a slow machine may break the rule as well as the program. */
+  /** Returns true if a slow machine may cause a violation although the program is correct. */
   public boolean isTimed() {
     return timed;
   }
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
@@ -12,16 +12,16 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Plays one plan: processes, load and faults. One use each. */
+/** Plays one plan: starts the processes, generates the load and injects the faults. Single use. */
 public final class SoakRun {
   /**
-   * What came of a run.
+   * The result of a run.
    *
-   * @param seen what clients, stores and the network saw, which alone is judged
-   * @param logLines what the brokers logged, each line behind its broker's name
+   * @param seen the observations of clients, stores and the network, the only input of the checker
+   * @param logLines the log lines of the brokers, each preceded by the name of its broker
    */
   public record Result(List<Observation> seen, List<String> logLines) {
-    /** Copies the lists. */
+    /** Creates a result with immutable copies of the lists. */
     public Result {
       seen = List.copyOf(seen);
       logLines = List.copyOf(logLines);
@@ -39,7 +39,7 @@
 
   private final List<Exception> failures = new CopyOnWriteArrayList<>();
 
-  /** Brokers to which discovery's bytes wait now. */
+  /** Brokers for which the bytes from discovery are held back. */
   private final Set<String> untoldBrokers = new HashSet<>();
 
   private SoakRun(SoakPlan plan, Path directory) throws Exception {
@@ -60,7 +60,8 @@
   /**
    * Plays a plan to its end.
    *
-   * @param directory parent of the brokers' working directories
+   * @param directory parent of the working directories of the brokers
+   * @throws IllegalStateException if a fault could not be started or ended
    */
   public static Result play(SoakPlan plan, Path directory) throws Exception {
     SoakRun run = new SoakRun(plan, directory);
@@ -89,7 +90,7 @@
       schedule(() -> begin(fault), fault.atMs());
     }
     TimeUnit.SECONDS.sleep(plan.seconds());
-    executor.shutdown(); // neither new requests nor new faults; ends of faults are awaited
+    executor.shutdown(); // no new requests or faults; pending ends of faults still run
     executor.awaitTermination(2L * plan.deadlineMs(), TimeUnit.MILLISECONDS);
     for (SoakClients some : clients) {
       some.allEnded()
@@ -98,7 +99,8 @@
           .join();
     }
     if (!failures.isEmpty()) {
-      throw new IllegalStateException("a fault could not be injected", failures.get(0));
+      throw new IllegalStateException(
+          "a fault of the plan could not be started or ended", failures.get(0));
     }
     List<String> logLines =
         bed.nodes().stream()
@@ -207,7 +209,10 @@
     schedule(() -> tell(store, true), fault.forMs());
   }
 
-  /** Brokers whose discovery is held are told nothing that the rules could count. */
+  /**
+   * Changes the state of a store in discovery. A broker whose discovery is held back has not
+   * received a drain, so that none is recorded for it.
+   */
   private void tell(SoakStore store, boolean ready) throws Exception {
     bed.change(store.name, ready ? "ready" : "draining");
     for (TestBed.Node node : bed.nodes()) {
@@ -242,7 +247,10 @@
     void run() throws Exception;
   }
 
-  /** A step that fails would leave a run without its fault, or with it for good. */
+  /**
+   * Schedules a step of a fault. A failure is kept and fails the run, because the fault would
+   * otherwise be missing or would never end.
+   */
   private void schedule(Step step, int delayMs) {
     var unused =
         executor.schedule(
--- a/src/main/java/dunlinhitch/experiments/soak/SoakStore.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakStore.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 /**
- * A fake store that records which attempts it has, and that hangs, freezes or rejects when it is
- * told to. Used on the event loop.
+ * A fake store that records the attempts it receives and can hang, freeze or reject parts on
+ * demand. Not thread-safe; used on the event loop.
  */
 final class SoakStore extends FrameStore {
   private final Observations observations;
@@ -35,13 +35,16 @@
     full = rejects;
   }
 
-  /** A frozen store reads nothing, neither work nor cancellations nor the end of a connection. */
+  /** Sets whether the store stops reading: parts, cancellations and the ends of connections. */
   void setFrozen(boolean freezes) {
     frozen = freezes;
     connectionNumbers.keySet().forEach(socket -> setReading(socket, !frozen));
   }
 
-  /** A paused Vert.x socket would go on reading into a queue, and see the end of its connection. */
+  /**
+   * Switches reading at the channel, because a paused Vert.x socket still reads into a queue and
+   * detects the end of its connection.
+   */
   private static void setReading(NetSocket socket, boolean reading) {
     ((NetSocketInternal) socket).channelHandlerContext().channel().config().setAutoRead(reading);
   }
--- a/src/main/java/dunlinhitch/experiments/soak/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/soak/package-info.java
@@ -1,9 +1,9 @@
 /**
- * Soak runs: processes of the real program under faults that are drawn from a seed, judged only by
- * what clients, stores and the network between them saw.
+ * Soak runs: broker processes under random faults that a seed determines, checked only by the
+ * observations of clients, stores and the network between them.
  *
  * <p>Entry points: {@link dunlinhitch.experiments.soak.SoakCommand}; {@link
  * dunlinhitch.experiments.soak.SoakRun} plays one {@link dunlinhitch.experiments.soak.SoakPlan},
- * {@link dunlinhitch.experiments.soak.SoakChecker} judges its observations.
+ * {@link dunlinhitch.experiments.soak.SoakChecker} checks its observations.
  */
 package dunlinhitch.experiments.soak;
--- a/src/test/java/dunlinhitch/experiments/soak/SoakCheckerTest.java
+++ b/src/test/java/dunlinhitch/experiments/soak/SoakCheckerTest.java
@@ -14,7 +14,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** A checker that can not fail proves nothing: each rule finds its defect, and nothing else. */
+/** Verifies that each rule detects its violation and that no other rule reports one. */
 class SoakCheckerTest {
   private static final long MS = 1_000;
   private static final SoakChecker.Limits LIMITS =
@@ -70,7 +70,7 @@
     assertBroken(SoakRule.ONE_ANSWER);
   }
 
-  /** A broker that was asked to end owes nothing that it could not answer in time. */
+  /** Requests that are due after their broker was asked to terminate need no answer. */
   @Test
   void aStoppedBrokerIsExcused() {
     request(0, null, 0);
--- a/src/test/java/dunlinhitch/experiments/soak/SoakTest.java
+++ b/src/test/java/dunlinhitch/experiments/soak/SoakTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The short form of the soak: processes of the program under the faults of two seeds. Rules that a
- * slow machine may break as well are left to the long form, which is started by hand.
+ * Short soak runs of two seeds on broker processes. Timed rules are checked only by the command
+ * {@code soak}, because a slow machine may cause violations of them.
  */
 class SoakTest {
   private static final int SECONDS = 8;
