--- a/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
@@ -13,11 +13,13 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Stand-ins, models and measurements of the product's own; never loaded by a broker that serves.
+ * The command that groups simulations, the model checker, the test bed, soak runs and measurements.
+ * {@code serve} never loads this class.
  */
 @Command(
     name = "lab",
-    description = "Experiments and measurements on stand-ins of our own.",
+    description =
+        "Runs simulations, model checks, soak runs and measurements against fake stores and clients.",
     mixinStandardHelpOptions = true,
     subcommands = {
       ExperimentsCommand.Measure.class,
@@ -33,37 +35,39 @@
 public final class ExperimentsCommand implements Callable<Integer> {
   @Override
   public Integer call() {
-    System.out.println("lab run, search, shrink, show: simulated days");
     System.out.println(
-        "lab rig [FILE] [--seed N] [--brokers N]: processes of the program, and faults between them");
+        "lab run, search, shrink, show: deterministic simulation of brokers under injected faults");
     System.out.println(
-        "lab explore MODEL [--depth N] [--states N]: every order of words and troubles; MODEL is one of "
+        "lab rig [FILE] [--seed N] [--brokers N]: broker processes with fault proxies between them");
+    System.out.println(
+        "lab explore MODEL [--depth N] [--states N]: model checking under all orders of messages and faults; MODEL is one of "
             + String.join(", ", Models.names()));
     System.out.println(
         "lab measure NAME [--seed N] [--quick]; NAME is one of "
             + String.join(", ", Measures.names()));
     System.out.println(
-        "lab soak [--seeds A-B] [--seconds S]: drawn faults on processes of the program, judged from outside");
+        "lab soak [--seeds A-B] [--seconds S]: broker processes under random faults, checked by observations from outside");
     System.out.println(
-        "lab floors FILE...: served against wanted, of reports of the acceptance bench");
+        "lab floors FILE...: compares served with required weight in reports of the acceptance bench");
     return 0;
   }
 
   @Command(
       name = "measure",
-      description = "Prints a table and whether the stated bound was held; exit code 0 only if so.",
+      description =
+          "Prints a table and whether the stated bound holds; exit code 0 only if it does.",
       mixinStandardHelpOptions = true)
   static final class Measure implements Callable<Integer> {
-    @Parameters(paramLabel = "NAME", description = "what to measure")
+    @Parameters(paramLabel = "NAME", description = "name of the measurement")
     private String name;
 
     @Option(
         names = "--seed",
         defaultValue = "1",
-        description = "of all that is drawn (default: ${DEFAULT-VALUE})")
+        description = "seed of the random generators (default: ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--quick", description = "fewer of everything, within 50 s")
+    @Option(names = "--quick", description = "runs a smaller variant that takes at most 50 s")
     private boolean quick;
 
     @Override
