--- a/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
@@ -141,14 +141,14 @@
    */
   @Override
   public State<W, V> initialState() {
-    List<NodeHistory<W, V>> locals = new ArrayList<>();
+    List<NodeHistory<W, V>> histories = new ArrayList<>();
     for (int i = 0; i < BROKER_COUNT; i++) {
-      locals.add(initialHistory(i, 0));
+      histories.add(initialHistory(i, 0));
     }
     State<W, V> state =
         new State<>(
             0,
-            List.copyOf(locals),
+            List.copyOf(histories),
             List.of(-1, -1, -1),
             Set.of(),
             List.of(),
@@ -189,13 +189,13 @@
   private NodeHistory<W, V> initialHistory(int number, int now) {
     return initialHistories.computeIfAbsent(
         now * BROKER_COUNT + number,
-        key -> new NodeHistory<W, V>(mouth -> subject.start(number, now, mouth), this::digests));
+        key -> new NodeHistory<W, V>(sender -> subject.start(number, now, sender), this::digests));
   }
 
-  private Digest[] digests(Object what) {
+  private Digest[] digests(Object value) {
     Digest[] digests = new Digest[symmetries.size()];
     for (int i = 0; i < digests.length; i++) {
-      digests[i] = StateHasher.of(what, brokerRenaming(symmetries.get(i)));
+      digests[i] = StateHasher.of(value, brokerRenaming(symmetries.get(i)));
     }
     return digests;
   }
@@ -221,8 +221,8 @@
 
   @Override
   public List<Transition<W>> transitions(State<W, V> state) {
-    List<Transition<W>> moves = new ArrayList<>();
-    UsedBudget spent = state.used();
+    List<Transition<W>> transitions = new ArrayList<>();
+    UsedBudget used = state.used();
     Set<List<Object>> distinctMessages = new HashSet<>();
     for (InFlightMessage<W> flight : state.inFlight()) {
       if (distinctMessages.add(
@@ -232,141 +232,157 @@
               flight.duplicated(),
               flight.digests()[0]))) { // only the first of several equal messages
         if (state.isUp(flight.to())) {
-          moves.add(
+          transitions.add(
               new Transition<>(TransitionKind.DELIVER, flight.from(), flight.to(), flight, null));
-          if (!flight.duplicated() && spent.duplicates() < budget.duplicates()) {
-            moves.add(
+          if (!flight.duplicated() && used.duplicates() < budget.duplicates()) {
+            transitions.add(
                 new Transition<>(
                     TransitionKind.DUPLICATE, flight.from(), flight.to(), flight, null));
           }
         }
-        if (spent.losses() < budget.losses()) {
-          moves.add(
+        if (used.losses() < budget.losses()) {
+          transitions.add(
               new Transition<>(TransitionKind.DROP, flight.from(), flight.to(), flight, null));
         }
       }
     }
-    moves.add(new Transition<>(TransitionKind.TICK, 0, 0, null, null));
+    transitions.add(new Transition<>(TransitionKind.TICK, 0, 0, null, null));
     for (int i = 0; i < BROKER_COUNT; i++) {
-      addBrokerTransitions(state, i, moves);
+      addBrokerTransitions(state, i, transitions);
       for (int j = i + 1; j < BROKER_COUNT; j++) {
-        boolean cut = state.partitionedLinks().contains(Link.of(i, j));
-        if (cut || spent.partitions() < budget.partitions()) {
-          moves.add(
+        boolean partitioned = state.partitionedLinks().contains(Link.of(i, j));
+        if (partitioned || used.partitions() < budget.partitions()) {
+          transitions.add(
               new Transition<>(
-                  cut ? TransitionKind.HEAL : TransitionKind.PARTITION, i, j, null, null));
+                  partitioned ? TransitionKind.HEAL : TransitionKind.PARTITION, i, j, null, null));
         }
       }
     }
-    return moves;
+    return transitions;
   }
 
-  private void addBrokerTransitions(State<W, V> state, int number, List<Transition<W>> moves) {
-    UsedBudget spent = state.used();
+  private void addBrokerTransitions(
+      State<W, V> state, int number, List<Transition<W>> transitions) {
+    UsedBudget used = state.used();
     if (!state.isUp(number)) {
       if (state.now() > state.downSince().get(number)) { // a restart takes at least one step
-        moves.add(new Transition<>(TransitionKind.RESTART, number, number, null, null));
+        transitions.add(new Transition<>(TransitionKind.RESTART, number, number, null, null));
       }
       return;
     }
-    if (spent.crashes() < budget.crashes()) {
-      moves.add(new Transition<>(TransitionKind.CRASH, number, number, null, null));
+    if (used.crashes() < budget.crashes()) {
+      transitions.add(new Transition<>(TransitionKind.CRASH, number, number, null, null));
     }
-    for (String act : subject.actions(number)) {
-      if (subject.isUpdate(act)
-          ? spent.updates() < budget.updates()
+    for (String action : subject.actions(number)) {
+      if (subject.isUpdate(action)
+          ? used.updates() < budget.updates()
           : state.inFlight().size() < budget.maxInFlight()) {
-        moves.add(new Transition<>(TransitionKind.ACTION, number, number, null, act));
+        transitions.add(new Transition<>(TransitionKind.ACTION, number, number, null, action));
       }
     }
   }
 
   @Override
-  public State<W, V> successor(State<W, V> state, Transition<W> move) {
-    UsedBudget spent = state.used();
-    return switch (move.kind()) {
+  public State<W, V> successor(State<W, V> state, Transition<W> transition) {
+    UsedBudget used = state.used();
+    return switch (transition.kind()) {
       case DELIVER ->
           deliverMessage(
               withMessages(
-                  state, state.histories(), replaceMessage(state, move.message(), null), spent),
-              move.message());
+                  state,
+                  state.histories(),
+                  replaceMessage(state, transition.message(), null),
+                  used),
+              transition.message());
       case DUPLICATE -> {
-        InFlightMessage<W> f = move.message();
+        InFlightMessage<W> flight = transition.message();
         InFlightMessage<W> copy =
-            new InFlightMessage<>(f.from(), f.to(), f.message(), f.sentAt(), true, f.digests());
+            new InFlightMessage<>(
+                flight.from(),
+                flight.to(),
+                flight.message(),
+                flight.sentAt(),
+                true,
+                flight.digests());
         yield deliverMessage(
             withMessages(
                 state,
                 state.histories(),
-                replaceMessage(state, f, copy),
-                spent.plus(0, 0, 0, 1, 0)),
-            f);
+                replaceMessage(state, flight, copy),
+                used.plus(0, 0, 0, 1, 0)),
+            flight);
       }
       case DROP ->
           withMessages(
               state,
               state.histories(),
-              replaceMessage(state, move.message(), null),
-              spent.plus(0, 0, 1, 0, 0));
+              replaceMessage(state, transition.message(), null),
+              used.plus(0, 0, 1, 0, 0));
       case CRASH -> {
         List<Integer> down = new ArrayList<>(state.downSince());
-        down.set(move.first(), state.now());
+        down.set(transition.first(), state.now());
         yield new State<>(
             state.now(),
             state.histories(),
             List.copyOf(down),
             state.partitionedLinks(),
             state.inFlight(),
-            spent.plus(1, 0, 0, 0, 0));
+            used.plus(1, 0, 0, 0, 0));
       }
       case RESTART -> {
         List<Integer> down = new ArrayList<>(state.downSince());
-        down.set(move.first(), -1);
-        List<NodeHistory<W, V>> locals = new ArrayList<>(state.histories());
-        locals.set(move.first(), initialHistory(move.first(), state.now()));
-        State<W, V> again =
+        down.set(transition.first(), -1);
+        List<NodeHistory<W, V>> histories = new ArrayList<>(state.histories());
+        histories.set(transition.first(), initialHistory(transition.first(), state.now()));
+        State<W, V> restarted =
             new State<>(
                 state.now(),
-                List.copyOf(locals),
+                List.copyOf(histories),
                 List.copyOf(down),
                 state.partitionedLinks(),
                 state.inFlight(),
-                spent);
-        yield enqueueOutgoing(again, move.first());
+                used);
+        yield enqueueOutgoing(restarted, transition.first());
       }
       case PARTITION -> {
-        Set<Link> cut = new TreeSet<>(state.partitionedLinks());
-        Link link = Link.of(move.first(), move.second());
-        cut.add(link);
-        List<InFlightMessage<W>> left =
-            state.inFlight().stream().filter(f -> !Link.of(f.from(), f.to()).equals(link)).toList();
+        Set<Link> partitioned = new TreeSet<>(state.partitionedLinks());
+        Link link = Link.of(transition.first(), transition.second());
+        partitioned.add(link);
+        List<InFlightMessage<W>> remaining =
+            state.inFlight().stream()
+                .filter(flight -> !Link.of(flight.from(), flight.to()).equals(link))
+                .toList();
         yield new State<>(
             state.now(),
             state.histories(),
             state.downSince(),
-            cut,
-            left,
-            spent.plus(0, 1, 0, 0, 0));
+            partitioned,
+            remaining,
+            used.plus(0, 1, 0, 0, 0));
       }
       case HEAL -> {
-        Set<Link> cut = new TreeSet<>(state.partitionedLinks());
-        cut.remove(Link.of(move.first(), move.second()));
+        Set<Link> partitioned = new TreeSet<>(state.partitionedLinks());
+        partitioned.remove(Link.of(transition.first(), transition.second()));
         yield new State<>(
-            state.now(), state.histories(), state.downSince(), cut, state.inFlight(), spent);
+            state.now(), state.histories(), state.downSince(), partitioned, state.inFlight(), used);
       }
       case TICK -> tick(state);
       case ACTION -> {
-        State<W, V> acting =
+        State<W, V> charged =
             withMessages(
                 state,
                 state.histories(),
                 state.inFlight(),
-                subject.isUpdate(move.action()) ? spent.plus(0, 0, 0, 0, 1) : spent);
+                subject.isUpdate(transition.action()) ? used.plus(0, 0, 0, 0, 1) : used);
         yield applyInput(
-            acting,
-            move.first(),
+            charged,
+            transition.first(),
             new NodeHistory.Input<>(
-                NodeHistory.InputKind.ACTION, state.now(), null, move.action(), spent.updates()));
+                NodeHistory.InputKind.ACTION,
+                state.now(),
+                null,
+                transition.action(),
+                used.updates()));
       }
     };
   }
@@ -377,15 +393,17 @@
    */
   private State<W, V> tick(State<W, V> state) {
     int now = state.now() + 1;
-    List<InFlightMessage<W>> left =
-        state.inFlight().stream().filter(f -> now - f.sentAt() <= budget.maxDelaySteps()).toList();
+    List<InFlightMessage<W>> remaining =
+        state.inFlight().stream()
+            .filter(flight -> now - flight.sentAt() <= budget.maxDelaySteps())
+            .toList();
     State<W, V> after =
         new State<>(
             now,
             state.histories(),
             state.downSince(),
             state.partitionedLinks(),
-            left,
+            remaining,
             state.used());
     for (int i = 0; i < BROKER_COUNT; i++) {
       if (state.isUp(i)) {
@@ -406,10 +424,10 @@
   }
 
   private State<W, V> applyInput(State<W, V> state, int number, NodeHistory.Input<W> input) {
-    List<NodeHistory<W, V>> locals = new ArrayList<>(state.histories());
-    locals.set(number, locals.get(number).afterInput(input));
+    List<NodeHistory<W, V>> histories = new ArrayList<>(state.histories());
+    histories.set(number, histories.get(number).afterInput(input));
     return enqueueOutgoing(
-        withMessages(state, List.copyOf(locals), state.inFlight(), state.used()), number);
+        withMessages(state, List.copyOf(histories), state.inFlight(), state.used()), number);
   }
 
   /**
@@ -435,22 +453,22 @@
 
   private static <W, V> State<W, V> withMessages(
       State<W, V> state,
-      List<NodeHistory<W, V>> locals,
+      List<NodeHistory<W, V>> histories,
       List<InFlightMessage<W>> flights,
-      UsedBudget spent) {
+      UsedBudget used) {
     return new State<>(
-        state.now(), locals, state.downSince(), state.partitionedLinks(), flights, spent);
+        state.now(), histories, state.downSince(), state.partitionedLinks(), flights, used);
   }
 
   @SuppressWarnings("ReferenceEquality") // removes this message, not another equal one
   private static <W, V> List<InFlightMessage<W>> replaceMessage(
-      State<W, V> state, InFlightMessage<W> gone, InFlightMessage<W> instead) {
+      State<W, V> state, InFlightMessage<W> removed, InFlightMessage<W> replacement) {
     List<InFlightMessage<W>> flights = new ArrayList<>();
     for (InFlightMessage<W> flight : state.inFlight()) {
-      if (flight != gone) {
+      if (flight != removed) {
         flights.add(flight);
-      } else if (instead != null) {
-        flights.add(instead);
+      } else if (replacement != null) {
+        flights.add(replacement);
       }
     }
     return List.copyOf(flights);
@@ -462,53 +480,54 @@
    */
   @Override
   public Digest digest(State<W, V> state) {
-    Digest least = null;
+    Digest smallest = null;
     for (int i = 0; i < symmetries.size(); i++) {
       Digest digest = digest(state, i);
-      least = least == null || digest.compareTo(least) < 0 ? digest : least;
+      smallest = smallest == null || digest.compareTo(smallest) < 0 ? digest : smallest;
     }
-    return least;
+    return smallest;
   }
 
   private Digest digest(State<W, V> state, int symmetry) {
-    int[] becomes = symmetries.get(symmetry);
-    int[] was = new int[BROKER_COUNT];
+    int[] newNumbers = symmetries.get(symmetry);
+    int[] oldNumbers = new int[BROKER_COUNT];
     for (int i = 0; i < BROKER_COUNT; i++) {
-      was[becomes[i]] = i;
+      oldNumbers[newNumbers[i]] = i;
     }
     Hasher hasher = Digest.newHasher().putInt(state.now());
-    for (int i : was) {
+    for (int i : oldNumbers) {
       state.histories().get(i).digest(symmetry).putInto(hasher);
       hasher.putInt(state.downSince().get(i));
     }
-    Set<Link> cut = new TreeSet<>();
+    Set<Link> partitioned = new TreeSet<>();
     state
         .partitionedLinks()
-        .forEach(link -> cut.add(Link.of(becomes[link.lower()], becomes[link.higher()])));
-    cut.forEach(link -> hasher.putInt(link.lower()).putInt(link.higher()));
+        .forEach(
+            link -> partitioned.add(Link.of(newNumbers[link.lower()], newNumbers[link.higher()])));
+    partitioned.forEach(link -> hasher.putInt(link.lower()).putInt(link.higher()));
     hasher.putInt(-1);
     state.inFlight().stream()
         .map(
-            f -> {
+            flight -> {
               Hasher own =
                   Digest.newHasher()
-                      .putInt(becomes[f.from()])
-                      .putInt(becomes[f.to()])
-                      .putInt(f.sentAt())
-                      .putBoolean(f.duplicated());
-              f.digests()[symmetry].putInto(own);
+                      .putInt(newNumbers[flight.from()])
+                      .putInt(newNumbers[flight.to()])
+                      .putInt(flight.sentAt())
+                      .putBoolean(flight.duplicated());
+              flight.digests()[symmetry].putInto(own);
               return Digest.of(own);
             })
         .sorted()
         .forEach(digest -> digest.putInto(hasher));
-    UsedBudget spent = state.used();
+    UsedBudget used = state.used();
     hasher
         .putInt(-1)
-        .putInt(spent.crashes())
-        .putInt(spent.partitions())
-        .putInt(spent.losses())
-        .putInt(spent.duplicates())
-        .putInt(spent.updates());
+        .putInt(used.crashes())
+        .putInt(used.partitions())
+        .putInt(used.losses())
+        .putInt(used.duplicates())
+        .putInt(used.updates());
     return Digest.of(hasher);
   }
 
@@ -520,24 +539,24 @@
 
   /** Groups the brokers that are up by reachability, directly or through other brokers. */
   private static <W, V> List<List<Integer>> reachableGroups(State<W, V> state) {
-    List<List<Integer>> sides = new ArrayList<>();
-    Set<Integer> placed = new HashSet<>();
+    List<List<Integer>> groups = new ArrayList<>();
+    Set<Integer> grouped = new HashSet<>();
     for (int i = 0; i < BROKER_COUNT; i++) {
-      if (state.isUp(i) && placed.add(i)) {
-        Set<Integer> side = new LinkedHashSet<>(Set.of(i));
+      if (state.isUp(i) && grouped.add(i)) {
+        Set<Integer> group = new LinkedHashSet<>(Set.of(i));
         for (int round = 0; round < BROKER_COUNT; round++) {
           for (int j = 0; j < BROKER_COUNT; j++) {
             int other = j;
-            if (side.stream().anyMatch(member -> state.canReach(member, other))) {
-              side.add(j);
+            if (group.stream().anyMatch(member -> state.canReach(member, other))) {
+              group.add(j);
             }
           }
         }
-        placed.addAll(side);
-        sides.add(List.copyOf(side));
+        grouped.addAll(group);
+        groups.add(List.copyOf(group));
       }
     }
-    return sides;
+    return groups;
   }
 
   /**
@@ -571,42 +590,43 @@
       }
     }
     state.inFlight().stream()
-        .filter(f -> state.isUp(f.to()))
-        .forEach(f -> queue.add(new NodeHistory.OutgoingMessage<>(f.to(), f.message())));
+        .filter(flight -> state.isUp(flight.to()))
+        .forEach(
+            flight -> queue.add(new NodeHistory.OutgoingMessage<>(flight.to(), flight.message())));
     return runConvergencePhase(state.now(), live, nodes, queue);
   }
 
   private Optional<String> runConvergencePhase(
-      int begin,
+      int startStep,
       List<Integer> live,
       List<Node<W, V>> nodes,
       Deque<NodeHistory.OutgoingMessage<W>> queue) {
-    Optional<String> wrong = Optional.empty();
-    int lasted = 0;
-    for (int now = begin; now <= begin + subject.convergenceSteps(); now++) {
+    Optional<String> violation = Optional.empty();
+    int stableSteps = 0;
+    for (int now = startStep; now <= startStep + subject.convergenceSteps(); now++) {
       if (!deliverQueue(now, nodes, queue)) {
         return Optional.of("endless exchange of messages at step " + now);
       }
       for (int i : live) {
-        for (String act : subject.convergenceActions(i)) {
-          nodes.get(i).perform(now, 0, act);
+        for (String action : subject.convergenceActions(i)) {
+          nodes.get(i).perform(now, 0, action);
         }
       }
       deliverQueue(now, nodes, queue);
-      wrong =
+      violation =
           subject.convergenceViolation(
               live.stream().map(i -> nodes.get(i).observe()).toList(), live);
-      lasted = wrong.isEmpty() ? lasted + 1 : 0;
-      if (lasted > subject.stableSteps()) {
+      stableSteps = violation.isEmpty() ? stableSteps + 1 : 0;
+      if (stableSteps > subject.stableSteps()) {
         return Optional.empty();
       }
       for (int i : live) {
         nodes.get(i).onTick(now + 1);
       }
     }
-    return wrong
+    return violation
         .or(() -> Optional.of("converged, but not for the required number of steps"))
-        .map(what -> what + ", after " + subject.convergenceSteps() + " steps");
+        .map(value -> value + ", after " + subject.convergenceSteps() + " steps");
   }
 
   /** Returns false if messages remain after the maximum number of deliveries. */
@@ -620,33 +640,33 @@
   }
 
   @Override
-  public String describe(Transition<W> move) {
-    String one = name(move.first());
-    return switch (move.kind()) {
+  public String describe(Transition<W> transition) {
+    String one = name(transition.first());
+    return switch (transition.kind()) {
       case DELIVER ->
-          name(move.second())
+          name(transition.second())
               + " receives from "
               + one
               + ": "
-              + subject.describe(move.message().message());
+              + subject.describe(transition.message().message());
       case DROP ->
-          name(move.second())
+          name(transition.second())
               + " does not receive the lost message of "
               + one
               + ": "
-              + subject.describe(move.message().message());
+              + subject.describe(transition.message().message());
       case DUPLICATE ->
-          name(move.second())
+          name(transition.second())
               + " receives the first copy of a duplicated message of "
               + one
               + ": "
-              + subject.describe(move.message().message());
+              + subject.describe(transition.message().message());
       case CRASH -> one + " crashes";
       case RESTART -> one + " restarts";
-      case PARTITION -> one + " and " + name(move.second()) + " are partitioned";
-      case HEAL -> one + " and " + name(move.second()) + " are connected again";
+      case PARTITION -> one + " and " + name(transition.second()) + " are partitioned";
+      case HEAL -> one + " and " + name(transition.second()) + " are connected again";
       case TICK -> "time advances by one step";
-      case ACTION -> one + ": " + move.action();
+      case ACTION -> one + ": " + transition.action();
     };
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
@@ -93,10 +93,10 @@
     while (violation == null && depth < limits.depth()) {
       List<Unexplored<S>> next = new ArrayList<>();
       for (int from = 0; from < layer.size() && violation == null; from += CHUNK_STATES) {
-        List<Unexplored<S>> fresh =
+        List<Unexplored<S>> newStates =
             expand(layer.subList(from, Math.min(from + CHUNK_STATES, layer.size())));
-        checkStates(fresh);
-        next.addAll(fresh);
+        checkStates(newStates);
+        next.addAll(newStates);
         if (steps.size() >= limits.states()) {
           return report(depth);
         }
@@ -114,51 +114,53 @@
   }
 
   private List<Unexplored<S>> expand(List<Unexplored<S>> chunk) {
-    List<List<Successor<S, M>>> all = chunk.parallelStream().map(this::successors).toList();
-    List<Unexplored<S>> fresh = new ArrayList<>();
-    for (List<Successor<S, M>> some : all) {
-      for (Successor<S, M> next : some) {
+    List<List<Successor<S, M>>> successors = chunk.parallelStream().map(this::successors).toList();
+    List<Unexplored<S>> newStates = new ArrayList<>();
+    for (List<Successor<S, M>> ofOneState : successors) {
+      for (Successor<S, M> next : ofOneState) {
         transitionCount++;
         if (next.failure() != null || visited.add(next.digest())) {
           steps.add(new Step<>(next.predecessor(), next.transition()));
           if (next.failure() != null) {
             recordViolation(next.failure(), steps.size() - 1);
-            return fresh;
+            return newStates;
           }
-          fresh.add(new Unexplored<>(steps.size() - 1, next.state()));
+          newStates.add(new Unexplored<>(steps.size() - 1, next.state()));
           if (steps.size() >= limits.states()) {
-            return fresh;
+            return newStates;
           }
         }
       }
     }
-    return fresh;
+    return newStates;
   }
 
-  private List<Successor<S, M>> successors(Unexplored<S> open) {
-    List<Successor<S, M>> all = new ArrayList<>();
-    for (M move : model.transitions(open.state())) {
+  private List<Successor<S, M>> successors(Unexplored<S> unexplored) {
+    List<Successor<S, M>> successors = new ArrayList<>();
+    for (M transition : model.transitions(unexplored.state())) {
       try {
-        S state = model.successor(open.state(), move);
-        all.add(new Successor<>(open.number(), move, state, model.digest(state), null));
+        S state = model.successor(unexplored.state(), transition);
+        successors.add(
+            new Successor<>(unexplored.number(), transition, state, model.digest(state), null));
       } catch (RuntimeException e) { // an exception of the module is reported as a violation
-        all.add(
-            new Successor<>(open.number(), move, null, null, "exception in a transition: " + e));
+        successors.add(
+            new Successor<>(
+                unexplored.number(), transition, null, null, "exception in a transition: " + e));
       }
     }
-    return all;
+    return successors;
   }
 
   /**
    * Records the first violation among these states. It takes precedence over a transition that
    * failed after them, because it replaces the recorded violation.
    */
-  private void checkStates(List<Unexplored<S>> fresh) {
-    List<Optional<String>> wrongs =
-        fresh.parallelStream().map(open -> findViolation(open.state())).toList();
-    for (int i = 0; i < wrongs.size(); i++) {
-      if (wrongs.get(i).isPresent()) {
-        recordViolation(wrongs.get(i).get(), fresh.get(i).number());
+  private void checkStates(List<Unexplored<S>> newStates) {
+    List<Optional<String>> violations =
+        newStates.parallelStream().map(unexplored -> findViolation(unexplored.state())).toList();
+    for (int i = 0; i < violations.size(); i++) {
+      if (violations.get(i).isPresent()) {
+        recordViolation(violations.get(i).get(), newStates.get(i).number());
         return;
       }
     }
@@ -172,17 +174,17 @@
               () ->
                   model
                       .convergenceViolation(state)
-                      .map(what -> "after the convergence phase: " + what));
+                      .map(description -> "after the convergence phase: " + description));
     } catch (RuntimeException e) { // an exception of a check is reported as a violation
       return Optional.of("exception in a check: " + e);
     }
   }
 
-  private void recordViolation(String wrong, int number) {
+  private void recordViolation(String description, int number) {
     Deque<String> trace = new ArrayDeque<>();
     for (int at = number; steps.get(at).predecessor() >= 0; at = steps.get(at).predecessor()) {
       trace.addFirst(model.describe(steps.get(at).transition()));
     }
-    violation = new Violation(wrong, List.copyOf(trace));
+    violation = new Violation(description, List.copyOf(trace));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
@@ -48,7 +48,7 @@
         new Mutation(
             message -> message,
             now -> (now + 1) * INCARNATION_STRIDE,
-            view -> view.snapshot().isConverged());
+            protocol -> protocol.snapshot().isConverged());
   }
 
   /** The observable part of the view of one broker. */
@@ -66,9 +66,9 @@
     this(seed, Mutation.NONE);
   }
 
-  MembershipSubject(long seed, Mutation flaw) {
+  MembershipSubject(long seed, Mutation mutation) {
     this.seed = seed;
-    this.mutation = flaw;
+    this.mutation = mutation;
   }
 
   /** The protocol instance of one broker. */
@@ -78,10 +78,10 @@
     private long incarnation;
     private String violation;
 
-    MembershipNode(MembershipProtocol view, Mutation flaw) {
-      this.protocol = view;
-      this.mutation = flaw;
-      incarnation = view.self().incarnation();
+    MembershipNode(MembershipProtocol protocol, Mutation mutation) {
+      this.protocol = protocol;
+      this.mutation = mutation;
+      incarnation = protocol.self().incarnation();
     }
 
     @Override
@@ -97,9 +97,9 @@
     }
 
     @Override
-    public void perform(int now, int order, String what) {
+    public void perform(int now, int order, String action) {
       throw new IllegalStateException(
-          "the membership protocol has no actions, but was asked to perform: " + what);
+          "the membership protocol has no actions, but was asked to perform: " + action);
     }
 
     private void checkIncarnation() {
@@ -132,7 +132,7 @@
 
   @Override
   public Node<GossipMessage, Observation> start(
-      int number, int now, Node.MessageSender<GossipMessage> mouth) {
+      int number, int now, Node.MessageSender<GossipMessage> sender) {
     String name = ClusterModel.name(number);
     List<MembershipProtocol.Seed> seeds = new ArrayList<>();
     for (int hop = 1; hop < ClusterModel.BROKER_COUNT; hop++) { // from the next broker on
@@ -149,7 +149,7 @@
             SETTINGS,
             seed,
             now,
-            (host, port, message) -> mouth.send(ClusterModel.number(host), message),
+            (host, port, message) -> sender.send(ClusterModel.number(host), message),
             bytes -> List.of()),
         mutation);
   }
@@ -166,7 +166,7 @@
   }
 
   @Override
-  public boolean isUpdate(String act) {
+  public boolean isUpdate(String action) {
     return false;
   }
 
@@ -176,17 +176,18 @@
   }
 
   @Override
-  public Optional<String> safetyViolation(List<Observation> seen, List<List<Integer>> sides) {
-    for (List<Integer> side : sides) {
+  public Optional<String> safetyViolation(
+      List<Observation> observations, List<List<Integer>> groups) {
+    for (List<Integer> group : groups) {
       Optional<Observation> first =
-          side.stream().map(seen::get).filter(Observation::converged).findFirst();
-      for (int i : side) {
-        Observation one = seen.get(i);
+          group.stream().map(observations::get).filter(Observation::converged).findFirst();
+      for (int i : group) {
+        Observation one = observations.get(i);
         if (one.violation() != null) {
           return Optional.of(one.violation());
         }
         for (Member peer : one.peers()) {
-          Member self = seen.get(ClusterModel.number(peer.name())).self();
+          Member self = observations.get(ClusterModel.number(peer.name())).self();
           if (peer.name().equals(one.self().name())) {
             return Optional.of(peer.name() + " lists itself among its peers");
           }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
@@ -18,7 +18,7 @@
   List<M> transitions(S state);
 
   /** Returns the state after a transition. */
-  S successor(S state, M move);
+  S successor(S state, M transition);
 
   /** Returns a digest, equal exactly for states that differ only in names of symmetric nodes. */
   Digest digest(S state);
@@ -33,7 +33,7 @@
   Optional<String> convergenceViolation(S state);
 
   /** Returns a transition as text. */
-  default String describe(M move) {
-    return move.toString();
+  default String describe(M transition) {
+    return transition.toString();
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
@@ -38,8 +38,8 @@
    * The fault budget of membership models. With 0 warm-up steps the exploration begins at the start
    * of all brokers.
    */
-  static ClusterModel.Budget membershipBudget(int settled) {
-    return new ClusterModel.Budget(settled, 3, 0, 1, 2, 1, 1, 0);
+  static ClusterModel.Budget membershipBudget(int warmUpSteps) {
+    return new ClusterModel.Budget(warmUpSteps, 3, 0, 1, 2, 1, 1, 0);
   }
 
   /** The fault budget of models of the replicated map. */
--- a/src/main/java/dunlinhitch/experiments/modelchecker/NodeHistory.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/NodeHistory.java
@@ -41,36 +41,39 @@
   private final Digest[] digests;
   private final Map<Input<W>, NodeHistory<W, V>> successors = new ConcurrentHashMap<>(2);
 
-  /** Starts a history without inputs; {@code digester} returns the digests under all symmetries. */
+  /**
+   * Starts a history without inputs; {@code stateDigests} returns the digests under all symmetries.
+   */
   NodeHistory(
-      Function<Node.MessageSender<W>, Node<W, V>> birth, Function<Object, Digest[]> digester) {
-    this(birth, digester, null, null);
+      Function<Node.MessageSender<W>, Node<W, V>> nodeFactory,
+      Function<Object, Digest[]> stateDigests) {
+    this(nodeFactory, stateDigests, null, null);
   }
 
   private NodeHistory(
-      Function<Node.MessageSender<W>, Node<W, V>> birth,
-      Function<Object, Digest[]> digester,
-      NodeHistory<W, V> before,
-      Input<W> last) {
-    this.nodeFactory = birth;
-    this.stateDigests = digester;
-    this.previous = before;
-    this.lastInput = last;
+      Function<Node.MessageSender<W>, Node<W, V>> nodeFactory,
+      Function<Object, Digest[]> stateDigests,
+      NodeHistory<W, V> previous,
+      Input<W> lastInput) {
+    this.nodeFactory = nodeFactory;
+    this.stateDigests = stateDigests;
+    this.previous = previous;
+    this.lastInput = lastInput;
     List<OutgoingMessage<W>> messages = new ArrayList<>();
     Node<W, V> node =
         replay((to, message) -> messages.add(new OutgoingMessage<>(to, message)), messages::clear);
     sent = List.copyOf(messages);
     observation = node.observe();
-    digests = digester.apply(node.state());
+    digests = stateDigests.apply(node.state());
   }
 
   /** Returns the history extended by one input. */
   NodeHistory<W, V> afterInput(Input<W> input) {
     NodeHistory<W, V> existing = successors.get(input);
     if (existing == null) {
-      NodeHistory<W, V> made = new NodeHistory<>(nodeFactory, stateDigests, this, input);
-      existing = successors.putIfAbsent(input, made);
-      existing = existing == null ? made : existing;
+      NodeHistory<W, V> created = new NodeHistory<>(nodeFactory, stateDigests, this, input);
+      existing = successors.putIfAbsent(input, created);
+      existing = existing == null ? created : existing;
     }
     return existing;
   }
@@ -79,12 +82,12 @@
    * Replays the history on a new module and returns it. {@code beforeLastInput} runs before the
    * last input, so that a caller can discard messages that were sent earlier.
    */
-  Node<W, V> replay(Node.MessageSender<W> mouth, Runnable beforeLastInput) {
+  Node<W, V> replay(Node.MessageSender<W> sender, Runnable beforeLastInput) {
     List<Input<W>> inputs = new ArrayList<>();
     for (NodeHistory<W, V> history = this; history.lastInput != null; history = history.previous) {
       inputs.add(history.lastInput);
     }
-    Node<W, V> node = nodeFactory.apply(mouth);
+    Node<W, V> node = nodeFactory.apply(sender);
     for (int i = inputs.size() - 1; i >= 0; i--) {
       if (i == 0) {
         beforeLastInput.run();
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -77,8 +77,9 @@
     this(ProductionReplica::new, clockOffsetUs, simultaneousUpdates);
   }
 
-  ReplicatedMapSubject(Supplier<Replica> holders, long clockOffsetUs, boolean simultaneousUpdates) {
-    this.replicaFactory = holders;
+  ReplicatedMapSubject(
+      Supplier<Replica> replicaFactory, long clockOffsetUs, boolean simultaneousUpdates) {
+    this.replicaFactory = replicaFactory;
     this.clockOffsetUs = clockOffsetUs;
     this.simultaneousUpdates = simultaneousUpdates;
   }
@@ -89,22 +90,22 @@
     private final String name;
     private final MessageSender<List<ReplicatedEntry<String, Integer>>> sender;
     private final Replica replica = replicaFactory.get();
-    private final long offsetUs;
+    private final long ownClockOffsetUs;
     private final Set<ReplicatedEntry<String, Integer>> removed = new HashSet<>();
     private final Map<String, Long> lastPublishedUs = new HashMap<>();
     private List<ReplicatedEntry<String, Integer>> previous = List.of();
     private long clockUs;
     private String violation;
 
-    ReplicaNode(int number, int now, MessageSender<List<ReplicatedEntry<String, Integer>>> mouth) {
+    ReplicaNode(int number, int now, MessageSender<List<ReplicatedEntry<String, Integer>>> sender) {
       name = ClusterModel.name(number);
-      offsetUs = number == 0 ? clockOffsetUs : 0;
+      ownClockOffsetUs = number == 0 ? clockOffsetUs : 0;
       clockUs = clockUs(now);
-      this.sender = mouth;
+      this.sender = sender;
     }
 
     private long clockUs(int now) {
-      return now * STEP_US + offsetUs;
+      return now * STEP_US + ownClockOffsetUs;
     }
 
     @Override
@@ -125,16 +126,16 @@
     }
 
     @Override
-    public void perform(int now, int order, String what) {
-      if (what.startsWith(PUBLISH_PREFIX)) {
-        String key = what.substring(PUBLISH_PREFIX.length());
-        long at = simultaneousUpdates ? clockUs : clockUs + order;
-        Long last = lastPublishedUs.put(key, at);
-        if (last == null || last < at) { // at most one entry per key and timestamp
-          replica.merge(clockUs, new ReplicatedEntry<>(key, name, at, order));
+    public void perform(int now, int order, String action) {
+      if (action.startsWith(PUBLISH_PREFIX)) {
+        String key = action.substring(PUBLISH_PREFIX.length());
+        long timestampUs = simultaneousUpdates ? clockUs : clockUs + order;
+        Long last = lastPublishedUs.put(key, timestampUs);
+        if (last == null || last < timestampUs) { // at most one entry per key and timestamp
+          replica.merge(clockUs, new ReplicatedEntry<>(key, name, timestampUs, order));
         }
       } else {
-        sender.send(ClusterModel.number(what.substring(SEND_PREFIX.length())), replica.entries());
+        sender.send(ClusterModel.number(action.substring(SEND_PREFIX.length())), replica.entries());
       }
       checkInvariants();
     }
@@ -148,7 +149,7 @@
           .filter(removed::contains)
           .findFirst()
           .ifPresent(entry -> violation = name + " holds a removed entry again: " + entry);
-      long most =
+      long largestOriginCount =
           now.stream()
               .collect(Collectors.groupingBy(ReplicatedEntry::origin, Collectors.counting()))
               .values()
@@ -156,9 +157,15 @@
               .mapToLong(count -> count)
               .max()
               .orElse(0);
-      if (now.size() > SETTINGS.maxEntries() || most > SETTINGS.maxEntriesPerOrigin()) {
+      if (now.size() > SETTINGS.maxEntries()
+          || largestOriginCount > SETTINGS.maxEntriesPerOrigin()) {
         violation =
-            name + " holds " + now.size() + " entries, " + most + " of them from one origin";
+            name
+                + " holds "
+                + now.size()
+                + " entries, "
+                + largestOriginCount
+                + " of them from one origin";
       }
     }
 
@@ -175,36 +182,36 @@
 
   @Override
   public Node<List<ReplicatedEntry<String, Integer>>, Observation> start(
-      int number, int now, Node.MessageSender<List<ReplicatedEntry<String, Integer>>> mouth) {
-    return new ReplicaNode(number, now, mouth);
+      int number, int now, Node.MessageSender<List<ReplicatedEntry<String, Integer>>> sender) {
+    return new ReplicaNode(number, now, sender);
   }
 
   /** With simultaneous updates names break ties, so that no two brokers are symmetric. */
   @Override
   public List<int[]> symmetries() {
-    List<int[]> same = new ArrayList<>(List.of(new int[] {0, 1, 2}));
+    List<int[]> symmetries = new ArrayList<>(List.of(new int[] {0, 1, 2}));
     if (!simultaneousUpdates) {
-      same.add(new int[] {0, 2, 1});
+      symmetries.add(new int[] {0, 2, 1});
     }
     if (!simultaneousUpdates && clockOffsetUs == 0) {
-      same.addAll(
+      symmetries.addAll(
           List.of(
               new int[] {1, 0, 2}, new int[] {1, 2, 0}, new int[] {2, 0, 1}, new int[] {2, 1, 0}));
     }
-    return same;
+    return symmetries;
   }
 
   @Override
   public List<String> actions(int number) {
-    List<String> acts = new ArrayList<>();
-    KEYS.forEach(key -> acts.add(PUBLISH_PREFIX + key));
-    acts.addAll(convergenceActions(number));
-    return acts;
+    List<String> actions = new ArrayList<>();
+    KEYS.forEach(key -> actions.add(PUBLISH_PREFIX + key));
+    actions.addAll(convergenceActions(number));
+    return actions;
   }
 
   @Override
-  public boolean isUpdate(String act) {
-    return act.startsWith(PUBLISH_PREFIX);
+  public boolean isUpdate(String action) {
+    return action.startsWith(PUBLISH_PREFIX);
   }
 
   /** Each broker sends its entries to all others. */
@@ -220,11 +227,12 @@
   }
 
   @Override
-  public Optional<String> safetyViolation(List<Observation> seen, List<List<Integer>> sides) {
-    return sides.stream()
+  public Optional<String> safetyViolation(
+      List<Observation> observations, List<List<Integer>> groups) {
+    return groups.stream()
         .flatMap(List::stream)
-        .map(i -> seen.get(i).violation())
-        .filter(wrong -> wrong != null)
+        .map(i -> observations.get(i).violation())
+        .filter(violation -> violation != null)
         .findFirst();
   }
 
@@ -255,7 +263,10 @@
                 + entriesByBroker.get(i));
       }
     }
-    return live.stream().map(Observation::violation).filter(wrong -> wrong != null).findFirst();
+    return live.stream()
+        .map(Observation::violation)
+        .filter(violation -> violation != null)
+        .findFirst();
   }
 
   /** Returns 0: a single exchange of all entries suffices. */
--- a/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
@@ -45,14 +45,14 @@
 
   private final UnaryOperator<String> nameMapping;
 
-  private StateHasher(UnaryOperator<String> names) {
-    this.nameMapping = names;
+  private StateHasher(UnaryOperator<String> nameMapping) {
+    this.nameMapping = nameMapping;
   }
 
   /** Returns the digest of a value; every string is first mapped by {@code nameMapping}. */
-  static Digest of(Object value, UnaryOperator<String> names) {
+  static Digest of(Object value, UnaryOperator<String> nameMapping) {
     Hasher hasher = Digest.newHasher();
-    new StateHasher(names).put(hasher, value);
+    new StateHasher(nameMapping).put(hasher, value);
     return Digest.of(hasher);
   }
 
@@ -70,20 +70,20 @@
     } else if (value instanceof Map<?, ?> map) {
       List<Consumer<Hasher>> entries = new ArrayList<>();
       map.forEach(
-          (key, held) ->
+          (key, mapped) ->
               entries.add(
                   into -> {
                     put(into, key);
-                    put(into, held);
+                    put(into, mapped);
                   }));
       putElements(hasher, entries, map instanceof LinkedHashMap);
-    } else if (value instanceof Collection<?> many) {
+    } else if (value instanceof Collection<?> collection) {
       List<Consumer<Hasher>> elements = new ArrayList<>();
-      many.forEach(element -> elements.add(into -> put(into, element)));
-      boolean loose =
-          (many instanceof Set && !(many instanceof LinkedHashSet))
-              || many instanceof PriorityQueue;
-      putElements(hasher, elements, !loose);
+      collection.forEach(element -> elements.add(into -> put(into, element)));
+      boolean unordered =
+          (collection instanceof Set && !(collection instanceof LinkedHashSet))
+              || collection instanceof PriorityQueue;
+      putElements(hasher, elements, !unordered);
     } else if (value.getClass().isArray()) {
       hasher.putInt(Array.getLength(value));
       for (int i = 0; i < Array.getLength(value); i++) {
@@ -114,18 +114,18 @@
     hasher.putChar(kind).putInt(text.length()).putUnencodedChars(text);
   }
 
-  private void putElements(Hasher hasher, List<Consumer<Hasher>> parts, boolean ordered) {
-    hasher.putInt(parts.size());
+  private void putElements(Hasher hasher, List<Consumer<Hasher>> elements, boolean ordered) {
+    hasher.putInt(elements.size());
     if (ordered) {
-      parts.forEach(part -> part.accept(hasher));
+      elements.forEach(element -> element.accept(hasher));
       return;
     }
-    parts.stream()
+    elements.stream()
         .map(
-            part -> {
-              Hasher own = Digest.newHasher();
-              part.accept(own);
-              return Digest.of(own);
+            element -> {
+              Hasher elementHasher = Digest.newHasher();
+              element.accept(elementHasher);
+              return Digest.of(elementHasher);
             })
         .sorted()
         .forEach(digest -> digest.putInto(hasher));
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Subject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Subject.java
@@ -12,7 +12,7 @@
  */
 public interface Subject<W, V> {
   /** Starts broker {@code number} without any state about the others. */
-  Node<W, V> start(int number, int now, Node.MessageSender<W> mouth);
+  Node<W, V> start(int number, int now, Node.MessageSender<W> sender);
 
   /**
    * Returns the permutations of the broker numbers under which behaviour is unchanged: {@code p[i]}
@@ -24,16 +24,16 @@
   List<String> actions(int number);
 
   /** Returns whether an action publishes an update; the budget limits the number of updates. */
-  boolean isUpdate(String act);
+  boolean isUpdate(String action);
 
   /** Returns the actions that a broker performs in each step of the convergence phase. */
   List<String> convergenceActions(int number);
 
   /**
    * Returns the description of a violated safety property, or empty. The observation of a crashed
-   * broker is its last one; {@code sides} groups the brokers that are up by reachability.
+   * broker is its last one; {@code groups} groups the brokers that are up by reachability.
    */
-  Optional<String> safetyViolation(List<V> observations, List<List<Integer>> sides);
+  Optional<String> safetyViolation(List<V> observations, List<List<Integer>> groups);
 
   /** Returns the reason why the live brokers have not converged, or empty if they have. */
   Optional<String> convergenceViolation(List<V> liveObservations, List<Integer> numbers);
--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -26,31 +26,31 @@
   private Days() {}
 
   /** Generates a random schedule with two to six faults that may overlap. */
-  public static SimulatedDay generate(long seed, Defect defect) {
+  public static SimulationSchedule generate(long seed, Defect defect) {
     UniformRandomProvider random = new RandomStreams(seed).stream("day");
     List<Fault> faults = new ArrayList<>();
-    int many = 2 + random.nextInt(MAX_FAULTS - 1);
-    for (int i = 0; i < many; i++) {
+    int faultCount = 2 + random.nextInt(MAX_FAULTS - 1);
+    for (int i = 0; i < faultCount; i++) {
       long from =
           1_000_000L * (long) RandomStreams.uniform(random, 3, DEFAULT_SECONDS - 15)
               + random.nextInt(1_000_000);
       long length = 1_000_000L * (long) RandomStreams.uniform(random, 1, 10);
-      List<String> some = new ArrayList<>();
+      List<String> targets = new ArrayList<>();
       for (int s = 1 + random.nextInt(4); s > 0; s--) {
         String name = "s" + random.nextInt(18);
-        if (!some.contains(name)) {
-          some.add(name);
+        if (!targets.contains(name)) {
+          targets.add(name);
         }
       }
       long to = from + length;
       faults.add(
           switch (random.nextInt(14)) {
-            case 0 -> new Fault(from, to, "", "crash", some, 0);
-            case 1 -> new Fault(from, to, "", "drain", some, 0);
-            case 2 -> new Fault(from, -1, "", "move", some.subList(0, 1), 0);
-            case 3 -> new Fault(from, -1, "", "replace", some, 0);
+            case 0 -> new Fault(from, to, "", "crash", targets, 0);
+            case 1 -> new Fault(from, to, "", "drain", targets, 0);
+            case 2 -> new Fault(from, -1, "", "move", targets.subList(0, 1), 0);
+            case 3 -> new Fault(from, -1, "", "replace", targets, 0);
             case 4 ->
-                new Fault(from, to, "", "slow", some, RandomStreams.uniform(random, 3.8, 9.8));
+                new Fault(from, to, "", "slow", targets, RandomStreams.uniform(random, 3.8, 9.8));
             case 5 ->
                 new Fault(
                     from, to, "", "slow-all", List.of(), RandomStreams.uniform(random, 1.4, 1.8));
@@ -58,7 +58,7 @@
                 new Fault(from, to, "", "jump", List.of(), RandomStreams.uniform(random, 1.4, 1.9));
             case 7 -> new Fault(from, to, "", "late", List.of(), 2_000_000);
             case 8 ->
-                new Fault(from, to, "", "cut", List.of("b" + random.nextInt(3), some.get(0)), 0);
+                new Fault(from, to, "", "cut", List.of("b" + random.nextInt(3), targets.get(0)), 0);
             case 9 ->
                 new Fault(
                     from,
@@ -70,14 +70,16 @@
             case 10 ->
                 new Fault(from, from + 2_000_000, "", "kill", List.of("b" + random.nextInt(3)), 0);
             case 11 ->
-                new Fault(from, from + 100_000 + random.nextInt(900_000), "", "withdraw", some, 0);
+                new Fault(
+                    from, from + 100_000 + random.nextInt(900_000), "", "withdraw", targets, 0);
             case 12 ->
                 new Fault(
                     from, to, "", "garble", List.of(), RandomStreams.uniform(random, 0.02, 0.2));
             default -> new Fault(from, to, "", "settings", List.of(), 0);
           });
     }
-    return new SimulatedDay(seed, DEFAULT_SECONDS, DEFAULT_QUERIES_PER_SECOND, faults, defect);
+    return new SimulationSchedule(
+        seed, DEFAULT_SECONDS, DEFAULT_QUERIES_PER_SECOND, faults, defect);
   }
 
   /**
@@ -85,11 +87,11 @@
    * the duration, the query rate and the defect; each has a default. A non-null {@code seed} takes
    * precedence over that of the file.
    */
-  public static SimulatedDay parse(Path file, Long seed) throws IOException {
+  public static SimulationSchedule parse(Path file, Long seed) throws IOException {
     return parse(file, Files.readAllLines(file), seed);
   }
 
-  static SimulatedDay parse(Path file, List<String> lines, Long seed) {
+  static SimulationSchedule parse(Path file, List<String> lines, Long seed) {
     Map<String, String> head = new HashMap<>();
     List<String> rest = new ArrayList<>(lines);
     for (int i = 0; i < rest.size(); i++) {
@@ -101,7 +103,7 @@
         rest.set(i, "");
       }
     }
-    return new SimulatedDay(
+    return new SimulationSchedule(
         seed != null ? seed : Long.parseLong(head.getOrDefault("seed", "1")),
         Integer.parseInt(head.getOrDefault("seconds", String.valueOf(DEFAULT_SECONDS))),
         Double.parseDouble(head.getOrDefault("rate", String.valueOf(DEFAULT_QUERIES_PER_SECOND))),
@@ -110,18 +112,18 @@
   }
 
   /** Formats a schedule as the text of a schedule file. */
-  public static String format(SimulatedDay day) {
+  public static String format(SimulationSchedule schedule) {
     StringBuilder out =
         new StringBuilder(
             "day seed "
-                + day.seed()
+                + schedule.seed()
                 + " seconds "
-                + day.seconds()
+                + schedule.seconds()
                 + " rate "
-                + day.queriesPerSecond()
-                + (day.defect() == Defect.NONE ? "" : " defect " + day.defect())
+                + schedule.queriesPerSecond()
+                + (schedule.defect() == Defect.NONE ? "" : " defect " + schedule.defect())
                 + "\n");
-    day.faults().forEach(fault -> out.append(fault).append('\n'));
+    schedule.faults().forEach(fault -> out.append(fault).append('\n'));
     return out.toString();
   }
 
@@ -141,7 +143,7 @@
    * no simulation starts after the first violation.
    */
   public static SearchResult search(long fromSeed, int seeds, Defect defect, boolean first) {
-    ConcurrentLinkedQueue<SimulationResult> breaches = new ConcurrentLinkedQueue<>();
+    ConcurrentLinkedQueue<SimulationResult> violations = new ConcurrentLinkedQueue<>();
     AtomicInteger played = new AtomicInteger();
     AtomicLong steps = new AtomicLong();
     double share =
@@ -149,14 +151,14 @@
             .parallel()
             .mapToDouble(
                 i -> {
-                  if (first && !breaches.isEmpty()) {
+                  if (first && !violations.isEmpty()) {
                     return Double.NaN;
                   }
                   SimulationResult result = Simulation.play(generate(fromSeed + i, defect), false);
                   played.incrementAndGet();
                   steps.addAndGet(result.steps());
                   if (result.violation() != null) {
-                    breaches.add(result);
+                    violations.add(result);
                   }
                   return result.share();
                 })
@@ -167,7 +169,9 @@
         played.get(),
         steps.get(),
         share,
-        breaches.stream().sorted((a, b) -> Long.compare(a.day().seed(), b.day().seed())).toList());
+        violations.stream()
+            .sorted((a, b) -> Long.compare(a.day().seed(), b.day().seed()))
+            .toList());
   }
 
   /**
@@ -176,42 +180,42 @@
    *
    * @throws IllegalArgumentException if the schedule violates no invariant
    */
-  public static SimulatedDay shrink(SimulatedDay day) {
-    SimulationResult whole = Simulation.play(day, false);
-    if (whole.violation() == null) {
+  public static SimulationSchedule shrink(SimulationSchedule schedule) {
+    SimulationResult original = Simulation.play(schedule, false);
+    if (original.violation() == null) {
       throw new IllegalArgumentException("cannot shrink: the schedule violates no invariant");
     }
-    String rule = whole.violation().rule();
-    Predicate<SimulatedDay> breaks =
-        d -> {
-          SimulationResult r = Simulation.play(d, false);
-          return r.violation() != null && r.violation().rule().equals(rule);
+    String rule = original.violation().rule();
+    Predicate<SimulationSchedule> violatesRule =
+        candidate -> {
+          SimulationResult result = Simulation.play(candidate, false);
+          return result.violation() != null && result.violation().rule().equals(rule);
         };
-    SimulatedDay best = day;
-    for (boolean smaller = true; smaller; ) {
-      smaller = false;
+    SimulationSchedule best = schedule;
+    for (boolean reduced = true; reduced; ) {
+      reduced = false;
       for (int i = 0; i < best.faults().size(); i++) {
         List<Fault> fewer = new ArrayList<>(best.faults());
         fewer.remove(i);
-        if (breaks.test(best.withFaults(fewer))) {
+        if (violatesRule.test(best.withFaults(fewer))) {
           best = best.withFaults(fewer);
-          smaller = true;
+          reduced = true;
           i--;
         }
       }
       for (int seconds : new int[] {best.seconds() / 2, best.seconds() - 5, best.seconds() - 1}) {
         if (seconds >= 1
             && seconds < best.seconds()
-            && breaks.test(best.withLoad(seconds, best.queriesPerSecond()))) {
+            && violatesRule.test(best.withLoad(seconds, best.queriesPerSecond()))) {
           best = best.withLoad(seconds, best.queriesPerSecond());
-          smaller = true;
+          reduced = true;
           break;
         }
       }
-      double half = best.queriesPerSecond() / 2;
-      if (half >= 1 && breaks.test(best.withLoad(best.seconds(), half))) {
-        best = best.withLoad(best.seconds(), half);
-        smaller = true;
+      double halfRate = best.queriesPerSecond() / 2;
+      if (halfRate >= 1 && violatesRule.test(best.withLoad(best.seconds(), halfRate))) {
+        best = best.withLoad(best.seconds(), halfRate);
+        reduced = true;
       }
     }
     return best;
--- a/src/main/java/dunlinhitch/experiments/simulation/Fault.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Fault.java
@@ -92,40 +92,40 @@
     List<String> words = new ArrayList<>(List.of(line.split("\\s+", 0)));
     long from = -1;
     long to = -1;
-    String cold = "";
-    String how = words.remove(0);
-    if (how.equals("at")) {
+    String coldStartOf = "";
+    String trigger = words.remove(0);
+    if (trigger.equals("at")) {
       String[] times = words.remove(0).split("\\.\\.", 0);
       from = parseTime(times[0]);
       to = times.length > 1 ? parseTime(times[1]) : -1;
-    } else if (how.equals("when")) {
-      cold = words.remove(0);
+    } else if (trigger.equals("when")) {
+      coldStartOf = words.remove(0);
       if (!words.remove(0).equals("cold")) {
         throw new IllegalArgumentException("expected: when STORE cold KIND ...");
       }
     } else {
-      throw new IllegalArgumentException("the line must begin with at or when, not " + how);
+      throw new IllegalArgumentException("the line must begin with at or when, not " + trigger);
     }
-    String what = words.remove(0);
-    if (!KINDS.contains(what)) {
+    String kind = words.remove(0);
+    if (!KINDS.contains(kind)) {
       throw new IllegalArgumentException(
-          "unknown fault kind: " + what + "; expected one of " + String.join(", ", KINDS));
+          "unknown fault kind: " + kind + "; expected one of " + String.join(", ", KINDS));
     }
-    double by = 0;
-    List<String> who = new ArrayList<>();
+    double factor = 0;
+    List<String> targets = new ArrayList<>();
     for (int i = 0; i < words.size(); i++) {
       String word = words.get(i);
       if (word.equals("for")) {
         to = from + parseTime(words.get(++i));
       } else if (word.matches("x[0-9.]+")) {
-        by = Double.parseDouble(word.substring(1));
-      } else if (what.equals("late")) {
-        by = parseTime(word);
+        factor = Double.parseDouble(word.substring(1));
+      } else if (kind.equals("late")) {
+        factor = parseTime(word);
       } else {
-        who.add(word);
+        targets.add(word);
       }
     }
-    return new Fault(from, to, cold, what, who, by);
+    return new Fault(from, to, coldStartOf, kind, targets, factor);
   }
 
   static long parseTime(String text) {
--- a/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
@@ -37,8 +37,8 @@
     private int answers;
     private boolean clientDisconnected;
 
-    QueryState(QueryRequest ask, int broker) {
-      this.request = ask;
+    QueryState(QueryRequest request, int broker) {
+      this.request = request;
       this.broker = broker;
     }
   }
@@ -76,8 +76,8 @@
     }
   }
 
-  void queryAccepted(int broker, QueryRequest ask) {
-    queries.put(ask.id(), new QueryState(ask, broker));
+  void queryAccepted(int broker, QueryRequest request) {
+    queries.put(request.id(), new QueryState(request, broker));
   }
 
   void clientDisconnected(String id) {
@@ -131,20 +131,22 @@
    * Called when discovery notifies a broker of an endpoint; an unavailable endpoint may receive no
    * attempts after the drain grace period.
    */
-  void endpointNotified(int broker, String store, boolean takesWork) {
+  void endpointNotified(int broker, String store, boolean available) {
     String key = broker + " " + store;
-    if (takesWork) {
+    if (available) {
       unavailableSinceUs.remove(key);
     } else {
       unavailableSinceUs.putIfAbsent(key, time.now());
     }
   }
 
-  /** Called when a broker sends an attempt; {@code ask} is null if its client has disconnected. */
+  /**
+   * Called when a broker sends an attempt; {@code request} is null if its client has disconnected.
+   */
   void attemptSent(
       int broker,
       SimulatedStore store,
-      QueryRequest ask,
+      QueryRequest request,
       String partId,
       int shard,
       long attempt,
@@ -164,22 +166,24 @@
     if (++part.attempts > MAX_ATTEMPTS) {
       reportViolation("more attempts of a part than allowed", partId);
     }
-    if (ask != null
-        && ask.queryClass().idempotency() == Idempotency.GUARDED
+    if (request != null
+        && request.queryClass().idempotency() == Idempotency.GUARDED
         && part.possiblyExecutedUs >= 0
         && time.now()
-            > part.possiblyExecutedUs + ask.queryClass().dedupWindowUs() + TIME_TOLERANCE_US) {
+            > part.possiblyExecutedUs + request.queryClass().dedupWindowUs() + TIME_TOLERANCE_US) {
       reportViolation("a repeated attempt after the deduplication window", partId);
     }
     part.possiblyExecutedUs = part.possiblyExecutedUs < 0 ? time.now() : part.possiblyExecutedUs;
   }
 
-  /** Called when an attempt ends; {@code neverRan} is true if its store has not executed it. */
-  void attemptEnded(int broker, String partId, long attempt, boolean neverRan) {
+  /**
+   * Called when an attempt ends; {@code neverExecuted} is true if its store has not executed it.
+   */
+  void attemptEnded(int broker, String partId, long attempt, boolean neverExecuted) {
     PartState part = parts.get(broker + " " + partId);
     if (part != null && endedAttempts.add(broker + " " + attempt)) {
       part.outstanding--;
-      if (neverRan && part.attempts == 1) {
+      if (neverExecuted && part.attempts == 1) {
         part.possiblyExecutedUs = -1;
       }
     }
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
@@ -62,9 +62,9 @@
     private int queued;
     private int[] countsByWindow = new int[0];
 
-    private Store(String name, double times) {
+    private Store(String name, double slowdown) {
       this.name = name;
-      this.slowdown = times;
+      this.slowdown = slowdown;
     }
   }
 
@@ -100,28 +100,28 @@
     }
 
     private int selectStore(int cell) {
-      int best = -1;
-      double least = 0;
+      int bestIndex = -1;
+      double lowestScore = 0;
       for (int i = cell * plan.replicas(); i < (cell + 1) * plan.replicas(); i++) {
         double work = (estimatedWorkUs(i) + plan.workUs()) * factors.factor(i, QUERY_CLASS);
         double score = work * (1 + 0.001 * random.nextDouble());
-        if (best < 0 || score < least) {
-          best = i;
-          least = score;
+        if (bestIndex < 0 || score < lowestScore) {
+          bestIndex = i;
+          lowestScore = score;
         }
       }
-      return best;
+      return bestIndex;
     }
 
     private void send() {
-      int at = selectStore(random.nextInt(plan.cells()));
-      Store store = stores.get(at);
+      int index = selectStore(random.nextInt(plan.cells()));
+      Store store = stores.get(index);
       long sentUs = scheduler.now();
-      chosen.add(at);
+      chosen.add(index);
       countPart(store);
-      long foreseenUs = (long) (estimatedWorkUs(at) + plan.workUs());
-      outstandingWorkUs[at] += plan.workUs();
-      outstandingParts[at]++;
+      long expectedUs = (long) (estimatedWorkUs(index) + plan.workUs());
+      outstandingWorkUs[index] += plan.workUs();
+      outstandingParts[index]++;
       store.queued++;
       long serviceUs = (long) (-Math.log(1 - random.nextDouble()) * plan.workUs() * store.slowdown);
       store.busyUntilUs = Math.max(store.busyUntilUs, sentUs) + serviceUs;
@@ -129,25 +129,25 @@
           store.busyUntilUs,
           () -> {
             store.queued--;
-            outstandingParts[at]--;
-            outstandingWorkUs[at] = Math.max(0, outstandingWorkUs[at] - plan.workUs());
-            reported[at] = Math.max(0, store.queued - outstandingParts[at]) / store.slowdown;
-            reportedAtUs[at] = scheduler.now();
+            outstandingParts[index]--;
+            outstandingWorkUs[index] = Math.max(0, outstandingWorkUs[index] - plan.workUs());
+            reported[index] = Math.max(0, store.queued - outstandingParts[index]) / store.slowdown;
+            reportedAtUs[index] = scheduler.now();
             long tookUs = scheduler.now() - sentUs;
             finished.add(new Finished(this, sentUs, tookUs));
             if (scoring != null) {
               scoring.onAttemptCompleted(
                   store.name,
                   QUERY_CLASS,
-                  new Ending(Ending.Outcome.ANSWERED, scheduler.now(), tookUs, foreseenUs));
+                  new Ending(Ending.Outcome.ANSWERED, scheduler.now(), tookUs, expectedUs));
             }
           });
     }
 
     private void runScoringRound() {
-      List<EndpointSnapshot> sights = new ArrayList<>();
+      List<EndpointSnapshot> snapshots = new ArrayList<>();
       for (int i = 0; i < stores.size(); i++) {
-        sights.add(
+        snapshots.add(
             new EndpointSnapshot(
                 i,
                 stores.get(i).name,
@@ -160,14 +160,14 @@
                 List.of(reported[i]),
                 scheduler.now() - reportedAtUs[i]));
       }
-      scoring.updateEndpoints(sights);
-      long dayUs = CLOCK_START_US + scheduler.now();
-      List<Round> rounds = scoring.rounds(scheduler.now(), dayUs);
-      List<List<Judgement>> said = new ArrayList<>();
-      rounds.forEach(round -> said.add(scorer.judge(round)));
-      String wrong = scoring.applyJudgements(dayUs, rounds, said);
-      if (!wrong.isEmpty()) {
-        throw new IllegalStateException(wrong);
+      scoring.updateEndpoints(snapshots);
+      long wallClockUs = CLOCK_START_US + scheduler.now();
+      List<Round> rounds = scoring.rounds(scheduler.now(), wallClockUs);
+      List<List<Judgement>> judgements = new ArrayList<>();
+      rounds.forEach(round -> judgements.add(scorer.judge(round)));
+      String error = scoring.applyJudgements(wallClockUs, rounds, judgements);
+      if (!error.isEmpty()) {
+        throw new IllegalStateException(error);
       }
       factors = scoring.factors();
       if (plan.shared()) {
@@ -182,21 +182,24 @@
 
     /** Sends the weights that changed at this broker to all others, each after a random delay. */
     private void shareWeights() {
-      String self = "n" + brokers.indexOf(this);
-      List<ReplicatedEntry<WeightKey, Weight>> news =
+      String ownName = "n" + brokers.indexOf(this);
+      List<ReplicatedEntry<WeightKey, Weight>> changes =
           scoring.weights().since(publishedVersion, Integer.MAX_VALUE).stream()
-              .filter(fact -> fact.origin().equals(self))
+              .filter(entry -> entry.origin().equals(ownName))
               .toList();
       publishedVersion = scoring.weights().version();
-      if (!news.isEmpty()) {
+      if (!changes.isEmpty()) {
         for (Broker other : brokers) {
           if (other != this) {
             scheduler.scheduleAfter(
                 (long) (random.nextDouble() * plan.staleUs()),
                 () ->
-                    news.forEach(
-                        fact ->
-                            other.scoring.weights().merge(CLOCK_START_US + scheduler.now(), fact)));
+                    changes.forEach(
+                        entry ->
+                            other
+                                .scoring
+                                .weights()
+                                .merge(CLOCK_START_US + scheduler.now(), entry)));
           }
         }
       }
@@ -221,17 +224,17 @@
     this.plan = plan;
     this.seed = seed;
     random = new SplittableRandom(seed);
-    int many = plan.cells() * plan.replicas();
-    double able = 0;
-    for (int i = 0; i < many; i++) {
+    int storeCount = plan.cells() * plan.replicas();
+    double capacity = 0;
+    for (int i = 0; i < storeCount; i++) {
       // spreads slow stores over the cells, so that no cell consists of slow stores only
       boolean slow = Math.floor((i + 1) * plan.slowShare()) > Math.floor(i * plan.slowShare());
-      double times = slow ? 4 + 4 * random.nextDouble() : 1;
-      stores.add(new Store("s" + i, times));
-      able += 1 / times;
+      double slowdown = slow ? 4 + 4 * random.nextDouble() : 1;
+      stores.add(new Store("s" + i, slowdown));
+      capacity += 1 / slowdown;
     }
     meanGapUs =
-        plan.workUs() / (able * plan.load()) * plan.brokers(); // between queries of a broker
+        plan.workUs() / (capacity * plan.load()) * plan.brokers(); // between queries of a broker
     for (int i = 0; i < plan.brokers(); i++) {
       join();
     }
@@ -246,21 +249,22 @@
    * first broker immediately, as a broker does when it joins the cluster.
    */
   public void join() {
-    Broker fresh = new Broker(brokers.size());
-    brokers.add(fresh);
-    if (fresh.scoring != null) {
+    Broker joined = new Broker(brokers.size());
+    brokers.add(joined);
+    if (joined.scoring != null) {
       if (plan.shared() && brokers.size() > 1) {
         brokers
             .get(0)
             .scoring
             .weights()
             .since(0, Integer.MAX_VALUE)
-            .forEach(fact -> fresh.scoring.weights().merge(CLOCK_START_US + scheduler.now(), fact));
+            .forEach(
+                entry -> joined.scoring.weights().merge(CLOCK_START_US + scheduler.now(), entry));
       }
       scheduler.scheduleAfter(
-          plan.together() ? 0 : random.nextLong(plan.rule().roundUs()), fresh::runScoringRound);
+          plan.together() ? 0 : random.nextLong(plan.rule().roundUs()), joined::runScoringRound);
     }
-    scheduleNextQuery(fresh);
+    scheduleNextQuery(joined);
   }
 
   private void scheduleNextQuery(Broker broker) {
@@ -296,16 +300,16 @@
    * joined last count.
    */
   public double worth(long fromUs, long untilUs, boolean newest) {
-    double[] took = latencies(fromUs, untilUs, newest);
-    return Arrays.stream(took).filter(t -> t <= latencyObjectiveUs()).count()
-        / (double) Math.max(1, took.length);
+    double[] latencies = latencies(fromUs, untilUs, newest);
+    return Arrays.stream(latencies).filter(t -> t <= latencyObjectiveUs()).count()
+        / (double) Math.max(1, latencies.length);
   }
 
   /** The 99th percentile of the latency in microseconds, over the same parts as {@link #worth}. */
   public double p99(long fromUs, long untilUs, boolean newest) {
-    double[] took = latencies(fromUs, untilUs, newest);
-    Arrays.sort(took);
-    return took.length == 0 ? 0 : took[(int) (0.99 * (took.length - 1))];
+    double[] latencies = latencies(fromUs, untilUs, newest);
+    Arrays.sort(latencies);
+    return latencies.length == 0 ? 0 : latencies[(int) (0.99 * (latencies.length - 1))];
   }
 
   private double[] latencies(long fromUs, long untilUs, boolean newest) {
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedBroker.java
@@ -27,10 +27,10 @@
       Settings settings,
       long seed,
       Scheduler time,
-      BiConsumer<SimulatedBroker, Effect> edges) {
+      BiConsumer<SimulatedBroker, Effect> effectHandler) {
     this.number = number;
     this.time = time;
-    this.effectHandler = edges;
+    this.effectHandler = effectHandler;
     reducer = new Reducer(settings, seed, time.now());
     scheduleTurn(time.now());
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
@@ -24,7 +24,7 @@
       QueryRequest request, int retries, long startedUs, boolean honorsRetryAfter) {}
 
   private final Simulation simulation;
-  private final SimulatedDay day;
+  private final SimulationSchedule schedule;
   private final Scheduler time;
   private final InvariantChecker checker;
   private final FaultInjector faults;
@@ -39,14 +39,14 @@
 
   SimulatedClients(
       Simulation simulation,
-      SimulatedDay day,
+      SimulationSchedule schedule,
       Scheduler time,
       InvariantChecker checker,
       FaultInjector faults,
       Settings settings,
       UniformRandomProvider random) {
     this.simulation = simulation;
-    this.day = day;
+    this.schedule = schedule;
     this.time = time;
     this.checker = checker;
     this.faults = faults;
@@ -72,13 +72,13 @@
 
   /** Sends a query and schedules the next one, until the end of the load. */
   void arrive() {
-    if (time.now() >= Simulation.START_US + day.seconds() * 1_000_000L) {
+    if (time.now() >= Simulation.START_US + schedule.seconds() * 1_000_000L) {
       return;
     }
     time.scheduleAfter(
         (long)
             RandomStreams.exponential(
-                random, MICROS_PER_SECOND / (day.queriesPerSecond() * faults.trafficFactor())),
+                random, MICROS_PER_SECOND / (schedule.queriesPerSecond() * faults.trafficFactor())),
         this::arrive);
     boolean booking = random.nextDouble() < 0.5;
     int first = random.nextInt(SimulationSettings.SHARD_COUNT);
@@ -91,13 +91,13 @@
     }
     QueryClass queryClass = queryClass(booking);
     int queryNumber = ++lastQuery;
-    long waits = (long) (queryClass.deadlineUs() * RandomStreams.uniform(random, 0.6, 1));
+    long timeoutUs = (long) (queryClass.deadlineUs() * RandomStreams.uniform(random, 0.6, 1));
     QueryRequest request =
         new QueryRequest(
             "q" + queryNumber,
             booking ? "k" + queryNumber : "",
             queryClass,
-            time.now() + waits,
+            time.now() + timeoutUs,
             false,
             parts,
             "t" + queryNumber);
@@ -176,7 +176,7 @@
     if (!(answer instanceof QueryResponse.Served served)) {
       return answer;
     }
-    if (day.defect() == Defect.FALSE_WHOLE && !served.complete()) {
+    if (schedule.defect() == Defect.FALSE_WHOLE && !served.complete()) {
       return new QueryResponse.Served(true, served.parts());
     }
     if (simulation.injects(Defect.OTHER_VALUE, 0.01)) {
@@ -211,13 +211,14 @@
     if (query.retries() >= 2 || time.now() >= query.request().deadlineUs() - 100_000) {
       return;
     }
-    long advised = answer instanceof QueryResponse.Rejected rejected ? rejected.retryAfterUs() : 0;
-    long wait =
+    long retryAfterUs =
+        answer instanceof QueryResponse.Rejected rejected ? rejected.retryAfterUs() : 0;
+    long delayUs =
         query.honorsRetryAfter()
-            ? Math.max(advised, (long) RandomStreams.uniform(random, 20_000, 200_000))
+            ? Math.max(retryAfterUs, (long) RandomStreams.uniform(random, 20_000, 200_000))
             : 5_000;
     time.scheduleAfter(
-        wait,
+        delayUs,
         () -> {
           if (time.now() >= query.request().deadlineUs() - 50_000) {
             return;
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
@@ -65,18 +65,18 @@
   SimulatedStore(
       String name,
       int cell,
-      int room,
+      int zone,
       int port,
       Scheduler time,
       UniformRandomProvider random,
-      LongConsumer fell) {
+      LongConsumer onCollapse) {
     this.name = name;
     this.cell = cell;
-    this.zone = room;
+    this.zone = zone;
     this.port = port;
     this.time = time;
     this.random = random;
-    this.onCollapse = fell;
+    this.onCollapse = onCollapse;
   }
 
   double slowStartWeight() {
--- a/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -53,7 +53,7 @@
     }
   }
 
-  private final SimulatedDay day;
+  private final SimulationSchedule schedule;
   private final FaultInjector faults;
   private final SimulatedClients clients;
   private final Scheduler time = new Scheduler(START_US);
@@ -78,18 +78,19 @@
   private int lastPort = 7000;
   private int lastStore;
 
-  private Simulation(SimulatedDay day, boolean keepTrace) {
-    this.day = day;
+  private Simulation(SimulationSchedule schedule, boolean keepTrace) {
+    this.schedule = schedule;
     this.keepTrace = keepTrace;
-    streams = new RandomStreams(day.seed());
+    streams = new RandomStreams(schedule.seed());
     faults = new FaultInjector(this, time, START_US);
     clients =
-        new SimulatedClients(this, day, time, checker, faults, settings, streams.stream("clients"));
+        new SimulatedClients(
+            this, schedule, time, checker, faults, settings, streams.stream("clients"));
     network = streams.stream("network");
     work = streams.stream("work");
     discovery = streams.stream("discovery");
     defects = streams.stream("defects");
-    usesDnsSource = day.seed() % 2 == 1;
+    usesDnsSource = schedule.seed() % 2 == 1;
     try {
       digest = MessageDigest.getInstance("SHA-256");
     } catch (NoSuchAlgorithmException e) {
@@ -98,8 +99,8 @@
   }
 
   /** Simulates a schedule until its end or the first violation. */
-  public static SimulationResult play(SimulatedDay day, boolean keepTrace) {
-    return new Simulation(day, keepTrace).run();
+  public static SimulationResult play(SimulationSchedule schedule, boolean keepTrace) {
+    return new Simulation(schedule, keepTrace).run();
   }
 
   static String value(String text, int shard) {
@@ -113,24 +114,24 @@
     for (int slot = 0; slot < BROKER_COUNT; slot++) {
       startBroker(slot);
     }
-    for (Fault fault : day.faults()) {
+    for (Fault fault : schedule.faults()) {
       if (fault.fromUs() >= 0) { // faults without a time are applied when their store restarts
         time.scheduleAt(START_US + fault.fromUs(), () -> faults.apply(fault));
       }
     }
     time.scheduleAfter(500_000, clients::arrive);
     time.scheduleAfter(100_000, this::checkOverdue);
-    long endUs = START_US + day.seconds() * 1_000_000L;
+    long endUs = START_US + schedule.seconds() * 1_000_000L;
     time.runUntil(endUs + DRAIN_PERIOD_US, () -> checker.violation() == null);
     if (checker.violation() == null) {
-      int still = 0;
+      int openQueries = 0;
       for (SimulatedBroker broker : allBrokers) {
-        still += broker.isCrashed() ? 0 : broker.reducer.openQueries();
+        openQueries += broker.isCrashed() ? 0 : broker.reducer.openQueries();
       }
-      checker.simulationEnded(still);
+      checker.simulationEnded(openQueries);
     }
     return new SimulationResult(
-        day,
+        schedule,
         checker.violation(),
         clients.servedWeight(),
         clients.offeredWeight(),
@@ -188,15 +189,15 @@
 
   private void checkOverdue() {
     checker.checkOverdueQueries();
-    if (time.now() < START_US + day.seconds() * 1_000_000L + DRAIN_PERIOD_US) {
+    if (time.now() < START_US + schedule.seconds() * 1_000_000L + DRAIN_PERIOD_US) {
       time.scheduleAfter(100_000, this::checkOverdue);
     }
   }
 
   SimulatedStore addStore(int cell, int zone, long startedUs) {
     String name = "s" + lastStore++;
-    SimulatedStore[] made = {null};
-    made[0] =
+    SimulatedStore[] created = {null};
+    created[0] =
         new SimulatedStore(
             name,
             cell,
@@ -204,26 +205,34 @@
             ++lastPort,
             time,
             streams.stream("store " + name),
-            sentUs -> {
-              line("store " + name + " fell over after " + sentUs + " us of work");
+            receivedWorkUs -> {
+              line("store " + name + " fell over after " + receivedWorkUs + " us of work");
               checker.reportViolation("a store overloaded during slow start", name);
             });
-    made[0].startedUs = startedUs;
-    stores.add(made[0]);
-    return made[0];
+    created[0].startedUs = startedUs;
+    stores.add(created[0]);
+    return created[0];
   }
 
   SimulatedStore store(String name) {
     return stores.stream()
-        .filter(s -> s.name.equals(name))
+        .filter(store -> store.name.equals(name))
         .findFirst()
         .orElseThrow(() -> new IllegalArgumentException("unknown store: " + name));
   }
 
-  private Endpoint endpoint(SimulatedStore s, ServerState state) {
-    long started = day.defect() == Defect.COLD_FLOOD ? 0 : s.startedUs;
+  private Endpoint endpoint(SimulatedStore store, ServerState state) {
+    long started = schedule.defect() == Defect.COLD_FLOOD ? 0 : store.startedUs;
     return new Endpoint(
-        s.name, "10.0.0.1", s.port, s.zone, s.cell, state, 1, started, Protocol.FRAMES);
+        store.name,
+        "10.0.0.1",
+        store.port,
+        store.zone,
+        store.cell,
+        state,
+        1,
+        started,
+        Protocol.FRAMES);
   }
 
   void startBroker(int slot) {
@@ -231,24 +240,24 @@
         new SimulatedBroker(
             allBrokers.size(),
             classDropped ? SimulationSettings.create(false) : settings,
-            day.seed() * 31 + allBrokers.size(),
+            schedule.seed() * 31 + allBrokers.size(),
             time,
             this::handleEffect);
     allBrokers.add(broker);
     routes.add(new HashMap<>());
     outstanding.add(new LinkedHashMap<>());
     slots[slot] = broker;
-    List<Endpoint> listed =
+    List<Endpoint> endpoints =
         stores.stream()
-            .filter(s -> s.running && !s.draining)
-            .map(s -> endpoint(s, ServerState.READY))
+            .filter(store -> store.running && !store.draining)
+            .map(store -> endpoint(store, ServerState.READY))
             .toList();
     if (usesDnsSource) {
       broker.accept(new Event.SourceRegistered(DNS_SOURCE, 1));
       broker.accept(
-          new Event.SourceUpdated(DNS_SOURCE, true, listed.stream().map(this::claim).toList()));
+          new Event.SourceUpdated(DNS_SOURCE, true, endpoints.stream().map(this::claim).toList()));
     } else {
-      broker.accept(new Event.EndpointsUpdated(ServerListKind.FULL, listed));
+      broker.accept(new Event.EndpointsUpdated(ServerListKind.FULL, endpoints));
     }
   }
 
@@ -262,15 +271,15 @@
    * Notifies all brokers of an endpoint's state, each after a random delay: a short one if {@code
    * quick} is true, as by a push of records.
    */
-  void notifyBrokers(SimulatedStore s, ServerState state, boolean quick) {
-    Endpoint entry = endpoint(s, state);
+  void notifyBrokers(SimulatedStore store, ServerState state, boolean quick) {
+    Endpoint entry = endpoint(store, state);
     for (SimulatedBroker broker : slots) {
       long delay =
           (long)
               (quick || usesDnsSource
                   ? RandomStreams.uniform(discovery, 1_000, 60_000)
                   : RandomStreams.uniform(discovery, 200_000, 3_000_000));
-      boolean late = day.defect() == Defect.LATE_DRAIN && state != ServerState.READY;
+      boolean late = schedule.defect() == Defect.LATE_DRAIN && state != ServerState.READY;
       // a broker receives its notifications in the order of the changes
       long atUs = Math.max(time.now() + delay, lastNotificationUs.getOrDefault(broker.number, 0L));
       lastNotificationUs.put(broker.number, atUs);
@@ -280,8 +289,8 @@
             if (broker.isCrashed()) {
               return;
             }
-            line("broker " + broker.number + " is told " + s.name + " " + state);
-            checker.endpointNotified(broker.number, s.name, state == ServerState.READY);
+            line("broker " + broker.number + " is told " + store.name + " " + state);
+            checker.endpointNotified(broker.number, store.name, state == ServerState.READY);
             Event event =
                 usesDnsSource
                     ? new Event.SourceUpdated(DNS_SOURCE, false, List.of(claim(entry)))
@@ -291,32 +300,32 @@
     }
   }
 
-  void crash(SimulatedStore s) {
-    line("store " + s.name + " dies");
-    s.stop();
-    failAttempts(s);
-    notifyBrokers(s, ServerState.GONE, false);
+  void crash(SimulatedStore store) {
+    line("store " + store.name + " dies");
+    store.stop();
+    failAttempts(store);
+    notifyBrokers(store, ServerState.GONE, false);
   }
 
   /** Resets the attempts in flight at a store. */
-  void failAttempts(SimulatedStore s) {
+  void failAttempts(SimulatedStore store) {
     for (int i = 0; i < outstanding.size(); i++) {
       SimulatedBroker broker = allBrokers.get(i);
-      for (OutstandingAttempt out : List.copyOf(outstanding.get(i).values())) {
-        if (out.store == s && !isCut(broker, s)) {
+      for (OutstandingAttempt attempt : List.copyOf(outstanding.get(i).values())) {
+        if (attempt.store == store && !isPartitioned(broker, store)) {
           time.scheduleAfter(
-              latency(broker, s), () -> end(out, AttemptOutcome.RESET, new float[0], ""));
+              latency(broker, store), () -> end(attempt, AttemptOutcome.RESET, new float[0], ""));
         }
       }
     }
   }
 
-  void restart(SimulatedStore s) {
-    s.start();
-    line("store " + s.name + " starts cold");
-    notifyBrokers(s, ServerState.READY, false);
-    for (Fault fault : day.faults()) {
-      if (fault.fromUs() < 0 && fault.coldStartOf().equals(s.name)) {
+  void restart(SimulatedStore store) {
+    store.start();
+    line("store " + store.name + " starts cold");
+    notifyBrokers(store, ServerState.READY, false);
+    for (Fault fault : schedule.faults()) {
+      if (fault.fromUs() < 0 && fault.coldStartOf().equals(store.name)) {
         faults.apply(
             new Fault(
                 time.now() - START_US,
@@ -329,17 +338,17 @@
     }
   }
 
-  private long latency(SimulatedBroker broker, SimulatedStore s) {
+  private long latency(SimulatedBroker broker, SimulatedStore store) {
     long route =
-        s.zone == broker.number % 2
+        store.zone == broker.number % 2
             ? SAME_ZONE_LATENCY_US
             : (long) RandomStreams.uniform(network, 700, 1_300);
     return route + (long) RandomStreams.exponential(network, 60);
   }
 
-  private boolean isCut(SimulatedBroker broker, SimulatedStore s) {
+  private boolean isPartitioned(SimulatedBroker broker, SimulatedStore store) {
     for (int slot = 0; slot < BROKER_COUNT; slot++) {
-      if (slots[slot] == broker && faults.isPartitioned("b" + slot + " " + s.name)) {
+      if (slots[slot] == broker && faults.isPartitioned("b" + slot + " " + store.name)) {
         return true;
       }
     }
@@ -347,7 +356,7 @@
   }
 
   boolean injects(Defect defect, double share) {
-    return day.defect() == defect && defects.nextDouble() < share;
+    return schedule.defect() == defect && defects.nextDouble() < share;
   }
 
   private void handleEffect(SimulatedBroker broker, Effect effect) {
@@ -356,10 +365,13 @@
         routes.get(broker.number).remove(e.number());
       } else {
         stores.stream()
-            .filter(s -> s.name.equals(e.endpoint().name()))
+            .filter(store -> store.name.equals(e.endpoint().name()))
             .findFirst()
             .ifPresent(
-                s -> routes.get(broker.number).put(e.number(), new Route(s, e.endpoint().port())));
+                store ->
+                    routes
+                        .get(broker.number)
+                        .put(e.number(), new Route(store, e.endpoint().port())));
       }
     } else if (effect instanceof Effect.SendRequest e) {
       Route route = routes.get(broker.number).get(e.endpoint());
@@ -369,7 +381,7 @@
       cancel(broker, e);
     } else if (effect instanceof Effect.SendHealthCheck e) {
       Route route = routes.get(broker.number).get(e.endpoint());
-      if (route != null && !isCut(broker, route.store())) {
+      if (route != null && !isPartitioned(broker, route.store())) {
         time.scheduleAfter(
             2 * latency(broker, route.store()) + 1_000,
             () ->
@@ -395,20 +407,21 @@
    * confirmation takes the latency once more; over a partitioned route neither arrives.
    */
   private void cancel(SimulatedBroker broker, Effect.CancelAttempt cancellation) {
-    OutstandingAttempt out = outstanding.get(broker.number).remove(cancellation.attempt());
-    if (out == null) {
+    OutstandingAttempt attempt = outstanding.get(broker.number).remove(cancellation.attempt());
+    if (attempt == null) {
       return;
     }
-    out.ended = true;
+    attempt.ended = true;
     time.scheduleAfter(
-        latency(broker, out.store),
+        latency(broker, attempt.store),
         () -> {
-          if (isCut(broker, out.store)) {
+          if (isPartitioned(broker, attempt.store)) {
             return;
           }
-          checker.attemptEnded(broker.number, out.request.partId(), cancellation.attempt(), false);
+          checker.attemptEnded(
+              broker.number, attempt.request.partId(), cancellation.attempt(), false);
           time.scheduleAfter(
-              latency(broker, out.store),
+              latency(broker, attempt.store),
               () -> broker.accept(new Event.AttemptReleased(cancellation.attempt())));
         });
   }
@@ -426,15 +439,19 @@
     if (injects(Defect.WRONG_SHARD, 0.005)) {
       to = stores.get((stores.indexOf(to) + 1) % stores.size());
     }
-    if (day.defect() == Defect.TO_THE_DRAINED) {
+    if (schedule.defect() == Defect.TO_THE_DRAINED) {
       int cell = to.cell;
-      to = stores.stream().filter(s -> s.cell == cell && s.draining).findFirst().orElse(to);
+      to =
+          stores.stream()
+              .filter(store -> store.cell == cell && store.draining)
+              .findFirst()
+              .orElse(to);
     }
     SimulatedStore store = to;
-    OutstandingAttempt out = new OutstandingAttempt(broker, store, part);
-    outstanding.get(broker.number).put(part.attempt(), out);
+    OutstandingAttempt attempt = new OutstandingAttempt(broker, store, part);
+    outstanding.get(broker.number).put(part.attempt(), attempt);
     String query = part.partId().substring(0, part.partId().indexOf('.'));
-    QueryRequest ask = clients.openRequest(query);
+    QueryRequest request = clients.openRequest(query);
     line(
         "broker "
             + broker.number
@@ -444,111 +461,117 @@
             + store.name
             + " attempt "
             + part.attempt());
-    recordSent(out, ask);
+    recordSent(attempt, request);
     if (injects(Defect.TWO_OUT, 0.002)) {
-      recordSent(out, ask);
+      recordSent(attempt, request);
     }
-    if (ask != null
-        && ask.queryClass().idempotency() == Idempotency.GUARDED
+    if (request != null
+        && request.queryClass().idempotency() == Idempotency.GUARDED
         && injects(Defect.AFTER_THE_WINDOW, 0.02)) {
       time.scheduleAfter(
           4_500_000,
           () -> {
             checker.attemptEnded(broker.number, part.partId(), part.attempt(), false);
-            recordSent(out, ask);
+            recordSent(attempt, request);
           });
     }
-    if (isCut(broker, store)) {
+    if (isPartitioned(broker, store)) {
       return; // over a partitioned link nothing arrives; the attempt times out at the broker
     }
-    boolean booking = ask != null && ask.queryClass().idempotency() == Idempotency.GUARDED;
+    boolean booking = request != null && request.queryClass().idempotency() == Idempotency.GUARDED;
     long workUs = (long) RandomStreams.logNormal(work, booking ? 67_000 : 84_000, 0.3) + 46_000 / 4;
     int port = route.port();
     time.scheduleAfter(
         latency(broker, store),
-        () -> arrive(out, port, booking ? part.key() + "." + part.shard() : "", workUs));
+        () -> arrive(attempt, port, booking ? part.key() + "." + part.shard() : "", workUs));
   }
 
-  private void recordSent(OutstandingAttempt out, QueryRequest query) {
+  private void recordSent(OutstandingAttempt attempt, QueryRequest query) {
     checker.attemptSent(
-        out.broker.number,
-        out.store,
+        attempt.broker.number,
+        attempt.store,
         query,
-        out.request.partId(),
-        out.request.shard(),
-        out.request.attempt(),
+        attempt.request.partId(),
+        attempt.request.shard(),
+        attempt.request.attempt(),
         SimulationSettings.CELL_COUNT);
   }
 
-  private void arrive(OutstandingAttempt out, int port, String key, long workUs) {
-    if (out.store.port != port) {
-      answer(out, AttemptOutcome.CONNECT_FAILED, "");
+  private void arrive(OutstandingAttempt attempt, int port, String key, long workUs) {
+    if (attempt.store.port != port) {
+      answer(attempt, AttemptOutcome.CONNECT_FAILED, "");
       return;
     }
-    SimulatedStore.Admission taken =
-        out.store.submit(
+    SimulatedStore.Admission admission =
+        attempt.store.submit(
             key,
             workUs,
             () -> {
-              boolean spoilt =
+              boolean corrupted =
                   faults.corruptShare() > 0 && network.nextDouble() < faults.corruptShare();
               answer(
-                  out,
-                  spoilt ? AttemptOutcome.RESET : AttemptOutcome.OK,
-                  value(out.request.text(), out.request.shard()));
+                  attempt,
+                  corrupted ? AttemptOutcome.RESET : AttemptOutcome.OK,
+                  value(attempt.request.text(), attempt.request.shard()));
             });
-    if (taken == SimulatedStore.Admission.DOWN) {
-      answer(out, AttemptOutcome.CONNECT_FAILED, "");
-    } else if (taken == SimulatedStore.Admission.REJECTED) {
-      answer(out, AttemptOutcome.FULL, "");
+    if (admission == SimulatedStore.Admission.DOWN) {
+      answer(attempt, AttemptOutcome.CONNECT_FAILED, "");
+    } else if (admission == SimulatedStore.Admission.REJECTED) {
+      answer(attempt, AttemptOutcome.FULL, "");
     }
   }
 
-  private void answer(OutstandingAttempt out, AttemptOutcome outcome, String value) {
-    if (isCut(out.broker, out.store)) {
+  private void answer(OutstandingAttempt attempt, AttemptOutcome outcome, String value) {
+    if (isPartitioned(attempt.broker, attempt.store)) {
       return;
     }
     float[] report =
         faults.reportDelayUs() > 0 || outcome == AttemptOutcome.CONNECT_FAILED
             ? new float[0]
-            : out.store.report();
-    time.scheduleAfter(latency(out.broker, out.store), () -> end(out, outcome, report, value));
+            : attempt.store.report();
+    time.scheduleAfter(
+        latency(attempt.broker, attempt.store), () -> end(attempt, outcome, report, value));
   }
 
-  private void end(OutstandingAttempt out, AttemptOutcome outcome, float[] report, String value) {
-    if (out.ended || out.broker.isCrashed()) {
+  private void end(
+      OutstandingAttempt attempt, AttemptOutcome outcome, float[] report, String value) {
+    if (attempt.ended || attempt.broker.isCrashed()) {
       return;
     }
-    out.ended = true;
-    outstanding.get(out.broker.number).remove(out.request.attempt());
+    attempt.ended = true;
+    outstanding.get(attempt.broker.number).remove(attempt.request.attempt());
     line(
         "broker "
-            + out.broker.number
+            + attempt.broker.number
             + " has "
-            + out.request.partId()
+            + attempt.request.partId()
             + " "
             + outcome
             + " of "
-            + out.store.name);
+            + attempt.store.name);
     checker.attemptEnded(
-        out.broker.number, out.request.partId(), out.request.attempt(), outcome.neverExecuted());
+        attempt.broker.number,
+        attempt.request.partId(),
+        attempt.request.attempt(),
+        outcome.neverExecuted());
     if (injects(Defect.MANY_ATTEMPTS, 0.002)) {
       for (int i = 0; i < 4; i++) {
         checker.attemptSent(
-            out.broker.number,
-            out.store,
+            attempt.broker.number,
+            attempt.store,
             null,
-            out.request.partId(),
-            out.request.shard(),
+            attempt.request.partId(),
+            attempt.request.shard(),
             -i,
             SimulationSettings.CELL_COUNT);
         checker.attemptEnded(
-            out.broker.number,
-            out.request.partId(),
+            attempt.broker.number,
+            attempt.request.partId(),
             -1 - (long) (defects.nextDouble() * 1e15),
             false);
       }
     }
-    out.broker.accept(new Event.AttemptCompleted(out.request.attempt(), outcome, report, value));
+    attempt.broker.accept(
+        new Event.AttemptCompleted(attempt.request.attempt(), outcome, report, value));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
@@ -14,7 +14,7 @@
   private SimulationCommands() {}
 
   /** Selects a schedule: read from a file, or generated from a seed. */
-  static final class DaySelection {
+  static final class ScheduleSelection {
     @Parameters(
         arity = "0..1",
         paramLabel = "FILE",
@@ -31,7 +31,7 @@
         description = "defect to inject into a generated schedule: one of ${COMPLETION-CANDIDATES}")
     private Defect defect;
 
-    SimulatedDay day() throws IOException {
+    SimulationSchedule schedule() throws IOException {
       return file == null ? Days.generate(seed == null ? 1 : seed, defect) : Days.parse(file, seed);
     }
   }
@@ -63,13 +63,13 @@
           "Simulates the schedule of a file or a seed; exit code 1 if an invariant is violated.",
       mixinStandardHelpOptions = true)
   public static final class Run implements Callable<Integer> {
-    @Mixin private DaySelection selection;
+    @Mixin private ScheduleSelection selection;
 
     @Override
     public Integer call() throws IOException {
-      SimulatedDay day = selection.day();
-      System.out.print(Days.format(day));
-      SimulationResult result = Simulation.play(day, false);
+      SimulationSchedule schedule = selection.schedule();
+      System.out.print(Days.format(schedule));
+      SimulationResult result = Simulation.play(schedule, false);
       printResult(result);
       return result.violation() == null ? 0 : 1;
     }
@@ -129,13 +129,16 @@
       description = "Prints the smallest schedule found that violates the same invariant.",
       mixinStandardHelpOptions = true)
   public static final class Shrink implements Callable<Integer> {
-    @Mixin private DaySelection selection;
+    @Mixin private ScheduleSelection selection;
 
     @Override
     public Integer call() throws IOException {
-      SimulatedDay day = Days.shrink(selection.day());
+      SimulationSchedule schedule = Days.shrink(selection.schedule());
       System.out.print(
-          "# " + Simulation.play(day, false).violation().rule() + "\n" + Days.format(day));
+          "# "
+              + Simulation.play(schedule, false).violation().rule()
+              + "\n"
+              + Days.format(schedule));
       return 0;
     }
   }
@@ -145,7 +148,7 @@
       description = "Prints the trace of a simulated run, or its lines about one query or store.",
       mixinStandardHelpOptions = true)
   public static final class Show implements Callable<Integer> {
-    @Mixin private DaySelection selection;
+    @Mixin private ScheduleSelection selection;
 
     @Option(
         names = "--of",
@@ -155,8 +158,8 @@
 
     @Override
     public Integer call() throws IOException {
-      SimulatedDay day = selection.day();
-      Simulation.play(day, true).trace().stream()
+      SimulationSchedule schedule = selection.schedule();
+      Simulation.play(schedule, true).trace().stream()
           .filter(
               line ->
                   of.isEmpty()
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedDay.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationSchedule.java
@@ -11,20 +11,20 @@
  * @param faults the faults to inject
  * @param defect the defect to inject at the edges of the brokers
  */
-public record SimulatedDay(
+public record SimulationSchedule(
     long seed, int seconds, double queriesPerSecond, List<Fault> faults, Defect defect) {
   /** Creates a schedule with an immutable copy of the faults. */
-  public SimulatedDay {
+  public SimulationSchedule {
     faults = List.copyOf(faults);
   }
 
   /** Returns a copy of this schedule with other faults. */
-  SimulatedDay withFaults(List<Fault> others) {
-    return new SimulatedDay(seed, seconds, queriesPerSecond, others, defect);
+  SimulationSchedule withFaults(List<Fault> others) {
+    return new SimulationSchedule(seed, seconds, queriesPerSecond, others, defect);
   }
 
   /** Returns a copy of this schedule with another duration and query rate. */
-  SimulatedDay withLoad(int otherSeconds, double rate) {
-    return new SimulatedDay(seed, otherSeconds, rate, faults, defect);
+  SimulationSchedule withLoad(int otherSeconds, double rate) {
+    return new SimulationSchedule(seed, otherSeconds, rate, faults, defect);
   }
 }
--- a/src/main/java/dunlinhitch/experiments/soak/FrameTap.java
+++ b/src/main/java/dunlinhitch/experiments/soak/CallFrameParser.java
@@ -8,7 +8,7 @@
  * Parses the frames that a broker writes to one connection of a store and reports each part of a
  * call with its id and timeout. Not thread-safe; used on the event loop.
  */
-final class FrameTap {
+final class CallFrameParser {
   private static final int LENGTH_BYTES = 4;
   private static final char CALL = 'm';
 
@@ -20,7 +20,7 @@
    *
    * @param onPart receives the id of each part and its timeout in milliseconds
    */
-  FrameTap(BiConsumer<String, Long> onPart) {
+  CallFrameParser(BiConsumer<String, Long> onPart) {
     this.onPart = onPart;
   }
 
@@ -39,16 +39,17 @@
   }
 
   private void readCall(byte[] call) {
-    int at = 0;
-    while (at < call.length) {
-      int lineEnd = at;
+    int index = 0;
+    while (index < call.length) {
+      int lineEnd = index;
       while (call[lineEnd] != '\n') {
         lineEnd++;
       }
-      String[] fields = new String(call, at, lineEnd - at, StandardCharsets.UTF_8).split(" ", -1);
+      String[] fields =
+          new String(call, index, lineEnd - index, StandardCharsets.UTF_8).split(" ", -1);
       String timeout = fields[2].split(",", -1)[0].substring("d=".length());
       onPart.accept(fields[0], Long.parseLong(timeout));
-      at = lineEnd + 1 + Integer.parseInt(fields[3]);
+      index = lineEnd + 1 + Integer.parseInt(fields[3]);
     }
   }
 }
--- a/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
@@ -94,7 +94,7 @@
     } else if (observation instanceof AttemptRead read) {
       onAttemptRead(read);
     } else if (observation instanceof AttemptOver over) {
-      placesOf(over.part()).remove(place(over.store(), over.connection()));
+      connectionsOf(over.part()).remove(connectionKey(over.store(), over.connection()));
     } else if (observation instanceof EndpointTold told) {
       onEndpointTold(told);
     } else if (observation instanceof BrokerStopped stopped) {
@@ -142,23 +142,23 @@
   }
 
   private void onAttemptRead(AttemptRead read) {
-    Set<String> places = placesOf(read.part());
-    if (!places.isEmpty() && !limits.parallelAttempts()) {
+    Set<String> connections = connectionsOf(read.part());
+    if (!connections.isEmpty() && !limits.parallelAttempts()) {
       report(SoakRule.ONE_ATTEMPT_AT_A_TIME, read.subject());
     }
-    places.add(place(read.store(), read.connection()));
+    connections.add(connectionKey(read.store(), read.connection()));
   }
 
-  private Set<String> placesOf(String part) {
-    return attemptsAtStores.computeIfAbsent(part, unseen -> new HashSet<>());
+  private Set<String> connectionsOf(String part) {
+    return attemptsAtStores.computeIfAbsent(part, key -> new HashSet<>());
   }
 
-  private static String place(String store, int connection) {
+  private static String connectionKey(String store, int connection) {
     return store + " " + connection;
   }
 
   private void checkAnswers() {
-    int staying = 0;
+    int expected = 0;
     int served = 0;
     for (RequestSent request : requests.values()) {
       RequestEnded end = ends.get(request.query());
@@ -170,11 +170,11 @@
         report(SoakRule.ONE_ANSWER, request.query());
         continue;
       }
-      staying++;
+      expected++;
       served += end.end() == RequestEnd.SERVED ? 1 : 0;
     }
-    if (served < MIN_SERVED_SHARE * staying) {
-      report(SoakRule.SERVED_SHARE, served + " of " + staying);
+    if (served < MIN_SERVED_SHARE * expected) {
+      report(SoakRule.SERVED_SHARE, served + " of " + expected);
     }
   }
 
--- a/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
@@ -75,7 +75,7 @@
                 "key-" + query),
             Client.body(shards));
     open.put(query, response);
-    var unused = response.whenComplete((got, failure) -> onEnded(query, got));
+    var unused = response.whenComplete((result, failure) -> onEnded(query, result));
     if (random.nextInt(100) < LEAVING_PERCENT) {
       int afterMs = random.nextInt(1, plan.deadlineMs() / 2);
       var unusedLeaving =
@@ -89,17 +89,17 @@
     response.cancel(true);
   }
 
-  private void onEnded(String query, Client.Response got) {
+  private void onEnded(String query, Client.Response result) {
     open.remove(query);
-    RequestEnd end = got == null && departed.contains(query) ? RequestEnd.LEFT : endOf(got);
+    RequestEnd end = result == null && departed.contains(query) ? RequestEnd.LEFT : endOf(result);
     observations.add(atUs -> new Observation.RequestEnded(atUs, query, end));
   }
 
-  private static RequestEnd endOf(Client.Response got) {
-    if (got == null) {
+  private static RequestEnd endOf(Client.Response result) {
+    if (result == null) {
       return RequestEnd.BROKEN;
     }
-    return switch (got.outcome()) {
+    return switch (result.outcome()) {
       case "whole", "partial" -> RequestEnd.SERVED;
       case "refused" -> RequestEnd.REJECTED;
       case "failed", "late" -> RequestEnd.FAILED;
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
@@ -34,17 +34,17 @@
 
   private final SoakPlan plan;
   private final Observations observations = new Observations();
-  private final TestBed bed;
+  private final TestBed testBed;
   private final ScheduledExecutorService executor = Executors.newSingleThreadScheduledExecutor();
 
   private final List<Exception> failures = new CopyOnWriteArrayList<>();
 
   /** Brokers for which the bytes from discovery are held back. */
-  private final Set<String> untoldBrokers = new HashSet<>();
+  private final Set<String> brokersWithHeldDiscovery = new HashSet<>();
 
   private SoakRun(SoakPlan plan, Path directory) throws Exception {
     this.plan = plan;
-    bed =
+    testBed =
         new TestBed(
             directory,
             plan.seed(),
@@ -65,7 +65,7 @@
    */
   public static Result play(SoakPlan plan, Path directory) throws Exception {
     SoakRun run = new SoakRun(plan, directory);
-    try (run.bed) {
+    try (run.testBed) {
       return run.play();
     } finally {
       run.executor.shutdownNow();
@@ -73,16 +73,16 @@
   }
 
   private Result play() throws Exception {
-    bed.stores().forEach(store -> store.answerDelayMs = ANSWER_DELAY_MS);
-    bed.onLoop(
+    testBed.stores().forEach(store -> store.answerDelayMs = ANSWER_DELAY_MS);
+    testBed.onLoop(
         () -> {
-          bed.nodes().forEach(this::tapRequests);
+          testBed.nodes().forEach(this::tapRequests);
           return null;
         });
-    bed.start(bed.nodes());
+    testBed.start(testBed.nodes());
     List<SoakClients> clients = new ArrayList<>();
     for (int number = 0; number < plan.brokers(); number++) {
-      TestBed.Node node = bed.nodes().get(number);
+      TestBed.Node node = testBed.nodes().get(number);
       clients.add(new SoakClients(plan, number, node.httpPort, observations, executor));
     }
     clients.forEach(SoakClients::start);
@@ -92,8 +92,9 @@
     TimeUnit.SECONDS.sleep(plan.seconds());
     executor.shutdown(); // no new requests or faults; pending ends of faults still run
     executor.awaitTermination(2L * plan.deadlineMs(), TimeUnit.MILLISECONDS);
-    for (SoakClients some : clients) {
-      some.allEnded()
+    for (SoakClients brokerClients : clients) {
+      brokerClients
+          .allEnded()
           .handle((all, failure) -> null)
           .completeOnTimeout(null, 2L * plan.deadlineMs(), TimeUnit.MILLISECONDS)
           .join();
@@ -103,18 +104,18 @@
           "a fault of the plan could not be started or ended", failures.get(0));
     }
     List<String> logLines =
-        bed.nodes().stream()
+        testBed.nodes().stream()
             .flatMap(node -> node.lines().stream().map(line -> node.name + ": " + line))
             .toList();
     return new Result(observations.list(), logLines);
   }
 
   private void tapRequests(TestBed.Node node) {
-    for (var store : bed.stores()) {
+    for (var store : testBed.stores()) {
       node.proxyTo(store.name)
           .tapRequests(
               () ->
-                  new FrameTap(
+                  new CallFrameParser(
                           (part, timeoutMs) ->
                               observations.add(
                                   atUs ->
@@ -125,8 +126,8 @@
   }
 
   private void begin(SoakFault fault) throws Exception {
-    TestBed.Node node = bed.nodes().get(fault.broker());
-    SoakStore store = (SoakStore) bed.stores().get(fault.store());
+    TestBed.Node node = testBed.nodes().get(fault.broker());
+    SoakStore store = (SoakStore) testBed.stores().get(fault.store());
     switch (fault.kind()) {
       case REQUESTS_HELD, ANSWERS_HELD, LINK_HELD, LINK_SLOW, LINK_RESET ->
           beginLinkFault(fault, node, store);
@@ -173,73 +174,73 @@
 
   private void during(SoakFault fault, Switch state) throws Exception {
     onLoop(() -> state.set(true));
-    after(fault, () -> state.set(false));
+    scheduleEnd(fault, () -> state.set(false));
   }
 
   private void hold(
       SoakFault fault, TestBed.Node node, SoakStore store, boolean requests, boolean answers) {
     NetworkFaults.Rule rule =
-        bed.links.add(
+        testBed.links.add(
             (from, to) ->
                 (requests && from.equals(node.name) && to.equals(store.name))
                     || (answers && from.equals(store.name) && to.equals(node.name)),
             NetworkFaults.Harm.HELD,
             0,
             1);
-    after(
+    scheduleEnd(
         fault,
         () -> {
-          bed.links.remove(rule);
+          testBed.links.remove(rule);
           node.proxyTo(store.name).release();
         });
   }
 
   private void slow(SoakFault fault, TestBed.Node node, SoakStore store) {
     NetworkFaults.Rule rule =
-        bed.links.add(
+        testBed.links.add(
             (from, to) -> from.equals(node.name) && to.equals(store.name),
             NetworkFaults.Harm.SLOW,
             SLOW_LINK_MS,
             1);
-    after(fault, () -> bed.links.remove(rule));
+    scheduleEnd(fault, () -> testBed.links.remove(rule));
   }
 
   private void drain(SoakFault fault, SoakStore store) throws Exception {
-    tell(store, false);
-    schedule(() -> tell(store, true), fault.forMs());
+    setReady(store, false);
+    schedule(() -> setReady(store, true), fault.forMs());
   }
 
   /**
    * Changes the state of a store in discovery. A broker whose discovery is held back has not
    * received a drain, so that none is recorded for it.
    */
-  private void tell(SoakStore store, boolean ready) throws Exception {
-    bed.change(store.name, ready ? "ready" : "draining");
-    for (TestBed.Node node : bed.nodes()) {
-      if (ready || !untoldBrokers.contains(node.name)) {
+  private void setReady(SoakStore store, boolean ready) throws Exception {
+    testBed.change(store.name, ready ? "ready" : "draining");
+    for (TestBed.Node node : testBed.nodes()) {
+      if (ready || !brokersWithHeldDiscovery.contains(node.name)) {
         observations.add(atUs -> new Observation.EndpointTold(atUs, node.name, store.name, ready));
       }
     }
   }
 
   private void holdDiscovery(SoakFault fault, TestBed.Node node) {
-    untoldBrokers.add(node.name);
+    brokersWithHeldDiscovery.add(node.name);
     NetworkFaults.Rule rule =
-        bed.links.add(
+        testBed.links.add(
             (from, to) -> from.equals(DISCOVERY) && to.equals(node.name),
             NetworkFaults.Harm.HELD,
             0,
             1);
     schedule(
         () -> {
-          untoldBrokers.remove(node.name);
-          bed.links.remove(rule);
+          brokersWithHeldDiscovery.remove(node.name);
+          testBed.links.remove(rule);
           onLoop(node::releaseDiscovery);
         },
         fault.forMs());
   }
 
-  private void after(SoakFault fault, Runnable task) {
+  private void scheduleEnd(SoakFault fault, Runnable task) {
     schedule(() -> onLoop(task), fault.forMs());
   }
 
@@ -266,7 +267,7 @@
   }
 
   private void onLoop(Runnable task) throws Exception {
-    bed.onLoop(
+    testBed.onLoop(
         () -> {
           task.run();
           return null;
--- a/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
+++ b/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
@@ -41,9 +41,10 @@
     assertTrue(report.states() > 300, report.toString());
   }
 
-  private static Explorer.Violation findViolation(MembershipSubject.Mutation flaw) {
+  private static Explorer.Violation findViolation(MembershipSubject.Mutation mutation) {
     return Explorer.explore(
-            new ClusterModel<>(new MembershipSubject(1, flaw), Models.membershipBudget(4)), SHALLOW)
+            new ClusterModel<>(new MembershipSubject(1, mutation), Models.membershipBudget(4)),
+            SHALLOW)
         .violation()
         .orElseThrow();
   }
@@ -51,23 +52,23 @@
   /** Incarnations above the initial one are ignored, so that no suspicion can be refuted. */
   @Test
   void ignoredRefutationIsFound() {
-    UnaryOperator<GossipMessage> deaf =
-        word ->
+    UnaryOperator<GossipMessage> ignoresRefutations =
+        message ->
             new GossipMessage(
-                word.kind(),
-                inFirstIncarnation(word.from()),
-                word.sequenceNumber(),
-                word.subject(),
-                word.versions(),
-                word.memberUpdates().stream().map(ExplorerTest::inFirstIncarnation).toList(),
-                word.observations(),
-                word.digest(),
-                word.buckets(),
-                word.suspicionReports());
+                message.kind(),
+                inFirstIncarnation(message.from()),
+                message.sequenceNumber(),
+                message.subject(),
+                message.versions(),
+                message.memberUpdates().stream().map(ExplorerTest::inFirstIncarnation).toList(),
+                message.observations(),
+                message.digest(),
+                message.buckets(),
+                message.suspicionReports());
     Explorer.Violation found =
         findViolation(
             new MembershipSubject.Mutation(
-                deaf, now -> 1_000, MembershipSubject.Mutation.NONE.convergence()));
+                ignoresRefutations, now -> 1_000, MembershipSubject.Mutation.NONE.convergence()));
     assertTrue(found.description().startsWith("after the convergence phase: "), found.toString());
   }
 
@@ -86,7 +87,7 @@
     Explorer.Violation found =
         findViolation(
             new MembershipSubject.Mutation(
-                word -> word,
+                message -> message,
                 now -> now == 0 ? 1_000 : 0,
                 MembershipSubject.Mutation.NONE.convergence()));
     assertTrue(found.description().contains("whose own incarnation is 0"), found.toString());
@@ -99,7 +100,7 @@
     Explorer.Violation found =
         findViolation(
             new MembershipSubject.Mutation(
-                word -> word, MembershipSubject.Mutation.NONE.incarnation(), view -> true));
+                message -> message, MembershipSubject.Mutation.NONE.incarnation(), view -> true));
     assertTrue(found.description().startsWith("converged views differ: "), found.toString());
   }
 
@@ -114,15 +115,15 @@
     private final boolean expires;
 
     FaultyReplica(
-        BinaryOperator<ReplicatedEntry<String, Integer>> latest, boolean bounded, boolean forgets) {
+        BinaryOperator<ReplicatedEntry<String, Integer>> latest, boolean bounded, boolean expires) {
       this.latest = latest;
       this.bounded = bounded;
-      this.expires = forgets;
+      this.expires = expires;
     }
 
     @Override
-    public void merge(long nowUs, ReplicatedEntry<String, Integer> told) {
-      entriesByOwner.merge(told.key() + " " + told.origin(), told, latest);
+    public void merge(long nowUs, ReplicatedEntry<String, Integer> update) {
+      entriesByOwner.merge(update.key() + " " + update.origin(), update, latest);
       List<ReplicatedEntry<String, Integer>> now = entries();
       entriesByOwner
           .values()
@@ -131,9 +132,9 @@
                   bounded
                       && now.stream()
                           .anyMatch(
-                              fact ->
-                                  fact.origin().equals(old.origin())
-                                      && fact.timestampUs() > old.timestampUs()));
+                              entry ->
+                                  entry.origin().equals(old.origin())
+                                      && entry.timestampUs() > old.timestampUs()));
     }
 
     @Override
@@ -141,9 +142,9 @@
       entriesByOwner
           .values()
           .removeIf(
-              fact ->
+              entry ->
                   expires
-                      && fact.timestampUs()
+                      && entry.timestampUs()
                           <= nowUs - ReplicatedMapSubject.SETTINGS.timeToLiveUs());
     }
 
@@ -166,16 +167,18 @@
     "false, false, true, 'holds 2 entries, 2 of them'",
     "false, true, false, still holds the expired entry"
   })
-  void faultyReplicasAreFound(boolean byArrival, boolean bounded, boolean forgets, String wrong) {
+  void faultyReplicasAreFound(
+      boolean byArrival, boolean bounded, boolean expires, String expected) {
     BinaryOperator<ReplicatedEntry<String, Integer>> latest =
         (one, other) -> byArrival || other.timestampUs() > one.timestampUs() ? other : one;
     ReplicatedMapSubject subject =
-        new ReplicatedMapSubject(() -> new FaultyReplica(latest, bounded, forgets), 0, false);
+        new ReplicatedMapSubject(() -> new FaultyReplica(latest, bounded, expires), 0, false);
     Explorer.Report report =
         Explorer.explore(
             new ClusterModel<>(subject, new ClusterModel.Budget(0, 2, 2, 1, 1, 0, 1, 2)),
             new Explorer.Limits(5, 100_000));
-    assertTrue(report.violation().orElseThrow().description().contains(wrong), report.toString());
+    assertTrue(
+        report.violation().orElseThrow().description().contains(expected), report.toString());
   }
 
   /** Two symmetric counters; the values 2 and 3 violate the convergence property. */
@@ -194,8 +197,8 @@
         }
 
         @Override
-        public Pair successor(Pair state, String move) {
-          return move.equals("one")
+        public Pair successor(Pair state, String transition) {
+          return transition.equals("one")
               ? new Pair(state.one() + 1, state.other())
               : new Pair(state.one(), state.other() + 1);
         }
@@ -241,7 +244,7 @@
             new MembershipSubject(
                 1,
                 new MembershipSubject.Mutation(
-                    word -> word,
+                    message -> message,
                     now -> 1_000 - now,
                     MembershipSubject.Mutation.NONE.convergence())),
             Models.membershipBudget(4));
--- a/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
@@ -22,13 +22,13 @@
 
   private static ScorerSimulation simulate(
       Supplier<Scorer> scorer, ScoringSettings rule, boolean shared) {
-    ScorerSimulation world =
+    ScorerSimulation simulation =
         new ScorerSimulation(
             new ScorerSimulation.Plan(
                 5, 2, 6, 20_000, 1.0 / 6, 0.7, scorer, rule, shared, true, 2 * SECOND_US),
             3);
-    world.playTo(20 * SECOND_US);
-    return world;
+    simulation.playTo(20 * SECOND_US);
+    return simulation;
   }
 
   /** A scorer that returns no judgement for any store. */
--- a/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
@@ -32,8 +32,8 @@
 
   @ParameterizedTest
   @MethodSource("schedules")
-  void recordedScheduleHasNoViolation(Path story) throws IOException {
-    SimulationResult result = Simulation.play(Days.parse(story, null), false);
+  void recordedScheduleHasNoViolation(Path schedule) throws IOException {
+    SimulationResult result = Simulation.play(Days.parse(schedule, null), false);
     assertNull(
         result.violation(), () -> result.violation().rule() + "\n" + result.violation().trace());
     assertTrue(result.offeredWeight() > 0);
@@ -63,9 +63,9 @@
   /** A seed gives the same trace in repeated runs and the same digest in another process. */
   @Test
   void sameSeedGivesSameTrace() throws Exception {
-    SimulatedDay day = Days.generate(7, Defect.NONE);
-    SimulationResult one = Simulation.play(day, true);
-    SimulationResult two = Simulation.play(day, true);
+    SimulationSchedule schedule = Days.generate(7, Defect.NONE);
+    SimulationResult one = Simulation.play(schedule, true);
+    SimulationResult two = Simulation.play(schedule, true);
     assertEquals(one.trace(), two.trace());
     assertEquals(one.digest(), two.digest());
     Process other =
@@ -79,22 +79,23 @@
                 "--seed",
                 "7")
             .start();
-    String said = new String(other.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    assertEquals(0, other.waitFor(), said);
-    assertTrue(said.contains("digest " + one.digest().substring(0, 16)), said);
+    String output = new String(other.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    assertEquals(0, other.waitFor(), output);
+    assertTrue(output.contains("digest " + one.digest().substring(0, 16)), output);
   }
 
   @Test
   void shrinkingKeepsTheViolationAndFormatRoundTrips() {
-    SimulatedDay day = Days.generate(3, Defect.WRONG_SHARD);
-    SimulatedDay shrunk = Days.shrink(day);
+    SimulationSchedule schedule = Days.generate(3, Defect.WRONG_SHARD);
+    SimulationSchedule shrunk = Days.shrink(schedule);
     assertTrue(shrunk.faults().isEmpty() && shrunk.seconds() < 60, shrunk.toString());
     SimulationResult result = Simulation.play(shrunk, false);
     assertNotNull(result.violation());
     assertEquals("an attempt at a store that does not hold the shard", result.violation().rule());
     assertTrue(result.violation().trace().contains(result.violation().subject()));
-    SimulatedDay again = Days.parse(Path.of("x"), Days.format(day).lines().toList(), null);
-    assertEquals(Simulation.play(day, false).digest(), Simulation.play(again, false).digest());
+    SimulationSchedule again =
+        Days.parse(Path.of("x"), Days.format(schedule).lines().toList(), null);
+    assertEquals(Simulation.play(schedule, false).digest(), Simulation.play(again, false).digest());
     assertTrue(
         assertThrows(
                 IllegalArgumentException.class,
--- a/src/test/java/dunlinhitch/experiments/soak/SoakCheckerTest.java
+++ b/src/test/java/dunlinhitch/experiments/soak/SoakCheckerTest.java
@@ -35,104 +35,105 @@
     seen.add(new AttemptOver(overMs * MS, "q.0", store, 0));
   }
 
-  private List<SoakRule> broken(SoakChecker.Limits limits) {
+  private List<SoakRule> violations(SoakChecker.Limits limits) {
     return SoakChecker.check(limits, seen).stream().map(SoakChecker.Breach::rule).toList();
   }
 
-  private void assertBroken(SoakRule... rules) {
-    assertEquals(List.of(rules), broken(LIMITS));
+  private void assertViolations(SoakRule... rules) {
+    assertEquals(List.of(rules), violations(LIMITS));
   }
 
   @Test
-  void aRequestThatIsServedBreaksNothing() {
+  void servedRequestViolatesNoRule() {
     request(0, RequestEnd.SERVED, 300);
     attempt("a", 1, 999, 100);
     attempt("b", 101, 899, 200);
-    assertBroken();
+    assertViolations();
   }
 
   @Test
-  void aRequestWithoutAnAnswerIsLost() {
+  void missingAnswerIsDetected() {
     request(0, null, 0);
-    assertBroken(SoakRule.ONE_ANSWER);
+    assertViolations(SoakRule.ONE_ANSWER);
   }
 
   @Test
-  void anAnswerThatComesTooLateOrBrokenOrTwiceIsNone() {
+  void lateBrokenAndDuplicateAnswersAreDetected() {
     request(0, RequestEnd.SERVED, 1_501);
-    assertBroken(SoakRule.ONE_ANSWER);
+    assertViolations(SoakRule.ONE_ANSWER);
     seen.clear();
     request(0, RequestEnd.BROKEN, 10);
-    assertBroken(SoakRule.ONE_ANSWER);
+    assertViolations(SoakRule.ONE_ANSWER);
     seen.clear();
     request(0, RequestEnd.SERVED, 10);
     seen.add(new RequestEnded(20 * MS, "q", RequestEnd.SERVED));
-    assertBroken(SoakRule.ONE_ANSWER);
+    assertViolations(SoakRule.ONE_ANSWER);
   }
 
   /** Requests that are due after their broker was asked to terminate need no answer. */
   @Test
-  void aStoppedBrokerIsExcused() {
+  void stoppedBrokerNeedNotAnswer() {
     request(0, null, 0);
     seen.add(new BrokerStopped(700 * MS, "n0"));
-    assertBroken();
+    assertViolations();
   }
 
   @Test
-  void aSecondAttemptBesideAnotherIsFound() {
+  void parallelAttemptIsDetected() {
     request(0, RequestEnd.SERVED, 300);
     attempt("a", 1, 999, 150);
     attempt("b", 101, 899, 200);
-    assertBroken(SoakRule.ONE_ATTEMPT_AT_A_TIME);
+    assertViolations(SoakRule.ONE_ATTEMPT_AT_A_TIME);
     assertEquals(
-        List.of(), broken(new SoakChecker.Limits(true, 2, 250 * MS, SoakPlan.BOOKING, 400 * MS)));
+        List.of(),
+        violations(new SoakChecker.Limits(true, 2, 250 * MS, SoakPlan.BOOKING, 400 * MS)));
   }
 
   @Test
-  void anAttemptTooManyIsFound() {
+  void attemptBeyondTheLimitIsDetected() {
     request(0, RequestEnd.SERVED, 300);
     attempt("a", 1, 999, 10);
     attempt("b", 11, 989, 20);
     attempt("c", 21, 979, 30);
-    assertBroken(SoakRule.ATTEMPT_LIMIT);
+    assertViolations(SoakRule.ATTEMPT_LIMIT);
   }
 
   @Test
-  void anAttemptForADepartedClientIsFound() {
+  void attemptForDepartedClientIsDetected() {
     request(0, RequestEnd.LEFT, 50);
     attempt("a", 301, 600, 320);
-    assertBroken(SoakRule.DEPARTED_CLIENT);
+    assertViolations(SoakRule.DEPARTED_CLIENT);
   }
 
   @Test
-  void anAttemptAtADrainedEndpointIsFoundUntilItIsReadyAgain() {
+  void attemptAtDrainingEndpointIsDetectedUntilItIsReady() {
     seen.add(new EndpointTold(0, "n0", "a", false));
     seen.add(new EndpointTold(1, "n0", "b", false));
     seen.add(new EndpointTold(2, "n0", "b", true));
     request(390, RequestEnd.SERVED, 600);
     attempt("a", 401, 900, 420);
     attempt("b", 421, 900, 440);
-    assertBroken(SoakRule.DRAIN);
+    assertViolations(SoakRule.DRAIN);
   }
 
   @Test
-  void aDeadlineBeyondTheClientsIsFound() {
+  void timeoutBeyondTheDeadlineIsDetected() {
     request(0, RequestEnd.SERVED, 300);
     attempt("a", 100, 1_051, 200);
-    assertBroken(SoakRule.DEADLINE);
+    assertViolations(SoakRule.DEADLINE);
   }
 
   @Test
-  void aRepeatAfterItsWindowIsFound() {
+  void repeatAfterTheWindowIsDetected() {
     request(0, RequestEnd.SERVED, 900);
     attempt("a", 1, 999, 100);
     attempt("b", 552, 400, 700);
-    assertBroken(SoakRule.WINDOW);
+    assertViolations(SoakRule.WINDOW);
   }
 
   @Test
-  void refusingEverythingIsFound() {
+  void rejectingAllRequestsIsDetected() {
     request(0, RequestEnd.REJECTED, 1);
-    assertBroken(SoakRule.SERVED_SHARE);
+    assertViolations(SoakRule.SERVED_SHARE);
   }
 }
--- a/src/test/java/dunlinhitch/experiments/soak/SoakTest.java
+++ b/src/test/java/dunlinhitch/experiments/soak/SoakTest.java
@@ -21,7 +21,7 @@
 
   @ParameterizedTest
   @ValueSource(longs = {1, 3})
-  void noUntimedRuleIsBroken(long seed) throws Exception {
+  void untimedRulesAreNotViolated(long seed) throws Exception {
     SoakPlan plan = SoakPlan.draw(seed, SECONDS);
     List<Observation> seen = SoakRun.play(plan, directory).seen();
     List<SoakChecker.Breach> untimed =
@@ -33,7 +33,7 @@
   }
 
   @Test
-  void aSeedDrawsTheSameRunEachTime() {
+  void seedDeterminesThePlan() {
     assertEquals(SoakPlan.draw(7, 20), SoakPlan.draw(7, 20));
     assertNotEquals(SoakPlan.draw(7, 20), SoakPlan.draw(8, 20));
   }
