--- a/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
@@ -141,7 +141,7 @@
   }
 
   /**
-   * Called when a broker sends an attempt; {@code request} is null if its client has disconnected.
+   * Called when a broker sends an attempt; {@code request} is null if its query is no longer open.
    */
   void attemptSent(
       int broker,
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
@@ -139,12 +139,12 @@
     }
   }
 
-  /** Delivers an answer to its client if the client is still connected. */
+  /** Delivers an answer to its client if the query is still open. */
   void reply(SimulatedBroker broker, long exchange, QueryResponse answer) {
     String id = exchanges.get(broker.number + " " + exchange);
     ClientQuery query = openQueries.get(id);
     if (query == null) {
-      return; // the client has disconnected
+      return; // the query is no longer open: its client has disconnected or has an answer
     }
     if (simulation.injects(Defect.LOST_ANSWER, 0.01)) {
       return;
--- a/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -307,7 +307,7 @@
     notifyBrokers(store, ServerState.GONE, false);
   }
 
-  /** Resets the attempts in flight at a store. */
+  /** Resets the attempts in flight at a store, except over partitioned links. */
   void failAttempts(SimulatedStore store) {
     for (int i = 0; i < outstanding.size(); i++) {
       SimulatedBroker broker = allBrokers.get(i);
--- a/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
@@ -13,8 +13,8 @@
 
 /**
  * The clients of one broker. They send requests at a constant rate, and some close their connection
- * before the answer. Requests end on the threads of the HTTP client; everything else runs on the
- * executor's thread.
+ * before the answer. Everything runs on the executor's thread, except the callback at the end of a
+ * request, which may run on another thread.
  */
 final class SoakClients {
   private static final int INTERVAL_MS = 25;
