--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -14,7 +14,10 @@
 import java.util.function.Supplier;
 import java.util.stream.Collectors;
 
-/** The replicated map of the production code; a message carries all entries of its sender. */
+/**
+ * Adapts the production replicated map for the model checker; a message carries all entries of its
+ * sender.
+ */
 public final class ReplicatedMapSubject
     implements Subject<List<ReplicatedEntry<String, Integer>>, ReplicatedMapSubject.Observation> {
   /** The duration of one step of the model, in microseconds. */
@@ -23,10 +26,10 @@
   static final ReplicatedMapSettings SETTINGS =
       new ReplicatedMapSettings(3 * STEP_US, STEP_US, 2, 1);
   private static final List<String> KEYS = List.of("a", "b");
-  private static final String PUBLISH_PREFIX = "says something of ";
-  private static final String SEND_PREFIX = "tells ";
+  private static final String PUBLISH_PREFIX = "publishes ";
+  private static final String SEND_PREFIX = "sends its entries to ";
 
-  /** The map under test: the production module or a deliberately faulty one. */
+  /** The map under test: the production module, or a faulty one in tests of the model checker. */
   interface Replica {
     void merge(long nowUs, ReplicatedEntry<String, Integer> entry);
 
@@ -56,7 +59,7 @@
     }
   }
 
-  /** What is visible of a broker; {@code clockUs} is the reading of its clock. */
+  /** The observable state of a broker; {@code clockUs} is the reading of its clock. */
   public record Observation(
       long clockUs, List<ReplicatedEntry<String, Integer>> entries, String violation) {}
 
@@ -67,41 +70,42 @@
   /**
    * Creates a subject on the production module.
    *
-   * @param clockOffsetUs how far the clock of n0 is ahead, in microseconds
+   * @param clockOffsetUs offset by which the clock of n0 is ahead, in microseconds
    * @param simultaneousUpdates whether brokers may publish at the same instant
    */
   public ReplicatedMapSubject(long clockOffsetUs, boolean simultaneousUpdates) {
     this(ProductionReplica::new, clockOffsetUs, simultaneousUpdates);
   }
 
-  ReplicatedMapSubject(Supplier<Replica> holders, long clockOffsetUs, boolean simultaneousUpdates) {
-    this.replicaFactory = holders;
+  ReplicatedMapSubject(
+      Supplier<Replica> replicaFactory, long clockOffsetUs, boolean simultaneousUpdates) {
+    this.replicaFactory = replicaFactory;
     this.clockOffsetUs = clockOffsetUs;
     this.simultaneousUpdates = simultaneousUpdates;
   }
 
-  /** One broker, with the entries that it once had and has removed. */
+  /** The map of one broker; also tracks removed entries to detect that one reappears. */
   private final class ReplicaNode
       implements Node<List<ReplicatedEntry<String, Integer>>, Observation> {
     private final String name;
     private final MessageSender<List<ReplicatedEntry<String, Integer>>> sender;
     private final Replica replica = replicaFactory.get();
-    private final long offsetUs;
+    private final long ownClockOffsetUs;
     private final Set<ReplicatedEntry<String, Integer>> removed = new HashSet<>();
     private final Map<String, Long> lastPublishedUs = new HashMap<>();
     private List<ReplicatedEntry<String, Integer>> previous = List.of();
     private long clockUs;
     private String violation;
 
-    ReplicaNode(int number, int now, MessageSender<List<ReplicatedEntry<String, Integer>>> mouth) {
+    ReplicaNode(int number, int now, MessageSender<List<ReplicatedEntry<String, Integer>>> sender) {
       name = ClusterModel.name(number);
-      offsetUs = number == 0 ? clockOffsetUs : 0;
+      ownClockOffsetUs = number == 0 ? clockOffsetUs : 0;
       clockUs = clockUs(now);
-      this.sender = mouth;
+      this.sender = sender;
     }
 
     private long clockUs(int now) {
-      return now * STEP_US + offsetUs;
+      return now * STEP_US + ownClockOffsetUs;
     }
 
     @Override
@@ -111,7 +115,7 @@
       replica.entries().stream()
           .filter(entry -> entry.timestampUs() <= clockUs - SETTINGS.timeToLiveUs())
           .findFirst()
-          .ifPresent(entry -> violation = name + " still holds " + entry);
+          .ifPresent(entry -> violation = name + " still holds the expired entry " + entry);
       checkInvariants();
     }
 
@@ -122,16 +126,16 @@
     }
 
     @Override
-    public void perform(int now, int order, String what) {
-      if (what.startsWith(PUBLISH_PREFIX)) {
-        String key = what.substring(PUBLISH_PREFIX.length());
-        long at = simultaneousUpdates ? clockUs : clockUs + order;
-        Long last = lastPublishedUs.put(key, at);
-        if (last == null || last < at) { // of one key an author says one thing at a moment
-          replica.merge(clockUs, new ReplicatedEntry<>(key, name, at, order));
+    public void perform(int now, int order, String action) {
+      if (action.startsWith(PUBLISH_PREFIX)) {
+        String key = action.substring(PUBLISH_PREFIX.length());
+        long timestampUs = simultaneousUpdates ? clockUs : clockUs + order;
+        Long last = lastPublishedUs.put(key, timestampUs);
+        if (last == null || last < timestampUs) { // at most one entry per key and timestamp
+          replica.merge(clockUs, new ReplicatedEntry<>(key, name, timestampUs, order));
         }
       } else {
-        sender.send(ClusterModel.number(what.substring(SEND_PREFIX.length())), replica.entries());
+        sender.send(ClusterModel.number(action.substring(SEND_PREFIX.length())), replica.entries());
       }
       checkInvariants();
     }
@@ -144,8 +148,8 @@
       now.stream()
           .filter(removed::contains)
           .findFirst()
-          .ifPresent(entry -> violation = name + " holds again what it had let go: " + entry);
-      long most =
+          .ifPresent(entry -> violation = name + " holds a removed entry again: " + entry);
+      long largestOriginCount =
           now.stream()
               .collect(Collectors.groupingBy(ReplicatedEntry::origin, Collectors.counting()))
               .values()
@@ -153,8 +157,15 @@
               .mapToLong(count -> count)
               .max()
               .orElse(0);
-      if (now.size() > SETTINGS.maxEntries() || most > SETTINGS.maxEntriesPerOrigin()) {
-        violation = name + " holds " + now.size() + " facts, " + most + " of them of one author";
+      if (now.size() > SETTINGS.maxEntries()
+          || largestOriginCount > SETTINGS.maxEntriesPerOrigin()) {
+        violation =
+            name
+                + " holds "
+                + now.size()
+                + " entries, "
+                + largestOriginCount
+                + " of them from one origin";
       }
     }
 
@@ -171,39 +182,39 @@
 
   @Override
   public Node<List<ReplicatedEntry<String, Integer>>, Observation> start(
-      int number, int now, Node.MessageSender<List<ReplicatedEntry<String, Integer>>> mouth) {
-    return new ReplicaNode(number, now, mouth);
+      int number, int now, Node.MessageSender<List<ReplicatedEntry<String, Integer>>> sender) {
+    return new ReplicaNode(number, now, sender);
   }
 
-  /** With simultaneous updates the names break ties, so no two brokers are symmetric. */
+  /** With simultaneous updates names break ties, so that no two brokers are symmetric. */
   @Override
   public List<int[]> symmetries() {
-    List<int[]> same = new ArrayList<>(List.of(new int[] {0, 1, 2}));
+    List<int[]> symmetries = new ArrayList<>(List.of(new int[] {0, 1, 2}));
     if (!simultaneousUpdates) {
-      same.add(new int[] {0, 2, 1});
+      symmetries.add(new int[] {0, 2, 1});
     }
     if (!simultaneousUpdates && clockOffsetUs == 0) {
-      same.addAll(
+      symmetries.addAll(
           List.of(
               new int[] {1, 0, 2}, new int[] {1, 2, 0}, new int[] {2, 0, 1}, new int[] {2, 1, 0}));
     }
-    return same;
+    return symmetries;
   }
 
   @Override
   public List<String> actions(int number) {
-    List<String> acts = new ArrayList<>();
-    KEYS.forEach(key -> acts.add(PUBLISH_PREFIX + key));
-    acts.addAll(convergenceActions(number));
-    return acts;
+    List<String> actions = new ArrayList<>();
+    KEYS.forEach(key -> actions.add(PUBLISH_PREFIX + key));
+    actions.addAll(convergenceActions(number));
+    return actions;
   }
 
   @Override
-  public boolean isUpdate(String act) {
-    return act.startsWith(PUBLISH_PREFIX);
+  public boolean isUpdate(String action) {
+    return action.startsWith(PUBLISH_PREFIX);
   }
 
-  /** Each broker sends its entries to every other one. */
+  /** Each broker sends its entries to all others. */
   @Override
   public List<String> convergenceActions(int number) {
     List<String> sendActions = new ArrayList<>();
@@ -216,15 +227,19 @@
   }
 
   @Override
-  public Optional<String> safetyViolation(List<Observation> seen, List<List<Integer>> sides) {
-    return sides.stream()
+  public Optional<String> safetyViolation(
+      List<Observation> observations, List<List<Integer>> groups) {
+    return groups.stream()
         .flatMap(List::stream)
-        .map(i -> seen.get(i).violation())
-        .filter(wrong -> wrong != null)
+        .map(i -> observations.get(i).violation())
+        .filter(violation -> violation != null)
         .findFirst();
   }
 
-  /** All have the same entries, except those that a clock ahead of the others has expired. */
+  /**
+   * Checks that all brokers hold the same entries, apart from those that have expired by the clock
+   * that is ahead.
+   */
   @Override
   public Optional<String> convergenceViolation(List<Observation> live, List<Integer> numbers) {
     long latest = live.stream().mapToLong(Observation::clockUs).max().orElse(0);
@@ -242,16 +257,19 @@
             ClusterModel.name(numbers.get(0))
                 + " holds "
                 + entriesByBroker.get(0)
-                + ", "
+                + ", but "
                 + ClusterModel.name(numbers.get(i))
-                + " "
+                + " holds "
                 + entriesByBroker.get(i));
       }
     }
-    return live.stream().map(Observation::violation).filter(wrong -> wrong != null).findFirst();
+    return live.stream()
+        .map(Observation::violation)
+        .filter(violation -> violation != null)
+        .findFirst();
   }
 
-  /** One exchange of all entries is enough. */
+  /** Returns 0: a single exchange of all entries suffices. */
   @Override
   public int convergenceSteps() {
     return 0;
@@ -265,7 +283,7 @@
   @Override
   public String describe(List<ReplicatedEntry<String, Integer>> message) {
     return message.stream()
-        .map(entry -> entry.origin() + " of " + entry.key() + " at " + entry.timestampUs())
+        .map(entry -> entry.key() + " from " + entry.origin() + " at " + entry.timestampUs())
         .collect(Collectors.joining(", ", "[", "]"));
   }
 }
--- a/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
@@ -18,10 +18,11 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Hashes all state that an object holds, so that a module need not list what its behaviour depends
- * on. Fields are read by reflection where the class belongs to the project; of the JDK, values and
- * collections are supported, and unordered sets and maps are hashed by content alone. Functions and
- * random generators are left out: states that differ only in future random draws count as one.
+ * Hashes all state that is reachable from an object, so that a module need not list the fields that
+ * its behaviour depends on. Fields of the project's classes are read by reflection. Of the JDK,
+ * simple values and collections are supported; the hash of an unordered set or map does not depend
+ * on iteration order. Lambdas and random generators are not hashed: states that differ only in
+ * future random draws are considered equal.
  */
 final class StateHasher {
   private static final String PROJECT_PACKAGE_PREFIX = "dunlinhitch.";
@@ -44,14 +45,14 @@
 
   private final UnaryOperator<String> nameMapping;
 
-  private StateHasher(UnaryOperator<String> names) {
-    this.nameMapping = names;
+  private StateHasher(UnaryOperator<String> nameMapping) {
+    this.nameMapping = nameMapping;
   }
 
   /** Returns the digest of a value; every string is first mapped by {@code nameMapping}. */
-  static Digest of(Object value, UnaryOperator<String> names) {
+  static Digest of(Object value, UnaryOperator<String> nameMapping) {
     Hasher hasher = Digest.newHasher();
-    new StateHasher(names).put(hasher, value);
+    new StateHasher(nameMapping).put(hasher, value);
     return Digest.of(hasher);
   }
 
@@ -69,20 +70,20 @@
     } else if (value instanceof Map<?, ?> map) {
       List<Consumer<Hasher>> entries = new ArrayList<>();
       map.forEach(
-          (key, held) ->
+          (key, mapped) ->
               entries.add(
                   into -> {
                     put(into, key);
-                    put(into, held);
+                    put(into, mapped);
                   }));
       putElements(hasher, entries, map instanceof LinkedHashMap);
-    } else if (value instanceof Collection<?> many) {
+    } else if (value instanceof Collection<?> collection) {
       List<Consumer<Hasher>> elements = new ArrayList<>();
-      many.forEach(element -> elements.add(into -> put(into, element)));
-      boolean loose =
-          (many instanceof Set && !(many instanceof LinkedHashSet))
-              || many instanceof PriorityQueue;
-      putElements(hasher, elements, !loose);
+      collection.forEach(element -> elements.add(into -> put(into, element)));
+      boolean unordered =
+          (collection instanceof Set && !(collection instanceof LinkedHashSet))
+              || collection instanceof PriorityQueue;
+      putElements(hasher, elements, !unordered);
     } else if (value.getClass().isArray()) {
       hasher.putInt(Array.getLength(value));
       for (int i = 0; i < Array.getLength(value); i++) {
@@ -94,7 +95,7 @@
       putFields(hasher, value);
     } else {
       throw new IllegalArgumentException(
-          "it is not known how to tell two of these apart: " + value.getClass().getName());
+          "cannot hash an object of an unsupported class: " + value.getClass().getName());
     }
   }
 
@@ -113,18 +114,18 @@
     hasher.putChar(kind).putInt(text.length()).putUnencodedChars(text);
   }
 
-  private void putElements(Hasher hasher, List<Consumer<Hasher>> parts, boolean ordered) {
-    hasher.putInt(parts.size());
+  private void putElements(Hasher hasher, List<Consumer<Hasher>> elements, boolean ordered) {
+    hasher.putInt(elements.size());
     if (ordered) {
-      parts.forEach(part -> part.accept(hasher));
+      elements.forEach(element -> element.accept(hasher));
       return;
     }
-    parts.stream()
+    elements.stream()
         .map(
-            part -> {
-              Hasher own = Digest.newHasher();
-              part.accept(own);
-              return Digest.of(own);
+            element -> {
+              Hasher elementHasher = Digest.newHasher();
+              element.accept(elementHasher);
+              return Digest.of(elementHasher);
             })
         .sorted()
         .forEach(digest -> digest.putInto(hasher));
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
@@ -19,23 +19,24 @@
 import java.util.function.Supplier;
 
 /**
- * Simulates many brokers with a scorer each in front of stores of which some are slower than they
- * report. The brokers use Graham's rule with scorer factors, the stores serve first come, first
- * served, and a query has one part. Hedging, rejection and health checks are not modelled. One
- * thread, virtual time.
+ * Simulates several brokers, each with its own scorer, and stores of which some are slower than
+ * they report. A broker sends a part to the store with the least estimated work (Graham's rule),
+ * multiplied by the factor of its scorer; stores serve parts in the order of arrival; a query has
+ * one part. Hedging, rejection and health checks are not modelled. One thread, virtual time.
  */
 public final class ScorerSimulation {
   /**
-   * What one run is made of.
+   * The parameters of a run.
    *
-   * @param workUs mean work of a part
-   * @param slowShare stores that take 4 to 8 times as long, and report as few parts of what waits
-   *     there
-   * @param load of what all stores can do
-   * @param scorer one for each broker, or null for Graham's rule alone
-   * @param shared whether weights ride from broker to broker
-   * @param together whether all brokers' rounds are at one moment
-   * @param staleUs the oldest that a word is when it is heard
+   * @param replicas stores in each cell
+   * @param workUs mean service time of a part at a store that is not slow
+   * @param slowShare share of the stores that take 4 to 8 times as long and divide the queue length
+   *     that they report by the same factor
+   * @param load offered load as a share of the capacity of all stores
+   * @param scorer creates the scorer of each broker, or null for Graham's rule without factors
+   * @param shared whether brokers send their weights to each other
+   * @param together whether all brokers run their scoring rounds at the same time
+   * @param staleUs maximum delay of weights between two brokers
    */
   public record Plan(
       int brokers,
@@ -52,7 +53,7 @@
 
   private static final int QUERY_CLASS = 0;
   private static final long CLOCK_START_US = 1_700_000_000_000_000L;
-  private static final double REPORT_DECAY_OBJECTIVES = 4; // aims
+  private static final double REPORT_DECAY_OBJECTIVES = 4;
 
   private static final class Store {
     private final double slowdown;
@@ -61,9 +62,9 @@
     private int queued;
     private int[] countsByWindow = new int[0];
 
-    private Store(String name, double times) {
+    private Store(String name, double slowdown) {
       this.name = name;
-      this.slowdown = times;
+      this.slowdown = slowdown;
     }
   }
 
@@ -99,28 +100,28 @@
     }
 
     private int selectStore(int cell) {
-      int best = -1;
-      double least = 0;
+      int bestIndex = -1;
+      double lowestScore = 0;
       for (int i = cell * plan.replicas(); i < (cell + 1) * plan.replicas(); i++) {
         double work = (estimatedWorkUs(i) + plan.workUs()) * factors.factor(i, QUERY_CLASS);
         double score = work * (1 + 0.001 * random.nextDouble());
-        if (best < 0 || score < least) {
-          best = i;
-          least = score;
+        if (bestIndex < 0 || score < lowestScore) {
+          bestIndex = i;
+          lowestScore = score;
         }
       }
-      return best;
+      return bestIndex;
     }
 
     private void send() {
-      int at = selectStore(random.nextInt(plan.cells()));
-      Store store = stores.get(at);
+      int index = selectStore(random.nextInt(plan.cells()));
+      Store store = stores.get(index);
       long sentUs = scheduler.now();
-      chosen.add(at);
+      chosen.add(index);
       countPart(store);
-      long foreseenUs = (long) (estimatedWorkUs(at) + plan.workUs());
-      outstandingWorkUs[at] += plan.workUs();
-      outstandingParts[at]++;
+      long expectedUs = (long) (estimatedWorkUs(index) + plan.workUs());
+      outstandingWorkUs[index] += plan.workUs();
+      outstandingParts[index]++;
       store.queued++;
       long serviceUs = (long) (-Math.log(1 - random.nextDouble()) * plan.workUs() * store.slowdown);
       store.busyUntilUs = Math.max(store.busyUntilUs, sentUs) + serviceUs;
@@ -128,25 +129,25 @@
           store.busyUntilUs,
           () -> {
             store.queued--;
-            outstandingParts[at]--;
-            outstandingWorkUs[at] = Math.max(0, outstandingWorkUs[at] - plan.workUs());
-            reported[at] = Math.max(0, store.queued - outstandingParts[at]) / store.slowdown;
-            reportedAtUs[at] = scheduler.now();
+            outstandingParts[index]--;
+            outstandingWorkUs[index] = Math.max(0, outstandingWorkUs[index] - plan.workUs());
+            reported[index] = Math.max(0, store.queued - outstandingParts[index]) / store.slowdown;
+            reportedAtUs[index] = scheduler.now();
             long tookUs = scheduler.now() - sentUs;
             finished.add(new Finished(this, sentUs, tookUs));
             if (scoring != null) {
               scoring.onAttemptCompleted(
                   store.name,
                   QUERY_CLASS,
-                  new Ending(Ending.Outcome.ANSWERED, scheduler.now(), tookUs, foreseenUs));
+                  new Ending(Ending.Outcome.ANSWERED, scheduler.now(), tookUs, expectedUs));
             }
           });
     }
 
     private void runScoringRound() {
-      List<EndpointSnapshot> sights = new ArrayList<>();
+      List<EndpointSnapshot> snapshots = new ArrayList<>();
       for (int i = 0; i < stores.size(); i++) {
-        sights.add(
+        snapshots.add(
             new EndpointSnapshot(
                 i,
                 stores.get(i).name,
@@ -159,14 +160,14 @@
                 List.of(reported[i]),
                 scheduler.now() - reportedAtUs[i]));
       }
-      scoring.updateEndpoints(sights);
-      long dayUs = CLOCK_START_US + scheduler.now();
-      List<Round> rounds = scoring.rounds(scheduler.now(), dayUs);
-      List<List<Judgement>> said = new ArrayList<>();
-      rounds.forEach(round -> said.add(scorer.judge(round)));
-      String wrong = scoring.applyJudgements(dayUs, rounds, said);
-      if (!wrong.isEmpty()) {
-        throw new IllegalStateException(wrong);
+      scoring.updateEndpoints(snapshots);
+      long wallClockUs = CLOCK_START_US + scheduler.now();
+      List<Round> rounds = scoring.rounds(scheduler.now(), wallClockUs);
+      List<List<Judgement>> judgements = new ArrayList<>();
+      rounds.forEach(round -> judgements.add(scorer.judge(round)));
+      String error = scoring.applyJudgements(wallClockUs, rounds, judgements);
+      if (!error.isEmpty()) {
+        throw new IllegalStateException(error);
       }
       factors = scoring.factors();
       if (plan.shared()) {
@@ -179,23 +180,26 @@
       scheduler.scheduleAt(nextUs, this::runScoringRound);
     }
 
-    /** Sends the own weights to every other broker, each after a random delay. */
+    /** Sends the weights that changed at this broker to all others, each after a random delay. */
     private void shareWeights() {
-      String self = "n" + brokers.indexOf(this);
-      List<ReplicatedEntry<WeightKey, Weight>> news =
+      String ownName = "n" + brokers.indexOf(this);
+      List<ReplicatedEntry<WeightKey, Weight>> changes =
           scoring.weights().since(publishedVersion, Integer.MAX_VALUE).stream()
-              .filter(fact -> fact.origin().equals(self))
+              .filter(entry -> entry.origin().equals(ownName))
               .toList();
       publishedVersion = scoring.weights().version();
-      if (!news.isEmpty()) {
+      if (!changes.isEmpty()) {
         for (Broker other : brokers) {
           if (other != this) {
             scheduler.scheduleAfter(
                 (long) (random.nextDouble() * plan.staleUs()),
                 () ->
-                    news.forEach(
-                        fact ->
-                            other.scoring.weights().merge(CLOCK_START_US + scheduler.now(), fact)));
+                    changes.forEach(
+                        entry ->
+                            other
+                                .scoring
+                                .weights()
+                                .merge(CLOCK_START_US + scheduler.now(), entry)));
           }
         }
       }
@@ -220,17 +224,17 @@
     this.plan = plan;
     this.seed = seed;
     random = new SplittableRandom(seed);
-    int many = plan.cells() * plan.replicas();
-    double able = 0;
-    for (int i = 0; i < many; i++) {
-      // spread over the cells, so that none has slow ones alone
+    int storeCount = plan.cells() * plan.replicas();
+    double capacity = 0;
+    for (int i = 0; i < storeCount; i++) {
+      // spreads slow stores over the cells, so that no cell consists of slow stores only
       boolean slow = Math.floor((i + 1) * plan.slowShare()) > Math.floor(i * plan.slowShare());
-      double times = slow ? 4 + 4 * random.nextDouble() : 1;
-      stores.add(new Store("s" + i, times));
-      able += 1 / times;
+      double slowdown = slow ? 4 + 4 * random.nextDouble() : 1;
+      stores.add(new Store("s" + i, slowdown));
+      capacity += 1 / slowdown;
     }
     meanGapUs =
-        plan.workUs() / (able * plan.load()) * plan.brokers(); // from query to query at one broker
+        plan.workUs() / (capacity * plan.load()) * plan.brokers(); // between queries of a broker
     for (int i = 0; i < plan.brokers(); i++) {
       join();
     }
@@ -241,25 +245,26 @@
   }
 
   /**
-   * Adds a broker without any weights; it receives those of the first broker at once, as any broker
-   * that joins.
+   * Adds a broker that has no weights of its own; if weights are shared, it receives those of the
+   * first broker immediately, as a broker does when it joins the cluster.
    */
   public void join() {
-    Broker fresh = new Broker(brokers.size());
-    brokers.add(fresh);
-    if (fresh.scoring != null) {
+    Broker joined = new Broker(brokers.size());
+    brokers.add(joined);
+    if (joined.scoring != null) {
       if (plan.shared() && brokers.size() > 1) {
         brokers
             .get(0)
             .scoring
             .weights()
             .since(0, Integer.MAX_VALUE)
-            .forEach(fact -> fresh.scoring.weights().merge(CLOCK_START_US + scheduler.now(), fact));
+            .forEach(
+                entry -> joined.scoring.weights().merge(CLOCK_START_US + scheduler.now(), entry));
       }
       scheduler.scheduleAfter(
-          plan.together() ? 0 : random.nextLong(plan.rule().roundUs()), fresh::runScoringRound);
+          plan.together() ? 0 : random.nextLong(plan.rule().roundUs()), joined::runScoringRound);
     }
-    scheduleNextQuery(fresh);
+    scheduleNextQuery(joined);
   }
 
   private void scheduleNextQuery(Broker broker) {
@@ -271,7 +276,7 @@
         });
   }
 
-  /** Runs the simulation up to that virtual time, in microseconds. */
+  /** Runs the simulation until virtual time {@code untilUs}, in microseconds. */
   public void playTo(long untilUs) {
     scheduler.runUntil(untilUs, () -> true);
   }
@@ -284,26 +289,27 @@
     store.countsByWindow[window]++;
   }
 
-  /** Which store each part went to. */
+  /** The index of the store that each part was sent to, in the order of sending. */
   public List<Integer> chosen() {
     return List.copyOf(chosen);
   }
 
   /**
-   * Share of what was sent in that time that was answered within the aim; {@code newest}: of the
-   * broker that joined last alone.
+   * The share of the parts completed so far that met the latency objective, among those sent from
+   * {@code fromUs} until {@code untilUs}; if {@code newest} is true, only parts of the broker that
+   * joined last count.
    */
   public double worth(long fromUs, long untilUs, boolean newest) {
-    double[] took = latencies(fromUs, untilUs, newest);
-    return Arrays.stream(took).filter(t -> t <= latencyObjectiveUs()).count()
-        / (double) Math.max(1, took.length);
+    double[] latencies = latencies(fromUs, untilUs, newest);
+    return Arrays.stream(latencies).filter(t -> t <= latencyObjectiveUs()).count()
+        / (double) Math.max(1, latencies.length);
   }
 
-  /** The 99th percentile of the latency, in microseconds. */
+  /** The 99th percentile of the latency in microseconds, over the same parts as {@link #worth}. */
   public double p99(long fromUs, long untilUs, boolean newest) {
-    double[] took = latencies(fromUs, untilUs, newest);
-    Arrays.sort(took);
-    return took.length == 0 ? 0 : took[(int) (0.99 * (took.length - 1))];
+    double[] latencies = latencies(fromUs, untilUs, newest);
+    Arrays.sort(latencies);
+    return latencies.length == 0 ? 0 : latencies[(int) (0.99 * (latencies.length - 1))];
   }
 
   private double[] latencies(long fromUs, long untilUs, boolean newest) {
@@ -315,8 +321,8 @@
   }
 
   /**
-   * Parts at a store from second to second: by how much of the mean they lie beside it, root of the
-   * mean square, over all stores.
+   * The coefficient of variation of the number of parts that a store receives per second, averaged
+   * over all stores.
    */
   public double swing(long fromUs, long untilUs) {
     double sum = 0;
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedBroker.java
@@ -9,8 +9,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * The production reducer on virtual time; events are batched into turns as in the event loop of a
- * serving broker.
+ * Runs the production reducer on virtual time. Events are batched into turns as in the event loop
+ * of a serving broker.
  */
 final class SimulatedBroker {
   final int number;
@@ -27,10 +27,10 @@
       Settings settings,
       long seed,
       Scheduler time,
-      BiConsumer<SimulatedBroker, Effect> edges) {
+      BiConsumer<SimulatedBroker, Effect> effectHandler) {
     this.number = number;
     this.time = time;
-    this.effectHandler = edges;
+    this.effectHandler = effectHandler;
     reducer = new Reducer(settings, seed, time.now());
     scheduleTurn(time.now());
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
@@ -13,18 +13,18 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * The clients of a simulated day: send queries at random times, disconnect now and then, retry
- * failed queries and account for the weight that was served in time. One thread.
+ * The clients of a simulated run. They send queries at random times, sometimes disconnect before
+ * the answer, retry failed queries and account for the served weight. Not thread-safe.
  */
 final class SimulatedClients {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** A query of a client, with the number of retries before it. */
+  /** A query of a client; {@code retries} counts the retries that precede it. */
   private record ClientQuery(
       QueryRequest request, int retries, long startedUs, boolean honorsRetryAfter) {}
 
   private final Simulation simulation;
-  private final SimulatedDay day;
+  private final SimulationSchedule schedule;
   private final Scheduler time;
   private final InvariantChecker checker;
   private final FaultInjector faults;
@@ -39,14 +39,14 @@
 
   SimulatedClients(
       Simulation simulation,
-      SimulatedDay day,
+      SimulationSchedule schedule,
       Scheduler time,
       InvariantChecker checker,
       FaultInjector faults,
       Settings settings,
       UniformRandomProvider random) {
     this.simulation = simulation;
-    this.day = day;
+    this.schedule = schedule;
     this.time = time;
     this.checker = checker;
     this.faults = faults;
@@ -54,31 +54,31 @@
     this.random = random;
   }
 
-  /** The weight of the answers so far. */
+  /** Returns the weight of the answers so far. */
   double servedWeight() {
     return servedWeight;
   }
 
-  /** The weight of the queries so far, without retries. */
+  /** Returns the weight of the queries so far; retries are not counted. */
   double offeredWeight() {
     return offeredWeight;
   }
 
-  /** The request of an open query, or null. */
+  /** Returns the request of an open query, or null. */
   QueryRequest openRequest(String id) {
     ClientQuery query = openQueries.get(id);
     return query == null ? null : query.request();
   }
 
-  /** Sends a query and schedules the next one until the end of the day. */
+  /** Sends a query and schedules the next one, until the end of the load. */
   void arrive() {
-    if (time.now() >= Simulation.START_US + day.seconds() * 1_000_000L) {
+    if (time.now() >= Simulation.START_US + schedule.seconds() * 1_000_000L) {
       return;
     }
     time.scheduleAfter(
         (long)
             RandomStreams.exponential(
-                random, MICROS_PER_SECOND / (day.queriesPerSecond() * faults.trafficFactor())),
+                random, MICROS_PER_SECOND / (schedule.queriesPerSecond() * faults.trafficFactor())),
         this::arrive);
     boolean booking = random.nextDouble() < 0.5;
     int first = random.nextInt(SimulationSettings.SHARD_COUNT);
@@ -91,13 +91,13 @@
     }
     QueryClass queryClass = queryClass(booking);
     int queryNumber = ++lastQuery;
-    long waits = (long) (queryClass.deadlineUs() * RandomStreams.uniform(random, 0.6, 1));
+    long timeoutUs = (long) (queryClass.deadlineUs() * RandomStreams.uniform(random, 0.6, 1));
     QueryRequest request =
         new QueryRequest(
             "q" + queryNumber,
             booking ? "k" + queryNumber : "",
             queryClass,
-            time.now() + waits,
+            time.now() + timeoutUs,
             false,
             parts,
             "t" + queryNumber);
@@ -112,7 +112,7 @@
   private void submit(ClientQuery query) {
     SimulatedBroker broker = simulation.broker(random.nextInt(SimulationSettings.BROKER_COUNT));
     if (broker.isCrashed()) {
-      return; // the connection is refused
+      return; // a crashed broker refuses the connection
     }
     openQueries.put(query.request().id(), query);
     simulation.line(
@@ -139,12 +139,12 @@
     }
   }
 
-  /** Delivers the answer of a broker to the client, if it is still connected. */
+  /** Delivers an answer to its client if the query is still open. */
   void reply(SimulatedBroker broker, long exchange, QueryResponse answer) {
     String id = exchanges.get(broker.number + " " + exchange);
     ClientQuery query = openQueries.get(id);
     if (query == null) {
-      return; // the client has disconnected meanwhile
+      return; // the query is no longer open: its client has disconnected or has an answer
     }
     if (simulation.injects(Defect.LOST_ANSWER, 0.01)) {
       return;
@@ -176,7 +176,7 @@
     if (!(answer instanceof QueryResponse.Served served)) {
       return answer;
     }
-    if (day.defect() == Defect.FALSE_WHOLE && !served.complete()) {
+    if (schedule.defect() == Defect.FALSE_WHOLE && !served.complete()) {
       return new QueryResponse.Served(true, served.parts());
     }
     if (simulation.injects(Defect.OTHER_VALUE, 0.01)) {
@@ -191,8 +191,8 @@
   }
 
   /**
-   * Accounts for an answer, or schedules a retry after a rejection; some clients ignore
-   * Retry-After.
+   * Adds the weight of a served answer, or schedules a retry of a query that was not served; some
+   * clients ignore Retry-After.
    */
   private void onAnswer(ClientQuery query, QueryResponse answer) {
     QueryClass queryClass = query.request().queryClass();
@@ -211,13 +211,14 @@
     if (query.retries() >= 2 || time.now() >= query.request().deadlineUs() - 100_000) {
       return;
     }
-    long advised = answer instanceof QueryResponse.Rejected rejected ? rejected.retryAfterUs() : 0;
-    long wait =
+    long retryAfterUs =
+        answer instanceof QueryResponse.Rejected rejected ? rejected.retryAfterUs() : 0;
+    long delayUs =
         query.honorsRetryAfter()
-            ? Math.max(advised, (long) RandomStreams.uniform(random, 20_000, 200_000))
+            ? Math.max(retryAfterUs, (long) RandomStreams.uniform(random, 20_000, 200_000))
             : 5_000;
     time.scheduleAfter(
-        wait,
+        delayUs,
         () -> {
           if (time.now() >= query.request().deadlineUs() - 50_000) {
             return;
--- a/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
@@ -12,8 +12,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The clients of one broker: requests at a steady rate, some of whose clients leave early. All but
- * the ends of requests runs on the executor's thread.
+ * The clients of one broker. They send requests at a constant rate, and some close their connection
+ * before the answer. Everything runs on the executor's thread, except the callback at the end of a
+ * request, which may run on another thread.
  */
 final class SoakClients {
   private static final int INTERVAL_MS = 25;
@@ -44,12 +45,12 @@
     random = new SplittableRandom(plan.seed() * 31 + number);
   }
 
-  /** Sends requests from now on, until the executor ends. */
+  /** Starts sending requests, which continues until the executor is shut down. */
   void start() {
     var unused = executor.scheduleAtFixedRate(this::send, 0, INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
 
-  /** Completes once no request is open any more. */
+  /** Returns a future that completes when all requests that are open now have ended. */
   CompletableFuture<Void> allEnded() {
     return CompletableFuture.allOf(open.values().toArray(CompletableFuture[]::new));
   }
@@ -74,7 +75,7 @@
                 "key-" + query),
             Client.body(shards));
     open.put(query, response);
-    var unused = response.whenComplete((got, failure) -> onEnded(query, got));
+    var unused = response.whenComplete((result, failure) -> onEnded(query, result));
     if (random.nextInt(100) < LEAVING_PERCENT) {
       int afterMs = random.nextInt(1, plan.deadlineMs() / 2);
       var unusedLeaving =
@@ -82,23 +83,23 @@
     }
   }
 
-  /** The client closes its connection. */
+  /** Closes the connection of the client that waits for a response. */
   private void leave(String query, CompletableFuture<Client.Response> response) {
     departed.add(query);
     response.cancel(true);
   }
 
-  private void onEnded(String query, Client.Response got) {
+  private void onEnded(String query, Client.Response result) {
     open.remove(query);
-    RequestEnd end = got == null && departed.contains(query) ? RequestEnd.LEFT : endOf(got);
+    RequestEnd end = result == null && departed.contains(query) ? RequestEnd.LEFT : endOf(result);
     observations.add(atUs -> new Observation.RequestEnded(atUs, query, end));
   }
 
-  private static RequestEnd endOf(Client.Response got) {
-    if (got == null) {
+  private static RequestEnd endOf(Client.Response result) {
+    if (result == null) {
       return RequestEnd.BROKEN;
     }
-    return switch (got.outcome()) {
+    return switch (result.outcome()) {
       case "whole", "partial" -> RequestEnd.SERVED;
       case "refused" -> RequestEnd.REJECTED;
       case "failed", "late" -> RequestEnd.FAILED;
--- a/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
+++ b/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
@@ -24,8 +24,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * Modules in every order of words and troubles: what holds, and that what is put wrong on purpose
- * is found.
+ * Explores the production modules under all orders of messages and faults, and verifies that the
+ * explorer detects deliberate defects.
  */
 class ExplorerTest {
   private static final Explorer.Limits SHALLOW = new Explorer.Limits(4, 30_000);
@@ -36,38 +36,40 @@
     Explorer.Report report =
         Explorer.explore(Models.create(name), new Explorer.Limits(depth, 100_000));
     assertEquals(Optional.empty(), report.violation());
-    assertEquals(depth, report.depth(), "not all was gone through: " + report);
+    assertEquals(
+        depth, report.depth(), "exploration stopped before the depth was complete: " + report);
     assertTrue(report.states() > 300, report.toString());
   }
 
-  private static Explorer.Violation findViolation(MembershipSubject.Mutation flaw) {
+  private static Explorer.Violation findViolation(MembershipSubject.Mutation mutation) {
     return Explorer.explore(
-            new ClusterModel<>(new MembershipSubject(1, flaw), Models.membershipBudget(4)), SHALLOW)
+            new ClusterModel<>(new MembershipSubject(1, mutation), Models.membershipBudget(4)),
+            SHALLOW)
         .violation()
         .orElseThrow();
   }
 
-  /** Whoever was suspected once stays dead. */
+  /** Incarnations above the initial one are ignored, so that no suspicion can be refuted. */
   @Test
   void ignoredRefutationIsFound() {
-    UnaryOperator<GossipMessage> deaf =
-        word ->
+    UnaryOperator<GossipMessage> ignoresRefutations =
+        message ->
             new GossipMessage(
-                word.kind(),
-                inFirstIncarnation(word.from()),
-                word.sequenceNumber(),
-                word.subject(),
-                word.versions(),
-                word.memberUpdates().stream().map(ExplorerTest::inFirstIncarnation).toList(),
-                word.observations(),
-                word.digest(),
-                word.buckets(),
-                word.suspicionReports());
+                message.kind(),
+                inFirstIncarnation(message.from()),
+                message.sequenceNumber(),
+                message.subject(),
+                message.versions(),
+                message.memberUpdates().stream().map(ExplorerTest::inFirstIncarnation).toList(),
+                message.observations(),
+                message.digest(),
+                message.buckets(),
+                message.suspicionReports());
     Explorer.Violation found =
         findViolation(
             new MembershipSubject.Mutation(
-                deaf, now -> 1_000, MembershipSubject.Mutation.NONE.convergence()));
-    assertTrue(found.description().startsWith("after the calm ending: "), found.toString());
+                ignoresRefutations, now -> 1_000, MembershipSubject.Mutation.NONE.convergence()));
+    assertTrue(found.description().startsWith("after the convergence phase: "), found.toString());
   }
 
   private static Member inFirstIncarnation(Member peer) {
@@ -85,11 +87,12 @@
     Explorer.Violation found =
         findViolation(
             new MembershipSubject.Mutation(
-                word -> word,
+                message -> message,
                 now -> now == 0 ? 1_000 : 0,
                 MembershipSubject.Mutation.NONE.convergence()));
-    assertTrue(found.description().contains("which is in 0"), found.toString());
-    assertEquals(3, found.trace().size(), "a crash, a step of time and a start: " + found.trace());
+    assertTrue(found.description().contains("whose own incarnation is 0"), found.toString());
+    assertEquals(
+        3, found.trace().size(), "expected a crash, a time step and a restart: " + found.trace());
   }
 
   @Test
@@ -97,13 +100,13 @@
     Explorer.Violation found =
         findViolation(
             new MembershipSubject.Mutation(
-                word -> word, MembershipSubject.Mutation.NONE.incarnation(), view -> true));
-    assertTrue(found.description().startsWith("settled and at odds: "), found.toString());
+                message -> message, MembershipSubject.Mutation.NONE.incarnation(), view -> true));
+    assertTrue(found.description().startsWith("converged views differ: "), found.toString());
   }
 
   /**
-   * Facts put wrong: {@code latest} says which of two of one key and author stays, {@code bounded}
-   * and {@code expires} what else is done.
+   * A defective map: {@code latest} selects between two entries of the same key and origin, {@code
+   * bounded} enables the limit of entries per origin, {@code expires} enables expiry.
    */
   private static final class FaultyReplica implements ReplicatedMapSubject.Replica {
     private final Map<String, ReplicatedEntry<String, Integer>> entriesByOwner = new HashMap<>();
@@ -112,15 +115,15 @@
     private final boolean expires;
 
     FaultyReplica(
-        BinaryOperator<ReplicatedEntry<String, Integer>> latest, boolean bounded, boolean forgets) {
+        BinaryOperator<ReplicatedEntry<String, Integer>> latest, boolean bounded, boolean expires) {
       this.latest = latest;
       this.bounded = bounded;
-      this.expires = forgets;
+      this.expires = expires;
     }
 
     @Override
-    public void merge(long nowUs, ReplicatedEntry<String, Integer> told) {
-      entriesByOwner.merge(told.key() + " " + told.origin(), told, latest);
+    public void merge(long nowUs, ReplicatedEntry<String, Integer> update) {
+      entriesByOwner.merge(update.key() + " " + update.origin(), update, latest);
       List<ReplicatedEntry<String, Integer>> now = entries();
       entriesByOwner
           .values()
@@ -129,9 +132,9 @@
                   bounded
                       && now.stream()
                           .anyMatch(
-                              fact ->
-                                  fact.origin().equals(old.origin())
-                                      && fact.timestampUs() > old.timestampUs()));
+                              entry ->
+                                  entry.origin().equals(old.origin())
+                                      && entry.timestampUs() > old.timestampUs()));
     }
 
     @Override
@@ -139,9 +142,9 @@
       entriesByOwner
           .values()
           .removeIf(
-              fact ->
+              entry ->
                   expires
-                      && fact.timestampUs()
+                      && entry.timestampUs()
                           <= nowUs - ReplicatedMapSubject.SETTINGS.timeToLiveUs());
     }
 
@@ -160,23 +163,25 @@
 
   @ParameterizedTest
   @CsvSource({
-    "true, true, true, after the calm ending",
-    "false, false, true, 'holds 2 facts, 2 of them'",
-    "false, true, false, still holds"
+    "true, true, true, after the convergence phase",
+    "false, false, true, 'holds 2 entries, 2 of them'",
+    "false, true, false, still holds the expired entry"
   })
-  void faultyReplicasAreFound(boolean byArrival, boolean bounded, boolean forgets, String wrong) {
+  void faultyReplicasAreFound(
+      boolean byArrival, boolean bounded, boolean expires, String expected) {
     BinaryOperator<ReplicatedEntry<String, Integer>> latest =
         (one, other) -> byArrival || other.timestampUs() > one.timestampUs() ? other : one;
     ReplicatedMapSubject subject =
-        new ReplicatedMapSubject(() -> new FaultyReplica(latest, bounded, forgets), 0, false);
+        new ReplicatedMapSubject(() -> new FaultyReplica(latest, bounded, expires), 0, false);
     Explorer.Report report =
         Explorer.explore(
             new ClusterModel<>(subject, new ClusterModel.Budget(0, 2, 2, 1, 1, 0, 1, 2)),
             new Explorer.Limits(5, 100_000));
-    assertTrue(report.violation().orElseThrow().description().contains(wrong), report.toString());
+    assertTrue(
+        report.violation().orElseThrow().description().contains(expected), report.toString());
   }
 
-  /** Two counters that are alike; wrong where they are 2 and 3. */
+  /** Two symmetric counters; the values 2 and 3 violate the convergence property. */
   private record Pair(int one, int other) {}
 
   private static final Model<Pair, String> COUNTERS =
@@ -192,8 +197,8 @@
         }
 
         @Override
-        public Pair successor(Pair state, String move) {
-          return move.equals("one")
+        public Pair successor(Pair state, String transition) {
+          return transition.equals("one")
               ? new Pair(state.one() + 1, state.other())
               : new Pair(state.one(), state.other() + 1);
         }
@@ -223,10 +228,12 @@
     assertEquals(1 + 1 + 2 + 2 + 3, whole.states());
     assertEquals(Optional.empty(), whole.violation());
     assertEquals(
-        3, Explorer.explore(COUNTERS, new Explorer.Limits(9, 7)).depth(), "stopped by the states");
+        3,
+        Explorer.explore(COUNTERS, new Explorer.Limits(9, 7)).depth(),
+        "the limit of states stops the exploration");
     Explorer.Violation found =
         Explorer.explore(COUNTERS, new Explorer.Limits(9, 1_000)).violation().orElseThrow();
-    assertEquals("after the calm ending: 2 and 3", found.description());
+    assertEquals("after the convergence phase: 2 and 3", found.description());
     assertEquals(5, found.trace().size());
   }
 
@@ -237,7 +244,7 @@
             new MembershipSubject(
                 1,
                 new MembershipSubject.Mutation(
-                    word -> word,
+                    message -> message,
                     now -> 1_000 - now,
                     MembershipSubject.Mutation.NONE.convergence())),
             Models.membershipBudget(4));
@@ -247,7 +254,8 @@
   }
 
   /**
-   * Sets go by content, lists and what keeps its order by that too, names as they are exchanged.
+   * Unordered sets and maps are hashed without regard to order, lists and linked sets in order, and
+   * names after their mapping.
    */
   @Test
   void hashesDifferWhereStatesDiffer() {
--- a/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
@@ -22,16 +22,16 @@
 
   private static ScorerSimulation simulate(
       Supplier<Scorer> scorer, ScoringSettings rule, boolean shared) {
-    ScorerSimulation world =
+    ScorerSimulation simulation =
         new ScorerSimulation(
             new ScorerSimulation.Plan(
                 5, 2, 6, 20_000, 1.0 / 6, 0.7, scorer, rule, shared, true, 2 * SECOND_US),
             3);
-    world.playTo(20 * SECOND_US);
-    return world;
+    simulation.playTo(20 * SECOND_US);
+    return simulation;
   }
 
-  /** Says nothing of any store. */
+  /** A scorer that returns no judgement for any store. */
   private static final class NoOpinionScorer implements Scorer {
     @Override
     public int api() {
@@ -67,6 +67,8 @@
     double shared =
         simulate(StorePace::new, ScoringSettings.STANDARD, true)
             .worth(10 * SECOND_US, 18 * SECOND_US, false);
-    assertTrue(shared > alone, shared + " against " + alone);
+    assertTrue(
+        shared > alone,
+        "share within the objective: " + shared + " with shared weights, " + alone + " without");
   }
 }
--- a/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
@@ -17,7 +17,10 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.MethodSource;
 
-/** Simulated days: found breaches that were mended, fixed seeds, and that the checkers can fail. */
+/**
+ * Replays the recorded schedules of violations that have been fixed, simulates a range of seeds and
+ * verifies that the checker detects each injected defect.
+ */
 class SimulationTest {
   private static final Path SCHEDULES = Path.of("src/test/resources/stories");
 
@@ -29,8 +32,8 @@
 
   @ParameterizedTest
   @MethodSource("schedules")
-  void recordedScheduleHasNoViolation(Path story) throws IOException {
-    SimulationResult result = Simulation.play(Days.parse(story, null), false);
+  void recordedScheduleHasNoViolation(Path schedule) throws IOException {
+    SimulationResult result = Simulation.play(Days.parse(schedule, null), false);
     assertNull(
         result.violation(), () -> result.violation().rule() + "\n" + result.violation().trace());
     assertTrue(result.offeredWeight() > 0);
@@ -45,21 +48,24 @@
             .map(r -> r.day().seed() + ": " + r.violation().rule())
             .toList());
     assertEquals(50, found.played());
-    assertTrue(found.meanShare() > 0.9, "worth served: " + found.meanShare());
+    assertTrue(
+        found.meanShare() > 0.9, "mean served share of the offered weight: " + found.meanShare());
   }
 
   @ParameterizedTest
   @EnumSource(value = Defect.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
   void everyInjectedDefectIsDetected(Defect defect) {
-    assertTrue(!Days.search(1, 200, defect, true).violations().isEmpty(), defect + " goes unseen");
+    assertTrue(
+        !Days.search(1, 200, defect, true).violations().isEmpty(),
+        "no seed detects the injected defect " + defect);
   }
 
-  /** The same lines from the same seed, here and in a process of its own. */
+  /** A seed gives the same trace in repeated runs and the same digest in another process. */
   @Test
   void sameSeedGivesSameTrace() throws Exception {
-    SimulatedDay day = Days.generate(7, Defect.NONE);
-    SimulationResult one = Simulation.play(day, true);
-    SimulationResult two = Simulation.play(day, true);
+    SimulationSchedule schedule = Days.generate(7, Defect.NONE);
+    SimulationResult one = Simulation.play(schedule, true);
+    SimulationResult two = Simulation.play(schedule, true);
     assertEquals(one.trace(), two.trace());
     assertEquals(one.digest(), two.digest());
     Process other =
@@ -73,31 +79,32 @@
                 "--seed",
                 "7")
             .start();
-    String said = new String(other.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-    assertEquals(0, other.waitFor(), said);
-    assertTrue(said.contains("digest " + one.digest().substring(0, 16)), said);
+    String output = new String(other.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    assertEquals(0, other.waitFor(), output);
+    assertTrue(output.contains("digest " + one.digest().substring(0, 16)), output);
   }
 
   @Test
   void shrinkingKeepsTheViolationAndFormatRoundTrips() {
-    SimulatedDay day = Days.generate(3, Defect.WRONG_SHARD);
-    SimulatedDay shrunk = Days.shrink(day);
+    SimulationSchedule schedule = Days.generate(3, Defect.WRONG_SHARD);
+    SimulationSchedule shrunk = Days.shrink(schedule);
     assertTrue(shrunk.faults().isEmpty() && shrunk.seconds() < 60, shrunk.toString());
     SimulationResult result = Simulation.play(shrunk, false);
     assertNotNull(result.violation());
-    assertEquals("a part to a store that does not hold its shard", result.violation().rule());
+    assertEquals("an attempt at a store that does not hold the shard", result.violation().rule());
     assertTrue(result.violation().trace().contains(result.violation().subject()));
-    SimulatedDay again = Days.parse(Path.of("x"), Days.format(day).lines().toList(), null);
-    assertEquals(Simulation.play(day, false).digest(), Simulation.play(again, false).digest());
+    SimulationSchedule again =
+        Days.parse(Path.of("x"), Days.format(schedule).lines().toList(), null);
+    assertEquals(Simulation.play(schedule, false).digest(), Simulation.play(again, false).digest());
     assertTrue(
         assertThrows(
                 IllegalArgumentException.class,
                 () -> Fault.parse(Path.of("x"), List.of("", "at 3s craash s1")))
             .getMessage()
-            .startsWith("x:2: at 3s craash s1: no such trouble"));
+            .startsWith("x:2: at 3s craash s1: unknown fault kind"));
     assertTrue(
         assertThrows(IllegalArgumentException.class, () -> Fault.parse(Path.of("x"), List.of("at")))
             .getMessage()
-            .contains("something is missing"));
+            .contains("the line is incomplete"));
   }
 }
