--- a/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
@@ -14,29 +14,30 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Simulates brokers with answer keys in front of stores, on virtual time. It knows what each answer
- * ought to be, so that it counts wrong ones. Rule {@code forms} is true; rule {@code language} is
- * true until the answers come to depend on the language, where the setup asks for that.
+ * Simulates brokers with answer keys in front of stores, in virtual time, and compares each answer
+ * with the expected one. Rule {@code forms} is always correct; rule {@code language} is correct
+ * until the answers start to depend on the language, see {@code ruleBecomesFalse}. Not thread-safe.
  */
 public final class AnswerKeySimulation {
-  /** What is shared. */
+  /** How queries share answers. */
   public enum Mode {
-    /** Nothing. */
+    /** Answers are not shared. */
     NONE,
-    /** Answers of equal texts. */
+    /** Queries with equal texts share an answer. */
     EXACT,
-    /** Answers by rules. */
+    /** Queries that the rules map to the same answer key share an answer. */
     RULES
   }
 
   /**
    * One run.
    *
-   * @param perSecond queries a second
+   * @param perSecond queries per second over all brokers
    * @param loss the probability that a message between brokers is lost
    * @param failureProbability the probability that a fetch fails
-   * @param partitioned a network partition into two halves for 10 s
-   * @param ruleBecomesFalse answers depend on the language from 24 s on, during the partition
+   * @param partitioned whether the network is partitioned into two halves for 10 s
+   * @param ruleBecomesFalse whether answers depend on the language from 24 s on, which is during
+   *     the partition
    */
   public record Setup(
       long seed,
@@ -49,15 +50,16 @@
       boolean ruleBecomesFalse) {}
 
   /**
-   * What was counted, after the first 15 s.
+   * Counts of a run, without its first 15 s.
    *
-   * @param repeatedFetches fetches of an answer within its age, of the same data
-   * @param wrongAnswers answers of another topic or language
-   * @param outdatedAnswers answers from data that had ended longer ago than the age
-   * @param unended queries that did not end, or twice, or late
-   * @param wrongAnswersBound the bound of {@code wrongAnswers}
-   * @param demotedAfterUs from the change of the data until all brokers stopped to apply the false
-   *     rule; -1 where that did not happen
+   * @param repeatedFetches fetches repeated within the maximum age of the previous answer although
+   *     the data had not changed
+   * @param wrongAnswers answers for another topic or language than the query's
+   * @param outdatedAnswers answers from data that was replaced longer ago than the maximum age
+   * @param unended queries that did not end, ended more than once or ended after the deadline
+   * @param wrongAnswersBound upper bound of {@code wrongAnswers}
+   * @param demotedAfterUs time from the change of the data until all brokers had stopped applying
+   *     the incorrect rule; -1 if they did not
    */
   public record Result(
       long queries,
@@ -73,7 +75,7 @@
       long p99Us,
       String states) {}
 
-  /** What a broker does with a message. */
+  /** A message between brokers. */
   interface Message {
     List<Action> deliverTo(SimulatedBroker receiver);
   }
@@ -94,13 +96,13 @@
   private static final long MESSAGE_JITTER_US = 2000;
   private static final int REPLICAS = 2;
 
-  /** Mean seconds between changes of a shard's data where its stores state the generation. */
+  /** Mean seconds between changes of a shard's data if its stores report the generation. */
   private static final double STATED_CHANGE_S = 5;
 
-  /** The same where they do not state it. */
+  /** Mean seconds between changes of a shard's data if its stores do not report the generation. */
   private static final double UNSTATED_CHANGE_S = 60;
 
-  /** The bound may be exceeded in one case out of so many. */
+  /** The bound of wrong answers may be exceeded in one run out of this many. */
   private static final double BOUND_ODDS = 1000;
 
   private final Setup setup;
@@ -124,7 +126,7 @@
   private long trialsBefore;
   private long demotedAfterUs = -1;
 
-  /** Makes a world at its start. */
+  /** Creates a simulation at time 0. */
   public AnswerKeySimulation(Setup setup) {
     this.setup = setup;
     random = new SplittableRandom(setup.seed());
@@ -142,7 +144,7 @@
     return brokers.get(random.nextInt(brokers.size()));
   }
 
-  /** Draws whether something is lost, at a multiple of the loss of messages. */
+  /** Draws whether something is lost, with a multiple of the probability of message loss. */
   boolean drawsLoss(int factor) {
     return random.nextDouble() < setup.loss() * factor;
   }
@@ -151,7 +153,7 @@
     return nowUs() + 1 + (long) (-Math.log(1 - random.nextDouble()) * meanUs);
   }
 
-  /** Runs the simulation; once for each world. */
+  /** Runs the simulation to its end. Must be called only once. */
   public Result run() {
     startBrokers();
     for (int shard = 0; shard < Workload.SHARDS; shard++) {
@@ -210,8 +212,9 @@
   }
 
   /**
-   * The bound of docs/answer-keys.md: for each side of a partition the trials until one finds the
-   * false rule, and the answers until all brokers have received that.
+   * The bound of docs/answer-keys.md: for each side of a partition, the wrong answers until a trial
+   * detects the incorrect rule, plus the answers across languages until all brokers have received
+   * that result.
    */
   private double wrongAnswersBound(double acrossLanguagesPerSecond) {
     int sides = setup.partitioned() ? 2 : 1;
@@ -274,7 +277,7 @@
         });
   }
 
-  /** Delivers a message after a delay; it may be lost, duplicated or cut off by the partition. */
+  /** Delivers a message after a delay; it may be lost, duplicated or dropped by the partition. */
   void send(SimulatedBroker sender, String receiverName, Message message) {
     SimulatedBroker receiver = brokers.get(Integer.parseInt(receiverName.substring(1)));
     int copies = drawCopies();
@@ -317,14 +320,14 @@
     }
   }
 
-  /** The query becomes the leader of a fetch. */
+  /** Records that a query becomes the leader of a fetch. */
   void recordLeader(SimulatedQuery query) {
     long generation = data.generation(query.part().shard());
     boolean repeated = fetchHistory.recordLeader(nowUs(), query.identity(), generation);
     repeatedFetches += isCounted(nowUs()) && repeated ? 1 : 0;
   }
 
-  /** The query asks a store for itself. */
+  /** Sends a query to a store without sharing the answer. */
   void bypass(SimulatedBroker broker, long id) {
     SimulatedQuery query = broker.query(id);
     long requestedUs = nowUs();
@@ -340,7 +343,7 @@
         });
   }
 
-  /** The query asks a store as the leader of a fetch. */
+  /** Sends a query to a store as the leader of a fetch. */
   void fetch(SimulatedBroker broker, long id, long fetchId) {
     SimulatedQuery query = broker.query(id);
     requestFromStore(
@@ -358,7 +361,7 @@
         });
   }
 
-  /** Passes the answer of a random replica to the consumer, null where the request fails. */
+  /** Passes the answer of a random replica to the consumer, or null if the request fails. */
   private void requestFromStore(SimulatedQuery query, Consumer<StoreAnswer> consumer) {
     fetches += isCounted(nowUs()) && nowUs() < END_US ? 1 : 0;
     String store = storeName(query.part().shard(), random.nextInt(REPLICAS));
@@ -370,7 +373,10 @@
         });
   }
 
-  /** The query is answered with what was fetched for another. */
+  /**
+   * Answers a query with an answer that was fetched for another one; counts it if it is wrong or
+   * outdated.
+   */
   void respond(SimulatedQuery query, CachedAnswer cached) {
     wrongAnswers += ShardData.isWrong(cached, query.request) ? 1 : 0;
     long oldestUs = nowUs() - SimulatedBroker.MAX_AGE_US;
@@ -382,7 +388,7 @@
     end(query);
   }
 
-  /** The query ends, with or without an answer. */
+  /** Ends a query, with or without an answer. */
   void end(SimulatedQuery query) {
     if (query.ends++ == 0) {
       endedQueries++;
--- a/src/main/java/dunlinhitch/experiments/answerkeys/EventQueue.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/EventQueue.java
@@ -2,7 +2,10 @@
 
 import java.util.PriorityQueue;
 
-/** Virtual time: events run in the order of their moments, and of their scheduling within one. */
+/**
+ * The event queue of a simulation in virtual time. Events run in the order of their times; events
+ * at the same time run in the order in which they were scheduled.
+ */
 final class EventQueue {
   private record Event(long atUs, long number, Runnable task) {}
 
@@ -15,7 +18,7 @@
   private long nowUs;
   private long lastNumber;
 
-  /** The present moment in µs since the start. */
+  /** The current time in microseconds since the start. */
   long nowUs() {
     return nowUs;
   }
@@ -24,7 +27,7 @@
     events.add(new Event(atUs, ++lastNumber, task));
   }
 
-  /** Runs all events up to that moment, also those that they schedule. */
+  /** Runs all events up to that time, including those that are scheduled meanwhile. */
   void runUntil(long endUs) {
     while (!events.isEmpty()) {
       Event next = events.poll();
--- a/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
@@ -3,9 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** The last fetch of each topic and shard, to count those that a cached answer would have saved. */
+/**
+ * The last fetch of each topic and shard, to count the fetches that a cached answer would have
+ * saved.
+ */
 final class FetchHistory {
-  /** When the fetch got its last leader, and the generation of its answer. */
+  /** Time of the last leader of the fetch, and the generation of the last answer. */
   private static final class LastFetch {
     private long leaderSinceUs = Long.MIN_VALUE / 2;
     private long generation;
@@ -16,7 +19,8 @@
   /**
    * Records a new leader.
    *
-   * @return true where the previous fetch was within the age of an answer and of the same data
+   * @return true if the previous fetch is within the maximum age of an answer and returned the same
+   *     data
    */
   boolean recordLeader(long nowUs, String identity, long generation) {
     LastFetch last = lastFetches.computeIfAbsent(identity, absent -> new LastFetch());
@@ -26,7 +30,7 @@
     return withinAge && sameData;
   }
 
-  /** Records the generation of the answer of a fetch that has had a leader. */
+  /** Records the generation of an answer; {@link #recordLeader} must have been called before. */
   void recordAnswer(String identity, long generation) {
     lastFetches.get(identity).generation = generation;
   }
--- a/src/main/java/dunlinhitch/experiments/answerkeys/ShardData.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/ShardData.java
@@ -6,11 +6,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** The data of the stores, and what each answer ought to be. */
+/** The data of the stores, and the expected answers. */
 final class ShardData {
   private static final String ANY_LANGUAGE = "any";
 
-  /** For each shard the moment in µs at which each of its generations ended. */
+  /** For each shard, the time in microseconds at which each of its generations ended. */
   private final List<List<Long>> generationEnds = new ArrayList<>();
 
   private boolean dependsOnLanguage;
@@ -21,7 +21,7 @@
     }
   }
 
-  /** True where the stores of the shard state the generation of their data. */
+  /** True if the stores of the shard report the generation of their data. */
   static boolean statesGeneration(int shard) {
     return shard % 2 == 0;
   }
@@ -34,7 +34,10 @@
     generationEnds.get(shard).add(nowUs);
   }
 
-  /** A release of the stores: answers depend on the language from now on, and all data are new. */
+  /**
+   * Simulates a new release of the stores: from now on answers depend on the language, and each
+   * shard has a new generation of data.
+   */
   void startDependingOnLanguage(long nowUs) {
     dependsOnLanguage = true;
     generationEnds.forEach(ends -> ends.add(nowUs));
@@ -54,7 +57,7 @@
         true);
   }
 
-  /** True where the answer is of another topic or language. */
+  /** True if the answer is for another topic or language than the request's. */
   static boolean isWrong(CachedAnswer cached, Workload.Request request) {
     String[] components = components(cached);
     String language = request.part().variants().get("language");
@@ -62,7 +65,7 @@
         || (!components[1].equals(ANY_LANGUAGE) && !components[1].equals(language));
   }
 
-  /** True where the data of the answer ended before that moment. */
+  /** True if the data of the answer was replaced before that time. */
   boolean endedBefore(CachedAnswer cached, int shard, long momentUs) {
     int generation = Integer.parseInt(components(cached)[2]);
     List<Long> ends = generationEnds.get(shard);
--- a/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
@@ -19,7 +19,7 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** One broker of the simulation: an answer key module whose actions it performs in the world. */
+/** One broker of the simulation: it runs an answer key module and performs the module's actions. */
 final class SimulatedBroker {
   static final AnswerKeySettings SETTINGS = AnswerKeySettings.STANDARD;
   static final long MAX_AGE_US = 3_000_000;
@@ -27,14 +27,17 @@
   private static final long LATENCY_OBJECTIVE_US = 1_200_000;
   private static final long SEED_FACTOR = 1000;
 
-  /** The rule that is false once answers depend on the language. */
+  /** The rule that is incorrect once answers depend on the language. */
   private static final String LANGUAGE_RULE = "language";
 
   private static final String LOCATION = "model";
   private static final int MAX_GOSSIPED_ENTRIES = 30;
   private static final int URGENT_GOSSIP_FANOUT = 3;
 
-  /** The loss of entries that a digest would not find, as a multiple of the loss of messages. */
+  /**
+   * Probability that a peer is sent all entries again, as a multiple of the probability of message
+   * loss; see {@link #gossip}.
+   */
   private static final int GOSSIP_LOSS_FACTOR = 2;
 
   private static final ClassCachePolicy CLASS_POLICY =
@@ -75,7 +78,7 @@
   private final AnswerKeySimulation world;
   private final Map<Long, SimulatedQuery> queries = new HashMap<>();
 
-  /** For each other broker the version of the evidence that was gossiped to it. */
+  /** For each other broker, the version of the evidence that was gossiped to it. */
   private final Map<String, Long> gossipedVersions = new HashMap<>();
 
   private long wakeUpUs = Long.MAX_VALUE;
@@ -113,7 +116,7 @@
     }
   }
 
-  /** Does nothing where an earlier wake-up has replaced this one. */
+  /** Does nothing if an earlier wake-up has replaced this one. */
   private void wakeUp(long scheduledUs) {
     if (wakeUpUs == scheduledUs) {
       wakeUpUs = Long.MAX_VALUE;
@@ -173,7 +176,7 @@
     }
   }
 
-  /** Sends that many random brokers the evidence that they may lack. */
+  /** Sends the evidence that they may lack to {@code fanout} random brokers. */
   void gossip(int fanout) {
     for (int i = 0; i < fanout; i++) {
       SimulatedBroker other = world.randomBroker();
@@ -185,13 +188,13 @@
               .since(gossipedVersions.getOrDefault(other.name, 0L), MAX_GOSSIPED_ENTRIES)) {
         world.send(this, other.name, peer -> peer.module.mergeEvidence(world.nowUs(), entry));
       }
-      // A digest would find what was lost: starting again at version 0 stands for it.
+      // Restarting at version 0 models an anti-entropy digest, which would find the lost entries.
       boolean lost = world.drawsLoss(GOSSIP_LOSS_FACTOR);
       gossipedVersions.put(other.name, lost ? 0L : version);
     }
   }
 
-  /** True where the rule about the language is not applied here any more. */
+  /** True if this broker has stopped applying the rule about the language. */
   boolean hasDemotedLanguageRule() {
     return module.lifecycle().statuses().stream()
         .filter(status -> status.ruleEpoch().rule().equals(LANGUAGE_RULE))
--- a/src/main/java/dunlinhitch/experiments/answerkeys/Workload.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/Workload.java
@@ -16,12 +16,12 @@
   private static final double ZIPF_EXPONENT = 1.1;
   private static final double ARABIC_SHARE = 0.25;
 
-  /** Topics combine one of so many halls with a voice. */
+  /** Number of halls; a topic combines a hall and a voice. */
   private static final int HALLS = 20;
 
   private static final String[] CLIENT_KINDS = {"phone", "kiosk", "planner", "old"};
 
-  /** A part and the topic that it is about. */
+  /** A part and its topic. */
   record Request(int topic, PartQuery part) {}
 
   private final double[] cumulativeWeights = new double[TOPICS];
--- a/src/main/java/dunlinhitch/experiments/answerkeys/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/package-info.java
@@ -1,8 +1,8 @@
 /**
- * A simulated cluster whose brokers share answer keys, on virtual time.
+ * A simulated cluster whose brokers share answers by answer keys, in virtual time.
  *
- * <p>Entry point: {@link dunlinhitch.experiments.answerkeys.KeysWorld}. For measurements only:
- * {@code serve} never loads it. It may use no clock, I/O or threads; all randomness comes from the
- * seed of the setup.
+ * <p>Entry point: {@link dunlinhitch.experiments.answerkeys.AnswerKeySimulation}. Used by
+ * measurements only; {@code serve} never loads this package. Its classes use no clock, I/O or
+ * threads, and all randomness comes from the seed of the setup.
  */
 package dunlinhitch.experiments.answerkeys;
