--- a/src/main/java/dunlinhitch/experiments/fakes/BrokerFixture.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/BrokerFixture.java
@@ -191,8 +191,8 @@
                     listener);
             broker
                 .listenForAdmin()
-                .onSuccess(desk -> adminPort = desk)
-                .compose(desk -> broker.start())
+                .onSuccess(boundPort -> adminPort = boundPort)
+                .compose(boundPort -> broker.start())
                 .onSuccess(port::complete)
                 .onFailure(port::completeExceptionally);
           } catch (RuntimeException | Error e) {
--- a/src/main/java/dunlinhitch/experiments/fakes/Client.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Client.java
@@ -67,15 +67,15 @@
         headers.forEach(request::header);
         CompletableFuture<HttpResponse<String>> sent =
             client.sendAsync(request.build(), HttpResponse.BodyHandlers.ofString());
-        CompletableFuture<Response> got = sent.thenApply(Client::got);
+        CompletableFuture<Response> response = sent.thenApply(Client::toResponse);
         var unused =
-            got.whenComplete(
-                (g, e) -> {
-                  if (got.isCancelled()) {
+            response.whenComplete(
+                (result, failure) -> {
+                  if (response.isCancelled()) {
                     sent.cancel(true);
                   }
                 });
-        return got;
+        return response;
       }
 
       @Override
@@ -85,7 +85,7 @@
     };
   }
 
-  private static Response got(HttpResponse<String> response) {
+  private static Response toResponse(HttpResponse<String> response) {
     Map<Integer, String> parts = new TreeMap<>();
     String end =
         switch (response.statusCode()) {
@@ -122,15 +122,16 @@
                 new Ticket(body.getBytes(StandardCharsets.UTF_8)),
                 new HeaderCallOption(sent),
                 CallOptions.timeout(10, TimeUnit.SECONDS));
-        CompletableFuture<Response> got = CompletableFuture.supplyAsync(() -> got(stream));
+        CompletableFuture<Response> response =
+            CompletableFuture.supplyAsync(() -> toResponse(stream));
         var unused =
-            got.whenComplete(
-                (g, e) -> {
-                  if (got.isCancelled()) {
+            response.whenComplete(
+                (result, failure) -> {
+                  if (response.isCancelled()) {
                     stream.cancel("left", null);
                   }
                 });
-        return got;
+        return response;
       }
 
       @Override
@@ -140,7 +141,7 @@
     };
   }
 
-  private static Response got(FlightStream stream) {
+  private static Response toResponse(FlightStream stream) {
     Map<Integer, String> parts = new TreeMap<>();
     try {
       while (stream.next()) {
--- a/src/main/java/dunlinhitch/experiments/fakes/Discovery.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Discovery.java
@@ -19,7 +19,7 @@
   /** Responses of the watches in order. */
   public final List<HttpServerResponse> watches = new CopyOnWriteArrayList<>();
 
-  /** True: lists are sent pretty-printed over several lines. */
+  /** Whether lists are sent pretty-printed over several lines. */
   public volatile boolean indented;
 
   private final HttpServer server;
--- a/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
@@ -130,29 +130,29 @@
     }
   }
 
-  /** A connection was accepted. */
+  /** Called when a connection was accepted. */
   protected void onConnected(NetSocket socket) {
-    // as below
+    // for subclasses
   }
 
-  /** A part was read from that connection. */
+  /** Called when a part was read from that connection. */
   protected void onReceived(NetSocket socket, ReceivedPart part) {
-    // recorded by the subclasses that ask by which connection it came
+    // for subclasses that record the connection of a part
   }
 
   /** Handles the cancellation of a part. */
   protected void onCancelled(NetSocket socket, String partId) {
-    // this fake answers cancelled parts too
+    // cancelled parts are answered too
   }
 
-  /** The answer to a part is written to that connection. */
+  /** Called before the answer to a part is written to that connection. */
   protected void onAnswered(NetSocket socket, String partId) {
-    // as above
+    // for subclasses
   }
 
-  /** A connection has ended. */
+  /** Called when a connection has ended. */
   protected void onDisconnected(NetSocket socket) {
-    // as above
+    // for subclasses
   }
 
   /** The current load report. */
@@ -190,7 +190,8 @@
 
   @Override
   public void close() throws Exception {
-    // wait for the end: a connection accepted after the event loop ended would be lost
+    // waits until the server is closed: a connection accepted after the end of the event loop would
+    // be lost
     server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     sockets.forEach(NetSocket::close);
   }
--- a/src/main/java/dunlinhitch/experiments/fakes/QueueingStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/QueueingStore.java
@@ -10,7 +10,7 @@
  * service time. A cancelled part leaves the queue; one in service is finished.
  */
 public class QueueingStore extends FrameStore {
-  private record Job(String id, long us, Runnable done) {}
+  private record Job(String id, long serviceUs, Runnable done) {}
 
   private final Vertx vertx;
   private final int cores;
@@ -68,11 +68,11 @@
       Job job = queue.poll();
       busyCores++;
       long startNanos = System.nanoTime();
-      workedUs += job.us();
-      long ms = Math.max(0, Math.round((job.us() - timerLagUs) / 1000));
+      workedUs += job.serviceUs();
+      long ms = Math.max(0, Math.round((job.serviceUs() - timerLagUs) / 1000));
       Runnable finish =
           () -> {
-            timerLagUs += (System.nanoTime() - startNanos) / 1e3 - job.us();
+            timerLagUs += (System.nanoTime() - startNanos) / 1e3 - job.serviceUs();
             timerLagUs = Math.max((double) -workUs, Math.min((double) (4 * workUs), timerLagUs));
             busyCores--;
             job.done().run();
--- a/src/main/java/dunlinhitch/experiments/fakes/Store.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Store.java
@@ -17,10 +17,11 @@
   public record ReceivedPart(String id, int shard, String list, String text) {}
 
   /**
-   * How the store answers a part. {@code CUT} ends the connection in the middle of the part's row.
-   * Malformed: {@code NO_TEXT}, a value that is no UTF-8; {@code NO_PART}, the id of no part;
-   * {@code NO_END}, an unknown status. Valid with an irregularity: {@code NO_REPORT}, a malformed
-   * load report; {@code TWICE}, a duplicate.
+   * How the store answers a part. {@code BAD} and {@code LATER} answer with an error status, {@code
+   * NOTHING} sends no answer, and {@code CUT} ends the connection in the middle of the part's
+   * answer. Malformed answers: {@code NO_TEXT}, a value that is not valid UTF-8; {@code NO_PART},
+   * an unknown part id; {@code NO_END}, an unknown status. Valid answers with an irregularity:
+   * {@code NO_REPORT}, a malformed load report; {@code TWICE}, a duplicate.
    */
   public enum Behavior {
     GOOD,
@@ -86,7 +87,7 @@
   /** One entry for each liveness check of a connection. */
   public final BlockingQueue<String> livenessChecks = new LinkedBlockingQueue<>();
 
-  /** True: liveness checks get no answer. */
+  /** Whether liveness checks are left unanswered. */
   public volatile boolean unresponsive;
 
   /** Milliseconds until a part is answered. */
@@ -98,10 +99,10 @@
   /** The behavior for each part. */
   public volatile Function<ReceivedPart, Behavior> script = part -> Behavior.GOOD;
 
-  /** The score in the answer to a part; has no blanks. */
+  /** The score in the answer to a part; must not contain blanks. */
   public volatile Function<ReceivedPart, String> score = part -> "1";
 
-  /** Has no script: all parts get a good answer at once. */
+  /** Creates a store that answers all parts with {@code GOOD} at once. */
   protected Store(String name) {
     this.name = name;
   }
@@ -112,7 +113,7 @@
   /** The name of its protocol in endpoint lists. */
   public abstract String protocol();
 
-  /** Stops listening and waits for that. */
+  /** Stops the server and waits until it has stopped. */
   public abstract void close() throws Exception;
 
   /** The value that answers a part; it differs between the steps of a two-step query. */
--- a/src/main/java/dunlinhitch/experiments/fakes/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fakes of what a broker talks to: stores over frames and Arrow Flight, discovery, and clients of
- * both frontends.
+ * Fakes of the systems that a broker communicates with: stores with the frame protocol and Arrow
+ * Flight, discovery, and clients of both frontends.
  */
 package dunlinhitch.experiments.fakes;
