--- a/src/main/java/dunlinhitch/experiments/dns/BaselineResolver.java
+++ b/src/main/java/dunlinhitch/experiments/dns/BaselineResolver.java
@@ -41,11 +41,11 @@
  * The DNS-SD resolver that preceded {@code DnsSource}, as a baseline for measurements: it resolves
  * the complete service again whenever the shortest TTL has expired. Instances are found by DNS-SD
  * (RFC 6763): PTR has their names, SRV the address, TXT the attributes ({@code id, cell, zone,
- * state, protocol, start}). An instance that is absent from a resolution is removed; a server that
- * does not answer changes nothing.
+ * state, protocol, start}). An instance that is absent from a resolution is removed; if the server
+ * does not answer, the endpoints are retained.
  *
- * <p>Vert.x's DnsClient returns one PTR record of an answer and no TTL but SRV's, so PTR goes
- * through Netty's resolver on the same event loop.
+ * <p>Vert.x's DnsClient returns only one PTR record of an answer and provides the TTL of SRV
+ * records only. PTR records are therefore resolved by Netty's resolver, on the same event loop.
  */
 public final class BaselineResolver implements DiscoverySource {
   private static final long QUERY_TIMEOUT_US = 1_000_000;
@@ -137,20 +137,20 @@
 
   private void resolve() {
     long ownRound = ++round;
-    Resolution lookUp = new Resolution();
-    resolveInstanceNames(lookUp)
+    Resolution resolution = new Resolution();
+    resolveInstanceNames(resolution)
         .compose(
             names ->
-                Future.join(names.stream().map(name -> resolveInstance(lookUp, name)).toList()))
+                Future.join(names.stream().map(name -> resolveInstance(resolution, name)).toList()))
         .onComplete(
             done -> {
               if (ownRound != round) {
                 return;
               }
               if (done.succeeded()) {
-                publish(lookUp);
+                publish(resolution);
                 backoffUs = INITIAL_BACKOFF_US;
-                scheduleNext(lookUp.ttlUs);
+                scheduleNext(resolution.ttlUs);
               } else {
                 events.accept(new Event.ConditionCounted(Counter.SOURCES_UNAVAILABLE));
                 scheduleNext(backoffUs);
@@ -171,18 +171,19 @@
         });
   }
 
-  private void publish(Resolution lookUp) {
-    boolean changed = !answered || !lookUp.endpoints.equals(lastEndpoints);
+  private void publish(Resolution resolution) {
+    boolean changed = !answered || !resolution.endpoints.equals(lastEndpoints);
     answered = true;
-    lastEndpoints = lookUp.endpoints;
+    lastEndpoints = resolution.endpoints;
     if (changed) {
       events.accept(
-          new Event.EndpointsUpdated(ServerListKind.FULL, List.copyOf(lookUp.endpoints.values())));
+          new Event.EndpointsUpdated(
+              ServerListKind.FULL, List.copyOf(resolution.endpoints.values())));
     }
   }
 
-  /** The instances of the service; none where the name does not exist. */
-  private Future<List<String>> resolveInstanceNames(Resolution lookUp) {
+  /** The instances of the service; empty if the name does not exist. */
+  private Future<List<String>> resolveInstanceNames(Resolution resolution) {
     Promise<List<String>> names = Promise.promise();
     pointerResolver
         .resolveAll(new DefaultDnsQuestion(service, DnsRecordType.PTR))
@@ -200,7 +201,7 @@
               for (Object record : (List<?>) done.getNow()) {
                 if (record instanceof DnsPtrRecord ptr && found.size() < MAX_INSTANCES) {
                   found.add(ptr.hostname());
-                  lookUp.limitTtl(((DnsRecord) ptr).timeToLive());
+                  resolution.limitTtl(((DnsRecord) ptr).timeToLive());
                 }
                 ReferenceCountUtil.release(record);
               }
@@ -209,8 +210,8 @@
     return names.future();
   }
 
-  /** Resolves one instance; one that does not exist or is invalid is left out. */
-  private Future<Void> resolveInstance(Resolution lookUp, String name) {
+  /** Resolves one instance; an instance that does not exist or is invalid is skipped. */
+  private Future<Void> resolveInstance(Resolution resolution, String name) {
     return client
         .resolveSRV(name)
         .compose(
@@ -223,42 +224,49 @@
                             return Future.succeededFuture();
                           }
                           SrvRecord srv = records.get(0);
-                          lookUp.limitTtl(srv.ttl());
+                          resolution.limitTtl(srv.ttl());
                           return client
                               .resolveA(srv.target())
                               .map(
                                   addresses -> {
                                     addEndpoint(
-                                        lookUp, name, addresses.get(0) + ":" + srv.port(), texts);
+                                        resolution,
+                                        name,
+                                        addresses.get(0) + ":" + srv.port(),
+                                        texts);
                                     return (Void) null;
                                   });
                         }))
         .recover(
-            e -> isNonexistentDomain(e) ? Future.succeededFuture() : retainLast(lookUp, name, e));
+            e ->
+                isNonexistentDomain(e)
+                    ? Future.succeededFuture()
+                    : retainLast(resolution, name, e));
   }
 
   /** Retains the last endpoint of an instance whose resolution failed. */
-  private Future<Void> retainLast(Resolution lookUp, String name, Throwable cause) {
+  private Future<Void> retainLast(Resolution resolution, String name, Throwable cause) {
     Endpoint lastEndpoint = lastEndpoints.get(name);
     if (lastEndpoint == null) {
       return Future.failedFuture(cause);
     }
-    lookUp.endpoints.put(name, lastEndpoint);
-    lookUp.limitTtl(0);
+    resolution.endpoints.put(name, lastEndpoint);
+    resolution.limitTtl(0);
     return Future.succeededFuture();
   }
 
-  private void addEndpoint(Resolution lookUp, String name, String hostPort, List<String> texts) {
+  private void addEndpoint(
+      Resolution resolution, String name, String hostPort, List<String> texts) {
     Map<String, String> attributes = new HashMap<>();
     for (String text : texts) {
       int equals = text.indexOf('=');
-      if (equals > 0) { // RFC 6763: the first of a key counts, and case does not
+      if (equals > 0) { // RFC 6763: the first value of a key applies; keys are case-insensitive
         attributes.putIfAbsent(
             text.substring(0, equals).toLowerCase(Locale.ROOT), text.substring(equals + 1));
       }
     }
     try {
-      lookUp.endpoints.put(
+      resolution.endpoints.put(
           name,
           reader.endpoint(
               attributes.getOrDefault("id", ""),
--- a/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
+++ b/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
@@ -56,9 +56,9 @@
     DOUBLED,
     /** Truncated (TC) over UDP; complete over TCP. */
     TRUNCATED,
-    /** Sent with a wrong message id only. */
+    /** Sent only with a wrong message id. */
     FORGED_ID,
-    /** An empty answer sent from another port only. */
+    /** Only an empty answer is sent, from another port. */
     FORGED_PORT,
     /** The second half of the message is missing. */
     HALF,
@@ -75,7 +75,10 @@
   /** The TC flag within the third byte of a message. */
   private static final int TRUNCATED_BIT = 2;
 
-  /** Changes in one push message, far below the limit of its length. */
+  /**
+   * Maximum number of changes in one push message, which keeps it far below the maximum message
+   * length.
+   */
   private static final int MAX_CHANGES_PER_MESSAGE = 200;
 
   private static final int MAX_TCP_BYTES = 65_535;
@@ -131,7 +134,7 @@
                                             .appendUnsignedShort(answer.length)
                                             .appendBytes(answer)),
                                 null)));
-    // both need the same port, which may be in use for UDP: choose another one then
+    // TCP and UDP share the port number; chooses another one if it is in use for UDP
     for (int attempts = 0; ; attempts++) {
       await(tcp.listen(0, "127.0.0.1"));
       try {
@@ -217,7 +220,7 @@
     sessions.forEach(s -> s.socket.write(Dso.write(new Head(0, false, 0), Dso.retryDelay(ms))));
   }
 
-  /** Sends raw bytes to all push sessions. */
+  /** Sends unencoded bytes to all push sessions. */
   public void pushRaw(Buffer bytes) {
     sessions.forEach(s -> s.socket.write(bytes));
   }
@@ -255,7 +258,7 @@
   }
 
   /**
-   * Where an answer goes.
+   * A query and how its answer is sent.
    *
    * @param stream true for TCP, false for UDP
    * @param from the sender of a UDP query; null for TCP
@@ -308,7 +311,7 @@
         send(answer, exchange);
       }
       case NOISE -> exchange.reply().accept(corrupt(exchange.encode(answer)));
-      default -> throw new IllegalArgumentException("no altered answer: " + fault);
+      default -> throw new IllegalArgumentException("fault does not alter the answer: " + fault);
     }
   }
 
@@ -340,8 +343,8 @@
   }
 
   /**
-   * Sends an answer; where it is too long, without additional records, and truncated (TC) if that
-   * does not suffice.
+   * Sends an answer. If it is too long, the additional records are removed, and if it is still too
+   * long, it is truncated (TC).
    */
   private void send(Message answer, Exchange exchange) {
     byte[] wire = exchange.encode(answer);
--- a/src/main/java/dunlinhitch/experiments/dns/Zone.java
+++ b/src/main/java/dunlinhitch/experiments/dns/Zone.java
@@ -54,13 +54,14 @@
   }
 
   /** Enables updates signed by this key, with leases up to a limit. */
-  public synchronized void updatesBy(TSIG key, long mostLeaseSeconds) {
+  public synchronized void updatesBy(TSIG key, long maxLeaseSeconds) {
     updateKey = key;
-    maxLeaseS = mostLeaseSeconds;
+    maxLeaseS = maxLeaseSeconds;
   }
 
   /**
-   * Registers a listener, which gets each later change as one list, on the thread that makes it.
+   * Registers a listener, which gets each later change as one list, on the thread that makes the
+   * change.
    */
   public synchronized void listen(Consumer<List<PushChange>> listener) {
     listeners.add(listener);
--- a/src/main/java/dunlinhitch/experiments/dns/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/dns/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A name server that misbehaves by script, and the plain look-up that discovery by DNS-SD is
- * measured against.
+ * A fake name server with scripted faults, and the baseline resolver with which measurements
+ * compare DNS-SD discovery.
  */
 package dunlinhitch.experiments.dns;
