--- a/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
@@ -15,9 +15,10 @@
 import java.util.TreeSet;
 
 /**
- * A discrete-event model of a cluster: the real {@link ClusterCoordinator} of each broker, virtual
- * time and a simulated network. A message takes 0.2 to 2 ms, is lost with probability {@code loss}
- * and crosses no partition. Wall clocks differ by up to 20 ms. A seed determines the whole run.
+ * A discrete-event model of a cluster: it runs the real {@link ClusterCoordinator} of each broker,
+ * in virtual time, on a simulated network. A message takes 0.2 to 2 ms, is lost with probability
+ * {@code loss} and is dropped between partitions. Wall clocks differ by up to 20 ms. A seed
+ * determines the whole run.
  *
  * <p>Not thread-safe.
  */
@@ -40,13 +41,13 @@
     private long timerUs = Long.MAX_VALUE;
     private int partition;
 
-    /** Stores that it health-checked, in order. */
+    /** Stores that this broker health-checked, in order. */
     private final List<String> probed = new ArrayList<>();
 
-    /** Health checks left to other brokers that ended with a report. */
+    /** Health checks delegated to other brokers that ended with a report. */
     private int reportedHealthChecks;
 
-    /** Health checks left to other brokers that ended without a report. */
+    /** Health checks delegated to other brokers that ended without a report. */
     private int unreportedHealthChecks;
 
     private Node(int number) {
@@ -65,12 +66,12 @@
       return up;
     }
 
-    /** Health checks left to other brokers that ended with a report. */
+    /** Health checks delegated to other brokers that ended with a report. */
     public int reportedHealthChecks() {
       return reportedHealthChecks;
     }
 
-    /** Health checks left to other brokers that ended without a report. */
+    /** Health checks delegated to other brokers that ended without a report. */
     public int unreportedHealthChecks() {
       return unreportedHealthChecks;
     }
@@ -244,7 +245,7 @@
     List<MembershipProtocol.Seed> seeds =
         nodes.stream()
             .limit(8)
-            .map(n -> new MembershipProtocol.Seed("127.0.0.1", BASE_PORT + n.number))
+            .map(seed -> new MembershipProtocol.Seed("127.0.0.1", BASE_PORT + seed.number))
             .toList();
     node.fleet =
         new ClusterCoordinator(
@@ -293,24 +294,29 @@
   /** True if all running brokers of a partition see exactly each other as members. */
   public boolean agree(int group) {
     Set<String> all = new TreeSet<>();
-    nodes.stream().filter(n -> n.up && n.partition == group).forEach(n -> all.add(n.name));
+    nodes.stream()
+        .filter(node -> node.up && node.partition == group)
+        .forEach(node -> all.add(node.name));
     return nodes.stream()
-        .filter(n -> n.up && n.partition == group)
-        .allMatch(n -> n.fleet.members().equals(all));
+        .filter(node -> node.up && node.partition == group)
+        .allMatch(node -> node.fleet.members().equals(all));
   }
 
-  /** The number of running brokers that have each store in their subset. */
+  /** For each store, the number of running brokers that have it in their subset. */
   public Map<String, Integer> load() {
     Map<String, Integer> load = new LinkedHashMap<>();
     stores.keySet().forEach(store -> load.put(store, 0));
     nodes.stream()
-        .filter(n -> n.up)
+        .filter(node -> node.up)
         .forEach(
-            n -> n.fleet.selectedEndpoints().forEach(store -> load.merge(store, 1, Integer::sum)));
+            node ->
+                node.fleet
+                    .selectedEndpoints()
+                    .forEach(store -> load.merge(store, 1, Integer::sum)));
     return load;
   }
 
-  /** The maximum load of a store over the mean load. */
+  /** The ratio of the maximum to the mean load of a store. */
   public static double unevenness(Map<String, Integer> load) {
     double mean = load.values().stream().mapToInt(i -> i).average().orElse(0);
     return mean == 0 ? 1 : load.values().stream().mapToInt(i -> i).max().orElse(0) / mean;
@@ -333,21 +339,21 @@
 
   /** The maximum number of health checks of one store within any second from that time on. */
   public long mostProbesInASecond(long fromUs) {
-    long most = 0;
+    long max = 0;
     for (HealthCheck first : probes) {
       if (first.atUs() >= fromUs) {
-        most =
+        max =
             Math.max(
-                most,
+                max,
                 probes.stream()
                     .filter(
-                        p ->
-                            p.store().equals(first.store())
-                                && p.atUs() >= first.atUs()
-                                && p.atUs() < first.atUs() + 1_000_000)
+                        check ->
+                            check.store().equals(first.store())
+                                && check.atUs() >= first.atUs()
+                                && check.atUs() < first.atUs() + 1_000_000)
                     .count());
       }
     }
-    return most;
+    return max;
   }
 }
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
@@ -16,12 +16,12 @@
 
   private record Step(long atMs, String text, Action action) {}
 
-  private final TestBed rig;
+  private final TestBed testBed;
   private final Consumer<String> log;
 
-  /** Injects into {@code rig}; {@code log} gets one line for each step as it is taken. */
-  FaultInjector(TestBed rig, Consumer<String> log) {
-    this.rig = rig;
+  /** Injects into {@code testBed}; {@code log} gets one line for each step as it is taken. */
+  FaultInjector(TestBed testBed, Consumer<String> log) {
+    this.testBed = testBed;
     this.log = log;
   }
 
@@ -55,34 +55,37 @@
             fault.text(),
             () ->
                 rule[0] =
-                    rig.links.add(
+                    testBed.links.add(
                         directionsOf(fault), harmOf(fault), fault.delayMs(), fault.share())));
     steps.add(
         new Step(
             fault.toMs(),
-            "over: " + fault.text(),
+            "ended: " + fault.text(),
             () -> {
-              rig.links.remove(rule[0]);
+              testBed.links.remove(rule[0]);
               resetStalledConnections(fault);
             }));
   }
 
-  /** Resets the connections that stalled during the fault, as a network does that is back. */
+  /** Resets the connections that stalled during the fault, as happens when a network recovers. */
   private void resetStalledConnections(ScheduledFault fault) throws Exception {
-    for (TestBed.Node node : rig.nodes()) {
+    for (TestBed.Node node : testBed.nodes()) {
       if (fault.targets().contains(node.name) || fault.kind() == FaultKind.CUT) {
-        rig.resetStalled(node);
+        testBed.resetStalled(node);
       }
     }
   }
 
   private TestBed.Node findBroker(String name) {
-    return rig.nodes().stream().filter(node -> node.name.equals(name)).findFirst().orElseThrow();
+    return testBed.nodes().stream()
+        .filter(node -> node.name.equals(name))
+        .findFirst()
+        .orElseThrow();
   }
 
   private void apply(FaultKind kind, TestBed.Node node) throws Exception {
     switch (kind) {
-      case RESET -> rig.reset(node);
+      case RESET -> testBed.reset(node);
       case KILL -> {
         if (node.isUp()) {
           node.kill();
@@ -98,7 +101,9 @@
           node.start();
         }
       }
-      default -> throw new IllegalArgumentException("not an instant fault: " + kind);
+      default ->
+          throw new IllegalArgumentException(
+              "fault has a duration and cannot be applied at once: " + kind);
     }
   }
 
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultKind.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultKind.java
@@ -4,8 +4,8 @@
 import java.util.Optional;
 
 /**
- * The kinds of faults of a {@link FaultSchedule}. Lasting faults have a begin and an end, the
- * others happen at one time and are for brokers only.
+ * The kinds of faults of a {@link FaultSchedule}. Lasting faults have a start and an end time; the
+ * others occur at a single time and apply to brokers only.
  */
 enum FaultKind {
   ALONE("alone", true, 1),
@@ -19,7 +19,7 @@
   END("end", false, 1),
   START("start", false, 1);
 
-  /** The target count of a kind that takes one target or more. */
+  /** The target count of a kind that takes one or more targets. */
   static final int ANY_NUMBER = -1;
 
   private final String keyword;
@@ -32,17 +32,17 @@
     this.targetCount = targetCount;
   }
 
-  /** The kind that a schedule writes as this keyword; empty if there is none. */
+  /** The kind with this keyword in schedules, or empty. */
   static Optional<FaultKind> of(String keyword) {
     return Arrays.stream(values()).filter(kind -> kind.keyword.equals(keyword)).findFirst();
   }
 
-  /** The word that a schedule has for this kind. */
+  /** The keyword of this kind in schedules. */
   String keyword() {
     return keyword;
   }
 
-  /** True if the fault has a begin and an end. */
+  /** True if the fault has a start and an end time. */
   boolean isLasting() {
     return lasting;
   }
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultLineParser.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultLineParser.java
@@ -9,7 +9,7 @@
 
 /** Parses and checks single lines of a {@link FaultSchedule}. Stateless. */
 final class FaultLineParser {
-  /** Latest begin or end of a fault. */
+  /** Latest start or end of a fault. */
   private static final long MAX_TIME_MS = 120_000;
 
   private static final Pattern LINE_PATTERN =
@@ -27,7 +27,7 @@
     Matcher matcher = LINE_PATTERN.matcher(line);
     if (!matcher.matches()) {
       throw new IllegalArgumentException(
-          "a line is: at TIME[..TIME] WHAT WHO..., times as 1500ms or 3s");
+          "expected: at TIME[..TIME] FAULT TARGET..., with times such as 1500ms or 3s");
     }
     long fromMs = parseMs(matcher.group(1));
     boolean hasEnd = matcher.group(2) != null;
@@ -44,7 +44,7 @@
     checkTargets(kind, targets, names);
     if ((kind.isLasting() && toMs <= fromMs) || Math.max(fromMs, toMs) > MAX_TIME_MS) {
       throw new IllegalArgumentException(
-          "it ends after it begins, within " + MAX_TIME_MS / 1000 + " s");
+          "a fault must end after it begins and within " + MAX_TIME_MS / 1000 + " s");
     }
     return new ScheduledFault(fromMs, toMs, kind, List.copyOf(targets), delayMs, share, line);
   }
@@ -55,10 +55,13 @@
             .orElseThrow(
                 () ->
                     new IllegalArgumentException(
-                        "no such trouble: " + keyword + "; there is " + allKeywords()));
+                        "unknown fault: " + keyword + "; expected one of " + allKeywords()));
     if (kind.isLasting() != hasEnd) {
       throw new IllegalArgumentException(
-          keyword + (kind.isLasting() ? " has an end: at TIME..TIME" : " has no end: at TIME"));
+          keyword
+              + (kind.isLasting()
+                  ? " requires an end: at TIME..TIME"
+                  : " takes a single time: at TIME"));
     }
     return kind;
   }
@@ -74,23 +77,30 @@
     boolean anyNumber = expected == FaultKind.ANY_NUMBER;
     if ((!anyNumber && targets.size() != expected) || targets.isEmpty()) {
       throw new IllegalArgumentException(
-          kind.keyword() + " names " + (anyNumber ? "one or more" : expected + "") + " of the rig");
+          kind.keyword()
+              + " requires "
+              + (anyNumber ? "one or more" : expected + "")
+              + " target(s)");
     }
     for (String target : targets) {
       if (!names.contains(target)) {
         throw new IllegalArgumentException(
-            "there is no " + target + "; there is " + String.join(" ", names));
+            "unknown target: " + target + "; expected one of " + String.join(" ", names));
       }
       if (!kind.isLasting() && !target.startsWith("n")) {
         throw new IllegalArgumentException(
-            "only a broker can " + kind.keyword() + ", and " + target + " is none");
+            "only a broker can be the target of "
+                + kind.keyword()
+                + ", but "
+                + target
+                + " is not a broker");
       }
     }
   }
 
   private static long parseMs(String text) {
     if (!text.matches("\\d{1,9}(ms|s)")) {
-      throw new IllegalArgumentException("a time is 200ms or 3s, not " + text);
+      throw new IllegalArgumentException("expected a time such as 200ms or 3s, got " + text);
     }
     return text.endsWith("ms")
         ? Long.parseLong(text.substring(0, text.length() - 2))
@@ -99,7 +109,7 @@
 
   private static double parsePercent(String text) {
     if (!text.matches("\\d{1,2}%|100%")) {
-      throw new IllegalArgumentException("a share is 0% to 100%, not " + text);
+      throw new IllegalArgumentException("expected a share of 0% to 100%, got " + text);
     }
     return Integer.parseInt(text.substring(0, text.length() - 1)) / 100.0;
   }
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultSchedule.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultSchedule.java
@@ -36,9 +36,10 @@
   /**
    * Parses a schedule.
    *
-   * @param place where the lines come from, for messages
+   * @param place origin of the lines, for messages
    * @param names the names of the test bed's brokers, stores and discovery
-   * @throws IllegalArgumentException if a line is invalid; the message has place, line and remedy
+   * @throws IllegalArgumentException if a line is invalid; the message has the place, the line and
+   *     what is expected
    */
   public static FaultSchedule parse(String place, List<String> lines, List<String> names) {
     List<ScheduledFault> faults = new ArrayList<>();
@@ -55,14 +56,14 @@
     }
     if (faults.size() > MAX_FAULTS) {
       throw new IllegalArgumentException(
-          place + ": over " + MAX_FAULTS + " troubles; play fewer at a time");
+          place + ": more than " + MAX_FAULTS + " faults; split the schedule");
     }
     return new FaultSchedule(faults);
   }
 
   /**
-   * Draws two to five faults within so many seconds. All are over before the end, with every broker
-   * running; the same seed gives the same schedule.
+   * Draws two to five faults within {@code seconds} seconds. All faults end before that time, and
+   * every killed broker is started again; the same seed gives the same schedule.
    */
   public static FaultSchedule random(
       long seed, int seconds, List<String> brokers, List<String> stores) {
@@ -110,7 +111,7 @@
   }
 
   /** Injects the faults in real time from now on; {@code log} gets a line for each step taken. */
-  public void play(TestBed rig, Consumer<String> log) throws Exception {
-    new FaultInjector(rig, log).run(faults);
+  public void play(TestBed testBed, Consumer<String> log) throws Exception {
+    new FaultInjector(testBed, log).run(faults);
   }
 }
--- a/src/main/java/dunlinhitch/experiments/testbed/FreePorts.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FreePorts.java
@@ -9,22 +9,26 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Ports for processes that are started a moment later. They lie below the range from which the
- * system takes the ports of outgoing connections: a port of that range, free when it was looked at,
- * may be in use by the time the process binds it.
+ * Allocates ports for processes that are started shortly afterwards. The ports lie below the
+ * ephemeral port range of the system: a free port of that range may be taken by an outgoing
+ * connection before the process binds it.
  *
- * <p>Thread-safe. Each port is given once by this process; other processes begin elsewhere.
+ * <p>Thread-safe. This process allocates each port once before it starts over; other processes
+ * start at other ports.
  */
 public final class FreePorts {
-  /** The lowest port that is given. */
+  /** The lowest allocated port. */
   static final int LOWEST = 20_000;
 
-  /** The highest port that is given; on Linux outgoing connections begin at 32768. */
+  /** The highest allocated port; the ephemeral range of Linux starts at 32768. */
   static final int HIGHEST = 32_000;
 
   private static final int COUNT = HIGHEST - LOWEST + 1;
 
-  /** Spreads processes over the range: their ids follow each other. */
+  /**
+   * Distance between the first ports of processes with consecutive ids, which spreads them over the
+   * range.
+   */
   private static final int PORTS_BETWEEN_PROCESSES = 97;
 
   private static final AtomicInteger NEXT =
@@ -32,12 +36,14 @@
 
   private FreePorts() {}
 
-  /** Whether a port can be bound now; fails with a SocketException where it is in use. */
+  /**
+   * Binds an address to test whether its port is free; throws a SocketException if it is in use.
+   */
   private interface Probe {
     void bind(InetSocketAddress address) throws IOException;
   }
 
-  /** A TCP port of the loopback address that nobody listens on now. */
+  /** Returns a TCP port of the loopback address that is free now. */
   public static int tcp() throws IOException {
     return free(
         address -> {
@@ -47,7 +53,7 @@
         });
   }
 
-  /** A UDP port of the loopback address that nobody has bound now. */
+  /** Returns a UDP port of the loopback address that is free now. */
   public static int udp() throws IOException {
     return free(address -> new DatagramSocket(address).close());
   }
@@ -59,7 +65,7 @@
         probe.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         return port;
       } catch (SocketException e) {
-        // in use: the next one
+        // in use: tries the next one
       }
     }
     throw new IOException("no free port from " + LOWEST + " to " + HIGHEST);
--- a/src/main/java/dunlinhitch/experiments/testbed/GossipProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/GossipProxy.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Forwards gossip datagrams to one broker and applies the faults that {@link NetworkFaults} holds.
- * The sender of a datagram is recognised by its UDP source port.
+ * Forwards gossip datagrams to one broker and applies the fault rules of {@link NetworkFaults}. The
+ * sender of a datagram is recognised by its UDP source port.
  *
  * <p>The test bed owns it; datagrams are handled on the Vert.x event loop.
  */
--- a/src/main/java/dunlinhitch/experiments/testbed/HalfClose.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/HalfClose.java
@@ -9,13 +9,14 @@
 import io.vertx.core.net.NetSocket;
 
 /**
- * Half-closed connections, which Vert.x does not have: an end of stream in one direction leaves the
- * other one open, as a proxy must that passes on each direction for itself. Used on the event loop.
+ * Half-closed connections, which Vert.x does not support: the end of stream in one direction leaves
+ * the other direction open, so that a proxy can forward each direction independently. Must be used
+ * on the event loop.
  */
 final class HalfClose {
   private HalfClose() {}
 
-  /** Keeps the socket open after its peer's end of stream, and runs the task then. */
+  /** Keeps the socket open when its peer ends its stream, and runs the task at that time. */
   static void onInputEnd(NetSocket socket, Runnable task) {
     ChannelHandlerContext context = ((NetSocketInternal) socket).channelHandlerContext();
     context.channel().config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
@@ -36,8 +37,8 @@
             });
   }
 
-  /** Sends the end of stream, behind what was written before. */
-  @SuppressWarnings("FutureReturnValueIgnored") // a connection that is closed already has its end
+  /** Sends the end of stream after all data that was written before. */
+  @SuppressWarnings("FutureReturnValueIgnored") // no effect on a connection that is already closed
   static void endOutput(NetSocket socket) {
     ((DuplexChannel) ((NetSocketInternal) socket).channelHandlerContext().channel())
         .shutdownOutput();
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipBounds.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipBounds.java
@@ -3,14 +3,14 @@
 import dunlinhitch.cluster.MembershipProtocolSettings;
 
 /**
- * The convergence and traffic bounds of docs/view.md, as formulas of the membership protocol's
- * settings and the cluster's size alone. Times are in microseconds. Stateless.
+ * The convergence and traffic bounds of docs/view.md, as formulas of only the membership protocol's
+ * settings and the cluster size. Times are in microseconds. Stateless.
  */
 public final class MembershipBounds {
   /** Size of one broker in an anti-entropy page, with the names and addresses of the model. */
   private static final int BROKER_BYTES = 48;
 
-  /** Most pings that a broker sends in one protocol period. */
+  /** Maximum number of pings that a broker sends in one protocol period. */
   private static final int PINGS_PER_PERIOD = 3;
 
   /** IP and UDP headers of one datagram. */
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Upper bound of the bytes that one broker sends in a second, on the mean over the brokers,
-   * whatever fails: every message has its maximum size.
+   * Upper bound of the bytes that one broker sends per second, averaged over the brokers, under any
+   * faults: it assumes that every message has the maximum size.
    */
   public static double bytesPerS(MembershipProtocolSettings settings) {
     int messages = PINGS_PER_PERIOD * (4 + 4 * settings.indirectProbes()) + 2;
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
@@ -16,9 +16,10 @@
 import java.util.function.ToLongBiFunction;
 
 /**
- * A discrete-event model of the membership protocol alone: the real {@link MembershipProtocol} of
- * each broker, virtual time and a network that loses, delays and drops messages by direction. A
- * message takes 0.2 to 2 ms plus the added delay. A seed determines the whole run.
+ * A discrete-event model of only the membership protocol: it runs the real {@link
+ * MembershipProtocol} of each broker, in virtual time, on a network that loses, delays and drops
+ * messages by direction. A message takes 0.2 to 2 ms plus the added delay. A seed determines the
+ * whole run.
  *
  * <p>Not thread-safe.
  */
@@ -30,7 +31,7 @@
   /** Distance between the ports of a broker before and after it moved. */
   private static final int RELOCATION_PORT_OFFSET = 1_000;
 
-  /** Seeds of each broker: the first places. */
+  /** Number of seeds of each broker; these are the brokers at the first addresses. */
   private static final int SEEDS = 8;
 
   private static final long WALL_CLOCK_START_MS = 1_796_000_000_000L;
@@ -94,7 +95,7 @@
         Set<String> visible = snapshot.names();
         if (!visible.equals(lastNames)) {
           lastNames.stream()
-              .filter(removed -> !visible.contains(removed) && isRunning(removed) && !harmed)
+              .filter(removed -> !visible.contains(removed) && isRunning(removed) && !faultInjected)
               .forEach(removed -> falseDeaths++);
           lastNames = visible;
         }
@@ -124,8 +125,8 @@
   private BiPredicate<Node, Node> cut = (from, to) -> false;
   private ToLongBiFunction<Node, Node> late = (from, to) -> 0;
 
-  /** True while a fault is injected: removed members then are no false positives. */
-  private boolean harmed;
+  /** True while a fault is injected: members removed meanwhile do not count as false positives. */
+  private boolean faultInjected;
 
   private long messageCount;
   private long bytes;
@@ -153,7 +154,7 @@
     return messageCount;
   }
 
-  /** Bytes sent so far, with 28 bytes of headers for each datagram. */
+  /** Bytes sent so far, including 28 bytes of headers for each datagram. */
   public long bytes() {
     return bytes;
   }
@@ -169,8 +170,8 @@
   }
 
   /**
-   * Starts the brokers from n{@code first} up to, but without, n{@code last}. The first eight
-   * places are everyone's seeds.
+   * Starts the brokers from n{@code first} up to, but not including, n{@code last}. The brokers at
+   * the first eight addresses are the seeds of all.
    */
   public void start(int first, int last) {
     for (int i = first; i < last; i++) {
@@ -182,7 +183,7 @@
     return WALL_CLOCK_START_MS + time.nowUs() / 1000;
   }
 
-  /** The incarnation of a process that starts now with a clock that is ahead. */
+  /** The incarnation of a process that starts now with a clock that is {@code aheadMs} fast. */
   public long incarnation(long aheadMs) {
     return wallClockMs() + aheadMs;
   }
@@ -263,7 +264,7 @@
         });
   }
 
-  /** Sets the partition: messages are lost where the rule accepts sender and receiver. */
+  /** Sets the partition: messages are lost if the rule accepts their sender and receiver. */
   public void cut(BiPredicate<Node, Node> rule) {
     cut = rule;
   }
@@ -273,9 +274,9 @@
     late = rule;
   }
 
-  /** Sets whether a fault is injected, so that removed members count as no false positives. */
-  public void harmed(boolean is) {
-    harmed = is;
+  /** Sets whether a fault is injected, so that removed members do not count as false positives. */
+  public void harmed(boolean injected) {
+    faultInjected = injected;
   }
 
   /** The number in a broker's name. */
@@ -311,7 +312,7 @@
     time.playTo(untilUs);
   }
 
-  /** Runs on for that long, in microseconds. */
+  /** Runs for that many more microseconds. */
   public void play(long forUs) {
     playTo(time.nowUs() + forUs);
   }
@@ -348,12 +349,12 @@
     return -1;
   }
 
-  /** True if all running brokers see exactly the running ones, with one digest. */
+  /** True if all running brokers see exactly the running ones as members, with equal digests. */
   public boolean agree() {
     return agree(nodes);
   }
 
-  /** True if these see exactly each other. */
+  /** True if these brokers see exactly each other as members. */
   public static boolean agree(List<Node> among) {
     if (among.isEmpty()) {
       return true;
--- a/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
@@ -10,13 +10,14 @@
  * for each chunk or datagram that they forward. Names are those of brokers (n0), stores (s0-1) and
  * discovery (d).
  *
- * <p>Thread-safe: the proxies' event loop reads the rules, any thread may change them.
+ * <p>Thread-safe: the proxies' event loop reads the rules, any thread may modify them.
  */
 public final class NetworkFaults {
   /**
    * The effect on traffic from one end to the other. LOST: it is dropped silently. RESET: the
    * connection is reset. SLOW: it arrives in chunks of a few bytes. LATE: it is delayed. HELD: it
-   * waits at the proxy, with all that follows it, until {@link StreamProxy#release}.
+   * is held at the proxy, with all later bytes of the connection, until {@link
+   * StreamProxy#release}.
    */
   public enum Harm {
     LOST,
@@ -38,7 +39,10 @@
   private final List<Rule> rules = new ArrayList<>();
   private final SplittableRandom random;
 
-  /** Has no rules; {@code seed} determines which traffic a rule with a share applies to. */
+  /**
+   * Creates an empty set of rules; {@code seed} determines which traffic a rule with a share
+   * applies to.
+   */
   public NetworkFaults(long seed) {
     random = new SplittableRandom(seed);
   }
--- a/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
@@ -17,9 +17,10 @@
 /**
  * The clients of a test bed: at a fixed interval they send one query to each running broker, each
  * over its own connection, and count the outcomes. A running broker must answer within {@link
- * #ANSWER_TIMEOUT_MS}; a broker that was killed meanwhile need not.
+ * #ANSWER_TIMEOUT_MS}; a broker that was killed meanwhile is exempt.
  *
- * <p>Its state belongs to the test bed's event loop; the public methods are for other threads.
+ * <p>Its state is confined to the test bed's event loop; the public methods must be called on other
+ * threads.
  */
 public final class QueryLoad {
   /** Deadline that each query carries. */
@@ -57,7 +58,7 @@
     WRONG
   }
 
-  private final TestBed rig;
+  private final TestBed testBed;
   private final NetClient client;
   private final int intervalMs;
   private final Map<End, Integer> ends = new TreeMap<>();
@@ -66,23 +67,23 @@
   private int sent;
   private int open;
 
-  /** Sends nothing before {@link #start}. */
-  public QueryLoad(TestBed rig, int intervalMs) {
-    this.rig = rig;
+  /** Creates clients that send nothing before {@link #start}. */
+  public QueryLoad(TestBed testBed, int intervalMs) {
+    this.testBed = testBed;
     this.intervalMs = intervalMs;
-    client = rig.vertx().createNetClient();
+    client = testBed.vertx().createNetClient();
   }
 
   /** Starts to send queries, {@link #MAX_QUERIES} at most. */
   public void start() throws Exception {
-    rig.onLoop(() -> timer = rig.vertx().setPeriodic(intervalMs, id -> sendQueries()));
+    testBed.onLoop(() -> timer = testBed.vertx().setPeriodic(intervalMs, id -> sendQueries()));
   }
 
-  /** Stops sending and waits for the open queries; the number of queries by outcome. */
+  /** Stops sending and waits for the open queries; returns the number of queries by outcome. */
   public Map<End, Integer> stop() throws Exception {
-    rig.onLoop(() -> rig.vertx().cancelTimer(timer));
-    TestBed.await("all queries came to an end", 10, () -> rig.onLoop(() -> open == 0));
-    return rig.onLoop(
+    testBed.onLoop(() -> testBed.vertx().cancelTimer(timer));
+    TestBed.await("all queries have ended", 10, () -> testBed.onLoop(() -> open == 0));
+    return testBed.onLoop(
         () -> {
           client.close();
           return new TreeMap<>(ends);
@@ -91,17 +92,17 @@
 
   /** The number of completed queries so far. */
   public int ended() throws Exception {
-    return rig.onLoop(() -> sent - open);
+    return testBed.onLoop(() -> sent - open);
   }
 
   /** The number of queries with that outcome so far. */
   public int ended(End end) throws Exception {
-    return rig.onLoop(() -> ends.getOrDefault(end, 0));
+    return testBed.onLoop(() -> ends.getOrDefault(end, 0));
   }
 
   /** One line for each query that was neither served nor rejected; the first 50. */
   public List<String> notes() throws Exception {
-    return rig.onLoop(() -> List.copyOf(notes));
+    return testBed.onLoop(() -> List.copyOf(notes));
   }
 
   /** True for outcomes that a running broker must never cause. */
@@ -110,7 +111,7 @@
   }
 
   private void sendQueries() {
-    for (TestBed.Node node : rig.nodes()) {
+    for (TestBed.Node node : testBed.nodes()) {
       if (node.isUp() && isListening(node) && sent < MAX_QUERIES) {
         new Query(node, ++sent).send();
       }
@@ -144,7 +145,7 @@
           .onComplete(
               connected -> {
                 if (connected.failed()) {
-                  end(End.NOT_LET_IN, id + " was not let in: " + connected.cause());
+                  end(End.NOT_LET_IN, id + " could not connect: " + connected.cause());
                 } else {
                   onConnected(connected.result());
                 }
@@ -153,14 +154,16 @@
 
     private void onConnected(NetSocket socket) {
       socket.exceptionHandler(e -> {}); // the close handler follows
-      socket.closeHandler(v -> endWithoutAnswer(id + " was closed on"));
+      socket.closeHandler(
+          v -> endWithoutAnswer(id + " lost its connection before the answer was complete"));
       socket.handler(bytes -> onBytes(socket, bytes));
-      rig.vertx()
+      testBed
+          .vertx()
           .setTimer(
               ANSWER_TIMEOUT_MS,
               timerId -> {
                 if (!ended) {
-                  endWithoutAnswer(id + " got no answer");
+                  endWithoutAnswer(id + " timed out without a complete answer");
                   socket.close();
                 }
               });
@@ -179,7 +182,7 @@
 
     private Buffer request() {
       boolean search = number % 2 == 0;
-      String body = search ? Client.body(allShards()) : Client.body(number % rig.cells());
+      String body = search ? Client.body(allShards()) : Client.body(number % testBed.cells());
       return Buffer.buffer(
           "POST /"
               + (search ? "free-search" : "slot-booking")
@@ -213,7 +216,7 @@
   }
 
   private int[] allShards() {
-    int[] shards = new int[rig.cells()];
+    int[] shards = new int[testBed.cells()];
     for (int i = 0; i < shards.length; i++) {
       shards[i] = i;
     }
--- a/src/main/java/dunlinhitch/experiments/testbed/ScheduledFault.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ScheduledFault.java
@@ -5,12 +5,12 @@
 /**
  * One line of a {@link FaultSchedule}.
  *
- * @param fromMs begin, in milliseconds after the start of the schedule
- * @param toMs end of a lasting fault; 0 for others
+ * @param fromMs start time in milliseconds after the start of the schedule
+ * @param toMs end time of a lasting fault; 0 for others
  * @param targets names of brokers, stores or discovery
  * @param delayMs delay of traffic; 0 for kinds without a delay
  * @param share probability with which the fault applies to a chunk or datagram
- * @param text the line as it was written
+ * @param text the line as written in the schedule
  */
 record ScheduledFault(
     long fromMs,
--- a/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -20,10 +20,11 @@
 /**
  * A TCP proxy between one broker and one peer (a store or discovery) that injects the faults of
  * {@link NetworkFaults}. Bytes keep their order in each direction. A connection that lost bytes
- * stays open and stalled in that direction until {@link #resetStalled}, as over a partitioned
+ * stays open and stalled in that direction until {@link #resetStalled}, as in a partitioned
  * network.
  *
- * <p>Not thread-safe: all methods but the constructor belong to the Vert.x event loop of the proxy.
+ * <p>Not thread-safe: all methods except the constructor must be called on the Vert.x event loop of
+ * the proxy.
  */
 public final class StreamProxy {
   /** Chunk size under a SLOW rule. */
@@ -55,7 +56,7 @@
       NetworkFaults.Harm harm = rule == null ? null : rule.harm();
       if (stalled || harm == NetworkFaults.Harm.LOST) {
         stalled = true;
-        stalledConnections.add(brokerSocket); // a stream delivers nothing behind lost bytes
+        stalledConnections.add(brokerSocket); // a stream delivers nothing after lost bytes
         return;
       }
       if (harm == NetworkFaults.Harm.RESET) {
@@ -113,7 +114,7 @@
       }
     }
 
-    /** The source has sent its end of stream, or its connection has broken. */
+    /** Called when the source has ended its stream or its connection was lost. */
     void onSourceEnded() {
       sourceEnded = true;
       if (!stalled) {
@@ -121,7 +122,7 @@
       }
     }
 
-    /** Passes the end of stream on; the connection is over once both directions are. */
+    /** Forwards the end of stream; closes the connection once both directions have ended. */
     private void endDestination() {
       if (ended) {
         return;
@@ -149,13 +150,13 @@
 
   private final Set<NetSocket> open = new LinkedHashSet<>();
 
-  /** Directions of connections whose bytes wait here. */
+  /** Directions whose bytes are held by a HELD rule. */
   private final Set<Direction> heldDirections = new LinkedHashSet<>();
 
   private int acceptedCount;
 
-  /** Makes what reads along the bytes of a connection from the broker. */
-  private Supplier<Consumer<Buffer>> requestTaps = () -> bytes -> {};
+  /** Creates, for each new connection, an observer of the bytes that the broker sends. */
+  private Supplier<Consumer<Buffer>> requestObservers = () -> bytes -> {};
 
   /**
    * Listens on a free loopback port.
@@ -195,17 +196,17 @@
     return open.size();
   }
 
-  /** Has the bytes from the broker read along on each connection to come. */
-  public void tapRequests(Supplier<Consumer<Buffer>> taps) {
-    requestTaps = taps;
+  /** Sets the factory of observers of the bytes that the broker sends on each later connection. */
+  public void tapRequests(Supplier<Consumer<Buffer>> observers) {
+    requestObservers = observers;
   }
 
-  /** True while bytes wait here under a HELD rule. */
+  /** True while bytes are held by a HELD rule. */
   public boolean holdsBytes() {
     return !heldDirections.isEmpty();
   }
 
-  /** Passes on what waits here; to be called after the HELD rule was removed. */
+  /** Forwards the held bytes. Must be called after the HELD rule was removed. */
   public void release() {
     Set<Direction> released = Set.copyOf(heldDirections);
     heldDirections.clear();
@@ -223,7 +224,7 @@
     socket.exceptionHandler(e -> {});
     NetworkFaults.Rule rule = links.of(broker, peer);
     if (rule != null && rule.harm() == NetworkFaults.Harm.LOST) {
-      stalledConnections.add(socket); // the client sees a connection attempt without an answer
+      stalledConnections.add(socket); // the broker's connection attempt stays unanswered
       return;
     }
     socket.pause();
@@ -243,10 +244,10 @@
               HalfClose.onInputEnd(socket, toPeer::onSourceEnded);
               HalfClose.onInputEnd(peerSocket, toBroker::onSourceEnded);
               peerSocket.exceptionHandler(e -> {});
-              Consumer<Buffer> tap = requestTaps.get();
+              Consumer<Buffer> observer = requestObservers.get();
               socket.handler(
                   bytes -> {
-                    tap.accept(bytes);
+                    observer.accept(bytes);
                     toPeer.forward(bytes);
                   });
               peerSocket.handler(toBroker::forward);
--- a/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
@@ -38,7 +38,7 @@
   /** Output lines retained for each broker. */
   private static final int MAX_OUTPUT_LINES = 4_000;
 
-  /** Settings file with two classes and short times; filled with brokers, cells and shards. */
+  /** Settings with two query classes and short times; arguments: brokers, cells, shards. */
   @SuppressWarnings("InlineFormatString") // the text block reads better outside the call
   private static final String SETTINGS =
       """
@@ -52,23 +52,23 @@
               "DrainGraceUs":250000},
              "Report":{"Via":"answers","Fields":["recent_ms","backlog"]}}""";
 
-  /** Makes the fake stores of a test bed. */
+  /** Creates the fake stores of a test bed. */
   public interface StoreFactory {
-    /** Makes a store of that name that listens. */
+    /** Creates a store with that name that already listens. */
     FrameStore create(Vertx vertx, String name) throws Exception;
   }
 
   /**
-   * What a test bed is made of.
+   * The composition of a test bed.
    *
-   * @param brokers how many processes
-   * @param cells how many cells of stores
-   * @param storesPerCell how many stores each cell has
+   * @param brokers number of broker processes
+   * @param cells number of store cells
+   * @param storesPerCell number of stores in each cell
    * @param settings the brokers' settings; a format string with the numbers of brokers, cells and
    *     shards in this order
-   * @param cluster lines of the section {@code [fleet]} of each broker's settings file, null where
-   *     brokers do not know of each other
-   * @param stores makes the stores
+   * @param cluster lines of the section {@code [fleet]} of each broker's settings file, null if the
+   *     brokers form no cluster
+   * @param stores creates the stores
    */
   public record Plan(
       int brokers,
@@ -248,26 +248,26 @@
 
     /** Ends the process with SIGKILL and waits for its end. */
     public void kill() throws InterruptedException {
-      killed = true; // set first: clients ask isUp when their connections close
+      killed = true; // set first: clients call isUp when their connections close
       process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
     }
 
-    /** Sends that signal, such as {@code HUP}; does not wait for what it does. */
+    /** Sends a signal such as {@code HUP} to the process, without waiting for its effect. */
     public void signal(String signal) throws IOException, InterruptedException {
       new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Writes its configuration file anew, unchanged. */
+    /** Rewrites its configuration file with the same content. */
     public void rewriteConfiguration() throws IOException {
       Files.writeString(workingDirectory.resolve("config.json"), configText());
     }
 
-    /** Passes on what waits between discovery and this broker; to be used on the event loop. */
+    /** Forwards what is held between discovery and this broker; call it on the event loop. */
     public void releaseDiscovery() {
       discoveryProxy.release();
     }
 
-    /** Its proxy to that store; to be used on the event loop. */
+    /** Its proxy to that store. Must be used on the event loop. */
     public StreamProxy proxyTo(String store) {
       return storeProxies.get(store);
     }
@@ -297,7 +297,7 @@
    *
    * @param directory parent of the brokers' working directories
    * @param seed of the brokers and of the injected faults
-   * @param each stores of a cell
+   * @param each number of stores in each cell
    * @param extra further lines of the section {@code [fleet]} of each broker's configuration
    */
   public TestBed(Path directory, long seed, int brokers, int cellCount, int each, String extra)
@@ -363,17 +363,17 @@
   }
 
   /** Starts these brokers and waits until all of them listen. */
-  public void start(List<Node> some) throws Exception {
-    for (Node node : some) {
+  public void start(List<Node> brokers) throws Exception {
+    for (Node node : brokers) {
       node.start();
     }
-    for (Node node : some) {
+    for (Node node : brokers) {
       await(
-          node.name + " serves",
+          node.name + " listens",
           READY_TIMEOUT_S,
           () -> {
             if (!node.isUp()) {
-              throw new IllegalStateException(node.name + " ended: " + node.lines());
+              throw new IllegalStateException(node.name + " exited early: " + node.lines());
             }
             return node.lines().stream()
                 .anyMatch(line -> line.startsWith(node.name + " listens on "));
@@ -384,7 +384,7 @@
   /**
    * Polls a condition until it holds.
    *
-   * @param what names the condition in the exception
+   * @param what description of the condition for the exception
    * @return seconds until the condition held
    * @throws IllegalStateException if it does not hold within {@code atMostS} seconds
    */
@@ -393,7 +393,7 @@
     long from = System.nanoTime();
     while (!condition.call()) {
       if (System.nanoTime() - from > atMostS * 1_000_000_000L) {
-        throw new IllegalStateException("not within " + atMostS + " s: " + what);
+        throw new IllegalStateException("condition not met within " + atMostS + " s: " + what);
       }
       TimeUnit.MILLISECONDS.sleep(20);
     }
@@ -401,12 +401,12 @@
   }
 
   /** True if each of these brokers sees exactly these as cluster members. */
-  public static boolean agree(List<Node> some) {
-    List<String> names = some.stream().map(node -> node.name).sorted().toList();
-    return some.stream().allMatch(node -> node.members().equals(names));
+  public static boolean agree(List<Node> brokers) {
+    List<String> names = brokers.stream().map(node -> node.name).sorted().toList();
+    return brokers.stream().allMatch(node -> node.members().equals(names));
   }
 
-  /** The number of matching brokers that have each store in their subset. */
+  /** For each store, the number of matching brokers that have it in their subset. */
   public Map<String, Integer> load(Predicate<Node> who) {
     Map<String, Integer> load = new LinkedHashMap<>();
     stores.forEach(store -> load.put(store.name, 0));
@@ -418,7 +418,7 @@
 
   /**
    * Announces a new lifecycle of a store through every broker's discovery; an injected fault may
-   * keep it from a broker.
+   * prevent a broker from receiving it.
    */
   public void change(String store, String lifecycle) throws Exception {
     onLoop(
@@ -471,7 +471,7 @@
     try {
       stopAll();
     } catch (Exception e) {
-      throw new IllegalStateException("the rig did not end: " + e, e);
+      throw new IllegalStateException("test bed did not shut down: " + e, e);
     }
   }
 
--- a/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
@@ -21,8 +21,8 @@
 @Command(
     name = "rig",
     description =
-        "Brokers as processes on loopback, with faults between them by a script or a seed; exit code 1 if a "
-            + "query is lost or gets what no store made, or if those that are up do not agree in the end.",
+        "Runs brokers as processes on loopback and injects faults, by a schedule or random ones of a seed; exit code 1 if a "
+            + "query is lost or answered with a wrong value, or if the running brokers do not agree on the members at the end.",
     mixinStandardHelpOptions = true)
 public final class TestBedCommand implements Callable<Integer> {
   private static final int MAX_BROKERS = 16;
@@ -34,43 +34,43 @@
   /** Time between two queries to one broker. */
   private static final int QUERY_INTERVAL_MS = 100;
 
-  /** Load that goes on after the brokers agree again. */
+  /** Time for which the load continues after the brokers agree again. */
   private static final int SETTLE_MS = 1_000;
 
   @Parameters(
       arity = "0..1",
       paramLabel = "FILE",
-      description = "a script; without it the drawn one of the seed")
+      description = "schedule of faults (default: a random one of the seed)")
   private Path file;
 
   @Option(
       names = "--seed",
       defaultValue = "1",
-      description = "of all that is drawn (default: ${DEFAULT-VALUE})")
+      description = "seed of the brokers and of all random choices (default: ${DEFAULT-VALUE})")
   private long seed;
 
   @Option(
       names = "--brokers",
       defaultValue = "4",
-      description = "processes, up to 16 (default: ${DEFAULT-VALUE})")
+      description = "number of broker processes, up to 16 (default: ${DEFAULT-VALUE})")
   private int brokers;
 
   @Option(
       names = "--cells",
       defaultValue = "2",
-      description = "cells of stores (default: ${DEFAULT-VALUE})")
+      description = "number of store cells (default: ${DEFAULT-VALUE})")
   private int cells;
 
   @Option(
       names = "--each",
       defaultValue = "3",
-      description = "stores of a cell (default: ${DEFAULT-VALUE})")
+      description = "number of stores in each cell (default: ${DEFAULT-VALUE})")
   private int each;
 
   @Option(
       names = "--seconds",
       defaultValue = "12",
-      description = "of a drawn script, up to 60 (default: ${DEFAULT-VALUE})")
+      description = "length of a random schedule in seconds, 4 to 60 (default: ${DEFAULT-VALUE})")
   private int seconds;
 
   @Override
@@ -79,8 +79,8 @@
     FaultSchedule schedule = schedule();
     schedule.lines().forEach(System.out::println);
     Path directory = Files.createTempDirectory("rig");
-    try (TestBed rig = new TestBed(directory, seed, brokers, cells, each, "")) {
-      return play(rig, schedule);
+    try (TestBed testBed = new TestBed(directory, seed, brokers, cells, each, "")) {
+      return play(testBed, schedule);
     } finally {
       clear(directory);
     }
@@ -92,7 +92,7 @@
     boolean secondsValid = seconds >= MIN_SECONDS && seconds <= MAX_SECONDS;
     if (!brokersValid || !storesValid || !secondsValid) {
       throw new IllegalArgumentException(
-          "a rig has 1 to "
+          "a test bed takes 1 to "
               + MAX_BROKERS
               + " brokers, 1 to "
               + MAX_STORES
@@ -124,31 +124,33 @@
     return FaultSchedule.parse(file.toString(), Files.readAllLines(file), allNames);
   }
 
-  /** Injects the faults under load and prints a report; the exit code. */
-  private static int play(TestBed rig, FaultSchedule schedule) throws Exception {
-    rig.start(rig.nodes());
+  /** Injects the faults under load and prints a report; returns the exit code. */
+  private static int play(TestBed testBed, FaultSchedule schedule) throws Exception {
+    testBed.start(testBed.nodes());
     TestBed.await(
-        "the brokers agree at the start", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(rig.nodes()));
-    QueryLoad clients = new QueryLoad(rig, QUERY_INTERVAL_MS);
+        "the brokers agree at the start",
+        CONVERGENCE_TIMEOUT_S,
+        () -> TestBed.agree(testBed.nodes()));
+    QueryLoad clients = new QueryLoad(testBed, QUERY_INTERVAL_MS);
     clients.start();
-    schedule.play(rig, System.out::println);
-    List<TestBed.Node> running = rig.nodes().stream().filter(TestBed.Node::isUp).toList();
+    schedule.play(testBed, System.out::println);
+    List<TestBed.Node> running = testBed.nodes().stream().filter(TestBed.Node::isUp).toList();
     double convergenceS =
         TestBed.await(
-            "those that are up agree in the end",
+            "the running brokers agree after the last fault",
             CONVERGENCE_TIMEOUT_S,
             () -> TestBed.agree(running));
     TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
     Map<QueryLoad.End, Integer> ends = clients.stop();
     clients.notes().forEach(note -> System.out.println("  " + note));
     System.out.printf(
-        "agree %.2f s after the last trouble; brokers at each store %s%n",
-        convergenceS, rig.load(running::contains));
+        "brokers agree %.2f s after the last fault; brokers per store %s%n",
+        convergenceS, testBed.load(running::contains));
     System.out.println("queries " + ends);
     return ends.keySet().stream().anyMatch(QueryLoad::isBreach) ? 1 : 0;
   }
 
-  /** Deletes a test bed's directory with all that is in it. */
+  /** Deletes a test bed's directory recursively. */
   public static void clear(Path directory) throws IOException {
     try (Stream<Path> paths = Files.walk(directory)) {
       for (Path path : paths.sorted(Comparator.reverseOrder()).toList()) {
--- a/src/main/java/dunlinhitch/experiments/testbed/VirtualTime.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/VirtualTime.java
@@ -4,8 +4,9 @@
 import java.util.PriorityQueue;
 
 /**
- * The clock and the scheduled tasks of a simulated cluster. Tasks run in the order of their times,
- * and of their scheduling where these are equal. Not thread-safe; the simulation owns it.
+ * The clock and the scheduled tasks of a simulated cluster. Tasks run in the order of their times;
+ * tasks at the same time run in the order in which they were scheduled. Not thread-safe; the
+ * simulation owns it.
  */
 final class VirtualTime {
   private record Task(long atUs, long sequence, Runnable action) {}
@@ -25,7 +26,7 @@
     tasks.add(new Task(atUs, ++lastSequence, action));
   }
 
-  /** Runs all tasks that are due by then, also those that they schedule. */
+  /** Runs all tasks that are due by that time, including those that are scheduled meanwhile. */
   void playTo(long untilUs) {
     while (!tasks.isEmpty() && tasks.peek().atUs() <= untilUs) {
       Task task = tasks.poll();
--- a/src/test/java/dunlinhitch/experiments/testbed/FaultScheduleTest.java
+++ b/src/test/java/dunlinhitch/experiments/testbed/FaultScheduleTest.java
@@ -30,21 +30,21 @@
     assertEquals(List.of(), FaultSchedule.parse("f", List.of("# nothing", ""), NAMES).lines());
   }
 
-  /** Each message has the line and what is expected. */
+  /** Each message quotes the line and states what is expected. */
   @Test
   void rejectsInvalidLinesWithPlaceAndRemedy() {
     for (String[] bad :
         new String[][] {
           {"at 2 kill n1", "at TIME"},
-          {"at 2s kill n9", "there is no n9"},
-          {"at 2s kil n1", "no such trouble: kil"},
-          {"at 2s cut n1", "has an end"},
-          {"at 2s..3s kill n1", "has no end"},
-          {"at 3s..2s cut n1", "ends after it begins"},
-          {"at 2s..3s lose n0 n1 300%", "a share is"},
-          {"at 2s..3s late n0 n1 5", "a time is"},
-          {"at 2s..3s mute n0", "names 2"},
-          {"at 2s kill s0-0", "only a broker"},
+          {"at 2s kill n9", "unknown target: n9"},
+          {"at 2s kil n1", "unknown fault: kil;"},
+          {"at 2s cut n1", "requires an end"},
+          {"at 2s..3s kill n1", "takes a single time"},
+          {"at 3s..2s cut n1", "end after it begins"},
+          {"at 2s..3s lose n0 n1 300%", "expected a share"},
+          {"at 2s..3s late n0 n1 5", "expected a time"},
+          {"at 2s..3s mute n0", "requires 2 target"},
+          {"at 2s kill s0-0", "only a broker can be"},
           {"at 2s..500s cut n1", "within 120 s"}
         }) {
       String message =
@@ -56,7 +56,10 @@
     }
   }
 
-  /** Same seed, same schedule; it is over in time and starts every broker that it kills. */
+  /**
+   * The same seed gives the same schedule, which ends in time and restarts every broker that it
+   * kills.
+   */
   @Test
   void randomScheduleIsReproducibleAndEndsWithAllBrokersRunning() {
     for (long seed = 0; seed < 200; seed++) {
--- a/src/test/java/dunlinhitch/experiments/testbed/FreePortsTest.java
+++ b/src/test/java/dunlinhitch/experiments/testbed/FreePortsTest.java
@@ -11,22 +11,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Ports of the test bed can't be taken by an outgoing connection before their process binds them.
+ * Guards against ports of the ephemeral range, which an outgoing connection may take before the
+ * process of the test bed binds them.
  */
 class FreePortsTest {
-  /** The lowest port that Linux gives to outgoing connections by default. */
-  private static final int EPHEMERAL = 32_768;
+  /** The lowest port of the default ephemeral range of Linux. */
+  private static final int LOWEST_EPHEMERAL_PORT = 32_768;
 
   @Test
   void portsLieBelowThoseOfOutgoingConnections() throws IOException {
     for (int i = 0; i < 50; i++) {
-      assertTrue(FreePorts.tcp() < EPHEMERAL);
-      assertTrue(FreePorts.udp() < EPHEMERAL);
+      assertTrue(FreePorts.tcp() < LOWEST_EPHEMERAL_PORT);
+      assertTrue(FreePorts.udp() < LOWEST_EPHEMERAL_PORT);
     }
   }
 
   @Test
-  void aPortInUseIsPassedOver() throws IOException {
+  void portInUseIsSkipped() throws IOException {
     int next = FreePorts.tcp() + 1;
     ServerSocket listener = listenUnlessInUse(next);
     try {
@@ -36,7 +37,10 @@
     }
   }
 
-  /** Unbound where another process of the machine listens there, which does as well. */
+  /**
+   * Returns an unbound socket if another process already listens on the port, which serves the test
+   * equally.
+   */
   private static ServerSocket listenUnlessInUse(int port) throws IOException {
     ServerSocket listener = new ServerSocket();
     try {
