--- a/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
@@ -8,25 +8,25 @@
 import java.util.Locale;
 
 /**
- * Fetches from stores without keys, with keys of equal texts and with keys by rules; wrong answers
- * by true rules and by one that turns false; by the module on virtual time. The verdict is the
- * figure that comes closest to its bound.
+ * Measures, on the answer key module in virtual time, the fetches from stores without answer keys,
+ * with keys of equal texts and with keys by rules, and the wrong answers with correct rules and
+ * with a rule that becomes incorrect. The verdict is the figure that is closest to its bound.
  */
 final class AnswerKeysMeasure implements Measures.Measure {
-  private static final double LEAST_SAVED = 2;
-  private static final int[] FLEETS = {5, 30};
+  private static final double MIN_SAVING_FACTOR = 2;
+  private static final int[] CLUSTER_SIZES = {5, 30};
   private double worst;
 
   @Override
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
     worst = 0;
-    int times = quick ? 1 : 3;
-    measureSavings(out, seed, times, quick ? new double[] {1600} : new double[] {400, 1600});
-    measureFaults(out, seed, times);
+    int runs = quick ? 1 : 3;
+    measureSavings(out, seed, runs, quick ? new double[] {1600} : new double[] {400, 1600});
+    measureFaults(out, seed, runs);
     return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
   }
 
-  private void measureSavings(PrintStream out, long seed, int times, double[] rates) {
+  private void measureSavings(PrintStream out, long seed, int runs, double[] rates) {
     out.printf(
         "%8s %8s %-6s %5s %8s %8s %9s %8s %6s %5s %8s %9s %9s%n",
         "brokers",
@@ -42,18 +42,18 @@
         "unended",
         "p50 ms",
         "p99 ms");
-    for (int brokers : FLEETS) {
+    for (int brokers : CLUSTER_SIZES) {
       for (double rate : rates) {
-        for (int i = 0; i < times; i++) {
-          fetches(out, seed + i, brokers, rate);
+        for (int i = 0; i < runs; i++) {
+          measureFetches(out, seed + i, brokers, rate);
         }
       }
     }
   }
 
-  private void measureFaults(PrintStream out, long seed, int times) {
+  private void measureFaults(PrintStream out, long seed, int runs) {
     out.printf(
-        "%nwords: 1 %% lost, 1 %% doubled; fetches: 1 %% fail; cut: two halves for 10 s%n%8s %-22s %5s %9s %8s %10s %6s %5s %8s  %s%n",
+        "%nmessages: 1 %% lost, 1 %% duplicated; fetches: 1 %% fail; cut: partition into two halves for 10 s%n%8s %-22s %5s %9s %8s %10s %6s %5s %8s  %s%n",
         "brokers",
         "",
         "seed",
@@ -64,21 +64,21 @@
         "old",
         "unended",
         "rules at the end");
-    for (int brokers : FLEETS) {
-      for (int i = 0; i < times; i++) {
-        faults(
+    for (int brokers : CLUSTER_SIZES) {
+      for (int i = 0; i < runs; i++) {
+        measureFaultRun(
             out,
             new Setup(seed + i, brokers, Mode.RULES, 1600, 0.01, 0.01, false, false),
             "true rules");
-        faults(
+        measureFaultRun(
             out,
             new Setup(seed + i, brokers, Mode.RULES, 1600, 0.01, 0.01, true, false),
             "true rules, cut");
-        faults(
+        measureFaultRun(
             out,
             new Setup(seed + i, brokers, Mode.RULES, 1600, 0.01, 0.01, false, true),
             "one turns false");
-        faults(
+        measureFaultRun(
             out,
             new Setup(seed + i, brokers, Mode.RULES, 1600, 0.01, 0.01, true, true),
             "one turns false, cut");
@@ -86,15 +86,15 @@
     }
   }
 
-  private void figure(double value, double bound) {
+  private void recordFigure(double value, double bound) {
     worst = Math.max(worst, bound == 0 ? value > 0 ? 9 : 0 : value / bound);
   }
 
   /**
-   * No faults: what is saved. At the higher rate rules are to save half of what is left to equal
-   * texts.
+   * Measures the fetches saved without faults. At the higher rate, rules must at least halve the
+   * fetches that keys of equal texts leave.
    */
-  private void fetches(PrintStream out, long seed, int brokers, double rate) {
+  private void measureFetches(PrintStream out, long seed, int brokers, double rate) {
     Result none =
         new AnswerKeySimulation(new Setup(seed, brokers, Mode.NONE, rate, 0, 0, false, false))
             .run();
@@ -104,15 +104,15 @@
     Result rules =
         new AnswerKeySimulation(new Setup(seed, brokers, Mode.RULES, rate, 0, 0, false, false))
             .run();
-    row(out, seed, brokers, rate, "none", none, exact);
-    row(out, seed, brokers, rate, "exact", exact, exact);
-    row(out, seed, brokers, rate, "rules", rules, exact);
+    printRow(out, seed, brokers, rate, "none", none, exact);
+    printRow(out, seed, brokers, rate, "exact", exact, exact);
+    printRow(out, seed, brokers, rate, "rules", rules, exact);
     if (rate > 1000) {
-      figure(LEAST_SAVED * rules.fetches(), (double) exact.fetches());
+      recordFigure(MIN_SAVING_FACTOR * rules.fetches(), (double) exact.fetches());
     }
-    figure((double) rules.p99Us(), 1.05 * none.p99Us());
-    figure((double) rules.repeatedFetches(), 0);
-    figure(
+    recordFigure((double) rules.p99Us(), 1.05 * none.p99Us());
+    recordFigure((double) rules.repeatedFetches(), 0);
+    recordFigure(
         (double)
             (rules.wrongAnswers()
                 + exact.wrongAnswers()
@@ -123,7 +123,7 @@
         0);
   }
 
-  private static void row(
+  private static void printRow(
       PrintStream out,
       long seed,
       int brokers,
@@ -149,16 +149,16 @@
         result.p99Us() / 1e3);
   }
 
-  private void faults(PrintStream out, Setup setup, String what) {
+  private void measureFaultRun(PrintStream out, Setup setup, String label) {
     Result result = new AnswerKeySimulation(setup).run();
     double bound = setup.ruleBecomesFalse() ? result.wrongAnswersBound() : 0;
-    figure((double) result.wrongAnswers(), bound);
-    figure((double) (result.outdatedAnswers() + result.unended()), 0);
+    recordFigure((double) result.wrongAnswers(), bound);
+    recordFigure((double) (result.outdatedAnswers() + result.unended()), 0);
     out.printf(
         Locale.ROOT,
         "%8d %-22s %5d %9d %8d %10.0f %6s %5d %8d  %s%n",
         setup.brokers(),
-        what,
+        label,
         setup.seed(),
         result.fetches(),
         result.wrongAnswers(),
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
@@ -18,9 +18,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures the cluster on eight broker processes and a ninth that joins later: after a 5 s
+ * Measures the cluster on eight broker processes and a ninth that joins later. After a 5 s
  * partition of one broker, a SIGKILL and a join, it reports the load balance of the stores, the
- * convergence time, the moved connections and the outcome of all queries meanwhile.
+ * convergence time and the moved connections, and at the end the outcomes of all queries.
  */
 final class FleetRigMeasure implements Measures.Measure {
   private static final int BROKERS = 8;
@@ -30,10 +30,10 @@
   private static final int CONVERGENCE_TIMEOUT_S = 40;
   private static final int PARTITION_MS = 5_000;
 
-  /** Bound of the maximum load of a store over the mean. */
+  /** Bound of the ratio of the maximum to the mean load of a store. */
   private static final double MAX_UNEVENNESS = 1.3;
 
-  /** Bound of the moved connections, as a multiple of one broker's. */
+  /** Bound of the moved connections, as a multiple of the connections of one broker. */
   private static final double MAX_MOVED = 1.5;
 
   /**
@@ -49,20 +49,21 @@
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) throws Exception {
     worst = 0;
     Path directory = Files.createTempDirectory("rig");
-    try (TestBed rig = new TestBed(directory, seed, BROKERS + 1, CELLS, STORES_PER_CELL, "")) {
-      List<TestBed.Node> first = rig.nodes().subList(0, BROKERS);
+    try (TestBed testBed = new TestBed(directory, seed, BROKERS + 1, CELLS, STORES_PER_CELL, "")) {
+      List<TestBed.Node> first = testBed.nodes().subList(0, BROKERS);
       out.printf(
           "%-34s %8s %10s %12s %14s%n",
           "what happens", "brokers", "agree, s", "max/mean", "moved, ideal 1");
-      rig.start(first);
-      TestBed.await("the first agree", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(first));
-      report(out, rig, "eight started", first, 0, -1);
-      QueryLoad clients = new QueryLoad(rig, QUERY_INTERVAL_MS);
+      testBed.start(first);
+      TestBed.await(
+          "the first eight brokers agree", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(first));
+      report(out, testBed, "eight started", first, 0, -1);
+      QueryLoad clients = new QueryLoad(testBed, QUERY_INTERVAL_MS);
       clients.start();
       Map<String, Set<String>> before = subsets(first);
-      partitionAndHeal(out, rig, first, before);
-      List<TestBed.Node> survivors = kill(out, rig, first, before);
-      join(out, rig, survivors);
+      partitionAndHeal(out, testBed, first, before);
+      List<TestBed.Node> survivors = kill(out, testBed, first, before);
+      join(out, testBed, survivors);
       reportQueries(out, clients);
     } finally {
       TestBedCommand.clear(directory);
@@ -71,10 +72,10 @@
   }
 
   private void partitionAndHeal(
-      PrintStream out, TestBed rig, List<TestBed.Node> first, Map<String, Set<String>> before)
+      PrintStream out, TestBed testBed, List<TestBed.Node> first, Map<String, Set<String>> before)
       throws Exception {
     NetworkFaults.Rule partition =
-        rig.links.add(
+        testBed.links.add(
             (from, to) ->
                 from.startsWith("n") && to.startsWith("n") && from.equals("n7") != to.equals("n7"),
             NetworkFaults.Harm.LOST,
@@ -83,42 +84,45 @@
     List<TestBed.Node> others = first.subList(0, BROKERS - 1);
     double removalS =
         TestBed.await(
-            "the others go on without n7", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(others));
+            "the other brokers remove n7", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(others));
     double movedAtRemoval = ClusterSimulation.moved(before, subsets(others));
-    report(out, rig, "one cut off, the other seven", others, removalS, movedAtRemoval);
+    report(out, testBed, "one cut off, the other seven", others, removalS, movedAtRemoval);
     TimeUnit.MILLISECONDS.sleep(Math.max(0, PARTITION_MS - (long) (1000 * removalS)));
-    rig.links.remove(partition);
+    testBed.links.remove(partition);
     double healingS =
-        TestBed.await("n7 is back", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(first));
+        TestBed.await(
+            "all brokers see n7 again", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(first));
     double movedAfter = ClusterSimulation.moved(before, subsets(first));
-    report(out, rig, "the cut is over", first, healingS, movedAfter);
+    report(out, testBed, "the cut is over", first, healingS, movedAfter);
   }
 
-  /** Kills one broker; the others. */
+  /** Kills one broker; returns the others. */
   private List<TestBed.Node> kill(
-      PrintStream out, TestBed rig, List<TestBed.Node> first, Map<String, Set<String>> before)
+      PrintStream out, TestBed testBed, List<TestBed.Node> first, Map<String, Set<String>> before)
       throws Exception {
     first.get(1).kill();
     List<TestBed.Node> survivors = new ArrayList<>(first);
     survivors.remove(1);
     double removalS =
         TestBed.await(
-            "the others go on without n1", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(survivors));
+            "the other brokers remove n1", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(survivors));
     double moved = ClusterSimulation.moved(before, subsets(survivors));
-    report(out, rig, "one killed (SIGKILL)", survivors, removalS, moved);
+    report(out, testBed, "one killed (SIGKILL)", survivors, removalS, moved);
     return survivors;
   }
 
-  private void join(PrintStream out, TestBed rig, List<TestBed.Node> survivors) throws Exception {
+  private void join(PrintStream out, TestBed testBed, List<TestBed.Node> survivors)
+      throws Exception {
     Map<String, Set<String>> before = subsets(survivors);
-    TestBed.Node joining = rig.nodes().get(BROKERS);
+    TestBed.Node joining = testBed.nodes().get(BROKERS);
     List<TestBed.Node> all = new ArrayList<>(survivors);
     all.add(joining);
-    rig.start(List.of(joining));
+    testBed.start(List.of(joining));
     double joinS =
-        TestBed.await("the new one is known", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(all));
+        TestBed.await(
+            "all brokers see the new one", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(all));
     double moved = ClusterSimulation.moved(subsets(all), before);
-    report(out, rig, "a new one (from its readiness on)", all, joinS, moved);
+    report(out, testBed, "a new one (from its readiness on)", all, joinS, moved);
   }
 
   private void reportQueries(PrintStream out, QueryLoad clients) throws Exception {
@@ -142,12 +146,12 @@
 
   private void report(
       PrintStream out,
-      TestBed rig,
+      TestBed testBed,
       String event,
       List<TestBed.Node> nodes,
       double seconds,
       double moved) {
-    double unevenness = ClusterSimulation.unevenness(rig.load(nodes::contains));
+    double unevenness = ClusterSimulation.unevenness(testBed.load(nodes::contains));
     double slowness = Math.max(seconds / MAX_CONVERGENCE_S, moved / MAX_MOVED);
     worst = Math.max(worst, Math.max(unevenness / MAX_UNEVENNESS, slowness));
     out.printf(
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
@@ -14,14 +14,15 @@
 import java.util.Set;
 
 /**
- * Choices of many brokers, added up: connections of each store, what a broker that comes or goes
- * moves, and probes of one cold store; by the fleet module on virtual time, beside all brokers at
- * all stores. The verdict is the figure that comes closest to its bound.
+ * Measures, on the cluster module in virtual time, the subsets of many brokers together: the
+ * connections of each store, the connections moved by a broker that joins or leaves, and the health
+ * checks of one cold store. It prints the figures of brokers that connect to all stores for
+ * comparison. The verdict is the figure that is closest to its bound.
  */
 final class FleetSubsetsMeasure implements Measures.Measure {
-  private static final double MOST_UNEVEN = 1.2;
-  private static final double MOST_MOVED = 1.5;
-  private static final double MOST_PROBES = 2;
+  private static final double MAX_UNEVENNESS = 1.2;
+  private static final double MAX_MOVED = 1.5;
+  private static final double MAX_HEALTH_CHECKS = 2;
   private static final long SECOND_US = 1_000_000;
   private double worst;
 
@@ -33,34 +34,34 @@
         "brokers", "stores", "each", "connections", "of all-to-all", "max/mean", "bound");
     for (int[] shape :
         new int[][] {{8, 8, 3}, {100, 67, 3}, {100, 50, 4}, {300, 67, 3}, {100, 20, 10}}) {
-      even(out, seed, shape[0], shape[1], shape[2]);
+      measureBalance(out, seed, shape[0], shape[1], shape[2]);
     }
     out.printf(
         "%n%8s %6s %14s %14s %14s %10s%n",
         "brokers", "each", "moved, mean", "moved, most", "all-to-all", "bound");
-    moved(out, seed, 8, 3, 8, 3);
-    moved(out, seed, 100, 97, 67, 3);
+    measureMoves(out, seed, 8, 3, 8, 3);
+    measureMoves(out, seed, 100, 97, 67, 3);
     out.printf(
         "%n%8s %24s %18s %18s %10s%n", "brokers", "", "probes/s, most", "each on its own", "bound");
     int[] sizes = quick ? new int[] {8, 30} : new int[] {8, 30, 100, 300};
     for (int brokers : sizes) {
-      probes(out, seed, brokers, false);
-      probes(out, seed, brokers, true);
+      measureHealthChecks(out, seed, brokers, false);
+      measureHealthChecks(out, seed, brokers, true);
     }
     return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
   }
 
-  private void figure(double value, double bound) {
+  private void recordFigure(double value, double bound) {
     worst = Math.max(worst, value / bound);
   }
 
-  private static Map<String, Set<String>> chosen(
+  private static Map<String, Set<String>> selectSubsets(
       List<String> brokers, int cells, int each, long seed) {
     Subsetting subsets = new Subsetting(SubsetSettings.STANDARD);
     List<Subsetting.MemberView> members =
         brokers.stream().map(name -> new Subsetting.MemberView(name, "")).toList();
-    Map<String, Set<String>> chosen = new LinkedHashMap<>();
-    brokers.forEach(name -> chosen.put(name, new HashSet<>()));
+    Map<String, Set<String>> subsetsByBroker = new LinkedHashMap<>();
+    brokers.forEach(name -> subsetsByBroker.put(name, new HashSet<>()));
     for (int cell = 0; cell < cells; cell++) {
       List<Subsetting.Store> stores = new ArrayList<>();
       for (int i = 0; i < each; i++) {
@@ -69,27 +70,27 @@
       int size = subsets.size(brokers.size(), each);
       subsets
           .of("c" + cell, members, stores)
-          .forEach((name, order) -> chosen.get(name).addAll(order.subList(0, size)));
+          .forEach((name, order) -> subsetsByBroker.get(name).addAll(order.subList(0, size)));
     }
-    return chosen;
+    return subsetsByBroker;
   }
 
-  private static List<String> names(int many) {
+  private static List<String> brokerNames(int count) {
     List<String> names = new ArrayList<>();
-    for (int i = 0; i < many; i++) {
+    for (int i = 0; i < count; i++) {
       names.add("n" + i);
     }
     return names;
   }
 
-  private void even(PrintStream out, long seed, int brokers, int cells, int each) {
+  private void measureBalance(PrintStream out, long seed, int brokers, int cells, int each) {
     Map<String, Integer> load = new LinkedHashMap<>();
-    chosen(names(brokers), cells, each, seed)
+    selectSubsets(brokerNames(brokers), cells, each, seed)
         .values()
-        .forEach(kept -> kept.forEach(s -> load.merge(s, 1, Integer::sum)));
+        .forEach(subset -> subset.forEach(store -> load.merge(store, 1, Integer::sum)));
     int all = load.values().stream().mapToInt(i -> i).sum();
-    double uneven = ClusterSimulation.unevenness(load);
-    figure(uneven, MOST_UNEVEN);
+    double unevenness = ClusterSimulation.unevenness(load);
+    recordFigure(unevenness, MAX_UNEVENNESS);
     out.printf(
         Locale.ROOT,
         "%8d %7d %6d %18d %17.0f%% %10.3f %10.2f%n",
@@ -98,87 +99,93 @@
         each,
         all,
         100.0 * all / (brokers * cells * each),
-        uneven,
-        MOST_UNEVEN);
+        unevenness,
+        MAX_UNEVENNESS);
   }
 
-  /** Brokers leave one by one down to so many, and come back. */
-  private void moved(PrintStream out, long seed, int brokers, int least, int cells, int each) {
-    List<String> there = names(brokers);
-    Map<String, Set<String>> before = chosen(there, cells, each, seed);
+  /** Removes brokers one by one until {@code minBrokers} are left, and adds them again. */
+  private void measureMoves(
+      PrintStream out, long seed, int brokers, int minBrokers, int cells, int each) {
+    List<String> present = brokerNames(brokers);
+    Map<String, Set<String>> before = selectSubsets(present, cells, each, seed);
     double sum = 0;
-    double most = 0;
+    double max = 0;
     int changes = 0;
-    for (int i = brokers - 1; i >= least; i--) {
-      there.remove("n" + i);
-      Map<String, Set<String>> after = chosen(there, cells, each, seed);
+    for (int i = brokers - 1; i >= minBrokers; i--) {
+      present.remove("n" + i);
+      Map<String, Set<String>> after = selectSubsets(present, cells, each, seed);
       double moved = ClusterSimulation.moved(before, after);
       sum += moved;
-      most = Math.max(most, moved);
+      max = Math.max(max, moved);
       changes++;
       before = after;
     }
-    for (int i = least; i < brokers; i++) {
-      there.add("n" + i);
-      Map<String, Set<String>> after = chosen(there, cells, each, seed);
+    for (int i = minBrokers; i < brokers; i++) {
+      present.add("n" + i);
+      Map<String, Set<String>> after = selectSubsets(present, cells, each, seed);
       double moved = ClusterSimulation.moved(after, before);
       sum += moved;
-      most = Math.max(most, moved);
+      max = Math.max(max, moved);
       changes++;
       before = after;
     }
-    figure(most, MOST_MOVED);
+    recordFigure(max, MAX_MOVED);
     out.printf(
         Locale.ROOT,
         "%8s %6d %13.2fx %13.2fx %13.2fx %10.2f%n",
-        brokers + " to " + least,
+        brokers + " to " + minBrokers,
         each,
         sum / changes,
-        most,
+        max,
         1.0,
-        MOST_MOVED);
+        MAX_MOVED);
   }
 
   /**
-   * All brokers want the same cold store probed ten times a second; {@code cut}: a third is cut off
-   * for 5 s, one is killed.
+   * All brokers request a health check of the same cold store ten times a second. With faults, a
+   * third of the brokers is partitioned from the others for 5 s, and one broker is killed.
    */
-  private void probes(PrintStream out, long seed, int brokers, boolean cut) {
-    ClusterSimulation world = new ClusterSimulation(seed, brokers, 0.01, ClusterSettings.STANDARD);
-    world.stores(1, 3);
+  private void measureHealthChecks(PrintStream out, long seed, int brokers, boolean withFaults) {
+    ClusterSimulation simulation =
+        new ClusterSimulation(seed, brokers, 0.01, ClusterSettings.STANDARD);
+    simulation.stores(1, 3);
     for (int i = 0; i < brokers; i++) {
-      world.start(i);
+      simulation.start(i);
     }
-    long settled = 8 * SECOND_US;
-    long end = settled + 15 * SECOND_US;
-    for (long at = settled; at < end; at += SECOND_US / 10) {
-      for (ClusterSimulation.Node node : world.nodes()) {
-        world.at(at + 37L * node.name.hashCode() % 90_000, () -> node.requestHealthCheck("s0-0"));
+    long settledUs = 8 * SECOND_US;
+    long endUs = settledUs + 15 * SECOND_US;
+    for (long atUs = settledUs; atUs < endUs; atUs += SECOND_US / 10) {
+      for (ClusterSimulation.Node node : simulation.nodes()) {
+        simulation.at(
+            atUs + 37L * node.name.hashCode() % 90_000, () -> node.requestHealthCheck("s0-0"));
       }
     }
-    if (cut) {
-      world.at(
-          settled + 3 * SECOND_US,
+    if (withFaults) {
+      simulation.at(
+          settledUs + 3 * SECOND_US,
           () -> {
             for (int i = 0; i < brokers / 3; i++) {
-              world.group(i, 1);
+              simulation.group(i, 1);
             }
-            world.kill(brokers - 1);
+            simulation.kill(brokers - 1);
           });
-      world.at(
-          settled + 8 * SECOND_US,
-          () -> world.nodes().forEach(n -> world.group(Integer.parseInt(n.name.substring(1)), 0)));
+      simulation.at(
+          settledUs + 8 * SECOND_US,
+          () ->
+              simulation
+                  .nodes()
+                  .forEach(node -> simulation.group(Integer.parseInt(node.name.substring(1)), 0)));
     }
-    world.playTo(end);
-    long most = world.mostProbesInASecond(settled + 2 * SECOND_US);
-    figure((double) most, MOST_PROBES);
+    simulation.playTo(endUs);
+    long max = simulation.mostProbesInASecond(settledUs + 2 * SECOND_US);
+    recordFigure((double) max, MAX_HEALTH_CHECKS);
     out.printf(
         Locale.ROOT,
         "%8d %24s %18d %18d %10.0f%n",
         brokers,
-        cut ? "a third cut, one killed" : "all well",
-        most,
+        withFaults ? "a third cut, one killed" : "all well",
+        max,
         10L * brokers,
-        MOST_PROBES);
+        MAX_HEALTH_CHECKS);
   }
 }
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
@@ -10,19 +10,20 @@
 import java.util.stream.IntStream;
 
 /**
- * The view on virtual time: how long until all hold the same after each kind of trouble, what it
- * costs, and who is taken for dead though it lives; beside the same view with what is new switched
- * off. The verdict is the new view's figure that comes closest to its bound.
+ * Measures the membership protocol in virtual time: the convergence time after each kind of fault,
+ * the traffic, and the running brokers that are declared dead by mistake. It prints the same
+ * figures of the protocol's baseline settings for comparison. The verdict is the figure of the
+ * current settings that is closest to its bound.
  */
 final class FleetViewMeasure implements Measures.Measure {
   private static final long SECOND_US = 1_000_000;
 
-  /** Time limit as a multiple of the bound; earlier settings may never converge. */
+  /** Time limit as a multiple of the bound; the baseline settings may never converge. */
   private static final int TIMEOUT_FACTOR = 4;
 
-  private static final double FALSE_DEATHS_IN_1000_HOURS = 1;
-  private static final MembershipProtocolSettings NEW = MembershipProtocolSettings.STANDARD;
-  private static final MembershipProtocolSettings OLD = NEW.baseline();
+  private static final double MAX_FALSE_DEATHS_PER_1000_HOURS = 1;
+  private static final MembershipProtocolSettings CURRENT = MembershipProtocolSettings.STANDARD;
+  private static final MembershipProtocolSettings BASELINE = CURRENT.baseline();
 
   /** A fault or change in a converged cluster; the table prints the names. */
   private enum Fault {
@@ -46,12 +47,13 @@
   }
 
   /**
-   * One run.
+   * The result of one run.
    *
-   * @param convergenceUs microseconds until all agree; below 0 if they did not within the limit
-   * @param bytesPerS bytes sent by a broker in a second meanwhile, on the mean
+   * @param convergenceUs microseconds until all brokers agreed; below 0 if they did not within the
+   *     limit
+   * @param bytesPerS bytes that a broker sent per second meanwhile, averaged over the brokers
    */
-  private record Course(long convergenceUs, double bytesPerS, int largestWord) {}
+  private record Convergence(long convergenceUs, double bytesPerS, int largestMessage) {}
 
   private record Scenario(int brokers, double loss, Fault fault) {}
 
@@ -67,7 +69,7 @@
     int seeds = quick ? 2 : 5;
     out.printf(
         Locale.ROOT,
-        "until all hold the same, seconds at most of %d seeds from %d on (-: some did not within %d bounds); bytes a second and broker"
+        "time until all brokers agree in seconds, maximum of %d seeds from %d on (-: not all within %d times the bound); bytes per second and broker"
             + "%n",
         seeds,
         seed,
@@ -76,20 +78,28 @@
         "%8s %5s %-18s %8s %8s %8s %10s %10s%n",
         "brokers", "loss", "trouble", "new", "bound", "old", "new B/s", "old B/s");
     List<Scenario> scenarios = scenarios(sizes, losses);
-    int largestWord = 0;
+    int largestMessage = 0;
     for (Scenario scenario : scenarios) {
-      List<Course> courses =
+      List<Convergence> convergences =
           IntStream.range(0, 2 * seeds)
               .parallel()
-              .mapToObj(i -> course(scenario, seed + i % seeds, i < seeds ? NEW : OLD))
+              .mapToObj(
+                  i ->
+                      measureConvergence(
+                          scenario, seed + i % seeds, i < seeds ? CURRENT : BASELINE))
               .toList();
-      List<Course> current = courses.subList(0, seeds);
-      List<Course> previous = courses.subList(seeds, 2 * seeds);
-      double bound = scenario.fault().boundUs(NEW, scenario.brokers()) / 1e6;
-      figure(current.stream().anyMatch(run -> run.convergenceUs() < 0) ? 2 : most(current) / bound);
-      figure(bytes(current) / MembershipBounds.bytesPerS(NEW));
-      largestWord =
-          Math.max(largestWord, current.stream().mapToInt(Course::largestWord).max().orElse(0));
+      List<Convergence> current = convergences.subList(0, seeds);
+      List<Convergence> previous = convergences.subList(seeds, 2 * seeds);
+      double bound = scenario.fault().boundUs(CURRENT, scenario.brokers()) / 1e6;
+      recordFigure(
+          current.stream().anyMatch(run -> run.convergenceUs() < 0)
+              ? 2
+              : maxSeconds(current) / bound);
+      recordFigure(maxBytesPerS(current) / MembershipBounds.bytesPerS(CURRENT));
+      largestMessage =
+          Math.max(
+              largestMessage,
+              current.stream().mapToInt(Convergence::largestMessage).max().orElse(0));
       out.printf(
           Locale.ROOT,
           "%8d %4.0f%% %-18s %8s %8.2f %8s %10.0f %10.0f%n",
@@ -99,16 +109,16 @@
           formatSeconds(current),
           bound,
           formatSeconds(previous),
-          bytes(current),
-          bytes(previous));
+          maxBytesPerS(current),
+          maxBytesPerS(previous));
     }
-    figure((double) largestWord / NEW.maxMessageBytes());
+    recordFigure((double) largestMessage / CURRENT.maxMessageBytes());
     out.printf(
         Locale.ROOT,
-        "largest word %d bytes of %d; bytes a second and broker at most %.0f%n%n",
-        largestWord,
-        NEW.maxMessageBytes(),
-        MembershipBounds.bytesPerS(NEW));
+        "largest message %d bytes of %d; bytes per second and broker at most %.0f%n%n",
+        largestMessage,
+        CURRENT.maxMessageBytes(),
+        MembershipBounds.bytesPerS(CURRENT));
     measureStableCluster(out, seed, quick, sizes, losses);
     return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
   }
@@ -135,14 +145,16 @@
       for (double loss : losses) {
         double hours = quick ? 8 : loss >= 0.2 ? 1_200 : loss > 0 ? 120 : 8;
         double oldHours = Math.min(hours, 8);
-        List<StableResult> current = rest(runs, seed, brokers, loss, NEW, hours / runs);
-        List<StableResult> previous = rest(runs, seed, brokers, loss, OLD, oldHours / runs);
+        List<StableResult> current =
+            measureStability(runs, seed, brokers, loss, CURRENT, hours / runs);
+        List<StableResult> previous =
+            measureStability(runs, seed, brokers, loss, BASELINE, oldHours / runs);
         long deaths = current.stream().mapToLong(StableResult::falseDeaths).sum();
         double played = current.stream().mapToDouble(StableResult::hours).sum();
         if (loss < 0.2) {
-          figure(deaths == 0 ? 0 : 2);
+          recordFigure(deaths == 0 ? 0 : 2);
         } else if (!quick) {
-          figure(1_000 * deaths / played / FALSE_DEATHS_IN_1000_HOURS);
+          recordFigure(1_000 * deaths / played / MAX_FALSE_DEATHS_PER_1000_HOURS);
         }
         out.printf(
             Locale.ROOT,
@@ -159,7 +171,7 @@
     }
   }
 
-  private static List<StableResult> rest(
+  private static List<StableResult> measureStability(
       int runs,
       long seed,
       int brokers,
@@ -170,112 +182,120 @@
         .parallel()
         .mapToObj(
             i -> {
-              MembershipSimulation world =
+              MembershipSimulation simulation =
                   new MembershipSimulation(seed + 1_000 + i, loss, settings);
-              world.harmed(true);
-              world.start(0, brokers);
-              world.untilAgree(MembershipBounds.joinUs(NEW, brokers));
-              world.play(10 * SECOND_US);
-              world.harmed(false);
-              long bytes = world.bytes();
+              simulation.harmed(true);
+              simulation.start(0, brokers);
+              simulation.untilAgree(MembershipBounds.joinUs(CURRENT, brokers));
+              simulation.play(10 * SECOND_US);
+              simulation.harmed(false);
+              long bytes = simulation.bytes();
               long us = (long) (hours * 3600 * SECOND_US / brokers);
-              world.play(us);
+              simulation.play(us);
               return new StableResult(
-                  world.falsePositives(), hours, (world.bytes() - bytes) / (us / 1e6) / brokers);
+                  simulation.falsePositives(),
+                  hours,
+                  (simulation.bytes() - bytes) / (us / 1e6) / brokers);
             })
         .toList();
   }
 
-  private void figure(double ofItsBound) {
-    worst = Math.max(worst, ofItsBound);
+  private void recordFigure(double ratioToBound) {
+    worst = Math.max(worst, ratioToBound);
   }
 
-  private static double most(List<Course> courses) {
-    return courses.stream().mapToLong(Course::convergenceUs).max().orElse(0) / 1e6;
+  private static double maxSeconds(List<Convergence> convergences) {
+    return convergences.stream().mapToLong(Convergence::convergenceUs).max().orElse(0) / 1e6;
   }
 
-  private static String formatSeconds(List<Course> courses) {
-    return courses.stream().anyMatch(run -> run.convergenceUs() < 0)
+  private static String formatSeconds(List<Convergence> convergences) {
+    return convergences.stream().anyMatch(run -> run.convergenceUs() < 0)
         ? "-"
-        : String.format(Locale.ROOT, "%.2f", most(courses));
+        : String.format(Locale.ROOT, "%.2f", maxSeconds(convergences));
   }
 
-  private static double bytes(List<Course> courses) {
-    return courses.stream().mapToDouble(Course::bytesPerS).max().orElse(0);
+  private static double maxBytesPerS(List<Convergence> convergences) {
+    return convergences.stream().mapToDouble(Convergence::bytesPerS).max().orElse(0);
   }
 
-  private static Course course(Scenario scenario, long seed, MembershipProtocolSettings settings) {
+  private static Convergence measureConvergence(
+      Scenario scenario, long seed, MembershipProtocolSettings settings) {
     int brokers = scenario.brokers();
-    MembershipSimulation world = new MembershipSimulation(seed, scenario.loss(), settings);
-    world.start(0, brokers);
-    long timeoutUs = TIMEOUT_FACTOR * scenario.fault().boundUs(NEW, brokers);
+    MembershipSimulation simulation = new MembershipSimulation(seed, scenario.loss(), settings);
+    simulation.start(0, brokers);
+    long timeoutUs = TIMEOUT_FACTOR * scenario.fault().boundUs(CURRENT, brokers);
     if (scenario.fault() != Fault.START) {
-      world.untilAgree(TIMEOUT_FACTOR * MembershipBounds.joinUs(NEW, brokers));
-      world.play(2 * SECOND_US);
+      simulation.untilAgree(TIMEOUT_FACTOR * MembershipBounds.joinUs(CURRENT, brokers));
+      simulation.play(2 * SECOND_US);
     }
-    inject(scenario.fault(), world, brokers);
-    long bytesBefore = world.bytes();
-    long startUs = world.nowUs();
+    inject(scenario.fault(), simulation, brokers);
+    long bytesBefore = simulation.bytes();
+    long startUs = simulation.nowUs();
     long convergenceUs =
         scenario.fault() == Fault.CUT_IN_HALVES
-            ? untilHalvesAgree(world, brokers, timeoutUs)
-            : world.untilAgree(timeoutUs);
-    double seconds = Math.max(1, world.nowUs() - startUs) / 1e6;
-    return new Course(
+            ? untilHalvesAgree(simulation, brokers, timeoutUs)
+            : simulation.untilAgree(timeoutUs);
+    double seconds = Math.max(1, simulation.nowUs() - startUs) / 1e6;
+    return new Convergence(
         convergenceUs,
-        seconds < 0.2 ? 0 : (world.bytes() - bytesBefore) / seconds / world.nodes().size(),
-        world.largestMessage());
+        seconds < 0.2
+            ? 0
+            : (simulation.bytes() - bytesBefore) / seconds / simulation.nodes().size(),
+        simulation.largestMessage());
   }
 
-  private static void inject(Fault fault, MembershipSimulation world, int brokers) {
+  private static void inject(Fault fault, MembershipSimulation simulation, int brokers) {
     switch (fault) {
       case START -> {
-        // the brokers have just been started
+        // the brokers are already starting
       }
-      case CRASH -> world.kill(brokers - 1);
-      case LEAVE -> world.leave(brokers - 1);
-      case ONE_MOVES -> world.move(brokers - 1, 0);
-      case SEVEN_IN_TEN_DIE, AND_ARE_BACK -> crash(world, brokers, fault == Fault.AND_ARE_BACK);
+      case CRASH -> simulation.kill(brokers - 1);
+      case LEAVE -> simulation.leave(brokers - 1);
+      case ONE_MOVES -> simulation.move(brokers - 1, 0);
+      case SEVEN_IN_TEN_DIE, AND_ARE_BACK ->
+          crash(simulation, brokers, fault == Fault.AND_ARE_BACK);
       case CUT_IN_HALVES, CUT_IS_OVER -> {
-        world.cut((from, to) -> half(from, brokers) != half(to, brokers));
+        simulation.cut((from, to) -> isInFirstHalf(from, brokers) != isInFirstHalf(to, brokers));
         if (fault == Fault.CUT_IS_OVER) {
-          world.play(MembershipBounds.dieUs(NEW, brokers));
-          world.cut((from, to) -> false);
+          simulation.play(MembershipBounds.dieUs(CURRENT, brokers));
+          simulation.cut((from, to) -> false);
         }
       }
     }
   }
 
   /**
-   * Crashes seven in ten brokers, but not all but one: that one would have nobody to agree with.
+   * Crashes seven in ten brokers, but leaves at least two: a single one would have no other broker
+   * to agree with.
    */
-  private static void crash(MembershipSimulation world, int brokers, boolean restart) {
+  private static void crash(MembershipSimulation simulation, int brokers, boolean restart) {
     int crashing = Math.min(brokers - 2, (int) Math.ceil(0.7 * brokers));
     for (int i = 0; i < crashing; i++) {
-      world.kill(i);
+      simulation.kill(i);
     }
     for (int i = 0; i < crashing && restart; i++) {
-      world.restart(i, 0);
+      simulation.restart(i, 0);
     }
   }
 
-  private static boolean half(MembershipSimulation.Node node, int brokers) {
+  private static boolean isInFirstHalf(MembershipSimulation.Node node, int brokers) {
     return MembershipSimulation.number(node) < Math.max(2, brokers / 2);
   }
 
   /** Of three brokers the isolated one retains its members, so only the majority is compared. */
-  private static long untilHalvesAgree(MembershipSimulation world, int brokers, long timeoutUs) {
-    long from = world.nowUs();
-    while (world.nowUs() - from <= timeoutUs) {
+  private static long untilHalvesAgree(
+      MembershipSimulation simulation, int brokers, long timeoutUs) {
+    long from = simulation.nowUs();
+    while (simulation.nowUs() - from <= timeoutUs) {
       List<MembershipSimulation.Node> one =
-          world.nodes().stream().filter(node -> half(node, brokers)).toList();
+          simulation.nodes().stream().filter(node -> isInFirstHalf(node, brokers)).toList();
       List<MembershipSimulation.Node> other =
-          world.nodes().stream().filter(node -> !half(node, brokers)).toList();
+          simulation.nodes().stream().filter(node -> !isInFirstHalf(node, brokers)).toList();
       if (MembershipSimulation.agree(one)
           && (other.size() == 1 || MembershipSimulation.agree(other))) {
-        return world.nowUs() - from;
+        return simulation.nowUs() - from;
       }
-      world.play(SECOND_US / 20);
+      simulation.play(SECOND_US / 20);
     }
     return -1;
   }
--- a/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
@@ -17,34 +17,41 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * What was served against what is wanted, by class, tenant and third of the day, of reports that
- * the acceptance bench wrote.
+ * Command that compares the served share of the days in test reports with the required minimum, by
+ * query class, tenant and third of the day.
  */
 @Command(
     name = "floors",
     description =
-        "Prints served against wanted, least room first; exit code 1 if a day is below one.",
+        "Prints the served and the required share of each day, smallest margin first; exit code 1 if a share is below its minimum.",
     mixinStandardHelpOptions = true)
 public final class FloorsCommand implements Callable<Integer> {
   /**
-   * A third of a day is to have this part of what the policy serves that sees the true state late;
-   * of a long day this one.
+   * Required share of each third of a day, as a ratio of the share that the reference policy with a
+   * delayed view of the true state serves.
    */
-  private static final double THIRD = 0.2;
+  private static final double MIN_THIRD_RATIO = 0.2;
+
+  /** The same ratio for days of at least {@link #LONG_DAY_S}. */
+  private static final double LONG_DAY_MIN_THIRD_RATIO = 0.5;
 
-  private static final double LONG_THIRD = 0.5;
   private static final double LONG_DAY_S = 600;
 
   @Parameters(
       arity = "1..*",
       paramLabel = "FILE",
-      description = "reports, as --json writes them, or of the journal")
+      description = "reports as written by --json, or journal files")
   private List<Path> files;
 
-  /** One figure of a day that is held against a floor. */
-  record Floor(String day, String what, double served, double wanted) {
-    double room() {
-      return served - wanted;
+  /**
+   * One served share of a day and its floor.
+   *
+   * @param day the day and its report
+   * @param subject all queries, or one class, tenant or third of the day
+   */
+  record Floor(String day, String subject, double served, double required) {
+    double margin() {
+      return served - required;
     }
   }
 
@@ -53,7 +60,7 @@
     return print(files, System.out) ? 0 : 1;
   }
 
-  /** True where all that was served is as much as is wanted. */
+  /** Prints all shares, smallest margin first; returns true if none is below its floor. */
   static boolean print(List<Path> files, PrintStream out) throws IOException {
     List<Floor> all = new ArrayList<>();
     for (Path file : files) {
@@ -64,22 +71,21 @@
           | UnsupportedOperationException
           | NullPointerException e) {
         throw new IllegalArgumentException(
-            file
-                + " is no report of the bench: name a file that its --json wrote, or one of the journal");
+            file + " is not a report: expected a file written by --json or a journal file");
       }
     }
-    all.sort(Comparator.comparingDouble(Floor::room));
+    all.sort(Comparator.comparingDouble(Floor::margin));
     all.forEach(
-        f ->
+        floor ->
             out.printf(
                 Locale.ROOT,
                 "%6.3f of %5.3f  room %6.3f  %-24s %s%n",
-                f.served(),
-                f.wanted(),
-                f.room(),
-                f.what(),
-                f.day()));
-    return all.stream().allMatch(f -> f.room() >= 0);
+                floor.served(),
+                floor.required(),
+                floor.margin(),
+                floor.subject(),
+                floor.day()));
+    return all.stream().allMatch(floor -> floor.margin() >= 0);
   }
 
   static List<Floor> floors(String file, JsonObject report) {
@@ -87,22 +93,20 @@
     for (JsonValue value : report.get("days").asArray()) {
       JsonObject day = value.asObject();
       JsonObject row =
-          day.get("row") == null
-              ? day
-              : day.get("row").asObject(); // the journal keeps the rows alone
+          day.get("row") == null ? day : day.get("row").asObject(); // a journal has only the rows
       String name = row.getString("name", "?") + " of " + file;
       floors.add(
           new Floor(name, "all", row.getDouble("served", 0), row.getDouble("served_least", 0)));
-      named("class ", row.get("by_class"), name, floors);
-      named("tenant ", row.get("by_tenant"), name, floors);
+      addRows("class ", row.get("by_class"), name, floors);
+      addRows("tenant ", row.get("by_tenant"), name, floors);
       if (day.get("windows") != null) {
-        thirds(day.get("windows").asArray(), row.getDouble("served_late", 0), name, floors);
+        addThirds(day.get("windows").asArray(), row.getDouble("served_late", 0), name, floors);
       }
     }
     return floors;
   }
 
-  private static void named(String kind, JsonValue rows, String day, List<Floor> floors) {
+  private static void addRows(String kind, JsonValue rows, String day, List<Floor> floors) {
     for (JsonValue value : rows == null || !rows.isArray() ? new JsonArray() : rows.asArray()) {
       JsonArray row = value.asArray();
       floors.add(
@@ -111,13 +115,15 @@
     }
   }
 
-  /** By the windows that begin in each third. */
-  private static void thirds(JsonArray windows, double late, String day, List<Floor> floors) {
+  /** Adds a floor for each third of the day, from the windows that begin in it. */
+  private static void addThirds(
+      JsonArray windows, double servedLate, String day, List<Floor> floors) {
     double[] offered = new double[3];
     double[] served = new double[3];
     double lastS =
         windows.isEmpty() ? 0 : windows.get(windows.size() - 1).asObject().getDouble("from_s", 0);
-    double wanted = (lastS >= LONG_DAY_S ? LONG_THIRD : THIRD) * late;
+    double required =
+        (lastS >= LONG_DAY_S ? LONG_DAY_MIN_THIRD_RATIO : MIN_THIRD_RATIO) * servedLate;
     for (JsonValue value : windows) {
       JsonObject window = value.asObject();
       int third = (int) Math.min(2, 3 * window.getDouble("from_s", 0) / Math.max(1, lastS + 1));
@@ -126,7 +132,7 @@
     }
     for (int i = 0; i < 3; i++) {
       if (offered[i] > 0) {
-        floors.add(new Floor(day, "third " + (i + 1), served[i] / offered[i], wanted));
+        floors.add(new Floor(day, "third " + (i + 1), served[i] / offered[i], required));
       }
     }
   }
--- a/src/main/java/dunlinhitch/experiments/measurements/Measures.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/Measures.java
@@ -8,7 +8,7 @@
 
 /** The measurements by name. Each prints a table and ends in a verdict. */
 public final class Measures {
-  /** One measurement: prints its table and returns a figure with its bound. */
+  /** A measurement; prints its table and returns a figure with its bound. */
   interface Measure {
     Verdict run(long seed, boolean quick, PrintStream out) throws Exception;
   }
@@ -16,11 +16,11 @@
   /**
    * A figure and its bound.
    *
-   * @param most true if the bound is an upper one, false if it is a lower one
+   * @param isUpperBound true for an upper bound, false for a lower one
    */
-  record Verdict(String figure, double value, String unit, double bound, boolean most) {
+  record Verdict(String figure, double value, String unit, double bound, boolean isUpperBound) {
     boolean isWithinBound() {
-      return most ? value <= bound : value >= bound;
+      return isUpperBound ? value <= bound : value >= bound;
     }
   }
 
@@ -42,13 +42,13 @@
 
   private Measures() {}
 
-  /** The names of all measurements, in the order of help. */
+  /** The names of all measurements, in the order of the help text. */
   public static List<String> names() {
     return List.copyOf(ALL.keySet());
   }
 
   /**
-   * Runs a measurement; true if the figure is within its bound.
+   * Runs a measurement; returns true if the figure is within its bound.
    *
    * @param quick true for a short run with fewer cases
    * @throws IllegalArgumentException if there is no measurement of that name
@@ -58,7 +58,7 @@
     Measure measure = ALL.get(name);
     if (measure == null) {
       throw new IllegalArgumentException(
-          "no such measurement: " + name + "; there is " + String.join(", ", names()));
+          "unknown measurement: " + name + "; expected one of " + String.join(", ", names()));
     }
     out.printf(
         Locale.ROOT,
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -20,9 +20,9 @@
 import java.util.SplittableRandom;
 
 /**
- * What one change costs, from the pushed record to the decisions, at 100, 1,000 and 10,000
- * instances; against a whole list swapped in, which is how a source told of any change before. And
- * what a refresh of every record costs.
+ * Measures the cost of one change, from the pushed record to the decisions, with 100, 1,000 and
+ * 10,000 instances, and compares it with the cost of replacing the complete list, which is how
+ * sources used to report any change. Also measures the cost of refreshing every record.
  */
 final class MembershipScaleMeasure implements Measures.Measure {
   private static final String SOURCE = "dns_sd scale";
@@ -45,11 +45,11 @@
         "refresh MB",
         "KB on wire");
     Cost[] cost = new Cost[sizes.length];
-    one(sizes[1], changes, seed); // compiled before it counts
-    swap(sizes[1], changes / 8, seed);
+    measureChange(sizes[1], changes, seed); // warm-up, so that the timed run uses compiled code
+    measureReplacement(sizes[1], changes / 8, seed);
     for (int i = 0; i < sizes.length; i++) {
-      cost[i] = one(sizes[i], changes, seed);
-      Cost whole = swap(sizes[i], Math.max(20, changes * 10 / sizes[i]), seed);
+      cost[i] = measureChange(sizes[i], changes, seed);
+      Cost whole = measureReplacement(sizes[i], Math.max(20, changes * 10 / sizes[i]), seed);
       long cpu = THREADS.getCurrentThreadCpuTime();
       long bytes = THREADS.getCurrentThreadAllocatedBytes();
       long wire = RecordsBenchmark.refresh(stores(sizes[i]), seed);
@@ -66,16 +66,16 @@
           wire / 1e3);
     }
     out.println(
-        "change: a store withdrawn or back, median; swap: the same by a whole list; refresh: every set of every "
-            + "instance answered again");
+        "change: a store withdrawn or added again, median; swap: the same by a complete list; refresh: every record set "
+            + "of every instance answered again");
     return new Measures.Verdict(
         "change-kb-at-10000-by-100", cost[2].kb() / cost[0].kb(), "times", 1.5, true);
   }
 
   static List<List<org.xbill.DNS.Record>> stores(int size) {
-    List<List<org.xbill.DNS.Record>> all = new ArrayList<>();
+    List<List<org.xbill.DNS.Record>> endpoints = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      all.add(
+      endpoints.add(
           Zone.store(
               "_calendar._tcp.rooms.example.org.",
               "store " + i,
@@ -86,7 +86,7 @@
               "cell=" + i % 2,
               "zone=a"));
     }
-    return all;
+    return endpoints;
   }
 
   private static String address(int number) {
@@ -99,62 +99,60 @@
   }
 
   /** The median cost of a change, in microseconds and kilobytes. */
-  private static Cost one(int size, int changes, long seed) throws Exception {
+  private static Cost measureChange(int size, int changes, long seed) throws Exception {
     RecordsBenchmark records =
         new RecordsBenchmark(new EndpointListReader(List.of("a"), e -> {}), seed);
     Reducer reducer = new Reducer(BrokerFixture.settings(300), seed, 0);
-    long now = 1_000_000;
-    reducer.turn(now, List.of(new Event.SourceRegistered(SOURCE, 1)));
+    long nowUs = 1_000_000;
+    reducer.turn(nowUs, List.of(new Event.SourceRegistered(SOURCE, 1)));
     reducer.turn(
-        now, List.of(new Event.SourceUpdated(SOURCE, true, records.fill(now, stores(size)))));
+        nowUs, List.of(new Event.SourceUpdated(SOURCE, true, records.fill(nowUs, stores(size)))));
     SplittableRandom random = new SplittableRandom(seed);
-    boolean[] out = new boolean[size];
+    boolean[] withdrawn = new boolean[size];
     List<Double> us = new ArrayList<>();
     List<Double> kb = new ArrayList<>();
     for (int i = 0; i < changes; i++) {
-      now += 100_000;
-      int which = random.nextInt(size);
-      reducer.turn(
-          now,
-          List.of()); // what the time alone brings, such as the decisions' own alarms, is not the
-      // change's
+      nowUs += 100_000;
+      int index = random.nextInt(size);
+      // due timers, such as those of the decisions, are not part of the cost of the change
+      reducer.turn(nowUs, List.of());
       long bytes = THREADS.getCurrentThreadAllocatedBytes();
-      long from = System.nanoTime();
-      List<EndpointClaim> claims = records.flip(now, which, out[which]);
-      reducer.turn(now, List.of(new Event.SourceUpdated(SOURCE, false, claims)));
-      us.add((System.nanoTime() - from) / 1e3);
+      long startNanos = System.nanoTime();
+      List<EndpointClaim> claims = records.flip(nowUs, index, withdrawn[index]);
+      reducer.turn(nowUs, List.of(new Event.SourceUpdated(SOURCE, false, claims)));
+      us.add((System.nanoTime() - startNanos) / 1e3);
       kb.add((THREADS.getCurrentThreadAllocatedBytes() - bytes) / 1e3);
-      out[which] = !out[which];
+      withdrawn[index] = !withdrawn[index];
     }
     return new Cost(median(us), median(kb));
   }
 
-  private static Cost swap(int size, int changes, long seed) {
+  private static Cost measureReplacement(int size, int changes, long seed) {
     Reducer reducer = new Reducer(BrokerFixture.settings(300), seed, 0);
     SplittableRandom random = new SplittableRandom(seed);
-    List<Endpoint> all = new ArrayList<>();
+    List<Endpoint> endpoints = new ArrayList<>();
     for (int i = 0; i < size; i++) {
-      all.add(entry(i, ServerState.READY));
+      endpoints.add(entry(i, ServerState.READY));
     }
-    long now = 1_000_000;
-    reducer.turn(now, List.of(new Event.EndpointsUpdated(ServerListKind.FULL, all)));
+    long nowUs = 1_000_000;
+    reducer.turn(nowUs, List.of(new Event.EndpointsUpdated(ServerListKind.FULL, endpoints)));
     List<Double> us = new ArrayList<>();
     List<Double> kb = new ArrayList<>();
     for (int i = 0; i < changes; i++) {
-      now += 100_000;
-      int which = random.nextInt(size);
-      reducer.turn(now, List.of());
+      nowUs += 100_000;
+      int index = random.nextInt(size);
+      reducer.turn(nowUs, List.of());
       long bytes = THREADS.getCurrentThreadAllocatedBytes();
-      long from = System.nanoTime();
-      all.set(
-          which,
+      long startNanos = System.nanoTime();
+      endpoints.set(
+          index,
           entry(
-              which,
-              all.get(which).state() == ServerState.READY
+              index,
+              endpoints.get(index).state() == ServerState.READY
                   ? ServerState.DRAINING
                   : ServerState.READY));
-      reducer.turn(now, List.of(new Event.EndpointsUpdated(ServerListKind.FULL, all)));
-      us.add((System.nanoTime() - from) / 1e3);
+      reducer.turn(nowUs, List.of(new Event.EndpointsUpdated(ServerListKind.FULL, endpoints)));
+      us.add((System.nanoTime() - startNanos) / 1e3);
       kb.add((THREADS.getCurrentThreadAllocatedBytes() - bytes) / 1e3);
     }
     return new Cost(median(us), median(kb));
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -24,8 +24,8 @@
 
 /**
  * Compares the value of the answers with and without a first pass, for the same queries on the same
- * fake stores: by load, by the share of empty blocks and by the cost of a first pass. Open loop: a
- * query's latency counts from the time at which it was due.
+ * fake stores: by load, by the share of empty blocks and by the cost of a first pass. Open loop:
+ * the latency of a query is measured from the time at which it was due.
  */
 final class PhasesMeasure implements Measures.Measure {
   private static final int STORES = 4;
@@ -39,41 +39,48 @@
   private static final String EMPTY_ANSWER = "{}";
 
   private record Result(
-      double worth, double lost, double workMs, double p50Ms, double p99Ms, long two, long one) {}
+      double worth,
+      double lost,
+      double workMs,
+      double p50Ms,
+      double p99Ms,
+      long twoPhases,
+      long onePhase) {}
 
   @Override
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) throws Exception {
     double[] loads = quick ? new double[] {1.3} : new double[] {0.5, 0.9, 1.3};
-    double[] empties = quick ? new double[] {0, 0.6} : new double[] {0, 0.3, 0.6, 0.9};
-    double[] prices = quick ? new double[] {0.1} : new double[] {0.02, 0.1, 0.3};
+    double[] emptyShares = quick ? new double[] {0, 0.6} : new double[] {0, 0.3, 0.6, 0.9};
+    double[] firstPassCosts = quick ? new double[] {0.1} : new double[] {0.02, 0.1, 0.3};
     double seconds = quick ? 5 : 4;
     out.printf(
         "%5s %6s %6s | %8s %8s %8s %8s | %8s %8s %8s %8s %7s | %6s %6s%n",
         "load", "empty", "price", "worth 1", "work ms", "p50 ms", "p99 ms", "worth 2", "work ms",
         "p50 ms", "p99 ms", "in two", "ratio", "lost");
     double target = 0;
-    double least = 9;
+    double minRatio = 9;
     double lost = 0;
     for (double load : loads) {
-      for (double empty : empties) {
-        Result one = day(load, empty, 0.1, false, seconds, seed);
-        for (double price : prices) {
-          Result two = day(load, empty, price, true, seconds, seed);
+      for (double empty : emptyShares) {
+        Result one = runLoad(load, empty, 0.1, false, seconds, seed);
+        for (double price : firstPassCosts) {
+          Result two = runLoad(load, empty, price, true, seconds, seed);
           double ratio = two.worth() / one.worth();
           printRow(out, new Setting(load, empty, price), one, two);
           target = load == 1.3 && empty == 0.6 && price == 0.1 ? ratio : target;
-          least = empty <= price ? Math.min(least, ratio) : least;
+          minRatio = empty <= price ? Math.min(minRatio, ratio) : minRatio;
           lost += two.lost() + one.lost();
         }
       }
     }
     out.printf(
         Locale.ROOT,
-        "worth: of 1 a query (late %.1f, partial %.1f of its share); work: a query, of the stores; lost: blocks "
-            + "answered as empty that had something%nwhere it does not pay (empty <= price) the least ratio is %.3f (wanted 0.98)%n",
+        "worth: mean value of a query, at most 1 (late %.1f, partial %.1f of its share); work: store time of a query; "
+            + "lost: blocks answered as empty that had matches%nwhere a first pass does not pay off (empty <= price), the "
+            + "least ratio is %.3f (required 0.98)%n",
         LATE_VALUE,
         PARTIAL_VALUE,
-        least);
+        minRatio);
     return new Measures.Verdict(
         "worth-by-one-phase-at-1.3-0.6-0.1", lost > 0 ? 0 : target, "times", 1.25, false);
   }
@@ -95,12 +102,12 @@
         two.workMs(),
         two.p50Ms(),
         two.p99Ms(),
-        100.0 * two.two() / Math.max(1, two.two() + two.one()),
+        100.0 * two.twoPhases() / Math.max(1, two.twoPhases() + two.onePhase()),
         two.worth() / one.worth(),
         two.lost());
   }
 
-  /** The class of the queries, where it is queried in two phases. */
+  /** The two-phase settings of the queries' class; empty if {@code twoPhases} is false. */
   private static List<Product.TwoPhaseClass> twoPhaseClasses(boolean twoPhases) {
     if (!twoPhases) {
       return List.of();
@@ -113,16 +120,16 @@
     return hash < share * 1_000;
   }
 
-  private static Result day(
+  private static Result runLoad(
       double load, double empty, double price, boolean twoPhases, double seconds, long seed)
       throws Exception {
     Vertx storeVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
-    BrokerFixture stage = new BrokerFixture();
-    stage.twoPhaseClasses = twoPhaseClasses(twoPhases);
+    BrokerFixture fixture = new BrokerFixture();
+    fixture.twoPhaseClasses = twoPhaseClasses(twoPhases);
     List<QueueingStore> stores = startStores(storeVertx, empty, price);
-    stage.publishStores(stores.toArray(QueueingStore[]::new));
-    stage.start(BrokerFixture.settings(2_000), null);
-    Client client = Client.http(stage.httpPort);
+    fixture.publishStores(stores.toArray(QueueingStore[]::new));
+    fixture.start(BrokerFixture.settings(2_000), null);
+    Client client = Client.http(fixture.httpPort);
     double perSecond = load * STORES * CORES * 1e6 / WORK_US / PARTS;
     long warmUpNanos = (long) (seconds * 0.4e9);
     long endNanos = (long) (seconds * 1.4e9);
@@ -145,13 +152,13 @@
     }
     responses.await();
     long workedUs = workedUs(stores) - workedBeforeUs;
-    long two = stage.counter("queries_in_two_phases");
-    long one = stage.counter("queries_in_one_phase");
+    long twoPhaseQueries = fixture.counter("queries_in_two_phases");
+    long onePhaseQueries = fixture.counter("queries_in_one_phase");
     client.close();
     for (QueueingStore store : stores) {
       store.close();
     }
-    stage.close();
+    fixture.close();
     storeVertx.close();
     return new Result(
         responses.worth.sum() / counted,
@@ -159,8 +166,8 @@
         workedUs / 1e3 / counted,
         responses.latency.getValueAtPercentile(50) / 1e3,
         responses.latency.getValueAtPercentile(99) / 1e3,
-        two,
-        one);
+        twoPhaseQueries,
+        onePhaseQueries);
   }
 
   private static List<QueueingStore> startStores(Vertx vertx, double empty, double price)
@@ -202,12 +209,14 @@
     return "{\"ranges\":[" + ranges + "],\"predicate\":" + Json.value(predicate) + "}";
   }
 
-  /** Sends queries and sums up their responses. Thread-safe: responses come on other threads. */
+  /**
+   * Sends queries and aggregates their responses. Thread-safe: responses arrive on other threads.
+   */
   private static final class Responses {
     private final double empty;
     private final DoubleAdder worth = new DoubleAdder();
 
-    /** Blocks answered as empty that were not, or the reverse. */
+    /** Blocks with matches that were answered as empty, or the reverse. */
     private final AtomicLong lost = new AtomicLong();
 
     private final AtomicLong open = new AtomicLong();
--- a/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
@@ -24,9 +24,10 @@
 import java.util.function.Supplier;
 
 /**
- * Scorers on a model: stores that are slower than they report, with Graham's rule alone, a scorer
- * at each broker, and weights that the brokers share; a new broker; whether load swings from store
- * to store; and what a decision costs. The verdict is the figure that comes closest to its bound.
+ * Measures scorers on a simulation. It compares Graham's rule alone, a scorer at each broker, and a
+ * scorer with weights that the brokers share, on stores that are slower than they report and after
+ * a broker joins; it then measures whether the load oscillates between stores, and the cost of a
+ * decision. The verdict is the figure that is closest to its bound.
  */
 final class ScorersMeasure implements Measures.Measure {
   private static final long SECOND_US = 1_000_000;
@@ -37,10 +38,13 @@
           DampingSettings.NAIVE,
           RULE.roundUs(),
           RULE.maxAttemptsPerRound());
-  private static final double COST_NS = 5_000;
+  private static final double MAX_COST_NS = 5_000;
   private double worst;
 
-  /** What a hasty author would write: the newest mean latency, shared and believed as it is. */
+  /**
+   * A naive scorer: it shares the newest mean ratio of actual to predicted latency and applies
+   * shared weights unchanged.
+   */
   private static final class Newest implements Scorer {
     @Override
     public int api() {
@@ -59,40 +63,40 @@
 
     @Override
     public List<Judgement> judge(Round round) {
-      List<Judgement> said = new ArrayList<>();
-      for (Candidate c : round.candidates()) {
-        double times =
-            c.endings().stream()
-                .mapToDouble(e -> (double) e.tookUs() / Math.max(1, e.foreseenUs()))
+      List<Judgement> judgements = new ArrayList<>();
+      for (Candidate candidate : round.candidates()) {
+        double slowdown =
+            candidate.endings().stream()
+                .mapToDouble(ending -> (double) ending.tookUs() / Math.max(1, ending.foreseenUs()))
                 .average()
                 .orElse(1);
-        FleetWeight fleet = c.fleet();
-        said.add(
+        FleetWeight fleet = candidate.fleet();
+        judgements.add(
             new Judgement(
-                fleet.evidence() > 0 ? fleet.weight() : Math.max(1e-3, times),
-                Math.max(1e-3, times),
-                c.endings().size()));
+                fleet.evidence() > 0 ? fleet.weight() : Math.max(1e-3, slowdown),
+                Math.max(1e-3, slowdown),
+                candidate.endings().size()));
       }
-      return said;
+      return judgements;
     }
   }
 
   @Override
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
     worst = 0;
-    for (long one = seed; one < seed + (quick ? 1 : 3); one++) {
-      worth(out, one, quick);
+    for (long runSeed = seed; runSeed < seed + (quick ? 1 : 3); runSeed++) {
+      compareScorers(out, runSeed, quick);
     }
-    herd(out, seed, quick);
-    cost(out, seed, quick);
+    measureLoadSwing(out, seed, quick);
+    measureDecisionCost(out, seed, quick);
     return new Measures.Verdict("figure-by-its-bound-at-worst", worst, "of 1", 1, true);
   }
 
-  private void figure(double value, double bound) {
+  private void recordFigure(double value, double bound) {
     worst = Math.max(worst, value / bound);
   }
 
-  private void worth(PrintStream out, long seed, boolean quick) {
+  private void compareScorers(PrintStream out, long seed, boolean quick) {
     long joinUs = (quick ? 30 : 60) * SECOND_US;
     long endUs = joinUs + 15 * SECOND_US;
     out.printf(
@@ -100,49 +104,52 @@
         seed);
     out.printf(
         "%-26s %10s %10s %14s %14s%n", "", "worth", "p99 ms", "newcomer worth", "newcomer p99");
-    double[][] all = new double[3][];
+    double[][] figures = new double[3][];
     String[] names = {"Graham alone", "store-pace, each for itself", "store-pace, shared"};
     for (int i = 0; i < names.length; i++) {
       Supplier<Scorer> scorer = i == 0 ? null : StorePace::new;
-      ScorerSimulation world =
+      ScorerSimulation simulation =
           new ScorerSimulation(
               new ScorerSimulation.Plan(
                   10, 10, 6, 20_000, 1.0 / 6, 0.7, scorer, RULE, i == 2, false, 2 * SECOND_US),
               seed);
-      world.playTo(joinUs);
-      world.join();
-      world.playTo(endUs);
-      long newUs = joinUs + 10 * SECOND_US;
-      all[i] =
+      simulation.playTo(joinUs);
+      simulation.join();
+      simulation.playTo(endUs);
+      long newcomerEndUs = joinUs + 10 * SECOND_US;
+      figures[i] =
           new double[] {
-            world.worth(10 * SECOND_US, joinUs, false),
-            world.p99(10 * SECOND_US, joinUs, false),
-            world.worth(joinUs, newUs, true),
-            world.p99(joinUs, newUs, true)
+            simulation.worth(10 * SECOND_US, joinUs, false),
+            simulation.p99(10 * SECOND_US, joinUs, false),
+            simulation.worth(joinUs, newcomerEndUs, true),
+            simulation.p99(joinUs, newcomerEndUs, true)
           };
       out.printf(
           Locale.ROOT,
           "%-26s %10.4f %10.1f %14.4f %14.1f%n",
           names[i],
-          all[i][0],
-          all[i][1] / 1e3,
-          all[i][2],
-          all[i][3] / 1e3);
+          figures[i][0],
+          figures[i][1] / 1e3,
+          figures[i][2],
+          figures[i][3] / 1e3);
     }
-    figure(all[0][0], all[2][0]);
-    figure(all[2][1], all[0][1]);
-    figure(all[2][3], all[1][3]);
+    recordFigure(figures[0][0], figures[2][0]);
+    recordFigure(figures[2][1], figures[0][1]);
+    recordFigure(figures[2][3], figures[1][3]);
   }
 
-  /** One cell of six stores, one of them slow; weights up to 2 s old. */
-  private void herd(PrintStream out, long seed, boolean quick) {
+  /**
+   * Measures the oscillation of the load in one cell of six stores, one of them slow, with weights
+   * up to 2 s old.
+   */
+  private void measureLoadSwing(PrintStream out, long seed, boolean quick) {
     long endUs = (quick ? 25 : 60) * SECOND_US;
-    double more =
+    double maxIncrease =
         Math.expm1(DampingSettings.STANDARD.maxChangeWithin(2 * SECOND_US, RULE.roundUs()));
     out.printf(
         Locale.ROOT,
-        "%nload of a store from second to second, rms by its mean; damped: at most %.2f above Graham alone%n",
-        more);
+        "%nchange of a store's load from second to second, RMS by its mean; damped: at most %.2f above Graham alone%n",
+        maxIncrease);
     out.printf(
         "%8s %14s %16s %16s %16s %16s%n",
         "brokers",
@@ -152,11 +159,11 @@
         "pace, naive",
         "pace, damped");
     for (int brokers : new int[] {3, 30, 100}) {
-      double[] swing = new double[5];
-      for (int i = 0; i < swing.length; i++) {
+      double[] swings = new double[5];
+      for (int i = 0; i < swings.length; i++) {
         Supplier<Scorer> scorer = i == 0 ? null : i < 3 ? Newest::new : StorePace::new;
         boolean naive = i == 1 || i == 3;
-        ScorerSimulation world =
+        ScorerSimulation simulation =
             new ScorerSimulation(
                 new ScorerSimulation.Plan(
                     brokers,
@@ -171,27 +178,27 @@
                     naive,
                     2 * SECOND_US),
                 seed);
-        world.playTo(endUs);
-        swing[i] = world.swing(endUs / 2, endUs);
+        simulation.playTo(endUs);
+        swings[i] = simulation.swing(endUs / 2, endUs);
       }
       out.printf(
           Locale.ROOT,
           "%8d %14.3f %16.3f %16.3f %16.3f %16.3f%n",
           brokers,
-          swing[0],
-          swing[1],
-          swing[2],
-          swing[3],
-          swing[4]);
-      figure(Math.max(swing[2], swing[4]) - swing[0], more);
+          swings[0],
+          swings[1],
+          swings[2],
+          swings[3],
+          swings[4]);
+      recordFigure(Math.max(swings[2], swings[4]) - swings[0], maxIncrease);
     }
   }
 
   /**
-   * Least of ten by predicted work, with the table and without; and a round on the loop in its
-   * place.
+   * Measures the choice of the lowest of ten predicted loads without the factor table, with it, and
+   * with a call of the scorer on the event loop instead; also measures a round of 200 stores.
    */
-  private void cost(PrintStream out, long seed, boolean quick) {
+  private void measureDecisionCost(PrintStream out, long seed, boolean quick) {
     SplittableRandom random = new SplittableRandom(seed);
     Scoring scoring =
         new Scoring(
@@ -200,67 +207,70 @@
             RULE,
             List.of(new Scoring.QueryClass("a", 400_000)),
             seed);
-    List<EndpointSnapshot> sights = new ArrayList<>();
+    List<EndpointSnapshot> endpoints = new ArrayList<>();
     for (int i = 0; i < 200; i++) {
-      sights.add(
+      endpoints.add(
           new EndpointSnapshot(
               i, "s" + i, i / 10, "", true, 1, 0, random.nextDouble() * 1e5, List.of(1.0), 0));
     }
     Scorer scorer = new StorePace();
-    double round = 0;
+    double roundNanos = 0;
     int rounds = quick ? 400 : 2_000;
-    for (int r = 0; r < 2 * rounds; r++) {
+    for (int pass = 0; pass < 2 * rounds; pass++) {
       long from = System.nanoTime();
-      scoring.updateEndpoints(sights);
-      List<Round> asked = scoring.rounds(r * 250_000L, r * 250_000L);
-      scoring.applyJudgements(r * 250_000L, asked, List.of(scorer.judge(asked.get(0))));
-      round += r < rounds ? 0 : System.nanoTime() - from;
+      scoring.updateEndpoints(endpoints);
+      List<Round> roundInputs = scoring.rounds(pass * 250_000L, pass * 250_000L);
+      scoring.applyJudgements(
+          pass * 250_000L, roundInputs, List.of(scorer.judge(roundInputs.get(0))));
+      roundNanos += pass < rounds ? 0 : System.nanoTime() - from;
       for (int i = 0; i < 200; i++) {
         scoring.onAttemptCompleted(
-            "s" + i, 0, new Ending(Ending.Outcome.ANSWERED, r * 250_000L + 20_000, 20_000, 10_000));
+            "s" + i,
+            0,
+            new Ending(Ending.Outcome.ANSWERED, pass * 250_000L + 20_000, 20_000, 10_000));
       }
     }
-    Round ten =
+    Round tenCandidates =
         new Round(
             0, "a", 400_000, scoring.rounds(1L << 40, 1L << 40).get(0).candidates().subList(0, 10));
     double[] loads = random.doubles(4_096).toArray();
-    double none = choose(loads, FactorTable.NONE, null, null, quick);
-    double table = choose(loads, scoring.factors(), null, null, quick);
-    double onLoop = choose(loads, FactorTable.NONE, scorer, ten, quick);
+    double withoutTableNs = choose(loads, FactorTable.NONE, null, null, quick);
+    double withTableNs = choose(loads, scoring.factors(), null, null, quick);
+    double onLoopNs = choose(loads, FactorTable.NONE, scorer, tenCandidates, quick);
     out.printf(
         Locale.ROOT,
-        "%na decision among 10: %.0f ns without, %.0f ns more with the last answer, %.0f ns more if the scorer were asked on"
-            + " the loop; a round of 200 stores beside it: %.0f µs%n",
-        none,
-        table - none,
-        onLoop - none,
-        round / rounds / 1e3);
-    figure(Math.max(1, table - none), COST_NS);
+        "%na decision among 10: %.0f ns without a scorer, %.0f ns more with the factor table, %.0f ns more with a call of the"
+            + " scorer on the event loop; a round of 200 stores off the loop: %.0f µs%n",
+        withoutTableNs,
+        withTableNs - withoutTableNs,
+        onLoopNs - withoutTableNs,
+        roundNanos / rounds / 1e3);
+    recordFigure(Math.max(1, withTableNs - withoutTableNs), MAX_COST_NS);
   }
 
   private static double choose(
-      double[] loads, FactorTable table, Scorer scorer, Round ten, boolean quick) {
+      double[] loads, FactorTable table, Scorer scorer, Round tenCandidates, boolean quick) {
     int decisions = quick ? 300_000 : 3_000_000;
-    long sum = 0;
+    long checksum = 0;
     long from = 0;
-    for (int d = -decisions / 4; d < decisions; d++) {
-      from = d == 0 ? System.nanoTime() : from;
-      int best = -1;
-      double least = 0;
-      List<Judgement> said = scorer == null ? null : scorer.judge(ten);
+    for (int decision = -decisions / 4; decision < decisions; decision++) {
+      from = decision == 0 ? System.nanoTime() : from;
+      int chosen = -1;
+      double lowestScore = 0;
+      List<Judgement> judgements = scorer == null ? null : scorer.judge(tenCandidates);
       for (int i = 0; i < 10; i++) {
-        double factor = said == null ? table.factor(i, 0) : said.get(i).factor();
-        double score = loads[d * 10 + i & 4_095] * factor;
-        if (best < 0 || score < least) {
-          best = i;
-          least = score;
+        double factor = judgements == null ? table.factor(i, 0) : judgements.get(i).factor();
+        double score = loads[decision * 10 + i & 4_095] * factor;
+        if (chosen < 0 || score < lowestScore) {
+          chosen = i;
+          lowestScore = score;
         }
       }
-      sum += best;
+      checksum += chosen;
     }
     double ns = (System.nanoTime() - from) / (double) decisions;
-    if (sum < 0) {
-      throw new IllegalStateException("nothing was chosen");
+    if (checksum < 0) {
+      throw new IllegalStateException("no candidate was chosen in any decision");
     }
     return ns;
   }
--- a/src/main/java/dunlinhitch/experiments/measurements/SummariesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/SummariesMeasure.java
@@ -60,7 +60,8 @@
           costs.maps().lookUpNs());
     }
     out.println(
-        PREDICATES + " predicates told of each block; bytes are of the heap after a collection");
+        PREDICATES
+            + " predicates recorded for each block; bytes of heap after a garbage collection");
     return new Measures.Verdict("map-by-bitmaps-at-1000000", ratio, "times the memory", 10, false);
   }
 
@@ -91,7 +92,9 @@
     double mapLookUpNs = (System.nanoTime() - startNanos) / (double) lookUps;
     int difference = emptyInBitmaps - emptyInMaps;
     if (Math.abs(difference) > lookUps / 10) {
-      throw new IllegalStateException("the two do not agree: " + difference);
+      throw new IllegalStateException(
+          "look-ups in bitmaps and maps found different numbers of empty blocks: difference "
+              + difference);
     }
     return new Costs(
         new Cost(bitmapBytes, bitmapRecordNs, bitmapLookUpNs),
--- a/src/main/java/dunlinhitch/experiments/measurements/WheelMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WheelMeasure.java
@@ -6,7 +6,10 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Lifetimes that are moved, as every refresh of a record does: the timing wheel against a heap. */
+/**
+ * Compares the timing wheel with a binary heap for deadlines that are postponed, as at every
+ * refresh of a record.
+ */
 final class WheelMeasure implements Measures.Measure {
   private static final long TTL_US = 120_000_000;
 
@@ -27,12 +30,12 @@
     double ratio = 0;
     for (int i = 0; i < sizes.length; i++) {
       int moves = quick ? 200_000 : 2_000_000;
-      wheel(sizes[i], moves / 4, seed); // compiled before it counts
+      wheel(sizes[i], moves / 4, seed); // warm-up, so that the timed run uses compiled code
       wheel[i] = wheel(sizes[i], moves, seed);
-      int slower =
+      int heapMoves =
           Math.max(200, Math.min(moves, (quick ? 200_000_000 : 1_000_000_000) / sizes[i] / 10));
-      heap(sizes[i], slower / 4, seed);
-      double heap = heap(sizes[i], slower, seed);
+      heap(sizes[i], heapMoves / 4, seed);
+      double heap = heap(sizes[i], heapMoves, seed);
       ratio = heap / wheel[i];
       out.printf(Locale.ROOT, "%10d %14.1f %14.1f %12.1f%n", sizes[i], wheel[i], heap, ratio);
     }
@@ -40,8 +43,8 @@
   }
 
   /**
-   * Every record's end is moved on, one after the other in any order, while the clock goes on;
-   * nanoseconds a move.
+   * Postpones the deadlines of random records while the clock advances; returns the nanoseconds per
+   * move.
    */
   private static double wheel(int size, int moves, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -50,25 +53,25 @@
     for (int i = 0; i < size; i++) {
       handles.add(wheel.schedule(random.nextLong(TTL_US), i));
     }
-    long now = 0;
-    long step = Math.max(1, TTL_US / size / 2);
-    int[] rung = {0};
-    long from = System.nanoTime();
+    long nowUs = 0;
+    long stepUs = Math.max(1, TTL_US / size / 2);
+    int[] expired = {0};
+    long startNanos = System.nanoTime();
     for (int i = 0; i < moves; i++) {
-      int which = random.nextInt(size);
-      wheel.cancel(handles.get(which));
-      handles.set(which, wheel.schedule(now + TTL_US, which));
-      now += step;
+      int index = random.nextInt(size);
+      wheel.cancel(handles.get(index));
+      handles.set(index, wheel.schedule(nowUs + TTL_US, index));
+      nowUs += stepUs;
       if (i % 64 == 0) {
         wheel.advance(
-            now,
+            nowUs,
             item -> {
-              rung[0]++;
+              expired[0]++;
               handles.set(item, wheel.schedule(Long.MAX_VALUE / 2, item));
             });
       }
     }
-    return (System.nanoTime() - from) / (double) moves;
+    return (System.nanoTime() - startNanos) / (double) moves;
   }
 
   private static double heap(int size, int moves, long seed) {
@@ -80,21 +83,21 @@
       entries[i].dueUs = random.nextLong(TTL_US);
       heap.add(entries[i]);
     }
-    long now = 0;
-    long step = Math.max(1, TTL_US / size / 2);
-    long from = System.nanoTime();
+    long nowUs = 0;
+    long stepUs = Math.max(1, TTL_US / size / 2);
+    long startNanos = System.nanoTime();
     for (int i = 0; i < moves; i++) {
       Entry entry = entries[random.nextInt(size)];
       heap.remove(entry);
-      entry.dueUs = now + TTL_US;
+      entry.dueUs = nowUs + TTL_US;
       heap.add(entry);
-      now += step;
-      while (i % 64 == 0 && heap.peek().dueUs <= now) {
-        Entry over = heap.poll();
-        over.dueUs = Long.MAX_VALUE / 2;
-        heap.add(over);
+      nowUs += stepUs;
+      while (i % 64 == 0 && heap.peek().dueUs <= nowUs) {
+        Entry expired = heap.poll();
+        expired.dueUs = Long.MAX_VALUE / 2;
+        heap.add(expired);
       }
     }
-    return (System.nanoTime() - from) / (double) moves;
+    return (System.nanoTime() - startNanos) / (double) moves;
   }
 }
--- a/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
@@ -35,14 +35,14 @@
 import org.xbill.DNS.Record;
 
 /**
- * Withdraws stores under load and lists them again: the time until a broker detects a withdrawal,
- * and the time from then until the last part that the store received; by DNS push, by polling of
- * the zone's serial, and by the baseline resolver.
+ * Withdraws stores under load and lists them again. It measures the time until a broker detects a
+ * withdrawal and the time from then until the last part that the store received, with DNS push,
+ * with polling of the zone's serial, and with the baseline resolver.
  */
 final class WithdrawalMeasure implements Measures.Measure {
   private static final String SERVICE = "_calendar._tcp.rooms.example.org.";
   private static final int STORES = 8;
-  private static final int QUERIES_A_SECOND = 100;
+  private static final int QUERIES_PER_SECOND = 100;
   private static final int PARTS = 4;
   private static final int WORK_MS = 25;
   private static final long SOA_US = 100_000;
@@ -55,27 +55,27 @@
 
   @Override
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) throws Exception {
-    int times = quick ? 20 : 500;
+    int count = quick ? 20 : 500;
     out.printf(
         "%-28s %6s %10s %10s %10s   %10s %10s %10s%n",
         "way", "n", "seen p50", "p99", "most", "last p50", "p99", "most");
     double worst = 0;
     for (boolean flight : new boolean[] {false, true}) {
       worst =
-          Math.max(worst, measureBroker("push, " + wire(flight), true, flight, times, seed, out));
+          Math.max(worst, measureBroker("push, " + wire(flight), true, flight, count, seed, out));
       worst =
           Math.max(
               worst,
-              measureBroker("serial 100 ms, " + wire(flight), false, flight, times, seed, out));
+              measureBroker("serial 100 ms, " + wire(flight), false, flight, count, seed, out));
     }
     measureBaseline(quick ? 5 : 60, seed, out);
     out.println(
-        "ms; seen: from the change of the zone to the broker's roster; last: from then to the last part that came "
-            + "to the store, 0 where none did; "
+        "ms; seen: from the change of the zone to the broker's endpoint list; last: from then to the last part that "
+            + "the store received, 0 if there was none; "
             + STORES
             + " stores, "
-            + QUERIES_A_SECOND
-            + " queries a second of "
+            + QUERIES_PER_SECOND
+            + " queries per second of "
             + PARTS
             + " parts");
     return new Measures.Verdict(
@@ -86,7 +86,8 @@
     return flight ? "flight" : "frames";
   }
 
-  private static void row(PrintStream out, String label, Histogram detection, Histogram lastSend) {
+  private static void printRow(
+      PrintStream out, String label, Histogram detection, Histogram lastSend) {
     out.printf(
         Locale.ROOT,
         "%-28s %6d %10.1f %10.1f %10.1f   %10s %10s %10s%n",
@@ -119,48 +120,48 @@
 
   /** The maximum time from the detection of a withdrawal to the last part, in microseconds. */
   private double measureBroker(
-      String label, boolean push, boolean flight, int times, long seed, PrintStream out)
+      String label, boolean push, boolean flight, int count, long seed, PrintStream out)
       throws Exception {
     Path directory = Files.createTempDirectory("withdrawal");
     Vertx dnsVertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Zone zone = new Zone("rooms.example.org.");
-    FakeNameServer responder = new FakeNameServer(dnsVertx, zone);
-    BrokerFixture stage = new BrokerFixture();
-    stage.membershipTimes =
+    FakeNameServer nameServer = new FakeNameServer(dnsVertx, zone);
+    BrokerFixture fixture = new BrokerFixture();
+    fixture.membershipTimes =
         new Product.MembershipTimes(10_000_000, 3_600_000_000L, 0, 0, 1_000_000);
     Vertx storeVertx = Vertx.vertx();
     List<Store> stores = startStores(flight, storeVertx, zone);
     Map<String, Long> detectionNanos = new ConcurrentHashMap<>();
-    stage.logListener =
+    fixture.logListener =
         line -> {
           if (line.contains(" is withdrawn")) {
             detectionNanos.put(line.split(" ", 0)[1], System.nanoTime());
           }
         };
-    Address pushAddress = push ? new Address("localhost", responder.startPush(directory)) : null;
-    stage.start(BrokerFixture.settings(300), dnsService(responder, pushAddress));
-    while (push && responder.subscriptions() < 2 * STORES + 2) {
+    Address pushAddress = push ? new Address("localhost", nameServer.startPush(directory)) : null;
+    fixture.start(BrokerFixture.settings(300), dnsService(nameServer, pushAddress));
+    while (push && nameServer.subscriptions() < 2 * STORES + 2) {
       Thread.onSpinWait();
     }
     AtomicBoolean stopped = new AtomicBoolean();
     AtomicLong answered = new AtomicLong();
-    Thread load = load(stage.httpPort, seed, stopped, answered);
+    Thread load = load(fixture.httpPort, seed, stopped, answered);
     Withdrawals withdrawals = new Withdrawals(zone, stores, detectionNanos);
-    withdrawals.run(times, seed);
+    withdrawals.run(count, seed);
     stopped.set(true);
     load.join();
-    row(out, label, withdrawals.detection, withdrawals.lastSend);
-    stage.close();
-    long leastParts =
-        stores.stream().mapToLong(store -> store.receivedParts.size()).min().orElse(0);
+    printRow(out, label, withdrawals.detection, withdrawals.lastSend);
+    fixture.close();
+    long minParts = stores.stream().mapToLong(store -> store.receivedParts.size()).min().orElse(0);
     for (Store store : stores) {
       store.close();
     }
-    responder.close();
+    nameServer.close();
     dnsVertx.close();
     storeVertx.close();
-    if (answered.get() == 0 || leastParts == 0) {
-      throw new IllegalStateException("there was no load, or a store without any");
+    if (answered.get() == 0 || minParts == 0) {
+      throw new IllegalStateException(
+          "no query was answered completely, or a store received no part");
     }
     return withdrawals.lastSend.getMaxValue();
   }
@@ -176,24 +177,24 @@
     return stores;
   }
 
-  /** Discovery by push, or by polling the serial where {@code pushAddress} is null. */
-  private static Product.DnsService dnsService(FakeNameServer responder, Address pushAddress) {
+  /** Discovery by push, or by polling the serial if {@code pushAddress} is null. */
+  private static Product.DnsService dnsService(FakeNameServer nameServer, Address pushAddress) {
     boolean push = pushAddress != null;
     return new Product.DnsService(
         "main",
-        List.of(new Address("127.0.0.1", responder.port())),
+        List.of(new Address("127.0.0.1", nameServer.port())),
         SERVICE,
         List.of(),
         1,
         null,
         push ? 0 : SOA_US,
         pushAddress,
-        push ? responder.trust() : null,
+        push ? nameServer.trust() : null,
         null,
         4096);
   }
 
-  /** Withdraws stores and lists them again, and records what the broker does. */
+  /** Withdraws stores, lists them again and records the reactions of the broker. */
   private static final class Withdrawals {
     /** Time from the change of the zone to its detection, in microseconds. */
     private final Histogram detection = new Histogram(60_000_000, 3);
@@ -211,11 +212,11 @@
       this.detectionNanos = detectionNanos;
     }
 
-    void run(int times, long seed) throws InterruptedException {
+    void run(int count, long seed) throws InterruptedException {
       SplittableRandom random = new SplittableRandom(seed);
       Thread.sleep(300);
-      for (int done = 0; done < times; done += 2) {
-        // two at a time, one of each cell, so that each shard has stores left
+      for (int done = 0; done < count; done += 2) {
+        // withdraws two stores at a time, one of each cell, so that each shard has stores left
         List<Store> withdrawn =
             List.of(
                 stores.get(2 * random.nextInt(STORES / 2)),
@@ -235,7 +236,7 @@
         Thread.sleep(1);
       }
       if (detectionNanos.size() < withdrawn.size()) {
-        throw new IllegalStateException("a withdrawal was not seen within 10 s");
+        throw new IllegalStateException("broker did not detect a withdrawal within 10 s");
       }
       Thread.sleep(OBSERVATION_NANOS / 1_000_000);
       for (Store store : withdrawn) {
@@ -246,7 +247,7 @@
       }
     }
 
-    /** Waits until the stores receive parts again, a second at most. */
+    /** Waits up to one second until the stores receive parts again. */
     private static void awaitRecovery(List<Store> listed) throws InterruptedException {
       long startNanos = System.nanoTime();
       for (Store store : listed) {
@@ -265,7 +266,7 @@
         new Thread(
             () -> {
               SplittableRandom random = new SplittableRandom(seed);
-              long intervalNanos = 1_000_000_000L / QUERIES_A_SECOND;
+              long intervalNanos = 1_000_000_000L / QUERIES_PER_SECOND;
               long dueNanos = System.nanoTime();
               for (int i = 0; !stopped.get(); i++) {
                 int first = random.nextInt(20);
@@ -276,7 +277,8 @@
                             Map.of("X-Trace-Id", "l" + i, "X-Expires-In", "1.000"),
                             Client.body(first, first + 1, first + 2, first + 3))
                         .thenAccept(
-                            got -> answered.addAndGet(got.outcome().equals("whole") ? 1 : 0));
+                            response ->
+                                answered.addAndGet(response.outcome().equals("whole") ? 1 : 0));
                 dueNanos += intervalNanos;
                 java.util.concurrent.locks.LockSupport.parkNanos(dueNanos - System.nanoTime());
               }
@@ -286,12 +288,12 @@
     return thread;
   }
 
-  /** Measures the baseline resolver, with a short TTL: only the time until it detects a change. */
-  private static void measureBaseline(int times, long seed, PrintStream out) throws Exception {
+  /** Measures the time until the baseline resolver detects a change, with a short TTL. */
+  private static void measureBaseline(int count, long seed, PrintStream out) throws Exception {
     Vertx dnsVertx = Vertx.vertx();
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
     Zone zone = new Zone("rooms.example.org.");
-    FakeNameServer responder = new FakeNameServer(dnsVertx, zone);
+    FakeNameServer nameServer = new FakeNameServer(dnsVertx, zone);
     Map<String, Record> pointers = new HashMap<>();
     for (int i = 0; i < STORES; i++) {
       List<Record> records =
@@ -309,10 +311,10 @@
     }
     Set<String> listed = ConcurrentHashMap.newKeySet();
     AtomicLong updateNanos = new AtomicLong();
-    startBaseline(vertx, responder.port(), listed, updateNanos);
+    startBaseline(vertx, nameServer.port(), listed, updateNanos);
     Histogram detection = new Histogram(60_000_000, 3);
     SplittableRandom random = new SplittableRandom(seed);
-    for (int i = 0; i < times; i++) {
+    for (int i = 0; i < count; i++) {
       while (listed.size() < STORES) {
         Thread.sleep(1);
       }
@@ -326,10 +328,10 @@
       detection.recordValue((updateNanos.get() - startNanos) / 1000);
       zone.add(pointers.get(name));
     }
-    row(out, "before: TTL " + BASELINE_TTL_S + " s", detection, null);
+    printRow(out, "before: TTL " + BASELINE_TTL_S + " s", detection, null);
     vertx.close();
     dnsVertx.close();
-    responder.close();
+    nameServer.close();
   }
 
   /** Starts the baseline resolver; it maintains the listed instances and the time of the update. */
--- a/src/main/java/dunlinhitch/experiments/measurements/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Measurements that print a table and whether the stated bound was held. Each is a subcommand of
- * {@code experiments measure}.
+ * Measurements that print a table and whether the result is within the specified bound. Each is a
+ * subcommand of {@code experiments measure}.
  */
 package dunlinhitch.experiments.measurements;
--- a/src/test/java/dunlinhitch/experiments/measurements/FloorsCommandTest.java
+++ b/src/test/java/dunlinhitch/experiments/measurements/FloorsCommandTest.java
@@ -28,20 +28,20 @@
   }
 
   @Test
-  void everyFigureThatHasAFloorIsRead() {
-    String of = "d of f";
+  void readsEveryFigureWithAFloor() {
+    String day = "d of f";
     List<FloorsCommand.Floor> row =
         List.of(
-            new FloorsCommand.Floor(of, "all", 0.9, 0.4),
-            new FloorsCommand.Floor(of, "class c", 0.5, 0.3),
-            new FloorsCommand.Floor(of, "tenant t", 0.1, 0.2));
+            new FloorsCommand.Floor(day, "all", 0.9, 0.4),
+            new FloorsCommand.Floor(day, "class c", 0.5, 0.3),
+            new FloorsCommand.Floor(day, "tenant t", 0.1, 0.2));
     assertEquals(row, floors("{" + ROW + "}"));
-    List<FloorsCommand.Floor> whole = floors("{'row':{" + ROW + "}," + WINDOWS + "}");
-    assertEquals(row, whole.subList(0, 3));
+    List<FloorsCommand.Floor> all = floors("{'row':{" + ROW + "}," + WINDOWS + "}");
+    assertEquals(row, all.subList(0, 3));
     assertEquals(
         List.of("third 1 0.9", "third 2 0.1"),
-        whole.stream().skip(3).map(f -> f.what() + " " + f.served()).toList());
-    assertEquals(0.16, whole.get(3).wanted(), 1e-9);
+        all.stream().skip(3).map(floor -> floor.subject() + " " + floor.served()).toList());
+    assertEquals(0.16, all.get(3).required(), 1e-9);
     assertEquals(
         0.4,
         floors(
@@ -51,15 +51,16 @@
                     + WINDOWS.replace(":10,'worth_offered':0", ":1200,'worth_offered':0")
                     + "}")
             .get(3)
-            .wanted(),
+            .required(),
         1e-9);
   }
 
   /**
-   * What is below its floor comes first and is told by the exit code; what is no report is named.
+   * A figure below its floor is printed first and makes the command fail; a file that is not a
+   * report is rejected with a message.
    */
   @Test
-  void theLeastRoomComesFirst(@TempDir Path dir) throws Exception {
+  void printsSmallestMarginFirst(@TempDir Path dir) throws Exception {
     Path file = dir.resolve("r.json");
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     Files.writeString(file, ("{'days':[{" + ROW + "}]}").replace('\'', '"'));
@@ -71,8 +72,8 @@
     Files.writeString(file, Files.readString(file).replace("0.1,0.2", "0.2,0.2"));
     assertTrue(
         FloorsCommand.print(List.of(file), new PrintStream(out, true, StandardCharsets.UTF_8)));
-    for (String bad : List.of("{", "[]", "{}", "{\"days\":[1]}")) {
-      Files.writeString(file, bad);
+    for (String invalid : List.of("{", "[]", "{}", "{\"days\":[1]}")) {
+      Files.writeString(file, invalid);
       assertTrue(
           assertThrows(
                   IllegalArgumentException.class,
@@ -80,7 +81,7 @@
                       FloorsCommand.print(
                           List.of(file), new PrintStream(out, true, StandardCharsets.UTF_8)))
               .getMessage()
-              .contains("is no report"));
+              .contains("is not a report"));
     }
   }
 }
