--- a/examples/Toy.java
+++ b/examples/Toy.java
@@ -12,8 +12,8 @@
 import java.util.concurrent.Executors;
 
 /**
- * Discovery and two calendar stores that answer everything at once: enough to try a broker. {@code
- * java Toy.java}
+ * A discovery service and two calendar stores that answer every query at once, to try out a broker
+ * with. Run it with {@code java Toy.java}.
  */
 public final class Toy {
   private static final String LIST =
@@ -92,22 +92,25 @@
     }
   }
 
-  /** A call holds, for each part, a line {@code ID SHARD LIST LENGTH} and so many bytes of text. */
-  private static void answer(String name, byte[] call, OutputStream out) throws IOException {
+  /**
+   * Answers a query. For each part it has a line {@code ID SHARD LIST LENGTH}, followed by LENGTH
+   * bytes of text.
+   */
+  private static void answer(String name, byte[] query, OutputStream out) throws IOException {
     int at = 1;
-    while (at < call.length) {
+    while (at < query.length) {
       int end = at;
-      while (call[end] != '\n') {
+      while (query[end] != '\n') {
         end++;
       }
-      String[] words = new String(call, at, end - at, StandardCharsets.UTF_8).split(" ");
-      at = end + 1 + Integer.parseInt(words[3]);
+      String[] fields = new String(query, at, end - at, StandardCharsets.UTF_8).split(" ");
+      at = end + 1 + Integer.parseInt(fields[3]);
       out.write(
           frame(
               "q"
-                  + words[0]
+                  + fields[0]
                   + " good 1 latency_ms=1,queue=0\nfree slots of block "
-                  + words[1]
+                  + fields[1]
                   + " by "
                   + name));
     }
--- a/examples/scorer/src/org/example/scorer/QuietFirst.java
+++ b/examples/scorer/src/org/example/scorer/QuietFirst.java
@@ -10,12 +10,12 @@
 import java.util.Map;
 
 /**
- * A scorer to copy. A store whose last report is above a threshold counts for twice its predicted
- * work, one in another zone for a little more. It keeps nothing from round to round and shares
- * nothing.
+ * Example scorer. It doubles the predicted work of a store whose last load report is above a
+ * threshold, and adds a tenth for a store in another zone. It keeps no state between rounds and
+ * shares no weights.
  */
 public final class QuietFirst implements Scorer {
-  private double busy = 10;
+  private double threshold = 10;
 
   @Override
   public int api() {
@@ -34,17 +34,17 @@
 
   @Override
   public void begin(Map<String, String> parameters) {
-    busy = Double.parseDouble(parameters.getOrDefault("busy", "10"));
+    threshold = Double.parseDouble(parameters.getOrDefault("busy", "10"));
   }
 
   @Override
   public List<Judgement> judge(Round round) {
-    List<Judgement> said = new ArrayList<>();
+    List<Judgement> judgements = new ArrayList<>();
     for (Candidate candidate : round.candidates()) {
       boolean fresh = !candidate.report().isEmpty() && candidate.reportAgeUs() < round.aimUs();
-      double factor = fresh && candidate.report().get(0) > busy ? 2 : 1;
-      said.add(Judgement.of(candidate.near() ? factor : factor * 1.1));
+      double factor = fresh && candidate.report().get(0) > threshold ? 2 : 1;
+      judgements.add(Judgement.of(candidate.near() ? factor : factor * 1.1));
     }
-    return said;
+    return judgements;
   }
 }
