--- a/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
@@ -15,11 +15,8 @@
   @Override
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
     int seeds = quick ? 100 : 1_000;
-    Days.search(
-        seed + 100_000,
-        16,
-        Defect.NONE,
-        false); // warm-up, so that the timed run uses compiled code
+    // warm-up, so that the timed run uses compiled code
+    Days.search(seed + 100_000, 16, Defect.NONE, false);
     long startNanos = System.nanoTime();
     Days.SearchResult result = Days.search(seed, seeds, Defect.NONE, false);
     double elapsedS = (System.nanoTime() - startNanos) / 1e9;
