--- a/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
@@ -148,7 +148,7 @@
         Math.expm1(DampingSettings.STANDARD.maxChangeWithin(2 * SECOND_US, RULE.roundUs()));
     out.printf(
         Locale.ROOT,
-        "%nchange of a store's load from second to second, RMS by its mean; damped: at most %.2f above Graham alone%n",
+        "%nload of a store in each second, RMS deviation by the mean; damped: at most %.2f above Graham alone%n",
         maxIncrease);
     out.printf(
         "%8s %14s %16s %16s %16s %16s%n",
