--- a/src/main/java/dunlinhitch/config/GossipAddressesReader.java
+++ b/src/main/java/dunlinhitch/config/GossipAddressesReader.java
@@ -34,7 +34,7 @@
       // no error in these keys may prevent the broker from starting, including the unchecked
       // exceptions of the JSON library
       return GossipAddresses.unusable(
-          "no words between brokers by the platform's addresses: "
+          "gossip disabled, the platform's addresses cannot be used: "
               + String.valueOf(e.getMessage()).replaceAll("\\s+", " "));
     }
   }
--- a/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
+++ b/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
@@ -9,7 +9,6 @@
 import dunlinhitch.cluster.versions.SkewVerdict;
 import dunlinhitch.cluster.versions.VersionSkewDetector;
 import dunlinhitch.cluster.versions.VersionVector;
-import java.util.Locale;
 import java.util.Set;
 
 /**
@@ -125,16 +124,16 @@
     switch (verdict.step()) {
       case SEEN -> {
         counters.add(Counter.VERSION_SKEWS_DETECTED);
-        context.log(subject + " is behind: " + describeSkew(verdict));
+        context.log(subject + " is out of date: " + describeSkew(verdict));
       }
       case BRING_UP -> context.emit(refreshOf(verdict));
       case SHUT_OUT -> {
         counters.add(Counter.BROKERS_FENCED);
         String consequence = own ? "; all queries are rejected until it is up to date" : "";
-        context.log(subject + " is shut out: " + describeSkew(verdict) + consequence);
+        context.log(subject + " is fenced: " + describeSkew(verdict) + consequence);
       }
       case CAUGHT_UP, LET_IN ->
-          context.log(subject + " has caught up: " + describeRecovery(verdict));
+          context.log(subject + " is up to date again: " + describeRecovery(verdict));
     }
     Set<String> fencedBrokers = detector.fenced();
     fenced = fencedBrokers.contains(self);
@@ -149,13 +148,13 @@
   }
 
   private static String describeSkew(SkewVerdict verdict) {
-    return "it acts on "
+    return "it uses "
         + kindOf(verdict)
         + " "
         + verdict.has()
-        + ", and "
+        + ", the newest is "
         + verdict.newest()
-        + " is newest; out of date for "
+        + "; for "
         + verdict.behindUs() / 1000
         + " ms";
   }
@@ -165,6 +164,6 @@
   }
 
   private static String kindOf(SkewVerdict verdict) {
-    return verdict.kind().name().toLowerCase(Locale.ROOT);
+    return verdict.kind() == SkewVerdict.Kind.ROSTER ? "endpoint list" : "settings";
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/StatusReason.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusReason.java
@@ -12,7 +12,7 @@
   CLAIM_EXPIRED("its expired claims were not renewed in time"),
   SOURCE_REMOVED("its source was removed"),
   CELL_CONFLICT("two claims name different cells"),
-  ADDRESS_CONFLICT("two claims name other addresses"),
+  ADDRESS_CONFLICT("two claims name different addresses"),
   START_TIME_CONFLICT("two claims name different start times"),
   SHARED_ADDRESS("another endpoint has the same address"),
   FLAPPING("suppressed by flap damping after repeated withdrawals"),
--- a/src/main/java/dunlinhitch/server/ConfigurationReloader.java
+++ b/src/main/java/dunlinhitch/server/ConfigurationReloader.java
@@ -46,7 +46,9 @@
               if (reading.succeeded()) {
                 apply(reading.result());
               } else {
-                log.accept("the configuration stays as it was: " + reading.cause().getMessage());
+                log.accept(
+                    "configuration rejected, keeping the current one: "
+                        + reading.cause().getMessage());
                 events.accept(new Event.ConditionCounted(Counter.BAD_CONFIGURATIONS));
               }
             });
@@ -83,7 +85,7 @@
         new Event.ConfigurationReloaded(
             config.settings(), config.discovery().host(), config.discovery().port()));
     log.accept(
-        "the configuration was taken: classes "
+        "configuration reloaded: classes "
             + config.settings().classes().stream().map(QueryClass::name).toList());
   }
 }
--- a/src/test/java/dunlinhitch/cli/RecordsCommandTest.java
+++ b/src/test/java/dunlinhitch/cli/RecordsCommandTest.java
@@ -53,7 +53,7 @@
       out.reset();
       assertEquals(1, Main.commandLine().execute(command));
       assertTrue(
-          out.toString(StandardCharsets.UTF_8).contains("two claims name other addresses"),
+          out.toString(StandardCharsets.UTF_8).contains("two claims name different addresses"),
           out.toString(StandardCharsets.UTF_8));
       assertTrue(
           out.toString(StandardCharsets.UTF_8)
--- a/src/test/java/dunlinhitch/cli/SighupTest.java
+++ b/src/test/java/dunlinhitch/cli/SighupTest.java
@@ -70,7 +70,8 @@
       discovery.setList();
       Path file = dir.resolve("config.json");
       Files.writeString(file, ServeProcess.config(discovery));
-      List<String> lines = startIgnoringSighup(file, before, "the configuration was taken", true);
+      List<String> lines =
+          startIgnoringSighup(file, before, "configuration reloaded: classes ", true);
       assertTrue(
           lines.stream().noneMatch(line -> line.startsWith("SIGHUP is ignored")), lines.toString());
       lines = startIgnoringSighup(file, "", "", false);
@@ -104,7 +105,7 @@
         String complete = Files.readString(file);
         Files.writeString(file, complete.substring(0, 60));
         ServeProcess.sendSighup(broker);
-        ServeProcess.read(reader, "the configuration stays as it was");
+        ServeProcess.read(reader, "configuration rejected, keeping the current one: ");
         Files.writeString(file, complete);
         ServeProcess.sendSighup(broker);
         assertEquals("/registry/instances", moved.requests.poll(5, TimeUnit.SECONDS));
--- a/src/test/java/dunlinhitch/core/ClusterStageTest.java
+++ b/src/test/java/dunlinhitch/core/ClusterStageTest.java
@@ -191,7 +191,7 @@
         effects.stream().filter(Effect.RefreshEndpoints.class::isInstance).count() >= 8,
         "the broker refreshes its list repeatedly");
     assertTrue(
-        hasLogged("this broker is shut out: it acts on roster 4, and 5 is newest"),
+        hasLogged("this broker is fenced: it uses endpoint list 4, the newest is 5; for "),
         effects.toString());
     long before = reducer.counters().get(Counter.QUERIES_NOT_ADMITTED);
     assertEquals(0, endpointsUsed().size());
@@ -213,7 +213,7 @@
           gossipWithListGeneration(2, 6),
           gossipWithListGeneration(3, 5));
     }
-    assertTrue(hasLogged("broker n3 is shut out"));
+    assertTrue(hasLogged("broker n3 is fenced: "));
     assertTrue(hasLogged("fleet of 3: n0 n1 n2;"));
   }
 
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -103,7 +103,7 @@
           config
               .gossipAddresses()
               .unusableReason()
-              .startsWith("no words between brokers by the platform's addresses: "),
+              .startsWith("gossip disabled, the platform's addresses cannot be used: "),
           bad);
       assertNull(config.product().cluster(), bad);
     }
--- a/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
@@ -126,19 +126,24 @@
       TestBed.await(
           "n3 has detected that its list is outdated",
           WAIT_S,
-          () -> logged(cut, "this broker is behind: it acts on roster 1, and 2 is newest"));
-      TestBed.await("n3 has fenced itself", WAIT_S, () -> logged(cut, "this broker is shut out: "));
+          () ->
+              logged(
+                  cut,
+                  "this broker is out of date: it uses endpoint list 1, the newest is 2; for "));
+      TestBed.await("n3 has fenced itself", WAIT_S, () -> logged(cut, "this broker is fenced: "));
       TestBed.await(
           "the others agree without n3", WAIT_S, () -> TestBed.agree(nodes.subList(0, 3)));
       assertTrue(
-          logged(nodes.get(0), "broker n3 is behind: ")
-              && logged(nodes.get(0), "broker n3 is shut out: "));
+          logged(nodes.get(0), "broker n3 is out of date: ")
+              && logged(nodes.get(0), "broker n3 is fenced: "));
       TestBed.await(
           "n3 has rejected a query", WAIT_S, () -> clients.ended(QueryLoad.End.REFUSED) > 0);
       testBed.links.remove(rule);
       testBed.resetStalled(cut);
       TestBed.await(
-          "n3 has the list", WAIT_S, () -> logged(cut, "this broker has caught up: roster 2"));
+          "n3 has the list",
+          WAIT_S,
+          () -> logged(cut, "this broker is up to date again: endpoint list 2, after "));
       TestBed.await("all brokers agree again", WAIT_S, () -> TestBed.agree(nodes));
       assertTrue(
           nodes.stream().noneMatch(node -> node.kept().contains("s0-2")),
--- a/src/test/java/dunlinhitch/server/ReloadTest.java
+++ b/src/test/java/dunlinhitch/server/ReloadTest.java
@@ -17,7 +17,7 @@
 
 /** Reloads of the configuration, on SIGHUP or because other brokers have a newer one. */
 class ReloadTest {
-  private static final String APPLIED = "the configuration was taken: classes ";
+  private static final String APPLIED = "configuration reloaded: classes ";
 
   private static Config config(BrokerFixture fixture, Settings settings, long writtenMs) {
     Address anyPort = new Address("127.0.0.1", 0);
