--- a/src/main/java/dunlinhitch/admin/MetricsText.java
+++ b/src/main/java/dunlinhitch/admin/MetricsText.java
@@ -1,7 +1,7 @@
 package dunlinhitch.admin;
 
 import dunlinhitch.core.BrokerStatus;
-import dunlinhitch.core.BrokerStatus.OfClass;
+import dunlinhitch.core.BrokerStatus.ClassCounts;
 import java.util.function.ToLongFunction;
 
 /** Renders a {@link BrokerStatus} as metrics in Prometheus' text format. */
@@ -19,9 +19,9 @@
 
   static String of(BrokerStatus status) {
     MetricsText text = new MetricsText();
-    text.appendByClass("passed", "Requests served.", status, OfClass::served);
-    text.appendByClass("dropped", "Requests refused.", status, OfClass::rejected);
-    text.appendByClass("bad_gateway", "Requests failed.", status, OfClass::failed);
+    text.appendByClass("passed", "Requests served.", status, ClassCounts::served);
+    text.appendByClass("dropped", "Requests refused.", status, ClassCounts::rejected);
+    text.appendByClass("bad_gateway", "Requests failed.", status, ClassCounts::failed);
     text.append(
         "upstream_tries",
         COUNTER,
@@ -50,12 +50,12 @@
   }
 
   private void appendByClass(
-      String name, String help, BrokerStatus status, ToLongFunction<OfClass> value) {
+      String name, String help, BrokerStatus status, ToLongFunction<ClassCounts> value) {
     appendHeader(name, COUNTER, help);
-    for (OfClass ofClass : status.classes()) {
+    for (ClassCounts counts : status.classes()) {
       out.append(NAME_PREFIX).append(name);
-      out.append("{category=\"").append(escape(ofClass.name())).append("\"} ");
-      out.append(value.applyAsLong(ofClass)).append('\n');
+      out.append("{category=\"").append(escape(counts.name())).append("\"} ");
+      out.append(value.applyAsLong(counts)).append('\n');
     }
   }
 
--- a/src/main/java/dunlinhitch/cli/RecordsCommand.java
+++ b/src/main/java/dunlinhitch/cli/RecordsCommand.java
@@ -143,7 +143,7 @@
         pushServer == null ? null : Address.parse("--push", pushServer),
         pushTrustFile,
         null,
-        ServiceRecords.Limits.STANDARD.instances());
+        ServiceRecords.Limits.STANDARD.maxInstances());
   }
 
   private void startSources(Product.DnsService requested) {
--- a/src/main/java/dunlinhitch/core/BrokerStatus.java
+++ b/src/main/java/dunlinhitch/core/BrokerStatus.java
@@ -15,7 +15,7 @@
  * @param configurationLoadErrors configurations rejected as invalid
  */
 public record BrokerStatus(
-    List<OfClass> classes,
+    List<ClassCounts> classes,
     long attemptsWritten,
     int openQueries,
     int listedEndpoints,
@@ -30,7 +30,7 @@
    * @param rejected rejected, so that a retry is safe
    * @param failed failed, or ended by their deadline
    */
-  public record OfClass(String name, long served, long rejected, long failed) {}
+  public record ClassCounts(String name, long served, long rejected, long failed) {}
 
   /** Copies the list. */
   public BrokerStatus {
--- a/src/main/java/dunlinhitch/core/ClassOutcomes.java
+++ b/src/main/java/dunlinhitch/core/ClassOutcomes.java
@@ -40,11 +40,12 @@
   }
 
   /** Returns the counts, in the order in which the classes were added. */
-  List<BrokerStatus.OfClass> list() {
-    List<BrokerStatus.OfClass> list = new ArrayList<>();
+  List<BrokerStatus.ClassCounts> list() {
+    List<BrokerStatus.ClassCounts> list = new ArrayList<>();
     talliesByClass.forEach(
         (name, tally) ->
-            list.add(new BrokerStatus.OfClass(name, tally.served, tally.rejected, tally.failed)));
+            list.add(
+                new BrokerStatus.ClassCounts(name, tally.served, tally.rejected, tally.failed)));
     return list;
   }
 }
--- a/src/main/java/dunlinhitch/core/Event.java
+++ b/src/main/java/dunlinhitch/core/Event.java
@@ -240,5 +240,5 @@
   record ConfigurationFileChanged(long writtenMs) implements ClusterEvent {}
 
   /** A condition at an edge that requires no action other than counting it. */
-  record ConditionCounted(Counter what) implements Event {}
+  record ConditionCounted(Counter counter) implements Event {}
 }
--- a/src/main/java/dunlinhitch/core/QueryRequest.java
+++ b/src/main/java/dunlinhitch/core/QueryRequest.java
@@ -12,7 +12,7 @@
  * @param tenant the tenant's name, for the same reason; empty if the tenant is missing from the
  *     settings
  * @param deadlineUs when the client stops waiting, in microseconds
- * @param isRepeat whether the client marked the request as a retry
+ * @param retriedByClient whether the client marked the request as a retry
  * @param parts the parts, one per shard
  * @param text the query text, sent with each part
  * @param showPruned whether the response must list pruned shards
@@ -23,7 +23,7 @@
     QueryClass queryClass,
     String tenant,
     long deadlineUs,
-    boolean isRepeat,
+    boolean retriedByClient,
     List<PartRequest> parts,
     String text,
     boolean showPruned) {
@@ -47,21 +47,21 @@
       String key,
       QueryClass queryClass,
       long deadlineUs,
-      boolean isRepeat,
+      boolean retriedByClient,
       List<PartRequest> parts,
       String text) {
-    this(id, key, queryClass, "", deadlineUs, isRepeat, parts, text, false);
+    this(id, key, queryClass, "", deadlineUs, retriedByClient, parts, text, false);
   }
 
   /** Returns this request with its deadline limited to {@code otherUs}. */
-  public QueryRequest dueBy(long otherUs) {
+  public QueryRequest withDeadlineAtMost(long otherUs) {
     return new QueryRequest(
         id,
         key,
         queryClass,
         tenant,
         Math.min(deadlineUs, otherUs),
-        isRepeat,
+        retriedByClient,
         parts,
         text,
         showPruned);
@@ -70,6 +70,6 @@
   /** Returns this request with its class replaced by the class's current definition. */
   public QueryRequest withQueryClass(QueryClass current) {
     return new QueryRequest(
-        id, key, current, tenant, deadlineUs, isRepeat, parts, text, showPruned);
+        id, key, current, tenant, deadlineUs, retriedByClient, parts, text, showPruned);
   }
 }
--- a/src/main/java/dunlinhitch/core/QueryStage.java
+++ b/src/main/java/dunlinhitch/core/QueryStage.java
@@ -54,7 +54,7 @@
     QueryRequest request =
         event
             .request()
-            .dueBy(lifecycle.drainDeadlineUs())
+            .withDeadlineAtMost(lifecycle.drainDeadlineUs())
             .withQueryClass(
                 queryClass < 0 ? event.request().queryClass() : settings.classes().get(queryClass));
     counters.add(Counter.QUERIES_RECEIVED);
@@ -123,7 +123,7 @@
             query.parts.size(),
             request.deadlineUs(),
             workHintUs,
-            request.isRepeat()));
+            request.retriedByClient()));
     for (InFlightPart part : query.parts) {
       QueryRequest.PartRequest partRequest = part.request;
       balancer.deliver(
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -275,7 +275,7 @@
     } else if (event instanceof Event.ClusterEvent clusterEvent) {
       handleCluster(clusterEvent);
     } else if (event instanceof Event.ConditionCounted counted) {
-      state.counters().add(counted.what());
+      state.counters().add(counted.counter());
     }
   }
 
--- a/src/main/java/dunlinhitch/core/TwoPhaseStage.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseStage.java
@@ -165,7 +165,7 @@
             parts.size(),
             deadlineUs,
             workHintUs,
-            request.isRepeat()));
+            request.retriedByClient()));
     for (InFlightPart part : parts) {
       double weight = totalWeight > 0 ? part.request.weight() / totalWeight : 1.0 / parts.size();
       long partHintUs = firstPass ? 0 : part.request.hintUs();
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordsBenchmark.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordsBenchmark.java
@@ -102,7 +102,8 @@
    * Pushes the removal of one endpoint's PTR record, or its addition if {@code added} is true;
    * returns the resulting claims.
    */
-  public List<EndpointClaim> flip(long nowUs, int index, boolean added) throws Exception {
+  public List<EndpointClaim> pushPointerChange(long nowUs, int index, boolean added)
+      throws Exception {
     Record pointer = pointers.get(index);
     if (added) {
       records.onRecordAdded(nowUs, pointer);
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
@@ -31,10 +31,10 @@
   /**
    * Limits of one service.
    *
-   * @param instances maximum number of instances that are used
-   * @param asking maximum number of queries in flight
+   * @param maxInstances maximum number of instances that are used
+   * @param maxQueriesInFlight maximum number of queries in flight
    */
-  public record Limits(int instances, int asking) {
+  public record Limits(int maxInstances, int maxQueriesInFlight) {
     /** Default limits. */
     public static final Limits STANDARD = new Limits(4096, 32);
   }
@@ -74,8 +74,8 @@
       RandomGenerator random,
       long nowUs) {
     this.browsedNames = List.copyOf(browsedNames);
-    cache = new RecordCache(limits.asking(), random, nowUs);
-    instances = new BrowsedInstances(cache, limits.instances(), this::count);
+    cache = new RecordCache(limits.maxQueriesInFlight(), random, nowUs);
+    instances = new BrowsedInstances(cache, limits.maxInstances(), this::count);
     claimBuilder = new ClaimBuilder(cache, parser, this::count);
     for (Name name : browsedNames) {
       cache.queryNow(cache.getOrCreate(pointersOf(name)));
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -118,7 +118,7 @@
       reducer.turn(nowUs, List.of());
       long bytes = THREADS.getCurrentThreadAllocatedBytes();
       long startNanos = System.nanoTime();
-      List<EndpointClaim> claims = records.flip(nowUs, index, withdrawn[index]);
+      List<EndpointClaim> claims = records.pushPointerChange(nowUs, index, withdrawn[index]);
       reducer.turn(nowUs, List.of(new Event.SourceUpdated(SOURCE, false, claims)));
       us.add((System.nanoTime() - startNanos) / 1e3);
       kb.add((THREADS.getCurrentThreadAllocatedBytes() - bytes) / 1e3);
--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -169,7 +169,8 @@
         QueryRequest query = read(headers, ticket, receivedUs);
         if (deadline != null) { // the earlier of both deadlines applies
           query =
-              query.dueBy(receivedUs + Math.max(0, deadline.timeRemaining(TimeUnit.MICROSECONDS)));
+              query.withDeadlineAtMost(
+                  receivedUs + Math.max(0, deadline.timeRemaining(TimeUnit.MICROSECONDS)));
         }
         open(query, listener);
       } catch (MalformedQueryException e) {
--- a/src/main/java/dunlinhitch/server/DnsSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -107,7 +107,8 @@
           zone,
           service.soaEveryUs(),
           push,
-          new ServiceRecords.Limits(service.instances(), ServiceRecords.Limits.STANDARD.asking()));
+          new ServiceRecords.Limits(
+              service.instances(), ServiceRecords.Limits.STANDARD.maxQueriesInFlight()));
     } catch (IllegalArgumentException exception) {
       throw new Config.ConfigException(
           "[dns_sd " + service.name() + "]: " + exception.getMessage());
--- a/src/test/java/dunlinhitch/admin/MetricsTextTest.java
+++ b/src/test/java/dunlinhitch/admin/MetricsTextTest.java
@@ -11,7 +11,8 @@
   @Test
   void rendersEveryMetricWithHelpAndType() {
     BrokerStatus status =
-        new BrokerStatus(List.of(new BrokerStatus.OfClass("a\"\\\n", 1, 2, 3)), 4, 5, 6, 7, 8, 9);
+        new BrokerStatus(
+            List.of(new BrokerStatus.ClassCounts("a\"\\\n", 1, 2, 3)), 4, 5, 6, 7, 8, 9);
     assertEquals(
         """
         # HELP router_passed Requests served.
--- a/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
+++ b/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
@@ -49,7 +49,7 @@
         "response: " + responseTo(2));
     assertEquals(
         List.of("free-search", "slot-booking", "hall-search"),
-        reducer.status().classes().stream().map(BrokerStatus.OfClass::name).toList());
+        reducer.status().classes().stream().map(BrokerStatus.ClassCounts::name).toList());
     assertEquals(1, reducer.status().configurationLoads());
     assertEquals(0, reducer.counters().get(Counter.FAULTS));
   }
--- a/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
@@ -116,7 +116,7 @@
     Request nextAfterFailure() throws InterruptedException {
       while (true) {
         Event.ConditionCounted failure = DiscoveryWatchTest.this.next(Event.ConditionCounted.class);
-        if (failure.what() == Counter.SOURCES_UNAVAILABLE) {
+        if (failure.counter() == Counter.SOURCES_UNAVAILABLE) {
           clock.addAndGet(RETRY_US);
           return next();
         }
@@ -362,9 +362,9 @@
         // the watch has closed the connection
       }
       long counted = 0;
-      for (Counter counter = next(Event.ConditionCounted.class).what();
+      for (Counter counter = next(Event.ConditionCounted.class).counter();
           counter != Counter.SOURCES_UNAVAILABLE;
-          counter = next(Event.ConditionCounted.class).what()) {
+          counter = next(Event.ConditionCounted.class).counter()) {
         assertEquals(Counter.ENDPOINT_ENTRIES_INVALID, counter);
         counted++;
       }
@@ -403,7 +403,7 @@
     for (int i = 0; i < malformed.size(); i++) {
       assertEquals(
           Counter.ENDPOINT_ENTRIES_INVALID,
-          next(Event.ConditionCounted.class).what(),
+          next(Event.ConditionCounted.class).counter(),
           malformed.get(i));
     }
     assertEquals(List.of("s"), names(next(Event.EndpointsUpdated.class)));
@@ -452,7 +452,7 @@
         assertEquals(List.of(name), names(next(Event.EndpointsUpdated.class)), form);
       }
       request.reset();
-      assertEquals(Counter.SOURCES_UNAVAILABLE, next(Event.ConditionCounted.class).what());
+      assertEquals(Counter.SOURCES_UNAVAILABLE, next(Event.ConditionCounted.class).counter());
       clock.addAndGet(RETRY_US);
     }
   }
--- a/src/test/java/dunlinhitch/discovery/dnssd/AbstractServiceRecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/AbstractServiceRecordsTest.java
@@ -63,7 +63,7 @@
   final void respondToAll(ServiceRecords source) {
     List<Question> due = source.startQueries(nowUs);
     while (!due.isEmpty()) {
-      assertTrue(due.size() <= LIMITS.asking(), "too many queries in flight");
+      assertTrue(due.size() <= LIMITS.maxQueriesInFlight(), "too many queries in flight");
       assertEquals(
           due.size(),
           new HashSet<>(due).size(),
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -174,7 +174,7 @@
               .noneMatch(
                   event ->
                       event instanceof Event.ConditionCounted counted
-                          && counted.what() == dunlinhitch.core.Counter.CLIENTS_SLOW));
+                          && counted.counter() == dunlinhitch.core.Counter.CLIENTS_SLOW));
       assertEquals(
           -1,
           resting.getInputStream().read(),
