--- a/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
+++ b/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
@@ -40,8 +40,8 @@
             .map(Peer::address)
             .filter(peer -> !peer.equals(advertise))
             .toList();
-    if (peers.isEmpty() && platform.all() != null) {
-      peers = List.of(platform.all());
+    if (peers.isEmpty() && platform.sharedAddress() != null) {
+      peers = List.of(platform.sharedAddress());
     }
     return product.withCluster(cluster.withAddresses(platform.listen(), advertise, peers));
   }
--- a/src/main/java/dunlinhitch/config/GossipAddresses.java
+++ b/src/main/java/dunlinhitch/config/GossipAddresses.java
@@ -11,11 +11,11 @@
  *
  * @param listen address at which gossip messages to this broker are delivered, or null
  * @param peers the other brokers, and possibly this one
- * @param all one address that reaches all of them, or null
+ * @param sharedAddress one address that reaches all of them, or null
  * @param unusableReason why the addresses cannot be used, as one line, or null
  */
 public record GossipAddresses(
-    Address listen, List<Peer> peers, Address all, String unusableReason) {
+    Address listen, List<Peer> peers, Address sharedAddress, String unusableReason) {
   /**
    * One broker of the platform's list.
    *
--- a/src/main/java/dunlinhitch/config/Product.java
+++ b/src/main/java/dunlinhitch/config/Product.java
@@ -99,22 +99,24 @@
    * A query class that may run in two phases. All shares are from 0 to 1.
    *
    * @param queryClass name of the class
-   * @param share maximum duration of the first pass, as a share of the time to the latency
+   * @param firstPassShare maximum duration of the first pass, as a share of the time to the latency
    *     objective
-   * @param least minimum number of blocks; a query over fewer blocks runs in a single phase
-   * @param trial share of queries that run in two phases although this is not expected to save work
-   * @param audit share of prunable blocks that are still queried in full, to verify the pruning
-   * @param margin minimum share of the work that two phases must save to be used
-   * @param closeUs how long pruning is disabled after a failed audit, in microseconds
+   * @param minBlocks minimum number of blocks; a query over fewer blocks runs in a single phase
+   * @param trialShare share of queries that run in two phases although this is not expected to save
+   *     work
+   * @param auditShare share of prunable blocks that are still queried in full, to verify the
+   *     pruning
+   * @param minSavings minimum share of the work that two phases must save to be used
+   * @param closeDurationUs how long pruning is disabled after a failed audit, in microseconds
    */
   public record TwoPhaseClass(
       String queryClass,
-      double share,
-      int least,
-      double trial,
-      double audit,
-      double margin,
-      long closeUs) {}
+      double firstPassShare,
+      int minBlocks,
+      double trialShare,
+      double auditShare,
+      double minSavings,
+      long closeDurationUs) {}
 
   /**
    * A DNS-SD service and the DNS servers that are queried for it. Each server is a separate
@@ -132,7 +134,7 @@
    * @param pushTrust PEM file of the certificate authorities trusted for it, or null for the
    *     system's trust store
    * @param pushName name expected in its certificate, or null for the host of {@code push}
-   * @param instances maximum number of instances that are used
+   * @param maxInstances maximum number of instances that are used
    */
   public record DnsService(
       String name,
@@ -145,7 +147,7 @@
       Address push,
       Path pushTrust,
       String pushName,
-      int instances) {
+      int maxInstances) {
     /** Copies the lists. */
     public DnsService {
       servers = List.copyOf(servers);
--- a/src/main/java/dunlinhitch/config/ProductDescription.java
+++ b/src/main/java/dunlinhitch/config/ProductDescription.java
@@ -54,10 +54,10 @@
 
   private void appendPhase(Product.TwoPhaseClass phase) {
     out.append("phases ").append(phase.queryClass());
-    out.append(": first pass within ").append(Math.round(PERCENT * phase.share()));
-    out.append(" % of the time to the latency objective, for ").append(phase.least());
-    out.append(" or more blocks, audit ").append(PERCENT * phase.audit());
-    out.append(" %, trial ").append(PERCENT * phase.trial()).append(" %\n");
+    out.append(": first pass within ").append(Math.round(PERCENT * phase.firstPassShare()));
+    out.append(" % of the time to the latency objective, for ").append(phase.minBlocks());
+    out.append(" or more blocks, audit ").append(PERCENT * phase.auditShare());
+    out.append(" %, trial ").append(PERCENT * phase.trialShare()).append(" %\n");
   }
 
   private void appendCluster(Product.Cluster cluster) {
--- a/src/main/java/dunlinhitch/server/DnsSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -108,7 +108,7 @@
           service.soaEveryUs(),
           push,
           new ServiceRecords.Limits(
-              service.instances(), ServiceRecords.Limits.STANDARD.maxQueriesInFlight()));
+              service.maxInstances(), ServiceRecords.Limits.STANDARD.maxQueriesInFlight()));
     } catch (IllegalArgumentException exception) {
       throw new Config.ConfigException(
           "[dns_sd " + service.name() + "]: " + exception.getMessage());
--- a/src/main/java/dunlinhitch/server/TwoPhaseSettingsFactory.java
+++ b/src/main/java/dunlinhitch/server/TwoPhaseSettingsFactory.java
@@ -29,12 +29,12 @@
       settings.add(
           new TwoPhaseSettings(
               phase.queryClass(),
-              phase.share(),
-              phase.least(),
-              phase.trial(),
-              phase.audit(),
-              phase.margin(),
-              phase.closeUs()));
+              phase.firstPassShare(),
+              phase.minBlocks(),
+              phase.trialShare(),
+              phase.auditShare(),
+              phase.minSavings(),
+              phase.closeDurationUs()));
     }
     return settings;
   }
