--- a/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -11,16 +11,16 @@
  * active members ({@link ActiveMembers}). The load balancer chooses among the endpoints of the
  * subset.
  *
- * <p>Pure: it is driven by events and calls {@link Out}. Not thread-safe; owned by the reducer.
- * Each event has two times in microseconds: {@code nowUs} of a monotonic clock, for durations, and
- * {@code wallUs} of the wall clock, which all brokers share, for duties and the age of
- * observations.
+ * <p>Pure: it is driven by events and calls {@link Listener}. Not thread-safe; owned by the
+ * reducer. Each event has two times in microseconds: {@code nowUs} of a monotonic clock, for
+ * durations, and {@code wallUs} of the wall clock, which all brokers share, for duties and the age
+ * of observations.
  */
 public final class ClusterCoordinator {
   private static final long NEVER = Long.MAX_VALUE;
 
   /** Carries out the decisions of the coordinator, in the order of the calls. */
-  public interface Out extends MembershipProtocol.Transport {
+  public interface Listener extends MembershipProtocol.Transport {
     /** Sets the endpoints that new work is sent to. Also called if only the members changed. */
     void selectEndpoints(Set<String> stores);
 
@@ -48,7 +48,7 @@
   public record ListedEndpoint(
       String name, String cell, String zone, long startedMs, boolean usable) {}
 
-  private final Out out;
+  private final Listener listener;
   private final MembershipProtocol membership;
   private final ActiveMembers activeMembers;
   private final SharedObservations observations;
@@ -63,7 +63,7 @@
    * @param settings the times and bounds
    * @param seed seeds the random choices of the membership protocol
    * @param nowUs the current time of the monotonic clock
-   * @param out carries out what the coordinator asks for
+   * @param listener carries out what the coordinator asks for
    */
   public ClusterCoordinator(
       Member self,
@@ -71,17 +71,23 @@
       ClusterSettings settings,
       long seed,
       long nowUs,
-      Out out) {
-    this.out = out;
+      Listener listener) {
+    this.listener = listener;
     observations = new SharedObservations(self.name(), settings);
     membership =
         new MembershipProtocol(
-            self, seeds, settings.membership(), seed, nowUs, out, observations::nextToPiggyback);
+            self,
+            seeds,
+            settings.membership(),
+            seed,
+            nowUs,
+            listener,
+            observations::nextToPiggyback);
     activeMembers = new ActiveMembers(self, membership.snapshot());
     subset = new EndpointSubset(settings.subsets(), activeMembers, observations);
     healthChecks =
         new HealthCheckDuty(
-            settings, activeMembers, membership, observations, subset.endpoints(), out);
+            settings, activeMembers, membership, observations, subset.endpoints(), listener);
   }
 
   /**
@@ -193,8 +199,8 @@
    * Requests a health check of an endpoint on behalf of the load balancer.
    *
    * @return true if this broker is to make it now; false if it is delegated to another broker: then
-   *     {@link Out#healthCheckEnded} reports the result, or {@link Out#startHealthCheck} returns it
-   *     to this broker
+   *     {@link Listener#healthCheckEnded} reports the result, or {@link Listener#startHealthCheck}
+   *     returns it to this broker
    */
   public boolean mayHealthCheck(long wallUs, String store) {
     return healthChecks.request(store, wallUs);
@@ -233,7 +239,7 @@
     }
     boolean subsetChanged = subset.hasChanges() && subset.update();
     if (subsetChanged || membersChanged) {
-      out.selectEndpoints(subset.selected());
+      listener.selectEndpoints(subset.selected());
     }
   }
 }
--- a/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
@@ -34,10 +34,10 @@
    * One broker that takes part.
    *
    * @param peer its name, zone, address, incarnation and status
-   * @param accusers how many brokers are known to suspect it
+   * @param reporterCount how many brokers are known to suspect it
    * @param versions the versions that it acts on; null if they are not known yet
    */
-  public record MemberView(Member peer, int accusers, VersionVector versions) {
+  public record MemberView(Member peer, int reporterCount, VersionVector versions) {
     /** The broker's name. */
     public String name() {
       return peer.name();
--- a/src/main/java/dunlinhitch/cluster/EndpointSubset.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointSubset.java
@@ -86,10 +86,10 @@
 
   /** Recomputes the marked cells; returns true if the selected endpoints changed. */
   boolean update() {
-    Map<String, List<Subsetting.Store>> usableByCell = usableEndpointsOfChangedCells();
+    Map<String, List<Subsetting.Endpoint>> usableByCell = usableEndpointsOfChangedCells();
     List<Subsetting.MemberView> brokers = members.withZones();
     for (String cell : changedCells) {
-      List<Subsetting.Store> usable = usableByCell.get(cell);
+      List<Subsetting.Endpoint> usable = usableByCell.get(cell);
       if (usable == null) {
         selectedByCell.remove(cell);
       } else {
@@ -107,20 +107,20 @@
     return true;
   }
 
-  private Map<String, List<Subsetting.Store>> usableEndpointsOfChangedCells() {
-    Map<String, List<Subsetting.Store>> byCell = new HashMap<>();
+  private Map<String, List<Subsetting.Endpoint>> usableEndpointsOfChangedCells() {
+    Map<String, List<Subsetting.Endpoint>> byCell = new HashMap<>();
     for (ClusterCoordinator.ListedEndpoint endpoint : endpoints.values()) {
       if (endpoint.usable() && changedCells.contains(endpoint.cell())) {
         byCell
             .computeIfAbsent(endpoint.cell(), cell -> new ArrayList<>())
-            .add(new Subsetting.Store(endpoint.name(), endpoint.zone()));
+            .add(new Subsetting.Endpoint(endpoint.name(), endpoint.zone()));
       }
     }
     return byCell;
   }
 
   private List<String> select(
-      String cell, Collection<Subsetting.MemberView> brokers, List<Subsetting.Store> usable) {
+      String cell, Collection<Subsetting.MemberView> brokers, List<Subsetting.Endpoint> usable) {
     List<String> order = subsetting.of(cell, brokers, usable).get(members.self());
     return withSubstitutes(order, subsetting.size(brokers.size(), usable.size()));
   }
--- a/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
+++ b/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
@@ -32,7 +32,7 @@
   private final MembershipProtocol membership;
   private final SharedObservations observations;
   private final Map<String, ClusterCoordinator.ListedEndpoint> endpoints;
-  private final ClusterCoordinator.Out out;
+  private final ClusterCoordinator.Listener listener;
   private final Map<String, PendingCheck> pending = new LinkedHashMap<>();
   private long takenOver;
 
@@ -43,14 +43,14 @@
       MembershipProtocol membership,
       SharedObservations observations,
       Map<String, ClusterCoordinator.ListedEndpoint> endpoints,
-      ClusterCoordinator.Out out) {
+      ClusterCoordinator.Listener listener) {
     rotation = new DutyRotation(settings.epochUs(), settings.takeoverDelayUs());
     epochUs = settings.epochUs();
     this.members = members;
     this.membership = membership;
     this.observations = observations;
     this.endpoints = endpoints;
-    this.out = out;
+    this.listener = listener;
   }
 
   /** The number of health checks that this broker made in place of another. */
@@ -80,7 +80,7 @@
       endUs += epochUs;
     }
     if (pending.size() >= MAX_PENDING) {
-      out.healthCheckEnded(endpoint, null);
+      listener.healthCheckEnded(endpoint, null);
       return false;
     }
     pending.put(endpoint, new PendingCheck(wallUs, dueUs, endUs));
@@ -125,7 +125,7 @@
       if (wallUs >= check.dueWallUs() && pending.remove(endpoint) != null) {
         takeTurn(endpoint, wallUs);
       } else if (wallUs >= check.endWallUs() && pending.remove(endpoint) != null) {
-        out.healthCheckEnded(endpoint, null);
+        listener.healthCheckEnded(endpoint, null);
       }
     }
   }
@@ -133,12 +133,12 @@
   private void takeTurn(String endpoint, long wallUs) {
     long epoch = rotation.epochOf(endpoint, wallUs);
     if (isDone(endpoint, epoch, wallUs)) {
-      out.healthCheckEnded(endpoint, null);
+      listener.healthCheckEnded(endpoint, null);
       return;
     }
     takenOver++;
     announce(endpoint, epoch, wallUs);
-    out.startHealthCheck(endpoint);
+    listener.startHealthCheck(endpoint);
   }
 
   /** Ends the pending health checks for which another broker has shared a load report. */
@@ -149,7 +149,7 @@
       Optional<EndpointObservation> shared =
           observations.table().latestReport(endpoint, sinceUs, members.self());
       if (shared.isPresent() && pending.remove(endpoint) != null) {
-        out.healthCheckEnded(endpoint, shared.get());
+        listener.healthCheckEnded(endpoint, shared.get());
       }
     }
   }
@@ -157,7 +157,7 @@
   /** Ends the health check of an endpoint that was removed from the list. */
   void cancel(String endpoint) {
     if (pending.remove(endpoint) != null) {
-      out.healthCheckEnded(endpoint, null);
+      listener.healthCheckEnded(endpoint, null);
     }
   }
 
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -49,7 +49,7 @@
     this.suspicions = suspicions;
     this.updates = updates;
     this.convergence = convergence;
-    digestTable = new AntiEntropyDigest(settings.addresses());
+    digestTable = new AntiEntropyDigest(settings.digestCoversAddresses());
     digestTable.add(self);
     digest = digestTable.digest();
   }
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -19,8 +19,8 @@
  * @param maxMessageBytes the maximum size of one message
  * @param antiEntropyBytes the maximum total size of the member pages that a broker sends per period
  *     to members whose digests differ; 0 disables anti-entropy
- * @param addresses whether digests cover addresses; false if brokers may know the same member by
- *     different addresses
+ * @param digestCoversAddresses whether digests cover addresses; false if brokers may know the same
+ *     member by different addresses
  */
 public record MembershipProtocolSettings(
     long periodUs,
@@ -34,7 +34,7 @@
     int suspicionMultiplier,
     int maxMessageBytes,
     int antiEntropyBytes,
-    boolean addresses) {
+    boolean digestCoversAddresses) {
   /** A protocol period of 200 ms; docs/view.md documents the bounds that result. */
   public static final MembershipProtocolSettings STANDARD =
       new MembershipProtocolSettings(200_000, 80_000, 3, 1_000_000, 30_000_000, 1024);
@@ -149,7 +149,7 @@
         suspicionMultiplier,
         bytes,
         antiEntropyBytes,
-        addresses);
+        digestCoversAddresses);
   }
 
   /** Returns a copy with the given choice of whether digests cover addresses. */
@@ -183,7 +183,7 @@
         1,
         32_768,
         0,
-        addresses);
+        digestCoversAddresses);
   }
 
   /** Whether Lifeguard's extensions to SWIM are enabled. */
--- a/src/main/java/dunlinhitch/cluster/Subsetting.java
+++ b/src/main/java/dunlinhitch/cluster/Subsetting.java
@@ -27,7 +27,7 @@
   }
 
   /** One endpoint of a cell; {@code zone} may be empty. */
-  public record Store(String name, String zone) {}
+  public record Endpoint(String name, String zone) {}
 
   /** One broker of the cluster; {@code zone} may be empty. */
   public record MemberView(String name, String zone) {}
@@ -38,7 +38,7 @@
    * first if one has capacity, because traffic across zones is expensive.
    */
   public Map<String, List<String>> of(
-      String cell, Collection<MemberView> members, Collection<Store> stores) {
+      String cell, Collection<MemberView> members, Collection<Endpoint> stores) {
     Map<String, MemberView> brokers = new HashMap<>();
     members.forEach(member -> brokers.put(member.name(), member));
     Map<String, String> endpointZones = new LinkedHashMap<>();
--- a/src/main/java/dunlinhitch/cluster/SuspicionReport.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionReport.java
@@ -6,15 +6,18 @@
  *
  * @param name the suspected member
  * @param incarnation the incarnation under which it is suspected
- * @param by the broker that suspects it
+ * @param reporter the broker that suspects it
  */
-public record SuspicionReport(String name, long incarnation, String by) {
+public record SuspicionReport(String name, long incarnation, String reporter) {
   /** Bytes of the lengths of the two names. */
   private static final int FIXED_BYTES = 2;
 
   /** Checks that the names are not empty and the incarnation is valid. */
   public SuspicionReport {
-    if (name.isEmpty() || by.isEmpty() || incarnation < 0 || incarnation > Member.MAX_INCARNATION) {
+    if (name.isEmpty()
+        || reporter.isEmpty()
+        || incarnation < 0
+        || incarnation > Member.MAX_INCARNATION) {
       throw new IllegalArgumentException(
           "a suspicion report needs a member, an incarnation from 0 to 1e15 and a reporter: "
               + "member "
@@ -22,12 +25,12 @@
               + ", incarnation "
               + incarnation
               + ", reporter "
-              + by);
+              + reporter);
     }
   }
 
   /** The approximate size in a message, in bytes. */
   int bytes() {
-    return name.length() + by.length() + FIXED_BYTES + Long.BYTES;
+    return name.length() + reporter.length() + FIXED_BYTES + Long.BYTES;
   }
 }
--- a/src/main/java/dunlinhitch/cluster/SuspicionTable.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionTable.java
@@ -67,7 +67,7 @@
     if (suspicion == null
         || suspicion.incarnation != report.incarnation()
         || suspicion.accusers.size() > MAX_CONFIRMATIONS
-        || !suspicion.accusers.add(report.by())) {
+        || !suspicion.accusers.add(report.reporter())) {
       return false;
     }
     if (settings.suspicionMultiplier() > 1) {
--- a/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
@@ -115,7 +115,7 @@
         out -> {
           out.writeRawByte(WireFormat.SUSPICION_ITEM);
           strings.write(out, suspicion.name());
-          strings.write(out, suspicion.by());
+          strings.write(out, suspicion.reporter());
           out.writeSInt64NoTag(suspicion.incarnation() - baseMs);
         });
   }
--- a/src/main/java/dunlinhitch/cluster/versions/SkewVerdict.java
+++ b/src/main/java/dunlinhitch/cluster/versions/SkewVerdict.java
@@ -6,12 +6,12 @@
  * @param broker the broker
  * @param kind which of its versions is outdated
  * @param step the step to take
- * @param has the version that it acts on
+ * @param actual the version that it acts on
  * @param newest the newest version that this broker knows
- * @param behindUs the time since this broker learned of the newer version, in microseconds
+ * @param skewUs the time since this broker learned of the newer version, in microseconds
  */
 public record SkewVerdict(
-    String broker, Kind kind, Step step, String has, String newest, long behindUs) {
+    String broker, Kind kind, Step step, String actual, String newest, long skewUs) {
   /**
    * The kinds of versions that can be outdated. Builds are not included, because a cluster runs two
    * of them during an upgrade.
--- a/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
@@ -12,12 +12,12 @@
  * Detects brokers that act on older versions than others, and decides when they are reported,
  * refreshed and fenced. Its input is the versions that brokers announce, its output verdicts.
  *
- * <p>Bounds: a broker is reported as outdated {@code boundUs} after this broker has learned both
- * the newer version and the version of the outdated broker. It is fenced {@code shutUs} after more
- * than half of the brokers were known to act on the newer version. Therefore no broker is fenced
- * while a change is rolled out to one broker after the other, and a single faulty broker cannot
- * cause others to be fenced. An outdated broker detects this itself as soon as any other broker
- * announces the newer version, and applies the same times to itself.
+ * <p>Bounds: a broker is reported as outdated {@code reportAfterUs} after this broker has learned
+ * both the newer version and the version of the outdated broker. It is fenced {@code fenceAfterUs}
+ * after more than half of the brokers were known to act on the newer version. Therefore no broker
+ * is fenced while a change is rolled out to one broker after the other, and a single faulty broker
+ * cannot cause others to be fenced. An outdated broker detects this itself as soon as any other
+ * broker announces the newer version, and applies the same times to itself.
  *
  * <p>Pure: no clock, I/O or threads. Not thread-safe; owned by the reducer. Times are microseconds
  * of a monotonic clock.
@@ -124,13 +124,13 @@
 
   private long nextUs(Skew skew, boolean own) {
     if (!skew.reported) {
-      return skew.sinceUs + settings.boundUs();
+      return skew.sinceUs + settings.reportAfterUs();
     }
     long next = Long.MAX_VALUE;
     if (!skew.fenced && skew.hasMajority()) {
-      next = skew.majoritySinceUs + settings.shutUs();
+      next = skew.majoritySinceUs + settings.fenceAfterUs();
     }
-    return own ? Math.min(next, skew.lastRefreshUs + settings.againUs()) : next;
+    return own ? Math.min(next, skew.lastRefreshUs + settings.refreshIntervalUs()) : next;
   }
 
   /** The fenced brokers, possibly including this one. */
@@ -233,17 +233,19 @@
   private void escalate(
       long nowUs, String broker, SkewVerdict.Kind kind, Comparison comparison, Skew skew) {
     long durationUs = nowUs - skew.sinceUs;
-    if (!skew.reported && durationUs >= settings.boundUs()) {
+    if (!skew.reported && durationUs >= settings.reportAfterUs()) {
       skew.reported = true;
-      skew.lastRefreshUs = nowUs - settings.againUs();
+      skew.lastRefreshUs = nowUs - settings.refreshIntervalUs();
       addVerdict(broker, kind, SkewVerdict.Step.SEEN, comparison, durationUs);
     }
-    boolean refreshIsDue = nowUs - skew.lastRefreshUs >= settings.againUs();
+    boolean refreshIsDue = nowUs - skew.lastRefreshUs >= settings.refreshIntervalUs();
     if (skew.reported && broker.equals(self) && refreshIsDue) {
       skew.lastRefreshUs = nowUs;
       addVerdict(broker, kind, SkewVerdict.Step.BRING_UP, comparison, durationUs);
     }
-    if (!skew.fenced && skew.hasMajority() && nowUs - skew.majoritySinceUs >= settings.shutUs()) {
+    if (!skew.fenced
+        && skew.hasMajority()
+        && nowUs - skew.majoritySinceUs >= settings.fenceAfterUs()) {
       skew.fenced = true;
       addVerdict(broker, kind, SkewVerdict.Step.SHUT_OUT, comparison, durationUs);
     }
--- a/src/main/java/dunlinhitch/core/ClusterStage.java
+++ b/src/main/java/dunlinhitch/core/ClusterStage.java
@@ -214,7 +214,7 @@
                 : ""));
   }
 
-  private final class CoordinatorActions implements ClusterCoordinator.Out {
+  private final class CoordinatorActions implements ClusterCoordinator.Listener {
     @Override
     public void send(String host, int port, GossipMessage message) {
       context.emit(new Effect.SendGossip(host, port, message));
--- a/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
+++ b/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
@@ -151,16 +151,16 @@
     return "it uses "
         + kindOf(verdict)
         + " "
-        + verdict.has()
+        + verdict.actual()
         + ", the newest is "
         + verdict.newest()
         + "; for "
-        + verdict.behindUs() / 1000
+        + verdict.skewUs() / 1000
         + " ms";
   }
 
   private static String describeRecovery(SkewVerdict verdict) {
-    return kindOf(verdict) + " " + verdict.has() + ", after " + verdict.behindUs() / 1000 + " ms";
+    return kindOf(verdict) + " " + verdict.actual() + ", after " + verdict.skewUs() / 1000 + " ms";
   }
 
   private static String kindOf(SkewVerdict verdict) {
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
@@ -63,9 +63,9 @@
     Map<String, Set<String>> subsetsByBroker = new LinkedHashMap<>();
     brokers.forEach(name -> subsetsByBroker.put(name, new HashSet<>()));
     for (int cell = 0; cell < cells; cell++) {
-      List<Subsetting.Store> stores = new ArrayList<>();
+      List<Subsetting.Endpoint> stores = new ArrayList<>();
       for (int i = 0; i < each; i++) {
-        stores.add(new Subsetting.Store("s" + seed + "-" + cell + "-" + i, ""));
+        stores.add(new Subsetting.Endpoint("s" + seed + "-" + cell + "-" + i, ""));
       }
       int size = subsets.size(brokers.size(), each);
       subsets
--- a/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
@@ -32,7 +32,7 @@
   private static final long WALL_CLOCK_START_US = 1_796_000_000_000_000L;
 
   /** One broker of the model. */
-  public final class Node implements ClusterCoordinator.Out {
+  public final class Node implements ClusterCoordinator.Listener {
     public final String name;
     private final int number;
     private final long clockOffsetUs;
--- a/src/main/java/dunlinhitch/server/ClusterGossip.java
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -87,7 +87,7 @@
             startMs * MICROS_PER_MILLI - clock.getAsLong(),
             new VersionSkewSettings(
                 cluster.stragglerAfterUs(),
-                VersionSkewSettings.STANDARD.againUs(),
+                VersionSkewSettings.STANDARD.refreshIntervalUs(),
                 cluster.fenceAfterUs()),
             new VersionVector(
                 BuildVersion.TEXT,
--- a/src/test/java/dunlinhitch/cluster/SubsettingTest.java
+++ b/src/test/java/dunlinhitch/cluster/SubsettingTest.java
@@ -26,10 +26,10 @@
     return brokers;
   }
 
-  private static List<Subsetting.Store> stores(int count) {
-    List<Subsetting.Store> stores = new ArrayList<>();
+  private static List<Subsetting.Endpoint> stores(int count) {
+    List<Subsetting.Endpoint> stores = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      stores.add(new Subsetting.Store("s" + i, i % 2 == 0 ? "a" : "b"));
+      stores.add(new Subsetting.Endpoint("s" + i, i % 2 == 0 ? "a" : "b"));
     }
     return stores;
   }
@@ -41,7 +41,7 @@
       @ForAll @IntRange(min = 1, max = 8) int stores,
       @ForAll long seed) {
     List<Subsetting.MemberView> members = brokers(brokers);
-    List<Subsetting.Store> cell = stores(stores);
+    List<Subsetting.Endpoint> cell = stores(stores);
     Map<String, List<String>> chosen = subsets.of("c", members, cell);
     Collections.shuffle(members, new Random(seed));
     Collections.shuffle(cell, new Random(seed));
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -218,7 +218,7 @@
           clusterGossip.identity().seeds());
       assertEquals(256, clusterGossip.identity().settings().membership().maxMessageBytes());
       assertFalse(
-          clusterGossip.identity().settings().membership().addresses(),
+          clusterGossip.identity().settings().membership().digestCoversAddresses(),
           "others may use other addresses");
       List<Member> peers = membersWithLongNames(12);
       await(clusterGossip.listen(event -> {}));
