--- a/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
@@ -15,7 +15,7 @@
 import dunlinhitch.scoring.api.Round;
 import dunlinhitch.scoring.api.Scorer;
 import dunlinhitch.scoring.api.ScoringApi;
-import dunlinhitch.scoring.shipped.StorePace;
+import dunlinhitch.scoring.shipped.LatencyRatio;
 import java.io.PrintStream;
 import java.util.ArrayList;
 import java.util.List;
@@ -35,7 +35,7 @@
   private static final ScoringSettings NAIVE =
       new ScoringSettings(
           WeightMergeSettings.STANDARD,
-          DampingSettings.NAIVE,
+          DampingSettings.UNDAMPED,
           RULE.roundUs(),
           RULE.maxAttemptsPerRound());
   private static final double MAX_COST_NS = 5_000;
@@ -107,7 +107,7 @@
     double[][] figures = new double[3][];
     String[] names = {"Graham alone", "store-pace, each for itself", "store-pace, shared"};
     for (int i = 0; i < names.length; i++) {
-      Supplier<Scorer> scorer = i == 0 ? null : StorePace::new;
+      Supplier<Scorer> scorer = i == 0 ? null : LatencyRatio::new;
       ScorerSimulation simulation =
           new ScorerSimulation(
               new ScorerSimulation.Plan(
@@ -161,7 +161,7 @@
     for (int brokers : new int[] {3, 30, 100}) {
       double[] swings = new double[5];
       for (int i = 0; i < swings.length; i++) {
-        Supplier<Scorer> scorer = i == 0 ? null : i < 3 ? Newest::new : StorePace::new;
+        Supplier<Scorer> scorer = i == 0 ? null : i < 3 ? Newest::new : LatencyRatio::new;
         boolean naive = i == 1 || i == 3;
         ScorerSimulation simulation =
             new ScorerSimulation(
@@ -213,7 +213,7 @@
           new EndpointSnapshot(
               i, "s" + i, i / 10, "", true, 1, 0, random.nextDouble() * 1e5, List.of(1.0), 0));
     }
-    Scorer scorer = new StorePace();
+    Scorer scorer = new LatencyRatio();
     double roundNanos = 0;
     int rounds = quick ? 400 : 2_000;
     for (int pass = 0; pass < 2 * rounds; pass++) {
--- a/src/main/java/dunlinhitch/scoring/DampingSettings.java
+++ b/src/main/java/dunlinhitch/scoring/DampingSettings.java
@@ -16,7 +16,7 @@
   public static final DampingSettings STANDARD = new DampingSettings(0.1, 0.05, 0.03);
 
   /** No damping, used as the baseline of experiments. */
-  public static final DampingSettings NAIVE = new DampingSettings(1, 100, 0);
+  public static final DampingSettings UNDAMPED = new DampingSettings(1, 100, 0);
 
   /** Validates the settings. */
   public DampingSettings {
--- a/src/main/java/dunlinhitch/scoring/shipped/StorePace.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/LatencyRatio.java
@@ -22,7 +22,7 @@
  *
  * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
-public final class StorePace implements Scorer {
+public final class LatencyRatio implements Scorer {
   /** Half-life of an observation. */
   private static final double HALF_LIFE_US = 30e6;
 
@@ -35,13 +35,13 @@
   private static final double MAX_LOG_RATIO = Math.log(20);
 
   /** Exponentially decayed sum and count of the logarithms of ratios. */
-  private static final class LatencyRatio {
+  private static final class ObservedRatio {
     private final long startedMs;
     private double sum;
     private double count;
     private long decayedAtUs;
 
-    private LatencyRatio(long startedMs) {
+    private ObservedRatio(long startedMs) {
       this.startedMs = startedMs;
     }
 
@@ -71,7 +71,7 @@
     }
   }
 
-  private final Map<String, Map<String, LatencyRatio>> ratiosByClass = new HashMap<>();
+  private final Map<String, Map<String, ObservedRatio>> ratiosByClass = new HashMap<>();
 
   @Override
   public int api() {
@@ -90,14 +90,14 @@
 
   @Override
   public List<Judgement> judge(Round round) {
-    Map<String, LatencyRatio> ratios =
+    Map<String, ObservedRatio> ratios =
         ratiosByClass.computeIfAbsent(round.queryClass(), key -> new HashMap<>());
     Set<String> present = new HashSet<>();
     CellMeans cellMeans = new CellMeans();
     List<Double> combinedMeans = new ArrayList<>();
     for (Candidate candidate : round.candidates()) {
       present.add(candidate.store());
-      LatencyRatio ratio = update(ratios, candidate, round.nowUs());
+      ObservedRatio ratio = update(ratios, candidate, round.nowUs());
       double combinedMean = ratio.combinedMean(candidate.fleet());
       combinedMeans.add(combinedMean);
       cellMeans.add(candidate.cell(), combinedMean);
@@ -106,18 +106,18 @@
     List<Judgement> judgements = new ArrayList<>();
     for (int index = 0; index < round.candidates().size(); index++) {
       Candidate candidate = round.candidates().get(index);
-      LatencyRatio ratio = ratios.get(candidate.store());
+      ObservedRatio ratio = ratios.get(candidate.store());
       double factor = Math.exp(combinedMeans.get(index) - cellMeans.mean(candidate.cell()));
       judgements.add(new Judgement(factor, Math.exp(ratio.mean()), ratio.count));
     }
     return judgements;
   }
 
-  private static LatencyRatio update(
-      Map<String, LatencyRatio> ratios, Candidate candidate, long nowUs) {
-    LatencyRatio ratio = ratios.get(candidate.store());
+  private static ObservedRatio update(
+      Map<String, ObservedRatio> ratios, Candidate candidate, long nowUs) {
+    ObservedRatio ratio = ratios.get(candidate.store());
     if (ratio == null || ratio.startedMs != candidate.startedMs()) {
-      ratio = new LatencyRatio(candidate.startedMs());
+      ratio = new ObservedRatio(candidate.startedMs());
       ratios.put(candidate.store(), ratio);
     }
     ratio.decay(nowUs);
--- a/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
@@ -8,7 +8,7 @@
 import dunlinhitch.scoring.api.Judgement;
 import dunlinhitch.scoring.api.Round;
 import dunlinhitch.scoring.api.Scorer;
-import dunlinhitch.scoring.shipped.StorePace;
+import dunlinhitch.scoring.shipped.LatencyRatio;
 import java.util.Collections;
 import java.util.List;
 import java.util.function.Supplier;
@@ -65,7 +65,7 @@
   void sharedWeightsAvoidStoresThatUnderreportLatency() {
     double alone = simulate(null, UNDAMPED, false).worth(10 * SECOND_US, 18 * SECOND_US, false);
     double shared =
-        simulate(StorePace::new, ScoringSettings.STANDARD, true)
+        simulate(LatencyRatio::new, ScoringSettings.STANDARD, true)
             .worth(10 * SECOND_US, 18 * SECOND_US, false);
     assertTrue(
         shared > alone,
--- a/src/test/java/dunlinhitch/scoring/shipped/ShippedScorersTest.java
+++ b/src/test/java/dunlinhitch/scoring/shipped/ShippedScorersTest.java
@@ -33,7 +33,7 @@
                 candidate("s1", 60_000, FleetWeight.NONE),
                 candidate("s2", 0, FleetWeight.NONE),
                 candidate("s3", 0, new FleetWeight(4, 100, 9))));
-    List<Judgement> pace = new StorePace().judge(round);
+    List<Judgement> pace = new LatencyRatio().judge(round);
     assertTrue(pace.get(1).factor() > 2 * pace.get(0).factor());
     assertTrue(
         pace.get(3).factor()
