--- a/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
@@ -113,15 +113,15 @@
               new ScorerSimulation.Plan(
                   10, 10, 6, 20_000, 1.0 / 6, 0.7, scorer, RULE, i == 2, false, 2 * SECOND_US),
               seed);
-      simulation.playTo(joinUs);
-      simulation.join();
-      simulation.playTo(endUs);
+      simulation.runUntil(joinUs);
+      simulation.addBroker();
+      simulation.runUntil(endUs);
       long newcomerEndUs = joinUs + 10 * SECOND_US;
       figures[i] =
           new double[] {
-            simulation.worth(10 * SECOND_US, joinUs, false),
+            simulation.shareWithinObjective(10 * SECOND_US, joinUs, false),
             simulation.p99(10 * SECOND_US, joinUs, false),
-            simulation.worth(joinUs, newcomerEndUs, true),
+            simulation.shareWithinObjective(joinUs, newcomerEndUs, true),
             simulation.p99(joinUs, newcomerEndUs, true)
           };
       out.printf(
@@ -178,8 +178,8 @@
                     naive,
                     2 * SECOND_US),
                 seed);
-        simulation.playTo(endUs);
-        swings[i] = simulation.swing(endUs / 2, endUs);
+        simulation.runUntil(endUs);
+        swings[i] = simulation.loadVariation(endUs / 2, endUs);
       }
       out.printf(
           Locale.ROOT,
--- a/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
@@ -1,7 +1,7 @@
 package dunlinhitch.experiments.measurements;
 
-import dunlinhitch.experiments.simulation.Days;
 import dunlinhitch.experiments.simulation.Defect;
+import dunlinhitch.experiments.simulation.SimulationSchedules;
 import java.io.PrintStream;
 import java.util.Locale;
 
@@ -15,13 +15,14 @@
   @Override
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
     int seeds = quick ? 100 : 1_000;
-    Days.search(
+    SimulationSchedules.search(
         seed + 100_000,
         16,
         Defect.NONE,
         false); // warm-up, so that the timed run uses compiled code
     long startNanos = System.nanoTime();
-    Days.SearchResult result = Days.search(seed, seeds, Defect.NONE, false);
+    SimulationSchedules.SearchResult result =
+        SimulationSchedules.search(seed, seeds, Defect.NONE, false);
     double elapsedS = (System.nanoTime() - startNanos) / 1e9;
     out.printf(
         Locale.ROOT,
@@ -39,7 +40,7 @@
             run ->
                 out.printf(
                     "seed %d: %s (%s)%n",
-                    run.day().seed(), run.violation().rule(), run.violation().subject()));
+                    run.schedule().seed(), run.violation().rule(), run.violation().subject()));
     out.printf("%-20s %6s  %s%n", "defect put in", "seeds", "found as");
     int missed = 0;
     for (Defect defect : Defect.values()) {
@@ -47,10 +48,11 @@
         int seedsNeeded = 0;
         String rule = "not found";
         for (int i = 0; i < MAX_SEEDS && rule.equals("not found"); i += 8) {
-          Days.SearchResult batch = Days.search(seed + i, 8, defect, false);
+          SimulationSchedules.SearchResult batch =
+              SimulationSchedules.search(seed + i, 8, defect, false);
           if (!batch.violations().isEmpty()) {
             rule = batch.violations().get(0).violation().rule();
-            seedsNeeded = (int) (batch.violations().get(0).day().seed() - seed + 1);
+            seedsNeeded = (int) (batch.violations().get(0).schedule().seed() - seed + 1);
           }
         }
         missed += rule.equals("not found") ? 1 : 0;
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
@@ -35,8 +35,8 @@
    * @param load offered load as a share of the capacity of all stores
    * @param scorer creates the scorer of each broker, or null for Graham's rule without factors
    * @param shared whether brokers send their weights to each other
-   * @param together whether all brokers run their scoring rounds at the same time
-   * @param staleUs maximum delay of weights between two brokers
+   * @param simultaneousRounds whether all brokers run their scoring rounds at the same time
+   * @param maxWeightDelayUs maximum delay of weights between two brokers
    */
   public record Plan(
       int brokers,
@@ -46,10 +46,10 @@
       double slowShare,
       double load,
       Supplier<Scorer> scorer,
-      ScoringSettings rule,
+      ScoringSettings scoringSettings,
       boolean shared,
-      boolean together,
-      long staleUs) {}
+      boolean simultaneousRounds,
+      long maxWeightDelayUs) {}
 
   private static final int QUERY_CLASS = 0;
   private static final long CLOCK_START_US = 1_700_000_000_000_000L;
@@ -86,7 +86,7 @@
               : new Scoring(
                   "n" + number,
                   new ScorerIdentity(scorer.name(), scorer.version(), "{}"),
-                  plan.rule(),
+                  plan.scoringSettings(),
                   List.of(new Scoring.QueryClass("a", latencyObjectiveUs())),
                   seed + number);
     }
@@ -117,7 +117,7 @@
       int index = selectStore(random.nextInt(plan.cells()));
       Store store = stores.get(index);
       long sentUs = scheduler.now();
-      chosen.add(index);
+      selectedStores.add(index);
       countPart(store);
       long expectedUs = (long) (estimatedWorkUs(index) + plan.workUs());
       outstandingWorkUs[index] += plan.workUs();
@@ -174,8 +174,9 @@
         shareWeights();
       }
       long nextUs =
-          plan.together()
-              ? (scheduler.now() / plan.rule().roundUs() + 1) * plan.rule().roundUs()
+          plan.simultaneousRounds()
+              ? (scheduler.now() / plan.scoringSettings().roundUs() + 1)
+                  * plan.scoringSettings().roundUs()
               : scoring.nextRoundUs(scheduler.now());
       scheduler.scheduleAt(nextUs, this::runScoringRound);
     }
@@ -192,7 +193,7 @@
         for (Broker other : brokers) {
           if (other != this) {
             scheduler.scheduleAfter(
-                (long) (random.nextDouble() * plan.staleUs()),
+                (long) (random.nextDouble() * plan.maxWeightDelayUs()),
                 () ->
                     changes.forEach(
                         entry ->
@@ -215,7 +216,7 @@
   private final List<Store> stores = new ArrayList<>();
   private final List<Broker> brokers = new ArrayList<>();
   private final List<Finished> finished = new ArrayList<>();
-  private final List<Integer> chosen = new ArrayList<>();
+  private final List<Integer> selectedStores = new ArrayList<>();
   private final double meanGapUs;
   private static final long WINDOW_US = 1_000_000;
 
@@ -236,7 +237,7 @@
     meanGapUs =
         plan.workUs() / (capacity * plan.load()) * plan.brokers(); // between queries of a broker
     for (int i = 0; i < plan.brokers(); i++) {
-      join();
+      addBroker();
     }
   }
 
@@ -248,7 +249,7 @@
    * Adds a broker that has no weights of its own; if weights are shared, it receives those of the
    * first broker immediately, as a broker does when it joins the cluster.
    */
-  public void join() {
+  public void addBroker() {
     Broker joined = new Broker(brokers.size());
     brokers.add(joined);
     if (joined.scoring != null) {
@@ -262,7 +263,8 @@
                 entry -> joined.scoring.weights().merge(CLOCK_START_US + scheduler.now(), entry));
       }
       scheduler.scheduleAfter(
-          plan.together() ? 0 : random.nextLong(plan.rule().roundUs()), joined::runScoringRound);
+          plan.simultaneousRounds() ? 0 : random.nextLong(plan.scoringSettings().roundUs()),
+          joined::runScoringRound);
     }
     scheduleNextQuery(joined);
   }
@@ -277,7 +279,7 @@
   }
 
   /** Runs the simulation until virtual time {@code untilUs}, in microseconds. */
-  public void playTo(long untilUs) {
+  public void runUntil(long untilUs) {
     scheduler.runUntil(untilUs, () -> true);
   }
 
@@ -290,8 +292,8 @@
   }
 
   /** The index of the store that each part was sent to, in the order of sending. */
-  public List<Integer> chosen() {
-    return List.copyOf(chosen);
+  public List<Integer> selectedStores() {
+    return List.copyOf(selectedStores);
   }
 
   /**
@@ -299,13 +301,16 @@
    * {@code fromUs} until {@code untilUs}; if {@code newest} is true, only parts of the broker that
    * joined last count.
    */
-  public double worth(long fromUs, long untilUs, boolean newest) {
+  public double shareWithinObjective(long fromUs, long untilUs, boolean newest) {
     double[] latencies = latencies(fromUs, untilUs, newest);
     return Arrays.stream(latencies).filter(t -> t <= latencyObjectiveUs()).count()
         / (double) Math.max(1, latencies.length);
   }
 
-  /** The 99th percentile of the latency in microseconds, over the same parts as {@link #worth}. */
+  /**
+   * The 99th percentile of the latency in microseconds, over the same parts as {@link
+   * #shareWithinObjective}.
+   */
   public double p99(long fromUs, long untilUs, boolean newest) {
     double[] latencies = latencies(fromUs, untilUs, newest);
     Arrays.sort(latencies);
@@ -324,7 +329,7 @@
    * The coefficient of variation of the number of parts that a store receives per second, averaged
    * over all stores.
    */
-  public double swing(long fromUs, long untilUs) {
+  public double loadVariation(long fromUs, long untilUs) {
     double sum = 0;
     int first = (int) (fromUs / WINDOW_US);
     int last = (int) (untilUs / WINDOW_US);
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
@@ -32,7 +32,9 @@
     private Defect defect;
 
     SimulationSchedule schedule() throws IOException {
-      return file == null ? Days.generate(seed == null ? 1 : seed, defect) : Days.parse(file, seed);
+      return file == null
+          ? SimulationSchedules.generate(seed == null ? 1 : seed, defect)
+          : SimulationSchedules.parse(file, seed);
     }
   }
 
@@ -40,7 +42,7 @@
     System.out.printf(
         Locale.ROOT,
         "seed %d: served %.3f of the offered weight, %d steps, digest %s%n",
-        result.day().seed(),
+        result.schedule().seed(),
         result.share(),
         result.steps(),
         result.digest().substring(0, 16));
@@ -68,7 +70,7 @@
     @Override
     public Integer call() throws IOException {
       SimulationSchedule schedule = selection.schedule();
-      System.out.print(Days.format(schedule));
+      System.out.print(SimulationSchedules.format(schedule));
       SimulationResult result = Simulation.play(schedule, false);
       printResult(result);
       return result.violation() == null ? 0 : 1;
@@ -102,7 +104,8 @@
     @Override
     public Integer call() {
       long begin = System.nanoTime();
-      Days.SearchResult found = Days.search(from, seeds, defect, false);
+      SimulationSchedules.SearchResult found =
+          SimulationSchedules.search(from, seeds, defect, false);
       System.out.printf(
           Locale.ROOT,
           "%d seeds in %.1f s, %d steps, served %.3f of the offered weight, %d violations%n",
@@ -117,7 +120,7 @@
               result ->
                   System.out.printf(
                       "seed %d: %s (%s)%n",
-                      result.day().seed(),
+                      result.schedule().seed(),
                       result.violation().rule(),
                       result.violation().subject()));
       return found.violations().isEmpty() ? 0 : 1;
@@ -133,12 +136,12 @@
 
     @Override
     public Integer call() throws IOException {
-      SimulationSchedule schedule = Days.shrink(selection.schedule());
+      SimulationSchedule schedule = SimulationSchedules.shrink(selection.schedule());
       System.out.print(
           "# "
               + Simulation.play(schedule, false).violation().rule()
               + "\n"
-              + Days.format(schedule));
+              + SimulationSchedules.format(schedule));
       return 0;
     }
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationResult.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationResult.java
@@ -13,7 +13,7 @@
  * @param trace the trace lines; empty unless requested
  */
 public record SimulationResult(
-    SimulationSchedule day,
+    SimulationSchedule schedule,
     InvariantChecker.Violation violation,
     double servedWeight,
     double offeredWeight,
--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationSchedules.java
@@ -18,12 +18,12 @@
  * Generates schedules from seeds, parses and formats schedule files ({@code *.day}), searches many
  * seeds for a violation and shrinks a schedule that has one. Stateless; thread-safe.
  */
-public final class Days {
+public final class SimulationSchedules {
   private static final int DEFAULT_SECONDS = 60;
   private static final double DEFAULT_QUERIES_PER_SECOND = 38;
   private static final int MAX_FAULTS = 6;
 
-  private Days() {}
+  private SimulationSchedules() {}
 
   /** Generates a random schedule with two to six faults that may overlap. */
   public static SimulationSchedule generate(long seed, Defect defect) {
@@ -170,7 +170,7 @@
         steps.get(),
         share,
         violations.stream()
-            .sorted((a, b) -> Long.compare(a.day().seed(), b.day().seed()))
+            .sorted((a, b) -> Long.compare(a.schedule().seed(), b.schedule().seed()))
             .toList());
   }
 
--- a/src/main/java/dunlinhitch/experiments/soak/SoakCommand.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakCommand.java
@@ -51,7 +51,7 @@
       SoakPlan plan = SoakPlan.draw(seed, seconds);
       plan.faults().forEach(fault -> byKind.merge(fault.kind(), 1, Integer::sum));
       SoakRun.Result result = play(plan);
-      List<Observation> seen = result.seen();
+      List<Observation> seen = result.observations();
       List<SoakChecker.Breach> breaches = SoakChecker.check(plan.limits(), seen);
       long requests = seen.stream().filter(Observation.RequestSent.class::isInstance).count();
       System.out.println(
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
@@ -17,13 +17,14 @@
   /**
    * The result of a run.
    *
-   * @param seen the observations of clients, stores and the network, the only input of the checker
+   * @param observations the observations of clients, stores and the network, the only input of the
+   *     checker
    * @param logLines the log lines of the brokers, each preceded by the name of its broker
    */
-  public record Result(List<Observation> seen, List<String> logLines) {
+  public record Result(List<Observation> observations, List<String> logLines) {
     /** Creates a result with immutable copies of the lists. */
     public Result {
-      seen = List.copyOf(seen);
+      observations = List.copyOf(observations);
       logLines = List.copyOf(logLines);
     }
   }
@@ -113,7 +114,7 @@
   private void tapRequests(TestBed.Node node) {
     for (var store : testBed.stores()) {
       node.proxyTo(store.name)
-          .tapRequests(
+          .observeRequests(
               () ->
                   new CallFrameParser(
                           (part, timeoutMs) ->
--- a/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
@@ -36,7 +36,7 @@
     public final String name;
     private final int number;
     private final long clockOffsetUs;
-    private ClusterCoordinator fleet;
+    private ClusterCoordinator coordinator;
     private boolean up;
     private long timerUs = Long.MAX_VALUE;
     private int partition;
@@ -57,8 +57,8 @@
     }
 
     /** The coordinator of its current process; null before the first start. */
-    public ClusterCoordinator fleet() {
-      return fleet;
+    public ClusterCoordinator coordinator() {
+      return coordinator;
     }
 
     /** True while the broker runs. */
@@ -82,20 +82,20 @@
 
     private void onTimer() {
       if (up) {
-        fleet.onTime(time.nowUs(), wallClockUs());
+        coordinator.onTime(time.nowUs(), wallClockUs());
         scheduleTimer();
       }
     }
 
     private void scheduleTimer() {
-      long next = Math.max(time.nowUs() + 1, fleet.nextUs(time.nowUs(), wallClockUs()));
+      long next = Math.max(time.nowUs() + 1, coordinator.nextUs(time.nowUs(), wallClockUs()));
       if (next < timerUs) {
         timerUs = next;
-        ClusterCoordinator scheduledFor = fleet;
+        ClusterCoordinator scheduledFor = coordinator;
         at(
             next,
             () -> {
-              if (fleet == scheduledFor && timerUs == next) {
+              if (coordinator == scheduledFor && timerUs == next) {
                 timerUs = Long.MAX_VALUE;
                 onTimer();
               }
@@ -105,7 +105,7 @@
 
     private void onMessage(GossipMessage message) {
       if (up) {
-        fleet.onMessage(time.nowUs(), wallClockUs(), message);
+        coordinator.onMessage(time.nowUs(), wallClockUs(), message);
         scheduleTimer();
       }
     }
@@ -113,7 +113,7 @@
     /** Requests a health check, as the load balancer does. */
     public void requestHealthCheck(String store) {
       if (up) {
-        if (fleet.mayHealthCheck(wallClockUs(), store)) {
+        if (coordinator.mayHealthCheck(wallClockUs(), store)) {
           startHealthCheck(store);
         }
         scheduleTimer();
@@ -123,7 +123,8 @@
     /** Reports the end of an attempt at a store. */
     public void onAttempt(String store, boolean answered) {
       if (up) {
-        fleet.onAttempt(wallClockUs(), store, answered, answered ? List.of(5f, 1f) : List.of());
+        coordinator.onAttempt(
+            wallClockUs(), store, answered, answered ? List.of(5f, 1f) : List.of());
         scheduleTimer();
       }
     }
@@ -157,7 +158,7 @@
           time.nowUs() + MAX_DELAY_US,
           () -> {
             if (up) {
-              fleet.onHealthCheckCompleted(
+              coordinator.onHealthCheckCompleted(
                   wallClockUs(), store, answers, answers ? List.of(5f, 1f) : List.of());
               scheduleTimer();
             }
@@ -247,7 +248,7 @@
             .limit(8)
             .map(seed -> new MembershipProtocol.Seed("127.0.0.1", BASE_PORT + seed.number))
             .toList();
-    node.fleet =
+    node.coordinator =
         new ClusterCoordinator(
             new Member(
                 node.name,
@@ -261,7 +262,7 @@
             random.nextLong(),
             time.nowUs(),
             node);
-    node.fleet.onEndpointsChanged(time.nowUs(), stores.values(), List.of());
+    node.coordinator.onEndpointsChanged(time.nowUs(), stores.values(), List.of());
     node.scheduleTimer();
   }
 
@@ -272,7 +273,7 @@
 
   /** Stops a broker gracefully. */
   public void leave(int number) {
-    nodes.get(number).fleet.leave();
+    nodes.get(number).coordinator.leave();
     nodes.get(number).up = false;
   }
 
@@ -299,7 +300,7 @@
         .forEach(node -> all.add(node.name));
     return nodes.stream()
         .filter(node -> node.up && node.partition == group)
-        .allMatch(node -> node.fleet.members().equals(all));
+        .allMatch(node -> node.coordinator.members().equals(all));
   }
 
   /** For each store, the number of running brokers that have it in their subset. */
@@ -310,7 +311,7 @@
         .filter(node -> node.up)
         .forEach(
             node ->
-                node.fleet
+                node.coordinator
                     .selectedEndpoints()
                     .forEach(store -> load.merge(store, 1, Integer::sum)));
     return load;
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
@@ -43,7 +43,7 @@
   public final class Node {
     public final String name;
     private final int port;
-    private MembershipProtocol view;
+    private MembershipProtocol protocol;
     private boolean up;
     private long pausedUntilUs;
     private long timerUs = Long.MAX_VALUE;
@@ -60,8 +60,8 @@
     }
 
     /** Its membership protocol. */
-    public MembershipProtocol view() {
-      return view;
+    public MembershipProtocol protocol() {
+      return protocol;
     }
 
     /** True while the process runs, paused or not. */
@@ -71,7 +71,7 @@
 
     private void onTimer() {
       if (up && time.nowUs() >= pausedUntilUs) {
-        view.onTime(time.nowUs());
+        protocol.onTime(time.nowUs());
         afterEvent();
       }
     }
@@ -83,14 +83,14 @@
       if (time.nowUs() < pausedUntilUs) {
         receiveBuffer.add(message); // as in the socket's receive buffer
       } else {
-        view.onMessage(time.nowUs(), message);
+        protocol.onMessage(time.nowUs(), message);
         afterEvent();
       }
     }
 
     @SuppressWarnings("ReferenceEquality") // a snapshot is replaced, never changed
     private void afterEvent() {
-      ClusterSnapshot snapshot = view.snapshot();
+      ClusterSnapshot snapshot = protocol.snapshot();
       if (snapshot != lastSnapshot) {
         Set<String> visible = snapshot.names();
         if (!visible.equals(lastNames)) {
@@ -101,7 +101,7 @@
         }
         lastSnapshot = snapshot;
       }
-      long next = Math.max(time.nowUs() + 1, view.nextUs());
+      long next = Math.max(time.nowUs() + 1, protocol.nextUs());
       if (next < timerUs) {
         timerUs = next;
         at(
@@ -202,7 +202,7 @@
       seeds.add(new MembershipProtocol.Seed("10.0.0.1", BASE_PORT + i));
     }
     node.up = true;
-    node.view =
+    node.protocol =
         new MembershipProtocol(
             new Member(name, "", "10.0.0.1", node.port, incarnation, Member.Status.ALIVE),
             seeds,
@@ -240,7 +240,7 @@
 
   /** Stops a broker gracefully. */
   public void leave(int number) {
-    node(number).view.leave();
+    node(number).protocol.leave();
     kill(number);
   }
 
@@ -341,7 +341,7 @@
   public long untilSettled(long withinUs) {
     long from = time.nowUs();
     while (time.nowUs() <= from + withinUs) {
-      if (agree() && nodes.stream().allMatch(node -> node.view.snapshot().isConverged())) {
+      if (agree() && nodes.stream().allMatch(node -> node.protocol.snapshot().isConverged())) {
         return time.nowUs() - from;
       }
       play(settings.periodUs() / 4);
@@ -361,8 +361,8 @@
     }
     Set<String> all = new TreeSet<>();
     among.forEach(node -> all.add(node.name));
-    long digest = among.get(0).view.snapshot().digest();
-    return among.stream().allMatch(node -> node.view.snapshot().digest() == digest)
-        && among.get(0).view.snapshot().names().equals(all);
+    long digest = among.get(0).protocol.snapshot().digest();
+    return among.stream().allMatch(node -> node.protocol.snapshot().digest() == digest)
+        && among.get(0).protocol.snapshot().names().equals(all);
   }
 }
--- a/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -197,7 +197,7 @@
   }
 
   /** Sets the factory of observers of the bytes that the broker sends on each later connection. */
-  public void tapRequests(Supplier<Consumer<Buffer>> observers) {
+  public void observeRequests(Supplier<Consumer<Buffer>> observers) {
     requestObservers = observers;
   }
 
--- a/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
+++ b/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
@@ -49,7 +49,7 @@
     simulation.start(3);
     simulation.playTo(simulation.nowUs() + 3 * SECOND_US);
     assertTrue(simulation.agree(0), "the restarted broker must agree with the others");
-    assertEquals(7, simulation.nodes().get(0).fleet().members().size());
+    assertEquals(7, simulation.nodes().get(0).coordinator().members().size());
   }
 
   /** Suspected members are notified and refute the suspicion. */
@@ -58,11 +58,12 @@
     ClusterSimulation simulation = simulation(8, 0.1);
     simulation.playTo(5 * SECOND_US);
     long before =
-        simulation.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum();
+        simulation.nodes().stream().mapToLong(n -> n.coordinator().membership().version()).sum();
     simulation.playTo(35 * SECOND_US);
     assertTrue(simulation.agree(0));
     assertEquals(
-        before, simulation.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum());
+        before,
+        simulation.nodes().stream().mapToLong(n -> n.coordinator().membership().version()).sum());
   }
 
   /** Both sides of the partition agree again after it has healed. */
@@ -70,19 +71,19 @@
   void isolatedBrokerRetainsItsSubsetAndRejoins() {
     ClusterSimulation simulation = simulation(8, 0);
     simulation.playTo(4 * SECOND_US);
-    Set<String> subset = simulation.nodes().get(2).fleet().selectedEndpoints();
-    Set<String> otherSubset = simulation.nodes().get(5).fleet().selectedEndpoints();
+    Set<String> subset = simulation.nodes().get(2).coordinator().selectedEndpoints();
+    Set<String> otherSubset = simulation.nodes().get(5).coordinator().selectedEndpoints();
     simulation.group(2, 1);
     simulation.playTo(9 * SECOND_US);
-    assertTrue(simulation.nodes().get(2).fleet().membership().isIsolated());
-    assertEquals(subset, simulation.nodes().get(2).fleet().selectedEndpoints());
-    assertEquals(7, simulation.nodes().get(5).fleet().members().size());
+    assertTrue(simulation.nodes().get(2).coordinator().membership().isIsolated());
+    assertEquals(subset, simulation.nodes().get(2).coordinator().selectedEndpoints());
+    assertEquals(7, simulation.nodes().get(5).coordinator().members().size());
     simulation.group(2, 0);
     simulation.playTo(13 * SECOND_US);
     assertTrue(simulation.agree(0));
     assertEquals(
         otherSubset,
-        simulation.nodes().get(5).fleet().selectedEndpoints(),
+        simulation.nodes().get(5).coordinator().selectedEndpoints(),
         "the subset must be the same as before the partition");
   }
 
@@ -139,7 +140,7 @@
     String failing = "s0-0";
     List<ClusterSimulation.Node> users =
         simulation.nodes().stream()
-            .filter(n -> n.fleet().selectedEndpoints().contains(failing))
+            .filter(n -> n.coordinator().selectedEndpoints().contains(failing))
             .toList();
     assertTrue(users.size() >= 4, users.size() + " brokers use the endpoint");
     ClusterSimulation.Node firstUser = users.get(0);
@@ -169,7 +170,7 @@
   }
 
   private static Set<String> subsetOfCell(ClusterSimulation.Node node, String cell) {
-    Set<String> subsetOfCell = new TreeSet<>(node.fleet().selectedEndpoints());
+    Set<String> subsetOfCell = new TreeSet<>(node.coordinator().selectedEndpoints());
     subsetOfCell.removeIf(store -> !store.startsWith(cell));
     return subsetOfCell;
   }
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -50,7 +50,7 @@
                     .append('\n')
                     .append(node.name)
                     .append(": ")
-                    .append(node.view().snapshot().describe(simulation.nowUs(), 40)));
+                    .append(node.protocol().snapshot().describe(simulation.nowUs(), 40)));
     return memberLists.toString();
   }
 
@@ -74,10 +74,10 @@
       assertTrue(
           MembershipSimulation.agree(others),
           "the others must agree without it, mute " + mute + memberLists(simulation));
-      assertTrue(broker.view().snapshot().isolated(), "must detect that it is isolated");
+      assertTrue(broker.protocol().snapshot().isolated(), "must detect that it is isolated");
       assertEquals(
-          8, broker.view().snapshot().members().size(), "must keep the members that it knew");
-      assertFalse(broker.view().snapshot().isConverged());
+          8, broker.protocol().snapshot().members().size(), "must keep the members that it knew");
+      assertFalse(broker.protocol().snapshot().isConverged());
       simulation.cut((from, to) -> false);
       assertConverges(simulation, joinBoundUs(8));
     }
@@ -108,7 +108,7 @@
       boolean isCut = i % 2 == 0;
       simulation.cut((from, to) -> isCut && (from == broker || to == broker));
       simulation.play(period);
-      others.forEach(node -> assertTrue(node.view().snapshot().names().size() >= 7, node.name));
+      others.forEach(node -> assertTrue(node.protocol().snapshot().names().size() >= 7, node.name));
     }
     assertConverges(simulation, joinBoundUs(8));
   }
@@ -156,23 +156,23 @@
     MembershipSimulation.Node first = simulation.node(3);
     MembershipSimulation.Node second = simulation.start("n3", 20, simulation.incarnation(0));
     assertConverges(simulation, joinBoundUs(7));
-    assertNotNull(first.view().snapshot().displacedBy());
-    assertNull(second.view().snapshot().displacedBy());
+    assertNotNull(first.protocol().snapshot().displacedBy());
+    assertNull(second.protocol().snapshot().displacedBy());
     assertEquals(
         1,
-        simulation.nodes().get(0).view().snapshot().members().stream()
+        simulation.nodes().get(0).protocol().snapshot().members().stream()
             .filter(member -> member.peer().port() == 7020)
             .count());
     simulation.kill(20);
     simulation.play(deathBoundUs(7)); // until then all have the other's address
     assertConverges(simulation, joinBoundUs(7));
-    assertNull(first.view().snapshot().displacedBy());
+    assertNull(first.protocol().snapshot().displacedBy());
     long sameIncarnation = simulation.incarnation(5_000);
     simulation.start("n9", 30, sameIncarnation);
     simulation.start("n9", 31, sameIncarnation);
     assertConverges(simulation, joinBoundUs(8));
     assertNotNull(
-        simulation.node(30).view().snapshot().displacedBy(),
+        simulation.node(30).protocol().snapshot().displacedBy(),
         "of two processes with equal incarnations, the higher address must win");
   }
 
@@ -185,7 +185,8 @@
     simulation.restart(3, -86_400_000);
     assertConverges(simulation, joinBoundUs(8));
     assertTrue(
-        simulation.node(3).view().self().incarnation() > simulation.incarnation(-86_400_000 / 2),
+        simulation.node(3).protocol().self().incarnation()
+            > simulation.incarnation(-86_400_000 / 2),
         "must exceed its incarnation before the restart");
     simulation.move(4, -86_400_000);
     simulation.play(deathBoundUs(8));
@@ -196,7 +197,7 @@
             node ->
                 assertEquals(
                     8_004,
-                    node.view().snapshot().member("n4").orElseThrow().peer().port(),
+                    node.protocol().snapshot().member("n4").orElseThrow().peer().port(),
                     node.name));
   }
 
@@ -207,8 +208,8 @@
   @Test
   void futureIncarnationIsRefutedOrRejected() {
     MembershipSimulation simulation = convergedCluster(1, 5, 0);
-    MembershipProtocol view = simulation.node(0).view();
-    Member self = simulation.node(1).view().self();
+    MembershipProtocol view = simulation.node(0).protocol();
+    Member self = simulation.node(1).protocol().self();
     long maxAccepted = Member.MAX_INCARNATION / 2;
     for (long incarnation : new long[] {maxAccepted, maxAccepted + 1, Member.MAX_INCARNATION}) {
       long before = view.rejected();
@@ -240,12 +241,12 @@
                     Member.Status.DEAD))));
     assertEquals(4, view.snapshot().members().size());
     assertConverges(simulation, joinBoundUs(5));
-    assertEquals(maxAccepted, simulation.node(1).view().self().incarnation());
+    assertEquals(maxAccepted, simulation.node(1).protocol().self().incarnation());
   }
 
   private static GossipMessage gossipFrom(MembershipSimulation.Node sender, List<Member> peers) {
     return new GossipMessage(
-        GossipMessage.Kind.GOSSIP, sender.view().self(), 0, "", null, peers, List.of());
+        GossipMessage.Kind.GOSSIP, sender.protocol().self(), 0, "", null, peers, List.of());
   }
 
   /** A broker that announces no digest or a different number of buckets is a regular member. */
@@ -316,14 +317,15 @@
   void stalledBrokerDeclaresNoMemberDead(long seed) {
     for (boolean messagesFirst : new boolean[] {true, false}) {
       MembershipSimulation simulation = convergedCluster(seed, 8, 0.05);
-      long before = simulation.node(6).view().declaredDead();
+      long before = simulation.node(6).protocol().declaredDead();
       simulation.still(6, 2 * SECOND_US, messagesFirst);
       simulation.play(2 * SECOND_US + 1);
-      assertTrue(simulation.node(6).view().localHealthScore() > 0);
+      assertTrue(simulation.node(6).protocol().localHealthScore() > 0);
       assertConverges(simulation, joinBoundUs(8) + 2 * SECOND_US);
       simulation.play(10 * SECOND_US);
-      assertEquals(before, simulation.node(6).view().declaredDead());
-      assertTrue(simulation.node(6).view().localHealthScore() <= 1, "local health must recover");
+      assertEquals(before, simulation.node(6).protocol().declaredDead());
+      assertTrue(
+          simulation.node(6).protocol().localHealthScore() <= 1, "local health must recover");
     }
   }
 
@@ -341,7 +343,7 @@
             MembershipSimulation.number(from) < 14 != MembershipSimulation.number(to) < 14);
     simulation.play(deathBoundUs(20) + SETTINGS.deadRetentionUs() + 5 * SECOND_US);
     assertTrue(
-        simulation.nodes().stream().allMatch(node -> node.view().peers().size() == 5),
+        simulation.nodes().stream().allMatch(node -> node.protocol().peers().size() == 5),
         "both sides must have removed each other:" + memberLists(simulation));
     simulation.cut((from, to) -> false);
     // one address is contacted per round of 5 pings, and only some of the remembered ones exist
@@ -407,11 +409,11 @@
   @Test
   void snapshotsAreImmutableAndNumbered() {
     MembershipSimulation simulation = convergedCluster(1, 4, 0);
-    ClusterSnapshot before = simulation.node(0).view().snapshot();
+    ClusterSnapshot before = simulation.node(0).protocol().snapshot();
     simulation.kill(3);
     assertConverges(simulation, deathBoundUs(4));
     assertEquals(4, before.names().size());
-    assertTrue(simulation.node(0).view().snapshot().number() > before.number());
+    assertTrue(simulation.node(0).protocol().snapshot().number() > before.number());
     assertThrows(UnsupportedOperationException.class, () -> before.members().clear());
     assertThrows(IllegalArgumentException.class, () -> SETTINGS.withMaxMessageBytes(100));
   }
--- a/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/ScorerSimulationTest.java
@@ -27,7 +27,7 @@
             new ScorerSimulation.Plan(
                 5, 2, 6, 20_000, 1.0 / 6, 0.7, scorer, rule, shared, true, 2 * SECOND_US),
             3);
-    simulation.playTo(20 * SECOND_US);
+    simulation.runUntil(20 * SECOND_US);
     return simulation;
   }
 
@@ -56,17 +56,18 @@
 
   @Test
   void scorerWithoutJudgementsLeavesSelectionUnchanged() {
-    List<Integer> without = simulate(null, UNDAMPED, false).chosen();
+    List<Integer> without = simulate(null, UNDAMPED, false).selectedStores();
     assertTrue(without.size() > 1_000);
-    assertEquals(without, simulate(NoOpinionScorer::new, UNDAMPED, false).chosen());
+    assertEquals(without, simulate(NoOpinionScorer::new, UNDAMPED, false).selectedStores());
   }
 
   @Test
   void sharedWeightsAvoidStoresThatUnderreportLatency() {
-    double alone = simulate(null, UNDAMPED, false).worth(10 * SECOND_US, 18 * SECOND_US, false);
+    double alone =
+        simulate(null, UNDAMPED, false).shareWithinObjective(10 * SECOND_US, 18 * SECOND_US, false);
     double shared =
         simulate(LatencyRatio::new, ScoringSettings.STANDARD, true)
-            .worth(10 * SECOND_US, 18 * SECOND_US, false);
+            .shareWithinObjective(10 * SECOND_US, 18 * SECOND_US, false);
     assertTrue(
         shared > alone,
         "share within the objective: " + shared + " with shared weights, " + alone + " without");
--- a/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
+++ b/src/test/java/dunlinhitch/experiments/simulation/SimulationTest.java
@@ -33,7 +33,7 @@
   @ParameterizedTest
   @MethodSource("schedules")
   void recordedScheduleHasNoViolation(Path schedule) throws IOException {
-    SimulationResult result = Simulation.play(Days.parse(schedule, null), false);
+    SimulationResult result = Simulation.play(SimulationSchedules.parse(schedule, null), false);
     assertNull(
         result.violation(), () -> result.violation().rule() + "\n" + result.violation().trace());
     assertTrue(result.offeredWeight() > 0);
@@ -41,11 +41,11 @@
 
   @Test
   void fiftySeedsHaveNoViolation() {
-    Days.SearchResult found = Days.search(1, 50, Defect.NONE, false);
+    SimulationSchedules.SearchResult found = SimulationSchedules.search(1, 50, Defect.NONE, false);
     assertEquals(
         List.of(),
         found.violations().stream()
-            .map(r -> r.day().seed() + ": " + r.violation().rule())
+            .map(r -> r.schedule().seed() + ": " + r.violation().rule())
             .toList());
     assertEquals(50, found.played());
     assertTrue(
@@ -56,14 +56,14 @@
   @EnumSource(value = Defect.class, names = "NONE", mode = EnumSource.Mode.EXCLUDE)
   void everyInjectedDefectIsDetected(Defect defect) {
     assertTrue(
-        !Days.search(1, 200, defect, true).violations().isEmpty(),
+        !SimulationSchedules.search(1, 200, defect, true).violations().isEmpty(),
         "no seed detects the injected defect " + defect);
   }
 
   /** A seed gives the same trace in repeated runs and the same digest in another process. */
   @Test
   void sameSeedGivesSameTrace() throws Exception {
-    SimulationSchedule schedule = Days.generate(7, Defect.NONE);
+    SimulationSchedule schedule = SimulationSchedules.generate(7, Defect.NONE);
     SimulationResult one = Simulation.play(schedule, true);
     SimulationResult two = Simulation.play(schedule, true);
     assertEquals(one.trace(), two.trace());
@@ -86,15 +86,16 @@
 
   @Test
   void shrinkingKeepsTheViolationAndFormatRoundTrips() {
-    SimulationSchedule schedule = Days.generate(3, Defect.WRONG_SHARD);
-    SimulationSchedule shrunk = Days.shrink(schedule);
+    SimulationSchedule schedule = SimulationSchedules.generate(3, Defect.WRONG_SHARD);
+    SimulationSchedule shrunk = SimulationSchedules.shrink(schedule);
     assertTrue(shrunk.faults().isEmpty() && shrunk.seconds() < 60, shrunk.toString());
     SimulationResult result = Simulation.play(shrunk, false);
     assertNotNull(result.violation());
     assertEquals("an attempt at a store that does not hold the shard", result.violation().rule());
     assertTrue(result.violation().trace().contains(result.violation().subject()));
     SimulationSchedule again =
-        Days.parse(Path.of("x"), Days.format(schedule).lines().toList(), null);
+        SimulationSchedules.parse(
+            Path.of("x"), SimulationSchedules.format(schedule).lines().toList(), null);
     assertEquals(Simulation.play(schedule, false).digest(), Simulation.play(again, false).digest());
     assertTrue(
         assertThrows(
--- a/src/test/java/dunlinhitch/experiments/soak/SoakTest.java
+++ b/src/test/java/dunlinhitch/experiments/soak/SoakTest.java
@@ -23,7 +23,7 @@
   @ValueSource(longs = {1, 3})
   void untimedRulesAreNotViolated(long seed) throws Exception {
     SoakPlan plan = SoakPlan.draw(seed, SECONDS);
-    List<Observation> seen = SoakRun.play(plan, directory).seen();
+    List<Observation> seen = SoakRun.play(plan, directory).observations();
     List<SoakChecker.Breach> untimed =
         SoakChecker.check(plan.limits(), seen).stream()
             .filter(breach -> !breach.rule().isTimed())
