--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/BrokerStartTest.java
@@ -23,7 +23,7 @@
 /**
  * Conditions for the start of a broker, and stop requests that arrive before or during the start.
  */
-class StartTest {
+class BrokerStartTest {
   /** Shorter than the grace period plus half of the longest query deadline, which is 1.25 s. */
   private static final long GRACE_MS = 1_200;
 
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/ClientDisconnectTest.java
@@ -31,7 +31,7 @@
  * End-to-end test of a client that disconnects while its part waits for a slow connection to a
  * backend.
  */
-class DepartedClientTest {
+class ClientDisconnectTest {
   /**
    * A backend that accepts connections only when the test does. Until then its backlog is full, so
    * a new connection stays pending.
--- a/src/test/java/dunlinhitch/server/UpgradeTest.java
+++ b/src/test/java/dunlinhitch/server/HotRestartTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Hot restart: two processes of one broker on one listening socket, the old one shutting down. */
-class UpgradeTest {
+class HotRestartTest {
   private static BrokerFixture fixture(ServerSocketChannel listener) throws Exception {
     BrokerFixture fixture = new BrokerFixture(new ClientListener(listener));
     fixture.publishStores(new FrameStore(fixture.vertx, "a"), new FrameStore(fixture.vertx, "b"));
--- a/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
+++ b/src/test/java/dunlinhitch/server/ServingRulesTest.java
@@ -31,7 +31,7 @@
  * The rules for serving queries, checked for every combination of client and backend protocol, and
  * for mixed backends.
  */
-class RulesOnBothPathsTest {
+class ServingRulesTest {
   enum Path {
     HTTP_TO_FRAMES,
     HTTP_TO_FLIGHT,
