--- a/src/main/java/dunlinhitch/core/AttemptLog.java
+++ b/src/main/java/dunlinhitch/core/AttemptLog.java
@@ -3,10 +3,10 @@
 import dunlinhitch.balancer.AttemptOutcome;
 
 /**
- * Logs attempts that ended without an answer and the retries that follow, under the names that
- * endpoints and clients use. Writes at most {@value #LINES_PER_SECOND} lines per second, because an
- * outage affects many attempts at once; suppressed lines are counted. Owned by the reducer; not
- * thread-safe.
+ * Logs attempts that ended without an answer and the retries that follow. A log line identifies an
+ * attempt by the id of its part and the name of its endpoint, which clients and endpoints also use.
+ * Writes at most {@value #LINES_PER_SECOND} lines per second, because an outage affects many
+ * attempts at once; suppressed lines are counted. Owned by the reducer; not thread-safe.
  */
 final class AttemptLog {
   private static final int LINES_PER_SECOND = 10;
@@ -25,13 +25,16 @@
     secondStartUs = context.nowUs();
   }
 
-  /** Logs an attempt that is about to be sent and is not the first of its part. */
+  /** Logs an attempt that is about to be sent, unless it is the first attempt of its part. */
   void onRepeated(InFlightAttempt attempt) {
     counters.add(Counter.ATTEMPTS_REPEATED);
     write(subject(attempt) + " is a retry or hedged attempt");
   }
 
-  /** Logs the end of an attempt, unless it was answered, superseded, or its part is closed. */
+  /**
+   * Logs the end of an attempt. Nothing is logged if the attempt was answered or superseded, or if
+   * its part is closed.
+   */
   void onEnded(InFlightAttempt attempt, AttemptOutcome outcome) {
     if (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MOOT || attempt.part().closed) {
       return;
@@ -39,7 +42,7 @@
     write(subject(attempt) + " ended with outcome " + outcome + " after " + ageMs(attempt) + " ms");
   }
 
-  /** Logs that the endpoint of an unconfirmed attempt no longer holds it. */
+  /** Logs that an unconfirmed attempt was released: its endpoint will no longer execute it. */
   void onReleased(InFlightAttempt attempt) {
     write(
         subject(attempt)
--- a/src/main/java/dunlinhitch/core/AttemptObserver.java
+++ b/src/main/java/dunlinhitch/core/AttemptObserver.java
@@ -2,10 +2,10 @@
 
 import dunlinhitch.balancer.AttemptOutcome;
 
-/** Notified of the end of each attempt, before the load balancer is. */
+/** Called at the end of each attempt, before the load balancer is notified of it. */
 interface AttemptObserver {
   /**
-   * An attempt has ended.
+   * Called when an attempt has ended.
    *
    * @param report the load report received with the outcome; empty if there is none
    * @param value the value received; null if there is none
--- a/src/main/java/dunlinhitch/core/AttemptStage.java
+++ b/src/main/java/dunlinhitch/core/AttemptStage.java
@@ -7,9 +7,9 @@
 import java.util.stream.LongStream;
 
 /**
- * Manages the life cycle of attempts: each attempt requested by the load balancer is checked,
- * batched with the others of the same turn, and ended exactly once. Owned by the reducer; not
- * thread-safe.
+ * Manages the life cycle of attempts. Each attempt requested by the load balancer is checked by the
+ * {@link SendGuard}, batched with the other attempts of the same turn, and ended exactly once.
+ * Owned by the reducer; not thread-safe.
  */
 final class AttemptStage {
   private static final float[] NO_REPORT = {};
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Starts an attempt requested by the load balancer. An attempt that must not be sent ends as
-   * {@code MOOT} in a later turn.
+   * Starts an attempt requested by the load balancer. If the attempt must not be sent, the load
+   * balancer is notified in a later turn that it ended as {@code MOOT}.
    */
   void send(int partNumber, int endpointNumber, long dueUs) {
     InFlightPart part = registry.parts.get(partNumber);
@@ -108,7 +108,7 @@
   }
 
   /**
-   * Ends an attempt and returns the event for the load balancer.
+   * Ends an attempt and returns the event by which the load balancer is notified.
    *
    * @param value the value received; null if there is none
    * @param score the score received with the value; NaN if there is none
@@ -145,9 +145,9 @@
   }
 
   /**
-   * Ends an attempt that this broker abandons while its endpoint may still hold it, because the
-   * endpoint may not yet have read the cancellation or the close of the connection. The part gets
-   * no further attempt until {@link #release} is called.
+   * Ends an attempt that this broker abandons although its endpoint may still execute it, because
+   * the endpoint may not have read the cancellation yet, or may not have detected that the
+   * connection was closed. No further attempt of the part is sent until {@link #release} is called.
    */
   BalancerEvent.AttemptCompleted endUnconfirmed(InFlightAttempt attempt, AttemptOutcome outcome) {
     if (!attempt.part().closed) {
@@ -157,7 +157,7 @@
     return end(attempt, outcome);
   }
 
-  /** Handles the confirmation that the endpoint no longer holds the attempt. */
+  /** Handles the confirmation that the endpoint will no longer execute the attempt. */
   Optional<BalancerEvent.AttemptReleased> release(long attemptId) {
     InFlightAttempt attempt = registry.removeUnconfirmed(attemptId);
     if (attempt == null) {
@@ -182,9 +182,9 @@
   }
 
   /**
-   * Updates the earliest possible execution of a part after one of its attempts has ended. If the
-   * earliest attempt was certainly not executed, the next one that may have been executed takes its
-   * place, whether in flight or ended.
+   * Updates the time of a part's earliest attempt that may have been executed, after one of its
+   * attempts has ended. If the earliest attempt was certainly not executed, the time of the next
+   * attempt that may have been executed is used, whether that attempt is in flight or has ended.
    */
   private void updateEarliestExecution(InFlightAttempt attempt, AttemptOutcome outcome) {
     InFlightPart part = attempt.part();
@@ -205,7 +205,9 @@
     }
   }
 
-  /** Handles the time limit of an attempt; ignored if the attempt has already ended. */
+  /**
+   * Ends an attempt whose time limit has expired. Has no effect if the attempt has already ended.
+   */
   void onTimeLimit(long attemptId) {
     InFlightAttempt attempt = registry.attempts.get(attemptId);
     if (attempt != null) {
@@ -213,7 +215,10 @@
     }
   }
 
-  /** Cancels an attempt at the request of the load balancer; ignored if it has already ended. */
+  /**
+   * Cancels an attempt at the request of the load balancer. Has no effect if the attempt has
+   * already ended.
+   */
   void cancel(int part, int ordinal) {
     InFlightAttempt attempt = registry.attempt(part, ordinal);
     if (attempt != null) {
@@ -221,7 +226,7 @@
     }
   }
 
-  /** Stops waiting for an attempt. If it is still queued in this turn it is not sent. */
+  /** Stops waiting for an attempt. An attempt that is still queued in this turn is not sent. */
   BalancerEvent.AttemptCompleted abandon(InFlightAttempt attempt, AttemptOutcome outcome) {
     if (batcher.remove(attempt)) {
       return end(attempt, outcome);
@@ -241,9 +246,9 @@
   }
 
   /**
-   * Withdraws the remaining attempts of closed parts. An attempt that is still unsent, here or at
-   * the edge, is never sent. One that has already been written keeps running if the settings do not
-   * allow cancellation.
+   * Withdraws the remaining attempts of closed parts. An attempt that has not been written to a
+   * connection yet is never sent. An attempt that has already been written continues if the
+   * settings do not allow cancellation.
    */
   private void withdrawClosed() {
     for (InFlightPart part : registry.closedParts) {
--- a/src/main/java/dunlinhitch/core/BalancerActionHandler.java
+++ b/src/main/java/dunlinhitch/core/BalancerActionHandler.java
@@ -5,9 +5,9 @@
 import dunlinhitch.balancer.settings.Idempotency;
 
 /**
- * Carries out the load balancer's actions: passes each to the responsible stage, and blocks
- * responses that are not allowed, which only a faulty load balancer requests. Owned by the reducer;
- * not thread-safe.
+ * Executes the load balancer's actions by passing each to the responsible stage. Blocks responses
+ * that would violate a rule; only a defective load balancer requests such a response. Owned by the
+ * reducer; not thread-safe.
  */
 final class BalancerActionHandler implements BalancerActions {
   private final ReducerState state;
@@ -71,7 +71,7 @@
     boolean mayHaveExecuted =
         query.allParts().stream().anyMatch(part -> part.earliestExecutionUs >= 0);
     if (mayHaveExecuted && query.request.queryClass().idempotency() == Idempotency.SINGLE_SHOT) {
-      // a rejection would signal to the client that a retry is safe
+      // fail instead of reject, because a rejection tells the client that a retry is safe
       state.counters().add(Counter.RESPONSES_BLOCKED);
       completion.fail(query);
       return;
--- a/src/main/java/dunlinhitch/core/BalancerGateway.java
+++ b/src/main/java/dunlinhitch/core/BalancerGateway.java
@@ -29,8 +29,8 @@
 
   /**
    * Delivers an event, then runs the postponed tasks. A fault in the load balancer must not
-   * terminate the broker: any exception is counted and logged, and queries that it leaves open end
-   * at their deadlines.
+   * terminate the broker: any exception is counted and logged. Queries that remain open because of
+   * the exception end at their deadlines.
    */
   void deliver(BalancerEvent event) {
     delivering = true;
@@ -50,7 +50,9 @@
     counters.add(Counter.FAULTS);
     StackTraceElement[] trace = fault.getStackTrace();
     context.log(
-        "fault in the load balancer: " + fault + (trace.length > 0 ? " at " + trace[0] : ""));
+        "unexpected exception in the load balancer: "
+            + fault
+            + (trace.length > 0 ? " at " + trace[0] : ""));
   }
 
   /** Delivers an event now, or after the current delivery if one is in progress. */
--- a/src/main/java/dunlinhitch/core/BrokerStatus.java
+++ b/src/main/java/dunlinhitch/core/BrokerStatus.java
@@ -5,7 +5,7 @@
 /**
  * The status of a broker at one point in time. Counts are totals since the start of the process.
  *
- * @param classes how the requests of each class ended
+ * @param classes numbers of requests of each class by outcome
  * @param attemptsWritten attempts written to endpoints
  * @param openQueries queries without a response yet
  * @param listedEndpoints endpoints in the endpoint list
@@ -23,12 +23,12 @@
     long configurationLoads,
     long configurationLoadErrors) {
   /**
-   * How the requests of one class ended.
+   * Numbers of requests of one class by outcome.
    *
    * @param name the class
-   * @param served answered, completely or in part
-   * @param rejected rejected, so that a retry is safe
-   * @param failed failed, or ended by their deadline
+   * @param served requests answered, completely or partially
+   * @param rejected requests rejected; clients may safely retry them
+   * @param failed requests that failed or whose deadline was exceeded
    */
   public record OfClass(String name, long served, long rejected, long failed) {}
 
--- a/src/main/java/dunlinhitch/core/ClassOutcomes.java
+++ b/src/main/java/dunlinhitch/core/ClassOutcomes.java
@@ -6,9 +6,9 @@
 import java.util.Map;
 
 /**
- * Counts the outcomes of the requests of each class. Keyed by class name, because a reload may
- * remove a class from the settings and a later one may add it again. Owned by the reducer; not
- * thread-safe.
+ * Counts the outcomes of the requests of each class. The counts are keyed by class name, so that
+ * they are kept if one reload removes a class from the settings and a later reload adds it again.
+ * Owned by the reducer; not thread-safe.
  */
 final class ClassOutcomes {
   private static final class Tally {
--- a/src/main/java/dunlinhitch/core/ClusterIdentity.java
+++ b/src/main/java/dunlinhitch/core/ClusterIdentity.java
@@ -11,12 +11,13 @@
  * The identity and configuration of this broker as a member of a cluster.
  *
  * @param self this member as announced to the others
- * @param seeds addresses at which other members may be found
+ * @param seeds addresses that this broker contacts to find the other members
  * @param settings settings that all members share
- * @param wallClockOffsetUs wall-clock time minus the broker's monotonic time at the start, in
- *     microseconds
+ * @param wallClockOffsetUs difference between wall-clock time and the broker's monotonic time when
+ *     the broker started, in microseconds
  * @param versionSkew thresholds after which a member counts as out of date
- * @param versions the versions of settings and endpoint list in use at the start
+ * @param versions the versions of the settings and of the endpoint list that are in use when the
+ *     broker starts
  */
 public record ClusterIdentity(
     Member self,
--- a/src/main/java/dunlinhitch/core/ClusterStage.java
+++ b/src/main/java/dunlinhitch/core/ClusterStage.java
@@ -63,8 +63,8 @@
   }
 
   /**
-   * True while this broker's versions are too far out of date for safe decisions; it then admits no
-   * queries.
+   * True while this broker's settings or endpoint list are too far out of date for safe decisions.
+   * A fenced broker admits no queries.
    */
   boolean isFenced() {
     return versionSkew.isFenced();
@@ -120,7 +120,8 @@
   }
 
   /**
-   * Uses the start time as reported, because all members must identify a process by the same value.
+   * Creates the cluster coordinator's entry for an endpoint. Its start time is the one that
+   * discovery reported, because all members must identify a process by the same value.
    */
   private ClusterCoordinator.ListedEndpoint listedEndpoint(
       TrackedEndpoint endpoint, ServerEntry entry) {
@@ -134,7 +135,7 @@
         entry.state() == ServerState.READY);
   }
 
-  /** Advances to the time of this turn. */
+  /** Advances the state of the cluster to the time of this turn. */
   void advance() {
     if (coordinator.nextUs(context.nowUs(), wallClockUs()) <= context.nowUs()) {
       coordinator.onTime(context.nowUs(), wallClockUs());
@@ -179,8 +180,8 @@
   }
 
   /**
-   * True if this broker sends the health check. Otherwise the result of another broker is delivered
-   * later.
+   * True if this broker must send the health check. Otherwise another broker sends it, and its
+   * result is delivered to this broker later.
    */
   boolean mayCheck(TrackedEndpoint endpoint) {
     boolean own = coordinator.mayHealthCheck(wallClockUs(), endpoint.name());
--- a/src/main/java/dunlinhitch/core/ConfigurationStage.java
+++ b/src/main/java/dunlinhitch/core/ConfigurationStage.java
@@ -94,7 +94,7 @@
     timers.schedule(overlapEndUs, TimerQueue.Kind.OVERLAP_END, overlapEndUs);
   }
 
-  /** Handles the end of an overlap; ignored if a later overlap has started in the meantime. */
+  /** Ends an overlap, unless a later overlap has started in the meantime. */
   void onOverlapEnd(long endUs) {
     if (endUs == overlapEndUs) {
       publishSettings();
@@ -113,7 +113,7 @@
             overlapping ? settings.amongBrokers(2 * context.settings().brokers()) : settings));
   }
 
-  /** The settings as the load balancer receives them. */
+  /** Returns the current settings with the additional classes for first passes. */
   Settings balancerSettings() {
     Settings settings = context.settings();
     return firstPassClasses == null ? settings : firstPassClasses.addTo(settings);
--- a/src/main/java/dunlinhitch/core/Counter.java
+++ b/src/main/java/dunlinhitch/core/Counter.java
@@ -25,7 +25,7 @@
   GIVEN_UP_OVERLOAD("given_up_overload"),
   /** Queries ended because this broker's event loop was running late. */
   GIVEN_UP_EVENT_LOOP_LATE("given_up_event_loop_late"),
-  /** Queries ended because none of their parts could be sent for too long. */
+  /** Queries ended because none of their parts could be sent within the permitted time. */
   GIVEN_UP_UNSENT("given_up_unsent"),
   /** Queries ended because the outstanding parts could no longer complete an acceptable answer. */
   GIVEN_UP_UNATTAINABLE("given_up_unattainable"),
@@ -47,7 +47,7 @@
   QUERIES_IN_ONE_PHASE("queries_in_one_phase"),
   /** First passes that ended before all parts were answered. */
   FIRST_PASSES_LATE("first_passes_late"),
-  /** Parts that needed no full pass. */
+  /** Parts that were pruned after their first pass, so that no full pass was needed. */
   BLOCKS_PRUNED("blocks_pruned"),
   /** Audits of a prunable part that confirmed that it has no records. */
   AUDITS_CONFIRMED("audits_good"),
@@ -75,9 +75,9 @@
   ATTEMPTS_CANCELLED("attempts_given_up"),
   /** Retries and hedged attempts: attempts of a part beyond its first. */
   ATTEMPTS_REPEATED("attempts_repeated"),
-  /** Attempts of open parts that were abandoned while the endpoint may still hold them. */
+  /** Attempts of open parts that were abandoned although their endpoint may still execute them. */
   ATTEMPTS_UNCONFIRMED("attempts_unconfirmed"),
-  /** Unconfirmed attempts that the endpoint no longer holds. */
+  /** Unconfirmed attempts that were released: their endpoint will no longer execute them. */
   ATTEMPTS_RELEASED("attempts_released"),
   /** Attempts that were blocked or withdrawn before they were sent. */
   SENDS_BLOCKED("sends_barred"),
@@ -99,7 +99,7 @@
   ENDPOINTS_STALE("members_stale"),
   /** Endpoints about which sources disagree. */
   ENDPOINTS_DISPUTED("members_disputed"),
-  /** Endpoints used in place of others. */
+  /** Disputed or announced endpoints that are used because their shards have no other endpoint. */
   ENDPOINTS_STANDING_IN("members_standing_in"),
   /** Endpoints withdrawn by their source. */
   ENDPOINTS_WITHDRAWN("members_withdrawn"),
@@ -129,7 +129,7 @@
   CLIENTS_SLOW("clients_slow"),
   /** Client connections closed as idle. */
   CLIENTS_IDLE("clients_idle"),
-  /** Client connections evicted in favour of others. */
+  /** Client connections evicted to free file descriptors. */
   CLIENTS_EVICTED("clients_crowded_out"),
   /** Client connections reset. */
   CLIENTS_RESET("clients_reset"),
@@ -153,9 +153,12 @@
   GOSSIP_UNREADABLE("peer_words_unread"),
   /** Gossip messages that could not be sent. */
   GOSSIP_UNSENT("peer_words_unsent"),
-  /** Number of times that a broker's versions were found to be out of date. */
+  /** Number of times that a broker's settings or endpoint list were found to be out of date. */
   VERSION_SKEWS_DETECTED("stragglers_seen"),
-  /** Number of times that a broker was fenced because its versions were out of date. */
+  /**
+   * Number of times that a broker was fenced because its settings or endpoint list were out of
+   * date.
+   */
   BROKERS_FENCED("stragglers_shut_out"),
   /** Gossip messages that were truncated. */
   GOSSIP_TRUNCATED("peer_words_cut"),
--- a/src/main/java/dunlinhitch/core/DeferredEvents.java
+++ b/src/main/java/dunlinhitch/core/DeferredEvents.java
@@ -30,7 +30,10 @@
     return due.stream().map(Deferred::event).toList();
   }
 
-  /** When the next event is due, in microseconds; {@link Long#MAX_VALUE} if there is none. */
+  /**
+   * Returns the time at which the next event is due, in microseconds; {@link Long#MAX_VALUE} if
+   * there is none.
+   */
   long nextUs() {
     return deferred.stream().mapToLong(Deferred::atUs).min().orElse(Long.MAX_VALUE);
   }
--- a/src/main/java/dunlinhitch/core/DiscoveryFreshness.java
+++ b/src/main/java/dunlinhitch/core/DiscoveryFreshness.java
@@ -11,8 +11,8 @@
  */
 final class DiscoveryFreshness {
   /**
-   * Required by the protocol: a notification of discovery counts as received this long after it was
-   * sent, whether or not it arrived.
+   * Time after which the protocol treats a notification of discovery as received, whether or not it
+   * has arrived. Measured from the time at which the notification was sent.
    */
   private static final long NOTIFICATION_LIMIT_US = 6_000_000;
 
@@ -29,13 +29,13 @@
   /**
    * Start of the current period without data from discovery, in microseconds; 0 until the first
    * list is read, {@link TimingWheel#NEVER} if there is no such period. The notifications in the
-   * next list may have been sent at any time since then.
+   * next list may have been sent at any time since that start.
    */
   private long unreadSinceUs;
 
   /**
-   * True without contact to the current address; updates may still arrive from the previous
-   * address.
+   * True while there is no contact with the current discovery address. Updates may still arrive
+   * from the previous address.
    */
   private boolean unavailable;
 
@@ -66,8 +66,8 @@
   }
 
   /**
-   * Handles an applied update. A cached list contains no information about the time since it was
-   * saved.
+   * Handles an update of the endpoint list that has been applied. A cached list does not end a
+   * period without data, because it contains no information about the time since it was saved.
    */
   void onUpdateApplied(ServerListKind kind) {
     if (!unavailable && kind != ServerListKind.CACHED) {
@@ -76,9 +76,9 @@
   }
 
   /**
-   * Reports the list as possibly out of date when the limit is reached. The broker cannot determine
-   * which endpoints have changed, and to stop using all of them would do more harm than to use one
-   * that is out of date, so it only notifies operators.
+   * Reports the list as possibly out of date when the limit is reached. Operators are notified, and
+   * the broker continues to use the list: it cannot determine which endpoints have changed, and
+   * rejecting all of them would do more harm than using an outdated one.
    */
   void advance() {
     if (context.nowUs() < staleAtUs) {
--- a/src/main/java/dunlinhitch/core/Effect.java
+++ b/src/main/java/dunlinhitch/core/Effect.java
@@ -23,7 +23,7 @@
   }
 
   /**
-   * One attempt at one part.
+   * One attempt to execute one part.
    *
    * @param attempt the attempt's number, used to report its end
    * @param partId the part's identifier, the same for each of its attempts
@@ -76,14 +76,14 @@
   /**
    * Cancel an attempt: its result is no longer needed and the endpoint may discard it.
    *
-   * @param confirm whether the edge must report {@link Event.AttemptReleased} once the endpoint no
-   *     longer holds the attempt
+   * @param confirm whether the edge must report {@link Event.AttemptReleased} once the endpoint
+   *     will no longer execute the attempt
    */
   record CancelAttempt(int endpoint, long attempt, boolean confirm) implements Effect {}
 
   /**
-   * Withdraw an attempt whose query has ended: if it has not been written yet, it is discarded; if
-   * it has, it continues.
+   * Withdraw an attempt whose query has ended. An attempt that has not been written yet is
+   * discarded; one that has been written continues.
    */
   record WithdrawAttempt(int endpoint, long attempt) implements Effect {}
 
@@ -94,8 +94,8 @@
   record CloseIdleConnections(int endpoint) implements Effect {}
 
   /**
-   * An endpoint has been added or changed. A removed endpoint is disconnected as soon as it has no
-   * attempts in flight.
+   * Apply an added, changed or removed endpoint. The edge disconnects a removed endpoint as soon as
+   * it has no attempts in flight.
    *
    * @param number the endpoint's number
    * @param endpoint its entry in the endpoint list
--- a/src/main/java/dunlinhitch/core/EndpointStage.java
+++ b/src/main/java/dunlinhitch/core/EndpointStage.java
@@ -30,7 +30,9 @@
 
   private static final int DISCOVERY_RANK = 0;
 
-  /** Notification time of an endpoint without a remaining grace period for draining. */
+  /**
+   * Notification time in the distant past, for an endpoint that has no grace period for draining.
+   */
   private static final long LONG_PAST = Long.MIN_VALUE / 2;
 
   private final EndpointRegistry endpointRegistry;
@@ -50,7 +52,7 @@
    * Creates the stage.
    *
    * @param claimSettings rules for claims; null for the defaults derived from the layout
-   * @param balancer receives the resulting events for the load balancer
+   * @param balancer receives the events that result from changes of the endpoint list
    */
   EndpointStage(
       ReducerState state,
@@ -151,7 +153,7 @@
    * Applies changes of the endpoint list.
    *
    * @param notifiedUs the earliest time at which the notification may have been sent; the grace
-   *     period for draining starts then
+   *     period of a draining endpoint starts at this time
    */
   private void apply(long notifiedUs, List<EndpointChange> changes) {
     List<ServerEntry> entries = new ArrayList<>(changes.size());
@@ -188,8 +190,8 @@
   }
 
   /**
-   * Updates the start time of an endpoint. For an announced endpoint it is already on this broker's
-   * clock; otherwise it is translated.
+   * Updates the start time of an endpoint. The start time of an announced endpoint is already on
+   * this broker's clock; any other start time is translated to it.
    */
   private void updateStart(TrackedEndpoint tracked, Endpoint endpoint, boolean announced) {
     if (announced) {
--- a/src/main/java/dunlinhitch/core/Event.java
+++ b/src/main/java/dunlinhitch/core/Event.java
@@ -54,10 +54,10 @@
    * @param outcome how it ended
    * @param report the load report received with it; empty if there is none
    * @param value the value, if the attempt was served
-   * @param score ranks the part within its query for a second step; NaN if the endpoint returned no
-   *     number
-   * @param unconfirmed whether the transport abandoned the attempt while the endpoint may still
-   *     hold it; {@link AttemptReleased} follows once the endpoint no longer does
+   * @param score the score by which the parts of a query are ranked for its second step; NaN if the
+   *     endpoint returned no numeric score
+   * @param unconfirmed whether the transport abandoned the attempt although the endpoint may still
+   *     execute it; {@link AttemptReleased} follows once the endpoint will no longer execute it
    */
   // an array avoids copies and boxing on the hot path; reports are never modified
   @SuppressWarnings("ArrayRecordComponent")
@@ -71,31 +71,32 @@
       implements AttemptEvent {
     private static final float[] NO_REPORT = {};
 
-    /** Creates the end of an attempt that the endpoint no longer holds. */
+    /** Creates the event for an attempt that the endpoint will no longer execute. */
     public AttemptCompleted(
         long attempt, AttemptOutcome outcome, float[] report, String value, double score) {
       this(attempt, outcome, report, value, score, false);
     }
 
-    /** Creates the end of an attempt whose value has no score. */
+    /** Creates the event for an attempt whose value has no score. */
     public AttemptCompleted(long attempt, AttemptOutcome outcome, float[] report, String value) {
       this(attempt, outcome, report, value, Double.NaN);
     }
 
-    /** Creates the end of an attempt with neither a load report nor a value. */
+    /** Creates the event for an attempt that returned neither a load report nor a value. */
     public static AttemptCompleted of(long attempt, AttemptOutcome outcome) {
       return new AttemptCompleted(attempt, outcome, NO_REPORT, "");
     }
 
-    /** Creates the end of an attempt whose connection this broker closed. */
+    /** Creates the event for an attempt whose connection this broker closed. */
     public static AttemptCompleted unconfirmed(long attempt, AttemptOutcome outcome) {
       return new AttemptCompleted(attempt, outcome, NO_REPORT, "", Double.NaN, true);
     }
   }
 
   /**
-   * The endpoint no longer holds a cancelled or unconfirmed attempt: it has read the cancellation,
-   * has answered, has seen the connection close, or was never sent the attempt.
+   * The endpoint will no longer execute a cancelled or unconfirmed attempt: the endpoint has read
+   * the cancellation, has answered, or has detected that the connection was closed, or the attempt
+   * was never sent to it.
    */
   record AttemptReleased(long attempt) implements AttemptEvent {}
 
@@ -216,7 +217,10 @@
   record ConfigurationReloaded(Settings settings, String host, int port)
       implements ConfigurationEvent {}
 
-  /** Another process of this broker serves concurrently, until {@code untilUs} at the latest. */
+  /**
+   * During a hot restart, another process of this broker serves clients concurrently, until {@code
+   * untilUs} at the latest.
+   */
   record OverlapStarted(long untilUs) implements ConfigurationEvent {}
 
   /**
@@ -234,8 +238,8 @@
   record EndpointListGenerationChanged(long generation) implements ClusterEvent {}
 
   /**
-   * The configuration file to be loaded next was written at {@code writtenMs}, in Unix time in
-   * milliseconds.
+   * The configuration file that the next reload will read was last written at {@code writtenMs}, in
+   * Unix time in milliseconds.
    */
   record ConfigurationFileChanged(long writtenMs) implements ClusterEvent {}
 
--- a/src/main/java/dunlinhitch/core/FirstPassClasses.java
+++ b/src/main/java/dunlinhitch/core/FirstPassClasses.java
@@ -20,13 +20,13 @@
 final class FirstPassClasses {
   private static final String NAME_SUFFIX = "#first";
 
-  /** Cost of a first pass relative to a full pass until the first measurement. */
+  /** Cost of a first pass relative to a full pass that is assumed until the first measurement. */
   private static final double INITIAL_RELATIVE_COST = 0.1;
 
   /** Lower bound for the relative cost; smaller measurements are clamped. */
   private static final double MINIMUM_RELATIVE_COST = 0.001;
 
-  /** Factor by which the cost must change before the settings are published again. */
+  /** Factor by which the relative cost must change before the settings are published again. */
   private static final double COST_CHANGE_FACTOR = 1.25;
 
   private final TurnContext context;
--- a/src/main/java/dunlinhitch/core/HealthCheckStage.java
+++ b/src/main/java/dunlinhitch/core/HealthCheckStage.java
@@ -57,7 +57,9 @@
     context.emit(new Effect.SendHealthCheck(endpoint.number, check.id()));
   }
 
-  /** Handles the time limit of a health check; ignored if the check has already ended. */
+  /**
+   * Ends a health check whose time limit has expired. Has no effect if the check has already ended.
+   */
   void onTimeLimit(long id) {
     end(id, AttemptOutcome.TIMEOUT, NO_REPORT);
   }
--- a/src/main/java/dunlinhitch/core/InFlightPart.java
+++ b/src/main/java/dunlinhitch/core/InFlightPart.java
@@ -2,7 +2,10 @@
 
 /** One part (shard) of an in-flight query. Owned by the reducer; not thread-safe. */
 final class InFlightPart {
-  /** Value of the time fields below if there is no such attempt. */
+  /**
+   * Value of {@link #earliestExecutionUs} and {@link #earliestEndedExecutionUs} if there is no such
+   * attempt.
+   */
   static final long NEVER = -1;
 
   /** The number that identifies the part to the load balancer; it changes after the first pass. */
@@ -28,16 +31,16 @@
   /** Number of attempts in flight. */
   int attemptsInFlight;
 
-  /** Number of attempts that have ended at this broker but that endpoints may still hold. */
+  /** Number of attempts that have ended at this broker but that endpoints may still execute. */
   int unconfirmedAttempts;
 
   /**
-   * When the earliest attempt that may have been executed, in flight or ended, was sent, in
-   * microseconds; negative if there is none.
+   * Time at which the earliest attempt that may have been executed was sent, whether it is in
+   * flight or has ended, in microseconds; negative if there is none.
    */
   long earliestExecutionUs = NEVER;
 
-  /** The same, restricted to attempts that have ended. */
+  /** Like {@link #earliestExecutionUs}, restricted to attempts that have ended. */
   long earliestEndedExecutionUs = NEVER;
 
   /** The value received; null until then. */
--- a/src/main/java/dunlinhitch/core/InFlightQuery.java
+++ b/src/main/java/dunlinhitch/core/InFlightQuery.java
@@ -20,8 +20,8 @@
   final List<InFlightPart> parts = new ArrayList<>();
 
   /**
-   * Parts of the second step, filled once the first is closed. From then on the response consists
-   * of the values of the second step only.
+   * Parts of the second step; empty until the first step is closed. Once there are any, the
+   * response consists of the values of the second step only.
    */
   final List<InFlightPart> secondStepParts = new ArrayList<>();
 
@@ -70,7 +70,8 @@
 
   /**
    * Whether the received values may be sent as a response, which requires their weight to reach the
-   * class's floor. In a second step, a class whose floor is not below its need requires every part.
+   * class's floor. In the second step, a value for every part is required if the class's floor is
+   * not below its need, because such a class does not allow partial answers.
    */
   boolean isAnswerable() {
     double minimumWeight =
@@ -82,8 +83,8 @@
   }
 
   /**
-   * Whether a response sent now may be marked complete. With a second step, this requires a
-   * complete first step and a value of every part of the second.
+   * Whether a response sent now may be marked complete. For a query with a second step, this
+   * requires a complete first step and a value for every part of the second step.
    */
   boolean isComplete() {
     return firstStep == null
--- a/src/main/java/dunlinhitch/core/InFlightRegistry.java
+++ b/src/main/java/dunlinhitch/core/InFlightRegistry.java
@@ -20,10 +20,13 @@
   final Map<Integer, InFlightPart> parts = new HashMap<>();
   final Map<Long, InFlightAttempt> attempts = new HashMap<>();
 
-  /** The same attempts by key, needed because a part may be closed before its attempts end. */
+  /**
+   * The attempts in flight by key. This index is needed because a part may be closed before its
+   * attempts end.
+   */
   private final Map<InFlightAttempt.Key, InFlightAttempt> attemptsByKey = new HashMap<>();
 
-  /** Attempts of open parts that have ended at this broker but that endpoints may still hold. */
+  /** Attempts of open parts that have ended at this broker but that endpoints may still execute. */
   final Map<Long, InFlightAttempt> unconfirmedAttempts = new HashMap<>();
 
   final Map<Long, PendingHealthCheck> healthChecks = new HashMap<>();
@@ -47,8 +50,8 @@
   }
 
   /**
-   * Number of queries and parts in flight, sent or not; compared with the in-flight limit of the
-   * settings.
+   * Number of queries and parts in flight, whether or not they have been sent; compared with the
+   * in-flight limit of the settings.
    */
   int size() {
     return queries.size() + parts.size();
@@ -71,7 +74,8 @@
   }
 
   /**
-   * Adds an attempt of an open part that ends at this broker while its endpoint may still hold it.
+   * Adds an attempt of an open part that ends at this broker although its endpoint may still
+   * execute it.
    */
   void addUnconfirmed(InFlightAttempt attempt) {
     unconfirmedAttempts.put(attempt.id(), attempt);
--- a/src/main/java/dunlinhitch/core/QueryRequest.java
+++ b/src/main/java/dunlinhitch/core/QueryRequest.java
@@ -7,10 +7,11 @@
  * A client's request, independent of the frontend that received it.
  *
  * @param id the client's identifier for the query
- * @param key the idempotency key; empty if the class has none
- * @param queryClass the query class, held by value because its index in the settings may change
- * @param tenant the tenant's name, for the same reason; empty if the tenant is missing from the
- *     settings
+ * @param key the idempotency key; empty if the class does not use idempotency keys
+ * @param queryClass the query class; the definition itself, because its index in the settings may
+ *     change
+ * @param tenant the tenant's name, because its index in the settings may change; empty if the
+ *     tenant is missing from the settings
  * @param deadlineUs when the client stops waiting, in microseconds
  * @param isRepeat whether the client marked the request as a retry
  * @param parts the parts, one per shard
--- a/src/main/java/dunlinhitch/core/QueryStage.java
+++ b/src/main/java/dunlinhitch/core/QueryStage.java
@@ -76,11 +76,12 @@
   /**
    * Whether a query may be admitted.
    *
-   * @param asRead the request with the class in effect when it was read
-   * @param request the same request with the current definition of that class
+   * @param asRead the request as it was read, with the definition of its class at that time
+   * @param request the same request with the current definition of the class
    */
   private boolean isAdmissible(QueryRequest asRead, QueryRequest request) {
-    // without an idempotency key, endpoints could not recognize a repeated part
+    // The request was read without an idempotency key, which endpoints now need to recognize a
+    // repeated part.
     boolean keyMissing =
         request.queryClass().idempotency() == Idempotency.GUARDED
             && asRead.queryClass().idempotency() != Idempotency.GUARDED;
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -39,7 +39,7 @@
   private final ClusterStage cluster;
 
   /**
-   * Creates the reducer of a single broker with one phase for all classes.
+   * Creates the reducer of a single broker that executes the queries of all classes in one phase.
    *
    * @param settings the initial settings
    * @param seed seed for all random choices
@@ -169,8 +169,8 @@
   }
 
   /**
-   * True while this broker is fenced: its versions are too far out of date, so it admits no
-   * queries.
+   * True while this broker is fenced: it admits no queries, because its settings or endpoint list
+   * are too far out of date.
    */
   public boolean isFenced() {
     return cluster != null && cluster.isFenced();
@@ -196,10 +196,10 @@
   }
 
   /**
-   * Runs one turn that may be late. The grace period of a draining endpoint starts when its
-   * notification was written to the broker, so notifications are dated {@code unreadSinceUs}.
-   * Endpoint events are handled first, so that no attempt is sent on the basis of an endpoint state
-   * that an event of the same turn supersedes.
+   * Runs one turn that may be late. The grace period of a draining endpoint starts when discovery
+   * writes the notification, so the notifications of this turn are treated as written at {@code
+   * unreadSinceUs}. Endpoint events are handled first, so that no attempt is sent on the basis of
+   * an endpoint state that an event of the same turn supersedes.
    *
    * @param nowUs the time of the turn, in microseconds; if it is before the previous turn, the time
    *     of that turn is used
@@ -295,7 +295,7 @@
     InFlightAttempt attempt = state.registry().attempts.get(event.attempt());
     if (attempt == null) {
       if (!event.unconfirmed()) {
-        release(event.attempt()); // it was cancelled while its result was in transit
+        release(event.attempt()); // the attempt was cancelled while its result was in transit
       }
     } else if (event.unconfirmed()) {
       balancer.deliver(attempts.endUnconfirmed(attempt, event.outcome()));
--- a/src/main/java/dunlinhitch/core/SecondStepStage.java
+++ b/src/main/java/dunlinhitch/core/SecondStepStage.java
@@ -8,9 +8,9 @@
 
 /**
  * Implements query classes with a second step. When the load balancer closes the first step, the
- * stage opens the configured number of parts at the shards that returned a value with the highest
- * scores, all with the same weight. The response consists of the values of these parts. The result
- * of the first step is fixed at that point; later values are ignored. Owned by the reducer; not
+ * stage opens the configured number of parts, all with the same weight, at the shards whose values
+ * have the highest scores. The response consists of the values of these parts. The result of the
+ * first step is fixed at that point; later values are ignored. Owned by the reducer; not
  * thread-safe.
  */
 final class SecondStepStage {
@@ -26,7 +26,10 @@
     this.balancer = balancer;
   }
 
-  /** True if the next answer of the load balancer closes the first step instead of the query. */
+  /**
+   * True if the load balancer's next answer to the query closes its first step instead of the whole
+   * query.
+   */
   static boolean isDue(InFlightQuery query) {
     return query.firstStep == null && query.request.queryClass().followUp() > 0;
   }
@@ -59,8 +62,8 @@
   }
 
   /**
-   * Sorts by descending score and takes the first ones. Parts without a numeric score come last;
-   * ties keep the order of the query.
+   * Returns the parts with the highest scores, sorted by descending score. Parts without a numeric
+   * score come last; parts with equal scores keep the order of the query.
    */
   private List<InFlightPart> selectHighestScores(List<InFlightPart> served, QueryClass queryClass) {
     long unranked = served.stream().filter(part -> Double.isNaN(part.score)).count();
--- a/src/main/java/dunlinhitch/core/SendGuard.java
+++ b/src/main/java/dunlinhitch/core/SendGuard.java
@@ -35,7 +35,7 @@
 
   private String reasonOfPart(InFlightPart part) {
     if (part.closed || part.query.request.deadlineUs() <= context.nowUs()) {
-      return "its query has ended or is past its deadline";
+      return "the query has ended or its deadline has passed";
     }
     Settings settings = context.settings();
     int limit = Math.min(settings.limits().maxAttempts(), part.query.attemptLimit);
@@ -43,18 +43,18 @@
       limit--; // one attempt is reserved for the full pass
     }
     if (part.firstPassAttempts + part.attemptsStarted >= limit) {
-      return "its limit of attempts is reached";
+      return "the limit of " + limit + " attempts for the part is reached";
     }
     if (part.attemptsInFlight + part.unconfirmedAttempts > 0
         && !settings.limits().parallelAttempts()) {
-      return "another attempt of it may still be held by an endpoint";
+      return "another attempt of the part may still be executing and parallel attempts are not allowed";
     }
     return null;
   }
 
   private String reasonOfEndpoint(InFlightPart part, TrackedEndpoint endpoint) {
     if (endpoint == null || rejectsNewAttempts(endpoint)) {
-      return "the store is unknown, removed, withdrawn or drained";
+      return "the store is unknown, removed or withdrawn, or its drain grace period has expired";
     }
     if (registry.isDisabled(endpoint)) {
       return "the store is administratively disabled";
@@ -66,7 +66,7 @@
     int cells = settings.layout().cells();
     int cellOffset = Math.floorMod(endpoint.endpoint.cell() - part.request.shard(), cells);
     return cellOffset >= settings.layout().replicationFactor()
-        ? "the store has no replica of its shard"
+        ? "the store has no replica of the part's shard"
         : null;
   }
 
@@ -79,7 +79,7 @@
         queryClass.idempotency() == Idempotency.GUARDED
             && context.nowUs() > part.earliestExecutionUs + queryClass.dedupWindowUs();
     return windowExpired || queryClass.idempotency() == Idempotency.SINGLE_SHOT
-        ? "an earlier attempt of it may have been executed and must not be repeated"
+        ? "an earlier attempt of the part may have been executed and its class does not allow a retry now"
         : null;
   }
 
--- a/src/main/java/dunlinhitch/core/StartTimes.java
+++ b/src/main/java/dunlinhitch/core/StartTimes.java
@@ -27,8 +27,8 @@
   private long smallestDifferenceUs = UNKNOWN;
 
   /**
-   * Handles the receipt of a list, or of changes, from discovery. Starts that first appear in later
-   * ones are recent.
+   * Handles the receipt of a list, or of changes, from discovery. A start that first appears in a
+   * later list or change is recent.
    */
   void onListReceived() {
     firstListReceived = true;
--- a/src/main/java/dunlinhitch/core/SubsetPublisher.java
+++ b/src/main/java/dunlinhitch/core/SubsetPublisher.java
@@ -27,7 +27,10 @@
   /** Names of the endpoints in the subset. */
   private Set<String> subset = Set.of();
 
-  /** Numbers whose membership in the subset has changed since the load balancer was notified. */
+  /**
+   * Numbers of the endpoints whose membership in the subset has changed since the load balancer was
+   * last notified.
+   */
   private final Set<Integer> changedEndpoints = new HashSet<>();
 
   SubsetPublisher(ReducerState state, BalancerGateway balancer) {
--- a/src/main/java/dunlinhitch/core/TimerQueue.java
+++ b/src/main/java/dunlinhitch/core/TimerQueue.java
@@ -61,7 +61,10 @@
     timers.addAll(scheduledByHandlers);
   }
 
-  /** When the next timer is due, in microseconds; {@link Long#MAX_VALUE} if there is none. */
+  /**
+   * Returns the time at which the next timer is due, in microseconds; {@link Long#MAX_VALUE} if
+   * there is none.
+   */
   long nextUs() {
     return timers.isEmpty() ? Long.MAX_VALUE : timers.peek().atUs();
   }
--- a/src/main/java/dunlinhitch/core/TwoPhaseModeLog.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseModeLog.java
@@ -68,8 +68,9 @@
       case TWO_PHASES -> "the expected savings exceed the cost";
       case DOES_NOT_PAY ->
           "the expected savings do not exceed the cost, or there are too few samples";
-      case CLOSED -> "pruning is closed after a failed audit";
-      case ONE_PHASE_STORES -> "no shard of the query supports first passes on all of its stores";
+      case CLOSED -> "pruning is disabled after a failed audit";
+      case ONE_PHASE_STORES ->
+          "each shard of the query has a store that does not support first passes";
       default -> reason.name().toLowerCase(Locale.ROOT).replace('_', ' ');
     };
   }
--- a/src/main/java/dunlinhitch/core/TwoPhaseQuery.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseQuery.java
@@ -39,7 +39,7 @@
   /** True if the load balancer has rejected a full pass. */
   boolean rejected;
 
-  /** The longest retry delay among these rejections, in microseconds. */
+  /** The longest retry delay of the rejected full passes, in microseconds. */
   long retryAfterUs;
 
   TwoPhaseQuery(InFlightQuery query, long startedUs) {
--- a/src/main/java/dunlinhitch/core/TwoPhaseStage.java
+++ b/src/main/java/dunlinhitch/core/TwoPhaseStage.java
@@ -182,7 +182,10 @@
 
   // ---- progress
 
-  /** Handles the end of a query of the load balancer; ignored unless it is an open sub-query. */
+  /**
+   * Handles the end of a query at the load balancer. Has no effect unless the query is an open
+   * sub-query of a two-phase query.
+   */
   void onSubQueryEnded(int number, SubQueryEnd end, long retryAfterUs) {
     if (queriesBySubQuery.containsKey(number)) {
       balancer.runWhenIdle(() -> closeSubQuery(number, end, retryAfterUs));
@@ -196,7 +199,8 @@
     }
     twoPhase.openSubQueries.remove(number);
     if (number == twoPhase.firstPassSubQuery) {
-      // also after a rejection: the full passes may still be admitted
+      // The query continues even if its first pass was rejected, because its full passes may still
+      // be admitted.
       closeFirstPass(twoPhase);
       return;
     }
@@ -205,7 +209,10 @@
     finishIfDone(twoPhase);
   }
 
-  /** Handles the time limit of a query's first pass; missing answers are no longer awaited. */
+  /**
+   * Ends a query's first pass whose time limit has expired, without waiting for the missing
+   * answers.
+   */
   void onFirstPassTimeLimit(int query) {
     TwoPhaseQuery twoPhase = queries.get(query);
     if (twoPhase == null || twoPhase.firstPassSubQuery == TwoPhaseQuery.NONE) {
@@ -218,7 +225,7 @@
     closeFirstPass(twoPhase);
   }
 
-  /** Handles the answer to a first pass, received by an attempt that is still in flight. */
+  /** Handles the answer to a first pass. The attempt that received it is still in flight. */
   void onFirstPassCompleted(InFlightAttempt attempt, Event.FirstPassCompleted event) {
     InFlightPart part = attempt.part();
     TwoPhaseQuery twoPhase = queries.get(part.query.number);
@@ -237,14 +244,15 @@
         event.receivedUs() - attempt.sentUs());
   }
 
-  /** Handles the completion of a full pass, of a query in one phase or two. */
+  /** Handles the completion of a full pass, whether its query runs in one phase or in two. */
   void onFullPassCompleted(InFlightAttempt attempt, String value) {
     InFlightQuery query = attempt.part().query;
     String className = query.request.queryClass().name();
     if (!planner.isEnabled(className)) {
       return;
     }
-    // the value arrived at some time in the tick before this turn: half a tick is the mean delay
+    // The value arrived at an unknown time within the tick before this turn; the mean delay is half
+    // a tick.
     long latencyUs = context.nowUs() - attempt.sentUs() - context.settings().tickUs() / 2;
     planner.onFullAnswer(context.nowUs(), className, latencyUs);
     TwoPhaseQuery twoPhase = queries.get(query.number);
@@ -261,13 +269,13 @@
     state.counters().add(confirmed ? Counter.AUDITS_CONFIRMED : Counter.AUDITS_REFUTED);
     if (planner.onAuditAnswer(context.nowUs(), className, shard, confirmed)) {
       context.log(
-          "pruning is closed for "
+          "pruning is disabled for class "
               + className
-              + ": an audit of shard "
+              + ": the audit of shard "
               + shard
               + " at store "
               + attempt.endpoint().name()
-              + " found records although its first pass, there or at another store, reported none");
+              + " found records, but the first pass, at this or another store, had reported none");
     }
   }
 
@@ -343,7 +351,7 @@
     }
   }
 
-  /** Handles the end of the client's query: has the load balancer end the open sub-queries. */
+  /** Handles the end of the client's query by ending its open sub-queries at the load balancer. */
   void onQueryClosed(InFlightQuery query) {
     TwoPhaseQuery twoPhase = queries.remove(query.number);
     if (twoPhase == null) {
--- a/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
+++ b/src/main/java/dunlinhitch/core/VersionSkewMonitor.java
@@ -26,7 +26,10 @@
   private final String self;
   private VersionVector versions;
 
-  /** When the configuration file to be loaded next was written, Unix time in milliseconds. */
+  /**
+   * Time at which the configuration file that the next reload will read was written, Unix time in
+   * milliseconds.
+   */
   private long fileWrittenMs;
 
   /** The cluster snapshot that the detector has processed. */
@@ -56,8 +59,8 @@
   }
 
   /**
-   * True while this broker's versions are too far out of date for safe decisions; it then admits no
-   * queries.
+   * True while this broker's settings or endpoint list are too far out of date for safe decisions.
+   * A fenced broker admits no queries.
    */
   boolean isFenced() {
     return fenced;
@@ -94,7 +97,7 @@
             member -> detector.onVersions(context.nowUs(), member.name(), member.versions()));
   }
 
-  /** Advances to the time of this turn. */
+  /** Advances the skew detector to the time of this turn. */
   void advance() {
     forgetDepartedMembers();
     if (detector.nextUs() <= context.nowUs()) {
--- a/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
@@ -45,7 +45,8 @@
 
   /**
    * Regression: a part that timed out at one endpoint was sent to another before the first endpoint
-   * had read the cancellation. The retry must wait for that, however long it takes.
+   * had read the cancellation. The retry must wait until the endpoint has read it, however long
+   * that takes.
    */
   @Test
   void aCancelledPartIsRetriedOnlyAfterItsEndpointHasReadTheCancellation() {
@@ -86,7 +87,8 @@
     assertEquals(List.of(), attemptsIn(effects));
     turn(
         lateReply == AttemptOutcome.OK
-            ? Event.AttemptCompleted.of(lost, AttemptOutcome.OK) // the answer arrives nevertheless
+            ? Event.AttemptCompleted.of(
+                lost, AttemptOutcome.OK) // an answer still arrives after the loss
             : new Event.AttemptReleased(lost));
     assertEquals(1, attemptsIn(effects).size());
     turn(new Event.AttemptReleased(lost), new Event.AttemptReleased(lost));
@@ -180,7 +182,10 @@
     return created;
   }
 
-  /** A reload that lowers the limit applies to open queries; one that raises it does not. */
+  /**
+   * A reload that lowers the attempt limit applies to open queries; a reload that raises it does
+   * not.
+   */
   @Test
   void theAttemptLimitIsTheLowestInEffectWhileTheQueryIsOpen() {
     listBothEndpoints();
--- a/src/test/java/dunlinhitch/core/AttemptStageTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptStageTest.java
@@ -115,8 +115,9 @@
   }
 
   /**
-   * Regression: of two attempts in flight, the first was rejected and the second was executed. With
-   * the end of the first, the stage lost the record that the part may have been executed.
+   * Regression: of two attempts in flight, the first was rejected and the second was executed. When
+   * the first attempt ended, the stage discarded the information that the part may have been
+   * executed.
    */
   @Test
   void aHedgedAttemptThatMayHaveExecutedCountsAfterTheFirstIsRejected() {
@@ -139,7 +140,7 @@
         startUs + 10_000 + WINDOW_US, send(1, startUs + 10_000 + WINDOW_US).repeatUntilUs());
   }
 
-  /** The order in which the attempts end must not matter. */
+  /** The result must not depend on the order in which the attempts end. */
   @Test
   void theDeduplicationWindowStartsWithTheFirstAttemptThatMayHaveExecuted() {
     part(Idempotency.GUARDED);
--- a/src/test/java/dunlinhitch/core/ClusterStageTest.java
+++ b/src/test/java/dunlinhitch/core/ClusterStageTest.java
@@ -154,7 +154,7 @@
     Set<Integer> endpointsLater = endpointsUsed();
     assertTrue(
         !endpointsLater.contains(removed) && endpointsLater.size() == 2,
-        endpointsLater + " without " + removed);
+        endpointsLater + " must not contain the removed endpoint " + removed);
   }
 
   private Event.GossipReceived gossipWithListGeneration(int broker, long generation) {
@@ -245,7 +245,7 @@
       turn(gossipFrom(broker, GossipMessage.Kind.GOSSIP, 0));
     }
     List<Long> checkedAt = new ArrayList<>();
-    // unanswered queries for 6 s, so that the load balancer requests health checks
+    // Queries stay unanswered for 6 s, so that the load balancer requests health checks.
     for (int i = 0; i < 600; i++) {
       now += 10_000;
       List<Effect> emitted =
--- a/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
+++ b/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
@@ -15,9 +15,9 @@
 /** Configuration reloads and changes of the discovery address. */
 class ConfigurationStageTest extends ReducerTestSupport {
   /**
-   * A reload inserts another class before the query's class and redefines the latter. The open
-   * query still gets a partial response, which its class allowed at admission; a new query does
-   * not. Guards against stale indexes into the list of classes.
+   * A reload inserts another class before the query's class and redefines the query's class. The
+   * open query still gets a partial response, which its class allowed at admission; a new query
+   * does not. Guards against stale indexes into the list of classes.
    */
   @Test
   void anOpenQueryKeepsTheClassThatItWasAdmittedUnder() {
--- a/src/test/java/dunlinhitch/core/EndpointStageTest.java
+++ b/src/test/java/dunlinhitch/core/EndpointStageTest.java
@@ -21,7 +21,7 @@
   /**
    * The grace period starts when the notification is written to the broker. If the broker reads it
    * 300 ms late, the period has expired: no attempt may be sent to the draining endpoint, even if
-   * its shard has no other.
+   * its shard has no other endpoint.
    */
   @Test
   void aDrainReadLateHasLessGracePeriodLeft() {
@@ -226,8 +226,8 @@
   /**
    * A drain notification and a complete list without the endpoint are read in one turn, in either
    * order, with and without an attempt in flight. No attempt is sent to the endpoint, although its
-   * shard has no other. When it returns under the same id with a new start time, it is warmed up
-   * again.
+   * shard has no other endpoint. When the endpoint returns under the same id with a new start time,
+   * it is warmed up again.
    */
   @ParameterizedTest
   @CsvSource({"true, true", "true, false", "false, true", "false, false"})
@@ -267,7 +267,8 @@
     for (int i = 100; i < 160; i++, now += 5_000) {
       turn(queryReceived(i, 0, 1));
     }
-    // three times 15 % of a core for 0.3 s, at a cost of at least 46 ms per request, plus one part
+    // The overload factor 3 times 15 % of a core for 0.3 s, divided by at least 46 ms per request,
+    // plus one part.
     int sent = attemptsIn(effects).size();
     assertTrue(
         sent > 0 && sent <= (int) (3 * 0.15 * 300_000 / 46_000) + 1,
--- a/src/test/java/dunlinhitch/core/QueryStageTest.java
+++ b/src/test/java/dunlinhitch/core/QueryStageTest.java
@@ -42,8 +42,8 @@
   }
 
   /**
-   * The state of a query when its client disconnects. In each state an attempt would otherwise be
-   * sent, in the same turn or later.
+   * The state of a query when its client disconnects. In each of these states, an attempt would be
+   * sent in the same turn or later if the client stayed connected.
    */
   enum DisconnectState {
     NO_ENDPOINT,
--- a/src/test/java/dunlinhitch/core/ReducerTest.java
+++ b/src/test/java/dunlinhitch/core/ReducerTest.java
@@ -36,8 +36,8 @@
 
   /**
    * Regression: a part deferred from the previous turn was sent to an endpoint whose drain was read
-   * in this turn. A part without an endpoint was sent to the first one listed, although a later
-   * event of the same turn drained that endpoint.
+   * in this turn. A part that waited for an endpoint was sent to the first endpoint of the list,
+   * although a later event of the same turn drained that endpoint.
    */
   @Test
   void attemptsOfATurnRespectTheLastEndpointStateOfThatTurn() {
--- a/src/test/java/dunlinhitch/core/StartTimesTest.java
+++ b/src/test/java/dunlinhitch/core/StartTimesTest.java
@@ -46,7 +46,8 @@
   }
 
   /**
-   * The starts in the first list also bound the clock difference, because they precede its receipt.
+   * The starts in the first list also bound the clock difference, because each start precedes the
+   * receipt of the list.
    */
   @ParameterizedTest
   @ValueSource(longs = {HOUR, 0, -HOUR})
--- a/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
+++ b/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
@@ -52,12 +52,15 @@
         }
       }
     }
-    // three times 15 % of a core for 1.5 s, at a cost of at least 46 ms per request, plus one part
+    // The overload factor 3 times 15 % of a core for 1.5 s, divided by at least 46 ms per request,
+    // plus one part.
     int limit = (int) (3 * 0.15 * 1_500_000 / 46_000) + 1;
     assertTrue(
         attemptsByPhase[0] > 0 && attemptsByPhase[1] > 0,
         "attempts of both phases must be sent: " + attemptsByPhase[0] + ", " + attemptsByPhase[1]);
-    assertTrue(sent.values().stream().allMatch(parts -> parts <= limit), sent + ", limit " + limit);
+    assertTrue(
+        sent.values().stream().allMatch(parts -> parts <= limit),
+        sent + ", expected at most " + limit);
     assertEquals(0, twoPhaseReducer.counters().get(Counter.FAULTS));
   }
 
--- a/src/test/java/dunlinhitch/server/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -159,7 +159,7 @@
     await(() -> fixture.counter("audits_bad") >= 1);
     assertTrue(
         fixture.logLines.stream()
-            .anyMatch(line -> line.startsWith("pruning is closed for free-search")));
+            .anyMatch(line -> line.startsWith("pruning is disabled for class free-search")));
     firstStore.firstPasses.clear();
     secondStore.firstPasses.clear();
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
