--- a/src/main/java/dunlinhitch/balancer/Admission.java
+++ b/src/main/java/dunlinhitch/balancer/Admission.java
@@ -8,7 +8,8 @@
 
 /**
  * Admission control: admits a query only if enough of its parts are predicted to be answered in
- * time at the least loaded replicas, and leaves out other parts if the class allows it.
+ * time at the least loaded replicas. If the class allows partial answers, the parts that would be
+ * late are left out.
  *
  * <p>Guards against congestion collapse, in which queries consume work, miss their objective and
  * are retried. Queries with a low priority weight per work are rejected first. Load reports that
@@ -23,7 +24,8 @@
   /**
    * A part and the wait predicted for it.
    *
-   * @param waitShare the wait as a fraction of the query's remaining time, less the part's work
+   * @param waitShare the predicted wait divided by the difference between the query's remaining
+   *     time and the part's work
    */
   private record PlannedPart(Part part, double waitShare) {
     double waitPerWeight() {
@@ -108,7 +110,9 @@
     return lagUs > 0 && context.nowUs() + lagUs + workUs >= estimators.deadlines.targetUs(query);
   }
 
-  /** Predicts the wait of each part, assuming that the parts before it have been sent. */
+  /**
+   * Predicts the wait of each part, assuming that the preceding parts of the plan have been sent.
+   */
   private List<PlannedPart> plan(Query query) {
     double leftUs = estimators.deadlines.planUs(query) - context.nowUs() - estimators.lag.lagUs();
     List<PlannedPart> plan = new ArrayList<>();
@@ -133,8 +137,8 @@
   }
 
   /**
-   * Requests parts in the order of the plan until the class's need is met; the others remain as
-   * spares.
+   * Requests parts in the order of the plan until the class's need is met. The remaining parts are
+   * kept as spares.
    */
   private void requestParts(Query query, List<PlannedPart> plan, double tolerance) {
     double floor = query.queryClass.floor();
--- a/src/main/java/dunlinhitch/balancer/Attempt.java
+++ b/src/main/java/dunlinhitch/balancer/Attempt.java
@@ -3,7 +3,7 @@
 /**
  * One attempt of a part at a server.
  *
- * <p>Not thread-safe; its part and its server hold it while it is in flight.
+ * <p>Not thread-safe; referenced by its part and its server while it is in flight.
  */
 final class Attempt {
   /**
@@ -22,7 +22,7 @@
   final Prediction prediction;
   boolean cancelled;
 
-  /** Whether it was sent on a connection that had long been idle. */
+  /** Whether the attempt was sent on a connection that had long been idle. */
   boolean onIdleConnection;
 
   Attempt(Part part, Server server, long sentUs, Prediction prediction) {
--- a/src/main/java/dunlinhitch/balancer/AttemptFeedback.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptFeedback.java
@@ -47,7 +47,8 @@
 
   private void onCancelled(Attempt attempt) {
     if (context.nowUs() - attempt.sentUs > attempt.prediction.latencyUs()) {
-      estimators.latencies.onLatency(attempt); // a lower bound: the answer would have taken longer
+      // The elapsed time is a lower bound of the latency that the answer would have had.
+      estimators.latencies.onLatency(attempt);
     }
     if (estimators.latencies.isUnresponsive(attempt)) {
       estimators.penalties.onFailure(attempt.server);
--- a/src/main/java/dunlinhitch/balancer/AttemptSender.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptSender.java
@@ -36,9 +36,9 @@
   }
 
   /**
-   * Sends the part if it has no attempt in flight and the rules allow it; otherwise the request
-   * stays pending until the next maintenance run, release of an attempt or update of the server
-   * list.
+   * Sends the part if it has no attempt in flight and the rules allow it. Otherwise the request
+   * stays pending until the next maintenance run, the release of an attempt, or an update of the
+   * server list.
    */
   void request(Part part) {
     if (part.settled
--- a/src/main/java/dunlinhitch/balancer/BalancerActions.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerActions.java
@@ -8,7 +8,10 @@
  * back. Times are microseconds on the clock of the events.
  */
 public interface BalancerActions {
-  /** Sends the part's next attempt, which times out by itself at {@code dueUs}. */
+  /**
+   * Sends the part's next attempt. The broker ends the attempt as timed out at {@code dueUs},
+   * without a call to {@link #cancel}.
+   */
   void send(int part, int server, long dueUs);
 
   /**
@@ -18,17 +21,17 @@
   void answer(int query, boolean complete);
 
   /**
-   * Final: rejects the query, which is safe to retry after {@code retryAfterUs} (0: no
-   * Retry-After).
+   * Rejects the query as its final outcome. The client may safely retry it after {@code
+   * retryAfterUs}; 0 means that the rejection contains no Retry-After.
    */
   void reject(int query, long retryAfterUs);
 
-  /** Final: fails the query, which may have had an effect. */
+  /** Fails the query as its final outcome. The query may have had an effect. */
   void fail(int query);
 
   /**
-   * Reports why a query ends before it is complete, ahead of its answer, rejection or failure.
-   * Informational; the default does nothing.
+   * Reports why a query ends before it is complete. Called before the query is answered, rejected
+   * or failed. Informational; the default does nothing.
    */
   default void onGivenUp(int query, GiveUpReason reason) {}
 
@@ -42,8 +45,8 @@
   void sendHealthCheck(int server);
 
   /**
-   * Requests a {@link TimerFired} with this token at or shortly after that time; it must not be
-   * delivered while the current event is handled.
+   * Requests a {@link TimerFired} event with this token at {@code dueUs} or shortly after. The
+   * event must not be delivered while the current event is being handled.
    */
   void scheduleTimer(long token, long dueUs);
 
--- a/src/main/java/dunlinhitch/balancer/BalancerContext.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerContext.java
@@ -8,7 +8,7 @@
  * State shared by all decisions: the time of the current event, the current settings with the
  * intervals derived from them, the server table, the seeded random source and the actions.
  *
- * <p>Not thread-safe; the load balancer owns it and is the only one to set time and settings.
+ * <p>Not thread-safe; the load balancer owns it, and no other class sets the time or the settings.
  */
 final class BalancerContext {
   /** Number of periodic maintenance runs within the shortest latency objective. */
--- a/src/main/java/dunlinhitch/balancer/BalancerEvent.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerEvent.java
@@ -9,7 +9,7 @@
   record Started() implements BalancerEvent {}
 
   /**
-   * A query arrived; its parts follow at the same time.
+   * A query arrived. The {@link PartArrived} events of its parts follow at the same time.
    *
    * @param number identifies the query in its {@link PartArrived} events
    * @param queryClass index of its class in the settings
@@ -35,13 +35,14 @@
    *
    * @param weight fraction of the query's answer that the part contributes, 0 to 1
    * @param hintUs the client's estimate of the part's work, 0 for none
-   * @param unconfirmedAttempts earlier attempts, under another part id, that servers may still be
-   *     executing; an {@link AttemptReleased} follows for each that is found to have ended
+   * @param unconfirmedAttempts number of earlier attempts, sent under another part id, that servers
+   *     may still be executing; an {@link AttemptReleased} follows for each of them once its server
+   *     is known to have ended it
    */
   record PartArrived(
       int id, long number, int shard, double weight, long hintUs, int unconfirmedAttempts)
       implements BalancerEvent {
-    /** Creates the event of a part without earlier attempts. */
+    /** Creates the event for a part without earlier attempts. */
     public PartArrived(int id, long number, int shard, double weight, long hintUs) {
       this(id, number, shard, weight, hintUs, 0);
     }
@@ -57,11 +58,12 @@
    * @param attempt number of the attempt among those of its part, from 0
    * @param settled the part needs no further attempt
    * @param report the server's load report, empty for none
-   * @param unconfirmed the broker no longer waits, but the server may still be executing the
-   *     attempt; if a part may have only one attempt at a time, the next one waits for {@link
-   *     AttemptReleased}
+   * @param unconfirmed the broker no longer waits for the attempt, but the server may still be
+   *     executing it; if a part may have only one attempt at a time, its next attempt is not sent
+   *     before {@link AttemptReleased}
    */
-  // Not compared or hashed: an array avoids boxing the values of each report.
+  // The record is never compared or hashed, so an array component is safe. It avoids boxing the
+  // values of each report.
   @SuppressWarnings("ArrayRecordComponent")
   record AttemptCompleted(
       int part,
@@ -73,7 +75,7 @@
       float[] report,
       boolean unconfirmed)
       implements BalancerEvent {
-    /** The end of an attempt that its server is no longer executing. */
+    /** Creates the event for an attempt that its server is no longer executing. */
     public AttemptCompleted(
         int part,
         int attempt,
@@ -97,7 +99,8 @@
    *
    * @param report the server's load report, empty for none
    */
-  // Not compared or hashed: an array avoids boxing the values of each report.
+  // The record is never compared or hashed, so an array component is safe. It avoids boxing the
+  // values of each report.
   @SuppressWarnings("ArrayRecordComponent")
   record HealthCheckCompleted(int server, AttemptOutcome outcome, long elapsedUs, float[] report)
       implements BalancerEvent {}
@@ -107,8 +110,8 @@
       implements BalancerEvent {}
 
   /**
-   * An operator has disabled or enabled a server, which keeps its id. A server that is enabled goes
-   * through slow start.
+   * An operator has disabled or enabled a server. The server keeps its id, and goes through slow
+   * start after it was enabled.
    *
    * @param disabled true if the server was disabled, false if it was enabled
    */
@@ -124,7 +127,8 @@
   record TimerFired(long token) implements BalancerEvent {}
 
   /** A message from another broker arrived; the load balancer ignores it. */
-  // Not compared or hashed: an array holds the bytes as read.
+  // The record is never compared or hashed, so an array component is safe. It holds the bytes as
+  // they were read.
   @SuppressWarnings("ArrayRecordComponent")
   record PeerMessageReceived(int sender, byte[] content) implements BalancerEvent {}
 
--- a/src/main/java/dunlinhitch/balancer/BalancerTimers.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerTimers.java
@@ -12,14 +12,17 @@
   /** Poll of the server list. */
   static final long POLL_SERVER_LIST = 2;
 
-  /** The first token of a query; lower tokens belong to the load balancer itself. */
+  /**
+   * The lowest token that refers to a query; lower tokens are those of the load balancer's own
+   * timers.
+   */
   private static final long FIRST_QUERY_TOKEN = 4;
 
   private BalancerTimers() {}
 
   /**
-   * Schedules a timer that examines only one query, since under load there are many queries and
-   * timers.
+   * Schedules a timer for one query. Only that query is examined when the timer fires, because
+   * examining all queries at each of many timers would be too expensive under load.
    */
   static void scheduleQuery(BalancerContext context, Query query, long dueUs) {
     context.actions().scheduleTimer(FIRST_QUERY_TOKEN * (1 + (long) query.id), dueUs);
--- a/src/main/java/dunlinhitch/balancer/CanaryPart.java
+++ b/src/main/java/dunlinhitch/balancer/CanaryPart.java
@@ -1,23 +1,26 @@
 package dunlinhitch.balancer;
 
 /**
- * The canary part: one part of a wide query is sent ahead of the fan-out if that takes little of
- * the query's time.
+ * Sends one part of a wide query, the canary part, ahead of the other parts if the delay is a small
+ * fraction of the query's time.
  *
  * <p>A query that crashes its servers (because of a bug or a corrupt record) then affects one
  * server rather than one for each part. The other parts follow once any part is answered or a short
- * delay has passed. The drawback is added latency for queries with little time.
+ * delay has passed. The drawback is added latency for queries with little time left.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class CanaryPart {
-  /** The delay as a fraction of the part's service time. */
+  /** Delay of the other parts, as a fraction of the canary part's service time. */
   private static final double DELAY_SERVICE_TIME_SHARE = 0.7;
 
-  /** Longest delay as a fraction of the query's remaining time. */
+  /** Longest delay of the other parts, as a fraction of the query's remaining time. */
   private static final double MAX_DELAY_SHARE = 0.1;
 
-  /** Largest overhead of a call as a fraction of the part's service time. */
+  /**
+   * Largest overhead of a call, as a fraction of the part's service time, for which a canary part
+   * is sent.
+   */
   private static final double MAX_CALL_SHARE = 0.1;
 
   /** A query is wide if its number of parts is at least this fraction of the number of servers. */
@@ -27,18 +30,18 @@
   private static final int MIN_PARTS = 8;
 
   /**
-   * Minimum number of parts for a canary shortly after a reset, and for a query that the client
-   * retries.
+   * Minimum number of parts for which a canary part is sent shortly after a reset, or if the client
+   * retries the query.
    */
   private static final int MIN_PARTS_WHEN_ALERT = 2;
 
-  /** Time for which a reset counts as recent, in shortest latency objectives. */
+  /** Time for which a reset counts as recent, as a multiple of the shortest latency objective. */
   private static final double RESET_OBJECTIVES = 10;
 
   /** Number of servers that must have reset the connection for a query to be suspect. */
   private static final int SUSPECT_RESETS = 2;
 
-  /** The same for a query that its client retries. */
+  /** Like {@link #SUSPECT_RESETS}, for a query that its client retries. */
   private static final int SUSPECT_RESETS_WHEN_RETRIED = 1;
 
   private final BalancerContext context;
@@ -75,8 +78,8 @@
   }
 
   /**
-   * Sends the part ahead and defers the others. The least busy server starts on it immediately, so
-   * a crash occurs within the delay.
+   * Sends the part and defers the others. The least busy server starts to execute the part
+   * immediately, so that a crash occurs before the other parts are sent.
    */
   void send(Query query, Part part) {
     query.canarySent = true;
@@ -97,9 +100,10 @@
   }
 
   /**
-   * True if enough servers have reset attempts of the query, make up at least half of its attempts,
-   * and no part was answered: the query probably crashes servers. A server that has answered since
-   * the reset does not count, because only a connection was lost.
+   * True if the query probably crashes servers: enough servers have reset attempts of the query,
+   * their number is at least half the number of its attempts, and no part was answered. A server
+   * that has answered any attempt since the reset is not counted, because it has lost only a
+   * connection.
    */
   boolean isSuspect(Query query) {
     long serversDown =
--- a/src/main/java/dunlinhitch/balancer/ClassStatistics.java
+++ b/src/main/java/dunlinhitch/balancer/ClassStatistics.java
@@ -15,10 +15,10 @@
   /** Latencies of answered parts, in microseconds. */
   final SampleWindow latencies;
 
-  /** Service time of a part, 0 before any was measured. */
+  /** Estimated service time of a part; 0 before the first measurement. */
   double serviceTimeUs;
 
-  /** When {@link #serviceTimeUs} was last updated. */
+  /** Time at which {@link #serviceTimeUs} was last updated. */
   long serviceTimeUpdatedUs;
 
   /** The longest client timeout of a query of this class. */
--- a/src/main/java/dunlinhitch/balancer/DecayingShares.java
+++ b/src/main/java/dunlinhitch/balancer/DecayingShares.java
@@ -14,7 +14,7 @@
   }
 
   /**
-   * Increments the count at an index and returns the fraction that this index then has of the sum.
+   * Increments the count at an index and returns its resulting fraction of the sum of all counts.
    */
   double increment(int index, long nowUs, double timeConstantUs) {
     double decay = Math.exp((updatedUs - nowUs) / timeConstantUs);
--- a/src/main/java/dunlinhitch/balancer/DecayingValue.java
+++ b/src/main/java/dunlinhitch/balancer/DecayingValue.java
@@ -9,7 +9,7 @@
   private double value;
   private long updatedUs;
 
-  /** The value at a time, after decay with that time constant. */
+  /** Returns the value at {@code nowUs}, decayed with the given time constant. */
   double at(long nowUs, double timeConstantUs) {
     return value * Math.exp((updatedUs - nowUs) / timeConstantUs);
   }
--- a/src/main/java/dunlinhitch/balancer/FailurePenalties.java
+++ b/src/main/java/dunlinhitch/balancer/FailurePenalties.java
@@ -4,17 +4,20 @@
  * Failure penalties: virtual outstanding work of a server after failures, so that servers that fail
  * fast, hang, are dead or are full do not attract parts.
  *
- * <p>A penalty grows with each consecutive failure and decays with time and with answers, so that
- * single parts can detect a recovery. If the query causes the failures, all replicas are penalized
- * equally and their order does not change.
+ * <p>A penalty grows with each consecutive failure. It decays with time and with answers, so that
+ * the server occasionally gets a part, by which its recovery is detected. If the query causes the
+ * failures, all replicas are penalized equally and their order does not change.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class FailurePenalties {
-  /** Penalty of the first failure, in mean service times; doubled with each consecutive failure. */
+  /**
+   * Penalty of the first failure, as a multiple of the mean service time; doubled with each
+   * consecutive failure.
+   */
   private static final double INITIAL_PENALTY = 4;
 
-  /** Largest penalty, in mean service times. */
+  /** Largest penalty, as a multiple of the mean service time. */
   private static final double MAX_PENALTY = 64;
 
   /** Consecutive failures after which the penalty is no longer doubled. */
@@ -23,10 +26,10 @@
   /** Fraction of the penalty that remains after an answer. */
   private static final double REMAINDER_AFTER_ANSWER = 0.7;
 
-  /** Longest time constant of the decay, in shortest latency objectives. */
+  /** Longest time constant of the decay, as a multiple of the shortest latency objective. */
   private static final double MAX_DECAY_OBJECTIVES = 10;
 
-  /** Shortest time constant of the decay, in shortest latency objectives. */
+  /** Shortest time constant of the decay, as a multiple of the shortest latency objective. */
   private static final double MIN_DECAY_OBJECTIVES = 2;
 
   /**
@@ -47,8 +50,8 @@
   }
 
   /**
-   * The current penalty of a server. It decays more slowly if this broker sends few parts per
-   * server, so that it lasts until the server's next turn.
+   * Returns the current penalty of a server. The penalty decays more slowly if this broker sends
+   * few parts per server, so that it still applies when the server would be selected again.
    */
   double penaltyUs(Server server) {
     long objectiveUs = context.shortestObjectiveUs();
@@ -78,8 +81,8 @@
   }
 
   /**
-   * Lowers the penalty after an answer; a late answer sets a penalty of at least its excess
-   * latency.
+   * Lowers the penalty after an answer. After a late answer, the penalty is at least the answer's
+   * excess latency.
    */
   void onAnswer(Attempt attempt) {
     Server server = attempt.server;
--- a/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
+++ b/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
@@ -1,13 +1,17 @@
 package dunlinhitch.balancer;
 
 /**
- * Limits the health checks sent ahead of admission: few while queries are answered completely, up
- * to all replicas of each part if none is, and fewer if a health check is expensive.
+ * Limits the number of health checks that are sent before queries are admitted. Few are allowed
+ * while queries are answered completely. The limit rises to one health check for each replica of
+ * each part if no query is answered completely, and is lower if a health check is expensive.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class HealthCheckBudget {
-  /** Health checks earned by each part sent while all queries are answered completely. */
+  /**
+   * Number of health checks that each sent part adds to the budget while all queries are answered
+   * completely.
+   */
   private static final double CHECKS_PER_PART = 0.2;
 
   /** Price of a health check above which proportionally fewer are sent. */
@@ -36,7 +40,7 @@
     credit = Math.min(credit + earned, context.servers().size());
   }
 
-  /** Whole health checks that may be sent now. */
+  /** Returns the number of health checks that may be sent now. */
   long available() {
     return (long) credit;
   }
--- a/src/main/java/dunlinhitch/balancer/HealthChecks.java
+++ b/src/main/java/dunlinhitch/balancer/HealthChecks.java
@@ -6,8 +6,9 @@
 import java.util.Set;
 
 /**
- * Health checks ahead of admission: checks the replicas that a query may go to, those with the
- * oldest reports first, and defers the query until they answer or a short delay has passed.
+ * Sends health checks before a query is admitted. Checks the replicas to which the query's parts
+ * may be sent, those with the oldest reports first, and defers the query until they answer or a
+ * short delay has passed.
  *
  * <p>Guards against stale estimates if a broker sends few parts to each server: slow, hung, dead or
  * remote servers are detected by their report or by a missing answer.
@@ -15,13 +16,22 @@
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class HealthChecks {
-  /** A query waits for its health checks at most the shortest latency objective divided by this. */
+  /**
+   * A query waits for its health checks for at most the shortest latency objective divided by this
+   * number.
+   */
   private static final long DELAYS_PER_OBJECTIVE = 32;
 
-  /** Health checks are sent if no report arrived within the shortest objective divided by this. */
+  /**
+   * Health checks are sent if no report arrived within the shortest latency objective divided by
+   * this number.
+   */
   private static final long STALE_FRACTION = 2;
 
-  /** A server that reported within the shortest objective divided by this is not checked. */
+  /**
+   * A server that reported within the shortest latency objective divided by this number is not
+   * checked.
+   */
   private static final long FRESH_FRACTION = 8;
 
   private final BalancerContext context;
--- a/src/main/java/dunlinhitch/balancer/Hedging.java
+++ b/src/main/java/dunlinhitch/balancer/Hedging.java
@@ -10,8 +10,8 @@
  */
 final class Hedging {
   /**
-   * Maintenance intervals until a late part is examined again; limits the cost under overload, when
-   * many are late.
+   * Number of maintenance intervals until a late part is examined again; limits the cost under
+   * overload, when many parts are late.
    */
   private static final long RECHECK_SWEEPS = 4;
 
@@ -23,7 +23,7 @@
   /** Latency quantile after which an attempt is late. */
   private static final double LATE_QUANTILE = 0.9;
 
-  /** The same if little time is left. */
+  /** Like {@link #LATE_QUANTILE}, for a part with little time left. */
   private static final double URGENT_LATE_QUANTILE = 0.5;
 
   /** The time left is short if it is less than this many median latencies. */
@@ -45,7 +45,10 @@
     this.attempts = attempts;
   }
 
-  /** Retries a pending request of a part, or hedges its only attempt if that is late. */
+  /**
+   * Sends a part whose request is pending, if this is possible now. Hedges the part's only attempt
+   * if that attempt is late.
+   */
   void examine(Part part) {
     if (part.requested) {
       attempts.request(part);
@@ -78,8 +81,8 @@
   }
 
   /**
-   * A hedged attempt must be predicted to finish in time, and must not delay other parts queued at
-   * its server.
+   * Whether a hedged attempt is predicted to finish in time and would not delay other parts queued
+   * at its server.
    */
   private boolean isWorthwhile(Attempt attempt, Server target, double leftUs) {
     Part part = attempt.part;
--- a/src/main/java/dunlinhitch/balancer/IdleConnections.java
+++ b/src/main/java/dunlinhitch/balancer/IdleConnections.java
@@ -32,8 +32,8 @@
   }
 
   /**
-   * Marks an attempt that would use an idle connection, or closes the idle connections of its
-   * server first.
+   * Marks an attempt that would use an idle connection. If idle connections lose too many attempts,
+   * closes the idle connections of the attempt's server instead, so that a new one is opened.
    */
   void beforeSend(Attempt attempt) {
     Server server = attempt.server;
--- a/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
+++ b/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
@@ -13,28 +13,34 @@
   /** Minimum wait per unit of work ahead; well below 1 because a server may have many cores. */
   private static final double MIN_WAIT_PER_WORK = 0.2;
 
-  /** Weight of the newest pair of wait and work ahead. */
+  /** Weight of the newest sample in {@link #waitSlope}. */
   private static final double WAIT_WEIGHT = 0.02;
 
-  /** Latencies are capped at this multiple of the prediction before they enter the slope. */
+  /**
+   * Latencies are capped at this multiple of the prediction before they are added to {@link
+   * #waitSlope}.
+   */
   private static final double MAX_LATENCY_FACTOR = 20;
 
   /** Quantile of a zone's excess latencies that is attributed to the network. */
   private static final double NETWORK_QUANTILE = 0.25;
 
-  /** Excess latencies in the sliding window of each zone. */
+  /** Number of excess latencies in the sliding window of each zone. */
   private static final int NETWORK_WINDOW_SIZE = 16;
 
-  /** Time constant by which a network latency decays, in shortest latency objectives. */
+  /**
+   * Time constant by which a network latency decays, as a multiple of the shortest latency
+   * objective.
+   */
   private static final double NETWORK_DECAY_OBJECTIVES = 4.0;
 
   /**
-   * An attempt unanswered for this multiple of its prediction indicates an unresponsive server, not
-   * load.
+   * If an attempt is unanswered for this multiple of its predicted latency, its server counts as
+   * unresponsive rather than busy.
    */
   private static final double UNRESPONSIVE_FACTOR = 5;
 
-  /** Excess latencies of one zone and when the newest was added. */
+  /** Excess latencies of one zone, and the time at which the newest was added. */
   private static final class ZoneLatency {
     final SampleWindow excessUs = new SampleWindow(NETWORK_WINDOW_SIZE, 0);
     long updatedUs;
@@ -60,18 +66,18 @@
     this.outstandingWork = outstandingWork;
   }
 
-  /** Wait per unit of work ahead. */
+  /** Returns the expected wait per unit of work queued ahead. */
   double waitPerWork() {
     double slope = waitSlope.slope(1, Math.pow(serviceTimes.meanUs(), 2));
     return Math.max(MIN_WAIT_PER_WORK, Math.min(1 / MIN_WAIT_PER_WORK, slope));
   }
 
   /**
-   * By how much a low quantile of the excess latencies of a remote zone exceeds that of the local
-   * zone, caused by packet loss, a slow network or a fault that the zone's servers share. Samples
-   * are pooled by zone because each server gets few parts; the estimate decays so that single parts
-   * can detect a recovery. It overestimates the network latency if only the remote zone is
-   * overloaded.
+   * Returns the network latency to the server's zone: the amount by which a low quantile of that
+   * zone's excess latencies exceeds that of the local zone. Its causes are packet loss, a slow
+   * network or a fault that the zone's servers share. Samples are pooled by zone because each
+   * server gets few parts. The estimate decays, so that the zone occasionally gets a part, by which
+   * its recovery is detected. The estimate is too high if only the remote zone is overloaded.
    */
   double networkLatencyUs(Server server) {
     int ownZone = context.settings().zone();
@@ -88,8 +94,8 @@
   }
 
   /**
-   * How long a part would wait at a server; excludes the failure penalty, which is not a waiting
-   * time.
+   * Returns how long a part would wait at a server. Excludes the failure penalty, which is not a
+   * waiting time.
    */
   double waitUs(Server server) {
     return waitPerWork() * outstandingWork.atUs(server) / Math.sqrt(slowStart.weight(server));
@@ -123,9 +129,10 @@
   }
 
   /**
-   * True if an attempt is long overdue and its server has answered nothing since it was sent: the
-   * server is hung, dead or far too slow rather than busy. Moving late parts off busy servers would
-   * waste their work and increase the load of all servers.
+   * True if an attempt is long overdue and its server has answered nothing since the attempt was
+   * sent: the server is hung, dead or far too slow. False for a server that is only busy, because
+   * moving late parts away from it would waste the work already done and increase the load of all
+   * servers.
    */
   boolean isUnresponsive(Attempt attempt) {
     long lastSignUs = Math.max(attempt.sentUs, attempt.server.lastAnswerUs);
--- a/src/main/java/dunlinhitch/balancer/LoadBalancer.java
+++ b/src/main/java/dunlinhitch/balancer/LoadBalancer.java
@@ -178,7 +178,10 @@
     }
   }
 
-  /** Reverts the counts made at the send of an attempt that is now known to have had no effect. */
+  /**
+   * Reverts the counts that were made when the attempt was sent, if the attempt is now known to
+   * have had no effect.
+   */
   private void correctAttemptCounts(Attempt attempt, AttemptOutcome outcome) {
     Part part = attempt.part;
     if (outcome == AttemptOutcome.MOOT && attempt.number > 0) {
--- a/src/main/java/dunlinhitch/balancer/LoadReports.java
+++ b/src/main/java/dunlinhitch/balancer/LoadReports.java
@@ -9,7 +9,10 @@
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class LoadReports {
-  /** Weight of the newest report of a server; sustained load counts more than a spike. */
+  /**
+   * Weight of the newest report in the moving average of a server, in which sustained load counts
+   * more than a spike.
+   */
   private static final double REPORT_WEIGHT = 0.4;
 
   /** Weight of the newest report in the mean over all servers. */
@@ -18,7 +21,10 @@
   /** Cap of a single reported value, in parts, because a report may be wrong. */
   private static final double MAX_VALUE = 200;
 
-  /** Time constant by which the mean over all servers decays, in shortest latency objectives. */
+  /**
+   * Time constant by which the mean over all servers decays, as a multiple of the shortest latency
+   * objective.
+   */
   private static final double MEAN_OBJECTIVES = 4.0;
 
   /** Assumed fraction of this broker's parts in flight that are in a server's backlog. */
@@ -36,14 +42,14 @@
     return meanLoad.at(context.nowUs(), MEAN_OBJECTIVES * context.shortestObjectiveUs());
   }
 
-  /** When the newest report of any server arrived. */
+  /** Returns the time at which the newest report of any server arrived. */
   long lastReportUs() {
     return meanLoad.updatedUs();
   }
 
   /**
-   * Load of other brokers at a server, in parts. As its report ages, the value decays to {@code
-   * fallback}.
+   * Returns the load of other brokers at a server, in parts. The value converges to {@code
+   * fallback} as the server's report ages.
    */
   double loadOfOthers(Server server, double fallback) {
     return fallback
@@ -51,7 +57,10 @@
             * context.decaySince(server.reportedUs, (double) context.shortestObjectiveUs());
   }
 
-  /** Processes a report, less this broker's own parts in flight; an empty report is ignored. */
+  /**
+   * Processes a load report, from which this broker's own parts in flight are subtracted. An empty
+   * report is ignored.
+   */
   void onReport(Server server, float[] report) {
     List<LoadReportField> fields = context.settings().reportFields();
     boolean hasOutstanding = fields.contains(LoadReportField.OUTSTANDING);
--- a/src/main/java/dunlinhitch/balancer/OutstandingWork.java
+++ b/src/main/java/dunlinhitch/balancer/OutstandingWork.java
@@ -26,10 +26,11 @@
   }
 
   /**
-   * Work outstanding at a server: that of this broker and the reported load of others. As its
-   * report ages, the load of others converges to the mean of all reports for a warm server, and to
-   * 0 for a warming one, which started idle and gets little work from each broker. The latter is
-   * too low if other brokers do not apply slow start.
+   * Returns the work outstanding at a server: the work sent by this broker and the reported load of
+   * other brokers. As the server's report ages, the load of other brokers converges to the mean of
+   * all reports for a warm server, and to 0 for a warming server, which started idle and gets
+   * little work from each broker. The value for a warming server is too low if other brokers do not
+   * apply slow start.
    */
   double atUs(Server server) {
     double fallback = slowStart.isWarm(server) ? loadReports.meanLoad() : 0;
@@ -43,8 +44,8 @@
   }
 
   /**
-   * Call overhead of the next part. Parts sent to one server within one event share a call, whose
-   * overhead is charged to the part that opens it.
+   * Returns the call overhead charged to the next part. Parts sent to one server within one event
+   * share a call; its overhead is charged to the first of them.
    */
   double callOverheadUs(Server server) {
     ShardLayout layout = context.settings().layout();
--- a/src/main/java/dunlinhitch/balancer/Part.java
+++ b/src/main/java/dunlinhitch/balancer/Part.java
@@ -25,12 +25,12 @@
   final List<Server> attemptedServers = new ArrayList<>();
   int attemptCount;
 
-  /** When the first attempt that may have had an effect was sent, -1 for none. */
+  /** Time at which the first attempt that may have had an effect was sent; -1 if there is none. */
   long mayHaveRunUs = -1;
 
   /**
    * Number of attempts that have ended at the broker but that servers may still be executing.
-   * Negative while a release has arrived ahead of its attempt's end.
+   * Negative while the release of an attempt has arrived but the end of the attempt has not.
    */
   int unconfirmedAttempts;
 
@@ -39,7 +39,7 @@
   /** Whether no further attempt is needed. */
   boolean settled;
 
-  /** Whether an attempt has been requested and waits for a server that can take it. */
+  /** Whether an attempt has been requested but cannot be sent yet. */
   boolean requested;
 
   /** The next time that a late attempt of this part is examined. */
--- a/src/main/java/dunlinhitch/balancer/Query.java
+++ b/src/main/java/dunlinhitch/balancer/Query.java
@@ -32,10 +32,10 @@
 
   final long arrivedUs;
 
-  /** When the client stops waiting. */
+  /** Time at which the client stops waiting. */
   final long deadlineUs;
 
-  /** When the latency objective expires. */
+  /** Time at which the latency objective expires. */
   long objectiveUs;
 
   final List<Part> parts = new ArrayList<>();
@@ -52,15 +52,17 @@
   /** Servers whose health checks the query waits for before its admission. */
   final Set<Server> awaitedHealthChecks = new LinkedHashSet<>();
 
-  /** Until when the parts wait for health checks or the canary part, 0 if they do not. */
+  /**
+   * Time until which the parts wait for health checks or the canary part; 0 if they do not wait.
+   */
   long deferredUntilUs;
 
   boolean canarySent;
 
-  /** Whether a part has been answered, which shows that the query does not crash servers. */
+  /** Whether any part has been answered. An answer shows that the query does not crash servers. */
   boolean anyPartAnswered;
 
-  /** Servers that reset an attempt of this query, and when. */
+  /** Servers that reset an attempt of this query, each with the time of the reset. */
   final Map<Server, Long> resetsUs = new LinkedHashMap<>();
 
   /** Fraction of its time that the query may wait for servers; 0 until it is computed. */
--- a/src/main/java/dunlinhitch/balancer/QueryCompletion.java
+++ b/src/main/java/dunlinhitch/balancer/QueryCompletion.java
@@ -78,9 +78,9 @@
   }
 
   /**
-   * True once the target has passed and a partial answer has at least the weight of a late one.
-   * Guards against the few slow, unresponsive or dead servers that a query with many parts usually
-   * encounters.
+   * True once the target time has passed and a partial answer has at least the weight of a late
+   * complete answer. Guards against the few slow, unresponsive or dead servers that a query with
+   * many parts usually encounters.
    */
   boolean isPartialBest(Query query) {
     return context.nowUs() >= estimators.deadlines.targetUs(query)
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -12,12 +12,12 @@
  */
 final class QueryDeadlines {
   /**
-   * A client timeout shorter than this fraction of the longest of its class was shortened by the
-   * client.
+   * A client timeout shorter than this fraction of the longest timeout of its class counts as
+   * shortened by the client.
    */
   private static final double CUT_TIMEOUT_SHARE = 0.97;
 
-  /** Quantile of part latencies reserved for a second step. */
+  /** Quantile of part latencies that gives the time reserved for a second step. */
   private static final double SECOND_STEP_QUANTILE = 0.9;
 
   /** Maximum time reserved for a second step, as a fraction of the latency objective. */
@@ -32,7 +32,7 @@
   /** Number of service times that must remain for a retry of a rejected query to be in time. */
   private static final double RETRY_SERVICE_TIMES = 2;
 
-  /** The Retry-After is the slack of a retry divided by this. */
+  /** The Retry-After delay is the slack of a retry divided by this number. */
   private static final long RETRY_AFTER_FRACTION = 4;
 
   private final BalancerContext context;
@@ -55,11 +55,12 @@
   }
 
   /**
-   * The time that a client has already waited for earlier requests of the same query, if retries
-   * are marked: a timeout shorter than others of the class was shortened by the client's own
-   * deadline. Without this correction, retries of queries that have already missed their objective
-   * would displace queries that can still meet it. Clients that use short timeouts for other
-   * reasons are at a disadvantage.
+   * Returns the time that a client has already waited for earlier requests of the same query; 0 if
+   * the request is not marked as a retry. The time is derived from the client timeout: a timeout
+   * shorter than others of the class is assumed to be limited by the client's own deadline. Without
+   * this correction, retries of queries that have already missed their objective would displace
+   * queries that can still meet it. Clients that use short timeouts for other reasons are at a
+   * disadvantage.
    */
   private long spentUs(QueryArrived event, ClassStatistics statistics) {
     long timeoutUs = event.deadlineUs() - context.nowUs();
@@ -70,8 +71,8 @@
   }
 
   /**
-   * The time after which the query is given up: its objective if late answers have no weight,
-   * otherwise its deadline, less the answer margin.
+   * Returns the time after which the query is given up: its objective if late answers have no
+   * weight, otherwise its deadline. The answer margin is subtracted in both cases.
    */
   long giveUpUs(Query query) {
     long endUs =
@@ -82,8 +83,8 @@
   }
 
   /**
-   * The time by which an answer meets the objective; a first answer leaves time for the second
-   * step.
+   * Returns the time by which the current step must be answered for the query to meet its
+   * objective. If a second step follows, time is reserved for it.
    */
   long targetUs(Query query) {
     double secondStepUs =
@@ -98,8 +99,8 @@
   }
 
   /**
-   * The time that the query is planned for: the target, or the give-up time once the target has
-   * passed.
+   * Returns the time by which the query is planned to be answered: the target, or the give-up time
+   * once the target has passed.
    */
   long planUs(Query query) {
     long targetUs = targetUs(query);
@@ -107,11 +108,12 @@
   }
 
   /**
-   * The timeout of an attempt sent now. If attempts can be cancelled, maintenance ends them;
-   * otherwise only the timeout does. The timeout also stops servers from doing work that is no
-   * longer needed, which a cancellation may not: if the class allows partial answers, an attempt
-   * ends when its query may be answered without it. The drawback is that the attempt is lost if the
-   * floor is not reached at that time.
+   * Returns the time at which an attempt sent now times out. If attempts can be cancelled,
+   * maintenance ends late attempts; otherwise only the timeout does. The timeout also stops servers
+   * from doing work that is no longer needed, which a cancellation may fail to do. If the class
+   * allows partial answers, an attempt therefore times out at the time from which its query may be
+   * answered without it. The drawback is that the attempt is lost if the answered parts do not
+   * reach the floor at that time.
    */
   long attemptTimeoutUs(Query query) {
     long nowUs = context.nowUs();
@@ -129,8 +131,8 @@
   }
 
   /**
-   * The Retry-After of a rejected query: a client is asked to retry while the objective can still
-   * be met; if it cannot, after the longest delay that clients honor.
+   * Returns the Retry-After delay of a rejected query. If a retry can still meet the objective, the
+   * delay is short enough for that; otherwise it is the longest delay that clients honor.
    */
   long retryAfterUs(Query query) {
     long maxUs = context.settings().limits().maxRetryAfterUs();
--- a/src/main/java/dunlinhitch/balancer/ReplicaSelection.java
+++ b/src/main/java/dunlinhitch/balancer/ReplicaSelection.java
@@ -7,10 +7,10 @@
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class ReplicaSelection {
-  /** Work that a cross-zone price of 1 is equivalent to, in latency objectives. */
+  /** Work that is equivalent to a cross-zone price of 1, as a multiple of the latency objective. */
   private static final double CROSS_ZONE_OBJECTIVES = 5;
 
-  /** Random fraction of a score, which makes brokers break ties differently. */
+  /** Random fraction that is added to a score, so that brokers break ties differently. */
   private static final double TIE_BREAK_SHARE = 0.001;
 
   /** Passes of a selection; each one admits more servers than the one before. */
@@ -49,8 +49,8 @@
         continue;
       }
       if (server.trialDueUs > 0 && context.nowUs() >= server.trialDueUs) {
-        // In slow start and without a load report, its score would lose to servers with little
-        // load.
+        // A trial part is sent regardless of the score: the server is in slow start and has no load
+        // report, so servers with little load would have better scores.
         return server;
       }
       double tieBreak = 1 + TIE_BREAK_SHARE * context.random().nextDouble();
--- a/src/main/java/dunlinhitch/balancer/SchedulingLag.java
+++ b/src/main/java/dunlinhitch/balancer/SchedulingLag.java
@@ -1,9 +1,9 @@
 package dunlinhitch.balancer;
 
 /**
- * The recent lag of this broker's event loop. A query has waited that long before it was read, and
- * its answers will wait as long. Queries that would be late because of it are rejected immediately;
- * otherwise those that follow would be late too.
+ * Measures the recent lag of this broker's event loop. A query has waited for about that time
+ * before it was read, and the answers to its parts will wait as long. Queries that would be late
+ * because of the lag are rejected immediately; otherwise the queries after them would be late too.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
--- a/src/main/java/dunlinhitch/balancer/Server.java
+++ b/src/main/java/dunlinhitch/balancer/Server.java
@@ -17,22 +17,22 @@
 
   ServerState state = ServerState.GONE;
 
-  /** When the state last changed from or to {@link ServerState#READY}. */
+  /** Time of the last state change from or to {@link ServerState#READY}. */
   long stateChangedUs;
 
-  /** When an attempt was last answered. */
+  /** Time at which an attempt was last answered. */
   long lastAnswerUs;
 
-  /** When its process started, 0 if long ago. */
+  /** Start time of the server's process; 0 if long ago. */
   long startedUs;
 
-  /** When it was last enabled again after an operator had disabled it. */
+  /** Time at which an operator last enabled the server after it had been disabled. */
   long enabledUs;
 
-  /** When it is due for one trial part, 0 for none. */
+  /** Time from which the server gets one trial part; 0 if none is due. */
   long trialDueUs;
 
-  /** When a connection to it was last in use. */
+  /** Time at which a connection to the server was last in use. */
   long lastUsedUs;
 
   /** Predicted work of the attempts in flight. */
@@ -49,15 +49,17 @@
   /** Load of other brokers at this server according to its reports, in parts. */
   double reportedLoad;
 
-  /** When it last sent a load report. */
+  /** Time of the server's last load report. */
   long reportedUs;
 
   boolean healthCheckInFlight;
 
-  /** Budget of work that it may be sent during slow start. */
+  /** Budget that limits the work sent to the server during slow start. */
   final TokenBucket slowStartBucket = new TokenBucket();
 
-  /** When the call that the parts of one event share was opened. */
+  /**
+   * Time at which the current call was opened. A call is shared by the parts sent within one event.
+   */
   long callOpenedUs = -1;
 
   /** Parts sent at {@link #callOpenedUs}. */
--- a/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
+++ b/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
@@ -16,7 +16,7 @@
   /** Upper bound of the random delay before a server that is enabled again gets a trial part. */
   private static final double TRIAL_DELAY_US = 2e6;
 
-  /** The first backoff after a failed poll is {@code pollWithinUs} divided by this. */
+  /** The first backoff after a failed poll is {@code pollWithinUs} divided by this number. */
   private static final long BACKOFF_FRACTION = 40;
 
   /** Consecutive failures after which the backoff is no longer doubled. */
@@ -68,7 +68,7 @@
 
   /**
    * Disables or enables a server. A server that is enabled again is treated as just started,
-   * because earlier estimates may no longer be valid, and soon gets a trial part, so that the
+   * because earlier estimates may no longer be valid. It soon gets a trial part, so that the
    * operator can see that it works.
    */
   void onDisabled(ServerDisabled event) {
@@ -103,8 +103,8 @@
   }
 
   /**
-   * The mean work of the servers that share shards with the cell; the initial penalty of a new
-   * server.
+   * Returns the mean work of the servers that share shards with the cell, which is used as the
+   * initial penalty of a new server.
    */
   private double meanWorkOfServersSharingShards(int cell) {
     return context.servers().sharingShards(cell, context.settings().layout()).stream()
@@ -118,7 +118,8 @@
   private void setState(Server server, ServerState state) {
     boolean readinessChanges =
         server.state != state && (server.state == ServerState.READY || state == ServerState.READY);
-    if (readinessChanges) { // draining without having been ready: no grace period
+    if (readinessChanges) { // otherwise a server that was never ready would get a grace period for
+      // draining
       server.stateChangedUs = context.nowUs();
     }
     server.state = state;
--- a/src/main/java/dunlinhitch/balancer/ServerTable.java
+++ b/src/main/java/dunlinhitch/balancer/ServerTable.java
@@ -24,7 +24,9 @@
   /** Servers that were removed from the list, kept until their last attempt has ended. */
   private final Set<Server> removed = new LinkedHashSet<>();
 
-  /** Ids disabled by an operator, regardless of the list. */
+  /**
+   * Ids of the servers that an operator has disabled, whether or not they are in the server list.
+   */
   private final Set<Integer> disabled = new HashSet<>();
 
   Server get(int id) {
--- a/src/main/java/dunlinhitch/balancer/ServiceTimes.java
+++ b/src/main/java/dunlinhitch/balancer/ServiceTimes.java
@@ -15,10 +15,13 @@
   /** Initial latency of a part, as a fraction of the latency objective. */
   private static final double INITIAL_LATENCY_SHARE = 0.2;
 
-  /** An estimate grows at most e-fold within this many shortest latency objectives. */
+  /**
+   * Time within which an estimate grows by at most the factor e, as a multiple of the shortest
+   * latency objective.
+   */
   private static final double GROWTH_OBJECTIVES = 32;
 
-  /** Latencies in the sliding window of each class. */
+  /** Number of latencies in the sliding window of each class. */
   private static final int WINDOW_SIZE = 64;
 
   /** Number of latencies of a class that are needed to estimate its service time. */
--- a/src/main/java/dunlinhitch/balancer/SlowStart.java
+++ b/src/main/java/dunlinhitch/balancer/SlowStart.java
@@ -19,7 +19,10 @@
    */
   private static final double BUDGET_SHARE = 0.6;
 
-  /** Shortest latency objectives over which the work of warm servers is measured. */
+  /**
+   * Time over which the work of warm servers is measured, as a multiple of the shortest latency
+   * objective.
+   */
   private static final double MEASUREMENT_OBJECTIVES = 10;
 
   /** Minimum weight of a warming server. */
@@ -82,11 +85,11 @@
     double burst =
         rate
             * rules.overloadToleranceUs()
-            / 2; // the bucket refills by the same amount in half the tolerance
+            / 2; // in half the tolerated time, the bucket refills by this amount
     return server.slowStartBucket.canAfford(cost(part), rate, burst, context.nowUs());
   }
 
-  /** Charges a warming server's budget with a part that is sent. */
+  /** Charges a part that is sent to the budget of its server if the server is warming up. */
   void onSend(Server server, Part part) {
     if (!isWarm(server)) {
       server.slowStartBucket.spend(cost(part));
@@ -105,9 +108,9 @@
 
   /**
    * Rate of work that this broker may send to a warming server: a multiple of the server's weight
-   * and of the rate of a warm server. The latter is the rate measured for this broker, which summed
-   * over all brokers cannot exceed the capacity of the servers, but at least one core divided by
-   * the number of brokers.
+   * and of the rate of a warm server. The rate of a warm server is the rate at which warm servers
+   * answer work of this broker, so that the sum over all brokers cannot exceed the capacity of the
+   * servers. It is at least one core divided by the number of brokers.
    */
   private double rate(Server server) {
     double spanUs = MEASUREMENT_OBJECTIVES * context.shortestObjectiveUs();
@@ -123,10 +126,11 @@
   }
 
   /**
-   * The cost that a part is charged to the budget. Until a class is measured, its service time is
-   * an initial estimate that may be several times too low, and after a restart all brokers use that
-   * estimate at the same time. Until then a part costs at least {@link #UNMEASURED_COST_FACTOR}
-   * times the smallest latency of its class.
+   * Returns the cost by which a part reduces the budget. Before the service time of a class has
+   * been measured, an initial estimate is used that may be several times too low, and after a
+   * restart all brokers use that estimate at the same time. Before the measurement, a part
+   * therefore costs at least {@link #UNMEASURED_COST_FACTOR} times the smallest latency of its
+   * class.
    */
   private double cost(Part part) {
     ClassStatistics statistics = part.query.statistics;
--- a/src/main/java/dunlinhitch/balancer/TokenBucket.java
+++ b/src/main/java/dunlinhitch/balancer/TokenBucket.java
@@ -3,10 +3,10 @@
 /**
  * A token bucket with fractional tokens and a phase.
  *
- * <p>It starts empty, and a request is admitted once the level reaches the phase, a fraction from 0
- * to 1, of its cost. If the phases of many buckets are uniformly distributed, the buckets together
- * admit at the sum of their rates from the start, whatever the costs; afterwards each admits one
- * request per period.
+ * <p>The bucket starts empty. A request is admitted once the level reaches the request's cost
+ * multiplied by the phase, which is from 0 to 1. If the phases of many buckets are uniformly
+ * distributed, the buckets together admit at the sum of their rates from the start, whatever the
+ * costs; afterwards each admits one request per period.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
@@ -23,8 +23,9 @@
   }
 
   /**
-   * Refills the bucket up to now, to at most the phase of the cost plus the part of {@code burst}
-   * above the cost, and returns whether it can afford the cost.
+   * Refills the bucket for the time since the last call and returns whether the level reaches the
+   * cost multiplied by the phase. The level is limited to that product plus the amount by which
+   * {@code burst} exceeds the cost.
    */
   boolean canAfford(double cost, double rate, double burst, long nowUs) {
     level = Math.min(phase * cost + Math.max(0, burst - cost), level + rate * (nowUs - filledUs));
--- a/src/main/java/dunlinhitch/balancer/WaitTolerance.java
+++ b/src/main/java/dunlinhitch/balancer/WaitTolerance.java
@@ -16,16 +16,22 @@
    */
   private static final double BASE_SHARE = 0.5;
 
-  /** Largest factor by which the priority weight per work raises or lowers that fraction. */
+  /** Largest factor by which the priority weight per work raises or lowers {@link #BASE_SHARE}. */
   private static final double MAX_FACTOR = 1.4;
 
-  /** Priority factor of a query that its client retries, since part of its time has passed. */
+  /**
+   * Priority factor of a query that its client retries, because part of the query's time has
+   * already passed.
+   */
   private static final double RETRIED_FACTOR = 0.6;
 
   /** Weight of the newest query in the mean priority weight per work. */
   private static final double MEAN_WEIGHT = 0.05;
 
-  /** Time constant by which the query counts of tenants decay, in shortest latency objectives. */
+  /**
+   * Time constant by which the query counts of tenants decay, as a multiple of the shortest latency
+   * objective.
+   */
   private static final double TENANT_DECAY_OBJECTIVES = 3.0;
 
   private final BalancerContext context;
@@ -50,7 +56,10 @@
     tenants = newTenants;
   }
 
-  /** The tolerance of a query; computed once, at its first admission. */
+  /**
+   * Returns the tolerance of a query; computed once, when admission of the query is first
+   * attempted.
+   */
   double of(Query query) {
     if (query.waitTolerance == 0) {
       query.waitTolerance = compute(query);
--- a/src/main/java/dunlinhitch/balancer/settings/Limits.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Limits.java
@@ -8,10 +8,10 @@
  *
  * @param maxAttempts attempts for each part, including the first
  * @param maxInFlight queries in flight at one broker
- * @param mayCancel attempts can be cancelled
- * @param mayHealthCheck servers can be sent health checks
- * @param parallelAttempts a part may have several attempts in flight
- * @param retryAfter a rejection may contain a Retry-After
+ * @param mayCancel whether attempts can be cancelled
+ * @param mayHealthCheck whether health checks can be sent to servers
+ * @param parallelAttempts whether a part may have several attempts in flight
+ * @param retryAfter whether a rejection may contain a Retry-After
  * @param maxRetryAfterUs longest Retry-After delay that clients honor
  * @param connectionIdleUs how long a connection may stay idle
  */
--- a/src/main/java/dunlinhitch/balancer/settings/LoadReportField.java
+++ b/src/main/java/dunlinhitch/balancer/settings/LoadReportField.java
@@ -4,9 +4,9 @@
 public enum LoadReportField {
   /** Parts that the server has accepted and not answered. */
   OUTSTANDING,
-  /** Parts that wait in its queue. */
+  /** Parts that wait in the server's queue. */
   BACKLOG,
-  /** Busy share of its capacity, 0 to 1. */
+  /** Fraction of the server's capacity that is in use, 0 to 1. */
   UTILIZATION,
   /** Recent latency in milliseconds; not used. */
   RECENT_MS,
--- a/src/main/java/dunlinhitch/balancer/settings/Prices.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Prices.java
@@ -3,9 +3,9 @@
 /**
  * The costs of side effects of decisions, in points of the deployment's score.
  *
- * @param crossZone for a request to another zone
- * @param healthCheck for a health check
- * @param waste for work whose result is not used
- * @param lateFail for a late failure
+ * @param crossZone cost of a request to another zone
+ * @param healthCheck cost of a health check
+ * @param waste cost of work whose result is not used
+ * @param lateFail cost of a late failure
  */
 public record Prices(double crossZone, double healthCheck, double waste, double lateFail) {}
--- a/src/main/java/dunlinhitch/balancer/settings/Settings.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Settings.java
@@ -15,11 +15,11 @@
  * @param classes the query classes; at least one
  * @param tenants the tenants, in the order of their indexes in events
  * @param overQuotaWeight weight of a query beyond its tenant's quota, 0 to 1
- * @param mustPollServerList the server list must be polled
- * @param reportsInAnswers answers contain load reports
- * @param reportsInHealthChecks results of health checks contain load reports
+ * @param mustPollServerList whether the server list must be polled
+ * @param reportsInAnswers whether answers contain load reports
+ * @param reportsInHealthChecks whether results of health checks contain load reports
  * @param reportFields the meaning of the values of a load report, in order
- * @param clientsMarkRetries clients mark queries that they retry
+ * @param clientsMarkRetries whether clients mark queries that they retry
  */
 public record Settings(
     int brokers,
@@ -52,17 +52,20 @@
     reportFields = List.copyOf(reportFields);
   }
 
-  /** These settings with other classes. */
+  /** Returns these settings with other classes. */
   public Settings withClasses(List<QueryClass> others) {
     return copy(brokers, tickUs, others);
   }
 
-  /** These settings with another tick, in microseconds. */
+  /** Returns these settings with another tick, in microseconds. */
   public Settings withTick(long us) {
     return copy(brokers, us, classes);
   }
 
-  /** These settings with another number of brokers, among which the total capacity is divided. */
+  /**
+   * Returns these settings with another number of brokers, among which the total capacity is
+   * divided.
+   */
   public Settings amongBrokers(int count) {
     return copy(count, tickUs, classes);
   }
--- a/src/test/java/dunlinhitch/balancer/AdmissionTest.java
+++ b/src/test/java/dunlinhitch/balancer/AdmissionTest.java
@@ -106,13 +106,14 @@
   }
 
   /**
-   * Guards against a growing backlog at a broker that is short of processor time: it reads queries
-   * late and its answers are delayed too, so it must reject queries that would be late.
+   * Guards against a growing backlog at a broker that is short of processor time. Such a broker
+   * reads queries late and also delays their answers, so it must reject queries that would be late.
    */
   @Test
   void aLaggingBrokerRejectsQueriesThatWouldBeLate() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
-    balancer.nowUs += 700_000; // the timers due in between fire late
+    balancer.nowUs +=
+        700_000; // advances only the clock, so that the timers due in between fire late
     balancer.advance(0);
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
     assertTrue(
--- a/src/test/java/dunlinhitch/balancer/CanaryPartTest.java
+++ b/src/test/java/dunlinhitch/balancer/CanaryPartTest.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** The canary part ahead of the fan-out, and queries that crash servers. */
+/** The canary part, which is sent ahead of the other parts, and queries that crash servers. */
 class CanaryPartTest {
   private static BalancerHarness withTwelveServers(SettingsBuilder settings) {
     BalancerHarness balancer = new BalancerHarness(settings.build());
@@ -52,8 +52,8 @@
   }
 
   /**
-   * Guards against a false suspicion: a corrupt answer closes its connection, which resets the
-   * other attempts on it although their queries did not cause this.
+   * Guards against a false suspicion: a corrupt answer closes its connection. This resets the other
+   * attempts on that connection, although their queries did not cause the reset.
    */
   @Test
   void connectionsLostAtServersThatAnswerOthersDoNotMakeTheQuerySuspect() {
--- a/src/test/java/dunlinhitch/balancer/FailurePenaltiesTest.java
+++ b/src/test/java/dunlinhitch/balancer/FailurePenaltiesTest.java
@@ -29,7 +29,7 @@
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1);
     assertTrue(
         balancer.sends.stream().anyMatch(attempt -> attempt.server() == failing),
-        "its penalty has decayed");
+        "the failing server is selected again once its penalty has decayed");
   }
 
   @Test
--- a/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
+++ b/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Health checks ahead of admission. */
+/** Health checks that are sent before queries are admitted. */
 class HealthChecksTest {
   private static long healthChecksOfSparseQueries(double price) {
     SettingsBuilder settings = new SettingsBuilder();
--- a/src/test/java/dunlinhitch/balancer/LoadBalancerTest.java
+++ b/src/test/java/dunlinhitch/balancer/LoadBalancerTest.java
@@ -25,7 +25,10 @@
     assertEquals(one.actions, two.actions);
   }
 
-  /** The release of an attempt may arrive before its end, because the caller may defer the end. */
+  /**
+   * The release of an attempt may arrive before the event that ends the attempt, because the caller
+   * may defer that event.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void aPartIsRetriedOnceItsAttemptHasEndedAndIsReleased(boolean releasedFirst) {
@@ -44,7 +47,7 @@
     balancer.handle(releasedFirst ? end : release);
     assertEquals(2, balancer.sends.size());
     balancer.complete(balancer.lastSent(), AttemptOutcome.ERROR);
-    assertEquals(3, balancer.sends.size(), "an end that is not unconfirmed needs no release");
+    assertEquals(3, balancer.sends.size(), "an attempt whose end is confirmed needs no release");
   }
 
   @Test
--- a/src/test/java/dunlinhitch/balancer/OutstandingWorkTest.java
+++ b/src/test/java/dunlinhitch/balancer/OutstandingWorkTest.java
@@ -95,8 +95,8 @@
     balancer.handle(new BalancerEvent.PartArrived(200, 2, 0, 0.3, 10_000));
     balancer.handle(new BalancerEvent.PartArrived(201, 2, 1, 0.3, 60_000));
     balancer.handle(new BalancerEvent.PartArrived(202, 2, 2, 0.4, 10_000));
-    // The overhead of the call is charged once, so the idle server is still cheaper for the third
-    // part.
+    // The third part shares the call to the idle server and is charged no further call overhead, so
+    // the idle server is still cheaper for it.
     assertTrue(balancer.sends.stream().skip(1).noneMatch(attempt -> attempt.server() == busy));
   }
 }
--- a/src/test/java/dunlinhitch/balancer/QueryCompletionTest.java
+++ b/src/test/java/dunlinhitch/balancer/QueryCompletionTest.java
@@ -109,7 +109,7 @@
   }
 
   /**
-   * Guards against answers that leave so close before the objective that they reach the client
+   * Guards against answers that are sent so shortly before the objective that they reach the client
    * late. The answer margin has a lower limit, because the network delay does not depend on the
    * tick.
    */
--- a/src/test/java/dunlinhitch/balancer/SlowStartLoad.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartLoad.java
@@ -44,14 +44,14 @@
     meanWorkUs = site.workload().meanWorkUs();
   }
 
-  /** The work of the worst window of all started servers, as a fraction of the limit. */
+  /** Returns the work in the worst window of all started servers, as a fraction of the limit. */
   double worstWindow() {
     return worstWindow;
   }
 
   /**
-   * The same for windows filled mainly by brokers that had been notified of the start; only such
-   * brokers can comply with the rule.
+   * Like {@link #worstWindow}, restricted to windows whose work was sent mainly by brokers that had
+   * been notified of the start. Only such brokers can comply with the rule.
    */
   double worstWindowByNotified() {
     return worstWindowByNotified;
@@ -62,7 +62,10 @@
     return utilization;
   }
 
-  /** The work sent to the least loaded warm server, as a fraction of the mean. */
+  /**
+   * Returns the work sent to the least loaded warm server, as a fraction of the mean over all warm
+   * servers.
+   */
   double minWarmLoad() {
     return minWarmLoad;
   }
@@ -110,7 +113,7 @@
               / meanWorkUs;
       double share = windowUs / meanWorkUs / (allowed + 2 * Math.sqrt(allowed) + 2);
       worstWindow = Math.max(worstWindow, share);
-      // A window counts as filled by notified brokers if they sent over two thirds of its work.
+      // The window counts for notified brokers if they sent over two thirds of its work.
       if (notifiedUs > windowUs * 2 / 3) {
         worstWindowByNotified = Math.max(worstWindowByNotified, share);
       }
--- a/src/test/java/dunlinhitch/balancer/SlowStartScenario.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartScenario.java
@@ -7,8 +7,8 @@
   /** Half of all servers start simultaneously, including all servers of one cell. */
   HALF_START(false),
   /**
-   * One server starts. Later the other servers of its cell start draining, which all brokers learn
-   * at almost the same time.
+   * One server starts. Later the other servers of its cell start draining, and all brokers are
+   * notified of this at almost the same time.
    */
   LEFT_ALONE(true),
   /** One server starts. Later the query rate of all brokers quadruples at the same time. */
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
@@ -29,7 +29,7 @@
   private static final int PARTS = 4;
   private static final long SECOND_US = 1_000_000;
 
-  /** When the servers start; the time before is used to build up latency estimates. */
+  /** When the servers start. Before that, brokers build up latency estimates. */
   private static final long START_US = 8 * SECOND_US;
 
   private static final long SLOW_START_US = 10 * SECOND_US;
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Adds the brokers with log-normally distributed query rates, so that some have several times the
-   * mean.
+   * Adds the brokers with log-normally distributed query rates, so that the rates of some brokers
+   * are several times the mean.
    */
   private void addBrokers(double partsPerUs) {
     double[] weights = new double[brokerCount];
@@ -378,7 +378,7 @@
       return queryClass;
     }
 
-    @SuppressWarnings("ReferenceEquality") // the same call, not an equal one
+    @SuppressWarnings("ReferenceEquality") // this very call must be in flight, not an equal one
     boolean hasAbandoned(Call call) {
       return call.incarnation != incarnation || !call.equals(inFlight.get(call.part));
     }
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
@@ -10,7 +10,8 @@
 
 /**
  * Tests the total work that many brokers send to a warming server. A warming server fails if that
- * total exceeds its capacity, although each broker knows only its own sends.
+ * total exceeds its capacity, but each broker has information only about the work that it sends
+ * itself.
  */
 class SlowStartSimulationTest {
   private static final double[] EVEN_SHARES = {0.5, 0.5};
@@ -41,7 +42,9 @@
         String where = scenario + " of " + brokers + " brokers: ";
         assertTrue(
             simulation.load().worstWindow() <= 1,
-            where + simulation.load().worstWindow() + " times the work that the rule allows");
+            where
+                + simulation.load().worstWindow()
+                + " times the work that the rule allows in the worst window");
         assertTrue(
             simulation.load().minWarmLoad() > 0.3,
             where
@@ -97,7 +100,10 @@
         new SlowStartSimulation(SlowStartScenario.HALF_START, 100, 1, EXPENSIVE_CALLS).run();
     assertTrue(
         simulation.load().worstWindow() <= 1 && simulation.load().utilization() > 0.17,
-        "worst " + simulation.load().worstWindow() + ", used " + simulation.load().utilization());
+        "work in the worst window as a fraction of the limit: "
+            + simulation.load().worstWindow()
+            + ", work sent as a fraction of the capacity: "
+            + simulation.load().utilization());
     assertTrue(simulation.answeredShare() > 0.9, "answered: " + simulation.answeredShare());
   }
 
@@ -180,14 +186,14 @@
                     maxPerSecond,
                     sentAt.stream().filter(at -> at >= from && at < from + 1_000_000).count());
       }
-      // The budget at the end of the four seconds, in parts of 0.1 s of work.
+      // The budget per second at the end of the four seconds, in parts of 0.1 s of work.
       double allowed = 2 * (0.2 + 0.8 * 0.35) / 0.1;
       assertTrue(
           maxPerSecond >= 3 && maxPerSecond <= allowed + 2,
           processes
-              + " processes: at most "
+              + " processes sent at most "
               + maxPerSecond
-              + " parts in a second, allowed "
+              + " parts within a second, allowed: "
               + allowed);
     }
   }
--- a/src/test/java/dunlinhitch/balancer/SlowStartSite.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSite.java
@@ -8,7 +8,7 @@
    * @param workUs mean work of a part by class
    * @param classShares fraction of the queries by class
    * @param spread ratio of the standard deviation of the work to its mean
-   * @param callUs work of a call
+   * @param callUs overhead of a call, as work
    * @param load load as a fraction of the capacity of all servers
    */
   // Test constants that are never compared or hashed.
@@ -29,7 +29,7 @@
    *
    * @param overloadFactor multiple of its capacity at which it fails
    * @param initialShare fraction of its capacity when it starts
-   * @param fallUs time that it withstands such an overload
+   * @param fallUs time for which the server withstands such an overload
    */
   record Rule(double overloadFactor, double initialShare, long fallUs) {}
 }
--- a/src/test/java/dunlinhitch/balancer/SlowStartTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartTest.java
@@ -18,8 +18,8 @@
       balancer.query(0, CLIENT_TIMEOUT_US, 0);
       balancer.advance(25_000);
     }
-    // Overload factor 2 times 0.2 to 0.28 of one core during 1 s, shared by two brokers: at most
-    // three parts of 100 ms.
+    // The overload factor 2 times 0.2 to 0.28 of one core during 1 s is shared by two brokers, so
+    // each may send at most three parts of 100 ms.
     assertTrue(
         balancer.sends.size() >= 1 && balancer.sends.size() <= 3, "sent: " + balancer.sends.size());
   }
--- a/src/test/java/dunlinhitch/balancer/TokenBucketTest.java
+++ b/src/test/java/dunlinhitch/balancer/TokenBucketTest.java
@@ -8,7 +8,7 @@
 class TokenBucketTest {
   /**
    * If the phases of many buckets are evenly distributed, the buckets together admit exactly the
-   * rate at which they are filled, even if each one saves only a fraction of a call per window.
+   * rate at which they are filled, even if each bucket gains only a fraction of a call per window.
    */
   @Test
   void bucketsOfUnevenPhasesAdmitTheirSumInEachPeriod() {
