--- a/src/main/java/dunlinhitch/twophase/BlockSummaries.java
+++ b/src/main/java/dunlinhitch/twophase/BlockSummaries.java
@@ -7,16 +7,16 @@
 import org.roaringbitmap.RoaringBitmap;
 
 /**
- * Summaries of first answers: for each predicate, compressed bitmaps of the blocks that had no
- * matching records and of those that had some; for each block, the version of its data and the time
- * of its last answer.
+ * Summaries of the answers to first passes. For each predicate, there are compressed bitmaps of the
+ * blocks without matching records and of the blocks with matching records. For each block, there is
+ * the version of its data and the time of its last answer.
  *
  * <p>Bounded by a maximum number of blocks and a maximum number of predicates; the least recently
  * used predicate is evicted. A summary is only a hint, because two predicates may share a hash and
  * data may change. Owned by the planner; not thread-safe.
  *
  * <p>The transposed layout, with one bitmap of predicates for each block, would need a bitmap
- * container for nearly every hash; {@code lab measure summaries} compares the two.
+ * container for nearly every hash; {@code lab measure summaries} compares the two layouts.
  */
 public final class BlockSummaries {
   private static final int FNV_OFFSET_BASIS = 0x811c9dc5;
@@ -26,11 +26,12 @@
   private static final int MIN_CAPACITY = 64;
 
   /**
-   * Version hash of a block without a summary; those of real versions have their lowest bit set.
+   * Version hash of a block without a summary. It differs from the hashes of actual versions, whose
+   * lowest bit is set.
    */
   private static final int NO_VERSION = 0;
 
-  /** Size of a version hash and a time, for each block. */
+  /** Bytes per block for the version hash and the time of the last answer. */
   private static final long BYTES_PER_BLOCK = 12;
 
   /** What the summary of a block suggests for a predicate. */
@@ -52,7 +53,7 @@
   private final int maxPredicates;
   private final long maxAgeUs;
 
-  /** By the hash of the predicate, in access order. */
+  /** The bitmaps by the hash of their predicate, in access order. */
   private final Map<Integer, PredicateBitmaps> bitmapsByFeature =
       new LinkedHashMap<>(16, 0.75f, true);
 
@@ -96,7 +97,7 @@
       return;
     }
     ensureCapacity(block);
-    int versionHash = hash(version) | 1; // never NO_VERSION
+    int versionHash = hash(version) | 1; // the lowest bit distinguishes the hash from NO_VERSION
     if (versionHashes[block] != versionHash) {
       forget(block);
       versionHashes[block] = versionHash;
--- a/src/main/java/dunlinhitch/twophase/ClassEstimates.java
+++ b/src/main/java/dunlinhitch/twophase/ClassEstimates.java
@@ -6,7 +6,7 @@
 
 /**
  * The planner's estimates for one query class: latencies of both passes, the share of empty blocks,
- * the cost of a first pass, and whether pruning is closed after a failed audit.
+ * the cost of a first pass, and whether pruning is disabled after a failed audit.
  *
  * <p>Not thread-safe; owned by the {@link TwoPhasePlanner}.
  */
@@ -42,7 +42,9 @@
   /** The percentile of the full pass for which time must remain after the first pass. */
   private static final double SLOW_PERCENTILE = 90;
 
-  /** The percentile of first answers for which the first pass waits. */
+  /**
+   * The percentile of first-pass latencies that determines how long a first pass waits for answers.
+   */
   private static final double FIRST_PASS_PERCENTILE = 99;
 
   /**
@@ -61,8 +63,9 @@
   private final LatencyWindow firstPass = new LatencyWindow();
 
   /**
-   * Latencies of the first pass including answers that missed its end. The time limit derives from
-   * this window; without the missed answers it would shrink with each adjustment.
+   * Latencies of first passes, including answers that did not arrive before the end of their pass.
+   * The time limit of first passes is derived from this window; without the missed answers, the
+   * limit would shrink with each adjustment.
    */
   private final LatencyWindow firstPassWithTimeouts = new LatencyWindow();
 
@@ -82,7 +85,7 @@
     return settings;
   }
 
-  /** Whether both passes have been sampled often enough to decide by the estimates. */
+  /** Whether there are enough samples of both passes for a decision based on the estimates. */
   boolean isSampled() {
     return firstPass.count() >= MIN_SAMPLES && isFullPassSampled();
   }
@@ -91,12 +94,15 @@
     return fullPass.count() >= MIN_SAMPLES;
   }
 
-  /** Exponentially decayed share of first answers without records. */
+  /** Returns the exponentially decayed share of first answers that reported no matching records. */
   double emptyShare() {
     return emptyShare;
   }
 
-  /** Cost of a first pass as a share of the full work; 0 while there are too few samples. */
+  /**
+   * Returns the cost of a first pass as a fraction of the cost of a full pass; 0 while there are
+   * too few samples.
+   */
   double costRatio() {
     return isSampled() ? costRatio : 0;
   }
@@ -141,8 +147,8 @@
   }
 
   /**
-   * Handles a first answer that missed the end of its pass; its latency is only known to exceed
-   * {@code waitedUs}.
+   * Handles a first answer that did not arrive before the end of its pass. Its latency is only
+   * known to exceed {@code waitedUs}.
    */
   void onFirstAnswerTimeout(long nowUs, long waitedUs) {
     firstPassWithTimeouts.record(nowUs, LATENCY_HEADROOM * waitedUs);
@@ -169,12 +175,12 @@
     costRatio = queued ? Math.min(costRatio, ratio) : ratio;
   }
 
-  /** Whether pruning is closed after a failed audit. */
+  /** Whether pruning is disabled after a failed audit. */
   boolean isClosed(long nowUs) {
     return nowUs < closedUntilUs;
   }
 
-  /** Closes pruning for the configured time, counted from now. */
+  /** Disables pruning for the configured time from now on. */
   void close(long nowUs) {
     closedUntilUs = nowUs + settings.closeDurationUs();
   }
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlan.java
@@ -27,9 +27,9 @@
     DOES_NOT_PAY,
     /** One phase: the time that remains after a first pass is too short for the full pass. */
     TOO_LITTLE_TIME,
-    /** One phase: pruning is closed after a failed audit. */
+    /** One phase: pruning is disabled after a failed audit. */
     CLOSED,
-    /** One phase: no shard of the query supports first passes on all of its replicas. */
+    /** One phase: each shard of the query has a replica that does not support first passes. */
     ONE_PHASE_STORES,
     /** One phase: according to the summaries, every eligible block has matching records. */
     KNOWN_FULL
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
@@ -55,9 +55,9 @@
    *
    * @param queryClass name of the class
    * @param emptyShare estimated share of empty blocks
-   * @param costRatio cost of a first pass as a share of the full work; 0 while unknown
-   * @param paysOff whether two phases paid off according to the last decision
-   * @param closed whether pruning is closed after a failed audit
+   * @param costRatio cost of a first pass as a fraction of the cost of a full pass; 0 while unknown
+   * @param paysOff whether two phases were expected to pay off at the last decision
+   * @param closed whether pruning is disabled after a failed audit
    * @param planCounts number of plans for each reason, since the start
    */
   public record ClassStatus(
@@ -77,7 +77,8 @@
    * Creates a planner.
    *
    * @param settings one entry for each class whose queries may run in two phases
-   * @param random source of trials and audits; drawn from only by this planner's calls
+   * @param random random source for the selection of trials and audits; not used by any other
+   *     object
    */
   public TwoPhasePlanner(Collection<TwoPhaseSettings> settings, RandomGenerator random) {
     for (TwoPhaseSettings classSettings : settings) {
@@ -92,8 +93,8 @@
   }
 
   /**
-   * Returns the cost of a first pass as a share of the full work; 0 while there are too few
-   * samples. Two phases must be {@linkplain #isEnabled enabled} for the class.
+   * Returns the cost of a first pass as a fraction of the cost of a full pass; 0 while there are
+   * too few samples. Two phases must be {@linkplain #isEnabled enabled} for the class.
    */
   public double costRatio(String queryClass) {
     return estimatesByClass.get(queryClass).costRatio();
@@ -215,7 +216,8 @@
   /**
    * Handles the end of a first pass. A block is pruned only if its own answer within this query
    * reported no matching records. If audits are enabled, at least one block is queried in full. The
-   * blocks most likely to have records come first.
+   * blocks to be queried in full are ordered by their likelihood of having records, the most likely
+   * first.
    *
    * @param nowUs the current time
    * @param queryClass name of the query's class
@@ -230,7 +232,7 @@
       Collection<Integer> firstPassShards,
       Map<Integer, FirstAnswer> answers) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
-    // pruning may have closed while this pass was in flight
+    // pruning may have been disabled while this first pass was in flight
     boolean closed = estimates == null || estimates.isClosed(nowUs);
     List<Integer> full = new ArrayList<>();
     Set<Integer> pruned = new HashSet<>();
@@ -270,7 +272,10 @@
                 likelihood(nowUs, left, feature, answers)));
   }
 
-  /** Ranks a block by its number of records, or by its summary if it has not answered. */
+  /**
+   * Ranks a block by the number of records in its first answer, or by its summary if it has not
+   * answered.
+   */
   private long likelihood(long nowUs, int shard, int feature, Map<Integer, FirstAnswer> answers) {
     FirstAnswer answer = answers.get(shard);
     if (answer != null) {
@@ -289,9 +294,9 @@
    * @param nowUs the current time
    * @param queryClass name of the query's class
    * @param shard the audited block
-   * @param confirmed whether the full answer equals the empty value of its first answer
-   * @return true if this audit failed and closed pruning; false if the audit passed or pruning was
-   *     already closed
+   * @param confirmed whether the full answer equals the empty value of the block's first answer
+   * @return true if this audit failed and pruning is disabled as a result; false if the audit
+   *     passed or pruning was already disabled
    */
   public boolean onAuditAnswer(long nowUs, String queryClass, int shard, boolean confirmed) {
     ClassEstimates estimates = estimatesByClass.get(queryClass);
--- a/src/main/java/dunlinhitch/twophase/TwoPhaseSettings.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhaseSettings.java
@@ -5,14 +5,14 @@
  *
  * @param queryClass name of the query class
  * @param firstPassShare maximum share of the time until the latency objective (or the deadline, if
- *     that is earlier) that the first pass may take; neither 0 nor 1
+ *     that is earlier) that the first pass may take; above 0 and below 1
  * @param minBlocks minimum number of blocks for two phases; at least 2
  * @param trialShare share of queries that run in two phases as a trial while two phases are not
  *     expected to pay off
  * @param auditShare share of the prunable blocks that are queried in full nevertheless, to verify
  *     that they are empty
  * @param minSavings minimum share of the full work that two phases must save to be used
- * @param closeDurationUs how long pruning stays closed after a failed audit, in microseconds
+ * @param closeDurationUs how long pruning stays disabled after a failed audit, in microseconds
  */
 public record TwoPhaseSettings(
     String queryClass,
@@ -36,7 +36,19 @@
         || closeDurationUs < 0) {
       throw new IllegalArgumentException(
           "two-phase settings out of range: expected 0 < firstPassShare < 1, minBlocks >= 2,"
-              + " trialShare and auditShare from 0 to 1, 0 <= minSavings < 1 and closeDurationUs >= 0");
+              + " trialShare and auditShare from 0 to 1, 0 <= minSavings < 1 and closeDurationUs >= 0;"
+              + " got firstPassShare "
+              + firstPassShare
+              + ", minBlocks "
+              + minBlocks
+              + ", trialShare "
+              + trialShare
+              + ", auditShare "
+              + auditShare
+              + ", minSavings "
+              + minSavings
+              + ", closeDurationUs "
+              + closeDurationUs);
     }
   }
 
--- a/src/test/java/dunlinhitch/twophase/TwoPhasePlannerTest.java
+++ b/src/test/java/dunlinhitch/twophase/TwoPhasePlannerTest.java
@@ -31,7 +31,7 @@
         new SplittableRandom(4));
   }
 
-  /** Feeds 400 answers of each pass, with the given share of empty blocks. */
+  /** Passes 400 answers of each pass to the planner, with the given share of empty blocks. */
   private void trainEstimates(TwoPhasePlanner planner, double empty, long firstUs, long fullUs) {
     for (int i = 0; i < 400; i++) {
       planner.onFirstAnswer(
@@ -67,8 +67,8 @@
         "the first pass takes at most its share of the time");
     assertEquals(Reason.TOO_LITTLE_TIME, plan(planner, all, 150_000).reason());
     assertTrue(
-        planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "a failed audit closes pruning");
-    assertFalse(planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "pruning is already closed");
+        planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "a failed audit disables pruning");
+    assertFalse(planner.onAuditAnswer(nowUs, QUERY_CLASS, 3, false), "pruning is already disabled");
     assertEquals(Reason.CLOSED, plan(planner, all, SECOND_US).reason());
     nowUs += 11 * SECOND_US;
     assertEquals(Reason.TWO_PHASES, plan(planner, all, SECOND_US).reason());
