--- a/src/main/java/dunlinhitch/concurrent/SnapshotReference.java
+++ b/src/main/java/dunlinhitch/concurrent/SnapshotReference.java
@@ -20,7 +20,10 @@
     latest = new AtomicReference<>(new Snapshot<>(0, initial));
   }
 
-  /** Returns the latest snapshot. A decision must read the snapshot once and use it throughout. */
+  /**
+   * Returns the latest snapshot. A caller must call this once per decision and use the returned
+   * snapshot throughout.
+   */
   public Snapshot<T> latest() {
     return latest.get();
   }
--- a/src/main/java/dunlinhitch/simulator/BatchDecoder.java
+++ b/src/main/java/dunlinhitch/simulator/BatchDecoder.java
@@ -23,17 +23,17 @@
 final class BatchDecoder {
   /** Receives the decoded records in the order of the batch, on the decoding thread. */
   interface Handler {
-    /** An instance starts. */
+    /** Called when an instance starts. */
     void onInstanceStarted(int instance, long seed, String settings);
 
-    /** An instance stops; further records for it are ignored. */
+    /** Called when an instance stops; further records for it are ignored. */
     void onInstanceStopped(int instance);
 
-    /** An event for a running instance. */
+    /** Called for each event of a running instance. */
     void onEvent(int instance, BalancerEvent event);
   }
 
-  /** Attribute bit of arrived work: its hint is valid. */
+  /** Attribute bit of an arrived query or part: the client's hint is valid. */
   private static final int ATTRIBUTE_HINT_VALID = 1;
 
   /** Attribute bit of an arrived query: the client marked it as a retry. */
@@ -42,7 +42,7 @@
   /** Encoded size of one entry of a server-list page. */
   private static final int SERVER_ENTRY_BYTES = 22;
 
-  /** Kinds of a server-list update. */
+  /** Codes for the kind of a server-list update. */
   private static final int LIST_DELTA = 0;
 
   private static final int LIST_FULL = 1;
@@ -71,7 +71,14 @@
         int code = unsignedByte(buffer);
         int length = buffer.getInt();
         if (length < 0 || length > buffer.remaining()) {
-          throw new MalformedFrameException("record " + i + " extends beyond the end of its frame");
+          throw new MalformedFrameException(
+              "record "
+                  + i
+                  + " has length "
+                  + length
+                  + ", but only "
+                  + buffer.remaining()
+                  + " bytes remain in its frame");
         }
         ByteBuffer fields = buffer.slice(buffer.position(), length).order(ByteOrder.LITTLE_ENDIAN);
         buffer.position(buffer.position() + length);
@@ -81,7 +88,8 @@
       throw new MalformedFrameException("a record has fewer bytes than its fields require");
     }
     if (buffer.hasRemaining()) {
-      throw new MalformedFrameException("the frame has bytes after its last record");
+      throw new MalformedFrameException(
+          "the frame has " + buffer.remaining() + " bytes after its last record");
     }
   }
 
@@ -230,7 +238,7 @@
     return new String(bytes, StandardCharsets.UTF_8);
   }
 
-  /** Decodes the load report; it is empty if the record ends before it. */
+  /** Decodes the load report; returns an empty array if the record ends before the report. */
   private static float[] decodeLoadReport(ByteBuffer fields) {
     float[] values = new float[fields.hasRemaining() ? unsignedByte(fields) : 0];
     for (int i = 0; i < values.length; i++) {
--- a/src/test/java/dunlinhitch/concurrent/HandOffTest.java
+++ b/src/test/java/dunlinhitch/concurrent/HandOffTest.java
@@ -61,7 +61,10 @@
     check(SnapshotReferenceCalls.class);
   }
 
-  /** Lost update: two threads read the same version and both write the next one. */
+  /**
+   * Incorrect variant (lost update): two threads can read the same version and both write the next
+   * one.
+   */
   @SuppressWarnings("NonAtomicVolatileUpdate") // the mistake that the model checker must find
   public static class PublishWithLostUpdate {
     private volatile long version;
@@ -73,7 +76,7 @@
     }
   }
 
-  /** Check-then-set: an older version replaces a newer one. */
+  /** Incorrect variant (check, then set): an older version can replace a newer one. */
   @Param(name = "version", gen = IntGen.class, conf = "1:3")
   public static class PublishWithCheckThenSet {
     private volatile int latest;
@@ -131,8 +134,8 @@
   }
 
   /**
-   * Check-then-set: two threads may both consume the result, or one may consume a result that the
-   * other has cancelled.
+   * Incorrect variant (check, then set): two threads can consume the same result, or one thread can
+   * consume a result that the other has cancelled.
    */
   @Param(name = "result", gen = IntGen.class, conf = "1:3")
   public static class PendingResultWithCheckThenSet {
@@ -197,7 +200,8 @@
   }
 
   /**
-   * Check-then-set: checks for a stop request before the resource is visible to the other thread.
+   * Incorrect variant (check, then set): checks for a stop request before the resource is visible
+   * to the other thread.
    */
   public static class DeferredStopWithCheckThenSet {
     private final AtomicBoolean resourceStopped = new AtomicBoolean();
@@ -263,7 +267,10 @@
     check(OpenResourceCounterCalls.class);
   }
 
-  /** Two threads that count concurrently may both subtract the same released resource. */
+  /**
+   * Incorrect variant: two threads that count concurrently can both subtract the same released
+   * resource.
+   */
   public static class CounterWithDoubleSubtraction {
     private final AtomicInteger open = new AtomicInteger(1);
     private final Queue<Integer> closed = new ConcurrentLinkedQueue<>();
