--- a/src/main/java/dunlinhitch/scoring/CircuitBreaker.java
+++ b/src/main/java/dunlinhitch/scoring/CircuitBreaker.java
@@ -13,10 +13,10 @@
  * are in microseconds of a monotonic clock.
  */
 public final class CircuitBreaker {
-  /** The shortest backoff as a fraction of the full one. */
+  /** The shortest backoff as a fraction of the longest one. */
   private static final double MIN_BACKOFF_SHARE = 0.8;
 
-  /** The random part of the backoff as a fraction of the full one. */
+  /** The random part of the backoff as a fraction of the longest one. */
   private static final double JITTER = 0.2;
 
   private final CircuitBreakerSettings settings;
@@ -74,15 +74,15 @@
   }
 
   /**
-   * Records a round that exceeded the limit of processor time; returns true if the consecutive slow
-   * rounds amount to a failure.
+   * Records a round that exceeded the limit of processor time; returns true if there were enough
+   * consecutive slow rounds to count as a failure.
    */
   public boolean onSlowRound() {
     consecutiveSlowRounds++;
     return consecutiveSlowRounds >= settings.slowRoundsPerFailure();
   }
 
-  /** Closes the circuit breaker, because the scorer's jar or parameters may have changed. */
+  /** Closes the circuit breaker. Called when the scorer's jar or parameters may have changed. */
   public void reset() {
     consecutiveFailures = 0;
     consecutiveSuccesses = 0;
--- a/src/main/java/dunlinhitch/scoring/CircuitBreakerSettings.java
+++ b/src/main/java/dunlinhitch/scoring/CircuitBreakerSettings.java
@@ -26,13 +26,13 @@
         || slowRoundsPerFailure < 1) {
       throw new IllegalArgumentException(
           "baseBackoffUs must be positive, maxBackoffUs at least baseBackoffUs, and"
-              + " successesPerRecovery and slowRoundsPerFailure at least 1; got "
+              + " successesPerRecovery and slowRoundsPerFailure at least 1; got baseBackoffUs "
               + baseBackoffUs
-              + ", "
+              + ", maxBackoffUs "
               + maxBackoffUs
-              + ", "
+              + ", successesPerRecovery "
               + successesPerRecovery
-              + ", "
+              + ", slowRoundsPerFailure "
               + slowRoundsPerFailure);
     }
   }
--- a/src/main/java/dunlinhitch/scoring/DampingSettings.java
+++ b/src/main/java/dunlinhitch/scoring/DampingSettings.java
@@ -5,8 +5,8 @@
  * to one endpoint (a herd effect).
  *
  * @param gain fraction of the distance to the target value that a factor's logarithm moves in a
- *     round. This is the mean over all brokers: each draws its gain from 0.5 to 1.5 times this
- *     value
+ *     round. This is the mean over all brokers; each broker draws its own gain from 0.5 to 1.5
+ *     times this value
  * @param step maximum change of the logarithm in a round
  * @param maxOffset maximum of the constant random offset of the logarithm that a broker draws for
  *     each target
@@ -22,16 +22,19 @@
   public DampingSettings {
     if (!(gain > 0 && gain <= 1) || !(step > 0) || !(maxOffset >= 0 && maxOffset < 1)) {
       throw new IllegalArgumentException(
-          "gain must be above 0 and at most 1, step positive and maxOffset from 0 to below 1, got "
+          "gain must be above 0 and at most 1, step positive and maxOffset from 0 to below 1; got gain "
               + gain
-              + ", "
+              + ", step "
               + step
-              + ", "
+              + ", maxOffset "
               + maxOffset);
     }
   }
 
-  /** Maximum change of a factor's logarithm while information is propagated with that delay. */
+  /**
+   * Returns the maximum change of a factor's logarithm during the time {@code staleUs} that
+   * information takes to propagate.
+   */
   public double maxChangeWithin(long staleUs, long roundUs) {
     return step * Math.ceil((double) staleUs / roundUs);
   }
--- a/src/main/java/dunlinhitch/scoring/Failure.java
+++ b/src/main/java/dunlinhitch/scoring/Failure.java
@@ -9,11 +9,11 @@
   NOT_THERE(
       "no jar in the directory provides a scorer of this name",
       "add its jar or correct the name in [scorer NAME], then send SIGHUP"),
-  /** Loading or initializing it failed. */
+  /** Loading or initializing the scorer failed. */
   WILL_NOT_LOAD(
       "it could not be loaded or initialized",
       "check the reason (for example a missing class or a rejected parameter), install a corrected jar and send SIGHUP"),
-  /** It was built for a later version of the scorer interface. */
+  /** The scorer was built for a later version of the scorer interface. */
   LATER_API(
       "it requires a later version of the scorer interface",
       "install a build for this version, or upgrade the broker"),
@@ -33,10 +33,10 @@
   NEVER_RETURNS(
       "a call did not return within its time limit",
       "its thread remains until the call returns: remove the jar, and restart the broker if too many such threads remain"),
-  /** It exceeded the memory limit. */
+  /** The scorer exceeded the memory limit. */
   HOLDS_MEMORY(
       "it exceeded the memory limit",
-      "reduce the memory that it allocates and retains; its memory is released with it, and the broker retries it after a backoff");
+      "reduce the memory that it allocates and retains; its memory is freed when it is unloaded, and the broker retries it after a backoff");
 
   private final String description;
   private final String remedy;
--- a/src/main/java/dunlinhitch/scoring/JudgementValidator.java
+++ b/src/main/java/dunlinhitch/scoring/JudgementValidator.java
@@ -22,14 +22,17 @@
   private static String findProblem(Round round, List<Judgement> judgements) {
     int expected = round.candidates().size();
     if (judgements == null) {
-      return "null instead of judgements for " + expected + " candidates";
+      return "the scorer returned null, expected "
+          + expected
+          + " judgements, one for each candidate";
     }
     if (judgements.size() != expected) {
-      return judgements.size() + " judgements for " + expected + " candidates";
+      return judgements.size() + " judgements, expected " + expected + ", one for each candidate";
     }
     for (Judgement judgement : judgements) {
       if (!isValid(judgement)) {
-        return "invalid judgement " + judgement;
+        return "factor and weight must be positive and finite, and evidence must not be negative; got "
+            + judgement;
       }
     }
     return "";
--- a/src/main/java/dunlinhitch/scoring/Scoring.java
+++ b/src/main/java/dunlinhitch/scoring/Scoring.java
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Records a completed attempt. Only the latest attempts of a round are retained; one sent to an
-   * earlier incarnation of the endpoint is ignored.
+   * Records a completed attempt. Only the latest attempts of a round are retained. An attempt that
+   * was sent to an earlier incarnation of the endpoint is ignored.
    */
   public void onAttemptCompleted(String store, int queryClass, Ending attempt) {
     TargetState state = states.get(new WeightTarget(store, queryClasses.get(queryClass).name()));
@@ -114,7 +114,8 @@
   }
 
   /**
-   * The scorer's input, one round for each query class. The retained attempts are moved into it.
+   * Returns the scorer's input: one round for each query class. The retained attempts are moved
+   * into these rounds.
    */
   public List<Round> rounds(long nowUs, long wallClockUs) {
     Map<WeightTarget, FleetWeight> merged =
--- a/src/main/java/dunlinhitch/scoring/ScoringSettings.java
+++ b/src/main/java/dunlinhitch/scoring/ScoringSettings.java
@@ -19,9 +19,9 @@
   public ScoringSettings {
     if (roundUs <= 0 || maxAttemptsPerRound < 1) {
       throw new IllegalArgumentException(
-          "roundUs must be positive and maxAttemptsPerRound at least 1, got "
+          "roundUs must be positive and maxAttemptsPerRound at least 1; got roundUs "
               + roundUs
-              + ", "
+              + ", maxAttemptsPerRound "
               + maxAttemptsPerRound);
     }
   }
--- a/src/main/java/dunlinhitch/scoring/SharedWeights.java
+++ b/src/main/java/dunlinhitch/scoring/SharedWeights.java
@@ -21,30 +21,38 @@
  * <p>Uses no clock, I/O or threads. Not thread-safe. Times are in microseconds of the wall clock.
  */
 public final class SharedWeights {
-  /** Result of merging a received entry; the first five are those of {@link ReplicatedMap}. */
+  /**
+   * Result of merging a received entry; the first five constants correspond to the merge results of
+   * {@link ReplicatedMap}.
+   */
   public enum MergeResult {
-    /** It replaced an older entry of its origin or was the first one. */
+    /** The entry replaced an older one of its origin, or was the first one of its origin. */
     NEWS,
-    /** It was already present. */
+    /** The entry was already present. */
     KNOWN,
-    /** It was older than the existing entry, or expired. */
+    /** The entry was older than the existing one, or expired. */
     OLD,
-    /** Its timestamp was ahead of this broker's clock by more than the clock skew allowed. */
+    /**
+     * The entry's timestamp was ahead of this broker's clock by more than the permitted clock skew.
+     */
     FROM_THE_FUTURE,
-    /** It was rejected because the map had reached a size limit. */
+    /** The entry was rejected because the map had reached a size limit. */
     CROWDED_OUT,
-    /** Its origin was this broker. */
+    /** The entry's origin was this broker. */
     OWN,
-    /** Its scorer had another name, version or parameters. */
+    /** The entry's scorer had another name, version or parameters. */
     OTHER_SCORER,
-    /** Its value was outside the bounds that every correct broker observes. */
+    /** The entry's value was outside the bounds that every correct broker observes. */
     BEYOND_BELIEF
   }
 
-  /** An own entry is refreshed this many times per half-life even if it has not changed. */
+  /**
+   * Number of times per half-life that an entry of this broker is refreshed, even if it has not
+   * changed.
+   */
   private static final int REFRESHES_PER_HALF_LIFE = 4;
 
-  /** An own entry is refreshed if its evidence has grown by this factor. */
+  /** An entry of this broker is refreshed if its evidence has grown by this factor. */
   private static final int EVIDENCE_GROWTH = 2;
 
   private static final long MICROS_PER_MILLI = 1_000;
--- a/src/main/java/dunlinhitch/scoring/TargetState.java
+++ b/src/main/java/dunlinhitch/scoring/TargetState.java
@@ -15,7 +15,10 @@
 
   private final Deque<Ending> completedAttempts = new ArrayDeque<>();
 
-  /** Decayed number of attempts shown to the scorer; the upper bound of its evidence. */
+  /**
+   * Decayed number of attempts shown to the scorer; the evidence of the scorer's weight is limited
+   * to this number.
+   */
   private double shownEvidence;
 
   private long decayedAtUs;
@@ -60,7 +63,7 @@
   }
 
   /**
-   * Moves the factor towards the target. The first one is applied without damping, because the
+   * Moves the factor towards the target. The first target is applied without damping, because the
    * cluster has already converged on it.
    */
   void moveFactor(double targetLog, FactorDamping damping) {
--- a/src/main/java/dunlinhitch/scoring/TrimmedMean.java
+++ b/src/main/java/dunlinhitch/scoring/TrimmedMean.java
@@ -22,8 +22,8 @@
   private TrimmedMean() {}
 
   /**
-   * Merges the reports; if they have less evidence than the minimum number of origins at full
-   * evidence, the rest counts as evidence for a weight of 1.
+   * Merges the reports. If their total evidence is less than that of the minimum number of origins
+   * with full evidence, the missing evidence counts as evidence for a weight of 1.
    */
   static FleetWeight of(List<WeightReport> reports, WeightMergeSettings settings) {
     double reported = reports.stream().mapToDouble(WeightReport::evidence).sum();
--- a/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
+++ b/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
@@ -41,16 +41,15 @@
         || !(updateThreshold > 0)) {
       throw new IllegalArgumentException(
           "halfLifeUs, maxEvidence and updateThreshold must be positive, minOrigins at least 1"
-              + " and trim from 0 to below 0.5; got halfLifeUs, maxEvidence, minOrigins, trim,"
-              + " updateThreshold = "
+              + " and trim from 0 to below 0.5; got halfLifeUs "
               + halfLifeUs
-              + ", "
+              + ", maxEvidence "
               + maxEvidence
-              + ", "
+              + ", minOrigins "
               + minOrigins
-              + ", "
+              + ", trim "
               + trim
-              + ", "
+              + ", updateThreshold "
               + updateThreshold);
     }
   }
--- a/src/main/java/dunlinhitch/scoring/host/HostLimits.java
+++ b/src/main/java/dunlinhitch/scoring/host/HostLimits.java
@@ -7,9 +7,10 @@
  *
  * @param round limits of one round
  * @param loadTimeoutUs time limit for locating, loading and initializing a scorer
- * @param maxAbandonedThreads number of abandoned threads that have not ended at which no further
- *     scorer is loaded
- * @param mailboxCapacity number of queued messages from which on new ones are dropped and counted
+ * @param maxAbandonedThreads number of abandoned threads that are still running from which on no
+ *     further scorer is loaded
+ * @param mailboxCapacity capacity of the queue of messages; further messages are dropped and
+ *     counted
  * @param circuitBreaker backoff after failures
  */
 public record HostLimits(
--- a/src/main/java/dunlinhitch/scoring/host/JarClassLoader.java
+++ b/src/main/java/dunlinhitch/scoring/host/JarClassLoader.java
@@ -21,8 +21,8 @@
 
 /**
  * Loads the classes of one plug-in's jar from memory. The file may be overwritten or removed while
- * they are in use, no file descriptor remains open, and all classes are garbage collected with the
- * last reference to the loader.
+ * its classes are in use, no file descriptor remains open, and all classes are garbage collected
+ * with the last reference to the loader.
  */
 final class JarClassLoader extends ClassLoader {
   /** Size limit of a jar file. */
@@ -67,7 +67,8 @@
     try {
       return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
     } catch (NoSuchAlgorithmException e) {
-      throw new IllegalStateException("every Java platform must support SHA-256", e);
+      throw new IllegalStateException(
+          "SHA-256 is not available, although every Java platform must support it", e);
     }
   }
 
@@ -116,7 +117,7 @@
       return new URLConnection(url) {
         @Override
         public void connect() {
-          // nothing to connect to: the bytes are in memory
+          // No connection is needed, because the bytes are in memory.
         }
 
         @Override
--- a/src/main/java/dunlinhitch/scoring/host/ScorerCall.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerCall.java
@@ -32,7 +32,7 @@
     this.task = task;
   }
 
-  /** When the supervisor abandons the call. */
+  /** Returns the time at which the supervisor abandons the call. */
   long deadlineUs() {
     return deadlineUs;
   }
@@ -77,7 +77,7 @@
     } catch (OutOfMemoryError e) {
       failure = Failure.HOLDS_MEMORY;
       reason = "the heap was full during the call";
-    } catch (Throwable e) { // no throwable of the plug-in may end the thread, only the call
+    } catch (Throwable e) { // a throwable of the plug-in ends the call but not the thread
       failure = failureOnException;
       reason = e.getClass().getName() + messageOf(e);
     }
--- a/src/main/java/dunlinhitch/scoring/host/ScorerLocator.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerLocator.java
@@ -31,8 +31,8 @@
    * Locates the scorer of the configured name. Runs code of the plug-in, so it must be called on
    * the scorer's thread.
    *
-   * @throws LoadException if there is none; if a jar was unreadable, with the problem of the first
-   *     such jar
+   * @throws LoadException if there is no such scorer; if jars were unreadable, the message
+   *     describes the problem of the first of them
    */
   static LoadedScorer locate(ScorerSettings settings) throws LoadException {
     return new ScorerLocator(settings).locate();
@@ -65,7 +65,8 @@
       LoadedScorer candidate = load(loader, loader.digest());
       if (candidate != null && located != null) {
         throw new LoadException(
-            Failure.WILL_NOT_LOAD, "two jars provide it, one of them " + jar.getFileName());
+            Failure.WILL_NOT_LOAD,
+            "two jars provide the scorer, one of them is " + jar.getFileName());
       }
       located = candidate == null ? located : candidate;
     } catch (IOException e) {
@@ -103,9 +104,9 @@
     if (api < 1 || api > ScoringApi.VERSION) {
       throw new LoadException(
           Failure.LATER_API,
-          "it requires interface version "
+          "the scorer requires interface version "
               + api
-              + ", this broker supports version "
+              + ", but this broker supports version "
               + ScoringApi.VERSION);
     }
   }
@@ -114,7 +115,7 @@
     if (version == null || version.isEmpty() || version.length() > MAX_VERSION_LENGTH) {
       throw new LoadException(
           Failure.WILL_NOT_LOAD,
-          "its version must have 1 to " + MAX_VERSION_LENGTH + " characters");
+          "the version of the scorer must have 1 to " + MAX_VERSION_LENGTH + " characters");
     }
   }
 }
--- a/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
@@ -264,14 +264,14 @@
       eject(
           nowUs,
           Failure.HOLDS_MEMORY,
-          "the heap is nearly full and it has allocated "
+          "the heap is nearly full and the scorer has allocated "
               + allocatedBytes
               + " bytes since it was loaded");
     } else if (slow && circuitBreaker.onSlowRound()) {
       eject(
           nowUs,
           Failure.SLOW,
-          call.cpuTimeUs() + " µs of processor time in a round, after earlier slow rounds");
+          "a round used " + call.cpuTimeUs() + " µs of processor time, after earlier slow rounds");
     } else {
       String problem = scoring.applyJudgements(wallClockUs, round.rounds, call.result());
       if (problem.isEmpty()) {
@@ -291,7 +291,7 @@
     publish();
   }
 
-  @SuppressWarnings("ReferenceEquality") // the task returns the same object if nothing changed
+  @SuppressWarnings("ReferenceEquality") // LoadTask returns the same object if nothing changed
   private void onLoadCompleted(long nowUs, PendingLoad load) {
     ScorerCall<LoadedScorer> call = load.call;
     boolean unchanged = call.failure() == null && call.result() == load.activeAtStart;
@@ -357,8 +357,8 @@
   }
 
   /**
-   * Drops all references to classes of the active scorer, whose own thread closes it and ends. Has
-   * no effect without an active scorer.
+   * Drops all references to classes of the active scorer. The scorer's own thread closes the scorer
+   * and then ends. Has no effect if there is no active scorer.
    */
   private void release() {
     if (activeThread != null) {
--- a/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
+++ b/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Records that the weights, which had the given version, were replaced by those of another
-   * scorer.
+   * Records that the current weights, which have the given version, are replaced by the weights of
+   * another scorer.
    */
   void onWeightsReplaced(long version) {
     earlierWeightVersions += version;
--- a/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
@@ -17,8 +17,8 @@
  * Peak EWMA: the latency estimate of an endpoint rises immediately with a slow response and decays
  * exponentially with fast ones. The factor is the square root of the ratio of the estimate to the
  * geometric mean of its cell; the root limits the effect because the wait behind outstanding work
- * is predicted separately. It shares no weights, because a latency depends on the network path as
- * much as on the endpoint.
+ * is predicted separately. The scorer shares no weights, because a latency depends on the network
+ * path as much as on the endpoint.
  *
  * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
@@ -58,7 +58,8 @@
       decayTimeUs = Double.parseDouble(parameters.get(DECAY_PARAMETER)) * MICROS_PER_SECOND;
       if (!(decayTimeUs > 0)) {
         throw new IllegalArgumentException(
-            "the parameter life must be a positive number of seconds");
+            "the parameter life must be a positive number of seconds, got "
+                + parameters.get(DECAY_PARAMETER));
       }
     }
   }
@@ -92,7 +93,10 @@
     return judgements;
   }
 
-  /** The estimate after the attempts of this round; null without an attempt at this incarnation. */
+  /**
+   * Returns the estimate after the attempts of this round; null if there was no attempt at this
+   * incarnation of the endpoint.
+   */
   private LatencyEstimate update(LatencyEstimate previous, Candidate candidate) {
     boolean sameIncarnation = previous != null && previous.startedMs == candidate.startedMs();
     LatencyEstimate estimate = sameIncarnation ? previous : null;
--- a/src/main/java/dunlinhitch/scoring/shipped/StorePace.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/StorePace.java
@@ -15,10 +15,10 @@
 import java.util.Set;
 
 /**
- * Estimates the ratio of actual to predicted latency of an endpoint. It exceeds 1 if the load
- * report is wrong or the machine is slower than others. The ratio observed by this broker is shared
- * as a weight; the factor combines it with the weight of the other brokers, relative to the mean of
- * the cell.
+ * Estimates the ratio of actual to predicted latency of an endpoint. The ratio exceeds 1 if the
+ * load report is wrong or the machine is slower than others. The ratio observed by this broker is
+ * shared as a weight; the factor combines this ratio with the weight of the other brokers, and is
+ * relative to the mean of the cell.
  *
  * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
--- a/src/test/java/dunlinhitch/scoring/CircuitBreakerTest.java
+++ b/src/test/java/dunlinhitch/scoring/CircuitBreakerTest.java
@@ -34,7 +34,8 @@
     assertTrue(breaker.retryAtUs() <= 1_000);
     breaker.reset();
     breaker.onFailure(0, Failure.SLOW, "", 2);
-    assertTrue(breaker.retryAtUs() > 1_000); // other brokers ejected it too
+    // The backoff is longer because two other brokers ejected the scorer.
+    assertTrue(breaker.retryAtUs() > 1_000);
     assertFalse(breaker.onSlowRound());
     assertTrue(breaker.onSlowRound());
     assertEquals(10, breaker.count(Failure.THROWS));
--- a/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
+++ b/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
@@ -42,8 +42,8 @@
     Random random = new Random(seed);
     List<ReplicatedEntry<WeightKey, Weight>> entries = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
-      long atUs =
-          NOW - random.nextInt(40) * 1_000_000L; // an origin has one entry for each timestamp
+      long atUs = NOW - random.nextInt(40) * 1_000_000L;
+      // The value depends on atUs, because entries of one origin with the same timestamp are equal.
       double value = 0.25 + 3.75 * new Random(seed + atUs).nextDouble();
       entries.add(
           entry("n" + random.nextInt(9), "s" + random.nextInt(3), atUs, value, 1 + value, 0));
@@ -66,7 +66,8 @@
     }
     weights.merge(NOW, entry("n0", "s1", NOW, 4, 64, 0));
     assertEquals(4, merged(weights, "s0"), 1e-9);
-    assertEquals(1, merged(weights, "s1"), 1e-9); // a single report is trimmed
+    // The report of a single broker is trimmed off.
+    assertEquals(1, merged(weights, "s1"), 1e-9);
     weights.merge(NOW, entry("n1", "s1", NOW, 4, 64, 0));
     assertEquals(Math.pow(4, 1 / 6.0), merged(weights, "s1"), 1e-9);
   }
@@ -100,10 +101,10 @@
         MergeResult.FROM_THE_FUTURE,
         weights.merge(NOW, entry("n1", "s0", NOW + 3_000_000, 4, 64, 0)));
     for (int i = 0; i < 8; i++) {
-      weights.merge(NOW, entry("n" + i, "s2", NOW, 4, 64, 0)); // of an earlier incarnation
-      weights.merge(
-          NOW,
-          entry("m" + i, "s2", NOW - 600_000_000, 4, 64, 500_000)); // older than the incarnation
+      // Ignored: evidence about an earlier incarnation, evidence that is older than the current
+      // incarnation, and evidence about an endpoint that is not listed.
+      weights.merge(NOW, entry("n" + i, "s2", NOW, 4, 64, 0));
+      weights.merge(NOW, entry("m" + i, "s2", NOW - 600_000_000, 4, 64, 500_000));
       weights.merge(NOW, entry("n" + i, "gone", NOW, 4, 64, 0));
     }
     assertEquals(Map.of(), weights.merged(NOW, INCARNATIONS));
@@ -117,7 +118,10 @@
         32, weights.merged(NOW, INCARNATIONS).get(new WeightTarget("s0", "a")).evidence(), 1e-9);
   }
 
-  /** Own weights are disseminated only if they have changed, and are not part of the merge. */
+  /**
+   * A broker's own weight is disseminated only if it has changed by more than the threshold, and it
+   * is never merged.
+   */
   @Test
   void ownWeightsAreReplicatedOnChangeAndNeverMerged() {
     SharedWeights weights = weights();
--- a/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
+++ b/src/test/java/dunlinhitch/scoring/TrimmedMeanTest.java
@@ -41,6 +41,6 @@
     }
     assertTrue(
         Math.log(highest / lowest) <= SETTINGS.maxInfluence() + 1e-9,
-        lowest + " (lowest merged weight) to highest merged weight " + highest);
+        lowest + " is the lowest merged weight, the highest is " + highest);
   }
 }
--- a/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
+++ b/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
@@ -98,8 +98,8 @@
   @TempDir private Path directory;
 
   /**
-   * Gets a permit for each clock read of the supervisor thread, after which its earlier effects are
-   * visible.
+   * Receives a permit each time the supervisor thread reads the clock. A thread that acquires a
+   * permit sees all earlier effects of the supervisor thread.
    */
   private final Semaphore clockReads = new Semaphore(0);
 
--- a/src/test/java/dunlinhitch/scoring/shipped/ShippedScorersTest.java
+++ b/src/test/java/dunlinhitch/scoring/shipped/ShippedScorersTest.java
@@ -35,12 +35,10 @@
                 candidate("s3", 0, new FleetWeight(4, 100, 9))));
     List<Judgement> pace = new StorePace().judge(round);
     assertTrue(pace.get(1).factor() > 2 * pace.get(0).factor());
-    assertTrue(
-        pace.get(3).factor()
-            > 2 * pace.get(2).factor()); // because of the other brokers' weight only
-    assertEquals(
-        new Judgement(pace.get(3).factor(), 1, 0),
-        pace.get(3)); // the other brokers' weight is not shared as its own
+    // Only the weight of the other brokers distinguishes s3 from s2.
+    assertTrue(pace.get(3).factor() > 2 * pace.get(2).factor());
+    // This broker does not share the weight of the other brokers as its own.
+    assertEquals(new Judgement(pace.get(3).factor(), 1, 0), pace.get(3));
     assertEquals(6, pace.get(1).weight(), 1e-6);
     List<Judgement> peak = new PeakLatency().judge(round);
     assertEquals(Math.sqrt(6), peak.get(1).factor() / peak.get(0).factor(), 1e-6);
