--- a/src/main/java/dunlinhitch/balancer/SlowStart.java
+++ b/src/main/java/dunlinhitch/balancer/SlowStart.java
@@ -38,7 +38,8 @@
   private final ServiceTimes serviceTimes;
 
   /**
-   * Decaying sum of the work that one warm server has answered for this broker, in microseconds.
+   * Decaying sum of this broker's work that warm servers have answered, divided by the number of
+   * warm servers, in microseconds.
    */
   private final DecayingValue answeredWorkUs = new DecayingValue();
 
--- a/src/main/java/dunlinhitch/core/Counter.java
+++ b/src/main/java/dunlinhitch/core/Counter.java
@@ -127,11 +127,11 @@
   BAD_ADMIN_CALLS("bad_admin_calls"),
   /** Client connections closed because the client read or wrote too slowly. */
   CLIENTS_SLOW("clients_slow"),
-  /** Client connections closed as idle. */
+  /** Client connections closed because they were idle. */
   CLIENTS_IDLE("clients_idle"),
   /** Client connections evicted to free file descriptors. */
   CLIENTS_EVICTED("clients_crowded_out"),
-  /** Client connections reset. */
+  /** Client connections that were reset. */
   CLIENTS_RESET("clients_reset"),
   /** Malformed messages received from endpoints. */
   BAD_FRAMES("bad_frames"),
--- a/src/main/java/dunlinhitch/core/FirstPassClasses.java
+++ b/src/main/java/dunlinhitch/core/FirstPassClasses.java
@@ -20,7 +20,7 @@
 final class FirstPassClasses {
   private static final String NAME_SUFFIX = "#first";
 
-  /** Cost of a first pass relative to a full pass that is assumed until the first measurement. */
+  /** Assumed cost of a first pass relative to a full pass, used until the first measurement. */
   private static final double INITIAL_RELATIVE_COST = 0.1;
 
   /** Lower bound for the relative cost; smaller measurements are clamped. */
--- a/src/main/java/dunlinhitch/core/InFlightAttempt.java
+++ b/src/main/java/dunlinhitch/core/InFlightAttempt.java
@@ -20,8 +20,8 @@
    * @param ordinal the index of the attempt among those started under that part number, from 0
    */
   record Key(int part, int ordinal) {
-    // explicit, because the generated methods of a record are linked at their first use, which
-    // would delay the first query
+    // Implemented explicitly, because the generated methods of a record are linked at their first
+    // use, which would delay the first query.
     @Override
     public boolean equals(Object other) {
       return other instanceof Key key && part == key.part && ordinal == key.ordinal;
--- a/src/main/java/dunlinhitch/scoring/Scoring.java
+++ b/src/main/java/dunlinhitch/scoring/Scoring.java
@@ -225,7 +225,10 @@
     return factors;
   }
 
-  /** When the next round is due, with jitter so that brokers do not synchronize their rounds. */
+  /**
+   * Returns the time at which the next round is due, with jitter so that brokers do not synchronize
+   * their rounds.
+   */
   public long nextRoundUs(long nowUs) {
     return nowUs
         + (long) (settings.roundUs() * (MIN_ROUND_SHARE + ROUND_JITTER * random.nextDouble()));
--- a/src/main/java/dunlinhitch/scoring/api/Scorer.java
+++ b/src/main/java/dunlinhitch/scoring/api/Scorer.java
@@ -17,12 +17,12 @@
  */
 public interface Scorer extends AutoCloseable {
   /**
-   * The interface version that it was built for; implement it as {@code return
+   * The interface version that the scorer was built for; implement this method as {@code return
    * ScoringApi.VERSION;}.
    */
   int api();
 
-  /** The name that identifies it in the settings. */
+  /** The name that identifies the scorer in the settings. */
   String name();
 
   /**
@@ -33,7 +33,7 @@
 
   /**
    * Called once before the first round with the parameters from the settings. An implementation
-   * throws an exception with a message if they are invalid.
+   * throws an exception with a message if the parameters are invalid.
    */
   default void begin(Map<String, String> parameters) {}
 
--- a/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
+++ b/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
@@ -27,8 +27,8 @@
   private long lastRoundCpuUs;
 
   /**
-   * Sum of the weight versions of earlier scorers, added so that the gossip version never
-   * decreases.
+   * Sum of the weight versions of earlier scorers, which is added to the current version so that
+   * the gossip version never decreases.
    */
   private long earlierWeightVersions;
 
--- a/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
+++ b/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Brokers with few queries all send health checks, so their total number must depend on the price
-   * of a health check.
+   * Each broker with few queries sends its own health checks, so that their total number can be
+   * large. The number must be lower if a health check is expensive.
    */
   @Test
   void expensiveHealthChecksAreSentLessOften() {
--- a/src/test/java/dunlinhitch/balancer/SlowStartLoad.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartLoad.java
@@ -113,7 +113,8 @@
               / meanWorkUs;
       double share = windowUs / meanWorkUs / (allowed + 2 * Math.sqrt(allowed) + 2);
       worstWindow = Math.max(worstWindow, share);
-      // The window counts for notified brokers if they sent over two thirds of its work.
+      // The window counts towards worstWindowByNotified if notified brokers sent over two thirds of
+      // its work.
       if (notifiedUs > windowUs * 2 / 3) {
         worstWindowByNotified = Math.max(worstWindowByNotified, share);
       }
