--- a/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
+++ b/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
@@ -27,8 +27,8 @@
   private long lastRoundCpuUs;
 
   /**
-   * Sum of the weight versions of earlier scorers, added so that the gossip version never
-   * decreases.
+   * Sum of the weight versions of earlier scorers, which is added to the current version so that
+   * the gossip version never decreases.
    */
   private long earlierWeightVersions;
 
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Records that the weights, which had the given version, were replaced by those of another
-   * scorer.
+   * Records that the current weights, which have the given version, are replaced by the weights of
+   * another scorer.
    */
   void onWeightsReplaced(long version) {
     earlierWeightVersions += version;
--- a/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
+++ b/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Health checks ahead of admission. */
+/** Health checks that are sent before queries are admitted. */
 class HealthChecksTest {
   private static long healthChecksOfSparseQueries(double price) {
     SettingsBuilder settings = new SettingsBuilder();
@@ -76,8 +76,8 @@
   }
 
   /**
-   * Brokers with few queries all send health checks, so their total number must depend on the price
-   * of a health check.
+   * Each broker with few queries sends its own health checks, so that their total number can be
+   * large. The number must be lower if a health check is expensive.
    */
   @Test
   void expensiveHealthChecksAreSentLessOften() {
