--- a/src/main/java/dunlinhitch/core/BalancerGateway.java
+++ b/src/main/java/dunlinhitch/core/BalancerGateway.java
@@ -50,7 +50,7 @@
     counters.add(Counter.FAULTS);
     StackTraceElement[] trace = fault.getStackTrace();
     context.log(
-        "unexpected exception in the load balancer: "
+        "fault in the load balancer: "
             + fault
             + (trace.length > 0 ? " at " + trace[0] : ""));
   }
