--- a/src/main/java/dunlinhitch/cluster/ActiveMembers.java
+++ b/src/main/java/dunlinhitch/cluster/ActiveMembers.java
@@ -8,10 +8,10 @@
 import java.util.TreeSet;
 
 /**
- * The members from which subsets and duties are computed: those of the latest snapshot without the
- * fenced ones. An isolated broker keeps the members that it knew before it became isolated;
- * otherwise each of many isolated brokers would consider itself the only member, use every endpoint
- * and take on every duty.
+ * The members from which subsets and duties are computed: the members of the latest snapshot,
+ * except the fenced ones. An isolated broker keeps using the members of its last snapshot before
+ * the isolation. Otherwise, if many brokers were isolated from each other, each would consider
+ * itself the only member, use every endpoint and carry out every duty.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}.
  */
@@ -35,13 +35,14 @@
   }
 
   /**
-   * Sets the fenced members, which act on outdated versions; takes effect with the next refresh.
+   * Sets the fenced members, which run with outdated versions. The change takes effect with the
+   * next call of {@link #refresh}.
    */
   void fence(Set<String> outdated) {
     fenced = Set.copyOf(outdated);
   }
 
-  /** Adopts a snapshot; returns true if the active members changed. */
+  /** Replaces the current snapshot; returns true if the active members changed. */
   boolean refresh(ClusterSnapshot latest) {
     if (latest.number() != snapshot.number()) {
       snapshot = latest;
--- a/src/main/java/dunlinhitch/cluster/AntiEntropy.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropy.java
@@ -5,9 +5,9 @@
 import java.util.SplittableRandom;
 
 /**
- * Anti-entropy of the member lists: brokers announce a digest of the members that they know. Two
- * brokers whose digests differ compare them by bucket and send each other the members of the
- * differing buckets. The result is tracked in {@link Convergence}.
+ * Anti-entropy of the member lists: each broker announces a digest of its member list. Two brokers
+ * with different digests compare the lists bucket by bucket and send each other the members of the
+ * buckets that differ. {@link Convergence} tracks whether all members announce the same digest.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
@@ -19,7 +19,7 @@
   private final SplittableRandom random;
   private final boolean hasSeeds;
 
-  /** Bytes of pages that may still be sent in this protocol period. */
+  /** The remaining number of bytes of member pages that may be sent in this protocol period. */
   private int pageBudgetBytes;
 
   AntiEntropy(
@@ -57,7 +57,10 @@
         .ifPresent(peer -> sender.sendBuckets(peer, GossipMessage.COMPARE));
   }
 
-  /** Sends all members to a joining broker, unless it announced the same digest. */
+  /**
+   * Sends all members to a joining broker, unless that broker announced the same digest as this
+   * one.
+   */
   void onJoin(GossipMessage message) {
     if (settings.isAntiEntropyEnabled() && message.digest() != members.digest()) {
       sendPages(message.from(), members.digestTable().differing(List.of()));
@@ -94,7 +97,10 @@
     }
   }
 
-  /** The number of members that must announce the same digest for the list to be converged. */
+  /**
+   * The number of members that must announce this broker's digest before the cluster counts as
+   * converged.
+   */
   private int requiredMatches() {
     int others = members.size() - 1;
     if (others == 0 && hasSeeds) {
@@ -104,8 +110,8 @@
   }
 
   /**
-   * Sends the members of these buckets, starting with a random one, until the budget of this period
-   * is used up; a later exchange sends the rest.
+   * Sends the members of the given buckets, starting with a random bucket, until the page budget of
+   * this period is used up. A later exchange sends the remaining members.
    */
   private void sendPages(Member to, boolean[] buckets) {
     List<Member> selected = new ArrayList<>();
@@ -134,7 +140,7 @@
     }
   }
 
-  /** Returns false if the budget is used up. */
+  /** Sends one page of members; returns false if the page budget does not suffice. */
   private boolean sendPage(Member to, List<Member> page) {
     GossipMessage message = sender.page(page);
     pageBudgetBytes -= message.bytes();
--- a/src/main/java/dunlinhitch/cluster/AntiEntropyDigest.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropyDigest.java
@@ -4,15 +4,16 @@
 import java.util.List;
 
 /**
- * The digest of a set of members, maintained incrementally as one sum of hashes per bucket. The
- * sums do not depend on the order of changes, and comparing them by bucket narrows a difference
- * down to a few members.
+ * The digest of a set of members, maintained incrementally as one sum of member hashes per bucket.
+ * The sums do not depend on the order in which members are added and removed. Comparing the sums of
+ * two brokers limits a difference to the few members of the buckets that differ.
  *
  * <p>Not thread-safe; owned by {@link MemberList}.
  */
 final class AntiEntropyDigest {
   /**
-   * The number of buckets. If two brokers use different numbers, all buckets count as different.
+   * The number of buckets. If two brokers use different numbers of buckets, all buckets count as
+   * different.
    */
   static final int BUCKETS = 16;
 
@@ -25,7 +26,10 @@
   private final boolean includeAddresses;
   private int size;
 
-  /** Creates an empty set; {@code includeAddresses} makes a member's address part of its hash. */
+  /**
+   * Creates the digest of an empty set. If {@code includeAddresses} is true, the hash of a member
+   * covers its address.
+   */
   AntiEntropyDigest(boolean includeAddresses) {
     this.includeAddresses = includeAddresses;
   }
@@ -36,7 +40,10 @@
     size++;
   }
 
-  /** Removes a member, which must be equal to the one that was added. */
+  /**
+   * Removes a member. The argument must be equal to the object that was added, because its hash is
+   * subtracted.
+   */
   void remove(Member member) {
     sums[bucket(member.name())] -= hash(member);
     size--;
@@ -66,8 +73,8 @@
   }
 
   /**
-   * Returns for each bucket whether it differs; all do if the other side has a different number of
-   * buckets.
+   * Compares the sums with those of another broker and returns for each bucket whether they differ.
+   * If the numbers of buckets differ, all buckets count as different.
    */
   boolean[] differing(List<Long> others) {
     boolean[] differing = new boolean[BUCKETS];
--- a/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -5,45 +5,51 @@
 import java.util.Set;
 
 /**
- * Coordinates one broker with the other members of its cluster: selects the endpoints that it sends
- * work to ({@link EndpointSubset}), decides which broker makes a health check ({@link
- * HealthCheckDuty}) and shares observations of endpoints ({@link SharedObservations}), based on the
- * active members ({@link ActiveMembers}). The load balancer chooses among the endpoints of the
- * subset.
+ * Coordinates this broker with the other members of its cluster. It selects the endpoints that this
+ * broker sends work to ({@link EndpointSubset}), decides which broker performs a health check
+ * ({@link HealthCheckDuty}) and shares observations of endpoints ({@link SharedObservations}). All
+ * three are based on the active members ({@link ActiveMembers}). The load balancer chooses among
+ * the endpoints of the subset.
  *
- * <p>Pure: it is driven by events and calls {@link Out}. Not thread-safe; owned by the reducer.
- * Each event has two times in microseconds: {@code nowUs} of a monotonic clock, for durations, and
- * {@code wallUs} of the wall clock, which all brokers share, for duties and the age of
- * observations.
+ * <p>Pure: the input is method calls, and the output is calls of {@link Out}. Not thread-safe;
+ * owned by the reducer. Events pass up to two times in microseconds: {@code nowUs} is the time of a
+ * monotonic clock and is used for durations; {@code wallUs} is the time of the wall clock, which
+ * the brokers have in common, and is used for duties and the age of observations.
  */
 public final class ClusterCoordinator {
   private static final long NEVER = Long.MAX_VALUE;
 
   /** Carries out the decisions of the coordinator, in the order of the calls. */
   public interface Out extends MembershipProtocol.Transport {
-    /** Sets the endpoints that new work is sent to. Also called if only the members changed. */
+    /**
+     * Sets the endpoints that new work is sent to. Also called if the members changed but the
+     * endpoints did not.
+     */
     void selectEndpoints(Set<String> stores);
 
-    /** Starts a health check that was delegated to other brokers and is now due at this one. */
+    /**
+     * Starts a health check that was delegated to another broker but now has to be performed by
+     * this broker.
+     */
     void startHealthCheck(String store);
 
     /**
      * Ends a health check that was delegated to other brokers.
      *
      * @param store the endpoint
-     * @param shared the observation that another broker shared, or null if there is no result
+     * @param shared the result, as observed and shared by another broker; null if there is none
      */
     void healthCheckEnded(String store, EndpointObservation shared);
   }
 
   /**
-   * One endpoint of the list.
+   * One endpoint of the endpoint list.
    *
-   * @param name its name, the same at all brokers
-   * @param cell the cell that it serves
-   * @param zone its zone, or empty
-   * @param startedMs when it started, Unix time in milliseconds
-   * @param usable whether new work may go to it
+   * @param name the endpoint's name, the same at all brokers
+   * @param cell the cell that the endpoint serves
+   * @param zone the endpoint's zone, or empty
+   * @param startedMs when the endpoint started, Unix time in milliseconds
+   * @param usable whether new work may be sent to the endpoint
    */
   public record ListedEndpoint(
       String name, String cell, String zone, long startedMs, boolean usable) {}
@@ -56,14 +62,15 @@
   private final HealthCheckDuty healthChecks;
 
   /**
-   * Creates a coordinator that knows no endpoints and no other members.
+   * Creates a coordinator with an empty endpoint list and this broker as the only member.
    *
    * @param self this broker as it announces itself
-   * @param seeds the addresses to join at; may contain this broker's own
+   * @param seeds the addresses of other brokers to which joins are sent; may contain this broker's
+   *     address
    * @param settings the times and bounds
-   * @param seed seeds the random choices of the membership protocol
+   * @param seed the seed of the membership protocol's random number generator
    * @param nowUs the current time of the monotonic clock
-   * @param out carries out what the coordinator asks for
+   * @param out receives the decisions of the coordinator
    */
   public ClusterCoordinator(
       Member self,
@@ -85,8 +92,8 @@
   }
 
   /**
-   * Fences the given members, which act on outdated versions: no duty or endpoint is assigned to
-   * them.
+   * Fences the given members, which run with outdated versions: no duties or endpoints are assigned
+   * to them.
    */
   public void fence(Set<String> names) {
     activeMembers.fence(names);
@@ -103,7 +110,7 @@
     return membership;
   }
 
-  /** The membership that the last decision was based on. */
+  /** The membership snapshot on which the last decision was based. */
   public ClusterSnapshot snapshot() {
     return activeMembers.snapshot();
   }
@@ -123,7 +130,9 @@
     return subset.changes();
   }
 
-  /** The number of health checks that this broker made in place of another. */
+  /**
+   * The number of health checks that this broker performed because the responsible broker had not.
+   */
   public long takenOver() {
     return healthChecks.takenOver();
   }
@@ -151,7 +160,7 @@
     update();
   }
 
-  /** Handles a message of another broker. */
+  /** Handles a gossip message from another broker. */
   public void onMessage(long nowUs, long wallUs, GossipMessage message) {
     membership.onMessage(nowUs, message);
     for (EndpointObservation observation : message.observations()) {
@@ -168,7 +177,7 @@
    *
    * @param wallUs the current time of the wall clock
    * @param store the endpoint; ignored if it is not listed
-   * @param answered whether it responded
+   * @param answered whether the endpoint responded
    * @param report the load report of the response, or empty
    */
   public void onAttempt(long wallUs, String store, boolean answered, List<Float> report) {
@@ -182,7 +191,9 @@
     }
   }
 
-  /** Handles the outcome of a health check that this broker made; it is shared at once. */
+  /**
+   * Handles the outcome of a health check that this broker performed, and shares it immediately.
+   */
   public void onHealthCheckCompleted(
       long wallUs, String store, boolean answered, List<Float> report) {
     observations.resetSharingInterval(store);
@@ -192,15 +203,16 @@
   /**
    * Requests a health check of an endpoint on behalf of the load balancer.
    *
-   * @return true if this broker is to make it now; false if it is delegated to another broker: then
-   *     {@link Out#healthCheckEnded} reports the result, or {@link Out#startHealthCheck} returns it
-   *     to this broker
+   * @return true if this broker has to perform the health check now; false if the check is
+   *     delegated to another broker. In the latter case either {@link Out#healthCheckEnded} reports
+   *     the result later, or {@link Out#startHealthCheck} requests that this broker performs the
+   *     check after all
    */
   public boolean mayHealthCheck(long wallUs, String store) {
     return healthChecks.request(store, wallUs);
   }
 
-  /** Handles the timeouts that are due. */
+  /** Handles all timeouts that are due at the given times. */
   public void onTime(long nowUs, long wallUs) {
     membership.onTime(nowUs);
     observations.table().expire(wallUs);
@@ -208,7 +220,7 @@
     update();
   }
 
-  /** When {@link #onTime} is to be called next, on the monotonic clock. */
+  /** The latest time at which {@link #onTime} must be called, on the monotonic clock. */
   public long nextUs(long nowUs, long wallUs) {
     long next = membership.nextUs();
     long nextCheckUs = healthChecks.nextWallUs();
--- a/src/main/java/dunlinhitch/cluster/ClusterSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSettings.java
@@ -5,8 +5,10 @@
  *
  * @param subsets how many endpoints each broker sends work to
  * @param membership the times and bounds of the membership protocol
- * @param epochUs the epoch of health checks: in each epoch, one broker checks an endpoint
- * @param takeoverDelayUs how long each broker waits for the one before it to make a health check
+ * @param epochUs the length of an epoch; in each epoch, one broker performs the health check of an
+ *     endpoint
+ * @param takeoverDelayUs how long a broker waits for the preceding broker in the order before it
+ *     performs the health check itself
  * @param maxAgeUs the age at which an observation expires
  * @param maxEndpoints the maximum number of endpoints with stored observations
  */
@@ -17,7 +19,7 @@
     long takeoverDelayUs,
     long maxAgeUs,
     int maxEndpoints) {
-  /** A health check every 2 s; observations expire after 6 s. */
+  /** The defaults: a health check every 2 s, and observations that expire after 6 s. */
   public static final ClusterSettings STANDARD =
       new ClusterSettings(
           SubsetSettings.STANDARD,
@@ -27,7 +29,7 @@
           6_000_000,
           10_000);
 
-  /** Checks that observations can be stored. */
+  /** Checks that {@code maxAgeUs} and {@code maxEndpoints} are positive. */
   public ClusterSettings {
     if (maxAgeUs <= 0 || maxEndpoints < 1) {
       throw new IllegalArgumentException(
--- a/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
@@ -8,17 +8,19 @@
 import java.util.TreeSet;
 
 /**
- * The membership as one broker knows it at one moment. Immutable: a decision uses one snapshot
- * throughout, so that all its parts are based on the same members.
+ * The cluster membership as seen by one broker at one time. Immutable: a decision uses a single
+ * snapshot, so that all of its steps are based on the same members.
  *
  * @param number the sequence number of this broker's snapshots
- * @param members all members that take part, including this broker, ordered by name, so that the
- *     order is the same at all brokers
- * @param digest over names, zones and addresses of the members: equal at brokers that agree
- * @param convergedSinceUs since when the cluster has been converged as far as this broker knows, in
- *     microseconds of the monotonic clock; negative if it is not converged
- * @param divergedMembers members that announced a different digest
- * @param isolated whether this broker is isolated; if so, the members are those that it last knew
+ * @param members all members that are alive or suspected, including this broker; ordered by name,
+ *     so that the order is the same at all brokers
+ * @param digest the digest of the members' names, zones and addresses; brokers with the same
+ *     members have equal digests
+ * @param convergedSinceUs the time at which this broker determined that the cluster converged, in
+ *     microseconds of the monotonic clock; negative if the cluster is not converged
+ * @param divergedMembers the members that announced a digest different from this broker's
+ * @param isolated whether this broker is isolated; if so, {@code members} are those from before the
+ *     isolation
  * @param displacedBy the broker at another address that took precedence for this broker's name, or
  *     null
  */
@@ -31,11 +33,11 @@
     boolean isolated,
     Member displacedBy) {
   /**
-   * One broker that takes part.
+   * One member that is alive or suspected.
    *
-   * @param peer its name, zone, address, incarnation and status
-   * @param accusers how many brokers are known to suspect it
-   * @param versions the versions that it acts on; null if they are not known yet
+   * @param peer the broker's name, zone, address, incarnation and status
+   * @param accusers the number of brokers that are known to suspect the broker
+   * @param versions the versions that the broker runs with; null until it has announced them
    */
   public record MemberView(Member peer, int accusers, VersionVector versions) {
     /** The broker's name. */
@@ -43,7 +45,7 @@
       return peer.name();
     }
 
-    /** Whether it is suspected. */
+    /** Whether the broker is suspected. */
     public boolean isSuspect() {
       return peer.status() == Member.Status.SUSPECT;
     }
@@ -55,7 +57,7 @@
     divergedMembers = Set.copyOf(divergedMembers);
   }
 
-  /** Whether the cluster has converged, as far as this broker knows. */
+  /** Whether the cluster has converged, according to the digests that this broker has received. */
   public boolean isConverged() {
     return convergedSinceUs >= 0;
   }
@@ -67,7 +69,7 @@
     return names;
   }
 
-  /** The member with the given name, if it takes part. */
+  /** The member with the given name; empty if the snapshot has none. */
   public Optional<MemberView> member(String name) {
     return members.stream().filter(member -> member.name().equals(name)).findAny();
   }
--- a/src/main/java/dunlinhitch/cluster/Convergence.java
+++ b/src/main/java/dunlinhitch/cluster/Convergence.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * Tracks whether the cluster has converged: which members announced the same digest as this broker
- * and which a different one, since its own digest last changed.
+ * Tracks whether the cluster has converged. Records which members have announced the same digest as
+ * this broker, and which a different one, since this broker's digest last changed.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}. Times are in microseconds.
  */
@@ -22,8 +22,8 @@
   private final Set<String> matching = new HashSet<>();
 
   /**
-   * The members with a different digest, each with the time at which the difference was noticed or
-   * last compared.
+   * The members with a different digest, each with the time at which the difference was detected or
+   * the digests were last compared by bucket.
    */
   private final Map<String, Long> diverged = new LinkedHashMap<>();
 
@@ -40,10 +40,10 @@
    * Handles the digest that a member announced.
    *
    * @param name the member
-   * @param matches whether it is this broker's digest
+   * @param matches whether the announced digest is equal to this broker's
    * @param requiredMatches the number of matching members at which the cluster counts as converged
    * @param nowUs the current time
-   * @return true if state that a {@link ClusterSnapshot} includes has changed
+   * @return true if a value that is part of {@link ClusterSnapshot} has changed
    */
   boolean onDigest(String name, boolean matches, int requiredMatches, long nowUs) {
     if (!matches) {
@@ -58,13 +58,13 @@
     return update(requiredMatches, nowUs) || wasDiverged;
   }
 
-  /** Removes a member that no longer takes part. */
+  /** Removes a member that died or left. */
   void remove(String name) {
     matching.remove(name);
     diverged.remove(name);
   }
 
-  /** Reevaluates the state; returns true if the cluster has converged or is no longer converged. */
+  /** Determines whether the cluster is converged; returns true if this has changed. */
   boolean update(int requiredMatches, long nowUs) {
     boolean converged = diverged.isEmpty() && matching.size() >= requiredMatches;
     boolean wasConverged = convergedSinceUs >= 0;
@@ -76,8 +76,9 @@
   }
 
   /**
-   * Returns the member whose digest has differed longest, if that is at least {@code minimumUs};
-   * the same member is returned again only after another {@code minimumUs}.
+   * Returns the member whose digest has differed for the longest time, if that time is at least
+   * {@code minimumUs}. The same member is returned again after another {@code minimumUs} at the
+   * earliest.
    */
   Optional<String> nextToCompare(long nowUs, long minimumUs) {
     for (Map.Entry<String, Long> entry : diverged.entrySet()) {
@@ -96,7 +97,7 @@
     return diverged.keySet();
   }
 
-  /** Since when the cluster has been converged; negative if it is not. */
+  /** The time since which the cluster has been converged; {@link #NOT_CONVERGED} if it is not. */
   long convergedSinceUs() {
     return convergedSinceUs;
   }
--- a/src/main/java/dunlinhitch/cluster/DutyRotation.java
+++ b/src/main/java/dunlinhitch/cluster/DutyRotation.java
@@ -5,19 +5,19 @@
 
 /**
  * Rotates a duty among the brokers by rendezvous hashing. Time is divided into epochs of equal
- * length. In each epoch the brokers are ordered by hash, and the first, the leader, carries out the
- * duty. Each further broker in the order waits one takeover delay longer than the one before it,
- * and takes over if it does not know by then that the duty was done in this epoch. An unresponsive
- * leader therefore delays the duty by one takeover delay rather than a whole epoch, and the duty is
- * done once per epoch while all brokers are connected.
+ * length. In each epoch the brokers are ordered by hash. The first broker, the leader, carries out
+ * the duty. Every other broker waits one takeover delay longer than its predecessor in the order,
+ * and carries out the duty if it has not been notified by then that the duty was done in this
+ * epoch. An unresponsive leader therefore delays the duty by one takeover delay instead of a whole
+ * epoch. While all brokers are connected, the duty is done once per epoch.
  *
- * <p>Bounds: an isolated broker keeps the members that it last knew and never takes over from
- * another, so brokers that are all isolated from each other carry out the duty once per epoch in
- * total. In a partitioned cluster each side carries it out once per epoch: at most twice with two
- * sides, and once more with each further side, whatever the number of brokers.
+ * <p>Bounds: an isolated broker keeps its last known members and never takes over a duty. If all
+ * brokers are isolated from each other, the duty is therefore carried out once per epoch in total.
+ * In a partitioned cluster, each side carries out the duty once per epoch, so the number of
+ * executions is at most the number of sides.
  *
- * <p>Epochs are counted on the wall clock. If the clock of a broker is off, only its own turns are
- * shifted, by the same amount. Immutable.
+ * <p>Epochs are counted on the wall clock. If the clock of a broker is wrong, only the times at
+ * which this broker carries out the duty are shifted, by the clock's error. Immutable.
  */
 public final class DutyRotation {
   private final long epochUs;
@@ -27,7 +27,7 @@
    * Creates a rotation.
    *
    * @param epochUs the length of an epoch in microseconds
-   * @param takeoverDelayUs how long each broker in the order waits for the one before it, in
+   * @param takeoverDelayUs how long a broker waits for its predecessor in the order, in
    *     microseconds; at most one epoch
    */
   public DutyRotation(long epochUs, long takeoverDelayUs) {
@@ -43,7 +43,10 @@
     this.takeoverDelayUs = takeoverDelayUs;
   }
 
-  /** When the given epoch of the duty begins; the duties are spread over the epoch by hash. */
+  /**
+   * The time at which the given epoch of the duty begins. The epochs of different duties begin at
+   * different times, derived from a hash of the duty.
+   */
   public long epochStartUs(String duty, long epoch) {
     return epoch * epochUs + Math.floorMod(RendezvousHash.of("phase", duty), epochUs);
   }
@@ -54,7 +57,7 @@
     return epochStartUs(duty, epoch) <= wallUs ? epoch : epoch - 1;
   }
 
-  /** The number of brokers that may take over one after the other within an epoch. */
+  /** The number of brokers that can take over the duty one after the other within one epoch. */
   public int maxSubstitutes() {
     return (int) ((epochUs - 1) / takeoverDelayUs);
   }
@@ -65,15 +68,17 @@
   }
 
   /**
-   * Returns when a broker is to carry out the duty in the given epoch, unless it knows by then that
-   * the duty was done.
+   * Returns the time at which a broker has to carry out the duty in the given epoch, unless it has
+   * been notified by then that the duty was done.
    *
    * @param duty the duty
    * @param epoch the epoch
    * @param brokers all brokers that share the duty
-   * @param self the broker whose turn is computed; must be one of {@code brokers}
-   * @param isolated whether that broker is isolated; if so, it takes over from no other
-   * @return the time, or {@link Long#MAX_VALUE} if it has no turn within the epoch
+   * @param self the broker for which the time is computed; must be one of {@code brokers}
+   * @param isolated whether {@code self} is isolated; if so, it does not take over the duty from
+   *     another broker
+   * @return the time, or {@link Long#MAX_VALUE} if the broker does not have to carry out the duty
+   *     in this epoch
    */
   public long dueUs(
       String duty, long epoch, Collection<String> brokers, String self, boolean isolated) {
--- a/src/main/java/dunlinhitch/cluster/EndpointObservation.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointObservation.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * An observation of an endpoint by one broker, as shared among brokers. It applies only to the
- * incarnation of the endpoint that started at {@code startedMs}.
+ * An observation of an endpoint by one broker, as shared among brokers. The observation applies
+ * only to the incarnation of the endpoint that started at {@code startedMs}.
  *
  * @param endpoint the endpoint's name, the same at all brokers
- * @param startedMs when the endpoint started, Unix time in milliseconds; 0 means long ago
+ * @param startedMs when the endpoint started, Unix time in milliseconds; 0 if unknown or long ago
  * @param observer the broker that made the observation
  * @param sequenceNumber the observer's sequence number for that endpoint; a higher number replaces
  *     a lower one
- * @param observedUs when it was made, on the wall clock, in microseconds
+ * @param observedUs when the observation was made, on the wall clock, in microseconds
  * @param report the endpoint's load report, in the order of the settings' fields, or empty
  * @param consecutiveFailures the number of consecutive attempts and health checks without a
  *     response
@@ -53,7 +53,8 @@
   }
 
   /**
-   * Whether this observation replaces the other: it is of a later incarnation or was made later.
+   * Whether this observation replaces the other one, because it applies to a later incarnation or
+   * was made later.
    */
   boolean replaces(EndpointObservation other) {
     if (startedMs != other.startedMs) {
@@ -68,7 +69,7 @@
     return observer.compareTo(other.observer) > 0;
   }
 
-  /** The approximate size in a message, in bytes. */
+  /** The approximate size of the encoded observation in bytes. */
   int bytes() {
     return endpoint.length()
         + observer.length()
@@ -77,7 +78,7 @@
         + Float.BYTES * report.size();
   }
 
-  /** The load report in the form that the load balancer takes. */
+  /** The load report as an array, as the load balancer requires it. */
   public float[] values() {
     float[] values = new float[report.size()];
     for (int i = 0; i < values.length; i++) {
--- a/src/main/java/dunlinhitch/cluster/EndpointSubset.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointSubset.java
@@ -12,8 +12,8 @@
 
 /**
  * The subset of the endpoint list that this broker sends work to: for each cell the endpoints that
- * {@link Subsetting} assigns to it, plus a substitute for each failing one. Only cells with changes
- * are recomputed.
+ * {@link Subsetting} assigns to this broker, plus one substitute for each failing endpoint. Only
+ * cells with changes are recomputed.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}.
  */
@@ -58,7 +58,7 @@
     return before;
   }
 
-  /** Removes an endpoint, if it is listed. */
+  /** Removes an endpoint; no effect if it is not listed. */
   void remove(String name) {
     ClusterCoordinator.ListedEndpoint before = endpoints.remove(name);
     if (before != null) {
@@ -126,8 +126,8 @@
   }
 
   /**
-   * The first {@code size} endpoints of the order, plus one substitute from the rest of the order
-   * for each failing one.
+   * The first {@code size} endpoints of {@code order}, plus one substitute from the remaining
+   * endpoints for each failing endpoint.
    */
   private List<String> withSubstitutes(List<String> order, int size) {
     List<String> wanted = new ArrayList<>(order.subList(0, size));
--- a/src/main/java/dunlinhitch/cluster/FailureDetector.java
+++ b/src/main/java/dunlinhitch/cluster/FailureDetector.java
@@ -10,9 +10,9 @@
 
 /**
  * Failure detection of one broker's cluster membership, after SWIM (Das, Gupta and Motivala, 2002)
- * with Lifeguard's extensions: in each protocol period it pings one member. If no ack arrives, it
- * asks a few other members to ping it; after several such failures it suspects the member, and
- * declares it dead when the suspicion times out.
+ * with Lifeguard's extensions. In each protocol period this broker pings one member. If no ack
+ * arrives, it asks a few other members to ping that member. After several such failures it suspects
+ * the member, and when the suspicion times out it declares the member dead.
  *
  * <p>Pure: no clock, I/O or threads. Not thread-safe; owned by {@link MembershipProtocol}.
  */
@@ -23,7 +23,7 @@
   private static final int ISOLATION_THRESHOLD = 8;
 
   /**
-   * The isolation threshold without Lifeguard, with which any received message counts as an ack.
+   * The isolation threshold if Lifeguard is disabled; any received message then counts as an ack.
    */
   private static final int ISOLATION_THRESHOLD_WITHOUT_LIFEGUARD = 3;
 
@@ -36,7 +36,7 @@
   /** The number of join addresses contacted per period while this broker is isolated or alone. */
   private static final int JOINS_WHEN_ISOLATED = 2;
 
-  /** A ping in progress: direct at first, then indirect. */
+  /** A ping that waits for an ack: first a direct ping, then an indirect probe. */
   private static final class PendingPing {
     private final String target;
 
@@ -98,24 +98,27 @@
     probeOrder = new ProbeOrder(members, random);
   }
 
-  /** Makes the first protocol period due at the given time. */
+  /** Schedules the first protocol period for the given time. */
   void start(long nowUs) {
     nextPeriodUs = nowUs;
   }
 
-  /** Whether all recent pings went unanswered: this broker is disconnected or the only one left. */
+  /**
+   * Whether all recent pings were unanswered, which means that this broker is disconnected or the
+   * only live member.
+   */
   boolean isIsolated() {
     int threshold =
         settings.isLifeguardEnabled() ? ISOLATION_THRESHOLD : ISOLATION_THRESHOLD_WITHOUT_LIFEGUARD;
     return consecutiveTimeouts >= threshold;
   }
 
-  /** The number of members that this broker itself declared dead. */
+  /** The number of members that this broker declared dead by its own failure detection. */
   long declaredDead() {
     return declaredDead;
   }
 
-  /** When the next timeout or protocol period is due. */
+  /** The time at which the next timeout or protocol period is due. */
   long nextUs() {
     long next = Math.min(nextPeriodUs, relayedPings.nextDeadlineUs());
     for (PendingPing ping : pendingPings.values()) {
@@ -128,8 +131,9 @@
   }
 
   /**
-   * Resets pending pings and suspicions if this broker did not run for one period or more: it could
-   * not receive acks during that time, so missing acks are no evidence against other members.
+   * Resets pending pings and suspicions if this broker was stalled for one protocol period or more.
+   * It could not receive acks during that time, so missing acks do not show that other members
+   * failed.
    */
   void resetAfterStall(long nowUs) {
     long lateUs = nowUs - nextPeriodUs;
@@ -181,7 +185,7 @@
     return suspicions.deadlineUs(name, members.size(), localHealth);
   }
 
-  /** Whether a protocol period is due; if so, the caller calls {@link #runPeriod}. */
+  /** Whether a protocol period is due. If so, the caller has to call {@link #runPeriod}. */
   boolean isPeriodDue(long nowUs) {
     return nowUs >= nextPeriodUs;
   }
@@ -212,7 +216,8 @@
     if (target == null || isIsolated()) {
       joinAddresses.sendJoins(antiEntropy ? JOINS_WHEN_ISOLATED : Integer.MAX_VALUE);
     } else if (antiEntropy && roundBegins) {
-      joinAddresses.sendJoins(1); // finds brokers that no known member knows
+      // Discovers brokers that are in no known member's list.
+      joinAddresses.sendJoins(1);
     }
   }
 
@@ -230,8 +235,9 @@
   }
 
   /**
-   * Sends the ping-reqs of an indirect probe. Any single message may be lost, so some helpers are
-   * asked more than once if there are too few, and the target itself is pinged again.
+   * Sends the ping-reqs of an indirect probe to other members, the helpers. Because any message may
+   * be lost, the target is pinged directly once more, and if there are too few helpers, some
+   * receive more than one ping-req.
    */
   private void pingIndirectly(long sequenceNumber, PendingPing ping) {
     List<Member> helpers = new ArrayList<>();
@@ -295,11 +301,12 @@
     members.put(target.withStatus(Member.Status.SUSPECT), nowUs);
     suspicions.addReport(report);
     if (settings.isLifeguardEnabled()) {
-      sender.sendGossip(target); // notifies the suspect first, so that it can refute
+      // Notifies the suspected member first, so that it can refute the suspicion.
+      sender.sendGossip(target);
     }
   }
 
-  /** Records that a message was received. */
+  /** Records that a message was received from another broker. */
   void onMessage(long nowUs) {
     lastReceivedUs = nowUs;
     if (!settings.isLifeguardEnabled()) {
@@ -312,7 +319,7 @@
     relayedPings.onPingRequest(message, nowUs);
   }
 
-  /** Handles an ack, direct or relayed; an ack for a ping that has timed out is ignored. */
+  /** Handles a direct or relayed ack. An ack for a ping that has timed out is ignored. */
   void onAck(GossipMessage message, long nowUs) {
     relayedPings.onAck(message);
     PendingPing ping = pendingPings.get(message.sequenceNumber());
--- a/src/main/java/dunlinhitch/cluster/GossipMessage.java
+++ b/src/main/java/dunlinhitch/cluster/GossipMessage.java
@@ -8,15 +8,15 @@
  *
  * @param kind the kind of message
  * @param from the sender as it announces itself
- * @param sequenceNumber the sequence number of the ping that it belongs to, which an ack repeats;
- *     in a message with buckets {@link #COMPARE} or {@link #COMPARED}
- * @param subject the member to ping, for {@link Kind#PING_REQUEST}; the member that acked, for a
- *     relayed ack; otherwise empty
- * @param versions the versions that the sender acts on, or null
+ * @param sequenceNumber the sequence number of a ping, which the ack repeats; in a message with
+ *     buckets, {@link #COMPARE} or {@link #COMPARED}
+ * @param subject in a {@link Kind#PING_REQUEST} the member to ping, in a relayed ack the member
+ *     that acked; otherwise empty
+ * @param versions the versions that the sender runs with, or null
  * @param memberUpdates piggybacked updates of members
  * @param observations piggybacked observations of endpoints
  * @param digest the digest of the sender's member list; 0 if it is not announced
- * @param buckets the sums that the digest consists of, in a comparison of digests; otherwise empty
+ * @param buckets in a comparison of digests, the sums of the sender's buckets; otherwise empty
  * @param suspicionReports piggybacked suspicion reports
  */
 public record GossipMessage(
@@ -38,18 +38,18 @@
   /** The sequence number of a message with buckets that requests only the differing members. */
   static final long COMPARED = 2;
 
-  /** Bytes of the kind, flags and counts. */
+  /** The size of the kind, the flags and the counts in bytes. */
   private static final int FIXED_BYTES = 8;
 
   /** The kinds of messages; the names and their order are part of the wire format. */
   public enum Kind {
-    /** Asks for an ack. */
+    /** Requests an ack. */
     PING,
-    /** Answers a ping or a join. */
+    /** Acknowledges a ping or a join. */
     ACK,
     /** Asks the recipient to ping a third member. */
     PING_REQUEST,
-    /** Asks for an ack and for all members. */
+    /** Requests an ack and the complete member list. */
     JOIN,
     /** Announces that the sender leaves. */
     LEAVE,
@@ -88,7 +88,8 @@
   }
 
   /**
-   * The approximate size of its encoding in bytes: strings by their length, numbers in full width.
+   * The approximate size of the encoded message in bytes. Strings count with their lengths, numbers
+   * with their full widths.
    */
   public int bytes() {
     return FIXED_BYTES
--- a/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
+++ b/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
@@ -6,23 +6,26 @@
 import java.util.Optional;
 
 /**
- * Decides which broker makes a health check, so that one broker per epoch makes it and shares the
- * result: the leader of the epoch according to {@link DutyRotation}, or the next in the order if
- * the leader is not known to have made it.
+ * Decides which broker performs the health check of an endpoint. In each epoch one broker performs
+ * the check and shares the result: the leader according to {@link DutyRotation}, or the next broker
+ * in the order if the leader has not announced the check in time.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}. Times are microseconds of the wall
- * clock, which the brokers share.
+ * clock, because the brokers have it in common.
  */
 final class HealthCheckDuty {
-  /** The maximum number of pending health checks; further ones end without a result. */
+  /**
+   * The maximum number of pending health checks. Further requests end immediately without a result.
+   */
   private static final int MAX_PENDING = 64;
 
   /**
-   * A health check that this broker requested and another broker may make.
+   * A health check that this broker requested and that another broker is expected to perform.
    *
-   * @param sinceWallUs when it was requested
-   * @param dueWallUs when it is due at this broker, or {@link Long#MAX_VALUE}
-   * @param endWallUs when it ends without a result
+   * @param sinceWallUs when the check was requested
+   * @param dueWallUs when this broker has to perform the check itself, or {@link Long#MAX_VALUE} if
+   *     never
+   * @param endWallUs when the check ends without a result
    */
   private record PendingCheck(long sinceWallUs, long dueWallUs, long endWallUs) {}
 
@@ -36,7 +39,10 @@
   private final Map<String, PendingCheck> pending = new LinkedHashMap<>();
   private long takenOver;
 
-  /** Creates the duty; {@code endpoints} is a live view of the endpoint list by name. */
+  /**
+   * Creates an instance without pending checks; {@code endpoints} is a live view of the endpoint
+   * list by name.
+   */
   HealthCheckDuty(
       ClusterSettings settings,
       ActiveMembers members,
@@ -53,7 +59,9 @@
     this.out = out;
   }
 
-  /** The number of health checks that this broker made in place of another. */
+  /**
+   * The number of health checks that this broker performed because the responsible broker had not.
+   */
   long takenOver() {
     return takenOver;
   }
@@ -75,7 +83,8 @@
       return true;
     }
     long endUs = epochStartUs + epochUs;
-    if (dueUs >= endUs) { // it may be this broker's turn in the next epoch
+    if (dueUs >= endUs) {
+      // Not due at this broker in this epoch, but possibly in the next one.
       dueUs = dueUs(endpoint, epoch + 1);
       endUs += epochUs;
     }
@@ -99,9 +108,9 @@
   }
 
   /**
-   * Announces that this broker makes the health check of this epoch, which counts as done from then
-   * on. The next brokers in the order are notified directly, because a piggybacked update would
-   * reach them only after their own turns.
+   * Announces that this broker performs the health check of this epoch; from then on the check
+   * counts as done. The next brokers in the order are notified directly, because a piggybacked
+   * update could reach them only after they have taken over the check.
    */
   private void announce(String endpoint, long epoch, long wallUs) {
     observations.share(endpoints.get(endpoint), List.of(), wallUs);
@@ -117,7 +126,10 @@
     }
   }
 
-  /** Starts the pending health checks that are due at this broker, and ends those that expired. */
+  /**
+   * Starts the pending health checks that are due at this broker, and ends the expired ones without
+   * a result.
+   */
   void onTime(long wallUs) {
     for (Map.Entry<String, PendingCheck> entry : List.copyOf(pending.entrySet())) {
       PendingCheck check = entry.getValue();
@@ -141,7 +153,7 @@
     out.startHealthCheck(endpoint);
   }
 
-  /** Ends the pending health checks for which another broker has shared a load report. */
+  /** Completes the pending health checks for which another broker has shared a load report. */
   void completeFromObservations() {
     for (Map.Entry<String, PendingCheck> entry : List.copyOf(pending.entrySet())) {
       String endpoint = entry.getKey();
@@ -161,7 +173,10 @@
     }
   }
 
-  /** When a pending health check is due or ends; {@link Long#MAX_VALUE} if there is none. */
+  /**
+   * The earliest time at which a pending health check is due or expires; {@link Long#MAX_VALUE} if
+   * none is pending.
+   */
   long nextWallUs() {
     long next = Long.MAX_VALUE;
     for (PendingCheck check : pending.values()) {
--- a/src/main/java/dunlinhitch/cluster/JoinAddresses.java
+++ b/src/main/java/dunlinhitch/cluster/JoinAddresses.java
@@ -7,9 +7,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The addresses at which a broker looks for a cluster to join: the configured seeds and the
- * addresses of members that were removed as dead, so that two sides of a long partition find each
- * other.
+ * The addresses to which this broker sends joins: the configured seeds and the addresses of members
+ * that were removed as dead. The latter let the two sides of a long partition find each other after
+ * it has healed.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
@@ -37,7 +37,10 @@
     this.random = random;
   }
 
-  /** Remembers the address of a member that was removed from the list, if it died. */
+  /**
+   * Remembers the address of a member that was removed from the list, if the member died rather
+   * than left.
+   */
   void onMemberExpired(Member member) {
     if (member.status() != Member.Status.DEAD || !settings.isAntiEntropyEnabled()) {
       return;
@@ -48,7 +51,10 @@
     }
   }
 
-  /** Sends a join to at most {@code limit} addresses at which no member is known. */
+  /**
+   * Sends joins to at most {@code limit} addresses. If anti-entropy is enabled, the addresses of
+   * current members are skipped.
+   */
   void sendJoins(int limit) {
     List<MembershipProtocol.Seed> candidates = candidates();
     for (int i = 0; i < limit && !candidates.isEmpty(); i++) {
--- a/src/main/java/dunlinhitch/cluster/LocalHealth.java
+++ b/src/main/java/dunlinhitch/cluster/LocalHealth.java
@@ -2,9 +2,9 @@
 
 /**
  * The local health multiplier of Lifeguard (Dadgar, Phillips and Currey, 2017): a broker that
- * receives messages late would declare healthy members dead, so it stretches its timeouts. In
- * contrast to the paper, a helper that does not answer a ping-req does not raise the score: if most
- * of a cluster has died, the helpers are dead too.
+ * processes messages late would declare healthy members dead, so it lengthens its timeouts. Unlike
+ * in the paper, a helper that does not answer a ping-req does not raise the score, because after
+ * the failure of most of a cluster the helpers have failed too.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
@@ -17,7 +17,7 @@
     this.maximumScore = maximumScore;
   }
 
-  /** Raises the score, because this broker itself appears to be slow. */
+  /** Raises the score after a sign that this broker itself is slow. */
   void degrade(long by) {
     score = (int) Math.min(maximumScore, score + by);
   }
@@ -32,7 +32,7 @@
     return score;
   }
 
-  /** A timeout in microseconds, stretched by the score. */
+  /** Returns the given timeout in microseconds, lengthened according to the score. */
   long scale(long timeoutUs) {
     return timeoutUs * (1 + score);
   }
--- a/src/main/java/dunlinhitch/cluster/Member.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -1,44 +1,49 @@
 package dunlinhitch.cluster;
 
 /**
- * One broker as the others know it.
+ * The state of one broker, as disseminated among the members.
  *
- * @param name its name, the same after a restart
- * @param zone its zone, or empty
- * @param host the host at which it receives messages
- * @param port the port at which it receives messages
- * @param incarnation a number that only the broker itself raises, to refute updates of others about
- *     it; a restart begins with a higher one
- * @param status its status as last merged
+ * @param name the broker's name, the same after a restart
+ * @param zone the broker's zone, or empty
+ * @param host the host at which the broker receives messages
+ * @param port the port at which the broker receives messages
+ * @param incarnation a number that only the broker itself raises, to refute what others state about
+ *     it; after a restart it is higher than before
+ * @param status the broker's status as last merged
  */
 public record Member(
     String name, String zone, String host, int port, long incarnation, Status status) {
   /**
-   * The highest valid incarnation. Incarnations begin with the start time in milliseconds, so it is
-   * never reached in regular operation.
+   * The highest valid incarnation. An incarnation begins as the start time in milliseconds, so this
+   * limit is never reached in regular operation.
    */
   static final long MAX_INCARNATION = 1_000_000_000_000_000L;
 
-  /** The highest incarnation accepted from other brokers, so that each can still be refuted. */
+  /**
+   * The highest incarnation accepted from other brokers. It is below the maximum so that every
+   * accepted incarnation can be refuted by a higher one.
+   */
   private static final long MAX_ACCEPTED_INCARNATION = MAX_INCARNATION / 2;
 
   private static final int MAX_PORT = 65_535;
 
-  /** Bytes of the port, the status and the lengths of the three texts. */
+  /** The size of the port, the status and the lengths of the three texts in bytes. */
   private static final int FIXED_BYTES = 6;
 
   /**
-   * Of two statuses with the same incarnation, the later constant wins. The order of the constants
-   * is part of the wire format.
+   * The statuses of a member. Of two statuses with the same incarnation, the one that is declared
+   * later wins. The order of the constants is part of the wire format.
    */
   public enum Status {
-    /** It answers pings. */
+    /** The broker answers pings. */
     ALIVE,
-    /** It did not answer pings, but may refute the suspicion; it still takes part. */
+    /**
+     * The broker did not answer pings. It still counts as a member and may refute the suspicion.
+     */
     SUSPECT,
-    /** It did not refute a suspicion in time. */
+    /** The broker did not refute a suspicion in time. */
     DEAD,
-    /** It announced that it leaves. */
+    /** The broker announced that it leaves the cluster. */
     LEFT
   }
 
@@ -63,7 +68,7 @@
     }
   }
 
-  /** Whether it counts as a member, as it does while alive or suspected. */
+  /** Whether the broker counts as a member: it is alive or suspected. */
   public boolean takesPart() {
     return status == Status.ALIVE || status == Status.SUSPECT;
   }
@@ -83,22 +88,24 @@
     return port == otherPort && host.equals(otherHost);
   }
 
-  /** Whether its broker can still refute this state, or has no need to. */
+  /**
+   * Whether the broker can still refute this state with a higher incarnation, or does not need to.
+   */
   boolean isAcceptable() {
     return incarnation < MAX_ACCEPTED_INCARNATION
         || (incarnation == MAX_ACCEPTED_INCARNATION && status == Status.ALIVE);
   }
 
-  /** The approximate size in a message, in bytes. */
+  /** The approximate size of the encoded member in bytes. */
   int bytes() {
     return name.length() + zone.length() + host.length() + FIXED_BYTES + Long.BYTES;
   }
 
   /**
-   * Whether this state replaces another one of the same name. The higher incarnation wins; with
-   * equal incarnations the higher address, in case two brokers started with the same name at the
-   * same time; then the later {@link Status}. The order is total, so brokers that merge the same
-   * updates in any order agree.
+   * Whether this state replaces another state of the same name. The higher incarnation wins. If the
+   * incarnations are equal, the higher address wins, which decides between two brokers that started
+   * with the same name at the same time. If the addresses are equal too, the later {@link Status}
+   * wins. The order is total, so brokers agree after merging the same updates in any order.
    */
   boolean replaces(Member other) {
     if (incarnation != other.incarnation) {
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 
 /**
- * The members that one broker knows, itself included, with the digest over those that take part. It
- * makes no decisions: {@link MembershipUpdates} and {@link FailureDetector} determine the status of
- * members.
+ * The list of all members known to this broker, including itself, with the digest of those that are
+ * alive or suspected. {@link MembershipUpdates} and {@link FailureDetector} determine the status of
+ * the members; this class only stores it.
  *
  * <p>Every change of a member is applied to the suspicion table, the dissemination queue, the
  * digest and the convergence state here, so that they stay consistent with the list. Not
@@ -27,7 +27,7 @@
   private final Map<String, Member> peers = new LinkedHashMap<>();
   private final Map<String, VersionVector> peerVersions = new HashMap<>();
 
-  /** For each peer that is dead or has left, the time at which it died or left. */
+  /** For each peer that is dead or left, the time at which it was declared dead or left. */
   private final Map<String, Long> departedSinceUs = new HashMap<>();
 
   private Member self;
@@ -64,12 +64,15 @@
     return displacedBy;
   }
 
-  /** The member that counts under this broker's name: itself or the one that displaced it. */
+  /**
+   * The member that other brokers see under this broker's name: this broker, or the one that
+   * displaced it.
+   */
   Member effectiveSelf() {
     return displacedBy == null ? self : displacedBy;
   }
 
-  /** All other members in the order in which they became known, dead ones included; a live view. */
+  /** All other members, including dead ones, in the order of their addition; a live view. */
   Collection<Member> peers() {
     return Collections.unmodifiableCollection(peers.values());
   }
@@ -79,7 +82,7 @@
     return peers.get(name);
   }
 
-  /** The number of members that take part, this broker included. */
+  /** The number of members that are alive or suspected, including this broker. */
   int size() {
     return digestTable.size();
   }
@@ -89,12 +92,14 @@
     return largestSize;
   }
 
-  /** Incremented whenever a member begins or ceases to take part. */
+  /**
+   * Incremented whenever a member is added to or removed from those that are alive or suspected.
+   */
   long version() {
     return version;
   }
 
-  /** The digest over the members that take part; never 0. */
+  /** The digest of the members that are alive or suspected; never 0. */
   long digest() {
     return digest;
   }
@@ -104,7 +109,7 @@
     return settings.isAntiEntropyEnabled() ? digest : 0;
   }
 
-  /** The sums by bucket that {@link #digest()} is made of. */
+  /** The sums of the buckets from which {@link #digest()} is computed. */
   AntiEntropyDigest digestTable() {
     return digestTable;
   }
@@ -114,12 +119,12 @@
     return suspicions;
   }
 
-  /** The versions that this broker acts on, or null while they are unknown. */
+  /** The versions that this broker runs with; null until they are set. */
   VersionVector selfVersions() {
     return selfVersions;
   }
 
-  /** Sets the versions that this broker acts on. */
+  /** Sets the versions that this broker runs with. */
   void setSelfVersions(VersionVector versions) {
     selfVersions = versions;
     changed = true;
@@ -149,12 +154,12 @@
     return wasChanged;
   }
 
-  /** Marks this broker as left; it announces itself as left from now on. */
+  /** Sets this broker's status to left, which all later messages announce. */
   void markSelfLeft() {
     self = self.withStatus(Member.Status.LEFT);
   }
 
-  /** Replaces this broker's own entry and the one that displaces it, which may be null. */
+  /** Replaces this broker's own entry, and the entry of the broker that displaces it, or null. */
   void replaceSelf(Member newSelf, Member newDisplacedBy) {
     digestTable.remove(effectiveSelf());
     self = newSelf;
@@ -217,7 +222,10 @@
     return removed;
   }
 
-  /** When the next departed peer is to be removed; {@link Long#MAX_VALUE} if there is none. */
+  /**
+   * The time at which the next departed peer has to be removed; {@link Long#MAX_VALUE} if there is
+   * none.
+   */
   long nextExpiryUs() {
     long next = Long.MAX_VALUE;
     for (long since : departedSinceUs.values()) {
@@ -227,8 +235,8 @@
   }
 
   /**
-   * The name of a peer at the given address that is suspected, dead or left, or null. The peer has
-   * to be notified, so that it can refute its status.
+   * The name of the peer at the given address if its status is suspected, dead or left; otherwise
+   * null. Such a peer has to be notified of its status, so that it can refute it.
    */
   String notAlivePeerAt(String host, int port) {
     String suspect = firstAt(suspicions.names(), host, port);
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -10,25 +10,28 @@
 
 /**
  * The membership protocol of one broker, after SWIM (Das, Gupta and Motivala, 2002) with
- * Lifeguard's extensions (Dadgar, Phillips and Currey, 2017) and anti-entropy. It wires the
- * components and forwards time and messages to them: {@link FailureDetector}, {@link
- * MembershipUpdates}, {@link MessageSender} for dissemination, {@link AntiEntropy}, and {@link
- * JoinAddresses}.
+ * Lifeguard's extensions (Dadgar, Phillips and Currey, 2017) and anti-entropy. This class creates
+ * the components and forwards time and messages to them: {@link FailureDetector}, {@link
+ * MembershipUpdates}, {@link MessageSender}, which also disseminates updates, {@link AntiEntropy},
+ * and {@link JoinAddresses}.
  *
- * <p>Pure: events in, messages out. No clock, socket or thread; all randomness is drawn from the
- * seed, so the same events result in the same messages. Not thread-safe; owned by the reducer. All
- * times are microseconds of a monotonic clock. The bounds are documented in docs/view.md.
+ * <p>Pure: the input is events, the output is messages, and there is no clock, socket or thread.
+ * The random number generator is seeded, so the same events result in the same messages. Not
+ * thread-safe; owned by the reducer. All times are microseconds of a monotonic clock. The bounds
+ * are documented in docs/view.md.
  */
 public final class MembershipProtocol {
   /**
-   * The number of leave messages to each member: if all are lost, the member has to detect the
-   * departed broker as dead.
+   * The number of leave messages sent to each member. A member that receives none of them detects
+   * the departed broker as dead after the regular timeouts.
    */
   private static final int LEAVE_TRANSMISSIONS = 2;
 
   /** Sends the messages of this broker, in the order of the calls. */
   public interface Transport {
-    /** Sends a message to the broker at an address; it may be lost, delayed or duplicated. */
+    /**
+     * Sends a message to the broker at an address. The message may be lost, delayed or duplicated.
+     */
     void send(String host, int port, GossipMessage message);
   }
 
@@ -51,11 +54,11 @@
   /**
    * Creates a protocol whose first period is due at {@code nowUs}.
    *
-   * @param self this broker, alive with a higher incarnation than ever before, for example its
-   *     start time in milliseconds
-   * @param seeds the addresses to join at; this broker's own address is ignored
+   * @param self this broker, alive and with a higher incarnation than in any earlier run, for
+   *     example its start time in milliseconds
+   * @param seeds the addresses to which joins are sent; this broker's own address is ignored
    * @param settings the times and bounds
-   * @param seed seeds all random choices
+   * @param seed the seed of the random number generator
    * @param nowUs the current time
    * @param transport sends the messages
    * @param observations returns the endpoint observations for the next message, up to a given
@@ -91,7 +94,7 @@
     return members.self();
   }
 
-  /** The current membership; the same object until it changes. */
+  /** The current membership. Returns the same object until the membership changes. */
   public ClusterSnapshot snapshot() {
     if (members.clearChanged()) {
       snapshot = takeSnapshot();
@@ -128,50 +131,57 @@
     return List.copyOf(members.peers());
   }
 
-  /** Incremented whenever a member begins or ceases to take part. */
+  /**
+   * Incremented whenever a member is added to or removed from those that are alive or suspected.
+   */
   public long version() {
     return members.version();
   }
 
-  /** The largest known number of members that took part at the same time, including this broker. */
+  /** The largest number of simultaneous members so far, including this broker. */
   public int largestSize() {
     return members.largestSize();
   }
 
-  /** Whether all recent pings went unanswered: this broker is disconnected or the only one left. */
+  /**
+   * Whether all recent pings were unanswered, which means that this broker is disconnected or the
+   * only live member.
+   */
   public boolean isIsolated() {
     return failureDetector.isIsolated();
   }
 
-  /** The local health score, by which this broker stretches its timeouts; 0 means healthy. */
+  /**
+   * The local health score, according to which this broker lengthens its timeouts; 0 means healthy.
+   */
   public int localHealthScore() {
     return localHealth.score();
   }
 
   /**
-   * The number of updates dropped because the list was full or the incarnation could not be
-   * refuted.
+   * The number of updates dropped because the member list was full or their incarnation was too
+   * high to be refuted.
    */
   public long rejected() {
     return membershipUpdates.rejected();
   }
 
-  /** The number of members that this broker itself declared dead. */
+  /** The number of members that this broker declared dead by its own failure detection. */
   public long declaredDead() {
     return failureDetector.declaredDead();
   }
 
-  /** Sets the versions that this broker acts on; each message announces them. */
+  /** Sets the versions that this broker runs with; each message announces them. */
   public void setVersions(VersionVector versions) {
     members.setSelfVersions(versions);
   }
 
-  /** When {@link #onTime} is to be called next. */
+  /** The latest time at which {@link #onTime} must be called. */
   public long nextUs() {
     return Math.min(failureDetector.nextUs(), members.nextExpiryUs());
   }
 
-  /** Handles the timeouts that are due, and runs a protocol period if one is. */
+  /** Handles the timeouts that are due, and runs a protocol period if it is due. */
   public void onTime(long nowUs) {
     failureDetector.resetAfterStall(nowUs);
     failureDetector.expire(nowUs);
@@ -185,11 +195,15 @@
     }
   }
 
-  /** Handles a message: merges the updates that it carries, then answers it. */
+  /**
+   * Handles a message: merges the updates that it carries, then replies if its kind requires a
+   * reply.
+   */
   public void onMessage(long nowUs, GossipMessage message) {
     Member from = message.from();
     if (from.name().equals(self().name()) && self().isAt(from.host(), from.port())) {
-      return; // from this broker itself, or from an earlier process at its address
+      // Sent by this broker itself, or by an earlier process at the same address.
+      return;
     }
     failureDetector.resetAfterStall(nowUs);
     failureDetector.onMessage(nowUs);
@@ -203,7 +217,7 @@
       case PING_REQUEST -> failureDetector.onPingRequest(message, nowUs);
       case ACK -> failureDetector.onAck(message, nowUs);
       case LEAVE, GOSSIP -> {
-        // carry only updates, which were merged above
+        // These messages carry only updates, which have been merged above.
       }
     }
   }
@@ -216,7 +230,7 @@
     antiEntropy.onJoin(message);
   }
 
-  /** Sends the pending updates to a member at once, if it takes part. */
+  /** Sends the pending updates to a member immediately, if it is alive or suspected. */
   public void sendUpdates(String name) {
     Member peer = members.peer(name);
     if (peer != null && peer.takesPart()) {
@@ -224,7 +238,10 @@
     }
   }
 
-  /** Announces to all members that this broker leaves, so that they need not detect it as dead. */
+  /**
+   * Announces to all members that this broker leaves, so that they remove it without failure
+   * detection.
+   */
   public void leave() {
     members.markSelfLeft();
     int transmissions = settings.isLifeguardEnabled() ? LEAVE_TRANSMISSIONS : 1;
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -3,24 +3,25 @@
 /**
  * The times and bounds of the membership protocol; times in microseconds.
  *
- * @param periodUs length of the protocol period: one member is pinged in each
- * @param pingTimeoutUs timeout of a direct ping, and again of the indirect probe that follows it
+ * @param periodUs the length of a protocol period, in which one member is pinged
+ * @param pingTimeoutUs the timeout of a direct ping, and also of the indirect probe that follows
  * @param indirectProbes the number of members that are asked to ping on this broker's behalf
  * @param suspicionTimeoutUs the base of the suspicion timeout, after which a suspect member is
  *     declared dead
- * @param deadRetentionUs how long a dead member is remembered, so that late messages do not bring
- *     it back
+ * @param deadRetentionUs how long a dead member is remembered, so that delayed messages do not add
+ *     it again
  * @param maxMembers the maximum size of the member list
  * @param pingAttempts the number of consecutive failed pings after which a member is suspected
- * @param maxLocalHealth the maximum local health score, by which a slow broker stretches its own
- *     timeouts; 0 disables Lifeguard's extensions
- * @param suspicionMultiplier factor by which an unconfirmed suspicion lasts longer than a fully
- *     confirmed one; with 1 all suspicions last equally long, whatever the cluster size
+ * @param maxLocalHealth the maximum local health score, according to which a slow broker lengthens
+ *     its own timeouts; 0 disables Lifeguard's extensions
+ * @param suspicionMultiplier the ratio of the timeout of an unconfirmed suspicion to that of a
+ *     fully confirmed one; with 1, all suspicions have the same timeout, regardless of the cluster
+ *     size
  * @param maxMessageBytes the maximum size of one message
  * @param antiEntropyBytes the maximum total size of the member pages that a broker sends per period
  *     to members whose digests differ; 0 disables anti-entropy
- * @param addresses whether digests cover addresses; false if brokers may know the same member by
- *     different addresses
+ * @param addresses whether digests cover addresses; must be false if brokers may have different
+ *     addresses for the same member
  */
 public record MembershipProtocolSettings(
     long periodUs,
@@ -35,11 +36,17 @@
     int maxMessageBytes,
     int antiEntropyBytes,
     boolean addresses) {
-  /** A protocol period of 200 ms; docs/view.md documents the bounds that result. */
+  /**
+   * The defaults, with a protocol period of 200 ms. The resulting bounds are documented in
+   * docs/view.md.
+   */
   public static final MembershipProtocolSettings STANDARD =
       new MembershipProtocolSettings(200_000, 80_000, 3, 1_000_000, 30_000_000, 1024);
 
-  /** The minimum message size: it holds the header, one member and the sums of all buckets. */
+  /**
+   * The minimum of the maximum message size: the header, one member and the sums of all buckets
+   * have to fit.
+   */
   private static final int MIN_MESSAGE_BYTES = 256;
 
   /** Checks that the times are consistent and the bounds are within their ranges. */
@@ -152,7 +159,7 @@
         addresses);
   }
 
-  /** Returns a copy with the given choice of whether digests cover addresses. */
+  /** Returns a copy in which {@code addresses} has the given value. */
   public MembershipProtocolSettings withAddresses(boolean compared) {
     return new MembershipProtocolSettings(
         periodUs,
--- a/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
@@ -2,8 +2,8 @@
 
 /**
  * Merges updates of other brokers about members into the {@link MemberList}, as in SWIM: the higher
- * incarnation wins, and a broker that is suspected or declared dead refutes that with a higher
- * incarnation of its own.
+ * incarnation wins. A broker that is suspected or declared dead refutes this by announcing a higher
+ * incarnation of itself.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
@@ -23,8 +23,8 @@
   }
 
   /**
-   * The number of updates dropped because the list was full or the incarnation could not be
-   * refuted.
+   * The number of updates dropped because the member list was full or their incarnation was too
+   * high to be refuted.
    */
   long rejected() {
     return rejected;
@@ -42,8 +42,9 @@
     }
     Member current = members.peer(update.name());
     if (current == null && !update.takesPart() && settings.isAntiEntropyEnabled()) {
-      // It has expired here. Otherwise peers that still remember it would add it again at every
-      // broker, endlessly.
+      // The member has been removed from this list. If such updates were accepted, brokers that
+      // still list the member as dead or left would cause all others to add it again, and it would
+      // never expire.
       return;
     }
     if (current == null && members.peers().size() >= settings.maxMembers()) {
@@ -53,7 +54,7 @@
     }
   }
 
-  /** Merges the report of one broker that a member did not answer its pings. */
+  /** Merges a suspicion report: one broker received no ack from the member. */
   void merge(SuspicionReport report, long nowUs) {
     Member self = members.self();
     if (report.name().equals(self.name())) {
@@ -74,7 +75,7 @@
     }
   }
 
-  /** Merges an update of another broker about this broker's own name. */
+  /** Merges an update from another broker about this broker's name. */
   private void mergeSelf(Member update) {
     Member self = members.self();
     if (self.status() != Member.Status.ALIVE) {
@@ -97,7 +98,8 @@
 
   private void refute(Member update) {
     if (members.displacedBy() != null) {
-      return; // the broker that displaced this one refutes it
+      // The update concerns the broker that displaced this one, which refutes it.
+      return;
     }
     localHealth.degrade(update.status() == Member.Status.SUSPECT ? 1 : 0);
     members.replaceSelf(members.self().aliveWithIncarnation(update.incarnation() + 1), null);
--- a/src/main/java/dunlinhitch/cluster/MessageSender.java
+++ b/src/main/java/dunlinhitch/cluster/MessageSender.java
@@ -7,10 +7,10 @@
 import java.util.function.IntFunction;
 
 /**
- * Builds and sends the messages of one broker. Dissemination happens here: each message carries, as
- * far as its size limit allows, the member updates and suspicion reports that were transmitted
- * least often (piggybacking), each a number of times that grows with the logarithm of the cluster
- * size.
+ * Builds and sends the messages of one broker. Updates are disseminated by piggybacking: each
+ * message carries the member updates and suspicion reports that have been transmitted least often,
+ * up to its size limit. The number of transmissions of each update grows with the logarithm of the
+ * cluster size.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
@@ -18,7 +18,10 @@
   /** The maximum number of updates of each type in one message. */
   private static final int MAX_PIGGYBACKED = 12;
 
-  /** Transmissions of one update per bit of the cluster size. */
+  /**
+   * Factor by which the bit length of the cluster size is multiplied to get the number of
+   * transmissions of an update.
+   */
   private static final int RETRANSMIT_MULTIPLIER = 3;
 
   private static final String NO_SUBJECT = "";
@@ -32,8 +35,8 @@
   private long lastSequenceNumber;
 
   /**
-   * Creates a sender; {@code observations} returns the endpoint observations for a message with the
-   * given number of bytes left.
+   * Creates a sender. The argument {@code observations} is a function that returns the endpoint
+   * observations for a message, given the number of free bytes in it.
    */
   MessageSender(
       MembershipProtocolSettings settings,
@@ -49,7 +52,7 @@
     this.observations = observations;
   }
 
-  /** A sequence number that no earlier message of this broker has. */
+  /** Returns a sequence number that this broker has not used before. */
   long nextSequenceNumber() {
     return ++lastSequenceNumber;
   }
@@ -59,7 +62,10 @@
     send(to, kind, sequenceNumber, NO_SUBJECT);
   }
 
-  /** Sends a message; {@code subject} is the member that a ping-req or its ack is about. */
+  /**
+   * Sends a message; {@code subject} is the member that is the target of a ping-req, or whose ack
+   * is relayed.
+   */
   void send(Member to, GossipMessage.Kind kind, long sequenceNumber, String subject) {
     send(to.host(), to.port(), kind, sequenceNumber, subject, List.of());
   }
@@ -81,7 +87,7 @@
   }
 
   /**
-   * Sends this broker's digest by bucket.
+   * Sends the sums of this broker's buckets for a comparison of digests.
    *
    * @param exchange {@link GossipMessage#COMPARE} or {@link GossipMessage#COMPARED}
    */
@@ -95,7 +101,9 @@
         members.digestTable().buckets());
   }
 
-  /** Creates a message with these members and without piggybacked updates, for anti-entropy. */
+  /**
+   * Creates a message for anti-entropy that carries the given members and no piggybacked updates.
+   */
   GossipMessage page(List<Member> page) {
     return new GossipMessage(
         GossipMessage.Kind.GOSSIP,
@@ -171,8 +179,8 @@
   }
 
   /**
-   * The updates for one message. If the recipient itself is not alive in the member list, its own
-   * entry comes first, so that it can refute it.
+   * Returns the member updates for one message. If the member list contains the recipient as
+   * suspected, dead or left, this entry comes first, so that the recipient can refute it.
    */
   private List<Member> nextMemberUpdates(String host, int port, int maxBytes, int transmissions) {
     Set<String> candidates = new LinkedHashSet<>();
@@ -194,7 +202,7 @@
     return chosen;
   }
 
-  /** The number of bits of a positive number: its logarithm to base two, rounded down, plus one. */
+  /** The number of bits of a positive number: the floor of its binary logarithm, plus one. */
   static int bitLength(int number) {
     return Integer.SIZE - Integer.numberOfLeadingZeros(number);
   }
--- a/src/main/java/dunlinhitch/cluster/ObservationTable.java
+++ b/src/main/java/dunlinhitch/cluster/ObservationTable.java
@@ -9,22 +9,24 @@
 
 /**
  * The current observations of endpoints, merged from all brokers: for each endpoint, the latest
- * observation of each of the few brokers that observed it last. Merging is commutative, associative
- * and idempotent, so brokers that received the same observations in any order, any number of times,
- * have the same table.
+ * observations by the brokers that observed it most recently, one per broker and at most {@link
+ * #MAX_OBSERVERS}. Merging is commutative, associative and idempotent. Brokers that have received
+ * the same observations therefore have equal tables, even if some were duplicated or arrived in
+ * another order.
  *
  * <p>Not thread-safe. Times are microseconds of the wall clock.
  */
 public final class ObservationTable {
   /**
-   * The maximum number of observations of one endpoint. One would suffice for its load, but it
-   * takes several observers to distinguish a failing endpoint from a failing network path.
+   * The maximum number of stored observations of one endpoint. The load of the endpoint requires
+   * only one, but several observers are needed to distinguish a failing endpoint from a failing
+   * network path.
    */
   static final int MAX_OBSERVERS = 3;
 
   /**
-   * The latest first. The order is total, so that the retained observations do not depend on the
-   * order of arrival.
+   * Orders observations from the latest to the earliest. The order is total, so that the retained
+   * observations do not depend on the order of arrival.
    */
   private static final Comparator<EndpointObservation> LATEST_FIRST =
       Comparator.comparingLong(EndpointObservation::startedMs)
@@ -48,11 +50,12 @@
   }
 
   /**
-   * Merges an observation. It is dropped if it is outdated, of an earlier incarnation of the
-   * endpoint, or of a further endpoint while the table is full. An observation from the future, by
-   * a broker whose clock is ahead, counts as made now, so that it does not outlive its successors.
+   * Merges an observation. It is dropped if it is outdated, if it applies to an earlier incarnation
+   * of the endpoint, or if the table is full and does not contain the endpoint yet. If the
+   * timestamp is in the future because the observer's clock is ahead, the observation counts as
+   * made now. Otherwise it would be retained in place of later observations.
    *
-   * @return true if it is new
+   * @return true if the observation was stored
    */
   public boolean merge(EndpointObservation received, long nowUs) {
     EndpointObservation observation = notInTheFuture(received, nowUs);
@@ -115,8 +118,8 @@
   }
 
   /**
-   * The latest load report of an endpoint that was made after {@code sinceUs} by a broker other
-   * than {@code except}.
+   * The latest observation of an endpoint with a load report, made after {@code sinceUs} by a
+   * broker other than {@code except}.
    */
   public Optional<EndpointObservation> latestReport(String endpoint, long sinceUs, String except) {
     for (EndpointObservation observation : of(endpoint)) {
@@ -140,7 +143,8 @@
   }
 
   /**
-   * The number of observers of an endpoint with at least {@code threshold} consecutive failures.
+   * The number of brokers whose current observation of the endpoint has at least {@code threshold}
+   * consecutive failures.
    */
   public int countFailing(String endpoint, int threshold) {
     int count = 0;
@@ -162,7 +166,7 @@
     return byEndpoint.values().stream().flatMap(List::stream).toList();
   }
 
-  /** Removes the observations that are too old. */
+  /** Removes the observations that have reached the maximum age. */
   public void expire(long nowUs) {
     byEndpoint
         .values()
--- a/src/main/java/dunlinhitch/cluster/ProbeOrder.java
+++ b/src/main/java/dunlinhitch/cluster/ProbeOrder.java
@@ -5,9 +5,9 @@
 import java.util.SplittableRandom;
 
 /**
- * The order in which members are pinged: randomized round-robin as in SWIM, reshuffled for each
- * round, so that each member is pinged within a bounded time. Each round also includes one dead
- * member, because a partition may have healed.
+ * The order in which members are pinged: randomized round-robin as in SWIM. The order is shuffled
+ * again for each round, and each member is pinged within a bounded time. Each round also includes
+ * one dead member, because it may be reachable again after a partition.
  *
  * <p>Not thread-safe; owned by {@link FailureDetector}.
  */
@@ -15,7 +15,7 @@
   private final MemberList members;
   private final SplittableRandom random;
 
-  /** The remaining members of this round; the last element is next. */
+  /** The members that remain to be pinged in this round; the last element is the next one. */
   private final List<String> remaining = new ArrayList<>();
 
   ProbeOrder(MemberList members, SplittableRandom random) {
--- a/src/main/java/dunlinhitch/cluster/RelayedPings.java
+++ b/src/main/java/dunlinhitch/cluster/RelayedPings.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The indirect probes that this broker makes for others: each ping-req is relayed as a ping, and
- * the ack goes back to the requester.
+ * The indirect probes that this broker performs for other brokers. For each received ping-req it
+ * pings the target, and forwards the ack to the requester.
  *
  * <p>Not thread-safe; owned by {@link FailureDetector}.
  */
@@ -23,14 +23,14 @@
     this.sender = sender;
   }
 
-  /** Pings the member that a ping-req names, if it is known. */
+  /** Pings the target of a received ping-req, if the target is in the member list. */
   void onPingRequest(GossipMessage message, long nowUs) {
     Member target = members.peer(message.subject());
     if (target == null || pending.size() >= settings.maxMembers()) {
       return;
     }
-    // Shorter than the requester's timeout, so that the requester learns in time that this helper
-    // is alive.
+    // Shorter than the requester's timeout: if the target does not respond, expire sends a message
+    // to the requester, which arrives in time and shows that this helper is alive.
     long deadlineUs = nowUs + settings.pingTimeoutUs() * 3 / 4;
     long sequenceNumber = sender.nextSequenceNumber();
     pending.put(
@@ -38,7 +38,7 @@
     sender.send(target, GossipMessage.Kind.PING, sequenceNumber);
   }
 
-  /** Forwards the ack of a relayed ping to its requester; other acks are ignored. */
+  /** Forwards the ack of a relayed ping to the requester of the ping; ignores other acks. */
   void onAck(GossipMessage message) {
     RelayedPing ping = pending.remove(message.sequenceNumber());
     if (ping == null) {
@@ -61,7 +61,7 @@
       return false;
     }
     if (settings.isLifeguardEnabled()) {
-      // Any message shows the requester that its helper is alive and only the target is
+      // Any message shows the requester that this helper is alive and that only the target is
       // unresponsive.
       sender.sendGossip(ping.requester());
     }
@@ -73,7 +73,9 @@
     pending.clear();
   }
 
-  /** When the next ping times out; {@link Long#MAX_VALUE} if none is pending. */
+  /**
+   * The time at which the next relayed ping times out; {@link Long#MAX_VALUE} if none is pending.
+   */
   long nextDeadlineUs() {
     long next = Long.MAX_VALUE;
     for (RelayedPing ping : pending.values()) {
--- a/src/main/java/dunlinhitch/cluster/RendezvousHash.java
+++ b/src/main/java/dunlinhitch/cluster/RendezvousHash.java
@@ -11,14 +11,14 @@
 import java.util.List;
 
 /**
- * Rendezvous hashing (Thaler and Ravishankar, 1998): names are ranked for a key by the hash of key
- * and name together. All brokers that know the same names compute the same ranking, and adding or
- * removing a name does not change the relative order of the others.
+ * Rendezvous hashing (Thaler and Ravishankar, 1998): for a given key, names are ranked by a hash of
+ * the key and the name. Brokers with the same set of names compute the same ranking. Adding or
+ * removing a name does not change the relative order of the other names.
  */
 public final class RendezvousHash {
   /**
-   * Must be the same for all brokers and versions: with different seeds they would disagree on
-   * rankings.
+   * The seed of the hash function. Must be the same for all brokers and versions; brokers with
+   * different seeds would compute different rankings.
    */
   private static final int HASH_SEED = 0x64756e6c;
 
@@ -26,7 +26,10 @@
 
   private RendezvousHash() {}
 
-  /** The hash of a key of several parts; parts are hashed with their lengths. */
+  /**
+   * The hash of a key that consists of several strings. The length of each string is hashed too, so
+   * that different splits of the same text have different hashes.
+   */
   static long of(String... parts) {
     Hasher hasher = HASH.newHasher();
     for (String part : parts) {
@@ -36,7 +39,7 @@
     return hasher.hash().asLong();
   }
 
-  /** The name that ranks first for the key, as in {@link #order}; null if there are no names. */
+  /** The first name in the {@link #order} for the key; null if there are no names. */
   public static String first(Collection<String> names, String... key) {
     String[] parts = Arrays.copyOf(key, key.length + 1);
     String bestName = null;
@@ -54,7 +57,7 @@
     return bestName;
   }
 
-  /** The names by descending hash with the key; names with equal hashes in natural order. */
+  /** The names by descending hash of key and name. Names with equal hashes are in natural order. */
   static List<String> order(Collection<String> names, String... key) {
     record Ranked(String name, long hash) {}
 
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
@@ -11,9 +11,9 @@
 /**
  * A last-writer-wins map that is replicated among brokers and stores the latest entry for each key
  * and origin. Merging, including the enforcement of the bounds, is commutative, associative and
- * idempotent, so entries may arrive late, duplicated and in any order: an entry remains if it is
- * the latest of its key and origin and among the latest entries that fit within the bounds,
- * whatever arrived before it.
+ * idempotent, so entries may arrive late, duplicated or in any order. An entry is retained if it is
+ * the latest of its key and origin, and if it is among the latest entries that fit within the
+ * bounds. This does not depend on the entries that arrived before it.
  *
  * <p>Pure: no clock, randomness or threads; callers pass the wall-clock time in microseconds. Not
  * thread-safe.
@@ -24,21 +24,21 @@
 public final class ReplicatedMap<K, V> {
   /** The result of merging an entry. */
   public enum MergeResult {
-    /** It is new and was stored. */
+    /** The entry is new and was stored. */
     NEWS,
-    /** It was stored already. */
+    /** The entry had already been stored. */
     KNOWN,
-    /** It has expired, or a later entry of its key and origin is stored. */
+    /** The entry has expired, or a later entry with the same key and origin is stored. */
     OLD,
-    /** Its timestamp is further in the future than the tolerated clock skew. */
+    /** The timestamp is further in the future than the tolerated clock skew. */
     FROM_THE_FUTURE,
-    /** It was dropped because the map is full of later entries. */
+    /** The entry was dropped because the map has reached a bound with later entries. */
     CROWDED_OUT
   }
 
   private record EntryId<K>(K key, String origin) {}
 
-  /** An entry and the map's version when it was stored. */
+  /** An entry, and the version of the map at the time when the entry was stored. */
   private record StoredEntry<K, V>(ReplicatedEntry<K, V> entry, long version) {}
 
   private final ReplicatedMapSettings settings;
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Merges an entry of this or another broker. Expired entries are removed first; apart from that
-   * the map changes only if the result is {@link MergeResult#NEWS} or {@link
+   * Merges an entry that this or another broker created, after removing the expired entries. Apart
+   * from this removal, the map changes only if the result is {@link MergeResult#NEWS} or {@link
    * MergeResult#CROWDED_OUT}.
    */
   public MergeResult merge(long nowUs, ReplicatedEntry<K, V> received) {
@@ -131,13 +131,13 @@
     }
   }
 
-  /** The latest entry with the given key and origin, or null. */
+  /** The stored entry with the given key and origin, or null. */
   public ReplicatedEntry<K, V> of(K key, String origin) {
     StoredEntry<K, V> stored = entries.get(new EntryId<>(key, origin));
     return stored == null ? null : stored.entry();
   }
 
-  /** All entries, the latest first, in the same order at every broker with the same entries. */
+  /** All entries, the latest first. The order is the same at every broker with the same entries. */
   public List<ReplicatedEntry<K, V>> all() {
     return List.copyOf(byAge.descendingSet());
   }
@@ -152,7 +152,10 @@
     return version;
   }
 
-  /** The latest {@code limit} of the entries that were stored after the given version. */
+  /**
+   * The entries that were stored after the given version; if there are more than {@code limit}, the
+   * latest of them.
+   */
   public List<ReplicatedEntry<K, V>> since(long version, int limit) {
     List<ReplicatedEntry<K, V>> recent = new ArrayList<>();
     for (ReplicatedEntry<K, V> entry : byAge.descendingSet()) {
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMapSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMapSettings.java
@@ -3,8 +3,10 @@
 /**
  * The age limits and bounds of a {@link ReplicatedMap}.
  *
- * @param timeToLiveUs the time after its timestamp at which an entry expires, in microseconds
- * @param skewUs the tolerated clock skew: how far in the future a timestamp may be, in microseconds
+ * @param timeToLiveUs the age at which an entry expires, counted from its timestamp, in
+ *     microseconds
+ * @param skewUs the tolerated clock skew in microseconds; entries with a timestamp further in the
+ *     future are rejected
  * @param maxEntries the maximum number of entries
  * @param maxEntriesPerOrigin the maximum number of entries of one origin
  */
--- a/src/main/java/dunlinhitch/cluster/SharedObservations.java
+++ b/src/main/java/dunlinhitch/cluster/SharedObservations.java
@@ -8,25 +8,29 @@
 import java.util.Map;
 
 /**
- * Records the observations of endpoints by this broker, shares them with other brokers, and
- * receives and forwards the observations of others.
+ * Records this broker's observations of endpoints and shares them with the other brokers. Also
+ * receives the observations of other brokers and forwards them.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}. Times are microseconds of the wall
  * clock.
  */
 final class SharedObservations {
-  /** Consecutive attempts without a response after which an endpoint counts as failing. */
+  /**
+   * The number of consecutive attempts without a response after which an endpoint counts as
+   * failing.
+   */
   static final int FAILURE_THRESHOLD = 3;
 
   /**
-   * The number of brokers that must observe a failure: one alone may have lost its own connection.
+   * The number of brokers that must observe a failure. A single broker may observe it only because
+   * its own network connection failed.
    */
   private static final int FAILURE_QUORUM = 2;
 
   /** The maximum number of observations in one message. */
   private static final int MAX_PIGGYBACKED = 8;
 
-  /** The number of messages that carry one observation. */
+  /** The number of messages in which one observation is transmitted. */
   private static final int TRANSMISSIONS = 6;
 
   private static final class PendingObservation {
@@ -61,7 +65,10 @@
     return table;
   }
 
-  /** Merges an observation of another broker; if it is new, forwards it and returns true. */
+  /**
+   * Merges an observation received from another broker. If the observation is new, queues it for
+   * forwarding and returns true.
+   */
   boolean receive(EndpointObservation observation, long wallUs) {
     if (observation.observer().equals(self) || !table.merge(observation, wallUs)) {
       return false;
@@ -71,11 +78,11 @@
   }
 
   /**
-   * Records the outcome of an attempt of this broker. Load reports are shared at most once per
-   * epoch, because otherwise each response would cost a message. An endpoint that begins or ceases
-   * to fail is shared at once.
+   * Records the outcome of an attempt by this broker. Load reports are shared at most once per
+   * epoch, to avoid the cost of sharing one for each response. A change of an endpoint from working
+   * to failing or back is shared immediately.
    *
-   * @return true if the endpoint began or ceased to fail
+   * @return true if the endpoint changed from working to failing or back
    */
   boolean recordAttempt(
       ClusterCoordinator.ListedEndpoint endpoint,
@@ -105,12 +112,12 @@
     return last == null || wallUs - last >= minimumIntervalUs;
   }
 
-  /** Allows the next outcome to be shared at once. */
+  /** Resets the time of the last sharing, so that the next outcome is shared immediately. */
   void resetSharingInterval(String endpoint) {
     lastSharedUs.remove(endpoint);
   }
 
-  /** Shares an observation of this broker with its current count of failures. */
+  /** Shares an observation by this broker, with its current count of consecutive failures. */
   void share(ClusterCoordinator.ListedEndpoint endpoint, List<Float> report, long wallUs) {
     EndpointObservation observation =
         new EndpointObservation(
@@ -133,8 +140,8 @@
   }
 
   /**
-   * Returns the observations for the next message, up to the given number of bytes, and counts them
-   * as transmitted.
+   * Returns the observations for the next message, up to the given number of bytes, and counts one
+   * transmission of each.
    */
   List<EndpointObservation> nextToPiggyback(int maxBytes) {
     List<EndpointObservation> chosen = new ArrayList<>();
@@ -152,15 +159,15 @@
   }
 
   /**
-   * Whether an endpoint counts as failing, by this broker's own attempts or by the observations of
-   * a quorum.
+   * Whether an endpoint counts as failing, according either to this broker's own attempts or to the
+   * observations of at least {@link #FAILURE_QUORUM} brokers.
    */
   boolean isFailing(String endpoint) {
     return consecutiveFailures.getOrDefault(endpoint, 0) >= FAILURE_THRESHOLD
         || table.countFailing(endpoint, FAILURE_THRESHOLD) >= FAILURE_QUORUM;
   }
 
-  /** Clears the failures of an endpoint that was restarted. */
+  /** Resets the failure count of an endpoint that was restarted. */
   void resetFailures(String endpoint) {
     consecutiveFailures.remove(endpoint);
   }
--- a/src/main/java/dunlinhitch/cluster/SubsetSettings.java
+++ b/src/main/java/dunlinhitch/cluster/SubsetSettings.java
@@ -4,26 +4,31 @@
  * The number of a cell's endpoints that each broker sends work to, and how unevenly the brokers may
  * be spread over the endpoints.
  *
- * @param minSize the minimum number of endpoints of a cell per broker, if the cell has that many:
- *     one to use, the others for failover
- * @param spread the minimum average number of brokers per endpoint: an endpoint that only one
- *     broker uses is lost together with that broker
- * @param slack how far the number of brokers of one endpoint may exceed the average, as a fraction
- *     of it
+ * @param minSize the minimum number of endpoints per broker and cell, as far as the cell has that
+ *     many; more than one allows failover
+ * @param spread the minimum average number of brokers per endpoint; with only one broker, the
+ *     endpoint would be unused after a failure of that broker
+ * @param slack the maximum by which the number of brokers of one endpoint may exceed the average,
+ *     as a fraction of the average
  */
 public record SubsetSettings(int minSize, double spread, double slack) {
   /**
-   * At least two endpoints of a cell, 1.5 brokers per endpoint, and at most 20 % over the average.
+   * The defaults: at least two endpoints per broker and cell, at least 1.5 brokers per endpoint on
+   * average, and at most 20 % more than the average.
    */
   public static final SubsetSettings STANDARD = new SubsetSettings(2, 1.5, 0.2);
 
   /**
-   * The minimum number of unused assignments in a cell: without them, one broker that joins or
-   * leaves would change the assignments of many others.
+   * The minimum difference, per cell, between the total capacity of the endpoints and the number of
+   * assignments. Without this spare capacity, one broker that joins or leaves would change the
+   * assignments of many others.
    */
   private static final int MIN_SPARE_ASSIGNMENTS = 2;
 
-  /** Absorbs rounding errors, so that a whole number is not rounded to its neighbor. */
+  /**
+   * Tolerance for rounding errors, so that a result just above a whole number is not rounded up to
+   * the next one.
+   */
   private static final double ROUNDING_TOLERANCE = 1e-9;
 
   private static final double MAX_FACTOR = 1e6;
--- a/src/main/java/dunlinhitch/cluster/Subsetting.java
+++ b/src/main/java/dunlinhitch/cluster/Subsetting.java
@@ -9,11 +9,11 @@
 
 /**
  * Assigns the endpoints of a cell to brokers by rendezvous hashing with bounded loads (after
- * Mirrokni, Thorup and Zadimoghaddam, 2018). The brokers choose one after the other, in a hash
- * order that differs from cell to cell; each takes the highest-ranked endpoints that are not full.
- * All brokers that know the same brokers and endpoints compute the same subsets without
- * communication; a broker that joins or leaves changes only its own assignments and the few that it
- * displaces.
+ * Mirrokni, Thorup and Zadimoghaddam, 2018). Endpoints are assigned to one broker after the other,
+ * in a hash order that differs between cells. Each broker gets its highest-ranked endpoints that
+ * have capacity. Brokers with the same lists of brokers and endpoints compute the same subsets
+ * without communication. When a broker joins or leaves, only its own assignments and the few that
+ * they displace change.
  *
  * <p>The cost for B brokers and S endpoints of a cell is B * S hashes and O(B * S * log S) steps.
  * Immutable.
@@ -33,9 +33,9 @@
   public record MemberView(String name, String zone) {}
 
   /**
-   * Returns for each broker all endpoints of the cell in the order in which it would use them: the
-   * first {@link #size} are its subset, the rest its substitutes. An endpoint of its own zone comes
-   * first if one has capacity, because traffic across zones is expensive.
+   * Returns for each broker all endpoints of the cell in order of preference. The first {@link
+   * #size} endpoints are the broker's subset, the others are its substitutes. If an endpoint in the
+   * broker's zone has capacity, it comes first, because traffic across zones is expensive.
    */
   public Map<String, List<String>> of(
       String cell, Collection<MemberView> members, Collection<Store> stores) {
@@ -53,9 +53,7 @@
     return assignment.orders;
   }
 
-  /**
-   * The endpoints by rank, with the highest-ranked one of the broker's own zone moved to the front.
-   */
+  /** The endpoints by rank, except that the highest-ranked one in the broker's zone comes first. */
   private static List<String> preferences(
       String cell, MemberView broker, Map<String, String> endpointZones) {
     List<String> preferences =
@@ -77,13 +75,16 @@
     return settings.size(members, stores);
   }
 
-  /** The assignment of one cell, while it is being computed. */
+  /** The assignment of one cell's endpoints, used during its computation. */
   private static final class Assignment {
     private final int subsetSize;
     private final int maxLoad;
     private final Map<String, Integer> loads = new HashMap<>();
 
-    /** The complete order of each broker that has chosen, its subset first. */
+    /**
+     * The order of all endpoints for each broker that has been processed; the broker's subset comes
+     * first.
+     */
     private final Map<String, List<String>> orders = new LinkedHashMap<>();
 
     Assignment(int subsetSize, int maxLoad) {
@@ -99,8 +100,8 @@
         }
       }
       while (order.size() < subsetSize) {
-        // All endpoints with capacity are chosen already: an earlier broker has to free another
-        // one.
+        // This broker has all endpoints with capacity already. Moving an earlier broker frees
+        // capacity at another endpoint.
         order.add(freeCapacity(preferences, order));
       }
       order.forEach(endpoint -> loads.merge(endpoint, 1, Integer::sum));
@@ -117,10 +118,11 @@
     }
 
     /**
-     * Frees capacity at an endpoint for a broker. Tries the earlier brokers, the latest first, and
-     * moves one of them from an endpoint that is not in {@code chosen} to one in {@code chosen}
-     * that it does not use and that has capacity. If the load bound allows no such move, returns
-     * the endpoint with the least load.
+     * Frees capacity at an endpoint that is not in {@code chosen}, the endpoints of the current
+     * broker, and returns that endpoint. To do so, moves an earlier broker from it to an endpoint
+     * in {@code chosen} that has capacity and that this earlier broker does not use. The earlier
+     * brokers are tried in reverse order of processing. If the load bound permits no such move,
+     * returns the endpoint with the least load.
      */
     private String freeCapacity(List<String> preferences, List<String> chosen) {
       List<String> earlier = new ArrayList<>(orders.keySet());
@@ -136,14 +138,14 @@
     }
 
     /**
-     * Moves an earlier broker to {@code target} from an endpoint that is not in {@code chosen}, and
-     * returns the latter; returns null if it cannot be moved.
+     * Moves an earlier broker from an endpoint that is not in {@code chosen} to {@code target}.
+     * Returns the endpoint that it was moved from, or null if no move is possible.
      */
     private String move(String broker, String target, List<String> chosen) {
       List<String> order = orders.get(broker);
       int targetIndex = order.indexOf(target);
       boolean usesTarget = targetIndex < subsetSize;
-      // The load of the target does not yet include the broker for which capacity is freed.
+      // The load of the target does not yet include the current broker.
       if (usesTarget || load(target) + 1 >= maxLoad) {
         return null;
       }
--- a/src/main/java/dunlinhitch/cluster/SuspicionReport.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionReport.java
@@ -1,12 +1,12 @@
 package dunlinhitch.cluster;
 
 /**
- * A report, shared among brokers, that a member did not answer the pings of one broker. A suspicion
- * that several brokers report times out sooner.
+ * A report, disseminated among brokers, that one broker received no ack from a member. A suspicion
+ * has a shorter timeout if several brokers report it.
  *
  * @param name the suspected member
- * @param incarnation the incarnation under which it is suspected
- * @param by the broker that suspects it
+ * @param incarnation the incarnation of the suspected member
+ * @param by the broker that suspects the member
  */
 public record SuspicionReport(String name, long incarnation, String by) {
   /** Bytes of the lengths of the two names. */
@@ -26,7 +26,7 @@
     }
   }
 
-  /** The approximate size in a message, in bytes. */
+  /** The approximate size of the encoded report in bytes. */
   int bytes() {
     return name.length() + by.length() + FIXED_BYTES + Long.BYTES;
   }
--- a/src/main/java/dunlinhitch/cluster/SuspicionTable.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionTable.java
@@ -8,15 +8,18 @@
 import java.util.Set;
 
 /**
- * The members that this broker suspects, with the start of each suspicion and the brokers that
- * reported it, and the reports that are still to be disseminated. As in Lifeguard, the timeout of a
- * suspicion grows with the size of the cluster and decreases logarithmically with the number of
- * independent reports.
+ * The members that are suspected according to this broker's member list, with the start of each
+ * suspicion and the brokers that reported it. Also holds the queue of reports to disseminate. As in
+ * Lifeguard, the timeout of a suspicion grows with the size of the cluster and decreases
+ * logarithmically with the number of independent reports.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}. Times are in microseconds.
  */
 final class SuspicionTable {
-  /** The number of reports after the first at which a suspicion has its shortest timeout. */
+  /**
+   * The number of reports, in addition to the first, at which the timeout of a suspicion reaches
+   * its minimum.
+   */
   private static final int MAX_CONFIRMATIONS = 3;
 
   private static final class Suspicion {
@@ -39,8 +42,8 @@
   }
 
   /**
-   * Begins the suspicion of a member with the given incarnation; has no effect if it is already
-   * suspected.
+   * Begins the suspicion of a member with the given incarnation; has no effect if the member is
+   * already suspected.
    */
   void begin(String name, long incarnation, long nowUs) {
     Suspicion current = suspicions.get(name);
@@ -82,7 +85,9 @@
     return suspicion == null ? 0 : suspicion.accusers.size();
   }
 
-  /** When the suspected member is to be declared dead, given the size of the cluster. */
+  /**
+   * The time at which the suspected member has to be declared dead, given the size of the cluster.
+   */
   long deadlineUs(String name, int members, LocalHealth localHealth) {
     Suspicion suspicion = suspicions.get(name);
     return suspicion.sinceUs + localHealth.scale(timeoutUs(suspicion.accusers.size(), members));
@@ -112,7 +117,10 @@
     return suspicions.keySet();
   }
 
-  /** Restarts all timeouts, because this broker could not receive refutations until now. */
+  /**
+   * Restarts the timeouts of all suspicions. Called after a stall, during which this broker could
+   * not receive refutations.
+   */
   void restartAll(long nowUs) {
     suspicions.values().forEach(suspicion -> suspicion.sinceUs = nowUs);
   }
@@ -122,7 +130,7 @@
    *
    * @param limit the maximum number of reports
    * @param maxBytes their maximum total size
-   * @param transmissions the number of messages after which a report is dropped from the queue
+   * @param transmissions the number of transmissions after which a report is removed from the queue
    */
   List<SuspicionReport> nextReports(int limit, int maxBytes, int transmissions) {
     List<SuspicionReport> chosen = new ArrayList<>();
--- a/src/main/java/dunlinhitch/cluster/UpdateQueue.java
+++ b/src/main/java/dunlinhitch/cluster/UpdateQueue.java
@@ -6,8 +6,9 @@
 import java.util.Map;
 
 /**
- * The updates that are still to be disseminated, each with the number of messages that carried it.
- * The least transmitted go first, and an update that was transmitted often enough is dropped.
+ * A queue of updates to disseminate, each with the number of messages in which it was transmitted.
+ * Updates with the fewest transmissions come first. An update is removed after the required number
+ * of transmissions.
  *
  * <p>Not thread-safe.
  */
@@ -19,18 +20,18 @@
     transmissions.put(update, 0);
   }
 
-  /** Replaces all queued updates by these. */
+  /** Replaces all queued updates by the given ones. */
   void replaceAll(Collection<T> updates) {
     transmissions.clear();
     updates.forEach(this::enqueue);
   }
 
-  /** Drops an update, if it is queued. */
+  /** Removes an update, if it is queued. */
   void remove(T update) {
     transmissions.remove(update);
   }
 
-  /** At most {@code limit} updates, the least transmitted first. */
+  /** At most {@code limit} updates, those with the fewest transmissions first. */
   List<T> leastTransmitted(int limit) {
     return transmissions.entrySet().stream()
         .sorted(Map.Entry.comparingByValue())
@@ -39,7 +40,7 @@
         .toList();
   }
 
-  /** Counts a message that carries the update; after {@code limit} messages it is dropped. */
+  /** Counts one transmission of the update, and removes it after {@code limit} transmissions. */
   void recordTransmission(T update, int limit) {
     if (transmissions.containsKey(update)
         && transmissions.merge(update, 1, Integer::sum) >= limit) {
--- a/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
@@ -11,10 +11,10 @@
 import java.util.Set;
 
 /**
- * The maximum datagram size and the addresses with which datagrams are exchanged. If the addresses
- * of all brokers are configured, datagrams from and to other addresses are dropped, and a
- * configured address takes precedence over the one in a message, because each broker may reach the
- * others at different addresses. Immutable.
+ * The maximum datagram size, and the addresses with which datagrams may be exchanged. If the
+ * addresses of all brokers are configured, datagrams from and to other addresses are dropped. A
+ * configured address then also replaces the address in a received message, because an address that
+ * is valid at the sender may not be valid at this broker. Immutable.
  */
 public final class AddressBook {
   /** A configured address; the name of its broker may be empty. */
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Whether the addresses are configured. If so, two brokers may validly know a third one by
-   * different addresses.
+   * Whether the addresses of the brokers are configured. If so, two brokers may legitimately have
+   * different addresses for the same third broker.
    */
   public boolean isConfigured() {
     return !addresses.isEmpty();
@@ -59,13 +59,15 @@
   }
 
   private static BrokerAddress addressOnly(String host, int port) {
-    InetAddress address = NetUtil.createInetAddressFromIpAddressString(host); // no DNS lookup
+    // Returns null for a host name, without a DNS lookup.
+    InetAddress address = NetUtil.createInetAddressFromIpAddressString(host);
     return new BrokerAddress("", address == null ? host : address.getHostAddress(), port);
   }
 
   /**
-   * Returns a message that was received from the given address, with the addresses that are valid
-   * at this broker.
+   * Replaces the addresses in a received message if the addresses of the brokers are configured:
+   * the sender's address by the one from which the message was received, and the addresses of other
+   * members by the configured ones.
    */
   GossipMessage withLocalAddresses(GossipMessage message, String host, int port) {
     return addresses.isEmpty()
--- a/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/DatagramWriter.java
@@ -11,26 +11,30 @@
 import java.util.List;
 
 /**
- * Writes one datagram in the {@link WireFormat}: first the header, then items. A part that does not
- * fit or that a decoder would reject leaves the datagram unchanged. Not thread-safe.
+ * Writes one datagram in the {@link WireFormat}: first the header, then the items. A header or item
+ * that does not fit, or that a decoder would reject, is not written, and the datagram stays as
+ * before. Not thread-safe.
  */
 final class DatagramWriter {
-  /** A part of the datagram that is written completely or not at all. */
+  /** A section of the datagram, which is written completely or not at all. */
   private interface Section {
     void write(CodedOutputStream out) throws IOException;
   }
 
-  /** The datagram without its checksum. */
+  /** The bytes of the datagram except for the checksum. */
   private final byte[] buffer;
 
   private final StringTable strings = new StringTable();
   private int length;
   private int headerLength;
 
-  /** The sender's incarnation, to which times in milliseconds are relative. */
+  /** The sender's incarnation. Times in milliseconds are encoded as differences from this value. */
   private long baseMs;
 
-  /** The time of the last written observation, to which the time of the next one is relative. */
+  /**
+   * The time of the last written observation. The time of the next observation is encoded as the
+   * difference from this value.
+   */
   private long lastObservedUs;
 
   /** Creates a writer of a datagram of at most {@code maxBytes} bytes, including the checksum. */
@@ -79,7 +83,8 @@
 
   private static void writeBuckets(CodedOutputStream out, List<Long> buckets) throws IOException {
     if (buckets.size() > WireFormat.MAX_BUCKETS) {
-      throw new IOException(buckets.size() + " buckets are more than the wire format allows");
+      throw new IOException(
+          buckets.size() + " buckets, expected at most " + WireFormat.MAX_BUCKETS);
     }
     if (!buckets.isEmpty()) {
       out.writeRawByte(buckets.size());
@@ -135,7 +140,10 @@
     if (values > WireFormat.MAX_REPORT_VALUES
         || !observation.report().stream().allMatch(Float::isFinite)) {
       throw new IOException(
-          "load report with too many values or one that is not finite: " + observation.report());
+          "load report must have at most "
+              + WireFormat.MAX_REPORT_VALUES
+              + " values, all finite: got "
+              + observation.report());
     }
     out.writeRawByte(WireFormat.OBSERVATION_ITEM | (values << WireFormat.ITEM_TYPE_BITS));
     strings.write(out, observation.endpoint());
@@ -162,7 +170,7 @@
         return true;
       }
     } catch (IOException e) {
-      // it does not fit, or no decoder would accept it; the sender counts omitted items
+      // The section does not fit, or a decoder would reject it. The encoder counts omitted items.
     }
     strings.truncate(stringsBefore);
     return false;
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
@@ -12,8 +12,9 @@
 import java.util.List;
 
 /**
- * Decodes one datagram of the {@link WireFormat}. The cost of decoding is bounded by the length of
- * the datagram, whatever its content. Each instance decodes one datagram. Pure.
+ * Decodes one datagram of the {@link WireFormat}. The cost of decoding is proportional to the
+ * length of the datagram at most, even if the content is malicious. Each instance decodes one
+ * datagram. Pure.
  */
 final class GossipDecoder {
   /** The size of the version, the kind and the checksum. */
@@ -27,10 +28,13 @@
   private final List<EndpointObservation> observations = new ArrayList<>();
   private final List<SuspicionReport> suspicions = new ArrayList<>();
 
-  /** The sender's incarnation, to which times in milliseconds are relative. */
+  /** The sender's incarnation. Times in milliseconds are encoded as differences from this value. */
   private long baseMs;
 
-  /** The time of the last read observation, to which the time of the next one is relative. */
+  /**
+   * The time of the last decoded observation. The time of the next observation is encoded as the
+   * difference from this value.
+   */
   private long lastObservedUs;
 
   private GossipDecoder(CodedInputStream in) {
@@ -63,7 +67,11 @@
         || (version >= WireFormat.FIRST_BINARY_VERSION && version < WireFormat.VERSION)) {
       throw new MalformedMessageException(
           Reason.OLDER_VERSION,
-          "gossip message of version " + (version == WireFormat.JSON_START ? 1 : version));
+          "gossip message of version "
+              + (version == WireFormat.JSON_START ? 1 : version)
+              + ", but only version "
+              + WireFormat.VERSION
+              + " is supported");
     }
     if (version > WireFormat.VERSION && version <= WireFormat.MAX_VERSION) {
       throw new MalformedMessageException(
@@ -74,7 +82,8 @@
               + WireFormat.VERSION
               + " is supported");
     }
-    throw new MalformedMessageException(Reason.INVALID, "unknown version byte: " + version);
+    throw new MalformedMessageException(
+        Reason.INVALID, "first byte " + version + " is not a version of gossip messages");
   }
 
   private GossipMessage readMessage() throws IOException {
@@ -119,7 +128,8 @@
   }
 
   /**
-   * Reads a member. The sender itself is read before {@link #baseMs} is set, while it is still 0.
+   * Reads a member. For the sender, which is read first, {@link #baseMs} is still 0, so that its
+   * incarnation is an absolute value.
    */
   private Member readMember(int status) throws IOException {
     String name = strings.read(in);
@@ -140,7 +150,7 @@
   private List<Long> readBuckets() throws IOException {
     int count = in.readRawByte();
     if (count < 1 || count > WireFormat.MAX_BUCKETS) {
-      throw new IOException(count + " buckets, outside of the permitted range");
+      throw new IOException(count + " buckets, expected 1 to " + WireFormat.MAX_BUCKETS);
     }
     List<Long> buckets = new ArrayList<>(count);
     for (int i = 0; i < count; i++) {
@@ -151,7 +161,7 @@
 
   private SuspicionReport readSuspicion(int unusedBits) throws IOException {
     if (unusedBits != 0) {
-      throw new IOException("suspicion item with unused bits set");
+      throw new IOException("suspicion item must have its unused bits clear: got " + unusedBits);
     }
     String name = strings.read(in);
     String by = strings.read(in);
@@ -179,7 +189,7 @@
     for (int i = 0; i < count; i++) {
       float value = in.readFloat();
       if (!Float.isFinite(value)) {
-        throw new IOException("load report with a value that is not finite: " + value);
+        throw new IOException("load report must have only finite values: got " + value);
       }
       report.add(value);
     }
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipEncoder.java
@@ -9,13 +9,13 @@
 
 /**
  * Encodes gossip messages as datagrams. A message that does not fit in one datagram is split into
- * several, each a valid message by itself. Pure.
+ * several datagrams, each of which is a valid message by itself. Pure.
  */
 final class GossipEncoder {
   /**
    * An encoded message.
    *
-   * @param all its datagrams; empty if the header does not fit
+   * @param all the datagrams of the message; empty if the header does not fit
    * @param omittedItems the number of items that did not fit
    */
   record Datagrams(List<byte[]> all, int omittedItems) {}
@@ -30,9 +30,10 @@
 
   /**
    * Encodes a message. The first datagram has the kind of the message, the others are of kind
-   * GOSSIP. Each carries the digest, because any of them may be lost. The first contains the
-   * buckets, because it carries the sequence number that belongs to them. If they leave no space
-   * for the versions, these are left to the next message.
+   * GOSSIP. Each datagram carries the digest, because any of them may be lost. The first datagram
+   * contains the buckets, because it carries the sequence number that indicates the kind of
+   * comparison. If the buckets leave no space for the versions, the versions are omitted, and a
+   * later message carries them.
    *
    * @param maxBytes the maximum size of each datagram
    */
@@ -44,7 +45,8 @@
     }
     GossipMessage continuation = continuationOf(message);
     int omitted = 0;
-    boolean first = true; // the first datagram is sent even without items
+    // The first datagram is sent even if it contains no items.
+    boolean first = true;
     for (Item item : items(message)) {
       boolean added = item.addTo(writer);
       if (!added && (first || writer.hasItems()) && datagrams.size() + 1 < maxDatagrams) {
@@ -102,9 +104,9 @@
   }
 
   /**
-   * The items in the order of their urgency: first the members that are not alive, which must be
-   * able to refute that; then the suspicions; then observations and alive members alternately, so
-   * that many items of one type do not displace those of the other.
+   * The items in order of urgency: first the members that are not alive, so that they can refute
+   * their status; then the suspicions; then observations and alive members alternately, so that
+   * neither type displaces the other.
    */
   private static List<Item> items(GossipMessage message) {
     List<Item> items = new ArrayList<>();
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
@@ -15,30 +15,39 @@
 import java.util.function.Consumer;
 
 /**
- * Sends and receives gossip messages over UDP. A datagram that cannot be decoded is counted by
- * reason and dropped. Duplicates are dropped too, to avoid replying to them twice. Used on the
- * event loop only.
+ * Sends and receives gossip messages over UDP. A datagram that cannot be decoded is dropped and
+ * counted under the reason. Duplicates are dropped too, so that no message is answered twice. All
+ * methods must be called on the event loop.
  */
 public final class GossipSocket {
-  /** The default maximum size of a datagram, which no common link fragments. */
+  /**
+   * The default maximum size of a datagram in bytes, small enough not to be fragmented on common
+   * links.
+   */
   public static final int DEFAULT_MAX_BYTES = 1_200;
 
   /**
-   * The maximum number of datagrams of one message. Updates that do not fit are disseminated with a
+   * The maximum number of datagrams of one message. Updates that do not fit are disseminated by a
    * later message or by another broker.
    */
   static final int MAX_DATAGRAMS = 3;
 
-  /** The size of the receive buffer, for bursts that arrive while the event loop is busy. */
+  /**
+   * The size of the socket's receive buffer, which holds bursts that arrive while the event loop is
+   * busy.
+   */
   private static final int RECEIVE_BUFFER_BYTES = 65_536;
 
   /**
-   * The number of remembered checksums, which covers about 10 s of messages in a cluster of 100
-   * brokers. A duplicate made by the network arrives much sooner.
+   * The number of remembered checksums, enough for about 10 s of messages in a cluster of 100
+   * brokers. A datagram that the network duplicates arrives again much sooner.
    */
   private static final int REMEMBERED_CHECKSUMS = 128;
 
-  /** Marks an empty slot; checksums are stored as unsigned numbers, so none is negative. */
+  /**
+   * The value of an unused slot in the ring buffer. Checksums are stored as unsigned numbers, so
+   * none is negative.
+   */
   private static final long NONE = -1;
 
   private final DatagramSocket socket;
@@ -50,7 +59,7 @@
 
   private int nextSlot;
 
-  /** Creates a socket, which neither receives nor sends before {@link #listen}. */
+  /** Creates a socket, which receives and sends datagrams only after {@link #listen}. */
   public GossipSocket(Vertx vertx, AddressBook addresses, Consumer<Event> events) {
     this.addresses = addresses;
     this.events = events;
@@ -90,7 +99,7 @@
     }
   }
 
-  /** Remembers the datagram; returns false if it is a duplicate. */
+  /** Remembers the checksum of the datagram. Returns false if the datagram is a duplicate. */
   private boolean rememberNew(byte[] datagram) {
     long checksum = Integer.toUnsignedLong(WireFormat.readChecksum(datagram));
     if (Arrays.stream(recentChecksums).anyMatch(recent -> recent == checksum)) {
@@ -105,7 +114,10 @@
     events.accept(new Event.ConditionCounted(counter));
   }
 
-  /** Sends a message. A lost message is not sent again, because later ones repeat its updates. */
+  /**
+   * Sends a message. A lost message is not retransmitted, because later messages repeat its
+   * updates.
+   */
   public void send(Effect.SendGossip effect) {
     GossipEncoder.Datagrams datagrams =
         GossipEncoder.encode(effect.message(), addresses.maxDatagramBytes(), MAX_DATAGRAMS);
@@ -119,8 +131,8 @@
   }
 
   /**
-   * Sends one datagram, unless its address is not permitted or it is too large. Some platforms
-   * treat an oversized datagram as a fatal violation.
+   * Sends one datagram. Drops it if the address is not permitted or the datagram exceeds the
+   * maximum size, because some platforms treat an oversized datagram as a fatal violation.
    */
   void send(byte[] bytes, String host, int port) {
     if (bytes.length > addresses.maxDatagramBytes() || !addresses.permits(host, port)) {
--- a/src/main/java/dunlinhitch/cluster/gossip/MalformedMessageException.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/MalformedMessageException.java
@@ -3,21 +3,21 @@
 import dunlinhitch.core.Counter;
 
 /**
- * Thrown for a datagram that is not a valid gossip message of this version. The whole datagram is
- * dropped; later messages disseminate the same updates again.
+ * Thrown for a datagram that is not a valid gossip message of the supported version. The whole
+ * datagram is dropped. Later messages disseminate the same updates again.
  */
 final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  /** Why a datagram was dropped; each reason is shown to operators by a counter. */
+  /** The reason why a datagram was dropped, with the counter that reports it to operators. */
   enum Reason {
-    /** Truncated or changed in transit. */
+    /** The datagram was truncated or changed in transit. */
     CORRUPT(Counter.GOSSIP_TRUNCATED),
-    /** Of a newer version: its sender was upgraded before this broker. */
+    /** The message has a newer version, because the sender was upgraded before this broker. */
     NEWER_VERSION(Counter.GOSSIP_OTHER_VERSION),
-    /** Of an older version: its sender is upgraded after this broker. */
+    /** The message has an older version, because the sender has not been upgraded yet. */
     OLDER_VERSION(Counter.GOSSIP_UNREADABLE),
-    /** Not a gossip message, or one with an invalid field. */
+    /** The datagram is not a gossip message, or a field of the message is invalid. */
     INVALID(Counter.GOSSIP_UNREADABLE);
 
     private final Counter counter;
--- a/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
@@ -13,18 +13,23 @@
 /**
  * The strings of one datagram. A repeated string is encoded as a reference, usually of one byte;
  * IPv4 addresses and hexadecimal digests are encoded as their binary values. Each datagram has its
- * own table, because it must be decodable by itself. Not thread-safe.
+ * own table, because it must be possible to decode each datagram independently. Not thread-safe.
  */
 final class StringTable {
-  /** UTF-8 with a length. */
+  /** The form of a string in UTF-8, preceded by the length. */
   private static final int PLAIN = 0;
 
   private static final int IPV4 = 1;
 
-  /** Lower-case hexadecimal digits as bytes with a length. */
+  /**
+   * The form of a string of lower-case hexadecimal digits: the bytes that they encode, preceded by
+   * the length.
+   */
   private static final int HEX = 2;
 
-  /** The form of a reference to the first string of the table; larger forms refer to later ones. */
+  /**
+   * The form of a reference to the first string of the table. Larger values refer to later strings.
+   */
   private static final int FIRST_REFERENCE = 3;
 
   private static final int MAX_BYTES = 200;
@@ -36,12 +41,12 @@
     return strings.size();
   }
 
-  /** Removes the strings after the first {@code size}. */
+  /** Keeps only the first {@code size} strings. */
   void truncate(int size) {
     strings.subList(size, strings.size()).clear();
   }
 
-  /** Writes a string; throws if no decoder would accept it or it does not fit. */
+  /** Writes a string. Throws if it does not fit or if a decoder would reject it. */
   void write(CodedOutputStream out, String text) throws IOException {
     int index = strings.indexOf(text);
     if (index >= 0) {
@@ -50,7 +55,7 @@
     }
     byte[] plain = text.getBytes(StandardCharsets.UTF_8);
     if (plain.length > MAX_BYTES) {
-      throw new IOException("string of " + plain.length + " bytes exceeds the maximum length");
+      throw new IOException("string of " + plain.length + " bytes, expected at most " + MAX_BYTES);
     }
     if (isIpv4(text)) {
       out.writeUInt32NoTag(IPV4);
@@ -66,7 +71,8 @@
   }
 
   /**
-   * Whether the text is an IPv4 address that decodes to the same text, unlike 127.1 and 010.0.0.1.
+   * Whether the text is an IPv4 address in canonical form, which is decoded to the same text. This
+   * excludes 127.1 and 010.0.0.1.
    */
   private static boolean isIpv4(String text) {
     return NetUtil.isValidIpV4Address(text)
@@ -90,7 +96,7 @@
         };
     if (text.length() > MAX_BYTES) {
       throw new IOException(
-          "string of " + text.length() + " characters exceeds the maximum length");
+          "string of " + text.length() + " characters, expected at most " + MAX_BYTES);
     }
     strings.add(text);
     return text;
--- a/src/main/java/dunlinhitch/cluster/gossip/WireFormat.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/WireFormat.java
@@ -6,17 +6,17 @@
 import java.util.zip.CRC32C;
 
 /**
- * The encoding of gossip datagrams: protobuf's varints without its tags. A datagram consists of the
+ * The encoding of gossip datagrams: protobuf varints without field tags. A datagram consists of the
  * version, the kind with flags, the sender, the optional fields that the flags indicate, a sequence
  * of items (members, endpoint observations and suspicions), and a checksum. Times are encoded as
- * differences from the sender's incarnation, which is a time itself.
+ * differences from the sender's incarnation, which is usually its start time.
  *
- * <p>All fields are positional, so every change of the encoding needs a new {@link #VERSION}.
+ * <p>All fields are positional, so every change of the encoding requires a new {@link #VERSION}.
  */
 final class WireFormat {
   static final int VERSION = 3;
 
-  /** The first byte of a message of version 1, which was JSON. */
+  /** The first byte of a message of version 1, which was encoded as JSON. */
   static final int JSON_START = '{';
 
   /** The first version with a binary encoding. */
@@ -25,10 +25,16 @@
   /** The highest possible version; a datagram with a larger first byte is not a gossip message. */
   static final int MAX_VERSION = 31;
 
-  /** Bytes of the CRC-32C at the end, most significant first. */
+  /**
+   * The size of the CRC-32C at the end of a datagram, in bytes. The most significant byte comes
+   * first.
+   */
   static final int CHECKSUM_BYTES = 4;
 
-  /** The bits of the second byte that hold the kind; the others are the flags below. */
+  /**
+   * The bits of the second byte that contain the kind. The other bits are the flags that are
+   * defined below.
+   */
   static final int KIND_MASK = 0x0f;
 
   static final int HAS_SUBJECT = 0x10;
@@ -37,13 +43,15 @@
   static final int HAS_BUCKETS = 0x80;
 
   /**
-   * The maximum number of buckets: more than any version uses, with a count that fits in one byte.
+   * The maximum number of buckets in a message. It leaves room for versions with more buckets, and
+   * the count fits in one byte.
    */
   static final int MAX_BUCKETS = 64;
 
   /**
-   * The number of low bits in the first byte of an item that hold its type. The other bits hold the
-   * status of a member or the number of values in the load report of an observation.
+   * The number of low bits in the first byte of an item that contain the item's type. The other
+   * bits contain the status of a member, or the number of values in the load report of an
+   * observation.
    */
   static final int ITEM_TYPE_BITS = 2;
 
@@ -60,7 +68,7 @@
   private static final int BYTE_BITS = 8;
   private static final int BYTE_MASK = 0xff;
 
-  /** Kinds by their code on the wire. */
+  /** The message kinds, indexed by their code on the wire. */
   private static final GossipMessage.Kind[] KINDS = {
     GossipMessage.Kind.PING,
     GossipMessage.Kind.ACK,
@@ -70,7 +78,7 @@
     GossipMessage.Kind.GOSSIP
   };
 
-  /** Member statuses by their code on the wire. */
+  /** The member statuses, indexed by their code on the wire. */
   private static final Member.Status[] STATUSES = {
     Member.Status.ALIVE, Member.Status.SUSPECT, Member.Status.DEAD, Member.Status.LEFT
   };
@@ -116,14 +124,14 @@
     return values[code];
   }
 
-  /** The checksum of the first {@code count} bytes. */
+  /** Computes the checksum of the first {@code count} bytes. */
   static int computeChecksum(byte[] bytes, int count) {
     CRC32C checksum = new CRC32C();
     checksum.update(bytes, 0, count);
     return (int) checksum.getValue();
   }
 
-  /** Computes the checksum of a datagram and writes it into the last bytes. */
+  /** Computes the checksum of a datagram and writes it to the end of the array. */
   static void writeChecksum(byte[] datagram) {
     int start = datagram.length - CHECKSUM_BYTES;
     int checksum = computeChecksum(datagram, start);
@@ -133,7 +141,8 @@
   }
 
   /**
-   * The checksum that a datagram carries; datagrams with equal checksums are treated as duplicates.
+   * Reads the checksum at the end of a datagram. Datagrams with equal checksums are treated as
+   * duplicates.
    */
   static int readChecksum(byte[] datagram) {
     int checksum = 0;
--- a/src/main/java/dunlinhitch/cluster/package-info.java
+++ b/src/main/java/dunlinhitch/cluster/package-info.java
@@ -4,8 +4,8 @@
  * dunlinhitch.cluster.ClusterCoordinator}, {@link dunlinhitch.cluster.MembershipProtocol} and
  * {@link dunlinhitch.cluster.ReplicatedMap}.
  *
- * <p>Pure code: events and times go in, messages and decisions come out. This package does no I/O,
- * reads no clock, starts no threads, and uses no other package of the project except {@link
- * dunlinhitch.cluster.versions}; messages are encoded and sent in {@code cluster.gossip}.
+ * <p>Pure code: the input is events and times, the output is messages and decisions. This package
+ * does no I/O, reads no clock, starts no threads, and uses no other package of the project except
+ * {@link dunlinhitch.cluster.versions}; messages are encoded and sent in {@code cluster.gossip}.
  */
 package dunlinhitch.cluster;
--- a/src/main/java/dunlinhitch/cluster/versions/SettingsDigest.java
+++ b/src/main/java/dunlinhitch/cluster/versions/SettingsDigest.java
@@ -6,15 +6,19 @@
 import java.util.HexFormat;
 
 /**
- * A short digest of parsed settings: equal settings have equal digests, regardless of the
- * formatting of their file. Brokers of different builds compare it.
+ * Computes a short digest of parsed settings. Equal settings have equal digests, regardless of the
+ * formatting of the settings file. Brokers compare their digests, also if they run different
+ * builds.
  */
 public final class SettingsDigest {
   private static final int DIGEST_BYTES = 6;
 
   private SettingsDigest() {}
 
-  /** The first 48 bits of the SHA-256 of the canonical text, which contains all settings. */
+  /**
+   * Returns the first 48 bits of the SHA-256 of the canonical text, which must contain all
+   * settings.
+   */
   public static String of(String canonicalSettings) {
     try {
       byte[] hash =
--- a/src/main/java/dunlinhitch/cluster/versions/SkewVerdict.java
+++ b/src/main/java/dunlinhitch/cluster/versions/SkewVerdict.java
@@ -1,35 +1,35 @@
 package dunlinhitch.cluster.versions;
 
 /**
- * A decision of the {@link VersionSkewDetector} about a broker.
+ * A decision of the {@link VersionSkewDetector} about an outdated broker.
  *
- * @param broker the broker
- * @param kind which of its versions is outdated
- * @param step the step to take
- * @param has the version that it acts on
- * @param newest the newest version that this broker knows
- * @param behindUs the time since this broker learned of the newer version, in microseconds
+ * @param broker the name of the broker
+ * @param kind which version of the broker is outdated
+ * @param step what to do about the broker
+ * @param has the version that the broker runs with
+ * @param newest the newest version that any broker has announced
+ * @param behindUs the time since the detector found the broker outdated, in microseconds
  */
 public record SkewVerdict(
     String broker, Kind kind, Step step, String has, String newest, long behindUs) {
   /**
    * The kinds of versions that can be outdated. Builds are not included, because a cluster runs two
-   * of them during an upgrade.
+   * builds during an upgrade.
    */
   public enum Kind {
-    /** The settings. */
+    /** The version of the settings. */
     SETTINGS,
-    /** The endpoint list. */
+    /** The generation of the endpoint list. */
     ROSTER
   }
 
   /** A step in handling a version skew; the names are part of log lines and tests. */
   public enum Step {
-    /** The broker is outdated. */
+    /** The broker is reported as outdated. */
     SEEN,
-    /** This broker itself is outdated and has to refresh from its source. */
+    /** This broker itself is outdated and has to reload the outdated data from its source. */
     BRING_UP,
-    /** The broker is fenced; if it is this one, it admits no new work. */
+    /** The broker is fenced. A broker that fences itself admits no new work. */
     SHUT_OUT,
     /** A fenced broker has caught up. */
     LET_IN,
--- a/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
@@ -9,27 +9,28 @@
 import java.util.TreeSet;
 
 /**
- * Detects brokers that act on older versions than others, and decides when they are reported,
- * refreshed and fenced. Its input is the versions that brokers announce, its output verdicts.
+ * Detects brokers that run with older versions than others, and decides when they are reported,
+ * refreshed and fenced. The input is the versions that the brokers announce, the output is
+ * verdicts.
  *
- * <p>Bounds: a broker is reported as outdated {@code boundUs} after this broker has learned both
+ * <p>Bounds: a broker is reported as outdated {@code boundUs} after this broker has received both
  * the newer version and the version of the outdated broker. It is fenced {@code shutUs} after more
- * than half of the brokers were known to act on the newer version. Therefore no broker is fenced
- * while a change is rolled out to one broker after the other, and a single faulty broker cannot
- * cause others to be fenced. An outdated broker detects this itself as soon as any other broker
- * announces the newer version, and applies the same times to itself.
+ * than half of the brokers have announced the newer version. Therefore no broker is fenced before
+ * most brokers have received a change, and a single faulty broker cannot cause others to be fenced.
+ * An outdated broker detects that it is outdated when another broker announces the newer version,
+ * and applies the same times to itself.
  *
  * <p>Pure: no clock, I/O or threads. Not thread-safe; owned by the reducer. Times are microseconds
  * of a monotonic clock.
  */
 public final class VersionSkewDetector {
-  /** The state of one outdated broker for one kind of version. */
+  /** The state of one outdated broker with regard to one kind of version. */
   private static final class Skew {
     private static final long NO_MAJORITY = -1;
 
     private final long sinceUs;
 
-    /** Since when most brokers act on the newer version. */
+    /** The time since which most brokers have run with the newer version. */
     private long majoritySinceUs = NO_MAJORITY;
 
     private long lastRefreshUs;
@@ -53,7 +54,9 @@
     }
   }
 
-  /** How one broker's version of one kind compares with the newest. */
+  /**
+   * The result of comparing a broker's version of one kind with the newest version of that kind.
+   */
   private record Comparison(
       boolean isOutdated, boolean majorityIsNewer, String current, String newest) {}
 
@@ -64,7 +67,8 @@
   private final List<SkewVerdict> pendingVerdicts = new ArrayList<>();
 
   /**
-   * Creates a detector; {@code self} is this broker's name, {@code own} the versions it acts on.
+   * Creates a detector; {@code self} is this broker's name, {@code own} are the versions that it
+   * runs with.
    */
   public VersionSkewDetector(VersionSkewSettings settings, String self, VersionVector own) {
     this.settings = settings;
@@ -73,8 +77,8 @@
   }
 
   /**
-   * Handles the announcement of the versions that a broker, possibly this one, acts on. An
-   * announcement that arrives after a newer one is ignored.
+   * Handles an announcement of the versions that a broker, possibly this one, runs with. An
+   * announcement that arrives after a newer one of the same broker is ignored.
    */
   public void onVersions(long nowUs, String broker, VersionVector versions) {
     VersionVector before = versionsByBroker.get(broker);
@@ -93,7 +97,8 @@
   }
 
   /**
-   * Removes another broker that no longer takes part, so that its versions do not count any more.
+   * Removes another broker that is no longer a member, so that its versions are no longer taken
+   * into account.
    */
   public void onMemberLeft(long nowUs, String broker) {
     if (!broker.equals(self) && versionsByBroker.remove(broker) != null) {
@@ -110,7 +115,7 @@
     return verdicts;
   }
 
-  /** When {@link #verdicts} has to be called next, at the latest. */
+  /** The latest time at which {@link #verdicts} must be called, in microseconds. */
   public long nextUs() {
     long next = pendingVerdicts.isEmpty() ? Long.MAX_VALUE : 0;
     for (Map.Entry<String, Map<SkewVerdict.Kind, Skew>> entry : skewsByBroker.entrySet()) {
@@ -145,14 +150,14 @@
     return fenced;
   }
 
-  /** The versions that each broker acts on, as far as this broker knows them. */
+  /** The versions that each broker has announced. */
   public Map<String, VersionVector> versionsByBroker() {
     return Map.copyOf(versionsByBroker);
   }
 
   /**
-   * The newest settings that any broker acts on. If two were written at the same time, the one with
-   * the higher digest counts as newer, so that all brokers choose the same.
+   * The newest settings of any broker. Of two settings that were written at the same time, those
+   * with the higher digest count as newer, so that all brokers choose the same settings.
    */
   private VersionVector newestSettings() {
     VersionVector newest = versionsByBroker.get(self);
@@ -196,7 +201,10 @@
     return newest;
   }
 
-  /** Generations of endpoint lists are comparable only among brokers with the same settings. */
+  /**
+   * Compares generations of the endpoint list, which are comparable only among brokers with the
+   * same settings.
+   */
   private Comparison compareGeneration(VersionVector versions, long newestGeneration) {
     long newer =
         versionsByBroker.values().stream()
--- a/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
@@ -1,14 +1,15 @@
 package dunlinhitch.cluster.versions;
 
 /**
- * The versions that a broker acts on.
+ * The versions that a broker runs with.
  *
  * @param build the version of the program
- * @param settings a digest of the parsed settings, see {@link SettingsDigest}
- * @param settingsMs when the settings file was written, Unix time in milliseconds; the later of two
- *     digests is the newer
- * @param endpointListGeneration the generation of the endpoint list, 0 before the first; comparable
- *     only among brokers with the same settings, because these name the same discovery service
+ * @param settings the digest of the parsed settings, see {@link SettingsDigest}
+ * @param settingsMs when the settings file was written, Unix time in milliseconds; of two digests,
+ *     the one with the later time is the newer
+ * @param endpointListGeneration the generation of the endpoint list, 0 before the first list;
+ *     comparable only among brokers with the same settings, because each discovery service has its
+ *     own generations
  */
 public record VersionVector(
     String build, String settings, long settingsMs, long endpointListGeneration) {
@@ -33,8 +34,8 @@
   }
 
   /**
-   * Returns a copy with the given settings and no endpoint list, because these settings may name
-   * another discovery service.
+   * Returns a copy with the given settings and generation 0 of the endpoint list, because the new
+   * settings may specify another discovery service.
    */
   public VersionVector withSettings(String digest, long writtenMs) {
     return new VersionVector(build, digest, writtenMs, 0);
--- a/src/test/java/dunlinhitch/cluster/AntiEntropyDigestTest.java
+++ b/src/test/java/dunlinhitch/cluster/AntiEntropyDigestTest.java
@@ -6,7 +6,10 @@
 
 /** Tests of {@link AntiEntropyDigest}. */
 class AntiEntropyDigestTest {
-  /** Brokers that know different addresses of a member agree if the digest leaves addresses out. */
+  /**
+   * Brokers with different addresses for the same member have equal digests if the digest does not
+   * cover addresses.
+   */
   @Test
   void addressesAreLeftOutOfTheDigestWhereConfigured() {
     for (boolean addresses : new boolean[] {true, false}) {
--- a/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
+++ b/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
@@ -35,7 +35,10 @@
         ClusterSimulation.unevenness(simulation.load()) <= 1.2, simulation.load().toString());
   }
 
-  /** A killed member is removed within the documented bound, a leaving one at once. */
+  /**
+   * A killed member is removed within the documented bound, and a member that leaves is removed
+   * immediately.
+   */
   @Test
   void deadAndLeavingMembersAreRemovedWithinTheBound() {
     ClusterSimulation simulation = simulation(8, 0);
@@ -65,7 +68,7 @@
         before, simulation.nodes().stream().mapToLong(n -> n.fleet().membership().version()).sum());
   }
 
-  /** Both sides of the partition agree again after it has healed. */
+  /** After a partition has healed, the brokers of both sides have the same members again. */
   @Test
   void isolatedBrokerRetainsItsSubsetAndRejoins() {
     ClusterSimulation simulation = simulation(8, 0);
@@ -86,7 +89,10 @@
         "the subset must be the same as before the partition");
   }
 
-  /** All brokers are isolated from each other. */
+  /**
+   * All brokers are isolated from each other. In total they perform no more health checks than
+   * before.
+   */
   @Test
   void isolatedBrokersTogetherMakeNoMoreHealthChecks() {
     ClusterSimulation simulation = simulation(8, 0);
@@ -106,7 +112,10 @@
     assertFalse(simulation.probes().isEmpty());
   }
 
-  /** The leader of the epoch has died undetected, so the next broker in the order takes over. */
+  /**
+   * The leader of the epoch has died, but this has not been detected yet. The next broker in the
+   * order takes over.
+   */
   @Test
   void unresponsiveLeaderIsReplacedAndTheReportReachesAll() {
     ClusterSimulation simulation = simulation(8, 0);
@@ -121,17 +130,21 @@
     }
     long seconds =
         simulation.probes().stream().map(p -> p.atUs() / (2 * SECOND_US)).distinct().count();
-    assertTrue(seconds >= 7, "epochs of 2 s with a health check, in 16 s: " + seconds);
+    assertTrue(seconds >= 7, "at least 7 epochs must have a health check: got " + seconds);
     assertTrue(simulation.mostProbesInASecond(4 * SECOND_US) <= 2, simulation.probes().toString());
     simulation.nodes().stream()
         .filter(ClusterSimulation.Node::isUp)
         .forEach(
             n ->
                 assertTrue(
-                    n.reportedHealthChecks() >= 10, n.name + " " + n.reportedHealthChecks()));
+                    n.reportedHealthChecks() >= 10,
+                    n.name + " got " + n.reportedHealthChecks() + " results"));
   }
 
-  /** Failures that only one broker observes count for itself; those that two observe, for all. */
+  /**
+   * Failures that only one broker observes affect only that broker's subset. Failures that two
+   * brokers observe affect all subsets.
+   */
   @Test
   void failingEndpointIsSubstitutedUntilItRecovers() {
     ClusterSimulation simulation = simulation(8, 0);
@@ -141,7 +154,7 @@
         simulation.nodes().stream()
             .filter(n -> n.fleet().selectedEndpoints().contains(failing))
             .toList();
-    assertTrue(users.size() >= 4, users.size() + " brokers use the endpoint");
+    assertTrue(users.size() >= 4, "at least 4 brokers must use the endpoint: got " + users.size());
     ClusterSimulation.Node firstUser = users.get(0);
     for (int i = 0; i < 3; i++) {
       firstUser.onAttempt(failing, false);
@@ -151,7 +164,7 @@
     assertEquals(
         2,
         subsetOfCell(users.get(2), "s0-").size(),
-        "a failure that one broker observes may be that of its own connection");
+        "a failure observed by one broker may be a failure of that broker's connection");
     for (int i = 0; i < 3; i++) {
       users.get(1).onAttempt(failing, false);
     }
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -29,7 +29,10 @@
     return simulation;
   }
 
-  /** Asserts that all members agree within the bound and detect their agreement within 5 s more. */
+  /**
+   * Asserts that all brokers have the same members within the bound, and that they detect the
+   * convergence within another 5 s.
+   */
   private static void assertConverges(MembershipSimulation simulation, long boundUs) {
     long durationUs = simulation.untilAgree(boundUs);
     assertTrue(
@@ -73,17 +76,20 @@
       simulation.play(deathBoundUs(8));
       assertTrue(
           MembershipSimulation.agree(others),
-          "the others must agree without it, mute " + mute + memberLists(simulation));
+          "the other brokers must remove the isolated one, mute " + mute + memberLists(simulation));
       assertTrue(broker.view().snapshot().isolated(), "must detect that it is isolated");
       assertEquals(
-          8, broker.view().snapshot().members().size(), "must keep the members that it knew");
+          8, broker.view().snapshot().members().size(), "must keep its last known members");
       assertFalse(broker.view().snapshot().isConverged());
       simulation.cut((from, to) -> false);
       assertConverges(simulation, joinBoundUs(8));
     }
   }
 
-  /** Without indirect probes and retries the two would declare each other dead. */
+  /**
+   * Two members cannot reach each other directly. Without indirect probes and retries they would
+   * declare each other dead.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void indirectProbesKeepTwoDisconnectedMembersAlive(long seed) {
@@ -130,7 +136,10 @@
     assertConverges(simulation, deathBoundUs(30));
   }
 
-  /** In each half some members restart, move and die; the updates of both halves are merged. */
+  /**
+   * In each half of a partition some members restart, move or die. After the partition has healed,
+   * the updates of both halves are merged.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void partitionedHalvesWithRestartedMembersMerge(long seed) {
@@ -148,7 +157,10 @@
     assertConverges(simulation, joinBoundUs(12));
   }
 
-  /** The earlier process is displaced, detects that, and regains the name when the other ends. */
+  /**
+   * A second process with the same name displaces the first. The first process detects this, and
+   * regains the name when the second one ends.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void duplicateNameGoesToTheLaterIncarnation(long seed) {
@@ -164,7 +176,8 @@
             .filter(member -> member.peer().port() == 7020)
             .count());
     simulation.kill(20);
-    simulation.play(deathBoundUs(7)); // until then all have the other's address
+    // Until the second process is declared dead, all brokers have its address.
+    simulation.play(deathBoundUs(7));
     assertConverges(simulation, joinBoundUs(7));
     assertNull(first.view().snapshot().displacedBy());
     long sameIncarnation = simulation.incarnation(5_000);
@@ -201,8 +214,8 @@
   }
 
   /**
-   * A much higher incarnation is refuted by an even higher one; one that cannot be refuted is
-   * rejected.
+   * A much higher incarnation is refuted by an even higher one. An incarnation that is too high to
+   * be refuted is rejected.
    */
   @Test
   void futureIncarnationIsRefutedOrRejected() {
@@ -248,7 +261,10 @@
         GossipMessage.Kind.GOSSIP, sender.view().self(), 0, "", null, peers, List.of());
   }
 
-  /** A broker that announces no digest or a different number of buckets is a regular member. */
+  /**
+   * A broker that announces no digest, or a different number of buckets, is accepted as a regular
+   * member.
+   */
   @Test
   void membersWithoutOrWithOtherDigestsTakePart() {
     List<GossipMessage> sent = new ArrayList<>();
@@ -310,7 +326,10 @@
     assertConverges(simulation, joinBoundUs(8));
   }
 
-  /** The broker detects the stall whether timers or queued messages are handled first. */
+  /**
+   * A stalled broker detects the stall, regardless of whether timers or queued messages are handled
+   * first.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6})
   void stalledBrokerDeclaresNoMemberDead(long seed) {
@@ -327,7 +346,9 @@
     }
   }
 
-  /** All seeds die, and the two sides of a partition remove each other before it heals. */
+  /**
+   * All seeds die, and the two sides of a partition remove each other before the partition heals.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
   void clusterWithoutItsSeedsMergesAfterALongPartition(long seed) {
@@ -344,12 +365,13 @@
         simulation.nodes().stream().allMatch(node -> node.view().peers().size() == 5),
         "both sides must have removed each other:" + memberLists(simulation));
     simulation.cut((from, to) -> false);
-    // one address is contacted per round of 5 pings, and only some of the remembered ones exist
+    // One address is contacted per round of 5 pings, and some remembered addresses are unused.
     assertConverges(simulation, joinBoundUs(20) + 8 * 14 * SETTINGS.periodUs());
   }
 
   /**
-   * Groups that never exchanged a message merge through the seeds; with the baseline they do not.
+   * Groups of brokers that have never exchanged a message merge through the seeds. With the
+   * baseline settings they do not merge.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -385,7 +407,7 @@
             <= MembershipBounds.bytesPerS(SETTINGS));
   }
 
-  /** With messages of at most 256 bytes, more messages carry the same updates. */
+  /** With messages of at most 256 bytes, the same updates are split over more messages. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2})
   void smallMessagesConvergeToo(long seed) {
--- a/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
+++ b/src/test/java/dunlinhitch/cluster/ObservationTableTest.java
@@ -52,19 +52,22 @@
     ObservationTable table = new ObservationTable(10, 500_000);
     assertTrue(table.merge(observation("n1", 5, 1, 900_000, 0), NOW));
     assertFalse(table.merge(observation("n1", 5, 1, 900_000, 0), NOW));
-    assertFalse(table.merge(observation("n2", 4, 9, 950_000, 0), NOW)); // of an earlier incarnation
-    assertFalse(table.merge(observation("n2", 5, 1, 400_000, 0), NOW)); // stale
-    assertTrue(
-        table.merge(
-            observation("n2", 6, 1, 960_000, 3),
-            NOW)); // of a later incarnation, replaces the first
+    // An observation of an earlier incarnation of the endpoint is dropped.
+    assertFalse(table.merge(observation("n2", 4, 9, 950_000, 0), NOW));
+    // An observation that exceeds the maximum age is dropped.
+    assertFalse(table.merge(observation("n2", 5, 1, 400_000, 0), NOW));
+    // An observation of a later incarnation replaces those of the earlier one.
+    assertTrue(table.merge(observation("n2", 6, 1, 960_000, 3), NOW));
     assertEquals(List.of("n2"), table.all().stream().map(EndpointObservation::observer).toList());
     assertEquals(1, table.countFailing("s", 3));
     table.expire(NOW + 500_000);
     assertEquals(0, table.countObservers("s"));
   }
 
-  /** Otherwise an observation of a broker whose clock is ahead would outlive all others. */
+  /**
+   * An observation with a timestamp in the future counts as made now. Otherwise an observation by a
+   * broker whose clock is ahead would be retained in place of later ones.
+   */
   @Test
   void observationsFromTheFutureCountAsMadeNow() {
     ObservationTable table = new ObservationTable(10, 500_000);
--- a/src/test/java/dunlinhitch/cluster/SubsettingTest.java
+++ b/src/test/java/dunlinhitch/cluster/SubsettingTest.java
@@ -34,7 +34,10 @@
     return stores;
   }
 
-  /** The order of the arguments has no effect; subsets are complete and loads are bounded. */
+  /**
+   * The order of the arguments has no effect, subsets have the required size, and the loads are
+   * bounded.
+   */
   @Property(tries = 300)
   void assignmentIsDeterministicAndBounded(
       @ForAll @IntRange(min = 1, max = 40) int brokers,
@@ -57,7 +60,10 @@
     assertTrue(load.values().stream().allMatch(l -> l <= maxLoad), load + " exceeds " + maxLoad);
   }
 
-  /** A hundred brokers and four endpoints, both spread over two zones. */
+  /**
+   * With 100 brokers and four endpoints in two zones, at least 95 brokers get an endpoint in their
+   * zone first.
+   */
   @Test
   void firstEndpointIsOfTheBrokersOwnZone() {
     Map<String, List<String>> chosen = subsets.of("c", brokers(100), stores(4));
@@ -72,7 +78,7 @@
     assertTrue(own >= 95, own + " of 100 brokers have an endpoint of their own zone first");
   }
 
-  /** The last broker to choose is not the same one in every cell. */
+  /** The broker that is processed last differs between cells. */
   @Test
   void brokerOrderDiffersFromCellToCell() {
     long last =
@@ -91,7 +97,8 @@
   @Test
   void sizeDependsOnClusterAndCell() {
     SubsetSettings settings = SubsetSettings.STANDARD;
-    assertEquals(3, settings.size(1, 3)); // the only broker uses all endpoints
+    // A single broker uses all endpoints.
+    assertEquals(3, settings.size(1, 3));
     assertEquals(3, settings.size(2, 3));
     assertEquals(2, settings.size(8, 3));
     assertEquals(8, settings.size(2, 10));
--- a/src/test/java/dunlinhitch/cluster/SuspicionTableTest.java
+++ b/src/test/java/dunlinhitch/cluster/SuspicionTableTest.java
@@ -9,7 +9,7 @@
 class SuspicionTableTest {
   private static final long SECOND_US = 1_000_000;
 
-  /** Confirmations shorten a suspicion; a larger cluster lengthens it. */
+  /** Confirmations shorten the timeout of a suspicion, and a larger cluster lengthens it. */
   @Test
   void timeoutShrinksWithConfirmationsAndGrowsWithTheCluster() {
     SuspicionTable suspicions = new SuspicionTable(MembershipProtocolSettings.STANDARD);
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
@@ -21,7 +21,7 @@
 import net.jqwik.api.Property;
 import org.junit.jupiter.api.Test;
 
-/** Tests that encoded messages are bounded and decode to the same message. */
+/** Tests that the sizes of encoded messages are bounded, and that decoding restores the message. */
 class GossipCodecTest {
   private static final List<GossipMessage.Kind> KINDS = List.of(GossipMessage.Kind.values());
   private static final List<Member.Status> STATUSES = List.of(Member.Status.values());
@@ -91,7 +91,7 @@
             .toList());
   }
 
-  /** A ping with the maximum number of piggybacked updates, 12 members and 8 observations. */
+  /** A ping with the maximum number of piggybacked updates: 12 members and 8 observations. */
   private static GossipMessage typical() {
     List<Member> members = new ArrayList<>();
     List<EndpointObservation> observations = new ArrayList<>();
@@ -132,8 +132,9 @@
   }
 
   /**
-   * For any message and bounds, no datagram exceeds its bound, each can be decoded, and together
-   * they contain the whole message except for the items that are counted as omitted.
+   * For any message and any bounds, no datagram exceeds the maximum size, and each datagram can be
+   * decoded. Together the datagrams contain the whole message, except for the items that are
+   * counted as omitted.
    */
   @Property(tries = 500)
   void encodedMessagesAreBoundedAndDecodeToTheSame(@ForAll long seed)
@@ -181,7 +182,10 @@
         + message.suspicionReports().size();
   }
 
-  /** The expected first datagram, given its items; buckets may displace the versions. */
+  /**
+   * The expected first datagram, given its items. It contains no versions if the buckets leave no
+   * space for them.
+   */
   private static GossipMessage expectedFirst(GossipMessage message, GossipMessage decoded) {
     return new GossipMessage(
         message.kind(),
@@ -196,7 +200,7 @@
         decoded.suspicionReports());
   }
 
-  /** The expected form of any other datagram, given its items. */
+  /** The expected form of each datagram except the first, given its items. */
   private static GossipMessage expectedContinuation(GossipMessage message, GossipMessage decoded) {
     return new GossipMessage(
         GossipMessage.Kind.GOSSIP,
@@ -227,7 +231,8 @@
   }
 
   /**
-   * All piggybacked updates fit, and a suspected member comes first, because it must refute that.
+   * All piggybacked updates fit, and a suspected member comes first, so that it can refute the
+   * suspicion.
    */
   @Test
   void typicalMessageFitsInThreeSmallDatagrams() throws MalformedMessageException {
@@ -248,8 +253,8 @@
   }
 
   /**
-   * With a name of ordinary length, buckets and versions fit in 256 bytes; with a long name the
-   * buckets displace the versions.
+   * If the sender's name has an ordinary length, buckets and versions fit in 256 bytes. If the name
+   * is long, the versions are omitted.
    */
   @Test
   void bucketsFitInOneSmallDatagram() throws MalformedMessageException {
@@ -279,7 +284,7 @@
         .reason();
   }
 
-  /** Replaces the checksum by the correct one for the other bytes. */
+  /** Replaces the checksum by the correct one for the changed bytes. */
   private static byte[] withChecksum(byte[] bytes) {
     int start = bytes.length - WireFormat.CHECKSUM_BYTES;
     int checksum = WireFormat.computeChecksum(bytes, start);
@@ -310,8 +315,8 @@
   }
 
   /**
-   * For each single bit, the checksum detects that the bit was flipped; with a recomputed checksum,
-   * the datagram decodes to another message or is rejected as invalid.
+   * The checksum detects a flip of any single bit. If the checksum is recomputed after the flip,
+   * the datagram either decodes to another message or is rejected as invalid.
    */
   @Test
   void flippedBitIsDetectedOrDecodesWithoutFault() {
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
@@ -26,7 +26,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Tests gossip over real sockets: bad datagrams are counted, and later messages still arrive. */
+/**
+ * Tests gossip over real sockets. Malformed datagrams are counted, and later messages still arrive.
+ */
 class GossipSocketTest {
   private static final String LOCALHOST = "127.0.0.1";
   private static final Member SELF =
@@ -91,7 +93,8 @@
     assertEquals(new Event.GossipReceived(MESSAGE), nextEvent());
     await(raw.send(Buffer.buffer(datagram), port, LOCALHOST)); // a duplicate
     assertEquals(new Event.ConditionCounted(Counter.GOSSIP_DUPLICATE), nextEvent());
-    for (int i = 0; i < 200; i++) { // only recent datagrams are remembered
+    // Only the checksums of recent datagrams are remembered.
+    for (int i = 0; i < 200; i++) {
       sender.send(new Effect.SendGossip(LOCALHOST, port, numbered(i)));
       assertEquals(new Event.GossipReceived(numbered(i)), nextEvent());
     }
@@ -99,7 +102,10 @@
     assertEquals(new Event.GossipReceived(MESSAGE), nextEvent());
   }
 
-  /** A datagram above the maximum size is never sent; a larger message is split into several. */
+  /**
+   * A datagram that exceeds the maximum size is never sent. A larger message is split into several
+   * datagrams.
+   */
   @Test
   void oversizedDatagramsAreNotSent() throws Exception {
     BlockingQueue<Integer> sizes = new LinkedBlockingQueue<>();
@@ -134,7 +140,7 @@
 
   /**
    * If all addresses are configured, no datagrams are exchanged with other addresses, and the
-   * configured address of a broker takes precedence.
+   * configured address of a broker takes precedence over the one in a message.
    */
   @Test
   void unknownAddressesAreRejectedAndConfiguredOnesTakePrecedence() throws Exception {
--- a/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
+++ b/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
@@ -49,7 +49,10 @@
     assertEquals(Set.of(), detector.fenced());
   }
 
-  /** An outdated broker refreshes from its source every second until it has the newer version. */
+  /**
+   * An outdated broker reloads the list from its source every second until it has the newer
+   * version.
+   */
   @Test
   void outdatedBrokerRefreshesAndThenFencesItself() {
     detector.onVersions(0, "n1", OLD.withEndpointListGeneration(6));
@@ -65,7 +68,10 @@
     assertEquals(List.of("n0 ROSTER LET_IN"), advance(11 * SECOND_US, 12 * SECOND_US));
   }
 
-  /** Brokers get new settings one minute apart; none is fenced before most have them. */
+  /**
+   * Brokers get new settings one after the other, one minute apart. No broker is fenced before more
+   * than half of them have the new settings.
+   */
   @Test
   void slowRolloutFencesNoBroker() {
     for (int i = 1; i < 8; i++) {
@@ -95,7 +101,10 @@
     assertEquals(List.of(), advance(8 * 150_000L, 60 * SECOND_US));
   }
 
-  /** Each discovery service numbers its lists independently. */
+  /**
+   * Each discovery service numbers its lists independently, so generations are not compared between
+   * different settings.
+   */
   @Test
   void endpointListsAreComparedWithinTheSameSettingsOnly() {
     detector.onVersions(0, "n1", NEW.withEndpointListGeneration(90));
@@ -103,7 +112,10 @@
     assertEquals(Set.of("n0 SETTINGS SEEN", "n0 SETTINGS BRING_UP"), Set.copyOf(steps));
   }
 
-  /** A reordered announcement does not undo a newer one; a restart without a list does. */
+  /**
+   * A reordered announcement is ignored. The announcement of a restarted broker without a list is
+   * accepted.
+   */
   @Test
   void reorderedAnnouncementIsIgnored() {
     detector.onVersions(0, "n1", OLD.withEndpointListGeneration(9));
