--- a/src/main/java/dunlinhitch/endpoints/ActiveClaim.java
+++ b/src/main/java/dunlinhitch/endpoints/ActiveClaim.java
@@ -3,15 +3,15 @@
 import java.util.Comparator;
 
 /**
- * A claim in force: the description of an endpoint by a source, under one key.
+ * An active claim: a source's current description of an endpoint under one key.
  *
- * <p>Not thread-safe; owned by the registry. Its content is written by {@link ClaimTable}, its
- * expiry by {@link ClaimExpiry}.
+ * <p>Not thread-safe; owned by the registry. {@link ClaimTable} writes the content of the claim,
+ * {@link ClaimExpiry} its expiry.
  */
 final class ActiveClaim {
   /**
-   * Orders claims by precedence: unexpired before stale ones, then by the rank of the source, then
-   * the oldest first. Source name and key make the order total.
+   * Orders claims by precedence: unexpired claims before stale ones, then by the rank of the
+   * source, then from the oldest to the newest. The source name and the key make the order total.
    */
   static final Comparator<ActiveClaim> PRECEDENCE =
       Comparator.<ActiveClaim>comparingInt(claim -> claim.stale ? 1 : 0)
@@ -25,24 +25,27 @@
   final EndpointRecord owner;
 
   /**
-   * Whether it arrived after the source's complete list, which means that the endpoint itself is
-   * new.
+   * Whether the claim arrived after the first complete list of its source. If so, the endpoint has
+   * just been started.
    */
   final boolean arrivedAfterInitialList;
 
-  /** The claimed endpoint; null only until the first content is set. */
+  /** The claimed endpoint; null until {@link ClaimTable} sets the first content. */
   Endpoint endpoint;
 
-  /** When the claim got its current content. */
+  /** The time at which the claim got its current content. */
   long sinceUs;
 
-  /** When the source last reported the claim. */
+  /** The time at which the source last reported the claim. */
   long reportedUs;
 
-  /** When the claim expires unless it is reported again, or {@link TimingWheel#NEVER}. */
+  /**
+   * The time at which the claim expires unless the source reports it again, or {@link
+   * TimingWheel#NEVER}.
+   */
   long expiresUs;
 
-  /** Whether it has expired and is retained because its source may be unavailable. */
+  /** Whether the claim has expired but is retained, because its source may be unavailable. */
   boolean stale;
 
   /** The pending expiry timer, or null. */
--- a/src/main/java/dunlinhitch/endpoints/AddressIndex.java
+++ b/src/main/java/dunlinhitch/endpoints/AddressIndex.java
@@ -6,21 +6,21 @@
 import java.util.Set;
 
 /**
- * The endpoints that are claimed at each address, to find endpoints that share an address.
+ * Index of the claimed endpoints by address, used to detect endpoints with the same address.
  *
  * <p>Not thread-safe; owned by the registry.
  */
 final class AddressIndex {
   private final Map<String, Set<EndpointRecord>> byAddress = new HashMap<>();
 
-  /** Endpoints to reevaluate; the set of the registry. */
+  /** The endpoints to reevaluate; this set is shared with the registry. */
   private final Set<EndpointRecord> pending;
 
   AddressIndex(Set<EndpointRecord> pending) {
     this.pending = pending;
   }
 
-  /** Whether another endpoint has the address of this one, which must be in the index. */
+  /** Whether another endpoint has the same address as the given one, which must be in the index. */
   boolean isShared(EndpointRecord endpoint) {
     return byAddress.get(endpoint.address).size() > 1;
   }
@@ -34,7 +34,8 @@
     others.remove(endpoint);
     if (others.isEmpty()) {
       byAddress.remove(endpoint.address);
-    } else if (others.size() == 1) { // its conflict may have ended
+    } else if (others.size() == 1) {
+      // The remaining endpoint no longer shares its address with another one.
       pending.addAll(others);
     }
     endpoint.address = null;
@@ -50,7 +51,8 @@
     Set<EndpointRecord> others =
         byAddress.computeIfAbsent(address, unused -> new LinkedHashSet<>());
     others.add(endpoint);
-    if (others.size() == 2) { // a conflict begins for both
+    if (others.size() == 2) {
+      // Both endpoints now share an address, so both are in conflict.
       pending.addAll(others);
     }
   }
--- a/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
+++ b/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
@@ -3,7 +3,7 @@
 import dunlinhitch.balancer.ServerState;
 
 /**
- * Derives the change to publish from the state of an endpoint, and records what was published.
+ * Determines the change to publish from the state of an endpoint, and records the published state.
  *
  * <p>Not thread-safe; owned by the registry.
  */
@@ -50,7 +50,8 @@
   private static void updateStandInStatus(EndpointRecord endpoint, Evaluation evaluation) {
     if (endpoint.coveredPositions > 0) {
       endpoint.status = EndpointStatus.STANDING_IN;
-    } else if (endpoint.status == EndpointStatus.STANDING_IN) { // another endpoint serves again
+    } else if (endpoint.status == EndpointStatus.STANDING_IN) {
+      // No longer needed as a substitute.
       endpoint.status =
           evaluation.status() == EndpointStatus.DISPUTED
               ? EndpointStatus.DISPUTED
@@ -72,10 +73,10 @@
   }
 
   /**
-   * Infers when the process started. This is the claimed start, with two exceptions. An endpoint
-   * that has moved to another address without a later claimed start is a new process, which counts
-   * as started at the time of the claim. So does an endpoint without a claimed start that appeared
-   * after the source's complete list.
+   * Infers the start time of the endpoint's process. This is the claimed start time, with two
+   * exceptions in which the time of the claim is used instead: if the endpoint has moved to another
+   * address without claiming a later start time, because it must be a new process; and if it claims
+   * no start time and appeared after the source's first complete list.
    */
   private static long processStartUs(EndpointRecord endpoint, Evaluation evaluation) {
     long claimedUs = evaluation.endpoint().startedUs();
--- a/src/main/java/dunlinhitch/endpoints/ClaimConflicts.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimConflicts.java
@@ -1,10 +1,13 @@
 package dunlinhitch.endpoints;
 
-/** Finds contradictions between two claims on one endpoint. */
+/** Detects conflicts between two claims on the same endpoint. */
 final class ClaimConflicts {
   private ClaimConflicts() {}
 
-  /** The most severe contradiction between the two, or null if they agree. */
+  /**
+   * Returns the most severe conflict between the two descriptions of an endpoint, or null if they
+   * agree.
+   */
   static StatusReason between(Endpoint one, Endpoint other) {
     if (one.cell() != other.cell()) {
       return StatusReason.CELL_CONFLICT;
@@ -19,12 +22,12 @@
     return null;
   }
 
-  /** The more severe of two conflicts, either of which may be null for none. */
+  /** Returns the more severe of two conflicts; null means no conflict. */
   static StatusReason moreSevere(StatusReason one, StatusReason other) {
     if (one == null) {
       return other;
     }
-    // the constants of conflicts are declared in order of decreasing severity
+    // The conflicts among the constants are declared in order of decreasing severity.
     return other != null && other.compareTo(one) < 0 ? other : one;
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/ClaimEvaluator.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimEvaluator.java
@@ -16,8 +16,8 @@
   }
 
   /**
-   * Returns the result of the claims that count, or null if none does. Adds the endpoint's address
-   * to the index if its claims agree and are not from a trusted source.
+   * Returns the combined result of the claims that count, or null if no claim counts. Adds the
+   * endpoint's address to the index if the claims agree and are not from a trusted source.
    */
   Evaluation evaluate(EndpointRecord endpoint) {
     List<ActiveClaim> claims =
@@ -66,10 +66,10 @@
   }
 
   /**
-   * Whether a claim counts. It does not if another source withdrew the endpoint after the claim was
-   * made, and that source has higher precedence or has equal precedence and had made an equal
-   * claim. If two sources of equal precedence contradicted each other, the withdrawal by one
-   * resolves the conflict and the claim of the other counts.
+   * Whether a claim counts. A claim does not count if another source withdrew the endpoint after
+   * the claim was made, and if that source either has higher precedence, or has equal precedence
+   * and had made an equal claim. If two sources of equal precedence were in conflict, the
+   * withdrawal by one source resolves the conflict, and the claim of the other source counts.
    */
   private static boolean counts(Withdrawal withdrawal, ActiveClaim claim) {
     if (withdrawal == null
--- a/src/main/java/dunlinhitch/endpoints/ClaimExpiry.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimExpiry.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * Expiry of claims: a claim that is not renewed in time becomes stale, and ends after it has been
- * stale for the configured time.
+ * Handles the expiry of claims. A claim that is not renewed in time becomes stale, and is removed
+ * when it has been stale for the configured time.
  *
  * <p>Not thread-safe; owned by {@link ClaimTable}.
  */
@@ -13,14 +13,14 @@
   private final RegistryTimers timers;
   private final long staleForUs;
 
-  /** Endpoints to reevaluate; the set of the registry. */
+  /** The endpoints to reevaluate; this set is shared with the registry. */
   private final Set<EndpointRecord> pending;
 
   private final Consumer<ActiveClaim> onExpired;
 
   /**
-   * Creates the expiry; {@code onExpired} receives each claim that was stale for {@code
-   * staleForUs}.
+   * Creates an instance without claims; {@code onExpired} receives each claim that has been stale
+   * for {@code staleForUs}.
    */
   ClaimExpiry(
       RegistryTimers timers,
--- a/src/main/java/dunlinhitch/endpoints/ClaimSource.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimSource.java
@@ -4,29 +4,34 @@
 import java.util.Map;
 
 /**
- * A registered source of claims, and its claims in force.
+ * A registered source of claims, with its active claims.
  *
  * <p>Not thread-safe; owned by the registry.
  */
 final class ClaimSource {
   final String name;
 
-  /** The precedence: of two conflicting sources the one with the lower rank wins. */
+  /**
+   * The rank of the source. Of two sources in conflict, the one with the lower rank takes
+   * precedence.
+   */
   final int rank;
 
-  /** Whether its claims are exempt from linger, flap damping and address conflicts. */
+  /**
+   * Whether the claims of the source are exempt from linger, flap damping and address conflicts.
+   */
   final boolean trusted;
 
-  /** Claims in force by their key, in the order of their arrival. */
+  /** The active claims by key, in the order of their arrival. */
   final Map<String, ActiveClaim> claims = new LinkedHashMap<>();
 
   /**
-   * Whether it has sent a complete list. An endpoint that appears later has just started, whereas
-   * one on that list may have run for long.
+   * Whether the source has sent a complete list. An endpoint that appears afterwards has just
+   * started, whereas an endpoint on the first list may have been running for a long time.
    */
   boolean initialListReceived;
 
-  /** Whether it does not answer; if so, its claims stay in force until they expire. */
+  /** Whether the source is unavailable. If so, its claims stay active until they expire. */
   boolean unavailable;
 
   ClaimSource(String name, int rank, boolean trusted) {
--- a/src/main/java/dunlinhitch/endpoints/ClaimTable.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimTable.java
@@ -8,7 +8,7 @@
 import java.util.Set;
 
 /**
- * The claims in force and the endpoints that they name. Every change marks the affected endpoint
+ * The active claims and the endpoints that they describe. Every change marks the affected endpoint
  * for reevaluation.
  *
  * <p>Not thread-safe; owned by the registry.
@@ -19,7 +19,7 @@
   private final ClaimExpiry expiry;
   private final Map<String, EndpointRecord> endpoints = new LinkedHashMap<>();
 
-  /** Endpoints to reevaluate; the set of the registry. */
+  /** The endpoints to reevaluate; this set is shared with the registry. */
   private final Set<EndpointRecord> pending;
 
   private long rejected;
@@ -37,7 +37,7 @@
             claim -> withdraw(claim, StatusReason.CLAIM_EXPIRED));
   }
 
-  /** Endpoints with claims or with history, in the order of their first claims. */
+  /** The endpoints that have claims or a retained history, in the order of their first claims. */
   Collection<EndpointRecord> endpoints() {
     return Collections.unmodifiableCollection(endpoints.values());
   }
@@ -48,7 +48,8 @@
   }
 
   /**
-   * Applies a claim or its withdrawal; an update that is older than the claim in force is ignored.
+   * Applies a claim or its withdrawal. An update that is older than the active claim with the same
+   * key is ignored.
    */
   void apply(ClaimSource source, EndpointClaim update) {
     ActiveClaim current = source.claims.get(update.key());
@@ -61,7 +62,8 @@
     if (rejects) {
       rejected++;
     }
-    if (ended || rejects) { // a rejected claim still replaces the previous one
+    if (ended || rejects) {
+      // Even a rejected claim ends the previous claim with the same key.
       withdrawIfPresent(current);
       return;
     }
@@ -86,7 +88,8 @@
   }
 
   /**
-   * Handles the removal of a source: claims of others that it overruled by withdrawals count again.
+   * Handles the removal of a source. Claims of other sources count again if a withdrawal by this
+   * source had overruled them.
    */
   void onSourceRemoved(ClaimSource source) {
     for (EndpointRecord endpoint : endpoints.values()) {
--- a/src/main/java/dunlinhitch/endpoints/Endpoint.java
+++ b/src/main/java/dunlinhitch/endpoints/Endpoint.java
@@ -5,10 +5,12 @@
 /**
  * One replica of a store, as its sources describe it.
  *
- * @param zone index of its zone in the settings
- * @param cell the cell whose shards it has
- * @param startedUs when its process started, Unix time in microseconds; 0 means long ago or unknown
- * @param phases 2 if it can cheaply determine whether a block has any match, otherwise 1
+ * @param zone index of the endpoint's zone in the settings
+ * @param cell the cell whose shards the endpoint serves
+ * @param startedUs start time of the endpoint's process, Unix time in microseconds; 0 means long
+ *     ago or unknown
+ * @param phases 2 if the endpoint supports first passes, which cheaply determine whether a block
+ *     has any match; otherwise 1
  */
 public record Endpoint(
     String name,
@@ -41,7 +43,7 @@
     this(name, host, port, zone, cell, state, weight, startedUs, protocol, 1);
   }
 
-  /** Whether both have the same address and protocol. */
+  /** Whether both endpoints have the same address and protocol. */
   public boolean sameAddress(Endpoint other) {
     return host.equals(other.host) && port == other.port && protocol == other.protocol;
   }
@@ -60,7 +62,7 @@
         : new Endpoint(name, host, port, zone, cell, state, weight, startedUs, protocol, newPhases);
   }
 
-  /** Returns this endpoint with the given start, Unix time in microseconds. */
+  /** Returns this endpoint with the given start time, Unix time in microseconds. */
   public Endpoint withStart(long newStartedUs) {
     return newStartedUs == startedUs
         ? this
--- a/src/main/java/dunlinhitch/endpoints/EndpointChange.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointChange.java
@@ -3,11 +3,10 @@
 /**
  * A change of one endpoint in the list that the registry publishes.
  *
- * @param endpoint the endpoint as the balancer and the transports are to use it
- * @param endpointChanged whether {@code endpoint} differs from the one published before; if not,
- *     only the status or its reason has changed
- * @param announced false if the endpoint comes from a trusted source, so that the change need not
- *     be logged
+ * @param endpoint the endpoint in the form that the balancer and the transports use
+ * @param endpointChanged whether {@code endpoint} differs from the previously published one; if
+ *     not, only the status or its reason has changed
+ * @param announced whether the change should be logged; false for an endpoint of a trusted source
  */
 public record EndpointChange(
     Endpoint endpoint,
--- a/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
@@ -4,67 +4,82 @@
 import java.util.List;
 
 /**
- * The state of one endpoint name in the registry: its claims, its status and its history.
+ * The registry's state of one endpoint: its claims, its status and its history.
  *
- * <p>Not thread-safe; owned by the registry. Each group of fields is written by the class that its
- * comment names.
+ * <p>Not thread-safe; owned by the registry. The comment of each field names the class that writes
+ * the field.
  */
 final class EndpointRecord {
-  /** Means no cell, as a value of {@link #servingCell} or {@link #standbyCell}. */
+  /** The value of {@link #servingCell} and {@link #standbyCell} that means no cell. */
   static final int NO_CELL = -1;
 
   final String name;
 
-  /** Claims in force; written by {@link ClaimTable}. */
+  /** The active claims; written by {@link ClaimTable}. */
   final List<ActiveClaim> claims = new ArrayList<>(1);
 
   /** The last withdrawal, or null if there was none; written by {@link ClaimTable}. */
   Withdrawal lastWithdrawal;
 
-  /** Written by {@link StatusUpdater}, and for stand-ins by {@link ChangePublisher}. */
+  /**
+   * The current status; written by {@link StatusUpdater}, and for substitutes by {@link
+   * ChangePublisher}.
+   */
   EndpointStatus status = EndpointStatus.GONE;
 
-  /** Written by {@link StatusUpdater}. */
+  /** The reason for the current status; written by {@link StatusUpdater}. */
   StatusReason reason = StatusReason.NOT_CLAIMED;
 
-  /** Written by {@link FlapDamping}. */
+  /** The recent withdrawals; written by {@link FlapDamping}. */
   final FlapHistory flaps = new FlapHistory();
 
   /**
-   * The timer for the end of the suppression, of the linger or of the retention of flaps; written
-   * by {@link StatusUpdater}.
+   * The timer for the end of the suppression, of the linger time or of the retention of the flap
+   * history, or null; written by {@link StatusUpdater}.
    */
   TimingWheel.Handle<Runnable> timer;
 
-  /** The status of the last change; written by {@link ChangePublisher}. */
+  /** The last published status; written by {@link ChangePublisher}. */
   EndpointStatus publishedStatus = EndpointStatus.GONE;
 
-  /** The endpoint of the last change; null if there was none or the endpoint is gone. */
+  /**
+   * The endpoint as last published; null if it has not been published or is gone. Written by {@link
+   * ChangePublisher}.
+   */
   Endpoint published;
 
-  /** The endpoint as it last served, retained while a return may be of the same process. */
+  /**
+   * The endpoint as it last served. Retained as long as a new claim may refer to the same process.
+   * Written by {@link ChangePublisher}, cleared by {@link StatusUpdater}.
+   */
   Endpoint lastServing;
 
-  /** Its address in the {@link AddressIndex}, which writes it; null if it is not in the index. */
+  /**
+   * The address under which the endpoint is in the {@link AddressIndex}; null if it is not in the
+   * index. Written by {@link AddressIndex}.
+   */
   String address;
 
-  /** The cell for which it serves; written by {@link ShardCoverage}, like the three below. */
+  /**
+   * The cell in which the endpoint serves, or {@link #NO_CELL}. This field and the next three are
+   * written by {@link ShardCoverage}.
+   */
   int servingCell = NO_CELL;
 
-  /** The cell for which it may stand in. */
+  /** The cell in which the endpoint is a standby, or {@link #NO_CELL}. */
   int standbyCell = NO_CELL;
 
-  /** Since when the claim by which it may stand in has its content. */
+  /** The time since which the standby endpoint's claim has had its current content. */
   long standbySinceUs;
 
-  /** Number of shard positions for which it stands in. */
+  /** The number of shard positions for which the endpoint is the substitute. */
   int coveredPositions;
 
   EndpointRecord(String name) {
     this.name = name;
   }
 
-  /** Whether the given source has a claim on this endpoint. */
+  /** Whether the given source has an active claim on this endpoint. */
   boolean isClaimedBy(ClaimSource source) {
     for (ActiveClaim claim : claims) {
       if (claim.source == source) {
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
@@ -10,23 +10,25 @@
 import java.util.Set;
 
 /**
- * Merges the claims of any number of sources into one consistent endpoint list. Its input is
- * claims, each with its time, its expiry and the rank of its source; its output is changes of the
- * list, each with its reason. The rules are documented in docs/membership.md.
+ * Merges the claims of any number of sources into one consistent endpoint list. The input is
+ * claims, each with a time, an expiry and the rank of its source. The output is changes of the
+ * list, each with a reason. The rules are documented in docs/membership.md.
  *
- * <p>No I/O, clock or threads: every call passes the time (in microseconds, never decreasing), and
- * {@link #nextUs} returns when {@link #advanceTo} must be called next. The cost of a call depends
- * on what it changes and is independent of the length of the list. Not thread-safe.
+ * <p>No I/O, clock or threads: every call passes the time (in microseconds, which must never
+ * decrease), and {@link #nextUs} returns the latest time at which {@link #advanceTo} must be called
+ * next. The cost of a call depends on what it changes and is independent of the length of the list.
+ * Not thread-safe.
  */
 public final class EndpointRegistry {
   /**
-   * A claim in force, or an endpoint that is remembered without a claim, for operators and for the
-   * endpoint list file.
+   * An active claim, or an endpoint that is remembered without a claim. Rows are shown to operators
+   * and written to the endpoint list file.
    *
    * @param name name of the endpoint
-   * @param endpoint the claimed endpoint; for an endpoint without claims the last published one
-   * @param source name of the source; empty without a claim
-   * @param key key of the claim; empty without a claim
+   * @param endpoint the claimed endpoint; for an endpoint without claims, the endpoint as last
+   *     published
+   * @param source name of the source; empty if there is no claim
+   * @param key key of the claim; empty if there is no claim
    * @param sinceUs when the claim got its current content, or when the endpoint was withdrawn
    * @param reportedUs when the claim was last reported, or when the endpoint was withdrawn
    * @param expiresUs when the claim expires, or {@link TimingWheel#NEVER}
@@ -46,7 +48,7 @@
 
   private final Map<String, ClaimSource> sources = new LinkedHashMap<>();
 
-  /** Endpoints to reevaluate before the current call returns. */
+  /** The endpoints that must be reevaluated before the current call returns. */
   private final Set<EndpointRecord> pending = new LinkedHashSet<>();
 
   private final RegistryTimers timers;
@@ -70,18 +72,18 @@
 
   /**
    * Registers a source. If the claims of two sources conflict, the source with the lower {@code
-   * rank} wins; with equal ranks the endpoint is disputed. Claims of a {@code trusted} source are
-   * exempt from linger, flap damping and address conflicts. Registering a source again has no
-   * effect.
+   * rank} takes precedence. If the ranks are equal, the endpoint is disputed. Claims of a {@code
+   * trusted} source are exempt from linger, flap damping and address conflicts. Registering a
+   * source again has no effect.
    */
   public void registerSource(String source, int rank, boolean trusted) {
     sources.computeIfAbsent(source, name -> new ClaimSource(name, rank, trusted));
   }
 
   /**
-   * Applies an update of a source: either its {@code complete} list, which withdraws all claims
-   * that are not on it, or some claims. A claim that is older than the one in force with the same
-   * key is ignored.
+   * Applies an update from a source. If {@code complete} is true, the update is the source's
+   * complete list, and all claims of the source that are not on the list are withdrawn. A claim
+   * that is older than the active claim with the same key is ignored.
    *
    * @throws IllegalArgumentException if the source is not registered
    */
@@ -90,7 +92,7 @@
     timers.advance(nowUs);
     ClaimSource source = sources.get(sourceName);
     if (source == null) {
-      throw new IllegalArgumentException("source is not registered: " + sourceName);
+      throw new IllegalArgumentException("source '" + sourceName + "' is not registered");
     }
     source.unavailable = false;
     for (EndpointClaim update : updates) {
@@ -116,8 +118,8 @@
   }
 
   /**
-   * Marks a source as unavailable. Its claims stay in force until they expire, and then as stale
-   * claims for another {@code staleForUs}.
+   * Marks a source as unavailable. Its claims stay active until they expire, and then remain as
+   * stale claims for another {@code staleForUs}.
    */
   public List<EndpointChange> sourceUnavailable(long nowUs, String sourceName) {
     timers.advance(nowUs);
@@ -143,33 +145,33 @@
   }
 
   /**
-   * Advances the time: expiries, suppressions and lingers that are due by {@code nowUs} take
-   * effect.
+   * Advances the time: handles the expiries of claims and the ends of suppressions and linger times
+   * that are due by {@code nowUs}.
    */
   public List<EndpointChange> advanceTo(long nowUs) {
     timers.advance(nowUs);
     return collectChanges();
   }
 
-  /** When {@link #advanceTo} must be called at the latest, or {@link TimingWheel#NEVER}. */
+  /** The latest time at which {@link #advanceTo} must be called, or {@link TimingWheel#NEVER}. */
   public long nextUs() {
     return timers.nextUs();
   }
 
   /**
-   * The number of claims rejected since the start, for a cell that does not exist or too many
-   * names.
+   * The number of claims rejected since the start, because their cell does not exist or the maximum
+   * number of endpoints was reached.
    */
   public long rejectedClaims() {
     return claims.rejected();
   }
 
-  /** Incremented with every change of {@link #rows} other than the renewal of claims. */
+  /** Incremented with every change of {@link #rows}, except for renewals of claims. */
   public long version() {
     return version;
   }
 
-  /** All claims in force, and the endpoints that are remembered without a claim. */
+  /** All active claims, and the endpoints that are remembered without a claim. */
   public List<Row> rows() {
     List<Row> rows = new ArrayList<>();
     for (EndpointRecord endpoint : claims.endpoints()) {
@@ -215,7 +217,8 @@
   /** Reevaluates the pending endpoints and returns the changes in the order of evaluation. */
   private List<EndpointChange> collectChanges() {
     Set<EndpointRecord> evaluated = new LinkedHashSet<>();
-    while (!pending.isEmpty()) { // an evaluation may make others necessary
+    // The evaluation of one endpoint may add others to the pending ones.
+    while (!pending.isEmpty()) {
       List<EndpointRecord> batch = List.copyOf(pending);
       pending.clear();
       for (EndpointRecord endpoint : batch) {
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
@@ -3,17 +3,18 @@
 /**
  * Bounds of the endpoint registry; all times are microseconds.
  *
- * @param cells number of cells; shard s is in the cells (s + j) mod {@code cells}, for j below
- *     {@code cellsPerShard}
- * @param cellsPerShard number of consecutive cells that have each shard
- * @param lingerUs how long a withdrawn endpoint is remembered as the same process
- * @param staleForUs how long a claim stays in force after its expiry
- * @param firstSuppressionUs suppression of the second return within {@code stablePeriodUs}; each
- *     further return is suppressed twice as long
- * @param maxSuppressionUs the longest suppression of a return
- * @param stablePeriodUs period without a withdrawal after which the flaps of an endpoint are
- *     forgotten
- * @param maxEndpoints maximum number of endpoint names; claims of further ones are rejected
+ * @param cells number of cells; shard s is in the cells (s + j) mod {@code cells}, for j from 0 to
+ *     {@code cellsPerShard} - 1
+ * @param cellsPerShard number of consecutive cells in which each shard is stored
+ * @param lingerUs how long a withdrawn endpoint is remembered, so that its return counts as the
+ *     same process
+ * @param staleForUs how long a claim is retained as stale after its expiry
+ * @param firstSuppressionUs how long the second return within {@code stablePeriodUs} is suppressed;
+ *     each further return is suppressed for twice as long as the previous one
+ * @param maxSuppressionUs the maximum time for which a return is suppressed
+ * @param stablePeriodUs time without a withdrawal after which the flap history of an endpoint is
+ *     reset
+ * @param maxEndpoints maximum number of endpoint names; claims on further endpoints are rejected
  */
 public record EndpointRegistrySettings(
     int cells,
@@ -31,7 +32,7 @@
   private static final long DEFAULT_STABLE_PERIOD_US = 60_000_000;
   private static final int DEFAULT_MAX_ENDPOINTS = 20_000;
 
-  /** Checks the bounds. */
+  /** Checks the ranges. */
   public EndpointRegistrySettings {
     boolean layoutInRange = cells >= 1 && cellsPerShard >= 1 && maxEndpoints >= 1;
     boolean suppressionInRange = firstSuppressionUs >= 0 && maxSuppressionUs >= firstSuppressionUs;
@@ -39,7 +40,24 @@
     if (!layoutInRange || !suppressionInRange || !timesInRange) {
       throw new IllegalArgumentException(
           "endpoint registry settings out of range: cells, cells per shard and endpoints must be "
-              + "at least 1, times at least 0 and the maximum suppression at least the first one");
+              + "at least 1, times at least 0 and the maximum suppression at least the first one: "
+              + "got cells "
+              + cells
+              + ", cells per shard "
+              + cellsPerShard
+              + ", endpoints "
+              + maxEndpoints
+              + ", linger "
+              + lingerUs
+              + " us, stale time "
+              + staleForUs
+              + " us, first suppression "
+              + firstSuppressionUs
+              + " us, maximum suppression "
+              + maxSuppressionUs
+              + " us, stable period "
+              + stablePeriodUs
+              + " us");
     }
   }
 
--- a/src/main/java/dunlinhitch/endpoints/EndpointStatus.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointStatus.java
@@ -2,21 +2,30 @@
 
 /** The status of an endpoint, derived from all claims on it. */
 public enum EndpointStatus {
-  /** Claimed, but suppressed by flap damping: it gets no requests yet. */
+  /** The endpoint is claimed, but suppressed by flap damping. It gets no requests yet. */
   ANNOUNCED(false),
-  /** It serves. */
+  /** The endpoint serves requests. */
   LIVE(true),
-  /** It serves on the basis of an expired claim, because its source is unavailable. */
+  /**
+   * The endpoint serves requests although its claim has expired, because its source may be
+   * unavailable.
+   */
   STALE(true),
-  /** It gets no new work, at its own or its source's request. */
+  /** The endpoint gets no new work, because its source reports it as draining. */
   DRAINING(true),
-  /** Claims on it contradict each other: it gets no requests until the conflict ends. */
+  /** Claims on the endpoint are in conflict. It gets no requests until the conflict ends. */
   DISPUTED(false),
-  /** Disputed or announced, but serving because its shards have no other endpoint. */
+  /**
+   * The endpoint is disputed or announced, but serves requests as a substitute, because no other
+   * endpoint serves its shards.
+   */
   STANDING_IN(true),
-  /** Withdrawn: no new requests from now on; remembered for a while, because it may return. */
+  /**
+   * The endpoint was withdrawn and gets no new requests. It is remembered for the linger time,
+   * because it may return.
+   */
   WITHDRAWN(false),
-  /** Not part of the list. */
+  /** The endpoint is not on the list. */
   GONE(false);
 
   private final boolean usesClaimedState;
@@ -25,7 +34,7 @@
     this.usesClaimedState = usesClaimedState;
   }
 
-  /** Whether the published state is the claimed one (ready or draining). */
+  /** Whether the endpoint is published with its claimed state (ready or draining). */
   boolean usesClaimedState() {
     return usesClaimedState;
   }
--- a/src/main/java/dunlinhitch/endpoints/FlapDamping.java
+++ b/src/main/java/dunlinhitch/endpoints/FlapDamping.java
@@ -2,12 +2,12 @@
 
 /**
  * Flap damping: an endpoint that is repeatedly withdrawn and claimed again is suppressed before it
- * serves, each time twice as long, up to a maximum.
+ * serves again. The suppression doubles with each return, up to a maximum.
  *
- * <p>Has no state except the settings; the state is in the {@link FlapHistory} of each endpoint.
+ * <p>Instances contain only settings. The state is in the {@link FlapHistory} of each endpoint.
  */
 final class FlapDamping {
-  /** The number of withdrawals after which a return is not yet suppressed. */
+  /** The maximum number of recent withdrawals with which a return is not suppressed. */
   private static final int UNDAMPED_WITHDRAWALS = 1;
 
   /** The maximum number of doublings, so that the shift cannot overflow. */
--- a/src/main/java/dunlinhitch/endpoints/FlapHistory.java
+++ b/src/main/java/dunlinhitch/endpoints/FlapHistory.java
@@ -2,12 +2,12 @@
 
 /** The recent withdrawals of an endpoint; written by {@link FlapDamping}. */
 final class FlapHistory {
-  /** The number of withdrawals that followed each other within the stable period. */
+  /** The number of withdrawals, each within one stable period of the previous one. */
   int withdrawals;
 
-  /** When the last withdrawal was, in microseconds. */
+  /** The time of the last withdrawal, in microseconds. */
   long lastWithdrawalUs;
 
-  /** End of the suppression of the last return, in microseconds. */
+  /** The time until which the last return is suppressed, in microseconds. */
   long suppressedUntilUs;
 }
--- a/src/main/java/dunlinhitch/endpoints/RegistryTimers.java
+++ b/src/main/java/dunlinhitch/endpoints/RegistryTimers.java
@@ -20,7 +20,10 @@
     return nowUs;
   }
 
-  /** Advances the time, unless it would decrease, and runs the timers that are due. */
+  /**
+   * Advances the time and runs the timers that are due. An earlier time than the current one is
+   * ignored.
+   */
   void advance(long callTimeUs) {
     nowUs = Math.max(nowUs, callTimeUs);
     wheel.advance(nowUs, Runnable::run);
@@ -35,7 +38,7 @@
     wheel.cancel(timer);
   }
 
-  /** When {@link #advance} must be called next, or {@link TimingWheel#NEVER}. */
+  /** The latest time at which {@link #advance} must be called, or {@link TimingWheel#NEVER}. */
   long nextUs() {
     return wheel.nextUs();
   }
--- a/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
+++ b/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
@@ -8,11 +8,11 @@
 import java.util.TreeSet;
 
 /**
- * Keeps each shard covered: if no endpoint serves in any of a shard's cells, the standby with the
- * oldest claim stands in.
+ * Ensures that each shard is served if possible: if no endpoint serves in any of a shard's cells,
+ * the standby with the oldest claim becomes the substitute.
  *
- * <p>A position is the first of the consecutive cells that have a shard. Not thread-safe; owned by
- * the registry.
+ * <p>A position is the index of the first of the consecutive cells in which a shard is stored. Not
+ * thread-safe; owned by the registry.
  */
 final class ShardCoverage {
   private static final Comparator<EndpointRecord> OLDEST_FIRST =
@@ -22,16 +22,19 @@
   private final int cells;
   private final int cellsPerShard;
 
-  /** For each cell, the number of endpoints that serve. */
+  /** The number of serving endpoints in each cell. */
   private final int[] servingCounts;
 
-  /** For each cell, the endpoints that could stand in, the oldest claim first. */
+  /**
+   * The standbys of each cell, which may become substitutes, in the order of the age of their
+   * claims, the oldest first.
+   */
   private final List<TreeSet<EndpointRecord>> standbys = new ArrayList<>();
 
-  /** For each position, the endpoint that stands in, or null. */
+  /** The substitute for each position, or null. */
   private final EndpointRecord[] standIns;
 
-  /** Positions whose stand-in has to be chosen again. */
+  /** The positions whose substitute has to be selected again. */
   private final Set<Integer> dirtyPositions = new LinkedHashSet<>();
 
   ShardCoverage(EndpointRegistrySettings settings) {
@@ -44,7 +47,10 @@
     }
   }
 
-  /** Sets the cell in which an endpoint serves, or {@link EndpointRecord#NO_CELL}. */
+  /**
+   * Sets the cell in which an endpoint serves; {@link EndpointRecord#NO_CELL} means that it does
+   * not serve.
+   */
   void setServing(EndpointRecord endpoint, int cell) {
     if (endpoint.servingCell == cell) {
       return;
@@ -61,15 +67,17 @@
   }
 
   /**
-   * Makes an endpoint a standby for a cell, by a claim that has had its content since {@code
-   * sinceUs}.
+   * Makes an endpoint a standby of a cell; {@code sinceUs} is the time since which its claim has
+   * had its current content.
    */
   void setStandby(EndpointRecord endpoint, int cell, long sinceUs) {
     if (endpoint.standbyCell == cell && endpoint.standbySinceUs == sinceUs) {
       return;
     }
     clearStandby(endpoint);
-    endpoint.standbySinceUs = sinceUs; // the sets are ordered by it: written while in none
+    // The sets of standbys are ordered by this field, so it may change only while the endpoint is
+    // in none of them.
+    endpoint.standbySinceUs = sinceUs;
     endpoint.standbyCell = cell;
     standbys.get(cell).add(endpoint);
     markDirty(cell);
@@ -86,8 +94,8 @@
   }
 
   /**
-   * Chooses the stand-ins of changed positions again; adds the affected endpoints to {@code
-   * changed}.
+   * Selects the substitutes of the changed positions again, and adds the affected endpoints to
+   * {@code changed}.
    */
   void update(Set<EndpointRecord> changed) {
     for (int position : dirtyPositions) {
--- a/src/main/java/dunlinhitch/endpoints/StatusReason.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusReason.java
@@ -1,8 +1,8 @@
 package dunlinhitch.endpoints;
 
 /**
- * Why an endpoint has its status. The constants of conflicts are declared in order of decreasing
- * severity, on which {@link ClaimConflicts#moreSevere} relies.
+ * The reason for the status of an endpoint. The constants for conflicts must be declared in order
+ * of decreasing severity, because {@link ClaimConflicts#moreSevere} relies on this order.
  */
 public enum StatusReason {
   CLAIMED("claimed by a source"),
@@ -24,7 +24,7 @@
     this.message = message;
   }
 
-  /** The text for operators. */
+  /** The description of the reason for operators. */
   public String message() {
     return message;
   }
--- a/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
+++ b/src/main/java/dunlinhitch/endpoints/StatusUpdater.java
@@ -4,7 +4,8 @@
 import java.util.Set;
 
 /**
- * Updates the status of endpoints according to the result of their claims, flap damping and time.
+ * Updates the status of endpoints according to the evaluation of their claims, flap damping and
+ * timers.
  *
  * <p>Not thread-safe; owned by the registry.
  */
@@ -16,7 +17,7 @@
   private final ShardCoverage coverage;
   private final FlapDamping damping;
 
-  /** Endpoints to reevaluate; the set of the registry. */
+  /** The endpoints to reevaluate; this set is shared with the registry. */
   private final Set<EndpointRecord> pending;
 
   StatusUpdater(
@@ -35,7 +36,7 @@
     damping = new FlapDamping(settings);
   }
 
-  /** Sets the status of an endpoint with at least one claim that counts. */
+  /** Updates the status of an endpoint that has at least one claim that counts. */
   void onClaimed(EndpointRecord endpoint, Evaluation evaluation) {
     long nowUs = timers.nowUs();
     timers.cancel(endpoint.timer);
@@ -80,13 +81,14 @@
     };
   }
 
-  /** Sets the status of an endpoint without any claim that counts. */
+  /** Updates the status of an endpoint that has no claim that counts. */
   void onUnclaimed(EndpointRecord endpoint) {
     addresses.remove(endpoint);
     coverage.setServing(endpoint, EndpointRecord.NO_CELL);
     coverage.clearStandby(endpoint);
     if (endpoint.status == EndpointStatus.WITHDRAWN) {
-      return; // the linger timer is pending
+      // The linger timer is still pending.
+      return;
     }
     timers.cancel(endpoint.timer);
     boolean wasListed = endpoint.status != EndpointStatus.GONE;
@@ -103,7 +105,9 @@
     }
   }
 
-  /** Withdraws an endpoint and remembers its process for the linger time. */
+  /**
+   * Withdraws an endpoint and remembers it for the linger time, in case the same process returns.
+   */
   private void linger(EndpointRecord endpoint) {
     long nowUs = timers.nowUs();
     endpoint.status = EndpointStatus.WITHDRAWN;
--- a/src/main/java/dunlinhitch/endpoints/TimingWheel.java
+++ b/src/main/java/dunlinhitch/endpoints/TimingWheel.java
@@ -8,59 +8,62 @@
 
 /**
  * A hierarchical timing wheel (Varghese and Lauck, SOSP 1987, scheme 6.2): scheduling and
- * cancelling a timer take constant time however many are pending. Four wheels of 64 slots; the
- * finest slot is {@link #TICK_US} wide, so that a timer fires up to one tick late, never early. A
- * timer beyond the reach of the wheels waits in the furthest slot and is scheduled again from
- * there.
+ * cancelling a timer take constant time, regardless of the number of pending timers. There are four
+ * wheels of 64 slots. A slot of the finest wheel covers {@link #TICK_US}, so a timer fires up to
+ * one tick late, but never early. A timer that is due after the time covered by the wheels is
+ * inserted into the most distant slot, and is inserted again when that slot is reached.
  *
- * <p>Times are microseconds of one clock that never decreases. Timers that are due together fire in
- * the order of their ticks and, within one tick, in the order in which they were scheduled, so that
- * the same calls give the same order. Not thread-safe.
+ * <p>Times are microseconds of a clock that never decreases. Timers that are due in the same call
+ * fire in the order of their ticks, and those of the same tick in the order in which they were
+ * scheduled, so that the order is deterministic. Not thread-safe.
  *
- * @param <T> what a timer hands to its consumer when it fires
+ * @param <T> the type of the items that are passed to the consumer when timers fire
  */
 public final class TimingWheel<T> {
   private static final int TICK_BITS = 13;
 
-  /** Width of the finest slot. */
+  /** The time covered by one slot of the finest wheel, in microseconds. */
   public static final long TICK_US = 1 << TICK_BITS;
 
-  /** The time of a timer that is not scheduled. */
+  /** The time that means never, for example as the due time of a timer that is not scheduled. */
   public static final long NEVER = Long.MAX_VALUE;
 
   private static final int SLOT_BITS = 6;
   private static final int SLOTS = 1 << SLOT_BITS;
   private static final int WHEELS = 4;
 
-  /** The number of ticks that the wheels reach ahead. */
+  /** The number of ticks covered by the wheels. */
   private static final long REACH = 1L << (SLOT_BITS * WHEELS);
 
-  /** Slot of a timer that is due and has not fired yet. */
+  /** The value of {@link Handle#slot} for a timer that is due and has not fired yet. */
   private static final int DUE = -2;
 
-  /** Slot of a timer that has fired or was cancelled. */
+  /** The value of {@link Handle#slot} for a timer that has fired or was cancelled. */
   private static final int UNSCHEDULED = -1;
 
-  /** Orders timers by when they were scheduled. */
+  /** Orders timers by the order in which they were scheduled. */
   private static final Comparator<Handle<?>> BY_SEQUENCE =
       (one, other) -> Long.compare(one.sequence, other.sequence);
 
   /**
-   * One scheduled timer. Its links belong to the wheel.
+   * One scheduled timer. The wheel uses its fields to link the timers of a slot.
    *
-   * @param <T> what the timer hands to its consumer when it fires
+   * @param <T> the type of the item that is passed to the consumer when the timer fires
    */
   public static final class Handle<T> {
     private final T item;
 
-    /** Position in the order of scheduling. */
+    /** The position of the timer in the order of scheduling. */
     private final long sequence;
 
     private long dueTick;
     private Handle<T> previous;
     private Handle<T> next;
 
-    /** Its wheel and slot, {@link #DUE} or {@link #UNSCHEDULED}. */
+    /**
+     * The index of the timer's slot, counted over all wheels, or {@link #DUE} or {@link
+     * #UNSCHEDULED}.
+     */
     private int slot = UNSCHEDULED;
 
     private Handle(T item, long sequence) {
@@ -74,10 +77,13 @@
     }
   }
 
-  /** Circular lists of timers, one for each slot of each wheel; null if empty. */
+  /**
+   * The heads of the circular lists of timers, one for each slot of each wheel; null for an empty
+   * slot.
+   */
   private final List<Handle<T>> heads = new ArrayList<>();
 
-  /** For each wheel, the set of its non-empty slots, one bit for each. */
+  /** For each wheel, a bit set of its non-empty slots. */
   private final long[] occupied = new long[WHEELS];
 
   private long tick;
@@ -92,12 +98,12 @@
     }
   }
 
-  /** Number of pending timers. */
+  /** The number of pending timers. */
   public int size() {
     return size;
   }
 
-  /** Schedules a timer; one with a due time in the past fires with the next {@link #advance}. */
+  /** Schedules a timer. A timer whose due time is in the past fires at the next tick. */
   public Handle<T> schedule(long dueUs, T item) {
     Handle<T> handle = new Handle<>(item, ++lastSequence);
     long boundedDueUs = Math.min(dueUs, NEVER - TICK_US);
@@ -107,7 +113,7 @@
     return handle;
   }
 
-  /** Cancels a timer; null and a timer that has fired are ignored. */
+  /** Cancels a timer. Null, and a timer that has fired, are ignored. */
   public void cancel(Handle<T> handle) {
     if (handle == null) {
       return;
@@ -115,7 +121,9 @@
     if (handle.slot >= 0) {
       remove(handle);
       size--;
-    } else { // if it is due, it is cancelled by a timer that fired before it
+    } else {
+      // The timer may be due and waiting to fire, if it is cancelled by a timer that fired before
+      // it in the same call of advance.
       handle.slot = UNSCHEDULED;
     }
   }
@@ -146,14 +154,14 @@
   }
 
   /**
-   * When {@link #advance} must be called next, to fire a timer or only to turn a coarser wheel;
-   * {@link #NEVER} if no timer is pending.
+   * The latest time at which {@link #advance} must be called, either to fire a timer or to move
+   * timers from a coarser wheel to a finer one; {@link #NEVER} if no timer is pending.
    */
   public long nextUs() {
     return size == 0 ? NEVER : nextEventTick() << TICK_BITS;
   }
 
-  /** Distributes the coarse slots that begin at this tick over finer ones. */
+  /** Moves the timers of the coarse slots that begin at the current tick to finer wheels. */
   private void cascade(List<Handle<T>> due) {
     for (int wheel = WHEELS - 1; wheel > 0; wheel--) {
       long ticksPerSlot = 1L << (SLOT_BITS * wheel);
@@ -195,7 +203,7 @@
         continue;
       }
       long nextSlot = (tick >> (SLOT_BITS * wheel)) + 1;
-      // rotated so that the slot after the current one is bit 0 and the current one comes last
+      // Rotated so that bit 0 is the slot after the current one, and the last bit the current slot.
       long rotated = Long.rotateRight(occupied[wheel], (int) (nextSlot & (SLOTS - 1)));
       int slotsAhead = Long.numberOfTrailingZeros(rotated);
       nextTick = Math.min(nextTick, (nextSlot + slotsAhead) << (SLOT_BITS * wheel));
--- a/src/main/java/dunlinhitch/endpoints/Withdrawal.java
+++ b/src/main/java/dunlinhitch/endpoints/Withdrawal.java
@@ -1,15 +1,15 @@
 package dunlinhitch.endpoints;
 
 /**
- * The last withdrawal of an endpoint by a source that no longer has a claim on it.
+ * The last withdrawal of an endpoint: the end of the last claim that a source had on it.
  *
- * @param atUs when, in microseconds
+ * @param atUs the time of the withdrawal, in microseconds
  * @param source the source whose last claim ended
- * @param reason why it ended
+ * @param reason the reason why that claim ended
  * @param endpoint the endpoint of that claim
  */
 record Withdrawal(long atUs, ClaimSource source, StatusReason reason, Endpoint endpoint) {
-  /** The same withdrawal after its source was removed from the registry. */
+  /** Returns a copy for the time after the removal of the source from the registry. */
   Withdrawal withSourceRemoved() {
     return new Withdrawal(atUs, source, StatusReason.SOURCE_REMOVED, endpoint);
   }
--- a/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
@@ -22,15 +22,15 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Tests {@link EndpointRegistry} with two cells, each shard in one of them, and three sources: "a"
- * and "b" with equal ranks, "c" with lower precedence.
+ * Tests {@link EndpointRegistry} with two cells and three sources. Each shard is in one of the
+ * cells. The sources "a" and "b" have equal ranks, and "c" has lower precedence.
  */
 class EndpointRegistryTest {
   private static final long SECOND_US = 1_000_000;
   private static final long FAR_FUTURE_US = 10_000 * SECOND_US;
   private final EndpointRegistry registry = newRegistry();
 
-  /** The published endpoints, derived from the changes alone. */
+  /** The published endpoints, derived only from the returned changes. */
   private final Map<String, Endpoint> published = new TreeMap<>();
 
   private final List<EndpointChange> allChanges = new ArrayList<>();
@@ -126,7 +126,9 @@
     assertEquals(7 * SECOND_US, published.get("t").startedUs());
     report("a", 21 * SECOND_US, claim(endpoint("u", 3, 0, 0), 21 * SECOND_US));
     assertEquals(
-        21 * SECOND_US, published.get("u").startedUs(), "it appeared after the complete list");
+        21 * SECOND_US,
+        published.get("u").startedUs(),
+        "the endpoint appeared after the complete list");
   }
 
   @Test
@@ -230,11 +232,14 @@
     }
     assertEquals(0, suppressionsUs[0]);
     for (int i = 2; i < 5; i++) {
-      assertTrue(suppressionsUs[i] >= 1.8 * suppressionsUs[i - 1], "longer each time");
+      assertTrue(
+          suppressionsUs[i] >= 1.8 * suppressionsUs[i - 1],
+          "each suppression must be longer than the previous one");
     }
     assertTrue(
-        suppressionsUs[5] <= 4 * SECOND_US + 10_000, "at most as long as the configured maximum");
-    // without another endpoint for its shard it serves in spite of the suppression
+        suppressionsUs[5] <= 4 * SECOND_US + 10_000,
+        "the suppression must not exceed the configured maximum");
+    // If no other endpoint serves its shard, the endpoint serves in spite of the suppression.
     report(
         "a", now, EndpointClaim.withdrawal("s/1/0", now), EndpointClaim.withdrawal("t/2/0", now));
     report("a", now + 1, claim(endpoint("s", 1, 0, 0), now + 1));
@@ -335,8 +340,8 @@
   }
 
   /**
-   * Whatever the sources report, an endpoint is published as ready only while a source claims it,
-   * and only in a cell that a source claims for it.
+   * For any reports of the sources, an endpoint is published as ready only while a source claims
+   * it, and only in a cell that a source claims for the endpoint.
    */
   @Property(tries = 400, seed = "20261201")
   void noWithdrawnEndpointIsPublishedAsReady(@ForAll("scripts") List<Report> script) {
--- a/src/test/java/dunlinhitch/endpoints/TimingWheelTest.java
+++ b/src/test/java/dunlinhitch/endpoints/TimingWheelTest.java
@@ -15,7 +15,7 @@
 class TimingWheelTest {
   private static final long SECOND_US = 1_000_000;
 
-  /** Every timer fires once, not early and at most one tick late. */
+  /** Every timer fires exactly once, never early, and at most one tick late. */
   @Property(tries = 200, seed = "20261201")
   void timersFireInTime(@ForAll("dueTimes") List<Long> dueTimes) {
     TimingWheel<Long> wheel = new TimingWheel<>(0);
