--- a/src/main/java/dunlinhitch/answerkeys/Action.java
+++ b/src/main/java/dunlinhitch/answerkeys/Action.java
@@ -1,37 +1,43 @@
 package dunlinhitch.answerkeys;
 
-/** An action requested by {@link AnswerKeyModule}; the caller performs actions in their order. */
+/**
+ * An action that {@link AnswerKeyModule} requests from its caller. The caller must perform actions
+ * in the order in which they were returned.
+ */
 public sealed interface Action {
-  /** Why a waiting query failed. */
+  /** The reason why a waiting query failed. */
   enum FailureReason {
-    /** Its deadline passed. */
+    /** The deadline of the query has passed. */
     DEADLINE_EXCEEDED,
-    /** The failed requests that it waited for used up its attempts. */
+    /**
+     * The failed attempts of the requests that the query waited for have reached its maximum number
+     * of attempts.
+     */
     ATTEMPTS_EXHAUSTED
   }
 
-  /** The reply of the owner of a key to a peer. */
+  /** The kind of a reply from the owner of a key to a peer. */
   enum OwnerReply {
-    /** The answer is attached. */
+    /** The reply contains the answer. */
     ANSWER,
-    /** The peer gets the lease: it is to fetch the answer and report it. */
+    /** The peer is granted the lease: it has to fetch the answer and report it to the owner. */
     FETCH,
-    /** The owner cannot provide the answer; the peer fetches it for itself. */
+    /** The owner cannot provide the answer. The peer fetches it without a lease. */
     NONE
   }
 
   /**
-   * Sends a request to a store for this query alone. The answer is passed to {@link
+   * Sends a request to a store for this query alone. The caller passes the answer to {@link
    * AnswerKeyModule#onBypassAnswered}.
    */
   record Bypass(long query) implements Action {}
 
   /**
-   * The query becomes the leader: it sends a request to a store for all waiters.
+   * Makes the query the leader of a fetch: a request is sent to a store on behalf of all waiters.
    *
-   * @param attemptsUsed the number of failed attempts of earlier leaders that it has waited for
-   * @param adoptsRequest whether the request of the previous leader, still in flight, becomes its
-   *     own
+   * @param attemptsUsed the number of failed attempts by earlier leaders while the query waited
+   * @param adoptsRequest whether the query takes over the previous leader's request, which is still
+   *     in flight, instead of sending a new one
    */
   record Fetch(long fetchId, long query, int attemptsUsed, boolean adoptsRequest)
       implements Action {}
@@ -42,36 +48,38 @@
   /** Ends a waiting query without an answer. */
   record Fail(long query, FailureReason reason) implements Action {}
 
-  /** Cancels the request of the fetch, whose answer is no longer needed. */
+  /** Cancels the request of a fetch, because its answer is no longer needed. */
   record CancelFetch(long fetchId) implements Action {}
 
   /**
    * Asks the owner of the key for the answer.
    *
-   * @param deadlineUs the time after which this broker fetches the answer itself
+   * @param deadlineUs the time at which this broker stops waiting for the owner and fetches the
+   *     answer itself
    */
   record RequestFromOwner(
       String owner, long fetchId, AnswerKey key, PartQuery part, long deadlineUs)
       implements Action {}
 
   /**
-   * Reports the result of a fetch to the owner that granted the lease or did not reply in time.
+   * Reports the result of a fetch to the owner of the key, which either granted the lease or did
+   * not reply in time.
    *
-   * @param cached null if the fetch had no result
+   * @param cached the answer, or null if the fetch had no result
    */
   record ReportToOwner(String owner, AnswerKey key, CachedAnswer cached) implements Action {}
 
   /**
-   * Gossips the evidence about rules at once instead of with the next periodic message, because a
-   * rule has lost its trust.
+   * Gossips the evidence about rules immediately instead of with the next periodic message, because
+   * a rule has become suspect or withdrawn.
    */
   record GossipNow() implements Action {}
 
   /**
-   * Replies to the peer that asked this broker as the owner of the key.
+   * Replies to a peer that sent a request to this broker as the owner of the key.
    *
    * @param fetchId the identifier of the fetch at that peer
-   * @param cached present only with {@link OwnerReply#ANSWER}
+   * @param cached the answer with {@link OwnerReply#ANSWER}, otherwise null
    */
   record ReplyToPeer(
       String peer, long fetchId, AnswerKey key, OwnerReply reply, CachedAnswer cached)
--- a/src/main/java/dunlinhitch/answerkeys/ActionBuffer.java
+++ b/src/main/java/dunlinhitch/answerkeys/ActionBuffer.java
@@ -5,7 +5,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Collects the actions of one event in their order, and holds the counters of the module. */
+/**
+ * Collects the actions that result from one event, in order, and holds the counters of the module.
+ */
 final class ActionBuffer {
   private final Map<AnswerKeyCounter, Long> counters = new EnumMap<>(AnswerKeyCounter.class);
   private List<Action> actions = new ArrayList<>();
@@ -18,7 +20,7 @@
     counters.merge(counter, 1L, Long::sum);
   }
 
-  /** Sends the query to a store without request coalescing, and counts the reason. */
+  /** Adds a {@link Action.Bypass} for the query and increments the counter of the reason. */
   void bypass(long query, AnswerKeyCounter reason) {
     count(reason);
     add(new Action.Bypass(query));
@@ -28,7 +30,7 @@
     return new EnumMap<>(counters);
   }
 
-  /** The actions since the last call. */
+  /** Returns and removes the actions that were added since the last call. */
   List<Action> drain() {
     List<Action> drained = actions;
     actions = new ArrayList<>();
--- a/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
@@ -5,15 +5,18 @@
 import java.util.random.RandomGenerator;
 
 /**
- * The answers that may be reused. An answer becomes stale by its age, by a newer generation of the
- * shard's data, and by a restart or withdrawal of the store that returned it. Each complete answer
- * is also passed to the shadow comparison.
+ * The cache of answers that may be reused. An answer becomes stale when it reaches the maximum age,
+ * when the shard's data has a newer generation, and when the store that returned it restarts or is
+ * withdrawn. Complete answers that may be cached are also passed to the shadow comparison.
  */
 final class AnswerCache {
   /** The estimated size of a key without its text, in bytes. */
   private static final long KEY_BYTES = 300;
 
-  /** The list of uncacheable keys may take the size of the cache divided by this. */
+  /**
+   * The maximum size of the list of uncacheable keys is the size of the cache divided by this
+   * number.
+   */
   private static final int UNCACHEABLE_DIVISOR = 16;
 
   private static final long UNLISTED = -1L;
@@ -27,8 +30,8 @@
   private final Cache<AnswerKey, CachedAnswer> answers;
 
   /**
-   * Keys whose last answer was not shareable, with the time until which their requests bypass
-   * coalescing.
+   * The keys whose last answer was not shareable, each with the time until which its requests
+   * bypass coalescing.
    */
   private final Cache<AnswerKey, Long> uncacheableUntilUs;
 
@@ -63,7 +66,10 @@
     storeStarts.remove(store);
   }
 
-  /** Returns true once after a store named an attribute that changes how keys are built. */
+  /**
+   * Returns true once after a store has declared a further varying attribute, which changes the
+   * keys.
+   */
   boolean takeKeysChanged() {
     boolean changed = keysChanged;
     keysChanged = false;
@@ -75,7 +81,7 @@
     return untilUs != null && nowUs < untilUs;
   }
 
-  /** Returns a fresh answer, or null. Evicts a stale one. */
+  /** Returns the cached answer if it is fresh, otherwise null. Evicts a stale answer. */
   CachedAnswer lookup(long nowUs, AnswerKey key) {
     CachedAnswer cached = answers.get(key);
     if (cached != null && !isFresh(nowUs, key, cached)) {
@@ -86,17 +92,19 @@
   }
 
   /**
-   * Processes an answer that a store returned to this or another broker, and caches it if
-   * permitted.
+   * Processes an answer that a store returned to this or another broker, and caches it if it may be
+   * reused.
    *
-   * @param requestedKey the key that the waiters share, or null if there are none
+   * @param requestedKey the key of the fetch whose waiters need the answer, or null if there are no
+   *     waiters
    * @return true if the answer may be shared with the waiters
    */
   boolean offer(long nowUs, CachedAnswer cached, AnswerKey requestedKey) {
     StoreAnswer answer = cached.answer();
     PartQuery part = cached.fetchedFor();
     if (!answer.complete()) {
-      return false; // neither reusable nor comparable
+      // An incomplete answer can neither be reused nor be compared with others.
+      return false;
     }
     keys.recordGeneration(part.shard(), answer.generation());
     if (!answer.cacheable() || !keys.declaresAll(part.queryClass(), answer.varies())) {
@@ -134,15 +142,19 @@
   }
 
   /**
-   * Whether the part still shares a key with the answer. The key under which it waited may be
-   * outdated, because a rule lost its trust or a store declared a further varying attribute.
+   * Whether the part still has the same key as the answer. The key under which the part waited may
+   * be outdated, because a rule is no longer trusted or a store has declared a further varying
+   * attribute.
    */
   boolean matches(PartQuery part, CachedAnswer cached) {
     return keys.keyFor(part).equals(keys.keyFor(cached.fetchedFor()))
         && KeyFactory.equalIn(part, cached.fetchedFor(), cached.answer().varies());
   }
 
-  /** Whether the two are equal only by rules and the part is selected at random as a trial. */
+  /**
+   * Whether the part is selected as a trial: the two parts share a key only because of rules, and
+   * the random selection chose this part.
+   */
   boolean selectsTrial(PartQuery part, PartQuery other) {
     return !part.sameAs(other) && random.nextDouble() < settings.trialShare();
   }
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKey.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKey.java
@@ -10,10 +10,11 @@
  * The cache key of an answer: two parts with the same key share one answer.
  *
  * @param text the text as rewritten by the trusted rules
- * @param variants the attributes that remain after these rules
- * @param rules identifies the applied rules: once a rule is withdrawn, a text that it produced must
- *     not match the same text as sent by a client
- * @param generation the latest generation reported by a store of the shard, 0 if none was reported
+ * @param variants the attributes that remain after the trusted rules were applied
+ * @param rules the fingerprint of the applied rules; it prevents a text that a withdrawn rule
+ *     produced from matching the same text sent by a client
+ * @param generation the latest data generation that a store of the shard reported, 0 if none was
+ *     reported
  */
 public record AnswerKey(
     String queryClass,
@@ -23,7 +24,7 @@
     Map<String, String> variants,
     String rules,
     long generation) {
-  /** Copies the variants, in the order of their names. */
+  /** Copies the variants and sorts them by name. */
   public AnswerKey {
     variants = Collections.unmodifiableMap(new TreeMap<>(variants));
   }
@@ -33,8 +34,8 @@
   }
 
   /**
-   * The components that determine the owner of the key. They exclude rules and generation, so that
-   * a key keeps its owner when these change.
+   * The components of the key that determine its owner. The rules and the generation are excluded,
+   * so that a change of them does not change the owner.
    */
   String[] ownershipComponents() {
     List<String> components =
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyCounter.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyCounter.java
@@ -2,7 +2,10 @@
 
 /** The counters of {@link AnswerKeyModule} for operators. */
 public enum AnswerKeyCounter {
-  /** Requests that bypassed coalescing: class or key not shareable, or a limit reached. */
+  /**
+   * Requests that bypassed coalescing, because their class or key was not shareable or a limit was
+   * reached.
+   */
   NOT_SHARED,
   /** Requests that bypassed the cache for the shadow comparison of a rule. */
   TRIALS,
@@ -10,16 +13,16 @@
   LED,
   /** Requests answered from the cache. */
   REUSED,
-  /** Requests answered by a fetch of this broker that they waited for. */
+  /** Requests answered by a fetch of this broker for which they waited. */
   JOINED,
-  /** Requests answered with what another broker fetched. */
+  /** Requests answered with an answer that another broker fetched. */
   FROM_HOME,
-  /** Owners that did not reply in time. */
+  /** Requests to owners of keys that were not answered in time. */
   HOME_LATE,
-  /** Answers of stores that turned out not to be shareable. */
+  /** Answers of stores that were not shareable. */
   NOT_SHAREABLE,
-  /** Requests that waited and failed. */
+  /** Requests that failed while they waited for a fetch. */
   ENDED,
-  /** Leaderships that passed to the next waiter. */
+  /** Number of times that the next waiter became the leader of a fetch. */
   PASSED_ON
 }
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
@@ -7,13 +7,14 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Decides which parts of queries share an answer: each key has at most one fetch at a time in this
- * broker and one owner in the cluster, and its answer is reused for a short time. The rules and the
+ * Decides which parts of queries share an answer. Each key has at most one fetch at a time in this
+ * broker, and one owner in the cluster. Its answer is reused for a short time. The rules and the
  * bounds are documented in docs/answer-keys.md.
  *
- * <p>Events in, actions out; no I/O, clock or threads. Not thread-safe: owned by one thread. All
- * times are microseconds of the wall clock, on which brokers agree except for clock skew. Each
- * method returns the actions to perform, in their order.
+ * <p>Pure: the input is events, the output is actions, and there is no I/O, clock or thread. Not
+ * thread-safe; must be used by one thread. All times are microseconds of the wall clock, which is
+ * the same at all brokers except for clock skew. Each event method returns the actions to perform,
+ * in order.
  */
 public final class AnswerKeyModule {
   private final RuleLifecycle lifecycle;
@@ -30,7 +31,8 @@
    * Creates a module without stores and members.
    *
    * @param self the name of this broker in the cluster
-   * @param random selects the requests that are trials of trusted rules
+   * @param random the random number generator that selects the requests that are trials of trusted
+   *     rules
    * @param cache the cache of the answers
    */
   public AnswerKeyModule(
@@ -48,8 +50,8 @@
   }
 
   /**
-   * Handles a converged change of the members of the cluster; {@code names} is empty without a
-   * cluster.
+   * Handles a change of the members of the cluster. Called when the cluster has converged; {@code
+   * names} is empty if this broker is in no cluster.
    */
   public List<Action> updateMembers(long nowUs, Collection<String> names) {
     coalescer.updateMembers(nowUs, names);
@@ -57,8 +59,8 @@
   }
 
   /**
-   * Adds a store of the endpoint list with its start time in milliseconds. Answers of an earlier
-   * incarnation of the store are not reused.
+   * Adds a store of the endpoint list with its start time, Unix time in milliseconds. Answers of an
+   * earlier incarnation of the store are not reused.
    */
   public void addStore(String store, long startedMs) {
     answers.addStore(store, startedMs);
@@ -80,15 +82,18 @@
     return lifecycle;
   }
 
-  /** Handles a part of a query of this broker, which needs an answer by the absolute deadline. */
+  /**
+   * Handles a part of a query at this broker; {@code deadlineUs} is the absolute time by which it
+   * must be answered.
+   */
   public List<Action> onQuery(long nowUs, long query, PartQuery part, long deadlineUs) {
     coalescer.submit(nowUs, query, part, deadlineUs);
     return drain(nowUs);
   }
 
   /**
-   * Handles the success of the request of {@link Action.Fetch}. The leader already has the answer;
-   * the waiters get it by the returned actions.
+   * Handles the success of the request of {@link Action.Fetch}. The caller answers the leader; the
+   * returned actions answer the waiters.
    */
   public List<Action> onFetchSucceeded(long nowUs, long fetchId, StoreAnswer answer) {
     coalescer.succeed(nowUs, fetchId, answer);
@@ -111,8 +116,8 @@
   }
 
   /**
-   * Handles the answer to the request of {@link Action.Bypass} that was sent at {@code
-   * requestedUs}.
+   * Handles the answer to the request of a {@link Action.Bypass}; {@code requestedUs} is the time
+   * at which the request was sent.
    */
   public List<Action> onBypassAnswered(
       long nowUs, PartQuery part, StoreAnswer answer, long requestedUs) {
@@ -122,7 +127,7 @@
     return drain(nowUs);
   }
 
-  /** Handles {@link Action.RequestFromOwner} of a peer. */
+  /** Handles an {@link Action.RequestFromOwner} that a peer sent to this broker. */
   public List<Action> onPeerRequest(
       long nowUs, String peer, long fetchId, AnswerKey key, PartQuery part, long deadlineUs) {
     peers.onRequest(nowUs, peer, fetchId, key, part, deadlineUs);
@@ -130,7 +135,7 @@
   }
 
   /**
-   * Handles {@link Action.ReplyToPeer} of an owner.
+   * Handles an {@link Action.ReplyToPeer} that an owner sent to this broker.
    *
    * @param key the key as the owner built it
    */
@@ -145,13 +150,13 @@
     return drain(nowUs);
   }
 
-  /** Handles {@link Action.ReportToOwner} of a peer. */
+  /** Handles an {@link Action.ReportToOwner} that a peer sent to this broker. */
   public List<Action> onPeerReport(long nowUs, String peer, AnswerKey key, CachedAnswer cached) {
     peers.onReport(nowUs, peer, key, cached);
     return drain(nowUs);
   }
 
-  /** Handles the deadlines, leases and suspicions that have ended. */
+  /** Handles the deadlines, leases and suspicion timeouts that are due. */
   public List<Action> onTimer(long nowUs) {
     lifecycle.advance(nowUs);
     coalescer.expire(nowUs);
@@ -164,7 +169,7 @@
     return Math.min(lifecycle.nextTimerUs(nowUs), nextFetchTimerUs);
   }
 
-  /** The counters since the start; absent counters are 0. */
+  /** The values of the counters since the start. A counter that is not in the map is 0. */
   public Map<AnswerKeyCounter, Long> counters() {
     return output.counters();
   }
@@ -174,7 +179,7 @@
     return List.of(comparison.compared(), comparison.unequal());
   }
 
-  /** Applies changes of the rules before it returns the actions of this event. */
+  /** Applies changes of the rules, then returns the actions of the current event. */
   private List<Action> drain(long nowUs) {
     boolean keysChanged = answers.takeKeysChanged();
     if (keysChanged || appliedRuleChanges != lifecycle.changes()) {
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
@@ -1,16 +1,18 @@
 package dunlinhitch.answerkeys;
 
 /**
- * Settings of answer keys.
+ * The settings of the {@link AnswerKeyModule}.
  *
  * @param trust the evidence that a rule needs before it is trusted
- * @param trialShare the share of requests that are sent to a store although a trusted rule allows
- *     an answer to be reused
- * @param changeWindowUs two answers of a store that reports no generation count as unequal only if
- *     they were requested within this window
- * @param suspicionTimeoutUs a suspicion that is not cleared within this time becomes a withdrawal
- * @param evidenceLifetimeUs how long the evidence of a broker counts
- * @param limits bounds of memory and waiting
+ * @param trialShare the fraction of the requests that are sent to a store although a trusted rule
+ *     would allow an answer to be reused; these trials detect rules that have become false
+ * @param changeWindowUs the maximum time between the requests for two unequal answers at which the
+ *     difference makes a rule suspect, if the store reports no generation; after a longer time the
+ *     data has probably changed
+ * @param suspicionTimeoutUs the time after which a rule is withdrawn if its suspicion has not been
+ *     cleared
+ * @param evidenceLifetimeUs the lifetime of a broker's evidence
+ * @param limits the bounds of memory use and waiting
  */
 public record AnswerKeySettings(
     TrustThresholds trust,
@@ -23,12 +25,13 @@
    * The evidence that a rule needs before it is trusted.
    *
    * @param proposals the number of requests in the cluster whose key the rule would have changed,
-   *     before it is tried
-   * @param pairs the number of equal pairs in the cluster, before it is trusted
+   *     after which answers are compared to test the rule
+   * @param pairs the number of pairs of equal answers in the cluster that are required to trust the
+   *     rule
    * @param shards the number of shards that these pairs have to come from
    * @param clientKinds the number of client kinds that these pairs have to come from
-   * @param brokers the number of brokers that these pairs have to come from: a single broker that
-   *     misreads answers must not suffice
+   * @param brokers the number of brokers that these pairs have to come from, so that a single
+   *     broker that compares answers incorrectly does not suffice
    */
   public record TrustThresholds(
       int proposals, int pairs, int shards, int clientKinds, int brokers) {
@@ -38,13 +41,14 @@
   }
 
   /**
-   * Bounds of memory and waiting.
+   * Bounds of memory use and waiting.
    *
-   * @param cacheBytes the maximum size of the cached answers, and separately of the samples for
-   *     comparison, in bytes
+   * @param cacheBytes the maximum size of the cached answers in bytes; also the maximum size of the
+   *     samples for comparison, which are counted separately
    * @param fetches the maximum number of keys that are fetched at the same time
    * @param waiters the maximum number of requests that wait for one fetch
-   * @param attempts the maximum number of attempts of a part, including those that it waited for
+   * @param attempts the maximum number of attempts for a part, including the failed attempts of
+   *     leaders that it waited for
    */
   public record Limits(long cacheBytes, int fetches, int waiters, int attempts) {
     private boolean isValid() {
@@ -52,7 +56,7 @@
     }
   }
 
-  /** The defaults. */
+  /** The default settings. */
   public static final AnswerKeySettings STANDARD =
       new AnswerKeySettings(
           new TrustThresholds(20, 100, 4, 2, 2),
@@ -63,7 +67,7 @@
           new Limits(8 << 20, 4096, 256, 4));
 
   /**
-   * Checks the ranges.
+   * Checks the ranges of all settings.
    *
    * @throws KeysException if a setting is out of range
    */
@@ -88,10 +92,18 @@
               + ", brokers "
               + trust.brokers()
               + ", trial share "
-              + trialShare,
+              + trialShare
+              + ", change window "
+              + changeWindowUs
+              + " us, suspicion timeout "
+              + suspicionTimeoutUs
+              + " us, evidence lifetime "
+              + evidenceLifetimeUs
+              + " us, "
+              + limits,
           "set thresholds and limits to at least 1 (proposals to at least 0), times to valid "
-              + "durations and the trial share above 0 and at most 1: without trials a false rule "
-              + "could give wrong answers indefinitely");
+              + "durations and the trial share above 0 and at most 1, because without trials a false "
+              + "rule could cause wrong answers indefinitely");
     }
   }
 }
--- a/src/main/java/dunlinhitch/answerkeys/AnswerSample.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerSample.java
@@ -1,8 +1,8 @@
 package dunlinhitch.answerkeys;
 
 /**
- * A sample of an answer for the shadow comparison: the part for which it was fetched, and the
- * properties that are compared.
+ * A sample of an answer for the shadow comparison: the part for which the answer was fetched, and
+ * the properties that are compared.
  */
 record AnswerSample(
     PartQuery part,
@@ -25,17 +25,23 @@
         cached.requestedUs());
   }
 
-  /** Whether the same incarnation of a store returned both. */
+  /** Whether the same incarnation of a store returned both answers. */
   boolean sameStore(AnswerSample other) {
     return store.equals(other.store) && storeStartedMs == other.storeStartedMs;
   }
 
-  /** Whether both are certainly of the same data. */
+  /**
+   * Whether both answers are based on the same data, because their reported generations are equal.
+   */
   boolean sameGeneration(AnswerSample other) {
     return generation > 0 && generation == other.generation;
   }
 
-  /** Whether both are of the same data, unless the data changed between them. */
+  /**
+   * Whether both answers are probably based on the same data: the same incarnation of a store
+   * returned both, the store reports no generation, and the two requests were sent within {@code
+   * windowUs}.
+   */
   boolean likelySameData(AnswerSample other, long windowUs) {
     return generation == 0
         && other.generation == 0
--- a/src/main/java/dunlinhitch/answerkeys/Cache.java
+++ b/src/main/java/dunlinhitch/answerkeys/Cache.java
@@ -1,15 +1,16 @@
 package dunlinhitch.answerkeys;
 
 /**
- * A cache, which may evict any entry at any time. {@link LruCache} is the default; a caller may
- * adapt a cache of a library instead. Not thread-safe unless the implementation states otherwise.
+ * A cache, which may evict any entry at any time. {@link LruCache} is the default implementation. A
+ * caller may provide an adapter to the cache of a library instead. Not thread-safe unless the
+ * implementation states otherwise.
  */
 public interface Cache<K, V> {
   /** Returns the cached value, or null if there is none. */
   V get(K key);
 
   /**
-   * Caches a value, replacing any earlier one for the key.
+   * Caches a value. Replaces an earlier value of the same key.
    *
    * @param bytes the estimated memory use of the entry
    */
@@ -18,6 +19,6 @@
   /** Removes the entry, if there is one. */
   void remove(K key);
 
-  /** The estimated bytes of all entries. */
+  /** The estimated memory use of all entries in bytes. */
   long bytes();
 }
--- a/src/main/java/dunlinhitch/answerkeys/CachedAnswer.java
+++ b/src/main/java/dunlinhitch/answerkeys/CachedAnswer.java
@@ -1,15 +1,16 @@
 package dunlinhitch.answerkeys;
 
 /**
- * An answer that may be reused.
+ * An answer with the information that is needed to reuse it.
  *
- * @param fetchedFor the part for which it was fetched
- * @param requestedUs when it was requested from its store, in microseconds; its age counts from
- *     then
+ * @param fetchedFor the part for which the answer was fetched
+ * @param requestedUs when the answer was requested from the store, in microseconds; the age of the
+ *     answer is counted from this time
  */
 public record CachedAnswer(StoreAnswer answer, PartQuery fetchedFor, long requestedUs) {
   /**
-   * Returns the form that a peer may receive, without the value if the answer may not be cached.
+   * Returns the answer in the form that is sent to peers: without the value if the answer may not
+   * be cached.
    */
   CachedAnswer forPeers() {
     return answer.complete() && answer.cacheable()
--- a/src/main/java/dunlinhitch/answerkeys/CanonicalText.java
+++ b/src/main/java/dunlinhitch/answerkeys/CanonicalText.java
@@ -10,12 +10,16 @@
 import java.util.stream.Collectors;
 
 /**
- * Computes the canonical form of a text, which is the fixed point of the rewrites. For any rewrites
- * it is reached within {@link #MAX_PASSES} passes: after the first, case and white space remain
- * folded; the second drops and sorts terms, which no later pass changes.
+ * Computes the canonical form of a text, which is the fixed point of the rewrites. Any sequence of
+ * rewrites reaches the fixed point within {@link #MAX_PASSES} passes: the first pass folds case and
+ * white space, which then stay folded; the second pass drops and sorts terms, and the result of
+ * this does not change in later passes.
  */
 final class CanonicalText {
-  /** Two passes that may change the text, and one that confirms the fixed point. */
+  /**
+   * The maximum number of passes: two that may change the text, and one that confirms the fixed
+   * point.
+   */
   private static final int MAX_PASSES = 3;
 
   private CanonicalText() {}
@@ -56,7 +60,8 @@
           .filter(term -> !drop.terms().contains(term))
           .collect(Collectors.joining(String.valueOf(drop.separator())));
     }
-    return text; // the rewrite applies to attributes or the tenant
+    // The other rewrites apply to attributes or to the tenant.
+    return text;
   }
 
   private static String[] terms(String text, char separator) {
@@ -64,8 +69,8 @@
   }
 
   /**
-   * Maps each code point separately: its result must not depend on neighbouring code points,
-   * because terms are reordered.
+   * Converts each code point to lower case separately. The result for a code point must not depend
+   * on the neighbouring ones, because terms are reordered.
    */
   static String lowerCase(String text) {
     StringBuilder result = new StringBuilder(text.length());
--- a/src/main/java/dunlinhitch/answerkeys/ClassCachePolicy.java
+++ b/src/main/java/dunlinhitch/answerkeys/ClassCachePolicy.java
@@ -3,13 +3,14 @@
 import java.util.List;
 
 /**
- * How answers of a query class may be shared.
+ * The policy for sharing answers of a query class.
  *
  * @param name the name of the class
- * @param attributes the attributes by which its answers may vary
- * @param reusable whether answers may be reused: parts may run twice and carry no idempotency key
+ * @param attributes the attributes by which answers of the class may vary
+ * @param reusable whether answers may be reused, which requires that parts may be executed twice
+ *     and carry no idempotency key
  * @param maxAgeUs the maximum age of a reused answer, counted from the request to its store; must
- *     be longer than a store takes to answer
+ *     exceed the response time of stores
  * @param ownerWaitUs the maximum time to wait for the reply of another broker
  * @param latencyObjectiveUs the latency objective of the class
  * @param location where the class is configured, for error messages
--- a/src/main/java/dunlinhitch/answerkeys/ClassRules.java
+++ b/src/main/java/dunlinhitch/answerkeys/ClassRules.java
@@ -15,15 +15,17 @@
 import java.util.TreeMap;
 import java.util.function.Predicate;
 
-/** The validated rules of one query class, which build the keys of its parts. */
+/** The validated rules of one query class. Builds the keys of the class's parts. */
 final class ClassRules {
   private final ClassCachePolicy policy;
   private final List<Rule> rules;
 
-  /** For each fold, the resolved group of each value that it names. */
+  /**
+   * For each rewrite that folds values, the resolved group of each value that the rewrite names.
+   */
   private final Map<FoldVariant, Map<String, String>> resolvedFolds = new HashMap<>();
 
-  /** The separator of the terms of a text; null if no rule rewrites terms. */
+  /** The separator between the terms of a text; null if no rule of the class rewrites terms. */
   private Character separator;
 
   /**
@@ -67,8 +69,8 @@
   }
 
   /**
-   * Requires at most one rewrite per attribute: two could undo each other, and an unequal pair
-   * would not show which of them is false.
+   * Checks that each attribute has at most one rewrite. Two rewrites could undo each other, and a
+   * pair of unequal answers would not show which of them is false.
    */
   private void checkAttribute(Rule rule, String attribute, Set<String> rewrittenAttributes) {
     if (!policy.attributes().contains(attribute)) {
@@ -128,17 +130,23 @@
     }
   }
 
-  /** Returns null if a text may contain the term. */
+  /**
+   * Returns the reason why no text contains the term at this rewrite, or null if a text may contain
+   * it.
+   */
   private static String reasonNeverDropped(String term, char separator, boolean caseFolded) {
     if (term.isEmpty() || term.indexOf(separator) >= 0) {
-      return "a term is never empty and never contains the separator";
+      return "it is empty or contains the separator '" + separator + "'";
     }
     return caseFolded && !CanonicalText.lowerCase(term).equals(term)
-        ? "an earlier rewrite folds case"
+        ? "it is not in lower case, but an earlier rewrite folds case"
         : null;
   }
 
-  /** Resolves each value to the last group in its chain of groups. */
+  /**
+   * Maps each value to its final group by following chains of groups that are mapped to other
+   * groups.
+   */
   private static Map<String, String> resolve(Rule rule, FoldVariant fold) {
     Map<String, String> lastGroups = new TreeMap<>();
     Set<String> values = new HashSet<>(fold.groups().keySet());
@@ -147,7 +155,7 @@
     for (String value : values) {
       lastGroups.put(value, lastGroup(rule, fold, value));
     }
-    // An absent value is treated as a value that is not named.
+    // An absent attribute is treated like a value that the rewrite does not name.
     lastGroups.putIfAbsent("", lastGroups.get(fold.otherwise()));
     return lastGroups;
   }
--- a/src/main/java/dunlinhitch/answerkeys/Evidence.java
+++ b/src/main/java/dunlinhitch/answerkeys/Evidence.java
@@ -5,14 +5,14 @@
 import java.util.TreeSet;
 
 /**
- * The cumulative evidence of one broker about a rule in one epoch: a later value of a broker
- * includes all of its earlier ones.
+ * The cumulative evidence of one broker about a rule in one epoch: a later value from a broker
+ * includes all of its earlier values.
  *
  * @param proposals the number of requests whose key the rule would have changed
  * @param equalPairs the number of pairs of equal answers
  * @param shards the shards of these pairs
  * @param clientKinds the client kinds of these pairs
- * @param suspect whether the broker suspects the rule
+ * @param suspect whether the rule is suspect at the broker
  * @param withdrawalReason why the broker withdrew the rule; empty if it did not
  */
 public record Evidence(
@@ -25,8 +25,8 @@
   static final Evidence NONE = new Evidence(0, 0, Set.of(), Set.of(), false, "");
 
   /**
-   * The maximum number of shards or client kinds in a gossip message, and therefore in the trust
-   * thresholds.
+   * The maximum number of shards and of client kinds that a gossip message carries. Trust
+   * thresholds cannot exceed it.
    */
   static final int MAX_SPREAD = 16;
 
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Adds an equal pair. Counts at most {@code limit} pairs, because further ones need not be
-   * gossiped.
+   * Adds a pair of equal answers. Counts at most {@code limit} pairs, because a higher number would
+   * have no effect and need not be gossiped.
    */
   Evidence withEqualPair(long limit, int shard, Set<String> pairKinds) {
     return new Evidence(
@@ -74,7 +74,7 @@
     return new Evidence(proposals, equalPairs, shards, clientKinds, suspected, withdrawalReason);
   }
 
-  /** Marks the rule as withdrawn; the first reason is retained. */
+  /** Marks the rule as withdrawn. If it is already withdrawn, the first reason is retained. */
   Evidence withWithdrawal(String reason) {
     return new Evidence(
         proposals,
@@ -85,7 +85,10 @@
         isWithdrawn() ? withdrawalReason : reason);
   }
 
-  /** Merges this with the evidence that an earlier incarnation of the same broker published. */
+  /**
+   * Merges this evidence with the evidence that an earlier incarnation of the same broker
+   * published.
+   */
   Evidence mergedWith(Evidence other) {
     return new Evidence(
         Math.max(proposals, other.proposals),
--- a/src/main/java/dunlinhitch/answerkeys/FetchTable.java
+++ b/src/main/java/dunlinhitch/answerkeys/FetchTable.java
@@ -5,9 +5,12 @@
 import java.util.Map;
 import java.util.PriorityQueue;
 
-/** The registry of in-flight fetches with their timers. It makes no decisions. */
+/**
+ * The table of in-flight fetches with their timers. Decisions about fetches are made by {@link
+ * RequestCoalescer} and {@link PeerProtocol}.
+ */
 final class FetchTable {
-  /** A time at which the deadlines of a fetch are checked. */
+  /** A time at which the deadlines of a fetch must be checked. */
   private record Timer(long atUs, InFlightFetch fetch) {}
 
   private final Map<AnswerKey, InFlightFetch> byKey = new HashMap<>();
@@ -33,7 +36,10 @@
     return byId.size();
   }
 
-  /** Returns a copy of the list, so that the caller may close fetches while it iterates. */
+  /**
+   * Returns a copy of the list of fetches, so that the caller may close fetches during the
+   * iteration.
+   */
   List<InFlightFetch> all() {
     return List.copyOf(byId.values());
   }
@@ -59,7 +65,9 @@
     }
   }
 
-  /** Removes a waiter; if it was the leader, the fetch has no leader until the next election. */
+  /**
+   * Removes a waiter. If it was the leader, the fetch has no leader until another one is elected.
+   */
   void remove(InFlightFetch fetch, Waiter waiter) {
     fetch.waiters.remove(waiter);
     if (waiter.isLocal()) {
--- a/src/main/java/dunlinhitch/answerkeys/InFlightFetch.java
+++ b/src/main/java/dunlinhitch/answerkeys/InFlightFetch.java
@@ -4,26 +4,30 @@
 import java.util.List;
 
 /**
- * One fetch of the answer for a key, and the requests that wait for it. At most one of them, the
- * leader, sends the request to a store. Mutable; owned by {@link FetchTable}.
+ * One fetch of the answer for a key, with the requests that wait for the answer. At most one of
+ * these requests is the leader, which sends the request to a store. Mutable; owned by {@link
+ * FetchTable}.
  */
 final class InFlightFetch {
   final long id;
   final AnswerKey key;
 
-  /** The waiters in the order of arrival, which is the order in which they become leader. */
+  /**
+   * The waiters in the order of arrival. The first waiter becomes the leader when a new one is
+   * needed.
+   */
   final List<Waiter> waiters = new ArrayList<>();
 
-  /** The leader, one of the waiters; null while the reply of the owner is pending. */
+  /** The leader, which is one of the waiters; null while the reply of the owner is pending. */
   Waiter leader;
 
-  /** The broker that owns the key; null if this broker does or if there is no owner. */
+  /** The broker that owns the key; null if this broker is the owner or if there is no owner. */
   String owner;
 
   /** The time in microseconds until which the fetch waits for the reply of the owner. */
   long ownerDeadlineUs;
 
-  /** The key as the owner built it, possibly with a different generation. */
+  /** The key as the owner built it, which may have a different generation than {@link #key}. */
   AnswerKey ownerKey;
 
   /** The time in microseconds at which the lease of a leader at another broker ends. */
--- a/src/main/java/dunlinhitch/answerkeys/KeyFactory.java
+++ b/src/main/java/dunlinhitch/answerkeys/KeyFactory.java
@@ -9,12 +9,13 @@
 import java.util.function.Predicate;
 
 /**
- * Builds the key of a part from the trusted rules, the attributes by which stores declared their
- * answers to vary (these override every rule until the broker restarts), and the latest generation
- * reported by a store of the shard.
+ * Builds the key of a part. The key depends on the trusted rules, on the latest data generation
+ * that a store of the shard reported, and on the attributes by which stores have declared their
+ * answers to vary. Until the broker restarts, such a declared attribute is part of the keys even if
+ * a rule would drop or fold it.
  */
 final class KeyFactory {
-  /** The maximum number of shards whose generation is remembered. */
+  /** The maximum number of shards whose data generation is stored. */
   private static final int MAX_SHARDS = 1 << 16;
 
   private final RuleSet rules;
@@ -58,7 +59,10 @@
     return varyingAttributes.getOrDefault(queryClass, Set.of());
   }
 
-  /** Identifies the rules and attributes that apply to the class; keys include this fingerprint. */
+  /**
+   * Returns a fingerprint of the rules and varying attributes that apply to the class. Keys include
+   * this fingerprint.
+   */
   String ruleFingerprint(String queryClass) {
     if (fingerprintedChanges != lifecycle.changes()) {
       fingerprints.clear();
@@ -82,7 +86,7 @@
     return generations.getOrDefault(shard, 0L);
   }
 
-  /** Records the generation of the data that a store reported, or 0 if it reports none. */
+  /** Records the data generation that a store reported; 0 means that it reports none. */
   void recordGeneration(int shard, long generation) {
     if (generation > 0 && (generations.containsKey(shard) || generations.size() < MAX_SHARDS)) {
       generations.merge(shard, generation, Math::max);
--- a/src/main/java/dunlinhitch/answerkeys/KeysException.java
+++ b/src/main/java/dunlinhitch/answerkeys/KeysException.java
@@ -1,13 +1,13 @@
 package dunlinhitch.answerkeys;
 
 /**
- * Thrown for rules or settings of answer keys that cannot be used. The message is one line with the
- * code, the location, the problem and the remedy.
+ * Thrown for invalid rules or settings of answer keys. The message is one line with the code, the
+ * location, the problem and the remedy.
  */
 public final class KeysException extends RuntimeException {
   private static final long serialVersionUID = 1L;
 
-  /** The kinds of errors. Their labels are stable, because operators search for them. */
+  /** The kinds of errors. The labels must not change, because operators search for them. */
   public enum Code {
     /** Two rules have the same name. */
     NAME_TWICE("KEYS-NAME-TWICE"),
@@ -17,11 +17,11 @@
     MAY_NOT_REUSE("KEYS-MAY-NOT-REUSE"),
     /** The query class does not declare the attribute. */
     NO_ATTRIBUTE("KEYS-NO-ATTRIBUTE"),
-    /** Two rewrites of a class apply to the same attribute. */
+    /** Two rewrites of the same query class apply to the same attribute. */
     ATTRIBUTE_TWICE("KEYS-ATTRIBUTE-TWICE"),
-    /** Groups of values refer to each other in a cycle. */
+    /** The groups of a rewrite that folds values refer to each other in a cycle. */
     CYCLE("KEYS-CYCLE"),
-    /** The separator of terms is invalid, or differs within a class. */
+    /** The separator of terms is invalid, or two rewrites of a class use different separators. */
     SEPARATOR("KEYS-SEPARATOR"),
     /** A rewrite can never change anything. */
     NEVER_ACTS("KEYS-NEVER-ACTS"),
@@ -34,7 +34,7 @@
       this.label = label;
     }
 
-    /** The stable text of the code in messages. */
+    /** The stable text that represents the code in messages. */
     public String label() {
       return label;
     }
--- a/src/main/java/dunlinhitch/answerkeys/LruCache.java
+++ b/src/main/java/dunlinhitch/answerkeys/LruCache.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * A cache bounded by bytes, which evicts the least recently used entries. An entry that is larger
- * than the bound is not cached. Not thread-safe.
+ * A cache with a capacity in bytes, which evicts the least recently used entries. An entry that
+ * exceeds the capacity by itself is not cached. Not thread-safe.
  */
 public final class LruCache<K, V> implements Cache<K, V> {
   private static final int INITIAL_CAPACITY = 16;
--- a/src/main/java/dunlinhitch/answerkeys/PartQuery.java
+++ b/src/main/java/dunlinhitch/answerkeys/PartQuery.java
@@ -7,8 +7,9 @@
 /**
  * One part of a query, as the client sent it.
  *
- * @param tenant empty if there is none
- * @param variants the attributes that the query class declares; an absent one counts as empty
+ * @param tenant the tenant, or empty if there is none
+ * @param variants the values of the attributes that the query class declares; an absent attribute
+ *     counts as empty
  * @param clientKind the kind of client that the variants indicate
  * @param idempotencyKeyed whether the query carries an idempotency key
  */
@@ -20,12 +21,12 @@
     Map<String, String> variants,
     String clientKind,
     boolean idempotencyKeyed) {
-  /** Copies the variants, in the order of their names. */
+  /** Copies the variants and sorts them by name. */
   public PartQuery {
     variants = Collections.unmodifiableMap(new TreeMap<>(variants));
   }
 
-  /** Whether the two are identical without the application of any rule. */
+  /** Whether both parts have the same key even if no rule is applied. */
   boolean sameAs(PartQuery other) {
     return shard == other.shard
         && queryClass.equals(other.queryClass)
--- a/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
+++ b/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
@@ -1,9 +1,9 @@
 package dunlinhitch.answerkeys;
 
 /**
- * The protocol between the brokers of a cluster. The owner of a key does not fetch for others: it
- * grants a lease to the first broker that asks, which then fetches the answer, and lets the others
- * wait for the report of that broker.
+ * The protocol between the brokers of a cluster. The owner of a key does not fetch answers for
+ * other brokers. It grants a lease to the first broker that requests the answer. The broker with
+ * the lease fetches the answer and reports it to the owner. The other brokers wait for the report.
  */
 final class PeerProtocol {
   private final RuleSet rules;
@@ -28,12 +28,13 @@
     this.output = output;
   }
 
-  /** Handles the request of a peer that regards this broker as the owner of the key. */
+  /** Handles a request that a peer sent to this broker as the owner of the key. */
   void onRequest(
       long nowUs, String peer, long fetchId, AnswerKey peerKey, PartQuery part, long deadlineUs) {
     if (!keys.isShareable(part)
         || !keys.keyFor(part).withGeneration(0).equals(peerKey.withGeneration(0))) {
-      // The peer applies other rules: until these have converged, each broker fetches for itself.
+      // The peer applies different rules. Until the rules of both have converged, each broker
+      // fetches its own answers.
       output.add(new Action.ReplyToPeer(peer, fetchId, peerKey, Action.OwnerReply.NONE, null));
       return;
     }
@@ -45,7 +46,8 @@
       return;
     }
     InFlightFetch current = table.byKey(key);
-    // Without a leader this broker waits for another owner: the two disagree on the members.
+    // A fetch without a leader waits for a reply from another owner, which means that this broker
+    // and the peer have different member lists.
     if (coalescer.isFull(current) || (current != null && current.leader == null)) {
       output.add(new Action.ReplyToPeer(peer, fetchId, key, Action.OwnerReply.NONE, null));
       return;
@@ -69,7 +71,7 @@
     }
   }
 
-  /** Handles the reply of an owner to a request of this broker. */
+  /** Handles the reply of an owner to a request that this broker sent. */
   void onReply(
       long nowUs,
       String owner,
@@ -92,15 +94,16 @@
       fetch.owner = reply == Action.OwnerReply.FETCH ? owner : null;
       coalescer.electLeader(nowUs, fetch);
     } else if (reply == Action.OwnerReply.FETCH && !expected) {
-      // No query waits here any more: the owner may grant the lease to the next waiter.
+      // No query of this broker waits for the answer any more. Returns the lease, so that the owner
+      // can grant it to the next waiter.
       output.add(new Action.ReportToOwner(owner, ownerKey, null));
     }
   }
 
   /**
-   * Caches the answer of an owner.
+   * Caches an answer received from an owner.
    *
-   * @param awaiting the fetch that waits for it, or null
+   * @param awaiting the fetch that waits for the answer, or null
    * @return true if the answer completed that fetch
    */
   private boolean acceptAnswer(long nowUs, InFlightFetch awaiting, CachedAnswer cached) {
@@ -117,8 +120,8 @@
   }
 
   /**
-   * Handles the report of a peer to this broker as the owner; {@code cached} is null if the fetch
-   * had no result.
+   * Handles a report that a peer sent to this broker as the owner of the key; {@code cached} is
+   * null if the peer's fetch had no result.
    */
   void onReport(long nowUs, String peer, AnswerKey key, CachedAnswer cached) {
     CachedAnswer adjusted = cached == null ? null : notAhead(nowUs, cached);
@@ -139,8 +142,8 @@
   }
 
   /**
-   * Corrects the request time of an answer from a peer whose clock is ahead; the answer would
-   * otherwise count as younger than it is.
+   * Replaces a request time in the future, from a peer whose clock is ahead, by the current time.
+   * Otherwise the answer could be reused beyond its maximum age.
    */
   private static CachedAnswer notAhead(long nowUs, CachedAnswer cached) {
     return cached.requestedUs() <= nowUs
--- a/src/main/java/dunlinhitch/answerkeys/RequestCoalescer.java
+++ b/src/main/java/dunlinhitch/answerkeys/RequestCoalescer.java
@@ -7,9 +7,10 @@
 import java.util.TreeSet;
 
 /**
- * Request coalescing (single flight): requests with the same key wait for one fetch, which one of
- * them, the leader, performs. If another broker owns the key, that broker is asked first. If a
- * leader fails or is cancelled, the waiter that has waited longest succeeds it.
+ * Request coalescing (single flight): requests with the same key wait for one fetch, which is
+ * performed by one of them, the leader. If another broker owns the key, the answer is first
+ * requested from that broker. If a leader fails or is cancelled, the waiter that has waited longest
+ * becomes the new leader.
  */
 final class RequestCoalescer {
   private final RuleSet rules;
@@ -39,8 +40,8 @@
   }
 
   /**
-   * Updates the members. Fetches that wait for a broker that is no longer a member elect another
-   * leader.
+   * Updates the members. Elects a new leader for each fetch that waits for a broker that is no
+   * longer a member.
    */
   void updateMembers(long nowUs, Collection<String> names) {
     members = new TreeSet<>(names);
@@ -57,7 +58,10 @@
     }
   }
 
-  /** Answers a query from the cache, or lets it wait, lead or bypass. */
+  /**
+   * Answers a query from the cache, lets it bypass coalescing, or adds it to a fetch as a waiter or
+   * the leader.
+   */
   void submit(long nowUs, long query, PartQuery part, long deadlineUs) {
     if (table.byQuery(query) != null) {
       throw new IllegalArgumentException("query " + query + " is already waiting");
@@ -104,7 +108,10 @@
     table.join(current, waiter);
   }
 
-  /** Whether no further waiter may join the fetch or, if it is null, no further fetch may start. */
+  /**
+   * Whether the fetch has the maximum number of waiters or, if {@code fetch} is null, whether the
+   * maximum number of fetches is in flight.
+   */
   boolean isFull(InFlightFetch fetch) {
     return fetch == null
         ? table.size() >= settings.limits().fetches()
@@ -126,23 +133,25 @@
         new Action.RequestFromOwner(owner, fetch.id, fetch.key, first.part, fetch.ownerDeadlineUs));
   }
 
-  /** Handles the success of the leader's request to a store; the leader already has the answer. */
+  /** Handles the success of the leader's request to a store. The caller answers the leader. */
   void succeed(long nowUs, long fetchId, StoreAnswer answer) {
     InFlightFetch fetch = table.byId(fetchId);
     if (fetch == null || !fetch.isLedLocally()) {
-      return; // no query waits for it any more
+      // No query waits for the answer any more.
+      return;
     }
     CachedAnswer cached = new CachedAnswer(answer, fetch.startedFor, fetch.startedUs);
     table.remove(fetch, fetch.leader);
     boolean shareable = answers.offer(nowUs, cached, fetch.key);
     complete(fetch, shareable ? cached : null, AnswerKeyCounter.JOINED);
     if (fetch.owner != null) {
-      // An answer that is not shareable is reported too, so that no waiter there waits in vain.
+      // An answer that is not shareable is reported too, so that the waiters at the owner do not
+      // wait for it until their deadlines.
       output.add(new Action.ReportToOwner(fetch.owner, fetch.ownerKey, cached.forPeers()));
     }
   }
 
-  /** Handles the failure of the leader's request; its attempts count for all waiters. */
+  /** Handles the failure of the leader's request. The failed attempts count for all waiters. */
   void fail(long nowUs, long fetchId, int attempts) {
     InFlightFetch fetch = table.byId(fetchId);
     if (fetch == null || !fetch.isLedLocally()) {
@@ -208,14 +217,16 @@
       electLeader(nowUs, fetch);
     } else if (fetch.leader == null && nowUs >= fetch.ownerDeadlineUs) {
       output.count(AnswerKeyCounter.HOME_LATE);
-      electLeader(nowUs, fetch); // the owner still gets the result
+      // fetch.owner stays set, so that the owner still gets the result.
+      electLeader(nowUs, fetch);
     }
   }
 
   /**
    * Replaces a leader that was cancelled while its request is in flight. The first waiter with an
-   * identical part adopts that request. If there is none, the request is cancelled: its answer
-   * would be valid for the others only by rules that may be withdrawn before it arrives.
+   * identical part becomes the leader and adopts the request. If there is no such waiter, the
+   * request is cancelled, because its answer would be valid for the other waiters only because of
+   * rules, which may be withdrawn before the answer arrives.
    */
   private void replaceCancelledLeader(long nowUs, InFlightFetch fetch) {
     Waiter successor =
@@ -261,10 +272,11 @@
   }
 
   /**
-   * Closes the fetch: each waiter gets the answer, or bypasses if it may not share the answer.
+   * Closes the fetch. Each waiter gets the answer, or bypasses coalescing if it may not share the
+   * answer.
    *
    * @param cached null if the answer may not be shared
-   * @param source the counter of the waiters that are answered
+   * @param source the counter to increment for each answered waiter
    */
   void complete(InFlightFetch fetch, CachedAnswer cached, AnswerKeyCounter source) {
     table.close(fetch);
@@ -285,7 +297,11 @@
     }
   }
 
-  /** Releases the waiters, except leaders, whose keys are based on rules that no longer apply. */
+  /**
+   * Removes the waiters whose keys are based on rules that no longer apply, except for leaders. A
+   * removed query bypasses coalescing, and a removed peer gets the reply {@link
+   * Action.OwnerReply#NONE}.
+   */
   void releaseOutdated(long nowUs) {
     for (InFlightFetch fetch : table.all()) {
       if (fetch.key.rules().equals(keys.ruleFingerprint(fetch.key.queryClass()))) {
--- a/src/main/java/dunlinhitch/answerkeys/Rewrite.java
+++ b/src/main/java/dunlinhitch/answerkeys/Rewrite.java
@@ -5,14 +5,15 @@
 
 /** One step by which a rule brings a query into its canonical form. */
 public sealed interface Rewrite {
-  /** Drops the attribute, on which answers do not depend. */
+  /** Drops the attribute, because answers do not depend on it. */
   record DropVariant(String attribute) implements Rewrite {}
 
   /**
    * Maps values of the attribute to groups.
    *
    * @param groups the group of each value; a group may belong to another one
-   * @param otherwise the group of values that are not named; empty leaves them as they are
+   * @param otherwise the group of all values that {@code groups} does not name; if empty, these
+   *     values are not changed
    */
   record FoldVariant(String attribute, Map<String, String> groups, String otherwise)
       implements Rewrite {
@@ -25,13 +26,16 @@
   /** Folds upper and lower case. */
   record FoldCase() implements Rewrite {}
 
-  /** Folds white space to one space, and removes it at the ends and beside separators of terms. */
+  /**
+   * Replaces each sequence of white space by one space, and removes white space at both ends and
+   * next to separators of terms.
+   */
   record FoldSpaces() implements Rewrite {}
 
-  /** Sorts the terms, whose order does not matter. */
+  /** Sorts the terms, because answers do not depend on their order. */
   record SortTerms(char separator) implements Rewrite {}
 
-  /** Drops the given terms, on which answers do not depend. */
+  /** Drops the given terms, because answers do not depend on them. */
   record DropTerms(char separator, Set<String> terms) implements Rewrite {
     /** Copies the terms. */
     public DropTerms {
@@ -39,6 +43,6 @@
     }
   }
 
-  /** Drops the tenant, on which answers do not depend. */
+  /** Drops the tenant, because answers do not depend on it. */
   record AcrossTenants() implements Rewrite {}
 }
--- a/src/main/java/dunlinhitch/answerkeys/Rule.java
+++ b/src/main/java/dunlinhitch/answerkeys/Rule.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * A claim by an operator that parts of the class have equal answers if these rewrites make them
- * equal. A rule is trusted or withdrawn as a whole, with all its rewrites.
+ * An operator's claim about a query class: two parts have equal answers if the rewrites of the rule
+ * make the parts equal. A rule is trusted or withdrawn as a whole, with all of its rewrites.
  *
- * @param epoch raised by the operator to restart the rule without evidence
+ * @param epoch a number that the operator raises to discard the evidence and start the evaluation
+ *     of the rule again
  * @param location where the rule is configured, for error messages
  */
 public record Rule(
--- a/src/main/java/dunlinhitch/answerkeys/RuleAttribution.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleAttribution.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Finds the rules that cause two parts to share a key. */
+/** Determines the rules that cause two parts to share a key. */
 final class RuleAttribution {
   private final KeyFactory keys;
 
@@ -12,8 +12,9 @@
   }
 
   /**
-   * Returns the rules without which the two would not share a key. If there is none, because
-   * several rules have the same effect, returns all rules that change the key of one of the parts.
+   * Returns the rules that are necessary for the two parts to share a key. If no single rule is
+   * necessary, because several rules have the same effect, returns all rules that change the key of
+   * at least one of the parts.
    */
   List<Rule> responsible(PartQuery one, PartQuery other, List<Rule> tested) {
     if (tested.size() == 1) {
--- a/src/main/java/dunlinhitch/answerkeys/RuleEpoch.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleEpoch.java
@@ -1,7 +1,7 @@
 package dunlinhitch.answerkeys;
 
 /**
- * A rule in one of its epochs; evidence of another epoch does not count. Ordered by name, then by
+ * A rule in one of its epochs. Evidence from other epochs does not count. Ordered by name, then by
  * epoch.
  */
 public record RuleEpoch(String rule, long epoch) implements Comparable<RuleEpoch> {
--- a/src/main/java/dunlinhitch/answerkeys/RuleLifecycle.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleLifecycle.java
@@ -15,27 +15,28 @@
 /**
  * Determines the state of each rule from the evidence of all brokers. The evidence is a {@link
  * ReplicatedMap}, so that the result does not depend on the order in which messages arrive. A
- * received withdrawal is retained beyond the lifetime and the bounds of that map, and published
- * again under the name of this broker, so that the rule does not regain trust in that epoch even if
- * the broker that compared the pair is gone.
+ * received withdrawal is retained beyond the lifetime and the bounds of that map, and is published
+ * again under the name of this broker. Therefore the rule does not become trusted again in that
+ * epoch, even if the broker that found the unequal answers has left the cluster.
  *
  * <p>Pure: the caller passes the time. Not thread-safe; owned by {@link AnswerKeyModule}.
  */
 public final class RuleLifecycle {
-  /** The tolerated clock skew between brokers. */
+  /** The tolerated clock skew between brokers, in microseconds. */
   private static final long MAX_CLOCK_SKEW_US = 2_000_000;
 
   private static final int MAX_ENTRIES = 8192;
   private static final int MAX_ENTRIES_OF_ORIGIN = 256;
 
   /**
-   * The minimum interval between publications of growing counts; a withdrawal or a suspicion is
-   * published at once.
+   * The minimum interval between publications of increased counts, in microseconds. A withdrawal or
+   * a suspicion is published immediately.
    */
   private static final long PUBLISH_INTERVAL_US = 1_000_000;
 
   /**
-   * Represents a publication that never happened; its subtraction from any time does not overflow.
+   * The publication time of evidence that has not been published. The value can be subtracted from
+   * any time without overflow.
    */
   private static final long NEVER_US = Long.MIN_VALUE / 2;
 
@@ -55,9 +56,9 @@
   private int appliedSize;
 
   /**
-   * Creates the lifecycle with all rules proposed.
+   * Creates a lifecycle in which all rules are in the state {@link RuleState#PROPOSED}.
    *
-   * @param self the name of this broker, the origin of its evidence
+   * @param self the name of this broker, which is the origin of the evidence that it publishes
    * @throws KeysException if there are too many rules or a threshold is too large to be gossiped
    */
   public RuleLifecycle(RuleSet rules, AnswerKeySettings settings, String self) {
@@ -104,7 +105,7 @@
     }
   }
 
-  /** The evidence of all brokers, whose new entries are to be gossiped. */
+  /** The evidence of all brokers. The caller has to gossip new entries. */
   public ReplicatedMap<RuleEpoch, Evidence> evidence() {
     return evidence;
   }
@@ -120,8 +121,8 @@
   }
 
   /**
-   * Returns true once after a rule became suspect or withdrawn, by evidence of this or another
-   * broker.
+   * Returns true once after a rule has become suspect or withdrawn, because of evidence from this
+   * or another broker.
    */
   boolean takeDemoted() {
     boolean wasDemoted = demoted;
@@ -148,8 +149,8 @@
   }
 
   /**
-   * Suspects a rule after two unequal answers between which the data may have changed. The rule is
-   * not applied until this is resolved.
+   * Marks a rule as suspect after a pair of unequal answers that a change of the data might
+   * explain. The rule is not applied until the suspicion is cleared.
    */
   void suspect(long nowUs, Rule rule) {
     long untilUs = nowUs + settings.suspicionTimeoutUs();
@@ -158,40 +159,44 @@
     }
   }
 
-  /** Clears the suspicion of a rule, because the data had changed. */
+  /** Clears the suspicion of a rule after it was determined that the data had changed. */
   void clearSuspicion(long nowUs, Rule rule) {
     if (suspectUntilUs.remove(rule.ruleEpoch()) != null) {
       update(nowUs, rule, ownEvidence.get(rule.ruleEpoch()).withSuspicion(false), true);
     }
   }
 
-  /** Withdraws a rule that is false; it is not applied again in this epoch. */
+  /** Withdraws a rule that was found to be false. The rule is not applied again in this epoch. */
   void withdraw(long nowUs, Rule rule, String reason) {
     suspectUntilUs.remove(rule.ruleEpoch());
     update(nowUs, rule, ownEvidence.get(rule.ruleEpoch()).withWithdrawal(reason), true);
   }
 
-  /** Merges evidence of another broker, or of an earlier incarnation of this one. */
+  /** Merges evidence from another broker, or from an earlier incarnation of this broker. */
   public ReplicatedMap.MergeResult merge(long nowUs, ReplicatedEntry<RuleEpoch, Evidence> entry) {
     ReplicatedMap.MergeResult result = evidence.merge(nowUs, entry);
     RuleEpoch ruleEpoch = entry.key();
     if (result == ReplicatedMap.MergeResult.NEWS
         && entry.origin().equals(self)
         && ownEvidence.containsKey(ruleEpoch)) {
-      // The pair that caused an earlier suspicion is lost, so the suspicion cannot be resolved.
+      // The unequal answers that caused a suspicion before the restart are lost, so the suspicion
+      // could not be resolved.
       Evidence earlier = entry.value().withSuspicion(false);
       ownEvidence.put(ruleEpoch, ownEvidence.get(ruleEpoch).mergedWith(earlier));
       unpublished.add(ruleEpoch);
     }
     if (entry.value().isWithdrawn()) {
-      // This applies even if the map rejects the entry as too old or beyond its bounds.
+      // A withdrawal counts even if the map rejects the entry as expired or because of its bounds.
       retainWithdrawal(ruleEpoch, entry.value().withdrawalReason());
     }
     advance(nowUs);
     return result;
   }
 
-  /** Ends suspicions that timed out, and publishes evidence again before it expires. */
+  /**
+   * Withdraws the rules whose suspicion has timed out, and publishes evidence again before it
+   * expires.
+   */
   public void advance(long nowUs) {
     for (Rule rule : rules.rules()) {
       RuleEpoch ruleEpoch = rule.ruleEpoch();
@@ -264,7 +269,8 @@
   private void retainWithdrawal(RuleEpoch ruleEpoch, String reason) {
     Evidence own = ownEvidence.get(ruleEpoch);
     if (own == null) {
-      return; // of another epoch, or of a rule that is not configured here
+      // The evidence is from another epoch, or about a rule that is not configured at this broker.
+      return;
     }
     withdrawalReasons.putIfAbsent(ruleEpoch, reason);
     if (!own.isWithdrawn()) {
@@ -275,7 +281,8 @@
 
   private void updateStates() {
     if (evidence.version() == appliedVersion && evidence.size() == appliedSize) {
-      return; // nothing was added or expired
+      // No entry has been added or has expired since the last update.
+      return;
     }
     appliedVersion = evidence.version();
     appliedSize = evidence.size();
@@ -316,8 +323,8 @@
   }
 
   /**
-   * Sums the evidence of all brokers. If more than one broker is required, one broker contributes
-   * at most half of the required pairs.
+   * Adds up the evidence of all brokers. If the thresholds require more than one broker, the pairs
+   * of each broker count for at most half of the required number.
    */
   private RuleStatus summarize(
       RuleEpoch ruleEpoch, List<ReplicatedEntry<RuleEpoch, Evidence>> entries) {
--- a/src/main/java/dunlinhitch/answerkeys/RuleSet.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleSet.java
@@ -11,8 +11,8 @@
 import java.util.function.Predicate;
 
 /**
- * The rules of all query classes in their order, checked when the set is created. Immutable, so
- * that threads may share it.
+ * The rules of all query classes, in the configured order. The rules are validated when the set is
+ * created. Immutable and therefore thread-safe.
  */
 public final class RuleSet {
   private final Map<String, ClassCachePolicy> classes = new LinkedHashMap<>();
@@ -58,17 +58,19 @@
       throw new KeysException(
           Code.MAY_NOT_REUSE,
           rule.location(),
-          "parts of " + policy.name() + " may not run twice, or carry an idempotency key",
+          "answers of "
+              + policy.name()
+              + " may not be reused: parts may not run twice or carry an idempotency key",
           "remove the rule, because answers of this class are never shared");
     }
   }
 
-  /** The policy of the class, or null if it has none. */
+  /** The policy of the query class, or null if the class has none. */
   public ClassCachePolicy classPolicy(String name) {
     return classes.get(name);
   }
 
-  /** All rules, in their order. */
+  /** All rules, in the configured order. */
   public Collection<Rule> rules() {
     return List.copyOf(rules.values());
   }
@@ -79,9 +81,10 @@
   }
 
   /**
-   * Builds the key of the part with the rules that {@code applied} selects.
+   * Builds the key of the part. Applies only the rules that {@code applied} selects.
    *
-   * @param varying attributes that keep the value sent by the client, regardless of the rules
+   * @param varying the attributes to which no rules are applied, so that they keep the value that
+   *     the client sent
    */
   AnswerKey key(
       PartQuery part,
@@ -92,7 +95,7 @@
     return byClass.get(part.queryClass()).key(part, applied, varying, fingerprint, generation);
   }
 
-  /** The canonical form of the text. */
+  /** Returns the canonical form of the text under the given rewrites. */
   String canonicalText(String queryClass, String text, List<Rewrite> rewrites) {
     return byClass.get(queryClass).canonicalText(text, rewrites);
   }
--- a/src/main/java/dunlinhitch/answerkeys/RuleState.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleState.java
@@ -2,14 +2,19 @@
 
 /** The state of a rule in its epoch. Only trusted rules affect the keys of answers. */
 public enum RuleState {
-  /** Only the requests whose key it would change are counted. */
+  /** The requests whose key the rule would change are counted. */
   PROPOSED,
-  /** Answers for which it would build equal keys are compared. */
+  /** Answers for which the rule would build equal keys are compared. */
   TRIED,
-  /** Enough compared answers were equal. */
+  /** Enough compared answers were equal, so the rule is applied. */
   TRUSTED,
-  /** Two compared answers were unequal, possibly because the data changed between them. */
+  /**
+   * Two compared answers were unequal, possibly because the data changed between them. The rule is
+   * not applied.
+   */
   SUSPECT,
-  /** Two answers of the same data were unequal, or a suspicion timed out; final in this epoch. */
+  /**
+   * Two answers based on the same data were unequal, or a suspicion timed out. Final in this epoch.
+   */
   WITHDRAWN
 }
--- a/src/main/java/dunlinhitch/answerkeys/ShadowComparison.java
+++ b/src/main/java/dunlinhitch/answerkeys/ShadowComparison.java
@@ -8,24 +8,31 @@
 import java.util.TreeSet;
 
 /**
- * Compares the answers of requests that are sent to a store anyway. A tried rule is tested alone in
- * addition to the trusted ones, so that an unequal pair is attributed to it. Trusted rules are
- * tested together, and an unequal pair is attributed to those without which the two keys would
+ * Compares answers to test the rules, without sending additional requests to stores. A rule in the
+ * state {@link RuleState#TRIED} is tested individually, together with the trusted rules, so that a
+ * pair of unequal answers can be attributed to it. The trusted rules are tested together, and a
+ * pair of unequal answers is attributed to the rules without which the keys of the two parts would
  * differ.
  */
 final class ShadowComparison {
-  /** The maximum number of samples per key, each of a different part as sent by a client. */
+  /**
+   * The maximum number of samples per key. Each sample is for a different part, as sent by a
+   * client.
+   */
   private static final int MAX_SAMPLES = 4;
 
-  /** Samples are compared up to this multiple of the maximum age of a reused answer. */
+  /** The maximum age of a compared sample, as a multiple of the maximum age of a reused answer. */
   private static final int SAMPLE_AGE_FACTOR = 2;
 
-  /** A key and the tried rule that is applied to it; null if only trusted rules are applied. */
+  /**
+   * The key of a comparison. The component {@code rule} is the name of the tested rule, or null if
+   * only trusted rules are applied.
+   */
   private record ComparisonKey(String rule, AnswerKey key) {}
 
   /**
-   * Two unequal answers of one store that reports no generation. The next answer for the first text
-   * shows whether the data changed or the rule is false.
+   * Two unequal answers of one store that reports no generation. The next answer for the part of
+   * the first answer shows whether the data changed or the rule is false.
    */
   private record AmbiguousPair(AnswerSample first, AnswerSample second) {}
 
@@ -54,12 +61,12 @@
     return compared;
   }
 
-  /** The number of pairs that were not equal. */
+  /** The number of compared pairs that were not equal. */
   long unequal() {
     return unequal;
   }
 
-  /** Records a complete answer of a store and compares it with the earlier ones. */
+  /** Records a complete answer of a store and compares it with earlier answers. */
   void record(long nowUs, CachedAnswer cached) {
     PartQuery part = cached.fetchedFor();
     List<Rule> ofClass = rules.rulesOf(part.queryClass());
@@ -116,7 +123,8 @@
       long nowUs, AnswerSample other, AnswerSample current, List<Rule> tested) {
     List<Rule> responsible = attribution.responsible(current.part(), other.part(), tested);
     if (responsible.isEmpty()) {
-      return; // no tested rule makes the two equal
+      // The two parts do not share a key because of a tested rule.
+      return;
     }
     if (current.digest() == other.digest()) {
       compared++;
@@ -171,7 +179,9 @@
     }
   }
 
-  /** Whether the same store answered the first text of the pair again. */
+  /**
+   * Whether the sample is a later answer of the same store for the part of the pair's first answer.
+   */
   private static boolean repeatsFirst(AmbiguousPair pair, AnswerSample current) {
     return current.part().sameAs(pair.first().part())
         && current.sameStore(pair.first())
@@ -179,8 +189,9 @@
   }
 
   /**
-   * An answer equal to the first shows that the data did not change, so the rule is false; one
-   * equal to the second shows that the data changed.
+   * Resolves an ambiguous pair with a new answer for the part of the first answer. If the new
+   * answer is equal to the first one, the data did not change, so the rule is false. If it is equal
+   * to the second one, the data changed, and the suspicion is cleared.
    */
   private void resolve(long nowUs, Rule rule, AmbiguousPair pair, AnswerSample current) {
     if (current.digest() == pair.first().digest()) {
--- a/src/main/java/dunlinhitch/answerkeys/StoreAnswer.java
+++ b/src/main/java/dunlinhitch/answerkeys/StoreAnswer.java
@@ -24,7 +24,9 @@
     Set<String> varies,
     boolean cacheable,
     boolean complete) {
-  /** In {@code varies}: the answer varies by more than the named attributes. */
+  /**
+   * A value in {@code varies} that means that the answer varies by more than the named attributes.
+   */
   public static final String VARIES_BY_ANY = "*";
 
   /** The estimated size of an answer without its value, in bytes. */
@@ -36,8 +38,8 @@
   }
 
   /**
-   * A digest of the value: 64 bits of SHA-256, so that no client can construct two unequal answers
-   * with equal digests.
+   * Returns a digest of the value: 64 bits of its SHA-256. A cryptographic hash prevents clients
+   * from causing unequal answers with equal digests.
    */
   long digest() {
     try {
@@ -45,7 +47,8 @@
               MessageDigest.getInstance("SHA-256").digest(value.getBytes(StandardCharsets.UTF_8)))
           .getLong();
     } catch (NoSuchAlgorithmException exception) {
-      throw new IllegalStateException(exception); // every Java platform has it
+      // Every Java platform is required to support SHA-256.
+      throw new IllegalStateException(exception);
     }
   }
 
--- a/src/main/java/dunlinhitch/answerkeys/Waiter.java
+++ b/src/main/java/dunlinhitch/answerkeys/Waiter.java
@@ -1,25 +1,26 @@
 package dunlinhitch.answerkeys;
 
 /**
- * A request that waits for an in-flight fetch: a query of this broker, or a fetch of another broker
- * that asked this one as the owner of the key. Mutable; owned by {@link FetchTable}.
+ * A request that waits for an in-flight fetch: either a query of this broker, or a fetch of another
+ * broker that requested the answer from this broker as the owner of the key. Mutable; owned by
+ * {@link FetchTable}.
  */
 final class Waiter {
-  /** The other broker, or null if a query of this broker waits. */
+  /** The name of the other broker; null if the waiter is a query of this broker. */
   final String peer;
 
-  /** The identifier of the query, or that of the fetch at the other broker. */
+  /** The identifier of the query at this broker, or of the fetch at the other broker. */
   final long id;
 
   final PartQuery part;
 
-  /** The time in microseconds at which it stops waiting. */
+  /** The time in microseconds at which the waiter stops waiting. */
   final long deadlineUs;
 
-  /** The number of failed attempts of earlier leaders that it has waited for. */
+  /** The number of failed attempts by earlier leaders during the wait. */
   int attemptsUsed;
 
-  /** Whether the random selection has already decided that this waiter is not a trial. */
+  /** Whether it has already been decided that this waiter is not a trial. */
   boolean trialDecided;
 
   Waiter(String peer, long id, PartQuery part, long deadlineUs) {
--- a/src/test/java/dunlinhitch/answerkeys/AnswerKeyFixtures.java
+++ b/src/test/java/dunlinhitch/answerkeys/AnswerKeyFixtures.java
@@ -45,7 +45,7 @@
     return module("n0", SETTINGS, rules);
   }
 
-  /** As {@link #module} with rule {@code case} trusted. */
+  /** Creates a module like {@link #module}, in which the rule {@code case} is trusted. */
   static AnswerKeyModule moduleTrustingCase(String self, AnswerKeySettings settings) {
     AnswerKeyModule module = module(self, settings, CASE);
     module.mergeEvidence(
--- a/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
@@ -41,7 +41,7 @@
     assertResponds("v", module.onQuery(NOW + 999_999, 4, part("a"), DEADLINE + 999_999));
     assertLeads(
         module.onQuery(NOW + 1_000_000, 5, part("a"), DEADLINE + 999_999),
-        5); // its age counts from the request
+        5); // the age of the answer is counted from the request
   }
 
   @Test
@@ -69,7 +69,10 @@
         module.onFetchFailed(NOW, fetchId, 4));
   }
 
-  /** A request for another text is not adopted by a waiter that only a rule makes equal. */
+  /**
+   * A waiter does not adopt a request for another text that is equal to its own only because of a
+   * rule.
+   */
   @Test
   void requestForAnotherTextIsCancelledNotAdopted() {
     AnswerKeyModule module = moduleTrustingCase("n0", SETTINGS);
@@ -138,7 +141,10 @@
     assertLeads(module.onQuery(NOW, 5, part("c"), DEADLINE), 5);
   }
 
-  /** A store that varies its answers by an attribute overrides a rule that drops it. */
+  /**
+   * If a store declares that its answers vary by an attribute, a rule that drops this attribute is
+   * not applied.
+   */
   @Test
   void attributesByWhichAStoreVariesOverrideARule() {
     Rule dropClient = RuleSetTest.rule("client", new Rewrite.DropVariant("client"));
@@ -180,14 +186,14 @@
     assertResponds("v", module.onQuery(NOW, 4, part("b"), DEADLINE));
     assertLeads(
         module.onQuery(NOW, 5, part("B"), DEADLINE),
-        5); // although the withdrawn rule had rewritten both texts to the same one
+        5); // the withdrawn rule, which made both texts equal, is no longer applied
     module.onFetchSucceeded(NOW, fetchId, answer("z", 4));
     assertLeads(module.onQuery(NOW, 6, part("A"), DEADLINE), 6);
   }
 
   /**
-   * With a store that reports no generation, the next answer for the first text shows whether the
-   * data changed or the rule is false.
+   * If a store reports no generation and two answers are unequal, the next answer for the first
+   * text shows whether the data changed or the rule is false.
    */
   @Test
   void ambiguousPairIsResolvedByTheNextAnswer() {
@@ -212,8 +218,8 @@
   }
 
   /**
-   * For any order of events, a fetch has one leader at a time, and each waiting query ends exactly
-   * once, at its deadline at the latest.
+   * For any order of events, a fetch has at most one leader at a time, and each waiting query ends
+   * exactly once, not later than its deadline.
    */
   @Property(tries = 300)
   void oneLeaderAtATimeAndEachQueryEndsOnce(@ForAll long seed) {
@@ -223,7 +229,7 @@
     }
   }
 
-  /** Random events for one broker, with checks of the actions that result from each. */
+  /** Random events for one broker, with checks of the resulting actions. */
   private static final class RandomSchedule {
     private final Random random;
     private final AnswerKeyModule module = module();
--- a/src/test/java/dunlinhitch/answerkeys/RuleLifecycleTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/RuleLifecycleTest.java
@@ -53,8 +53,8 @@
     RuleLifecycle lifecycle = lifecycle("n0");
     assertEquals(RuleState.PROPOSED, lifecycle.state(RULE));
     compare(lifecycle, NOW, 50);
-    assertEquals(
-        RuleState.TRIED, lifecycle.state(RULE)); // one broker counts for half of the required pairs
+    // The pairs of one broker count for at most half of the required number.
+    assertEquals(RuleState.TRIED, lifecycle.state(RULE));
     lifecycle.merge(NOW + 1_000_001, evidenceOf("n1", NOW, 5, false, ""));
     assertEquals(RuleState.TRUSTED, lifecycle.state(RULE));
     lifecycle.merge(NOW + 1_000_002, evidenceOf("n2", NOW, 0, true, ""));
@@ -86,7 +86,7 @@
     assertEquals(RuleState.WITHDRAWN, lifecycle.state(RULE));
   }
 
-  /** A restarted broker resumes from its own evidence that other brokers retained. */
+  /** A restarted broker continues with its earlier evidence, which other brokers have retained. */
   @Test
   void restartedBrokerResumesItsPublishedEvidence() {
     RuleLifecycle lifecycle = lifecycle("n1");
@@ -102,7 +102,8 @@
   void stateDoesNotDependOnTheOrderOfMessages(@ForAll long seed) {
     Random random = new Random(seed);
     List<ReplicatedEntry<RuleEpoch, Evidence>> entries = new ArrayList<>();
-    for (int i = 0; i < 12; i++) { // no two entries of a broker share a timestamp
+    for (int i = 0; i < 12; i++) {
+      // Two entries of the same broker must not have the same timestamp.
       long at = NOW - 100 + i;
       entries.add(
           evidenceOf(
@@ -123,8 +124,9 @@
   }
 
   /**
-   * Three brokers exchange messages that may be delayed, duplicated or lost. One broker stops after
-   * it has withdrawn the rule, and the test lasts longer than the lifetime of evidence.
+   * Three brokers exchange messages that may be delayed, duplicated or lost. One broker withdraws
+   * the rule and stops. The withdrawal must persist at the others for longer than the lifetime of
+   * evidence.
    */
   @Property(tries = 200)
   void noTrustAfterAWithdrawalInTheSameEpoch(@ForAll long seed) {
@@ -135,7 +137,8 @@
     long now = NOW;
     for (int step = 0; step < 150; step++) {
       now += random.nextInt(random.nextInt(10) == 0 ? 6_000_000 : 50_000);
-      int at = random.nextInt(knowsWithdrawal[2] ? 2 : 3); // the third stops after its withdrawal
+      // The third broker stops after it has withdrawn the rule.
+      int at = random.nextInt(knowsWithdrawal[2] ? 2 : 3);
       RuleLifecycle lifecycle = brokers.get(at);
       switch (random.nextInt(8)) {
         case 0 -> compare(lifecycle, now, 6);
