--- a/src/main/java/dunlinhitch/cluster/SubsetSettings.java
+++ b/src/main/java/dunlinhitch/cluster/SubsetSettings.java
@@ -60,7 +60,10 @@
     return Math.min(endpoints, Math.max(minSize, forSpread));
   }
 
-  /** The maximum number of brokers that use one endpoint of a cell of that size. */
+  /**
+   * The maximum number of brokers that use one endpoint of a cell, given the numbers of brokers and
+   * endpoints.
+   */
   public int maxLoad(int brokers, int endpoints) {
     if (endpoints == 0) {
       return 0;
--- a/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
+++ b/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
@@ -130,7 +130,9 @@
     }
     long seconds =
         simulation.probes().stream().map(p -> p.atUs() / (2 * SECOND_US)).distinct().count();
-    assertTrue(seconds >= 7, "at least 7 epochs must have a health check: got " + seconds);
+    assertTrue(
+        seconds >= 7,
+        "of the 8 epochs in 16 s, at least 7 must have a health check: got " + seconds);
     assertTrue(simulation.mostProbesInASecond(4 * SECOND_US) <= 2, simulation.probes().toString());
     simulation.nodes().stream()
         .filter(ClusterSimulation.Node::isUp)
--- a/src/test/java/dunlinhitch/cluster/SubsettingTest.java
+++ b/src/test/java/dunlinhitch/cluster/SubsettingTest.java
@@ -107,8 +107,8 @@
     assertEquals(0, settings.size(100, 0));
     assertEquals(6, settings.maxLoad(8, 3)); // 16 assignments to 3 endpoints
     assertEquals(80, settings.maxLoad(100, 3)); // 200 assignments to 3 endpoints
-    assertEquals(
-        5, settings.maxLoad(6, 3)); // 12 assignments to 3 endpoints: 4 each leaves none spare
+    // 12 assignments to 3 endpoints: a maximum of 4 would leave no spare capacity.
+    assertEquals(5, settings.maxLoad(6, 3));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(0, 1.5, 0.2));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(2, 0.5, 0.2));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(2, 1.5, Double.NaN));
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
@@ -34,7 +34,9 @@
       case 0 -> "10." + random.nextInt(256) + ".0." + random.nextInt(4);
       case 1 -> String.format("%012x", random.nextLong() >>> 16);
       case 2 -> "010.1.2.3";
-      case 3 -> "é".repeat(1 + random.nextInt(120)); // more than 100 exceed the limit of a string
+      // Two bytes per character: a string of more than 100 characters exceeds the limit of 200
+      // bytes.
+      case 3 -> "é".repeat(1 + random.nextInt(120));
       case 4 -> "s-" + random.nextInt(9);
       default -> "n" + random.nextInt(9);
     };
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipSocketTest.java
@@ -91,7 +91,8 @@
     }
     sender.send(new Effect.SendGossip(LOCALHOST, port, MESSAGE));
     assertEquals(new Event.GossipReceived(MESSAGE), nextEvent());
-    await(raw.send(Buffer.buffer(datagram), port, LOCALHOST)); // a duplicate
+    // A duplicate of the previous datagram is counted and dropped.
+    await(raw.send(Buffer.buffer(datagram), port, LOCALHOST));
     assertEquals(new Event.ConditionCounted(Counter.GOSSIP_DUPLICATE), nextEvent());
     // Only the checksums of recent datagrams are remembered.
     for (int i = 0; i < 200; i++) {
