--- a/src/main/java/dunlinhitch/cluster/SuspicionReport.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionReport.java
@@ -1,12 +1,12 @@
 package dunlinhitch.cluster;
 
 /**
- * A report, shared among brokers, that a member did not answer the pings of one broker. A suspicion
- * that several brokers report times out sooner.
+ * A report, disseminated among brokers, that one broker received no ack from a member. A suspicion
+ * has a shorter timeout if several brokers report it.
  *
  * @param name the suspected member
- * @param incarnation the incarnation under which it is suspected
- * @param reporter the broker that suspects it
+ * @param incarnation the incarnation of the suspected member
+ * @param reporter the broker that suspects the member
  */
 public record SuspicionReport(String name, long incarnation, String reporter) {
   /** Bytes of the lengths of the two names. */
@@ -29,7 +29,7 @@
     }
   }
 
-  /** The approximate size in a message, in bytes. */
+  /** The approximate size of the encoded report in bytes. */
   int bytes() {
     return name.length() + reporter.length() + FIXED_BYTES + Long.BYTES;
   }
