--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -159,7 +159,7 @@
         digestCoversAddresses);
   }
 
-  /** Returns a copy in which {@code addresses} has the given value. */
+  /** Returns a copy in which {@code digestCoversAddresses} has the given value. */
   public MembershipProtocolSettings withAddresses(boolean compared) {
     return new MembershipProtocolSettings(
         periodUs,
