--- a/src/main/java/dunlinhitch/backend/BackendTransport.java
+++ b/src/main/java/dunlinhitch/backend/BackendTransport.java
@@ -5,9 +5,9 @@
 import java.util.List;
 
 /**
- * The client transport to one store. It reports each attempt, health check and broken connection as
- * an event: every attempt that is passed to it completes exactly once, and never after it was
- * cancelled. All methods are called on the event loop.
+ * The client transport to one store. It reports the outcome of each attempt and health check as an
+ * event. Each attempt completes exactly once, or not at all if it is cancelled first. All methods
+ * are called on the event loop.
  */
 public interface BackendTransport {
   /**
@@ -22,14 +22,14 @@
    * sent to it.
    *
    * @param confirm whether to report an {@link dunlinhitch.core.Event.AttemptReleased} once the
-   *     store no longer has the attempt; it is not reported if that cannot be determined
+   *     store no longer has the attempt; without proof of that, the event is never reported
    * @return false if the attempt is not in flight on this transport
    */
   boolean cancel(long attempt, boolean confirm);
 
   /**
-   * Withdraws an attempt without notifying the store. An attempt that was not completely sent ends
-   * and is never sent; one that was completely sent continues.
+   * Withdraws an attempt without notifying the store. If the attempt was not completely sent, it
+   * ends and the rest of it is never sent; otherwise it continues.
    */
   void withdraw(long attempt);
 
@@ -44,9 +44,8 @@
   void closeIdleConnections();
 
   /**
-   * Applies the store's state in the endpoint list. Requests that still wait for a connection are
-   * not sent to a store that is not ready. The connections to a removed store close once nothing is
-   * in flight.
+   * Applies the store's state in the endpoint list. If the store is not ready, requests that still
+   * wait for a connection fail. The connections to a removed store close once nothing is in flight.
    */
   void updateState(ServerState state);
 
@@ -59,6 +58,8 @@
   /** True if nothing is in flight and nothing waits for a connection. */
   boolean isIdle();
 
-  /** Closes all connections immediately; attempts in flight complete as a reset. */
+  /**
+   * Closes all connections immediately; attempts in flight complete with the outcome {@code RESET}.
+   */
   void close();
 }
--- a/src/main/java/dunlinhitch/backend/Backends.java
+++ b/src/main/java/dunlinhitch/backend/Backends.java
@@ -32,7 +32,7 @@
    * Creates a table without stores.
    *
    * @param opener makes the transport for an endpoint
-   * @param events receives the results of attempts and health checks for which there is no
+   * @param events receives the failures of attempts and health checks for which there is no
    *     transport
    */
   public Backends(Function<Endpoint, BackendTransport> opener, Consumer<Event> events) {
@@ -64,7 +64,7 @@
     backends.put(store, new Backend(endpoint, transport));
   }
 
-  /** Sends a call; its attempts fail at once if the store is unknown. */
+  /** Sends a call; its attempts fail at once if there is no transport to the store. */
   public void send(Effect.SendRequest request) {
     Backend backend = backends.get(request.endpoint());
     if (backend != null) {
@@ -86,7 +86,10 @@
     }
   }
 
-  /** Withdraws an attempt that was not sent; a draining transport has no unsent attempts. */
+  /**
+   * Withdraws an attempt that was not sent. Draining transports are skipped, because they have no
+   * unsent attempts.
+   */
   public void withdraw(Effect.WithdrawAttempt withdrawal) {
     Backend backend = backends.get(withdrawal.endpoint());
     if (backend != null) {
@@ -94,7 +97,7 @@
     }
   }
 
-  /** Sends a health check, which fails at once if the store is unknown. */
+  /** Sends a health check, which fails at once if there is no transport to the store. */
   public void sendHealthCheck(Effect.SendHealthCheck healthCheck) {
     Backend backend = backends.get(healthCheck.endpoint());
     if (backend != null) {
@@ -114,7 +117,7 @@
     }
   }
 
-  /** Closes all transports; attempts in flight complete as a reset. */
+  /** Closes all transports; attempts in flight complete with the outcome {@code RESET}. */
   public void close() {
     backends.values().forEach(backend -> backend.transport().close());
     backends.clear();
--- a/src/main/java/dunlinhitch/backend/LoadReportParser.java
+++ b/src/main/java/dunlinhitch/backend/LoadReportParser.java
@@ -7,7 +7,8 @@
 
 /**
  * Parses the load reports of stores, {@code name=value,name=value} or {@code -}, into the values of
- * the fields that the settings name, in their order. Stateless except for its settings.
+ * the configured fields, in the configured order. Holds no state besides the supplier of the
+ * configured fields.
  */
 public final class LoadReportParser {
   private static final float[] NO_REPORT = {};
@@ -16,7 +17,7 @@
   /**
    * Creates a parser.
    *
-   * @param order the fields of the settings in force; read for each report
+   * @param order returns the fields of the current settings; called for each report
    */
   public LoadReportParser(Supplier<List<LoadReportField>> order) {
     this.order = order;
@@ -25,7 +26,7 @@
   /**
    * Returns the values, or an empty array if there is no report or a value is missing or malformed.
    */
-  @SuppressWarnings("StringSplitter") // trailing empty pairs are dropped intentionally
+  @SuppressWarnings("StringSplitter") // empty pairs at the end are ignored intentionally
   public float[] parse(String text) {
     List<LoadReportField> wanted = order.get();
     if (wanted.isEmpty() || text.isEmpty() || text.equals("-")) {
--- a/src/main/java/dunlinhitch/backend/RequestText.java
+++ b/src/main/java/dunlinhitch/backend/RequestText.java
@@ -37,7 +37,7 @@
     return out.toByteArray();
   }
 
-  /** Encodes the result of the first step that the part builds on. */
+  /** Encodes the result of the query's first step, which a part of the second step refers to. */
   private static String encode(FirstStep firstStep) {
     return ",from="
         + String.join("+", firstStep.shards().stream().map(String::valueOf).toList())
--- a/src/main/java/dunlinhitch/backend/flight/AfterSending.java
+++ b/src/main/java/dunlinhitch/backend/flight/AfterSending.java
@@ -13,7 +13,7 @@
   private final List<Runnable> waiting = new ArrayList<>();
   private boolean sent;
 
-  /** Runs the task now if the call was sent, else as soon as it is. */
+  /** Runs the task now if the call was sent, else as soon as the call is sent. */
   void run(Runnable task) {
     if (sent) {
       task.run();
--- a/src/main/java/dunlinhitch/backend/flight/FlightActions.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightActions.java
@@ -12,8 +12,8 @@
 import org.apache.arrow.flight.Result;
 
 /**
- * Runs DoAction calls to one store on the action threads. Called on the event loop, on which the
- * results are delivered too.
+ * Runs DoAction calls to one store on the action threads. Its methods are called on the event loop,
+ * and results are delivered on the event loop.
  */
 final class FlightActions {
   private static final String HEALTH_CHECK = "probe";
@@ -43,8 +43,8 @@
   /**
    * Notifies the store that the result of a part is no longer needed.
    *
-   * @param onConfirmed called once the store has confirmed the notification; not called if it does
-   *     not
+   * @param onConfirmed called once the store has confirmed the notification; never called without
+   *     its confirmation
    */
   void cancelPart(String partId, long dueUs, Runnable onConfirmed) {
     submit(CANCEL, partId, dueUs, result -> result.ifPresent(ignored -> onConfirmed.run()));
@@ -64,7 +64,10 @@
     }
   }
 
-  /** Returns the first result, or an empty text if there is none; empty if the action failed. */
+  /**
+   * Returns the action's first result, or an empty text if the action succeeded without a result;
+   * returns an empty {@code Optional} if the action failed.
+   */
   private Optional<String> run(String type, String body, long dueUs) {
     if (isDisabled.getAsBoolean() && type.equals(HEALTH_CHECK)) {
       return Optional.empty();
@@ -75,8 +78,8 @@
               new Action(type, body.getBytes(StandardCharsets.UTF_8)),
               FlightTransport.timeout(dueUs, shared.nowUs()));
       String first = null;
-      while (results
-          .hasNext()) { // to the end: only the end of the stream shows whether the action succeeded
+      // reads the whole stream, because only its end shows whether the action succeeded
+      while (results.hasNext()) {
         byte[] bytes = results.next().getBody();
         first = first == null ? new String(bytes, StandardCharsets.UTF_8) : first;
       }
--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -56,15 +56,16 @@
   private final long sentUs;
   private final long dueUs;
 
-  /** Attempts whose row was not received yet, by part; used on the event loop only. */
+  /** Attempts whose row was not received yet, by part id; used on the event loop only. */
   private final Map<String, Long> inFlight = new HashMap<>();
 
   /** Parts whose row was received or that were cancelled; used on the event loop only. */
   private final Set<String> ended = new HashSet<>();
 
   /**
-   * Attempts that were abandoned, or cancelled with their release to be reported, by part; used on
-   * the event loop only.
+   * Attempts that the store may still have and whose release is to be reported, by part id:
+   * abandoned attempts, and cancelled ones for which a report was requested. Used on the event loop
+   * only.
    */
   private final Map<String, Long> unconfirmed = new HashMap<>();
 
@@ -79,7 +80,7 @@
    * Creates a call that is not sent yet.
    *
    * @param mustNotSend evaluated on the reader thread just before the call is sent; if true, the
-   *     call fails as never sent
+   *     call is not sent and its attempts fail with {@code CONNECT_FAILED}
    */
   FlightCall(
       FlightTransports shared,
@@ -97,7 +98,7 @@
     parts.forEach(part -> inFlight.put(part.partId(), part.attempt()));
   }
 
-  /** When the call was created for sending, in microseconds. */
+  /** The time at which the call was created, in microseconds. */
   long sentUs() {
     return sentUs;
   }
@@ -138,15 +139,16 @@
   }
 
   /**
-   * Keeps an attempt from being sent. If its call was not sent yet, it ends as one that never ran.
+   * Prevents an attempt from being sent. If its call was not sent yet, the attempt ends without
+   * having run.
    */
   void stop(long attempt) {
     stopped.add(attempt);
   }
 
   /**
-   * Abandons the call: attempts without a row may have run, and the store may still be working on
-   * them.
+   * Cancels the stream and completes the attempts without a row as an unconfirmed reset: they may
+   * have run, and the store may still be working on them.
    */
   void abandon() {
     cancelStream();
@@ -283,8 +285,8 @@
   }
 
   /**
-   * Returns true for a timeout or a cancellation: this side creates these statuses, they do not
-   * come from the store.
+   * Returns false if the failure is a status that the store has sent. Timeouts and cancellations
+   * are statuses that this side creates itself.
    */
   private static boolean endedByThisSide(RuntimeException failure) {
     if (!(failure instanceof FlightRuntimeException flightFailure)) {
@@ -294,7 +296,10 @@
     return code == FlightStatusCode.TIMED_OUT || code == FlightStatusCode.CANCELLED;
   }
 
-  /** Ends all attempts after the store has ended the stream. */
+  /**
+   * Completes the attempts in flight as reset, and releases the unconfirmed ones, after the store
+   * has ended the stream.
+   */
   private void reset() {
     takeInFlight()
         .values()
--- a/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPassCall.java
@@ -37,7 +37,7 @@
    * Creates a call that is not sent yet.
    *
    * @param mustNotSend evaluated on the reader thread just before the call is sent; if true, the
-   *     call fails as never sent
+   *     call is not sent and fails with {@code CONNECT_FAILED}
    * @param onCompleted receives the outcome if the call ends without a reply
    */
   FlightFirstPassCall(
@@ -55,12 +55,12 @@
     this.onReply = onReply;
   }
 
-  /** Keeps the call from being sent if it was not sent yet. */
+  /** Prevents the call from being sent if it was not sent yet. */
   void stop() {
     stopped = true;
   }
 
-  /** The id of its part. */
+  /** The id of the part that this call requests. */
   String partId() {
     return part.partId();
   }
@@ -118,8 +118,8 @@
 
   private Event.AttemptCompleted completionOf(FlightRuntimeException failure) {
     return switch (failure.status().code()) {
-      case CANCELLED,
-          TIMED_OUT -> // the status was created on this side: the store may still have the attempt
+      // this side has created the status, and the store may still have the attempt
+      case CANCELLED, TIMED_OUT ->
           Event.AttemptCompleted.unconfirmed(part.attempt(), AttemptOutcome.RESET);
       case UNAVAILABLE -> Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.RESET);
       case RESOURCE_EXHAUSTED -> Event.AttemptCompleted.of(part.attempt(), AttemptOutcome.FULL);
--- a/src/main/java/dunlinhitch/backend/flight/FlightFirstPasses.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPasses.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 
 /**
- * The first passes in flight to one store, and those that were cancelled while the store may still
- * have them.
+ * The first passes in flight to one store, and the cancelled first passes that the store may still
+ * have.
  *
  * <p>Not thread-safe; owned by its transport and used on the event loop only.
  */
@@ -25,7 +25,9 @@
     /** Called when a first pass that was not cancelled was answered. */
     void onReply(Event.FirstPassCompleted reply);
 
-    /** Called when the store must be notified of a cancellation; the call was sent to it before. */
+    /**
+     * Called when the store must be notified of a cancellation, but not before the call was sent.
+     */
     void onCancelled(String partId, long attempt, long connection);
 
     /** Called when the store no longer has a cancelled first pass. */
@@ -66,7 +68,7 @@
   /** Handles the end of a call without a reply. */
   void onCompleted(Event.AttemptCompleted completion) {
     SentFirstPass sent = inFlight.remove(completion.attempt());
-    if (sent == null) { // it was cancelled
+    if (sent == null) { // the first pass was cancelled
       if (!completion.unconfirmed()) {
         release(completion.attempt());
       }
@@ -80,7 +82,7 @@
 
   /** Handles the store's reply. */
   void onReply(Event.FirstPassCompleted reply) {
-    if (inFlight.remove(reply.attempt()) == null) { // it was cancelled
+    if (inFlight.remove(reply.attempt()) == null) { // the first pass was cancelled
       release(reply.attempt());
     } else {
       listener.onReply(reply);
@@ -88,11 +90,11 @@
   }
 
   /**
-   * Cancels a first pass. One that was sent continues: it ends by its deadline and costs the store
-   * little.
+   * Cancels a first pass. A call that was already sent is not aborted, because it costs the store
+   * little and ends by its deadline.
    *
-   * @param confirm whether its release is to be reported
-   * @return false if it is not in flight
+   * @param confirm whether the release of the first pass is to be reported
+   * @return false if the first pass is not in flight
    */
   boolean cancel(long attempt, boolean confirm) {
     SentFirstPass sent = inFlight.remove(attempt);
@@ -111,7 +113,7 @@
     }
   }
 
-  /** Keeps a first pass from being sent if it was not sent yet. */
+  /** Prevents a first pass from being sent if it was not sent yet. */
   void withdraw(long attempt) {
     SentFirstPass sent = inFlight.get(attempt);
     if (sent != null) {
--- a/src/main/java/dunlinhitch/backend/flight/FlightLivenessCheck.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightLivenessCheck.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 
 /**
- * Detects a channel that is open but no longer transports anything: a health check is sent to the
- * store while attempts are in flight and nothing is received from it. Not thread-safe; owned by its
+ * Detects a channel that is open but no longer transmits data: if attempts are in flight and
+ * nothing is received from the store, a health check is sent to it. Not thread-safe; owned by its
  * transport and used on the event loop only.
  */
 final class FlightLivenessCheck {
@@ -22,13 +22,16 @@
     /** True if attempts are in flight and the store may be sent a check. */
     boolean needsLivenessCheck();
 
-    /** False once the loss of the channel no longer matters. */
+    /** False after the transport was closed or disabled; an unanswered check is then ignored. */
     boolean isActive();
 
-    /** When the oldest call in flight was sent, in microseconds; there must be one. */
+    /**
+     * The time at which the oldest call in flight was sent, in microseconds; requires a call in
+     * flight.
+     */
     long oldestSentUs();
 
-    /** When the store replied last, in microseconds. */
+    /** The time of the store's last reply, in microseconds. */
     long lastReplyUs();
 
     void onAlive();
@@ -49,7 +52,7 @@
     this.target = target;
   }
 
-  /** Starts the check if it is needed and not already running. */
+  /** Schedules a check if one is needed and none is scheduled or running. */
   void schedule() {
     if (scheduled || !target.needsLivenessCheck()) {
       return;
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -85,10 +85,10 @@
    */
   private long connectRound;
 
-  /** Number of the current connection: counts the connections that this side has stopped using. */
+  /** Number of the current connection; incremented whenever this side stops using a connection. */
   private long connectionNumber;
 
-  /** When the last reply to a part or to a liveness check arrived, in microseconds. */
+  /** The time of the last reply to a part or to a liveness check, in microseconds. */
   private long lastReplyUs;
 
   private boolean closed;
@@ -142,7 +142,10 @@
         && calls.size() + firstPasses.size() + parts.size() <= MAX_IN_FLIGHT;
   }
 
-  /** Connects for the pending calls, which fail as never run after the connect timeout. */
+  /**
+   * Connects the channel for the pending calls. If the connect timeout passes first, they fail with
+   * {@code CONNECT_FAILED}.
+   */
   private void connect() {
     long round = ++connectRound;
     shared.events().accept(new Event.ConditionCounted(Counter.CONNECTIONS_OPENED));
@@ -210,8 +213,9 @@
   }
 
   /**
-   * Evaluated by the reader threads just before they send a call: if the channel has disconnected
-   * again, gRPC would queue the call until it is connected.
+   * Returns whether a call must not be sent now. Reader threads evaluate this just before they send
+   * a call: if the channel has been disconnected, gRPC would queue the call until the channel is
+   * connected again.
    */
   private boolean mustNotSend() {
     return disabled
@@ -263,16 +267,17 @@
     String partId = call.cancel(attempt, confirm);
     call.afterSending(() -> notifyCancelled(partId, attempt, sent.connection(), confirm));
     if (lastReplyUs <= call.sentUs() && shared.nowUs() - call.sentUs() > UNRESPONSIVE_US) {
-      leaveConnection(); // a fresh connection is established or fails soon
+      leaveConnection(); // new calls get a fresh connection, which is established or fails soon
     }
     closeIfDrained();
     return true;
   }
 
   /**
-   * Notifies the store of a cancellation. Its confirmation releases the attempt, unless it may have
-   * been sent over a later connection: that does not prove that the store has received the call,
-   * which may still be in transit on the earlier connection.
+   * Notifies the store of a cancellation. The store's confirmation releases the attempt only if the
+   * connection has not changed since the call was sent. A confirmation over a later connection does
+   * not prove that the store has received the call, which may still be in transit on the earlier
+   * connection.
    */
   private void notifyCancelled(String partId, long attempt, long connection, boolean confirm) {
     actions.cancelPart(
@@ -376,7 +381,7 @@
     if (!closed) {
       closed = true;
       failPending();
-      channel.shutdownNow(); // attempts in flight end as a reset
+      channel.shutdownNow(); // attempts in flight complete as reset
       shared.closeAsync(client);
     }
   }
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransports.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransports.java
@@ -104,7 +104,7 @@
     return new FlightTransport(this, endpoint);
   }
 
-  /** Ends the threads. The transports must have been closed before. */
+  /** Frees the buffers and ends the threads; the transports must already be closed. */
   public void close() {
     callbacks.execute(
         () -> {
@@ -133,7 +133,7 @@
             }
           });
     } catch (RejectedExecutionException e) {
-      // its channel is shut down already; only an empty allocator is left
+      // the client's channel is already shut down; only its empty allocator stays open
     }
   }
 
--- a/src/main/java/dunlinhitch/backend/flight/SendHook.java
+++ b/src/main/java/dunlinhitch/backend/flight/SendHook.java
@@ -10,8 +10,8 @@
 
 /**
  * Reports when a blocking call has passed its request to the connection; the call itself returns
- * only with its reply. Calls that are made on the same connection after that are sent after the
- * request.
+ * only with its reply. A call that is made on the same connection after the hook has run is sent
+ * after that request.
  *
  * <p>Thread-safe: the hook is stored per calling thread.
  */
--- a/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
+++ b/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
@@ -9,15 +9,17 @@
 import java.util.Locale;
 
 /**
- * Tracks how a connection to a store ends, and whether that proves that the store has seen the end.
- * This side closes in two steps: it sends its end of stream and waits for the store's, which the
- * store sends only after it has read up to there. A timeout, an unreachable host or this side's own
- * close is no proof.
+ * Tracks how a connection to a store ends, and whether the store has provably seen the end. This
+ * side closes in two steps: it sends its end of stream, then waits for the store's end of stream,
+ * which the store sends only after it has read everything that was sent to it. A timeout, an
+ * unreachable host or a close by this side alone proves nothing.
  *
  * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
 final class ConnectionEnd {
-  /** Timeout for the store's end of stream; the file descriptor stays open until then. */
+  /**
+   * Timeout for the store's end of stream; the file descriptor stays open while this side waits.
+   */
   private static final long STORE_END_TIMEOUT_MS = 1_000;
 
   private boolean closedLocally;
--- a/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -18,9 +18,9 @@
 
 /**
  * One connection to a store: its lifecycle from connecting to closed, and the writing of calls. One
- * call at a time is written to the socket. Calls queued behind it, and calls that wait for the
- * connection to be established, can still be withdrawn and are checked again before they are
- * written.
+ * call at a time is written to the socket. Calls that are queued behind it, or that wait for the
+ * connection to be established, can still be withdrawn. Their deadlines are checked again before
+ * they are written.
  *
  * <p>Not thread-safe; owned by its transport and used on the event loop only.
  */
@@ -57,8 +57,8 @@
   private boolean closed;
 
   /**
-   * True while a liveness check is scheduled after the cancellations of this pass of the event
-   * loop.
+   * True while a task is scheduled that requests one confirmation for all cancellations of this
+   * iteration of the event loop.
    */
   private boolean confirmationScheduled;
 
@@ -77,9 +77,10 @@
   /**
    * Creates a connection that is not connected yet.
    *
-   * @param mayCheck false if nothing new may be sent to the store, not even a liveness check
-   * @param onClosed called once, when the connection accepts no more calls and has nothing more to
-   *     report
+   * @param mayCheck returns false if nothing new may be sent to the store, not even a liveness
+   *     check
+   * @param onClosed called once, when the connection stops accepting calls and before it reports
+   *     the end of its attempts
    * @param onDescriptorReleased called once, when the file descriptor is released
    */
   FrameConnection(
@@ -103,7 +104,7 @@
     return shared.clock.getAsLong();
   }
 
-  /** Connects; calls sent before wait until the connection is established. */
+  /** Opens the connection; calls that are sent before it is established wait. */
   void connect(String host, int port) {
     shared
         .connect(host, port)
@@ -131,7 +132,7 @@
     lastReceivedUs = nowUs();
     connected.setWriteQueueMaxSize(WRITE_QUEUE_BYTES);
     connected.handler(this::onReceived);
-    connected.exceptionHandler(end::onFailure); // the close that follows is reported
+    connected.exceptionHandler(end::onFailure); // the close handler runs after the exception
     connected.closeHandler(ignored -> onSocketClosed());
     writePending();
     healthChecks.drainUnsent().forEach(this::sendHealthCheck);
@@ -160,8 +161,8 @@
   }
 
   /**
-   * Returns true if a call with this number of parts may be sent here. Closes the connection if it
-   * was idle for so long that the store is about to close it.
+   * Returns true if a call with this number of parts may be sent on this connection. Closes the
+   * connection if it was idle for so long that the store is about to close it.
    */
   boolean accepts(int parts, Set<String> partIds) {
     if (isIdle() && nowUs() - lastUsedUs >= shared.idleTimeoutUs()) {
@@ -181,9 +182,9 @@
   }
 
   /**
-   * Sends a call as soon as the connection is established and the calls ahead are written. If no
-   * file descriptor was available, the connection may have failed before its first call, which then
-   * fails at once.
+   * Sends a call as soon as the connection is established and the calls ahead are written. The call
+   * fails at once if the connection is already closed, which can happen before its first call if no
+   * file descriptor was available.
    */
   void send(List<AttemptRequest> parts) {
     lastUsedUs = nowUs();
@@ -286,7 +287,7 @@
     }
     inFlight.remove(cancelled);
     if (cancelled.isIncomplete()) {
-      close(); // a notification would arrive after the call that it is meant to prevent
+      close(); // a cancel frame would be written after the rest of the call, which must not run
       if (confirm) {
         release(attempt);
       }
@@ -298,8 +299,8 @@
       unconfirmed.add(cancelled.partId(), attempt);
       requestConfirmation();
     }
-    // the connections to a dead host stay open: new calls use a fresh connection, which is either
-    // established or fails soon and so proves that they did not run
+    // connections to a dead host stay open, so new calls use a fresh connection: it is either
+    // established, or it fails soon, which proves that the calls did not run
     unresponsive |=
         lastReceivedUs <= cancelled.sentUs() && nowUs() - cancelled.sentUs() > UNRESPONSIVE_US;
     if (unresponsive || draining) {
@@ -309,9 +310,10 @@
   }
 
   /**
-   * Requests proof that the store has read the cancellations: the reply to one liveness check sent
-   * after all cancellations of this pass of the event loop, or the end of the connection if the
-   * store must not be checked.
+   * Requests proof that the store has read the cancellations. One liveness check is sent after all
+   * cancellations of this iteration of the event loop, and the reply to it is the proof. If
+   * liveness checks are not allowed, the connection is drained instead, and the store's end of the
+   * connection is the proof.
    */
   private void requestConfirmation() {
     if (!confirmationScheduled) {
@@ -341,7 +343,9 @@
     shared.events.accept(new Event.AttemptReleased(attempt));
   }
 
-  /** Fails all calls that were not written, because nothing new may be sent to the store. */
+  /**
+   * Fails all calls that were not written yet. Called when nothing new may be sent to the store.
+   */
   void failPending() {
     for (List<AttemptRequest> parts : pendingCalls.drain()) {
       parts.forEach(part -> complete(part.attempt(), AttemptOutcome.CONNECT_FAILED));
@@ -354,7 +358,7 @@
     }
   }
 
-  /** Accepts no new calls from now on and closes once nothing is in flight. */
+  /** Stops accepting new calls and closes the connection once it is idle. */
   void drain() {
     draining = true;
     if (isIdle()) {
@@ -364,9 +368,10 @@
 
   /**
    * Closes the connection and drops pending writes. A call that was not completely written is
-   * reported as never run, whereas an orderly close would first write the rest of it. Cancellations
-   * that are dropped are implied by the close itself. If the store may still have attempts, the
-   * connection waits for the store's end of stream, which releases them.
+   * reported as never run, so the rest of the call must not be written; an orderly close would
+   * write it. Dropped cancellations are not needed, because the store cancels all attempts of a
+   * closed connection. If the store may still have attempts, the connection waits for the store's
+   * end of stream, which releases them.
    */
   void close() {
     if (closed) {
@@ -399,7 +404,8 @@
   }
 
   /**
-   * Reports the end of everything that was in flight.
+   * Marks the connection as closed and completes its pending calls, attempts in flight and health
+   * checks.
    *
    * @param knownToStore false if the store may still have attempts that were written to it
    */
--- a/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
@@ -26,7 +26,8 @@
     while (all.length() - consumed >= Frame.LENGTH_BYTES) {
       long length = all.getUnsignedIntLE(consumed);
       if (length < 1 || length > Frame.MAX_BYTES) {
-        throw new MalformedFrameException("frame length out of range: " + length + " bytes");
+        throw new MalformedFrameException(
+            "frame length out of range: " + length + " bytes, expected 1 to " + Frame.MAX_BYTES);
       }
       if (all.length() - consumed - Frame.LENGTH_BYTES < length) {
         break;
--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -32,7 +32,7 @@
 public final class FrameTransport implements BackendTransport {
   /**
    * Fraction of the store's idle timeout after which this side closes an idle connection, so that
-   * no call is sent while the store closes it.
+   * no call is sent while the store closes the connection.
    */
   private static final double IDLE_SHARE = 0.8;
 
@@ -137,7 +137,10 @@
     return state != ServerState.GONE && state != ServerState.WITHDRAWN && !disabled;
   }
 
-  /** Returns an established connection if possible, else a connecting or a new one, or null. */
+  /**
+   * Returns an established connection if possible, else one that is connecting or a new one; null
+   * if a call cannot be sent on any of them and no new one may be opened.
+   */
   private FrameConnection connectionForCall(List<AttemptRequest> parts) {
     Set<String> partIds = parts.stream().map(AttemptRequest::partId).collect(Collectors.toSet());
     FrameConnection best = null;
@@ -152,8 +155,8 @@
   }
 
   /**
-   * Returns false if the store is already draining and a call would have to wait on the connection:
-   * it must not be sent after this broker was informed of the drain.
+   * Returns false if the store is draining and a call would have to wait on the connection: a call
+   * may be written to a draining store immediately, but not later.
    */
   private boolean writesBeforeStateChange(FrameConnection connection) {
     return state == ServerState.READY || (connection.isOpen() && !connection.isWriting());
--- a/src/main/java/dunlinhitch/backend/frames/FrameType.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameType.java
@@ -23,7 +23,7 @@
   /** From the store: the reply to one first-pass part. */
   static final char FIRST_PASS_REPLY = 't';
 
-  /** From the store: it rejected a frame. */
+  /** From the store: a frame was rejected. */
   static final char REJECTION = 'r';
 
   private FrameType() {}
--- a/src/main/java/dunlinhitch/backend/frames/InFlightAttempts.java
+++ b/src/main/java/dunlinhitch/backend/frames/InFlightAttempts.java
@@ -10,8 +10,8 @@
 
 /**
  * The attempts in flight on one connection, and the matching of replies to them. A reply identifies
- * a part, not an attempt: a part that was cancelled on this connection and may still be answered
- * must not be sent on it again, so that each reply belongs to one attempt.
+ * a part, not an attempt. Therefore a part that was cancelled, and to which a reply may still
+ * arrive, must not be sent on the same connection again.
  *
  * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
@@ -34,7 +34,7 @@
       long attempt, String partId, long sentUs, Future<Void> write, boolean firstPass) {
     /**
      * True until the complete frame was passed to the kernel; until then the store cannot have run
-     * it.
+     * the attempt.
      */
     boolean isIncomplete() {
       return !write.succeeded();
@@ -58,14 +58,14 @@
     return byPart.size();
   }
 
-  /** When the oldest attempt was sent, in microseconds; there must be one. */
+  /**
+   * The time at which the oldest attempt was sent, in microseconds; requires an attempt in flight.
+   */
   long oldestSentUs() {
     return byPart.values().iterator().next().sentUs();
   }
 
-  /**
-   * True if a reply to the part would be ambiguous if the part were sent on this connection now.
-   */
+  /** True if a reply to an earlier attempt of the part may still arrive on this connection. */
   boolean mayStillBeAnswered(String partId) {
     return cancelled.contains(partId) || byPart.containsKey(partId);
   }
@@ -78,7 +78,7 @@
         .orElse(null);
   }
 
-  /** Removes an attempt whose reply is not expected. */
+  /** Removes an attempt that was cancelled. */
   void remove(InFlightAttempt attempt) {
     byPart.remove(attempt.partId());
   }
@@ -91,21 +91,23 @@
   /**
    * Matches a reply with its attempt.
    *
-   * @return the attempt that the reply completes, or null if it was cancelled or the reply is a
-   *     duplicate
+   * @return the attempt that the reply completes, or null if the attempt was cancelled or the reply
+   *     is a duplicate
    */
   InFlightAttempt onReply(String partId, boolean firstPass) throws MalformedFrameException {
     InFlightAttempt ended = byPart.get(partId);
     if (ended != null && ended.firstPass() != firstPass) {
       throw new MalformedFrameException(
-          "reply type does not match the pass of the attempt in flight");
+          "type of the reply to part "
+              + partId
+              + " does not match the pass of the attempt in flight");
     }
     byPart.remove(partId);
     if (ended != null || cancelled.remove(partId)) {
       remember(answered, partId, MAX_ANSWERED);
-    } else if (!answered.contains(partId)) { // neither in flight, cancelled nor a duplicate
+    } else if (!answered.contains(partId)) { // the reply is not a duplicate
       throw new MalformedFrameException(
-          "reply to a part that was not requested on this connection");
+          "reply to part " + partId + ", which was not requested on this connection");
     }
     return ended;
   }
--- a/src/main/java/dunlinhitch/backend/frames/LivenessCheck.java
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheck.java
@@ -6,9 +6,9 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Detects a connection that is open but no longer transports anything. While attempts are in flight
- * and nothing is received, a liveness check is sent to the store. Even a busy store replies to it
- * at once, bypassing its queue; without a reply the connection is closed.
+ * Detects a connection that is open but no longer transmits data. While attempts are in flight and
+ * nothing is received, a liveness check is sent to the store. Even a busy store replies at once,
+ * because liveness checks bypass its queue. Without a reply the connection is closed.
  *
  * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
@@ -22,10 +22,13 @@
 
     boolean hasInFlightAttempts();
 
-    /** When the oldest attempt in flight was sent, in microseconds; there must be one. */
+    /**
+     * The time at which the oldest attempt in flight was sent, in microseconds; requires an attempt
+     * in flight.
+     */
     long oldestSentUs();
 
-    /** When bytes were last received, in microseconds. */
+    /** The time at which bytes were last received, in microseconds. */
     long lastReceivedUs();
 
     void sendLivenessCheck();
@@ -43,7 +46,7 @@
   /**
    * Creates a check that has not started.
    *
-   * @param mayCheck false if nothing new may be sent to the store, not even a check
+   * @param mayCheck returns false if nothing new may be sent to the store, not even a check
    */
   LivenessCheck(FrameTransport.Shared shared, BooleanSupplier mayCheck, Target target) {
     this.shared = shared;
@@ -51,7 +54,7 @@
     this.target = target;
   }
 
-  /** Starts the check if it is needed and not already running. */
+  /** Schedules a check if one is needed and none is scheduled or running. */
   void schedule() {
     if (scheduled
         || target.isClosed()
--- a/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
@@ -3,8 +3,8 @@
 /**
  * Computes how long a connection with attempts in flight may receive nothing before its liveness is
  * checked. The delay follows the reply latency over all stores of this broker, so that a connection
- * that is only as slow as the others is not checked: the checks of many brokers add up at the
- * stores.
+ * that is only as slow as the others is not checked. This limits the load at the stores, where the
+ * checks of many brokers add up.
  *
  * <p>Not thread-safe; shared by all connections and used on the event loop only.
  */
@@ -19,7 +19,8 @@
   private static final double MARGIN = 1.5;
 
   /**
-   * How far one reply moves the estimate, as a fraction of the estimate or of the reply's latency.
+   * The step by which one reply moves the estimate, as a fraction of the larger of the estimate and
+   * {@link #LATENCY_SHARE} of the reply's latency.
    */
   private static final double STEP = 0.05;
 
--- a/src/main/java/dunlinhitch/backend/frames/PendingHealthChecks.java
+++ b/src/main/java/dunlinhitch/backend/frames/PendingHealthChecks.java
@@ -41,7 +41,7 @@
     return sent.isEmpty() && unsent.isEmpty();
   }
 
-  /** Removes and returns all health checks, those that were sent first. */
+  /** Removes and returns all health checks: the sent ones, followed by the unsent ones. */
   List<Long> drain() {
     sent.addAll(unsent);
     unsent.clear();
--- a/src/main/java/dunlinhitch/backend/frames/ReplyParser.java
+++ b/src/main/java/dunlinhitch/backend/frames/ReplyParser.java
@@ -38,11 +38,14 @@
     String[] fields = payload.getString(0, lineEnd, HEADER_CHARSET).split(" ", PART_FIELDS);
     if (lineEnd == payload.length() || fields.length != PART_FIELDS) {
       throw new MalformedFrameException(
-          "malformed part reply: expected a header line with 4 fields");
+          "malformed part reply: expected a line feed after 4 header fields, got "
+              + fields.length
+              + " fields");
     }
     String value = ExactText.of(payload.getBytes(lineEnd + 1, payload.length()));
     if (value == null) {
-      throw new MalformedFrameException("value of a part reply is not valid UTF-8");
+      throw new MalformedFrameException(
+          "value of the reply to part " + fields[0] + " is not valid UTF-8");
     }
     double score = RequestText.parseScore(fields[2]);
     return new PartReply(fields[0], outcome(fields[1]), score, fields[3], value);
@@ -64,7 +67,11 @@
         || !fields[4].matches("[0-9]{1,18}")
         || fields[5].length() > MAX_VERSION_LENGTH) {
       throw new MalformedFrameException(
-          "malformed first-pass reply: expected a header line with 6 fields and a UTF-8 value");
+          "malformed first-pass reply: expected 6 header fields (RECORDS up to 18 digits, VERSION up to "
+              + MAX_VERSION_LENGTH
+              + " characters) and a UTF-8 value, got "
+              + fields.length
+              + " fields");
     }
     long records = Long.parseLong(fields[4]);
     return new FirstPassReply(fields[0], outcome(fields[1]), fields[3], records, fields[5], value);
--- a/src/main/java/dunlinhitch/backend/frames/ReplyReader.java
+++ b/src/main/java/dunlinhitch/backend/frames/ReplyReader.java
@@ -33,10 +33,10 @@
   private final Runnable closeConnection;
   private final FrameDecoder decoder = new FrameDecoder();
 
-  /** When the bytes that are being read were received, in microseconds. */
+  /** The time at which the bytes that are being read were received, in microseconds. */
   private long receivedUs;
 
-  /** Number of complete frames so far, which identifies the incomplete frame behind them. */
+  /** Number of complete frames so far, which identifies the incomplete frame that follows. */
   private long completeFrames;
 
   private boolean awaitsFrameEnd;
@@ -80,7 +80,10 @@
     closeConnection.run();
   }
 
-  /** Guards against a frame that never ends, which would block all attempts in flight here. */
+  /**
+   * Starts a timeout for an incomplete frame, which would otherwise block all attempts in flight on
+   * this connection if its end never arrives.
+   */
   private void awaitFrameEnd() {
     if (!decoder.hasIncompleteFrame()) {
       awaitsFrameEnd = false;
@@ -110,7 +113,8 @@
       case FrameType.HEALTH_CHECK -> onHealthCheckReply(frame.payload().toString());
       case FrameType.REJECTION ->
           throw new MalformedFrameException("store rejected a frame: " + frame.payload());
-      default -> throw new MalformedFrameException("unknown frame type: " + (int) frame.type());
+      default ->
+          throw new MalformedFrameException("unknown type byte of a frame: " + (int) frame.type());
     }
   }
 
--- a/src/main/java/dunlinhitch/backend/frames/UnconfirmedAttempts.java
+++ b/src/main/java/dunlinhitch/backend/frames/UnconfirmedAttempts.java
@@ -8,9 +8,10 @@
 
 /**
  * The attempts of one connection that this side has cancelled or lost and that the store may still
- * have. A store that has read bytes sent after a cancellation has read the cancellation, so the
- * reply to a liveness check sent after it proves that the attempt is released. The attempt's own
- * reply and the store's end of the connection prove it as well; elapsed time does not.
+ * have. The store reads the bytes of a connection in order: its reply to a liveness check that was
+ * sent after a cancellation proves that the store has read the cancellation and released the
+ * attempt. The store's reply to the attempt and its close of the connection prove the release too.
+ * A timeout does not.
  *
  * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
@@ -21,7 +22,7 @@
   private static final class Unconfirmed {
     private final long attempt;
 
-    /** The number of the first liveness check after its cancellation. */
+    /** The number of the first liveness check that was sent after the cancellation. */
     private long check = NO_CHECK;
 
     Unconfirmed(long attempt) {
@@ -47,7 +48,7 @@
     return byPart.isEmpty();
   }
 
-  /** True if no liveness check was sent after one of the cancellations. */
+  /** True if there is a cancellation after which no liveness check was sent. */
   boolean needsCheck() {
     return byPart.values().stream().anyMatch(unconfirmed -> unconfirmed.check == NO_CHECK);
   }
--- a/src/test/java/dunlinhitch/backend/RequestTextTest.java
+++ b/src/test/java/dunlinhitch/backend/RequestTextTest.java
@@ -8,11 +8,11 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The remaining time that is sent to a store. */
+/** The remaining time until the deadline, as encoded in a call to a store. */
 class RequestTextTest {
   private static final long DUE_US = 500_000;
 
-  /** The time is rounded down, so that a store never gets more time than its client has left. */
+  /** The time is rounded down, so that a store never gets more time than the client has left. */
   @ParameterizedTest
   @CsvSource({"0, 500", "100001, 399", "498500, 1", "499999, 1"})
   void remainingTimeIsComputedWhenRequestIsEncoded(long writtenUs, long expectedMs) {
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The Flight transport to a scripted store, tested at its own interface. */
+/** Tests the Flight transport directly, without a broker, against a scripted store. */
 class FlightTransportTest {
   private final Vertx vertx = Vertx.vertx();
   private final Context context = vertx.getOrCreateContext();
@@ -229,7 +229,7 @@
     advancedUs = 1_500_000;
     events.clear();
     released = new CountDownLatch(1);
-    blockedThread = "flight-action"; // the cancellation would open the fresh connection as well
+    blockedThread = "flight-action"; // keeps the cancellation from opening a connection
     onLoop(
         () -> {
           transport.cancel(1, false);
@@ -261,8 +261,8 @@
   }
 
   /**
-   * A gRPC timeout occurs on this side only: the store is notified, and its confirmation releases
-   * the attempt.
+   * A gRPC timeout occurs on this side only. The store is then notified of the cancellation, and
+   * its confirmation releases the attempt.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
--- a/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
@@ -115,7 +115,7 @@
     assertEquals(1, nextRelease());
   }
 
-  /** The reply to the attempt itself is sufficient proof. */
+  /** The store's reply to the attempt proves that the store no longer has it. */
   @Test
   void replyReleasesCancelledAttempt() throws Exception {
     FrameTransport transport = transportTo(listener.getLocalPort());
@@ -129,8 +129,8 @@
   }
 
   /**
-   * If liveness checks are not allowed, the store's end of the connection proves that it has read
-   * this side's end.
+   * If liveness checks are not allowed, the store's close of the connection proves that the store
+   * has read this side's end of stream.
    */
   @Test
   void storeClosingConnectionReleasesAttemptsWithoutLivenessChecks() throws Exception {
@@ -169,11 +169,11 @@
   }
 
   /**
-   * Without the store's end of the connection the attempt stays unconfirmed, even after the
+   * If the store does not close the connection, the attempt stays unconfirmed, even after the
    * timeout.
    */
   @Test
-  @SuppressWarnings("ThreadPriorityCheck") // reduces the cost of waiting for the close
+  @SuppressWarnings("ThreadPriorityCheck") // Thread.yield keeps the busy wait for the close cheap
   void storeThatNeverClosesDoesNotReleaseAttempts() throws Exception {
     FrameTransport transport = transportTo(listener.getLocalPort());
     sendOne(transport);
@@ -182,7 +182,7 @@
     assertThrows(
         IOException.class,
         () -> {
-          while (true) { // until the broker has closed its descriptor
+          while (true) { // fails once the broker has closed its descriptor
             peer.getOutputStream().write(0);
             Thread.yield();
           }
@@ -212,7 +212,7 @@
     AttemptRequest big =
         new AttemptRequest(2, "big", 0, "", nowUs() + 300_000_500, "x".repeat(BIG_TEXT_LENGTH));
     onLoop(() -> transport.send(List.of(big)));
-    assertTrue(peer.getInputStream().read() >= 0); // its first byte was written
+    assertTrue(peer.getInputStream().read() >= 0); // the first byte of the call was written
     onLoop(() -> transport.cancel(2, true));
     expectUnconfirmedReset(1);
     assertEquals(2, nextRelease());
--- a/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
@@ -9,11 +9,14 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Which kinds of connection end prove that the store has seen the end. */
+/** The kinds of connection end that prove that the store has seen the end. */
 class ConnectionEndTest {
   private final ConnectionEnd end = new ConnectionEnd();
 
-  /** Errors from the kernel or a router: the store may still have what was sent to it. */
+  /**
+   * After an error from the kernel or a router, the store may still have the attempts that were
+   * sent to it.
+   */
   @ParameterizedTest
   @ValueSource(
       strings = {"Connection timed out", "No route to host", "Network is unreachable", "Bad file"})
--- a/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
@@ -137,8 +137,9 @@
   }
 
   /**
-   * The store closes an idle connection, and a call is written before the close is read: it may
-   * have run. If the store resets the connection, nothing can be written and the call has not run.
+   * The store closes an idle connection, and a call is written before the close is read: the call
+   * may have run. If the store resets the connection, nothing can be written and the call has not
+   * run.
    */
   @ParameterizedTest
   @EnumSource(
@@ -172,7 +173,7 @@
    * affected.
    */
   @Test
-  @SuppressWarnings("ThreadPriorityCheck") // reduces the cost of waiting for the reset
+  @SuppressWarnings("ThreadPriorityCheck") // Thread.yield keeps the busy wait for the reset cheap
   void closeWithUnreadBytesResetsAttemptsInFlight() throws Exception {
     try (ServerSocket peer = new ServerSocket(0, 8, InetAddress.getLoopbackAddress())) {
       FrameTransport target = withoutLivenessChecks(peer.getLocalPort(), 3);
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
@@ -88,7 +88,8 @@
     store.script = part -> Behavior.NOTHING;
     onLoop(
         () -> {
-          for (int i = 0; i <= 96; i++) { // three connections of 32 parts
+          // one more part than three connections with 32 parts each can carry
+          for (int i = 0; i <= 96; i++) {
             transport.send(List.of(part(i, i)));
           }
         });
@@ -195,7 +196,7 @@
       public ChannelFactory<? extends Channel> channelFactory(boolean domainSocket) {
         ChannelFactory<? extends Channel> real = super.channelFactory(domainSocket);
         return () -> {
-          if (remaining.getAndDecrement() > 0) { // same exception as the JDK's
+          if (remaining.getAndDecrement() > 0) { // as Netty reports a lack of file descriptors
             throw new ChannelException(
                 "Failed to open a socket.", new SocketException("Too many open files"));
           }
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
@@ -74,11 +74,11 @@
       onLoop(() -> slow.send(List.of(bigPart(1))));
       try (Socket accepted = peer.accept()) {
         accepted.setSoTimeout(5_000);
-        assertTrue(accepted.getInputStream().read() >= 0); // the first byte was written
+        assertTrue(accepted.getInputStream().read() >= 0); // the first byte of the call was written
         onLoop(
             () -> {
               stop.apply(slow);
-              // completes after every completion that the stop itself reports
+              // a marker that follows all completions caused by the stop
               completions.add(Event.AttemptCompleted.of(-1, AttemptOutcome.MOOT));
             });
         if (stop != Stop.CANCELLED) {
@@ -138,8 +138,8 @@
   }
 
   /**
-   * The connection is established after the deadline of the parts, or after the time in which a
-   * retry is safe: the parts must not be sent.
+   * The connection is established after the deadline of the parts, or after the time until which an
+   * attempt may be repeated: the parts must not be sent.
    */
   @ParameterizedTest
   @ValueSource(longs = {60_000_000, 30_000_000})
@@ -160,7 +160,8 @@
                       false,
                       null),
                   part(2, 2)));
-          advancedUs.set(advanceUs); // before the event loop detects that it is established
+          // before the event loop detects that the connection is established
+          advancedUs.set(advanceUs);
         });
     assertEquals(1, nextCompletion().attempt());
     Event.AttemptCompleted second = nextCompletion();
