--- a/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
+++ b/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The graceful shutdown of a frontend as a state machine over its connections: events in, actions
- * out, without a clock, threads or I/O of its own.
+ * The graceful shutdown of a frontend as a state machine over its connections. The frontend reports
+ * events to it and executes its actions; it has no clock, threads or I/O of its own.
  *
  * <p>It guarantees this order: a connection is half-closed only after a response that announced the
  * close, or after a final read found that no request had started; bytes that are read later are
@@ -34,11 +34,11 @@
 
   /** How a completely received request is handled. */
   public enum Disposition {
-    /** It is served. */
+    /** The request is served. */
     FORWARD,
-    /** It is answered with a refusal. */
+    /** The request is answered with a refusal. */
     REFUSE,
-    /** It is ignored: it arrived after the half-close. */
+    /** The request is ignored, because it arrived after the half-close. */
     DROP
   }
 
@@ -103,8 +103,8 @@
   /**
    * Creates a state machine without connections.
    *
-   * @param requestTransitUs how long a request may be in transit that was sent while its connection
-   *     was closed
+   * @param requestTransitUs maximum transit time of a request that the client has sent before it
+   *     reads the close of its connection
    */
   public GracefulShutdown(Actions<C> actions, long requestTransitUs) {
     this.actions = actions;
@@ -116,7 +116,7 @@
     return stage;
   }
 
-  /** Returns true if the next response on any connection is its last. */
+  /** Returns true if each connection closes with its next response. */
   public boolean isDraining() {
     return stage != Stage.SERVING;
   }
@@ -151,7 +151,7 @@
   /**
    * Records that a response was written.
    *
-   * @param last whether it announced the close of the connection
+   * @param last whether the response announced the close of the connection
    */
   public void responseWritten(C connection, boolean last) {
     Entry entry = entries.get(connection);
@@ -165,7 +165,7 @@
     }
   }
 
-  /** Records that a connection is being closed for another reason. */
+  /** Records that the frontend closes a connection for a reason of its own. */
   public void halfClosed(C connection) {
     Entry entry = entries.get(connection);
     if (entry != null) {
--- a/src/main/java/dunlinhitch/frontend/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -67,12 +67,12 @@
 
   private final Supplier<Settings> settings;
 
-  /** Creates a reader that uses the settings in force at each query. */
+  /** Creates a reader that gets the current settings from the supplier for each query. */
   public QueryReader(Supplier<Settings> settings) {
     this.settings = settings;
   }
 
-  /** Returns the class with this name in the settings in force, or null. */
+  /** Returns the class with this name in the current settings, or null. */
   public QueryClass classOf(String name) {
     return settings.get().classes().stream()
         .filter(queryClass -> queryClass.name().equals(name))
--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -201,8 +201,8 @@
   }
 
   /**
-   * State of a call on the event loop: its exchange, or that its client disconnected before it was
-   * opened.
+   * State of a call: the number of its exchange, 0 until the exchange is opened, and whether the
+   * client has disconnected. Used on the event loop only.
    */
   private static final class Call {
     private long exchange;
--- a/src/main/java/dunlinhitch/frontend/http/BodyReader.java
+++ b/src/main/java/dunlinhitch/frontend/http/BodyReader.java
@@ -28,8 +28,8 @@
   }
 
   /**
-   * Starts to read. Neither callback is called if the client disconnects before the end of the
-   * body.
+   * Starts to read the body. Neither callback is called if the client disconnects before the end of
+   * the body.
    *
    * @param onBody receives the complete body
    * @param onTooLarge called once, as soon as the body is known to exceed the bound
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -46,7 +46,7 @@
   private static final long LINGER_US = 1_000_000;
   private static final long US_PER_MS = 1000;
 
-  /** How long a request may be in transit that was sent while its connection was closed. */
+  /** Maximum transit time of a request that the client has sent before it reads the close. */
   static final long REQUEST_TRANSIT_US = 150_000;
 
   /** Shutdown actions that the frontend implements. */
@@ -83,13 +83,18 @@
     private long stageSinceUs;
     private boolean firstRequest = true;
 
-    /** The last request that was read, while it has no response yet. */
+    /** The last request that was read; null once its response is written. */
     private HttpServerRequest request;
 
-    /** Called on disconnect for the last query; has no effect once the query is completed. */
+    /**
+     * Called when the client disconnects, for its last query; has no effect once that query is
+     * completed.
+     */
     private Runnable onDisconnect = () -> {};
 
-    /** The next response is the last, because the client sent too much. */
+    /**
+     * The next response is the last, because the client exceeded the bound of {@link ReadAhead}.
+     */
     private boolean flooded;
 
     /** The next response is the last, because no other connection could be evicted for this one. */
@@ -213,15 +218,15 @@
   /**
    * Handles the head of a request.
    *
-   * @return false if it follows the last response and must be ignored
+   * @return false if the connection closes with an earlier response and the request must be ignored
    */
   boolean headReceived(HttpServerRequest request) {
     ClientConnection client = connections.get(request.connection());
     if (client == null || client.closing) {
       return false;
     }
-    if (client.request
-        != null) { // pipelined: read while the response to the previous request was ended
+    // a pipelined request: Vert.x reads it while the previous response is being ended
+    if (client.request != null) {
       shutdown.responseWritten(client, false);
     }
     shutdown.requestStarted(client);
@@ -350,7 +355,10 @@
     shutdown.listenerClosed(clock.getAsLong());
   }
 
-  /** Records that the client sent too much after a request: its next response is the last. */
+  /**
+   * Records that the client exceeded the bound of {@link ReadAhead}: its connection closes with the
+   * next response.
+   */
   void flooded(HttpConnection connection) {
     ClientConnection client = connections.get(connection);
     if (client != null) {
--- a/src/main/java/dunlinhitch/frontend/http/ClientListener.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientListener.java
@@ -22,15 +22,15 @@
 import java.util.function.Supplier;
 
 /**
- * The socket that clients connect to, provided to Vert.x as its transport. Because it accepts
- * connections on a separate thread, it counts open connections and pauses at a bound: an event loop
- * that lags does not close connections, and a process without free file descriptors also loses its
- * other functions.
+ * The socket that clients connect to, provided to Vert.x as its transport. Connections are accepted
+ * on a separate thread, which continues even while the event loop lags and closes no connections.
+ * The listener therefore counts open connections and pauses at a bound, so that clients cannot
+ * exhaust the file descriptors that the rest of the process needs.
  *
- * <p>The socket may be inherited, and another process of a hot restart may accept from it too. Such
- * a socket is never bound, shut down or closed here: the other process continues to use it, and
- * closing the inherited channel would make the JDK close the descriptors that the log is written
- * to.
+ * <p>The socket may be inherited, and another process of a hot restart may accept from it too. An
+ * inherited socket is never bound, shut down or closed by this class: the other process continues
+ * to use it, and closing the inherited channel would make the JDK close the descriptors that the
+ * log is written to.
  */
 public final class ClientListener extends NioTransport implements Transport {
   private static final long RETRY_ACCEPT_MS = 5;
@@ -40,7 +40,7 @@
    */
   private static final int MAX_FAILURES_AT_CLOSE = 64;
 
-  /** Accepts the next queued connection; null if there is none. */
+  /** Accepts the next queued connection; returns null if the queue is empty. */
   interface Acceptor {
     SocketChannel accept(ServerSocketChannel listener) throws IOException;
   }
@@ -92,7 +92,7 @@
   }
 
   /**
-   * Makes the server that {@code listen} starts use this listener.
+   * Runs {@code listen} and makes the server that it starts accept from this listener.
    *
    * @param maxConnections number of open connections at which accepting pauses
    */
@@ -182,7 +182,7 @@
     private int failureCount;
 
     AcceptingChannel() {
-      // bound like any other channel
+      // the channel is bound by doBind
     }
 
     AcceptingChannel(ServerSocketChannel inheritedChannel) {
@@ -199,8 +199,8 @@
       try {
         socket = acceptor.accept(javaChannel());
       } catch (IOException e) {
-        // the client has left the queue, or the system is short of descriptors or memory: the
-        // listener itself still works, and Netty would pause it for a second
+        // the queued client has disconnected, or the system is short of descriptors or memory; the
+        // listener itself still works, so the pause is shorter than Netty's pause of one second
         failureCount++;
         pause();
         return 0;
--- a/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/http/HttpFrontend.java
@@ -181,7 +181,7 @@
     return shutdownComplete.future();
   }
 
-  /** Shutdown actions that go beyond a single connection, and refusals. */
+  /** Executes the shutdown actions that concern the listener, the server or a response. */
   private final class ShutdownHost implements ClientConnections.Host {
     @Override
     public void refuse(HttpServerRequest request) {
@@ -256,8 +256,8 @@
   }
 
   /**
-   * Closes the connection if the body was not completely received, because the rest of it may be
-   * long.
+   * Responds to an invalid request. Closes the connection if the body was not completely received,
+   * because the rest of the body may be long.
    */
   private void respondBadRequest(HttpServerRequest request, int status, String reason) {
     events.accept(new Event.ConditionCounted(Counter.BAD_REQUESTS));
--- a/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
+++ b/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
@@ -16,12 +16,12 @@
 import java.util.function.LongSupplier;
 
 /**
- * The first handler of a client's channel, next to the socket. Turns every close by the broker into
- * a lingering close: pending writes are sent, the output is shut down, and bytes that still arrive
- * are read and discarded until the client closes or a bound is reached. A close with unread bytes
- * would reset the connection and could discard the response before the client has read it. Bytes
- * that arrive after a close must not reach the decoder. If the client closes the connection, Netty
- * closes it at once.
+ * The first handler of a client's channel, next to the socket. Converts every close by the broker
+ * into a lingering close: pending writes are sent, the output is shut down, and bytes that still
+ * arrive are read and discarded until the client closes or a bound is reached. A close with unread
+ * bytes would reset the connection and could discard the response before the client has read it.
+ * Bytes that arrive after a close must not reach the decoder. If the client closes the connection,
+ * Netty closes it at once.
  *
  * <p>Used on the channel's event loop only.
  */
@@ -44,7 +44,7 @@
     /** Called when bytes were received, before they are passed on. */
     void bytesReceived();
 
-    /** Called when the broker closes the connection. */
+    /** Called when the broker starts to close the connection. */
     void halfClosing();
 
     /** Called when the socket is closed, by either side. */
@@ -85,11 +85,11 @@
     context = ctx;
     ctx.channel()
         .closeFuture()
-        .addListener(closed -> listener.closed()); // before channelInactive, which is a later task
+        .addListener(closed -> listener.closed()); // runs before the channelInactive task
   }
 
   /**
-   * Returns since when pending writes have made no progress, in microseconds; {@link
+   * Returns the time since which pending writes have made no progress, in microseconds; {@link
    * Long#MAX_VALUE} if no write is pending.
    */
   long writeStalledSinceUs() {
@@ -105,8 +105,8 @@
   }
 
   /**
-   * Refuses a request whose head is incomplete and closes the connection. Bypasses the encoder,
-   * which has no response in progress in this state.
+   * Refuses a request whose head is incomplete and closes the connection. The refusal bypasses the
+   * encoder, which is safe because no response is in progress in this state.
    */
   @SuppressWarnings(
       "FutureReturnValueIgnored") // a failed write is covered by the close that follows
@@ -188,7 +188,7 @@
     if (!closing) {
       ctx.fireChannelReadComplete();
     } else if (ctx.channel().isActive()) {
-      ctx.read(); // even if Vert.x has paused reading
+      ctx.read(); // discards input even if Vert.x has paused reading
     }
   }
 
--- a/src/main/java/dunlinhitch/frontend/http/ReadAhead.java
+++ b/src/main/java/dunlinhitch/frontend/http/ReadAhead.java
@@ -12,10 +12,10 @@
 import java.util.Deque;
 
 /**
- * Continues to read while Vert.x has paused reading. Vert.x pauses for a client whose request waits
- * for its response, and so would not detect a disconnect behind pipelined bytes. Bytes that are
- * received meanwhile are buffered up to a bound; above it they are discarded, and the next response
- * closes the connection.
+ * Continues to read while Vert.x has paused reading. Vert.x pauses while a request waits for its
+ * response, and would therefore not detect that the client disconnects after pipelined bytes. Bytes
+ * that are received during the pause are buffered up to a bound. Above the bound they are
+ * discarded, and the next response closes the connection.
  *
  * <p>Used on the channel's event loop only.
  */
@@ -23,7 +23,7 @@
   private static final String HANDLER_NAME = "readAhead";
   private static final int MAX_BUFFERED_BYTES = 64 * 1024;
 
-  /** Maximum number of reads in one turn of the event loop; Netty's default. */
+  /** Maximum number of reads in one iteration of the event loop; Netty's default. */
   private static final int MAX_READS = 16;
 
   private final Deque<Object> buffered = new ArrayDeque<>();
@@ -45,8 +45,8 @@
         ((HttpServerConnection) connection).channelHandlerContext().pipeline();
     ReadAhead handler = new ReadAhead(onFlooded);
     pipeline.addFirst(HANDLER_NAME, handler);
-    // a read that does not fill its buffer must not end the turn: a client's disconnect may follow
-    // its request, and must be read before the request is handled
+    // a read that does not fill its buffer must not end the read loop: a client's disconnect may
+    // follow its request, and must be read before the request is handled
     pipeline
         .channel()
         .config()
--- a/src/test/java/dunlinhitch/frontend/GracefulShutdownTest.java
+++ b/src/test/java/dunlinhitch/frontend/GracefulShutdownTest.java
@@ -59,7 +59,7 @@
       Bytes bytes = client.unread;
       client.unread = Bytes.NONE;
       if (bytes == Bytes.NONE || client.halfClosed) {
-        return; // discarded
+        return; // bytes after the half-close are discarded
       }
       shutdown.requestStarted(client);
       client.read = bytes;
@@ -131,7 +131,7 @@
 
   /**
    * In any order of events from clients, the event loop, the shutdown and the clock, the checks of
-   * the frontend pass and the shutdown is complete by its deadline.
+   * the simulated frontend pass and the shutdown is complete by its deadline.
    */
   @Test
   void randomOrdersOfEventsKeepTheInvariants() {
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Guards against a process without file descriptors: connections are accepted on a separate
-   * thread, even while the event loop that closes excess connections is blocked.
+   * Guards against the exhaustion of file descriptors: a separate thread accepts connections even
+   * while the event loop, which closes excess connections, is blocked.
    */
   @Test
   void acceptsNoMoreThanTheBoundWhileLoopIsBlocked() throws Exception {
@@ -133,7 +133,7 @@
   }
 
   /**
-   * A repeated tenant header is valid only with equal values; a header with the size of a body is
+   * A repeated tenant header is valid only with equal values; a header of 60,000 characters is
    * rejected.
    */
   @Test
@@ -226,7 +226,7 @@
     }
   }
 
-  /** Connections that send nothing are evicted for one with a query. */
+  /** Connections that send nothing are evicted to make room for one with a query. */
   @Test
   void silentConnectionsAreEvictedForAQuery() throws IOException {
     List<Socket> silent = new ArrayList<>();
@@ -282,7 +282,8 @@
                     + Client.body(1).getBytes(StandardCharsets.UTF_8).length
                     + "\r\n",
                 Client.body(1))));
-    while (fixture.counter("bad_requests") < 8) { // counted in the turn after the response
+    // the reducer counts a request in a turn after its response
+    while (fixture.counter("bad_requests") < 8) {
       Thread.onSpinWait();
     }
     assertEquals(0, fixture.counter("queries_taken"));
@@ -317,7 +318,8 @@
             .write("GET /health/live HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.UTF_8));
         assertTrue(in.readLine().contains("200"));
         while (!in.readLine().equals("live")) {
-          assertTrue(!ended.isDone(), "connections are still served");
+          assertTrue(
+              !ended.isDone(), "the shutdown must not complete while connections are served");
         }
       }
       while (in.readLine() != null) {
@@ -366,7 +368,7 @@
     }
   }
 
-  /** An incomplete head, an incomplete body and silence do not delay the shutdown. */
+  /** An incomplete head, an incomplete body and a silent connection do not delay the shutdown. */
   @Test
   void incompleteRequestIsRefusedAtShutdownWithoutDelay() throws Exception {
     List<Socket> sockets = new ArrayList<>();
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -38,7 +38,7 @@
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
   private final Exchanges exchanges = new Exchanges(events::add);
 
-  /** Number of calls of accept that still fail. */
+  /** Remaining number of accept calls that will fail. */
   private final AtomicInteger failingAccepts = new AtomicInteger();
 
   private Vertx vertx;
@@ -129,7 +129,10 @@
     void run() throws Exception;
   }
 
-  /** Runs {@code client} while the event loop is blocked, then {@code loop} before it reads. */
+  /**
+   * Runs {@code client} while the event loop is blocked, then {@code loop} before the event loop
+   * reads.
+   */
   private void whileLoopIsBlocked(Action client, long advanceUs, Action loop) throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
     CountDownLatch done = new CountDownLatch(1);
@@ -194,7 +197,10 @@
     }
   }
 
-  /** Such a client would occupy its connection and the memory of its response forever. */
+  /**
+   * A client that never reads would otherwise occupy its connection and the memory of its response
+   * forever.
+   */
   @Test
   void clientThatNeverReadsResponseIsDisconnected() throws Exception {
     String large = "x".repeat(32 << 20);
@@ -219,7 +225,7 @@
             n = socket.getInputStream().read(buffer)) {
           received += n;
         }
-      } catch (java.net.SocketException reset) { // also accepted
+      } catch (java.net.SocketException reset) { // a reset is also accepted
       }
       assertTrue(received < large.length(), "the complete response was still buffered");
     }
@@ -412,7 +418,7 @@
   /** Temporary failures of accept must not delay waiting clients by seconds. */
   @Test
   void failuresOfAcceptAreRetriedWithinMilliseconds() throws Exception {
-    failingAccepts.set(20); // Netty itself would pause for one second after each
+    failingAccepts.set(20); // Netty itself would pause for one second after each failure
     try (Socket socket = connect()) {
       write(socket, post("a"));
       assertTrue(events.poll(5, TimeUnit.SECONDS) instanceof Event.QueryReceived);
--- a/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
@@ -16,11 +16,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** When an event loop parks instead of polling its selector. */
+/** Conditions under which an event loop parks instead of polling its selector. */
 class ParkingSelectStrategyTest {
   private static final int TIMERS = 50;
 
-  /** Five pauses and a few short rounds before each; a polling loop takes hundreds of rounds. */
+  /**
+   * A timer takes five pauses with a few short rounds before each; a polling loop takes hundreds of
+   * rounds.
+   */
   private static final int MAX_ROUNDS_PER_TIMER = 16;
 
   private long nowNs;
