--- a/src/main/java/dunlinhitch/server/AdminInterface.java
+++ b/src/main/java/dunlinhitch/server/AdminInterface.java
@@ -26,7 +26,10 @@
   private final Config config;
   private final Consumer<String> log;
 
-  /** Null without an address; effects for operators result only from calls to this server. */
+  /**
+   * Null if the configuration has no admin address; effects that reply to operators occur only
+   * after calls to this server.
+   */
   private final AdminServer server;
 
   private final DisabledEndpointFolder disabledEndpoints;
@@ -57,9 +60,10 @@
   }
 
   /**
-   * Reads and follows the disabled endpoints; the result is whether another process of this broker
-   * has used the folder before. An unusable folder does not fail the start; operators' calls that
-   * cannot be persisted are answered with that error.
+   * Reads the disabled endpoints, and follows changes by other processes if {@code shared} is set;
+   * the result is whether another process of this broker has used the folder before. An unusable
+   * folder does not fail the start, but operators' calls then fail because their change cannot be
+   * persisted.
    */
   Future<Boolean> restoreDisabledEndpoints(boolean shared) {
     return disabledEndpoints
--- a/src/main/java/dunlinhitch/server/Broker.java
+++ b/src/main/java/dunlinhitch/server/Broker.java
@@ -21,8 +21,8 @@
  */
 public final class Broker {
   /**
-   * How long a new process assumes that its predecessor is running if that one is of a release
-   * without process locks, so that its end cannot be detected.
+   * How long a new process assumes that its predecessor is still running if the end of the
+   * predecessor cannot be detected, because its release has no process locks.
    */
   private static final long UNDETECTED_OVERLAP_US = 6_000_000;
 
@@ -48,8 +48,8 @@
   private final ConfigurationReloader configurationReloader;
 
   /**
-   * Null unless the product's settings file has a {@code [fleet]} section, so that its classes stay
-   * unloaded.
+   * Null unless the product's settings file has a {@code [fleet]} section, so that the classes for
+   * gossip are not loaded.
    */
   private final ClusterGossip clusterGossip;
 
@@ -212,8 +212,8 @@
   }
 
   /**
-   * Logs and counts a fault; queries that it left open end by their own deadlines. Runs on any
-   * thread.
+   * Logs and counts a fault; queries that the fault left open end by their own deadlines. Runs on
+   * any thread.
    */
   private void reportFault(Throwable fault) {
     StackTraceElement[] trace = fault.getStackTrace();
@@ -228,12 +228,12 @@
   /**
    * Shuts down gracefully; the result completes when the shutdown has ended.
    *
-   * <p>The broker serves connected clients as before until half of the longest query deadline
-   * before its end: the other brokers may be restarting too, and the next process does not start
-   * earlier if this one leaves early. After that each response closes its connection, and the
-   * broker ends once nothing is in flight. If another process accepts from the same socket,
-   * responses close their connections from the start. A broker that does not listen yet ends at
-   * once.
+   * <p>At first the broker continues to serve connected clients: the other brokers may be
+   * restarting too, and the next process does not start earlier if this one ends early. When the
+   * time left is half of the longest query deadline, the broker starts to close each connection
+   * with its next response, and it ends once nothing is in flight. If another process accepts from
+   * the same socket, responses close their connections from the start. A broker that does not
+   * listen yet ends at once.
    */
   public Future<Void> stop() {
     readiness.onStopping();
@@ -263,7 +263,7 @@
   }
 
   /**
-   * Shuts down at once, which requires that no client can be sending a request; the result
+   * Shuts down without a grace period; call only if no client can be sending a request. The result
    * completes when the shutdown has ended.
    */
   public Future<Void> close() {
--- a/src/main/java/dunlinhitch/server/BrokerRuntime.java
+++ b/src/main/java/dunlinhitch/server/BrokerRuntime.java
@@ -13,7 +13,7 @@
  * @param context the event loop on which the broker runs
  * @param config the configuration that the broker was started with
  * @param clock monotonic clock in microseconds
- * @param log receives one line at a time for the operators
+ * @param log receives the log lines for operators, one per call
  */
 record BrokerRuntime(
     Vertx vertx, Context context, Config config, MicroClock clock, Consumer<String> log) {}
--- a/src/main/java/dunlinhitch/server/ClusterGossip.java
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -31,8 +31,8 @@
  */
 final class ClusterGossip {
   /**
-   * The timeout of an ack is the protocol period divided by this; after it other members send
-   * indirect probes.
+   * The timeout of an ack is the protocol period divided by this. After the timeout, other members
+   * are asked to send indirect probes.
    */
   private static final int ACK_TIMEOUT_DIVISOR = 3;
 
@@ -97,9 +97,9 @@
   }
 
   /**
-   * Returns the addresses of the members. If the platform's configuration lists them, only those
-   * are members. This broker is added under its own address, whatever address others use for it:
-   * otherwise it would treat itself as a different member with the same name.
+   * Returns the addresses of the members. If the platform's configuration lists peers, only these
+   * and this broker are members. This broker is added under its own address, whatever address
+   * others use for it: otherwise it would treat itself as a different member with the same name.
    */
   static AddressBook addressBook(Product.Cluster cluster, GossipAddresses platform, String self) {
     boolean platformListens = platform != null && platform.listen() != null;
--- a/src/main/java/dunlinhitch/server/ConfigurationReloader.java
+++ b/src/main/java/dunlinhitch/server/ConfigurationReloader.java
@@ -38,7 +38,7 @@
     this.reader = reader;
   }
 
-  /** Reads and applies the configuration; if reading fails, the current one stays in force. */
+  /** Reads and applies the configuration; if reading fails, the current configuration is kept. */
   void reload(Supplier<Config> configurationReader) {
     read(configurationReader)
         .onComplete(
--- a/src/main/java/dunlinhitch/server/DescriptorBudget.java
+++ b/src/main/java/dunlinhitch/server/DescriptorBudget.java
@@ -5,8 +5,8 @@
  * exhaust those that backends, discovery and operators need.
  *
  * <p>Two processes of one broker overlap during a hot restart and their descriptors are counted
- * together. The old process is informed of the new one only when it is asked to stop, so each uses
- * the smaller shares from its start.
+ * together. The old process is notified of the new one only when it is asked to stop, so each
+ * process uses the smaller shares from its start.
  *
  * @param descriptors descriptors that the process may hold
  * @param shared whether another process may accept clients from the same listening socket
@@ -14,7 +14,7 @@
 record DescriptorBudget(int descriptors, boolean shared) {
   private static final int TWELFTHS = 12;
 
-  /** Share of clients, including connections that the event loop has yet to close. */
+  /** Share of clients in twelfths, including connections that the event loop has yet to close. */
   private static final int CLIENT_TWELFTHS = 7;
 
   private static final int SHARED_CLIENT_TWELFTHS = 4;
@@ -31,8 +31,8 @@
   private static final int MINIMUM_CLIENT_DIVISOR = 4;
 
   /**
-   * One in this many accepted connections is reserved for those that are lingering or about to be
-   * closed by the event loop.
+   * One in this many client connections is reserved for connections that linger or that the event
+   * loop has yet to close.
    */
   private static final int CLOSING_DIVISOR = 7;
 
--- a/src/main/java/dunlinhitch/server/DnsSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -172,11 +172,11 @@
         events.accept(new Event.SourceUpdated(source.name(), false, claims));
         log.accept(
             source.name()
-                + ": "
+                + ": using "
                 + claims.size()
                 + " claims from the state saved "
                 + Math.max(0, (nowUs - saved.savedUs()) / MICROS_PER_SECOND)
-                + " s ago are used until the source answers");
+                + " s ago until the source answers");
       }
     }
   }
--- a/src/main/java/dunlinhitch/server/EndpointSources.java
+++ b/src/main/java/dunlinhitch/server/EndpointSources.java
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Compares by identity: an absent file is the instance {@link Product#NONE}, and one that was
-   * read may be equal to it.
+   * Returns whether the product's settings file exists. Compares by identity: an absent file is
+   * represented by {@link Product#NONE}, and the content of an existing file may be equal to it.
    */
   @SuppressWarnings("ReferenceEquality")
   private static boolean hasProductFile(Config config) {
--- a/src/main/java/dunlinhitch/server/OverlapMonitor.java
+++ b/src/main/java/dunlinhitch/server/OverlapMonitor.java
@@ -9,8 +9,9 @@
 
 /**
  * Watches whether another process of this broker is running, as in a hot restart, and reports the
- * start and the end of such an overlap. Shared budgets are halved between the two processes until
- * the other is known to have ended; that its shutdown deadline has passed does not prove that.
+ * start and the end of such an overlap. Each process uses half of the shared budgets until the
+ * other has provably ended; the other's shutdown deadline is no proof, because a process may run
+ * longer.
  *
  * <p>Not thread-safe; used on the event loop.
  */
@@ -61,7 +62,7 @@
             });
   }
 
-  /** Stops watching; the last reported state stays in force. */
+  /** Stops watching; the last reported state remains valid. */
   void stop() {
     if (timer != NO_TIMER) {
       vertx.cancelTimer(timer);
@@ -91,7 +92,7 @@
               polling = false;
               if (counted.succeeded() && timer != NO_TIMER) {
                 onCounted(counted.result());
-              } // otherwise the last known state stays in force
+              } // if counting fails, the last known state is kept
             });
   }
 
--- a/src/main/java/dunlinhitch/server/ReducerFactory.java
+++ b/src/main/java/dunlinhitch/server/ReducerFactory.java
@@ -17,7 +17,7 @@
    * Creates a reducer.
    *
    * @param identity this broker's identity in its cluster, or null if it belongs to none
-   * @param startUs earliest time of the first turn, in microseconds
+   * @param startUs earliest time of the reducer's first turn, in microseconds
    */
   static Reducer create(Config config, ClusterIdentity identity, long startUs) {
     return new Reducer(
--- a/src/main/java/dunlinhitch/server/ReducerLoop.java
+++ b/src/main/java/dunlinhitch/server/ReducerLoop.java
@@ -33,9 +33,9 @@
   private long nextTurnUs = Long.MAX_VALUE;
 
   /**
-   * When the next turn was requested, or is due if that is later. If the turn begins after that,
-   * the event loop was busy or had no processor time meanwhile, and events may have been waiting
-   * since then.
+   * The time at which the next turn was requested or is due, whichever is later. If the turn begins
+   * after this time, the event loop was busy or had no processor time, and events may have been
+   * waiting since this time.
    */
   private long turnRequestedUs;
 
@@ -127,7 +127,7 @@
       return;
     }
     if (effect instanceof Effect.ShutdownCompleted) {
-      // Turns still run for events, because a frontend may read until it is closed.
+      // Turns still run for events, because a frontend may read requests until it is closed.
       shutdownCompleted = true;
     }
     try {
--- a/src/main/java/dunlinhitch/server/WarmUpBackend.java
+++ b/src/main/java/dunlinhitch/server/WarmUpBackend.java
@@ -12,8 +12,8 @@
 
 /**
  * Emulates, on one port, the discovery service and all backends of a warm-up: an HTTP connection
- * gets the endpoint list, a connection with frames gets a reply to each part of each call. Runs on
- * the event loop.
+ * receives the endpoint list, and a connection that sends frames receives a reply to each part of
+ * each call. Runs on the event loop.
  */
 final class WarmUpBackend {
   /** Number of replicas per cell: more than one, so that the balancer has a choice. */
--- a/src/test/java/dunlinhitch/server/AdminTest.java
+++ b/src/test/java/dunlinhitch/server/AdminTest.java
@@ -64,7 +64,7 @@
         .orElseThrow();
   }
 
-  /** The metrics are those of the reducer, not of a frontend. */
+  /** Requests over both client protocols are counted in the same metrics. */
   @Test
   void countsRequestsOfBothProtocolsInTheSameMetrics() throws Exception {
     FrameStore frames = new FrameStore(fixture.vertx, "f");
@@ -235,8 +235,8 @@
     assertEquals(404, status(call("GET /nothing")));
     assertEquals(405, status(call("POST /ready")));
     assertEquals(405, status(call("DELETE /metrics")));
-    String answer =
-        call("GET /ready"); // the watch was answered before the broker listened for clients
+    // a valid request, whether or not the broker is ready yet
+    String answer = call("GET /ready");
     assertTrue(answer.toLowerCase(Locale.ROOT).contains("connection: close"), answer);
   }
 
--- a/src/test/java/dunlinhitch/server/CancellationInTransitTest.java
+++ b/src/test/java/dunlinhitch/server/CancellationInTransitTest.java
@@ -33,7 +33,8 @@
   private static final int OTHER_QUERIES = 20;
 
   /**
-   * Allows one attempt at a time; the time limit of an attempt is before the first liveness check.
+   * Allows one attempt at a time; the time limit of an attempt passes before the first liveness
+   * check is sent.
    */
   private static final String SETTINGS =
       """
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -77,7 +77,7 @@
     }
     assertNull(
         read("\"peers\":[],\"peer_listen\":null,", "").gossipAddresses(),
-        "a platform without gossip between brokers");
+        "no gossip addresses are configured");
     assertNull(
         read(LISTEN + "\"peers\":{\"n1\":\"10.0.0.1:7400\"},", "").product().cluster(),
         "the addresses alone must not enable gossip");
@@ -219,7 +219,7 @@
       assertEquals(256, clusterGossip.identity().settings().membership().maxMessageBytes());
       assertFalse(
           clusterGossip.identity().settings().membership().addresses(),
-          "others may use other addresses");
+          "messages must not contain addresses, because each broker may use others");
       List<Member> peers = membersWithLongNames(12);
       await(clusterGossip.listen(event -> {}));
       clusterGossip.send(
--- a/src/test/java/dunlinhitch/server/DepartedClientTest.java
+++ b/src/test/java/dunlinhitch/server/DepartedClientTest.java
@@ -75,8 +75,8 @@
   }
 
   /**
-   * Settings with deadlines long enough for the system to retry a connection, which it does only
-   * after seconds.
+   * Settings with deadlines long enough for the operating system to retry an unanswered connection
+   * request, which takes seconds.
    */
   private static Settings longDeadlines(boolean mayCancel) {
     Settings settings = BrokerFixture.settings(300);
--- a/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
+++ b/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
@@ -207,7 +207,7 @@
     start(false, 100_000);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> responder.queries.stream().anyMatch(q -> q.type() == Type.SOA));
-    zone.remove(pointer(firstStore)); // its records are valid for 120 s, but the serial has changed
+    zone.remove(pointer(firstStore)); // its TTL is 120 s, but the zone serial changes
     await(() -> fixture.counter("members_withdrawn") == 1);
   }
 
@@ -231,14 +231,14 @@
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     responder.script = q -> q.type() == Type.SOA ? Fault.NONE : fault;
     responder.queries.clear();
-    zone.empty(); // no valid answer reports it yet
+    zone.empty(); // no valid answer reports the empty zone yet
     await(() -> responder.queries.stream().filter(q -> q.type() == Type.PTR).count() >= 2);
     firstStore.receivedParts.clear();
     secondStore.receivedParts.clear();
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     assertEquals(4, firstStore.receivedParts.size() + secondStore.receivedParts.size());
     assertEquals(0, fixture.counter("members_withdrawn"));
-    responder.script = q -> Fault.NONE; // now the empty zone is answered with authority
+    responder.script = q -> Fault.NONE; // from now on valid answers report the empty zone
     await(() -> fixture.counter("members_withdrawn") == 2);
   }
 
--- a/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
+++ b/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
@@ -68,7 +68,8 @@
     Process other = startOther();
     assertTrue(get(monitor().start()));
     assertEquals(BEGUN, events.poll(5, TimeUnit.SECONDS));
-    other.destroyForcibly().waitFor(10, TimeUnit.SECONDS); // a killed process releases nothing
+    // a killed process cannot release its lock itself
+    other.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
     assertEquals(new Event.OverlapStarted(NOW_US), events.poll(5, TimeUnit.SECONDS));
     try (var files = Files.list(folder)) {
       assertEquals(1, files.count(), "the file of the killed process was not removed");
--- a/src/test/java/dunlinhitch/server/ReducerLoopTest.java
+++ b/src/test/java/dunlinhitch/server/ReducerLoopTest.java
@@ -21,7 +21,7 @@
 
 /** Turns of the reducer on an event loop. */
 class ReducerLoopTest {
-  /** A response that cannot be written must not stop those to other clients. */
+  /** A response that cannot be written must not prevent the responses to other clients. */
   @Test
   void faultInAHandlerDoesNotStopTheOtherEffects() throws Exception {
     Vertx vertx = Vertx.vertx();
@@ -91,9 +91,8 @@
       assertTrue(effect != null, "shutdown does not complete");
       effect = effects.poll(5, TimeUnit.SECONDS);
     }
-    for (long exchange = 1;
-        exchange <= 3;
-        exchange++) { // a turn that was already due may still take the first one
+    // a turn that was already due may still accept the first query
+    for (long exchange = 1; exchange <= 3; exchange++) {
       Event late =
           new Event.QueryReceived(
               exchange,
--- a/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
+++ b/src/test/java/dunlinhitch/server/RulesOnBothPathsTest.java
@@ -268,7 +268,8 @@
     Response response = wait(ask("slot-booking", 2));
     long elapsedMs = (System.nanoTime() - from) / 1_000_000;
     assertEquals("late", response.outcome());
-    assertTrue(elapsedMs >= 800 && elapsedMs < 1_500, "after ms: " + elapsedMs);
+    assertTrue(
+        elapsedMs >= 800 && elapsedMs < 1_500, "elapsed ms, expected 800 to 1500: " + elapsedMs);
   }
 
   @ParameterizedTest
--- a/src/test/java/dunlinhitch/server/StartTest.java
+++ b/src/test/java/dunlinhitch/server/StartTest.java
@@ -70,12 +70,13 @@
           v -> {
             fixture.broker = new Broker(fixture.vertx, context, config, line -> {});
             if (started) {
-              // tasks of one context run in order: the folder is read after the stop
+              // blocking tasks of a context run in order, so this one delays the reading of the
+              // folder until the stop is requested
               fixture.vertx.executeBlocking(() -> stopRequested.await(10, TimeUnit.SECONDS));
               starts.run(); // first reads the shared folder, off the event loop
             }
-            fixture.vertx.setTimer(GRACE_MS, t -> first.complete("the grace"));
-            fixture.broker.stop().onComplete(done -> first.complete("the end"));
+            fixture.vertx.setTimer(GRACE_MS, t -> first.complete("grace period elapsed"));
+            fixture.broker.stop().onComplete(done -> first.complete("broker ended"));
             stopRequested.countDown();
             if (!started) {
               starts.run();
@@ -83,7 +84,7 @@
           });
       assertEquals(
           "broker was asked to stop before it started to listen", start.get(10, TimeUnit.SECONDS));
-      assertEquals("the end", first.get(10, TimeUnit.SECONDS));
+      assertEquals("broker ended", first.get(10, TimeUnit.SECONDS));
     } finally {
       fixture.close();
     }
--- a/src/test/java/dunlinhitch/server/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -139,7 +139,8 @@
     Response response = ask(0, 1, 2, 3);
     long elapsedMs = (System.nanoTime() - from) / 1_000_000;
     assertEquals("whole", response.outcome());
-    assertTrue(elapsedMs >= 250 && elapsedMs < 1_000, "after ms: " + elapsedMs);
+    assertTrue(
+        elapsedMs >= 250 && elapsedMs < 1_000, "elapsed ms, expected 250 to 1000: " + elapsedMs);
     assertEquals(2, secondPassParts());
     assertEquals(1, fixture.counter("first_passes_late"));
     assertTrue(
@@ -277,10 +278,10 @@
             new FirstAnswer(
                 part.shard() == 2 ? 5 : 0,
                 "v1",
-                NONE)); // restarted with other data but the same version
+                NONE)); // the store has restarted with other data but the same version
     Response response = ask(0, 2, 4);
     assertTrue(response.parts().get(2).startsWith("s-"), response.toString());
-    answerFirstPasses(part -> new FirstAnswer(0, "v2", NONE)); // the block is emptied by a booking
+    answerFirstPasses(part -> new FirstAnswer(0, "v2", NONE)); // a booking has emptied the block
     assertEquals(NONE, ask(0, 2, 4).parts().get(0));
   }
 
