--- a/src/main/java/dunlinhitch/admin/AdminServer.java
+++ b/src/main/java/dunlinhitch/admin/AdminServer.java
@@ -115,7 +115,7 @@
       closeOldestConnection();
     }
     acceptedUs.put(connection, clock.getAsLong());
-    // an exception is followed by the close, which is handled
+    // the close handler runs after any exception
     connection.exceptionHandler(ignored -> {});
     connection.closeHandler(closed -> acceptedUs.remove(connection));
   }
--- a/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
+++ b/src/main/java/dunlinhitch/admin/DisabledEndpointFolder.java
@@ -42,10 +42,10 @@
   private boolean polling;
 
   /**
-   * Creates a store that has not read its folder yet.
+   * Creates an instance; {@link #start} reads the folder.
    *
    * @param vertx runs the file operations
-   * @param folder the folder, or null to store nothing beyond this process
+   * @param folder the folder, or null to persist nothing
    * @param listener receives the ids that were disabled and those that were enabled
    */
   public DisabledEndpointFolder(
@@ -149,7 +149,7 @@
     try {
       ids.add(new String(Base64.getUrlDecoder().decode(fileName), StandardCharsets.UTF_8));
     } catch (IllegalArgumentException e) {
-      // not written by a broker: ignored
+      // ignores a file that was not written by a broker
     }
   }
 
