--- a/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Returns the delay, at most the connect timeout: a new connection to a dead host would fail by
-   * then.
+   * Returns the delay. It is at most the connect timeout, after which a new connection to a dead
+   * host would fail as well.
    */
   long delayUs(long connectTimeoutUs) {
     return Math.min(
--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Accepts no new calls and waits, off the event loop, for the open ones. */
+  /** Accepts no new calls and waits, off the event loop, until the open calls have ended. */
   @Override
   public Future<Void> close(long dueUs) {
     return vertx.executeBlocking(
--- a/src/main/java/dunlinhitch/server/DescriptorBudget.java
+++ b/src/main/java/dunlinhitch/server/DescriptorBudget.java
@@ -45,8 +45,8 @@
   }
 
   /**
-   * Returns the maximum number of client connections that are served; further ones are closed once
-   * accepted.
+   * Returns the maximum number of client connections that are served; further connections are
+   * closed as soon as they are accepted.
    */
   int servedConnections() {
     int accepted = clientConnections();
--- a/src/main/java/dunlinhitch/server/DnsSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -26,7 +26,7 @@
 /**
  * DNS service discovery as configured in the product's settings file: a source for each server and
  * service, the last known state on disk, and the registration of this broker in DNS. Created only
- * if there is such a file, so that a broker without it does not load the DNS classes.
+ * if the settings file exists, so that a broker without one does not load the DNS classes.
  *
  * <p>Runs on the event loop; the state is written on a worker thread.
  */
--- a/src/main/java/dunlinhitch/server/ShutdownDeadlines.java
+++ b/src/main/java/dunlinhitch/server/ShutdownDeadlines.java
@@ -6,10 +6,11 @@
 /**
  * The points in time of one graceful shutdown, in microseconds of the broker's clock.
  *
- * @param drainUs from then on each response closes its connection
- * @param shutdownUs from then on the broker ends as soon as nothing is in flight
- * @param lastResponseUs the last response is written by then
- * @param closedUs the frontends are closed by then, even if connections are still open
+ * @param drainUs when the broker starts to close each connection with its next response
+ * @param shutdownUs when the broker stops admitting queries and ends as soon as nothing is in
+ *     flight
+ * @param lastResponseUs when the last response must have been written
+ * @param closedUs when the frontends must be closed, even if connections are still open
  */
 record ShutdownDeadlines(long drainUs, long shutdownUs, long lastResponseUs, long closedUs) {
   /**
--- a/src/main/java/dunlinhitch/server/WarmUp.java
+++ b/src/main/java/dunlinhitch/server/WarmUp.java
@@ -160,8 +160,8 @@
   }
 
   /**
-   * Returns whether to send more queries. Rejected ones do not count: before its code is compiled,
-   * a broker with a fraction of a core answers most queries too late.
+   * Returns whether to send more queries. Rejected queries do not count as answered: until its code
+   * is compiled, a broker with a fraction of a core answers most queries too late.
    */
   private boolean needsMoreQueries() {
     return successfulResponses < requiredResponses && clock.getAsLong() < deadlineUs;
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
@@ -103,10 +103,7 @@
     }
   }
 
-  /**
-   * A call that is queued behind one that the store does not read can still be withdrawn and is
-   * never sent.
-   */
+  /** A call that is queued behind an unread call can still be withdrawn and is then never sent. */
   @Test
   void pendingCallCanBeWithdrawn() throws Exception {
     try (ServerSocket peer = slowPeer()) {
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -302,8 +302,8 @@
   }
 
   /**
-   * During the drain connected clients are served, as the other brokers may be restarting too; then
-   * idle connections are closed while clients can still connect again.
+   * After the stop request connected clients are still served, because the other brokers may be
+   * restarting too. Later, idle connections are closed while clients can still connect again.
    */
   @Test
   void connectionsAreServedDuringDrainAndClosedBeforeListener() throws Exception {
--- a/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
@@ -46,7 +46,7 @@
     for (int i = 0; i < 4; i++) {
       assertEquals(SelectStrategy.SELECT, round(0, false));
     }
-    assertEquals(2, parked.size(), "all rounds except the two that may have done I/O");
+    assertEquals(2, parked.size(), "every round must park except the two that may have done I/O");
   }
 
   @Test
--- a/src/test/java/dunlinhitch/server/AdminTest.java
+++ b/src/test/java/dunlinhitch/server/AdminTest.java
@@ -171,8 +171,8 @@
   }
 
   /**
-   * Processes share the folder: a change at one process also applies at the others, including one
-   * that starts later.
+   * Processes share the folder: a change at one process also applies at the others, including
+   * processes that start later.
    */
   @Test
   void otherProcessesFollowDisabledEndpoints() throws Exception {
--- a/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
+++ b/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against overlapping processes that both use the full budgets: in a hot restart the old
- * process may run longer than any fixed time, while the new one used half of the slow-start budgets
- * for six seconds only.
+ * Guards against overlapping processes that both use the full budgets: the old process of a hot
+ * restart may run longer than any fixed time, but the new process halved its slow-start budgets for
+ * six seconds only.
  */
 class OverlapMonitorTest {
   private static final Event.OverlapStarted BEGUN = new Event.OverlapStarted(Long.MAX_VALUE);
