--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -142,7 +142,7 @@
     }
   }
 
-  /** Accepts no new calls and waits, off the event loop, for the open ones. */
+  /** Accepts no new calls and waits, off the event loop, until the open calls have ended. */
   @Override
   public Future<Void> close(long dueUs) {
     return vertx.executeBlocking(
@@ -202,8 +202,8 @@
   }
 
   /**
-   * State of a call on the event loop: its exchange, or that its client disconnected before it was
-   * opened.
+   * State of a call: the number of its exchange, 0 until the exchange is opened, and whether the
+   * client has disconnected. Used on the event loop only.
    */
   private static final class Call {
     private long exchange;
--- a/src/main/java/dunlinhitch/server/DnsSources.java
+++ b/src/main/java/dunlinhitch/server/DnsSources.java
@@ -26,7 +26,7 @@
 /**
  * DNS service discovery as configured in the product's settings file: a source for each server and
  * service, the last known state on disk, and the registration of this broker in DNS. Created only
- * if there is such a file, so that a broker without it does not load the DNS classes.
+ * if the settings file exists, so that a broker without one does not load the DNS classes.
  *
  * <p>Runs on the event loop; the state is written on a worker thread.
  */
@@ -173,11 +173,11 @@
         events.accept(new Event.SourceUpdated(source.name(), false, claims));
         log.accept(
             source.name()
-                + ": "
+                + ": using "
                 + claims.size()
                 + " claims from the state saved "
                 + Math.max(0, (nowUs - saved.savedUs()) / MICROS_PER_SECOND)
-                + " s ago are used until the source answers");
+                + " s ago until the source answers");
       }
     }
   }
--- a/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
@@ -16,11 +16,14 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** When an event loop parks instead of polling its selector. */
+/** Conditions under which an event loop parks instead of polling its selector. */
 class ParkingSelectStrategyTest {
   private static final int TIMERS = 50;
 
-  /** Five pauses and a few short rounds before each; a polling loop takes hundreds of rounds. */
+  /**
+   * A timer takes five pauses with a few short rounds before each; a polling loop takes hundreds of
+   * rounds.
+   */
   private static final int MAX_ROUNDS_PER_TIMER = 16;
 
   private long nowNs;
@@ -43,7 +46,7 @@
     for (int i = 0; i < 4; i++) {
       assertEquals(SelectStrategy.SELECT, round(0, false));
     }
-    assertEquals(2, parked.size(), "all rounds except the two that may have done I/O");
+    assertEquals(2, parked.size(), "every round must park except the two that may have done I/O");
   }
 
   @Test
