--- a/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
@@ -38,10 +38,11 @@
   /**
    * Maximum numbers of faults and updates in one execution.
    *
-   * @param warmUpSteps steps without faults before the initial state
-   * @param maxDelaySteps steps that a message may be in flight before it is lost
-   * @param maxInFlight number of messages in flight from which on only actions that publish an
-   *     update are enabled
+   * @param warmUpSteps number of steps that run without faults before the exploration begins
+   * @param maxDelaySteps maximum number of steps for which a message stays in flight; a message
+   *     that has not been delivered by then is lost
+   * @param maxInFlight number of messages in flight at which all actions are disabled, except those
+   *     that publish an update
    */
   public record Budget(
       int warmUpSteps,
@@ -65,7 +66,7 @@
     }
   }
 
-  /** A bidirectional link between two brokers, the lower number first. */
+  /** A bidirectional link between two brokers; {@code lower} is the smaller broker number. */
   private record Link(int lower, int higher) implements Comparable<Link> {
     static Link of(int one, int other) {
       return new Link(Math.min(one, other), Math.max(one, other));
@@ -79,7 +80,7 @@
     }
   }
 
-  /** A message in flight, with its digest under each symmetry. */
+  /** A message in flight and its digests, one for each symmetry. */
   @SuppressWarnings("ArrayRecordComponent") // never modified, and compared by identity
   private record InFlightMessage<W>(
       int from, int to, W message, int sentAt, boolean duplicated, Digest[] digests) {}
@@ -88,7 +89,7 @@
    * A global state.
    *
    * @param now logical time in steps
-   * @param downSince the step in which each broker crashed, or -1 while it is up
+   * @param downSince for each broker, the step in which it crashed, or -1 if the broker is up
    */
   public record State<W, V>(
       int now,
@@ -137,7 +138,8 @@
 
   /**
    * Starts all brokers at the same time and runs the warm-up steps without faults. Each broker
-   * receives the messages of the broker with the next number first.
+   * first receives the messages from the broker with the next higher number, modulo the number of
+   * brokers.
    */
   @Override
   public State<W, V> initialState() {
@@ -163,8 +165,8 @@
   }
 
   /**
-   * Delivers all messages in flight, which leaves only the replies in flight. The order of delivery
-   * is symmetric in the broker numbers.
+   * Delivers all messages in flight. Afterwards only the messages that the brokers sent in response
+   * are in flight. The order of delivery is symmetric in the broker numbers.
    */
   private State<W, V> deliverRound(State<W, V> state) {
     List<InFlightMessage<W>> flights = state.inFlight();
@@ -230,7 +232,7 @@
               flight.from(),
               flight.to(),
               flight.duplicated(),
-              flight.digests()[0]))) { // only the first of several equal messages
+              flight.digests()[0]))) { // of equal messages, only the first is delivered
         if (state.isUp(flight.to())) {
           transitions.add(
               new Transition<>(TransitionKind.DELIVER, flight.from(), flight.to(), flight, null));
@@ -475,8 +477,8 @@
   }
 
   /**
-   * Returns the smallest digest under all symmetries; it is equal for states that differ only in
-   * the names of symmetric brokers.
+   * Returns the smallest of the digests under all symmetries. States that differ only in the names
+   * of symmetric brokers therefore have the same digest.
    */
   @Override
   public Digest digest(State<W, V> state) {
@@ -605,7 +607,11 @@
     int stableSteps = 0;
     for (int now = startStep; now <= startStep + subject.convergenceSteps(); now++) {
       if (!deliverQueue(now, nodes, queue)) {
-        return Optional.of("endless exchange of messages at step " + now);
+        return Optional.of(
+            "endless exchange of messages: more than "
+                + MAX_DELIVERIES_PER_STEP
+                + " deliveries in step "
+                + now);
       }
       for (int i : live) {
         for (String action : subject.convergenceActions(i)) {
@@ -625,11 +631,19 @@
       }
     }
     return violation
-        .or(() -> Optional.of("converged, but not for the required number of steps"))
+        .or(
+            () ->
+                Optional.of(
+                    "the brokers converged, but did not remain converged for "
+                        + subject.stableSteps()
+                        + " further steps"))
         .map(value -> value + ", after " + subject.convergenceSteps() + " steps");
   }
 
-  /** Returns false if messages remain after the maximum number of deliveries. */
+  /**
+   * Delivers the queued messages; returns false if messages remain after the maximum number of
+   * deliveries.
+   */
   private boolean deliverQueue(
       int now, List<Node<W, V>> nodes, Deque<NodeHistory.OutgoingMessage<W>> queue) {
     for (int delivered = 0; delivered < MAX_DELIVERIES_PER_STEP && !queue.isEmpty(); delivered++) {
@@ -651,13 +665,13 @@
               + subject.describe(transition.message().message());
       case DROP ->
           name(transition.second())
-              + " does not receive the lost message of "
+              + " loses a message from "
               + one
               + ": "
               + subject.describe(transition.message().message());
       case DUPLICATE ->
           name(transition.second())
-              + " receives the first copy of a duplicated message of "
+              + " receives the first copy of a duplicated message from "
               + one
               + ": "
               + subject.describe(transition.message().message());
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ExploreCommand.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ExploreCommand.java
@@ -10,8 +10,8 @@
 @Command(
     name = "explore",
     description =
-        "Explores all orders of messages and faults of a model with three brokers up to a "
-            + "depth; exit code 1 if a property is violated.",
+        "Explores all orders of messages and faults of a model with three brokers, up to a "
+            + "number of transitions; exit code 1 if a property is violated.",
     mixinStandardHelpOptions = true)
 public final class ExploreCommand implements Callable<Integer> {
   @Parameters(paramLabel = "MODEL", description = "name of the model")
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
@@ -152,8 +152,9 @@
   }
 
   /**
-   * Records the first violation among these states. It takes precedence over a transition that
-   * failed after them, because it replaces the recorded violation.
+   * Records the first violation among these states. It replaces a violation that is already
+   * recorded, which can only be an exception in a transition that was taken after these states were
+   * reached.
    */
   private void checkStates(List<Unexplored<S>> newStates) {
     List<Optional<String>> violations =
--- a/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
@@ -17,16 +17,17 @@
 public final class MembershipSubject
     implements Subject<GossipMessage, MembershipSubject.Observation> {
   /**
-   * A ping every second step with a timeout of one step; suspicion lasts two to four steps. A
-   * single failed ping raises a suspicion and changes the local health multiplier, so that both
-   * occur within a few transitions.
+   * Settings with a ping every second step, a ping timeout of one step and a suspicion timeout of
+   * two to four steps. A single failed ping raises a suspicion and changes the local health
+   * multiplier, so that a few transitions suffice to reach both.
    */
   private static final MembershipProtocolSettings SETTINGS =
       new MembershipProtocolSettings(2, 1, 1, 2, 1_000, 16, 1, 1, 2, 1_200, 4_800, true);
 
   /**
-   * Difference of the incarnations of two starts that are one step apart. It exceeds the number of
-   * refutations between two starts, each of which increments the incarnation.
+   * Difference between the initial incarnations of two starts that are one step apart. Each
+   * refutation increments the incarnation by one; the difference exceeds the number of refutations
+   * between two starts, so that a restarted broker has a higher incarnation than before.
    */
   private static final long INCARNATION_STRIDE = 1_000;
 
@@ -37,8 +38,8 @@
    * A deliberate defect of the module.
    *
    * @param messageMutation changes each message that a broker receives
-   * @param incarnation the incarnation of a broker that starts in a step
-   * @param convergence whether a broker considers its view converged
+   * @param incarnation returns the initial incarnation of a broker for the step in which it starts
+   * @param convergence decides whether a broker considers its view converged
    */
   record Mutation(
       UnaryOperator<GossipMessage> messageMutation,
@@ -135,7 +136,9 @@
       int number, int now, Node.MessageSender<GossipMessage> sender) {
     String name = ClusterModel.name(number);
     List<MembershipProtocol.Seed> seeds = new ArrayList<>();
-    for (int hop = 1; hop < ClusterModel.BROKER_COUNT; hop++) { // from the next broker on
+    for (int hop = 1;
+        hop < ClusterModel.BROKER_COUNT;
+        hop++) { // the seeds begin with the next broker
       seeds.add(
           new MembershipProtocol.Seed(
               ClusterModel.name((number + hop) % ClusterModel.BROKER_COUNT), 1));
@@ -154,7 +157,10 @@
         mutation);
   }
 
-  /** Returns only the identity, because digests and buckets depend on the names. */
+  /**
+   * Returns only the identity, because the digests and buckets of the membership protocol depend on
+   * the broker names.
+   */
   @Override
   public List<int[]> symmetries() {
     return List.of(new int[] {0, 1, 2});
@@ -244,7 +250,7 @@
     return CONVERGENCE_STEPS;
   }
 
-  /** Covers one complete round of pings. */
+  /** Returns the number of steps of one complete round of pings. */
   @Override
   public int stableSteps() {
     return 4;
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Model.java
@@ -20,7 +20,10 @@
   /** Returns the state after a transition. */
   S successor(S state, M transition);
 
-  /** Returns a digest, equal exactly for states that differ only in names of symmetric nodes. */
+  /**
+   * Returns a digest. Two states have the same digest exactly if they are equal apart from the
+   * names of symmetric nodes.
+   */
   Digest digest(S state);
 
   /** Returns the description of a safety property that the state violates, or empty. */
@@ -28,7 +31,7 @@
 
   /**
    * Runs the convergence phase, in which faults end and time advances, and returns the description
-   * of a property that is still violated after it, or empty.
+   * of a property that is still violated at the end of the phase, or empty.
    */
   Optional<String> convergenceViolation(S state);
 
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
@@ -53,9 +53,9 @@
   }
 
   /**
-   * Creates the model with a name.
+   * Creates the model with the given name.
    *
-   * @throws IllegalArgumentException if there is none; the message lists the names
+   * @throws IllegalArgumentException if no model has the name; the message lists the valid names
    */
   public static Model<?, ?> create(String name) {
     Supplier<Model<?, ?>> model = FACTORIES.get(name);
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
@@ -1,8 +1,8 @@
 package dunlinhitch.experiments.modelchecker;
 
 /**
- * The module of one broker under the control of a model. A node is mutable; the model copies it by
- * replaying its inputs on a new one. Times are steps of the model.
+ * The module of one broker under the control of a model. A node is mutable; the model copies a node
+ * by replaying its inputs on a new node. All times are steps of the model.
  *
  * @param <W> the message type
  * @param <V> the observation of the node
--- a/src/main/java/dunlinhitch/experiments/modelchecker/NodeHistory.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/NodeHistory.java
@@ -7,9 +7,10 @@
 import java.util.function.Function;
 
 /**
- * The input history of one incarnation of a node, with the messages sent on the last input and the
- * observation after it. A module is mutable and cannot be copied; replaying the history on a new
- * module yields a copy. Equal histories share one object, so each is computed once. Thread-safe.
+ * The input history of one incarnation of a node, with the messages that the node sent in response
+ * to the last input and the observation after that input. A module is mutable and cannot be copied;
+ * replaying the history on a new module yields a copy. Equal histories share one object, so that
+ * each history is replayed only once. Thread-safe.
  */
 final class NodeHistory<W, V> {
   enum InputKind {
@@ -42,7 +43,8 @@
   private final Map<Input<W>, NodeHistory<W, V>> successors = new ConcurrentHashMap<>(2);
 
   /**
-   * Starts a history without inputs; {@code stateDigests} returns the digests under all symmetries.
+   * Creates a history without inputs; {@code stateDigests} computes the digests of the state of a
+   * node under all symmetries.
    */
   NodeHistory(
       Function<Node.MessageSender<W>, Node<W, V>> nodeFactory,
@@ -79,8 +81,8 @@
   }
 
   /**
-   * Replays the history on a new module and returns it. {@code beforeLastInput} runs before the
-   * last input, so that a caller can discard messages that were sent earlier.
+   * Creates a module, replays the history on it and returns the module. {@code beforeLastInput}
+   * runs before the last input, so that a caller can discard messages that were sent earlier.
    */
   Node<W, V> replay(Node.MessageSender<W> sender, Runnable beforeLastInput) {
     List<Input<W>> inputs = new ArrayList<>();
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -59,7 +59,7 @@
     }
   }
 
-  /** The observable state of a broker; {@code clockUs} is the reading of its clock. */
+  /** The observable state of a broker; {@code clockUs} is the current time of its clock. */
   public record Observation(
       long clockUs, List<ReplicatedEntry<String, Integer>> entries, String violation) {}
 
@@ -84,7 +84,9 @@
     this.simultaneousUpdates = simultaneousUpdates;
   }
 
-  /** The map of one broker; also tracks removed entries to detect that one reappears. */
+  /**
+   * The map of one broker. Also records removed entries, to detect a removed entry that reappears.
+   */
   private final class ReplicaNode
       implements Node<List<ReplicatedEntry<String, Integer>>, Observation> {
     private final String name;
@@ -165,7 +167,10 @@
                 + now.size()
                 + " entries, "
                 + largestOriginCount
-                + " of them from one origin";
+                + " of them from one origin; the limits are "
+                + SETTINGS.maxEntries()
+                + " and "
+                + SETTINGS.maxEntriesPerOrigin();
       }
     }
 
@@ -186,7 +191,10 @@
     return new ReplicaNode(number, now, sender);
   }
 
-  /** With simultaneous updates names break ties, so that no two brokers are symmetric. */
+  /**
+   * With simultaneous updates, ties are broken by broker name; then no two brokers are symmetric
+   * and only the identity is returned.
+   */
   @Override
   public List<int[]> symmetries() {
     List<int[]> symmetries = new ArrayList<>(List.of(new int[] {0, 1, 2}));
@@ -237,8 +245,8 @@
   }
 
   /**
-   * Checks that all brokers hold the same entries, apart from those that have expired by the clock
-   * that is ahead.
+   * Checks that all brokers hold the same entries. Entries that have expired according to the
+   * fastest clock are ignored.
    */
   @Override
   public Optional<String> convergenceViolation(List<Observation> live, List<Integer> numbers) {
--- a/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/StateHasher.java
@@ -19,10 +19,10 @@
 
 /**
  * Hashes all state that is reachable from an object, so that a module need not list the fields that
- * its behaviour depends on. Fields of the project's classes are read by reflection. Of the JDK,
- * simple values and collections are supported; the hash of an unordered set or map does not depend
- * on iteration order. Lambdas and random generators are not hashed: states that differ only in
- * future random draws are considered equal.
+ * its behaviour depends on. Fields of the project's classes are read by reflection. Of the classes
+ * of the JDK, only simple values and collections are supported; the hash of an unordered set or map
+ * does not depend on iteration order. Lambdas and random generators are not hashed: states that
+ * differ only in future random draws are considered equal.
  */
 final class StateHasher {
   private static final String PROJECT_PACKAGE_PREFIX = "dunlinhitch.";
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Subject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Subject.java
@@ -31,7 +31,8 @@
 
   /**
    * Returns the description of a violated safety property, or empty. The observation of a crashed
-   * broker is its last one; {@code groups} groups the brokers that are up by reachability.
+   * broker is the last one before the crash. {@code groups} lists the brokers that are up, grouped
+   * by reachability.
    */
   Optional<String> safetyViolation(List<V> observations, List<List<Integer>> groups);
 
@@ -39,7 +40,8 @@
   Optional<String> convergenceViolation(List<V> liveObservations, List<Integer> numbers);
 
   /**
-   * Returns the steps within which the brokers must converge and remain so for the stable steps.
+   * Returns the number of steps within which the brokers must converge and then remain converged
+   * for {@link #stableSteps} further steps.
    */
   int convergenceSteps();
 
--- a/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
+++ b/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
@@ -254,8 +254,8 @@
   }
 
   /**
-   * Unordered sets and maps are hashed without regard to order, lists and linked sets in order, and
-   * names after their mapping.
+   * The hash of an unordered set or map does not depend on the order of its elements; that of a
+   * list or linked set does. Names are mapped before they are hashed.
    */
   @Test
   void hashesDifferWhereStatesDiffer() {
