--- a/src/main/java/dunlinhitch/experiments/soak/Observation.java
+++ b/src/main/java/dunlinhitch/experiments/soak/Observation.java
@@ -10,7 +10,10 @@
    */
   String subject();
 
-  /** The outcome of a request for its client; {@code LEFT}: the client closed its connection. */
+  /**
+   * The outcome of a request for its client; {@code LEFT} means that the client closed its
+   * connection.
+   */
   enum RequestEnd {
     SERVED,
     REJECTED,
@@ -28,7 +31,7 @@
     }
   }
 
-  /** A request ended for its client. */
+  /** A request ended, as observed by its client. */
   record RequestEnded(long atUs, String query, RequestEnd end) implements Observation {
     @Override
     public String subject() {
@@ -37,9 +40,9 @@
   }
 
   /**
-   * The network received the last byte of an attempt from a broker.
+   * The proxy between a broker and a store received the last byte of an attempt from the broker.
    *
-   * @param timeoutUs the timeout that the attempt carries
+   * @param timeoutUs the timeout that is stated in the attempt
    */
   record AttemptSent(long atUs, String part, String broker, String store, long timeoutUs)
       implements Observation {
@@ -65,7 +68,7 @@
     }
   }
 
-  /** Discovery notified a broker that an endpoint is ready, or that it is not. */
+  /** Discovery notified a broker that an endpoint is ready or is no longer ready. */
   record EndpointTold(long atUs, String broker, String store, boolean ready)
       implements Observation {
     @Override
@@ -74,7 +77,7 @@
     }
   }
 
-  /** A broker was asked to terminate; it is killed if it does not. */
+  /** A broker was asked to terminate. A broker that does not terminate is killed later. */
   record BrokerStopped(long atUs, String broker) implements Observation {
     @Override
     public String subject() {
--- a/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
@@ -21,16 +21,25 @@
  * the observations. An instance checks one run and is not thread-safe.
  */
 public final class SoakChecker {
-  /** Tolerance for a broker that is delayed between reading its clock and writing. */
+  /** Tolerance for the delay of a broker between reading its clock and writing to a connection. */
   static final long STALL_US = 150_000;
 
-  /** Time after the departure of a client within which attempts may still start for it. */
+  /**
+   * Time after a client has closed its connection within which attempts of its request may still
+   * start.
+   */
   static final long DEPARTURE_GRACE_US = 100_000;
 
-  /** Time after the deadline in which a late answer is not yet a lost one; it earns no weight. */
+  /**
+   * Time after the deadline of a request within which an answer still counts as received. A later
+   * answer violates {@link SoakRule#ONE_ANSWER}.
+   */
   static final long ANSWER_GRACE_US = 500_000;
 
-  /** Minimum share of served requests among those whose clients and brokers stay until the end. */
+  /**
+   * Minimum share of served requests. Not counted are requests whose client left, and those whose
+   * broker was asked to terminate before the answer was due.
+   */
   static final double MIN_SERVED_SHARE = 0.3;
 
   /**
@@ -46,7 +55,8 @@
    *
    * @param parallelAttempts whether a part may have several attempts in flight
    * @param maxAttempts maximum number of attempts of a part
-   * @param drainGraceUs time after the notification of a drain in which attempts may still start
+   * @param drainGraceUs time after the notification of a drain within which attempts may still
+   *     start
    * @param idempotentClass the query class with idempotency keys
    * @param windowUs the deduplication window of that class
    */
@@ -182,7 +192,10 @@
     return request.atUs() + request.timeoutUs();
   }
 
-  /** True if the client left, or its broker was asked to terminate before the answer was due. */
+  /**
+   * Returns true if the client left, or if the broker was asked to terminate before the answer was
+   * due.
+   */
   private boolean isExcused(RequestSent request, RequestEnded end) {
     Long stopped = stoppedUs.get(request.broker());
     return (end != null && end.end() == RequestEnd.LEFT)
--- a/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
@@ -13,8 +13,8 @@
 
 /**
  * The clients of one broker. They send requests at a constant rate, and some close their connection
- * before the answer. Everything runs on the executor's thread, except the callback at the end of a
- * request, which may run on another thread.
+ * before the answer. All code runs on the thread of the executor, except the callback at the end of
+ * a request, which may run on another thread.
  */
 final class SoakClients {
   private static final int INTERVAL_MS = 25;
--- a/src/main/java/dunlinhitch/experiments/soak/SoakCommand.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakCommand.java
@@ -10,7 +10,10 @@
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Option;
 
-/** The command that plays the soak runs of a range of seeds and reports violations of the rules. */
+/**
+ * The command that executes one soak run for each seed of a range and reports violations of the
+ * rules.
+ */
 @Command(
     name = "soak",
     description = "Runs broker processes under random faults; exit code 1 if a rule is violated.",
@@ -24,13 +27,13 @@
   @Option(
       names = "--seeds",
       defaultValue = "1-5",
-      description = "one seed, or the first and the last of a range (default: ${DEFAULT-VALUE})")
+      description = "a seed, or a range of seeds such as 1-50 (default: ${DEFAULT-VALUE})")
   private String seeds;
 
   @Option(
       names = "--seconds",
       defaultValue = "20",
-      description = "duration of the load in each run (default: ${DEFAULT-VALUE})")
+      description = "duration of the load in each run, in seconds (default: ${DEFAULT-VALUE})")
   private int seconds;
 
   @Override
@@ -40,7 +43,11 @@
           "--seeds must be a seed or a range such as 1-50, and --seconds must be from "
               + MIN_SECONDS
               + " to "
-              + MAX_SECONDS);
+              + MAX_SECONDS
+              + "; got --seeds "
+              + seeds
+              + " and --seconds "
+              + seconds);
     }
     String[] range = seeds.split("-", 2);
     long first = Long.parseLong(range[0]);
@@ -75,7 +82,7 @@
         .filter(line -> line.contains(breach.subject() + "."))
         .forEach(line -> System.out.println("    broker log: " + line));
     System.out.println(
-        "  again: experiments soak --seeds "
+        "  to repeat the run: experiments soak --seeds "
             + plan.seed()
             + "-"
             + plan.seed()
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRule.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRule.java
@@ -14,10 +14,11 @@
   DRAIN(true),
   /** The timeout of an attempt does not exceed the remaining time of its request. */
   DEADLINE(true),
-  /** An attempt that may repeat an executed one starts within the deduplication window. */
+  /** An attempt that may repeat an executed attempt starts within the deduplication window. */
   WINDOW(true),
   /**
-   * A minimum share of requests is served: a broker must not satisfy the rules by rejecting all.
+   * A minimum share of the requests is served; otherwise a broker could satisfy the other rules by
+   * rejecting every request.
    */
   SERVED_SHARE(true);
 
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
@@ -12,7 +12,10 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Plays one plan: starts the processes, generates the load and injects the faults. Single use. */
+/**
+ * Executes one plan: starts the processes, generates the load and injects the faults. An instance
+ * executes only one plan.
+ */
 public final class SoakRun {
   /**
    * The result of a run.
@@ -58,7 +61,7 @@
   }
 
   /**
-   * Plays a plan to its end.
+   * Executes a plan until its end.
    *
    * @param directory parent of the working directories of the brokers
    * @throws IllegalStateException if a fault could not be started or ended
@@ -90,7 +93,7 @@
       schedule(() -> begin(fault), fault.atMs());
     }
     TimeUnit.SECONDS.sleep(plan.seconds());
-    executor.shutdown(); // no new requests or faults; pending ends of faults still run
+    executor.shutdown(); // stops new requests and faults; faults in progress are still ended
     executor.awaitTermination(2L * plan.deadlineMs(), TimeUnit.MILLISECONDS);
     for (SoakClients brokerClients : clients) {
       brokerClients
@@ -101,7 +104,10 @@
     }
     if (!failures.isEmpty()) {
       throw new IllegalStateException(
-          "a fault of the plan could not be started or ended", failures.get(0));
+          failures.size()
+              + " fault steps failed, so that faults did not start or end as planned; first failure: "
+              + failures.get(0),
+          failures.get(0));
     }
     List<String> logLines =
         testBed.nodes().stream()
@@ -211,8 +217,9 @@
   }
 
   /**
-   * Changes the state of a store in discovery. A broker whose discovery is held back has not
-   * received a drain, so that none is recorded for it.
+   * Changes the lifecycle of a store in discovery and records the notification of each broker. No
+   * drain is recorded for a broker whose bytes from discovery are held back, because the broker has
+   * not received the notification.
    */
   private void setReady(SoakStore store, boolean ready) throws Exception {
     testBed.change(store.name, ready ? "ready" : "draining");
@@ -249,8 +256,8 @@
   }
 
   /**
-   * Schedules a step of a fault. A failure is kept and fails the run, because the fault would
-   * otherwise be missing or would never end.
+   * Schedules a step of a fault. An exception in the step makes the run fail, because the fault
+   * would be missing or would never end.
    */
   private void schedule(Step step, int delayMs) {
     var unused =
--- a/src/main/java/dunlinhitch/experiments/soak/SoakStore.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakStore.java
@@ -35,15 +35,18 @@
     full = rejects;
   }
 
-  /** Sets whether the store stops reading: parts, cancellations and the ends of connections. */
+  /**
+   * Sets whether the store stops reading from its connections. A frozen store receives neither
+   * parts nor cancellations and does not detect the end of a connection.
+   */
   void setFrozen(boolean freezes) {
     frozen = freezes;
     connectionNumbers.keySet().forEach(socket -> setReading(socket, !frozen));
   }
 
   /**
-   * Switches reading at the channel, because a paused Vert.x socket still reads into a queue and
-   * detects the end of its connection.
+   * Enables or disables reading at the channel. Pausing the Vert.x socket is not sufficient: a
+   * paused socket still reads into a queue and detects the end of its connection.
    */
   private static void setReading(NetSocket socket, boolean reading) {
     ((NetSocketInternal) socket).channelHandlerContext().channel().config().setAutoRead(reading);
--- a/src/main/java/dunlinhitch/experiments/soak/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/soak/package-info.java
@@ -3,7 +3,7 @@
  * observations of clients, stores and the network between them.
  *
  * <p>Entry points: {@link dunlinhitch.experiments.soak.SoakCommand}; {@link
- * dunlinhitch.experiments.soak.SoakRun} plays one {@link dunlinhitch.experiments.soak.SoakPlan},
+ * dunlinhitch.experiments.soak.SoakRun} executes one {@link dunlinhitch.experiments.soak.SoakPlan},
  * {@link dunlinhitch.experiments.soak.SoakChecker} checks its observations.
  */
 package dunlinhitch.experiments.soak;
