--- a/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
@@ -15,8 +15,9 @@
 
 /**
  * Simulates brokers with answer keys in front of stores, in virtual time, and compares each answer
- * with the expected one. Rule {@code forms} is always correct; rule {@code language} is correct
- * until the answers start to depend on the language, see {@code ruleBecomesFalse}. Not thread-safe.
+ * with the expected one. Rule {@code forms} is always correct. Rule {@code language} becomes
+ * incorrect when the answers start to depend on the language, see {@link Setup#ruleBecomesFalse}.
+ * Not thread-safe.
  */
 public final class AnswerKeySimulation {
   /** How queries share answers. */
@@ -30,14 +31,14 @@
   }
 
   /**
-   * One run.
+   * The parameters of one run.
    *
    * @param perSecond queries per second over all brokers
    * @param loss the probability that a message between brokers is lost
    * @param failureProbability the probability that a fetch fails
    * @param partitioned whether the network is partitioned into two halves for 10 s
-   * @param ruleBecomesFalse whether answers depend on the language from 24 s on, which is during
-   *     the partition
+   * @param ruleBecomesFalse whether answers depend on the language from second 24 on; if {@code
+   *     partitioned} is true, the partition is in effect at that time
    */
   public record Setup(
       long seed,
@@ -50,16 +51,17 @@
       boolean ruleBecomesFalse) {}
 
   /**
-   * Counts of a run, without its first 15 s.
+   * The counts of a run. The first 15 s are the warm-up and are not counted.
    *
-   * @param repeatedFetches fetches repeated within the maximum age of the previous answer although
-   *     the data had not changed
+   * @param repeatedFetches unnecessary fetches: the previous answer had not reached its maximum age
+   *     and the data had not changed
    * @param wrongAnswers answers for another topic or language than the query's
-   * @param outdatedAnswers answers from data that was replaced longer ago than the maximum age
-   * @param unended queries that did not end, ended more than once or ended after the deadline
+   * @param outdatedAnswers answers from data that had been replaced for longer than the maximum age
+   *     of an answer
+   * @param unended queries without exactly one response by their deadline
    * @param wrongAnswersBound upper bound of {@code wrongAnswers}
    * @param demotedAfterUs time from the change of the data until all brokers had stopped applying
-   *     the incorrect rule; -1 if they did not
+   *     the incorrect rule; -1 if some broker never stopped
    */
   public record Result(
       long queries,
@@ -102,7 +104,7 @@
   /** Mean seconds between changes of a shard's data if its stores do not report the generation. */
   private static final double UNSTATED_CHANGE_S = 60;
 
-  /** The bound of wrong answers may be exceeded in one run out of this many. */
+  /** On average, one run in this number of runs exceeds the bound of wrong answers. */
   private static final double BOUND_ODDS = 1000;
 
   private final Setup setup;
@@ -144,7 +146,7 @@
     return brokers.get(random.nextInt(brokers.size()));
   }
 
-  /** Draws whether something is lost, with a multiple of the probability of message loss. */
+  /** Returns true with {@code factor} times the probability of message loss. */
   boolean drawsLoss(int factor) {
     return random.nextDouble() < setup.loss() * factor;
   }
@@ -212,9 +214,9 @@
   }
 
   /**
-   * The bound of docs/answer-keys.md: for each side of a partition, the wrong answers until a trial
-   * detects the incorrect rule, plus the answers across languages until all brokers have received
-   * that result.
+   * Returns the bound that docs/answer-keys.md derives. It is the sum of two terms: for each side
+   * of a partition, the wrong answers until a trial detects the incorrect rule; and the answers
+   * across languages until all brokers have received the result of the trial.
    */
   private double wrongAnswersBound(double acrossLanguagesPerSecond) {
     int sides = setup.partitioned() ? 2 : 1;
@@ -231,7 +233,7 @@
         .sum();
   }
 
-  /** The number of brokers for each rule and state. */
+  /** Returns, as text, the number of brokers for each rule and rule state. */
   private String states() {
     Map<String, Integer> states = new TreeMap<>();
     brokers.stream()
@@ -277,7 +279,10 @@
         });
   }
 
-  /** Delivers a message after a delay; it may be lost, duplicated or dropped by the partition. */
+  /**
+   * Sends a message, which arrives after a random delay. The message may be lost or duplicated, and
+   * a partition drops it.
+   */
   void send(SimulatedBroker sender, String receiverName, Message message) {
     SimulatedBroker receiver = brokers.get(Integer.parseInt(receiverName.substring(1)));
     int copies = drawCopies();
@@ -374,8 +379,8 @@
   }
 
   /**
-   * Answers a query with an answer that was fetched for another one; counts it if it is wrong or
-   * outdated.
+   * Answers a query with an answer that may have been fetched for another query; counts the answer
+   * if it is wrong or outdated.
    */
   void respond(SimulatedQuery query, CachedAnswer cached) {
     wrongAnswers += ShardData.isWrong(cached, query.request) ? 1 : 0;
--- a/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
@@ -8,7 +8,10 @@
  * saved.
  */
 final class FetchHistory {
-  /** Time of the last leader of the fetch, and the generation of the last answer. */
+  /**
+   * The time at which a query last became the leader of a fetch, and the generation of the last
+   * answer.
+   */
   private static final class LastFetch {
     private long leaderSinceUs = Long.MIN_VALUE / 2;
     private long generation;
@@ -17,10 +20,10 @@
   private final Map<String, LastFetch> lastFetches = new HashMap<>();
 
   /**
-   * Records a new leader.
+   * Records that a query became the leader of a fetch.
    *
-   * @return true if the previous fetch is within the maximum age of an answer and returned the same
-   *     data
+   * @return true if the fetch is unnecessary: the previous fetch is not older than the maximum age
+   *     of an answer and returned the same data
    */
   boolean recordLeader(long nowUs, String identity, long generation) {
     LastFetch last = lastFetches.computeIfAbsent(identity, absent -> new LastFetch());
--- a/src/main/java/dunlinhitch/experiments/answerkeys/ShardData.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/ShardData.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** The data of the stores, and the expected answers. */
+/** The data of the stores, from which the expected answers are computed. */
 final class ShardData {
   private static final String ANY_LANGUAGE = "any";
 
@@ -65,7 +65,7 @@
         || (!components[1].equals(ANY_LANGUAGE) && !components[1].equals(language));
   }
 
-  /** True if the data of the answer was replaced before that time. */
+  /** Returns true if the data of the answer was replaced before {@code momentUs}. */
   boolean endedBefore(CachedAnswer cached, int shard, long momentUs) {
     int generation = Integer.parseInt(components(cached)[2]);
     List<Long> ends = generationEnds.get(shard);
--- a/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
@@ -19,7 +19,10 @@
 import java.util.Set;
 import java.util.SplittableRandom;
 
-/** One broker of the simulation: it runs an answer key module and performs the module's actions. */
+/**
+ * One broker of the simulation. It owns an answer key module and performs the actions that the
+ * module returns.
+ */
 final class SimulatedBroker {
   static final AnswerKeySettings SETTINGS = AnswerKeySettings.STANDARD;
   static final long MAX_AGE_US = 3_000_000;
@@ -35,8 +38,8 @@
   private static final int URGENT_GOSSIP_FANOUT = 3;
 
   /**
-   * Probability that a peer is sent all entries again, as a multiple of the probability of message
-   * loss; see {@link #gossip}.
+   * Probability that all entries are sent to a peer again, as a multiple of the probability of
+   * message loss; see {@link #gossip}.
    */
   private static final int GOSSIP_LOSS_FACTOR = 2;
 
@@ -78,7 +81,7 @@
   private final AnswerKeySimulation world;
   private final Map<Long, SimulatedQuery> queries = new HashMap<>();
 
-  /** For each other broker, the version of the evidence that was gossiped to it. */
+  /** For each other broker, the version of the evidence that was last sent to the broker. */
   private final Map<String, Long> gossipedVersions = new HashMap<>();
 
   private long wakeUpUs = Long.MAX_VALUE;
@@ -116,7 +119,10 @@
     }
   }
 
-  /** Does nothing if an earlier wake-up has replaced this one. */
+  /**
+   * Runs the timers of the module. Does nothing if an earlier wake-up has been scheduled in place
+   * of the one at {@code scheduledUs}.
+   */
   private void wakeUp(long scheduledUs) {
     if (wakeUpUs == scheduledUs) {
       wakeUpUs = Long.MAX_VALUE;
@@ -176,7 +182,7 @@
     }
   }
 
-  /** Sends the evidence that they may lack to {@code fanout} random brokers. */
+  /** Selects {@code fanout} random brokers and sends each the evidence that it may lack. */
   void gossip(int fanout) {
     for (int i = 0; i < fanout; i++) {
       SimulatedBroker other = world.randomBroker();
@@ -188,13 +194,13 @@
               .since(gossipedVersions.getOrDefault(other.name, 0L), MAX_GOSSIPED_ENTRIES)) {
         world.send(this, other.name, peer -> peer.module.mergeEvidence(world.nowUs(), entry));
       }
-      // Restarting at version 0 models an anti-entropy digest, which would find the lost entries.
+      // Version 0 sends all entries again. This models anti-entropy, which detects lost entries.
       boolean lost = world.drawsLoss(GOSSIP_LOSS_FACTOR);
       gossipedVersions.put(other.name, lost ? 0L : version);
     }
   }
 
-  /** True if this broker has stopped applying the rule about the language. */
+  /** Returns true if this broker has stopped applying the rule {@code language}. */
   boolean hasDemotedLanguageRule() {
     return module.lifecycle().statuses().stream()
         .filter(status -> status.ruleEpoch().rule().equals(LANGUAGE_RULE))
--- a/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedQuery.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedQuery.java
@@ -8,7 +8,7 @@
   final Workload.Request request;
   final long startedUs;
 
-  /** How often it ended; a correct broker ends it exactly once. */
+  /** Number of times that the query ended; a correct broker ends each query exactly once. */
   int ends;
 
   SimulatedQuery(SimulatedBroker broker, Workload.Request request, long startedUs) {
@@ -21,7 +21,7 @@
     return request.part();
   }
 
-  /** Identifies queries that must have the same answer. */
+  /** Returns an identifier that is equal for all queries that must have the same answer. */
   String identity() {
     return request.topic() + "/" + part().shard();
   }
--- a/src/main/java/dunlinhitch/experiments/answerkeys/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/package-info.java
@@ -1,5 +1,5 @@
 /**
- * A simulated cluster whose brokers share answers by answer keys, in virtual time.
+ * A simulation, in virtual time, of brokers that share answers by answer keys.
  *
  * <p>Entry point: {@link dunlinhitch.experiments.answerkeys.AnswerKeySimulation}. Used by
  * measurements only; {@code serve} never loads this package. Its classes use no clock, I/O or
