--- a/src/main/java/dunlinhitch/experiments/dns/BaselineResolver.java
+++ b/src/main/java/dunlinhitch/experiments/dns/BaselineResolver.java
@@ -40,9 +40,9 @@
 /**
  * The DNS-SD resolver that preceded {@code DnsSource}, as a baseline for measurements: it resolves
  * the complete service again whenever the shortest TTL has expired. Instances are found by DNS-SD
- * (RFC 6763): PTR has their names, SRV the address, TXT the attributes ({@code id, cell, zone,
- * state, protocol, start}). An instance that is absent from a resolution is removed; if the server
- * does not answer, the endpoints are retained.
+ * (RFC 6763): PTR records contain their names, SRV records their addresses and TXT records their
+ * attributes ({@code id, cell, zone, state, protocol, start}). An instance that is absent from a
+ * resolution is removed; if the server does not answer, the endpoints are retained.
  *
  * <p>Vert.x's DnsClient returns only one PTR record of an answer and provides the TTL of SRV
  * records only. PTR records are therefore resolved by Netty's resolver, on the same event loop.
@@ -68,7 +68,7 @@
   private long round;
   private boolean answered;
 
-  /** One resolution: the endpoints and the shortest TTL. */
+  /** The result of one resolution: the endpoints and the shortest TTL. */
   private static final class Resolution {
     private final Map<String, Endpoint> endpoints = new HashMap<>();
     private long ttlUs = MAX_TTL_US;
@@ -78,7 +78,10 @@
     }
   }
 
-  /** Resolves {@code service} at one name server; {@code events} gets the endpoint lists. */
+  /**
+   * Creates a resolver of {@code service} at one name server; {@code events} receives the endpoint
+   * lists.
+   */
   public BaselineResolver(
       Vertx vertx,
       Context context,
@@ -115,7 +118,7 @@
 
   @Override
   public void follow(String host, int port) {
-    // the name server is configured, so the address of discovery does not matter
+    // ignored: the address of the name server is fixed by the constructor
   }
 
   @Override
@@ -182,7 +185,10 @@
     }
   }
 
-  /** The instances of the service; empty if the name does not exist. */
+  /**
+   * Resolves the names of the service's instances; the list is empty if the service name does not
+   * exist.
+   */
   private Future<List<String>> resolveInstanceNames(Resolution resolution) {
     Promise<List<String>> names = Promise.promise();
     pointerResolver
--- a/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
+++ b/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
@@ -39,18 +39,19 @@
 import org.xbill.DNS.Section;
 
 /**
- * A fake name server on loopback, authoritative for one {@link Zone}: UDP and TCP on one port, and
- * on demand DNS push notifications over TLS. A script injects faults by question.
+ * A fake name server on loopback that is authoritative for one {@link Zone}. It serves UDP and TCP
+ * on one port and, after {@link #startPush}, DNS push notifications over TLS. A script selects the
+ * fault of each answer by its question.
  *
- * <p>Serves on the Vert.x event loop; tests read its counters and set its script from other
- * threads.
+ * <p>The server runs on the Vert.x event loop; tests read its counters and set its script from
+ * other threads.
  */
 public final class FakeNameServer implements AutoCloseable {
   /** A fault of an answer. */
   public enum Fault {
     /** No fault. */
     NONE,
-    /** Sent 1.5 s after the query, when the resolver has timed out. */
+    /** Sent 1.5 s after the query, after the resolver has timed out. */
     LATE,
     LOST,
     DOUBLED,
@@ -62,7 +63,7 @@
     FORGED_PORT,
     /** The second half of the message is missing. */
     HALF,
-    /** Without AA and without records. */
+    /** Sent without the AA flag and without records. */
     NO_AUTHORITY,
     SERVFAIL,
     REFUSED,
@@ -97,7 +98,7 @@
   /** Bytes of answers sent over UDP and TCP. */
   public final AtomicLong bytesOut = new AtomicLong();
 
-  /** The fault for each question. */
+  /** Selects the fault of the answer to a question. */
   public volatile Function<Question, Fault> script = question -> Fault.NONE;
 
   /** Milliseconds between a change and its push notification. */
@@ -134,7 +135,7 @@
                                             .appendUnsignedShort(answer.length)
                                             .appendBytes(answer)),
                                 null)));
-    // TCP and UDP share the port number; chooses another one if it is in use for UDP
+    // TCP and UDP must use the same port number; if the number is in use for UDP, tries another one
     for (int attempts = 0; ; attempts++) {
       await(tcp.listen(0, "127.0.0.1"));
       try {
@@ -153,12 +154,12 @@
     return future.toCompletionStage().toCompletableFuture().get(10, TimeUnit.SECONDS);
   }
 
-  /** The port of UDP and TCP. */
+  /** Returns the port number of the UDP and TCP sockets. */
   public int port() {
     return tcp.actualPort();
   }
 
-  /** The zone that it serves. */
+  /** Returns the zone that the server is authoritative for. */
   public Zone zone() {
     return zone;
   }
@@ -206,7 +207,7 @@
     return sessions.stream().mapToInt(s -> s.subscriptionsById.size()).sum();
   }
 
-  /** Closes all push sessions, in the middle of a message if {@code half}. */
+  /** Closes all push sessions; if {@code half} is true, in the middle of a message. */
   public void cutSessions(boolean half) {
     sessions.forEach(
         s ->
@@ -220,7 +221,7 @@
     sessions.forEach(s -> s.socket.write(Dso.write(new Head(0, false, 0), Dso.retryDelay(ms))));
   }
 
-  /** Sends unencoded bytes to all push sessions. */
+  /** Sends bytes to all push sessions without encoding them as a message. */
   public void pushRaw(Buffer bytes) {
     sessions.forEach(s -> s.socket.write(bytes));
   }
@@ -343,8 +344,8 @@
   }
 
   /**
-   * Sends an answer. If it is too long, the additional records are removed, and if it is still too
-   * long, it is truncated (TC).
+   * Sends an answer. If the answer is too long, the additional records are removed; if it is still
+   * too long, it is truncated (TC).
    */
   private void send(Message answer, Exchange exchange) {
     byte[] wire = exchange.encode(answer);
--- a/src/main/java/dunlinhitch/experiments/dns/Zone.java
+++ b/src/main/java/dunlinhitch/experiments/dns/Zone.java
@@ -48,20 +48,23 @@
     return origin;
   }
 
-  /** The serial, which grows with each change. */
+  /** Returns the serial, which increases with each change. */
   public synchronized long serial() {
     return serial;
   }
 
-  /** Enables updates signed by this key, with leases up to a limit. */
+  /**
+   * Enables updates that are signed by this key; the response grants a lease of {@code
+   * maxLeaseSeconds}.
+   */
   public synchronized void updatesBy(TSIG key, long maxLeaseSeconds) {
     updateKey = key;
     maxLeaseS = maxLeaseSeconds;
   }
 
   /**
-   * Registers a listener, which gets each later change as one list, on the thread that makes the
-   * change.
+   * Registers a listener. The listener receives each later change as one list, on the thread that
+   * makes the change.
    */
   public synchronized void listen(Consumer<List<PushChange>> listener) {
     listeners.add(listener);
@@ -72,7 +75,7 @@
     listeners.remove(listener);
   }
 
-  /** The records of a name and type; empty if there are none. */
+  /** Returns the records of a name and type; the list is empty if there are none. */
   public synchronized List<Record> get(Question key) {
     return List.copyOf(recordSets.getOrDefault(key, Set.of()));
   }
@@ -118,7 +121,7 @@
     change(List.of(records), List.of());
   }
 
-  /** The records of a name, of one type or of any (type 255). */
+  /** Returns the records of a name and type; type 255 (ANY) selects the records of all types. */
   public synchronized List<Record> all(Name name, int type) {
     return recordSets.entrySet().stream()
         .filter(
@@ -132,7 +135,7 @@
     change(recordSets.values().stream().flatMap(Set::stream).toList(), List.of());
   }
 
-  /** The DNS-SD records of a store: PTR, SRV, TXT and A. */
+  /** Returns the DNS-SD records of a store: PTR, SRV, TXT and A. */
   public static List<Record> store(
       String service, String instance, String host, int port, long ttlS, String... attributes) {
     Name type = Names.parse(service);
@@ -150,7 +153,7 @@
     }
   }
 
-  /** The PTR record of a store; removing it withdraws the store. */
+  /** Returns the PTR record of a store; removing this record from the zone withdraws the store. */
   public static Record pointer(String service, String instance, long ttlS) {
     return new PTRRecord(
         Names.parse(service), DClass.IN, ttlS, Names.parse(instance + "." + service));
@@ -170,7 +173,7 @@
         5);
   }
 
-  /** The authoritative answer to a query, without regard to size. */
+  /** Returns the authoritative answer to a query; the message size is not limited. */
   public synchronized Message answer(Message query) {
     Message answer = new Message(query.getHeader().getID());
     answer.getHeader().setFlag(Flags.QR);
--- a/src/main/java/dunlinhitch/experiments/fakes/BrokerFixture.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/BrokerFixture.java
@@ -24,9 +24,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A broker with fakes on loopback: two cells, each shard on both, both frontends enabled. Broker
- * and fakes share one event loop, so a broker that blocked it would get no answer. Fields that
- * configure the broker are read by {@link #start}.
+ * A broker with fakes on loopback. The stores form two cells that both hold every shard, and both
+ * frontends are enabled. The broker and the fakes share one event loop: if the broker blocked the
+ * event loop, the fakes could not answer. {@link #start} reads the fields that configure the
+ * broker.
  */
 public final class BrokerFixture {
   public final Vertx vertx;
@@ -39,10 +40,10 @@
   /** Maximum number of sockets of the broker. */
   public int maxSockets = Config.DEFAULT_SOCKETS;
 
-  /** Directory of the last known state, or null. */
+  /** Directory in which the broker stores its last known state, or null to store none. */
   public Path stateDirectory;
 
-  /** What the broker registers in DNS, or null. */
+  /** What the broker registers in DNS, or null to register nothing. */
   public Product.Announcement announcement;
 
   /** Times of endpoint handling, or null for the defaults. */
@@ -65,7 +66,7 @@
     this(new ClientListener(null));
   }
 
-  /** Creates the fakes; the broker will accept from that socket. */
+  /** Creates the fakes; the broker will accept connections from the socket of {@code listener}. */
   public BrokerFixture(ClientListener listener) throws Exception {
     this.listener = listener;
     vertx =
@@ -77,9 +78,10 @@
   }
 
   /**
-   * Settings like a deployment's, with shorter times: latency objective 0.7 s, deadlines 1.1 s.
+   * Returns settings like those of a deployment, but with shorter times: the latency objective is
+   * 0.7 s, deadlines are 1.1 s.
    *
-   * @param maxOpen limit of open queries
+   * @param maxOpen maximum number of open queries
    */
   public static Settings settings(int maxOpen) {
     return new Settings(
@@ -130,8 +132,8 @@
   }
 
   /**
-   * The settings of {@link #settings} with two tenants and a two-step class {@code report}, whose
-   * answer needs all parts of both steps.
+   * Returns the settings of {@link #settings} with two tenants and a two-step class {@code report}.
+   * An answer to a query of this class requires all parts of both steps.
    */
   public static Settings twoSteps(int maxOpen) {
     Settings base = settings(maxOpen);
@@ -223,7 +225,9 @@
     discovery.setList(entries);
   }
 
-  /** The value of a broker's counter; fails if there is none of that name. */
+  /**
+   * Returns the value of a counter of the broker; throws an exception if no counter has the name.
+   */
   public long counter(String name) {
     return broker
         .counters()
@@ -234,14 +238,14 @@
         .orElseThrow();
   }
 
-  /** Starts a graceful shutdown; completes with its end. */
+  /** Starts a graceful shutdown of the broker; the future completes when the shutdown has ended. */
   public CompletableFuture<Void> stop() {
     CompletableFuture<Void> ended = new CompletableFuture<>();
     vertx.runOnContext(v -> broker.stop().onComplete(done -> ended.complete(null)));
     return ended;
   }
 
-  /** Closes the broker, so that none of its channels stays open, and then the event loop. */
+  /** Closes the broker with all its channels, and then the event loop. */
   public void close() throws Exception {
     if (broker != null) {
       CompletableFuture<Void> ended = new CompletableFuture<>();
--- a/src/main/java/dunlinhitch/experiments/fakes/Client.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Client.java
@@ -22,14 +22,17 @@
 import org.apache.arrow.flight.Ticket;
 import org.apache.arrow.memory.RootAllocator;
 
-/** A test client of a broker over HTTP or Arrow Flight, with one form of response for both. */
+/**
+ * A test client of a broker over HTTP or Arrow Flight. Responses of both protocols are represented
+ * by {@link Response}.
+ */
 public interface Client {
   /**
    * A response.
    *
    * @param outcome whole, partial, refused, failed, late or bad
    * @param parts the values by shard
-   * @param retryAfter the broker's advice, or empty
+   * @param retryAfter the value of the broker's Retry-After advice, or empty
    */
   record Response(String outcome, Map<Integer, String> parts, String retryAfter) {}
 
@@ -39,7 +42,7 @@
   /** Closes the connections. */
   void close() throws Exception;
 
-  /** The body of a query for these shards, with equal weights. */
+  /** Returns the body of a query for these shards, with equal weights. */
   static String body(int... shards) {
     StringBuilder ranges = new StringBuilder();
     for (int shard : shards) {
@@ -80,7 +83,7 @@
 
       @Override
       public void close() {
-        // the JDK client closes its connections when it is collected
+        // the JDK client closes its connections when it is garbage-collected
       }
     };
   }
--- a/src/main/java/dunlinhitch/experiments/fakes/Discovery.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Discovery.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.LinkedBlockingQueue;
 import java.util.concurrent.TimeUnit;
 
-/** A fake discovery service: a watch gets the full list and then the changes, over HTTP. */
+/** A fake discovery service over HTTP. A watch receives the full list and then each change. */
 public final class Discovery implements AutoCloseable {
   /** URIs of the requests in order of arrival. */
   public final BlockingQueue<String> requests = new LinkedBlockingQueue<>();
@@ -53,7 +53,7 @@
             .get(5, TimeUnit.SECONDS);
   }
 
-  /** The loopback port that it listens on. */
+  /** Returns the loopback port on which the service listens. */
   public int port() {
     return server.actualPort();
   }
@@ -68,7 +68,10 @@
         + "\"}";
   }
 
-  /** Formats a fake store, with two passes if it has first-pass answers. */
+  /**
+   * Formats the entry of a fake store. The entry announces two passes if the store has first-pass
+   * answers.
+   */
   public static String entry(Store store, String zone, int cell, String lifecycle) {
     String entry = entry(store.name, store.port(), zone, cell, lifecycle, store.protocol());
     return store.firstAnswer == null
@@ -76,7 +79,7 @@
         : entry.substring(0, entry.length() - 1) + ",\"phases\":2}";
   }
 
-  /** Sets the full list that later watches and requests get. */
+  /** Sets the full list that is sent to later watches and requests. */
   public void setList(String... entries) {
     fullList = line(true, entries);
   }
--- a/src/main/java/dunlinhitch/experiments/fakes/FlightStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/FlightStore.java
@@ -24,7 +24,7 @@
 import org.apache.arrow.vector.types.pojo.Field;
 import org.apache.arrow.vector.types.pojo.Schema;
 
-/** A fake store with Arrow Flight: one row for each part, each in its own batch. */
+/** A fake store with Arrow Flight. The answer to a part is one row in a record batch of its own. */
 public final class FlightStore extends Store {
   private static final Schema SCHEMA =
       new Schema(
@@ -33,7 +33,8 @@
               .toList());
 
   /**
-   * Shared by all fakes: a pool that ended with its server would reject the calls still in flight.
+   * Shared by all fakes. A pool that is shut down together with its server would reject the calls
+   * that are still in flight.
    */
   private static final ExecutorService POOL =
       Executors.newCachedThreadPool(
@@ -81,7 +82,7 @@
           }
         }
         if (answerMissing && !cancelled.await(10, TimeUnit.SECONDS)) {
-          throw new IllegalStateException("the broker never gave up");
+          throw new IllegalStateException("the broker did not cancel the call within 10 s");
         }
         listener.completed();
       } catch (InterruptedException e) {
--- a/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
@@ -10,7 +10,7 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.concurrent.TimeUnit;
 
-/** A fake store with the frame protocol. Serves on the Vert.x event loop. */
+/** A fake store with the frame protocol. Runs on the Vert.x event loop. */
 public class FrameStore extends Store {
   /** Types of the frames that the store reads and writes. */
   private static final char CANCEL = 'n';
@@ -130,22 +130,22 @@
     }
   }
 
-  /** Called when a connection was accepted. */
+  /** Called when a connection has been accepted. */
   protected void onConnected(NetSocket socket) {
     // for subclasses
   }
 
-  /** Called when a part was read from that connection. */
+  /** Called when a part has been read from a connection. */
   protected void onReceived(NetSocket socket, ReceivedPart part) {
-    // for subclasses that record the connection of a part
+    // overridden by subclasses that record the connection of a part
   }
 
   /** Handles the cancellation of a part. */
   protected void onCancelled(NetSocket socket, String partId) {
-    // cancelled parts are answered too
+    // this store also answers cancelled parts
   }
 
-  /** Called before the answer to a part is written to that connection. */
+  /** Called before the answer to a part is written to the connection. */
   protected void onAnswered(NetSocket socket, String partId) {
     // for subclasses
   }
@@ -155,7 +155,7 @@
     // for subclasses
   }
 
-  /** The current load report. */
+  /** Returns the current load report. */
   protected String loadReport() {
     return "latency_ms=1,queue=0";
   }
--- a/src/main/java/dunlinhitch/experiments/fakes/QueueingStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/QueueingStore.java
@@ -7,7 +7,8 @@
 
 /**
  * A fake store with several cores and one FIFO queue (M/D/c): each part occupies a core for its
- * service time. A cancelled part leaves the queue; one in service is finished.
+ * service time. A cancelled part is removed from the queue, but a part that already occupies a core
+ * is completed.
  */
 public class QueueingStore extends FrameStore {
   private record Job(String id, long serviceUs, Runnable done) {}
@@ -21,8 +22,8 @@
   private volatile long workedUs;
 
   /**
-   * Accumulated timer delay; subtracted from the next service time so that the mean service rate is
-   * exact.
+   * Accumulated delay of the timers. It is subtracted from the next service time, so that the mean
+   * service rate is exact.
    */
   private double timerLagUs;
 
@@ -41,7 +42,7 @@
     this.firstPassShare = firstPassShare;
   }
 
-  /** Service time of all started parts so far, over all cores, in microseconds. */
+  /** Returns the sum of the service times of all parts started so far, in microseconds. */
   public long workedUs() {
     return workedUs;
   }
@@ -62,7 +63,8 @@
     return "latency_ms=" + workUs / 1000 + ",queue=" + queue.size();
   }
 
-  @SuppressWarnings("NonAtomicVolatileUpdate") // written by the event loop alone, read by others
+  @SuppressWarnings(
+      "NonAtomicVolatileUpdate") // written only by the event loop, read by other threads
   private void startJobs() {
     while (busyCores < cores && !queue.isEmpty()) {
       Job job = queue.poll();
--- a/src/main/java/dunlinhitch/experiments/fakes/Store.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Store.java
@@ -9,8 +9,8 @@
 import java.util.function.Function;
 
 /**
- * A scripted fake store, independent of the protocol; subclasses add the protocol. Tests read the
- * queues and set the script from their own threads while the store serves on its own.
+ * Base of the scripted fake stores; subclasses implement the protocols. Tests read the queues and
+ * set the script from their own threads, while the store runs on its own thread.
  */
 public abstract class Store {
   /** A part of a query as the store received it. */
@@ -36,11 +36,11 @@
     TWICE
   }
 
-  /** The fields of an answer as they are written. */
+  /** The fields of an answer, as written to the wire. */
   @SuppressWarnings("ArrayRecordComponent") // written once and never compared
   protected record Row(String id, String end, String score, String report, byte[] value) {}
 
-  /** The answer to a part under a behavior. */
+  /** Returns the answer to a part that a behavior prescribes. */
   protected Row answerRow(ReceivedPart part, Behavior behavior) {
     boolean fails = behavior == Behavior.BAD || behavior == Behavior.LATER;
     byte[] value = (fails ? "" : value(part)).getBytes(StandardCharsets.UTF_8);
@@ -61,18 +61,18 @@
   public record FirstAnswer(long records, String version, String emptyValue) {}
 
   /**
-   * The first-pass answer to a part; a null result sends none. Null if the store supports a single
-   * pass only.
+   * Returns the first-pass answer to a part, or null to send no answer. The field itself is null if
+   * the store supports only single-pass queries.
    */
   public volatile Function<ReceivedPart, FirstAnswer> firstAnswer;
 
-  /** Milliseconds until a first-pass answer. */
+  /** Delay of first-pass answers in milliseconds. */
   public volatile int firstAnswerDelayMs;
 
   /** First passes in order of arrival. */
   public final BlockingQueue<ReceivedPart> firstPasses = new LinkedBlockingQueue<>();
 
-  /** Instance name, also in each value. */
+  /** Instance name; each answer value contains the name. */
   public final String name;
 
   /** Parts in order of arrival. */
@@ -90,16 +90,18 @@
   /** Whether liveness checks are left unanswered. */
   public volatile boolean unresponsive;
 
-  /** Milliseconds until a part is answered. */
+  /** Delay of answers in milliseconds. */
   public volatile int answerDelayMs;
 
-  /** Arrival of the last part, by System.nanoTime; 0 before the first. */
+  /**
+   * Time at which the last part arrived, as returned by System.nanoTime; 0 before the first part.
+   */
   public volatile long lastReceivedNanos;
 
-  /** The behavior for each part. */
+  /** Selects the behavior for a part. */
   public volatile Function<ReceivedPart, Behavior> script = part -> Behavior.GOOD;
 
-  /** The score in the answer to a part; must not contain blanks. */
+  /** Returns the score in the answer to a part; a score must not contain blanks. */
   public volatile Function<ReceivedPart, String> score = part -> "1";
 
   /** Creates a store that answers all parts with {@code GOOD} at once. */
@@ -107,16 +109,19 @@
     this.name = name;
   }
 
-  /** The loopback port that it listens on. */
+  /** Returns the loopback port on which the store listens. */
   public abstract int port();
 
-  /** The name of its protocol in endpoint lists. */
+  /** Returns the name of the store's protocol in endpoint lists. */
   public abstract String protocol();
 
-  /** Stops the server and waits until it has stopped. */
+  /** Stops the server and waits until the server has stopped. */
   public abstract void close() throws Exception;
 
-  /** The value that answers a part; it differs between the steps of a two-step query. */
+  /**
+   * Returns the value in the answer to a part. The value differs between the steps of a two-step
+   * query.
+   */
   public String value(ReceivedPart part) {
     return name
         + "/"
@@ -133,7 +138,7 @@
     return script.apply(part);
   }
 
-  /** How often the answer to a part is written. */
+  /** Returns the number of times that the answer to a part is written. */
   static int copies(Behavior behavior) {
     return switch (behavior) {
       case NOTHING -> 0;
