--- a/src/main/java/dunlinhitch/experiments/simulation/Days.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Days.java
@@ -85,7 +85,7 @@
   /**
    * Reads a schedule file. Its line {@code day seed 7 seconds 60 rate 38 defect X} sets the seed,
    * the duration, the query rate and the defect; each has a default. A non-null {@code seed} takes
-   * precedence over that of the file.
+   * precedence over the seed in the file.
    */
   public static SimulationSchedule parse(Path file, Long seed) throws IOException {
     return parse(file, Files.readAllLines(file), seed);
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Reduces the faults, the duration and the query rate of a schedule as long as the same invariant
-   * is still violated.
+   * Reduces the faults, the duration and the query rate of a schedule for as long as the simulation
+   * still violates the same invariant.
    *
    * @throws IllegalArgumentException if the schedule violates no invariant
    */
--- a/src/main/java/dunlinhitch/experiments/simulation/Defect.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Defect.java
@@ -1,6 +1,9 @@
 package dunlinhitch.experiments.simulation;
 
-/** A defect injected at the edges of the brokers to verify that the checker detects violations. */
+/**
+ * A defect that is injected into the inputs or outputs of the brokers, to verify that the checker
+ * detects violations.
+ */
 public enum Defect {
   NONE,
   /** Some queries are answered twice. */
@@ -11,7 +14,7 @@
   LATE_ANSWER,
   /** Partial answers are marked as complete. */
   FALSE_WHOLE,
-  /** Some answers carry the value of another part. */
+  /** Some answers contain the value of another part. */
   OTHER_VALUE,
   /** Some answers are reduced to their first value, below the minimum share of the class. */
   UNDER_THE_FLOOR,
--- a/src/main/java/dunlinhitch/experiments/simulation/Fault.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Fault.java
@@ -11,25 +11,25 @@
  *
  * <pre>
  * at 12s crash s1 s2 for 8s          the stores crash and restart in slow start
- * at 12s drain s3 for 20s            all brokers are notified; the store restarts under its id
- * at 12s move s3                     the store restarts at another address under the same id
+ * at 12s drain s3 for 20s            brokers are notified; the store restarts with the same id
+ * at 12s move s3                     the store restarts at another address with the same id
  * at 12s replace s3                  the store drains; a store with a new id starts in slow start
- * at 12s..18s slow s4 x5             the store takes 5 times as long
- * at 12s..18s slow-all x1.6          all stores take 1.6 times as long
+ * at 12s..18s slow s4 x5             the service times of the store are multiplied by 5
+ * at 12s..18s slow-all x1.6          the service times of all stores are multiplied by 1.6
  * at 12s..18s jump x1.8              the query rate is multiplied by 1.8
- * at 12s..18s late 3s                load reports are missing
+ * at 12s..18s late 3s                answers contain no load reports
  * at 12s..14s cut b0 s3              the link between broker and store is partitioned
  * at 12s room a for 5s               all stores of zone a crash
  * at 12s kill b1 for 2s              the broker crashes and restarts without state
  * at 12s withdraw s2 for 500ms       discovery withdraws the store and lists it again
  * at 12s..20s garble x0.1            10 % of the answers are corrupted
- * at 12s settings for 10s            a reload drops a query class, a later one restores it
- * when s3 cold jump x2               applies for 3 s from the restart of the store
+ * at 12s settings for 10s            a reload removes a query class, a later reload restores it
+ * when s3 cold jump x2               the fault starts when s3 restarts and lasts 3 s
  * </pre>
  *
- * @param fromUs time since the start of the run in microseconds; below 0, the fault starts when the
- *     store {@code coldStartOf} restarts
- * @param toUs end in microseconds, or below 0 for the default duration of the kind
+ * @param fromUs start of the fault in microseconds since the start of the run; if negative, the
+ *     fault starts when the store {@code coldStartOf} restarts
+ * @param toUs end in microseconds, or negative for the default duration of the kind
  * @param coldStartOf name of the store, or empty if {@code fromUs} is set
  * @param targets names of stores, brokers or zones
  * @param factor the number after {@code x}, or the delay of {@code late} in microseconds
@@ -101,10 +101,11 @@
     } else if (trigger.equals("when")) {
       coldStartOf = words.remove(0);
       if (!words.remove(0).equals("cold")) {
-        throw new IllegalArgumentException("expected: when STORE cold KIND ...");
+        throw new IllegalArgumentException("expected 'when STORE cold KIND ...'");
       }
     } else {
-      throw new IllegalArgumentException("the line must begin with at or when, not " + trigger);
+      throw new IllegalArgumentException(
+          "the line must begin with 'at' or 'when', found " + trigger);
     }
     String kind = words.remove(0);
     if (!KINDS.contains(kind)) {
@@ -136,7 +137,8 @@
     }
     Long unit = UNITS.get(text.substring(digits));
     if (digits == 0 || unit == null) {
-      throw new IllegalArgumentException("not a duration with a unit (us, ms, s or m): " + text);
+      throw new IllegalArgumentException(
+          "expected a duration with a unit (us, ms, s or m), found " + text);
     }
     return Math.round(Double.parseDouble(text.substring(0, digits)) * unit);
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/FaultInjector.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/FaultInjector.java
@@ -33,12 +33,15 @@
     this.startUs = startUs;
   }
 
-  /** Returns the factor on the query rate of the clients. */
+  /** Returns the factor by which the query rate of the clients is multiplied. */
   double trafficFactor() {
     return trafficFactor;
   }
 
-  /** Returns the delay of load reports in microseconds; if above 0, answers carry no report. */
+  /**
+   * Returns the delay of a {@code late} fault in microseconds; while it is above 0, answers contain
+   * no load report.
+   */
   long reportDelayUs() {
     return reportDelayUs;
   }
@@ -95,7 +98,9 @@
     return fault.targets().stream().map(simulation::store).toList();
   }
 
-  /** Returns the end of a fault, or now plus {@code defaultUs} if it specifies none. */
+  /**
+   * Returns the end of a fault, or the current time plus {@code defaultUs} if the fault has no end.
+   */
   private long endUs(Fault fault, long defaultUs) {
     return fault.toUs() >= 0 ? startUs + fault.toUs() : time.now() + defaultUs;
   }
--- a/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
@@ -87,7 +87,7 @@
     }
   }
 
-  /** Called when a broker crashes: its queries no longer require an answer. */
+  /** Called when a broker crashes. The queries of the broker no longer require an answer. */
   void brokerCrashed(int broker) {
     queries.values().removeIf(query -> query.broker == broker);
     unavailableSinceUs.keySet().removeIf(key -> key.startsWith(broker + " "));
@@ -177,7 +177,8 @@
   }
 
   /**
-   * Called when an attempt ends; {@code neverExecuted} is true if its store has not executed it.
+   * Called when an attempt ends; {@code neverExecuted} is true if the store has not executed the
+   * attempt.
    */
   void attemptEnded(int broker, String partId, long attempt, boolean neverExecuted) {
     PartState part = parts.get(broker + " " + partId);
--- a/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Scheduler.java
@@ -42,7 +42,9 @@
     scheduleAt(nowUs + Math.max(0, inUs), task);
   }
 
-  /** Runs all tasks that are due until {@code endUs}, as long as {@code mayContinue} is true. */
+  /**
+   * Runs all tasks that are due until {@code endUs}, as long as {@code mayContinue} returns true.
+   */
   void runUntil(long endUs, BooleanSupplier mayContinue) {
     while (!queue.isEmpty() && queue.peek().atUs() <= endUs && mayContinue.getAsBoolean()) {
       ScheduledTask due = queue.poll();
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
@@ -20,9 +20,10 @@
 
 /**
  * Simulates several brokers, each with its own scorer, and stores of which some are slower than
- * they report. A broker sends a part to the store with the least estimated work (Graham's rule),
- * multiplied by the factor of its scorer; stores serve parts in the order of arrival; a query has
- * one part. Hedging, rejection and health checks are not modelled. One thread, virtual time.
+ * they report. A broker sends a part to the store with the least estimated work (Graham's rule).
+ * The estimate is multiplied by the factor that the broker's scorer assigns to the store. Stores
+ * serve parts in the order of arrival, and a query has one part. Hedging, rejection and health
+ * checks are not modelled. Runs on one thread in virtual time.
  */
 public final class ScorerSimulation {
   /**
@@ -30,8 +31,8 @@
    *
    * @param replicas stores in each cell
    * @param workUs mean service time of a part at a store that is not slow
-   * @param slowShare share of the stores that take 4 to 8 times as long and divide the queue length
-   *     that they report by the same factor
+   * @param slowShare share of the stores that are slow: they take 4 to 8 times as long, and the
+   *     queue length in their load reports is divided by the same factor
    * @param load offered load as a share of the capacity of all stores
    * @param scorer creates the scorer of each broker, or null for Graham's rule without factors
    * @param shared whether brokers send their weights to each other
@@ -234,7 +235,9 @@
       capacity += 1 / slowdown;
     }
     meanGapUs =
-        plan.workUs() / (capacity * plan.load()) * plan.brokers(); // between queries of a broker
+        plan.workUs()
+            / (capacity * plan.load())
+            * plan.brokers(); // mean time between two queries of a broker
     for (int i = 0; i < plan.brokers(); i++) {
       join();
     }
@@ -245,8 +248,8 @@
   }
 
   /**
-   * Adds a broker that has no weights of its own; if weights are shared, it receives those of the
-   * first broker immediately, as a broker does when it joins the cluster.
+   * Adds a broker that has no weights of its own. If weights are shared, the new broker receives
+   * those of the first broker immediately, as a broker does when it joins the cluster.
    */
   public void join() {
     Broker joined = new Broker(brokers.size());
@@ -289,15 +292,17 @@
     store.countsByWindow[window]++;
   }
 
-  /** The index of the store that each part was sent to, in the order of sending. */
+  /**
+   * Returns, for each part in the order of sending, the index of the store to which it was sent.
+   */
   public List<Integer> chosen() {
     return List.copyOf(chosen);
   }
 
   /**
-   * The share of the parts completed so far that met the latency objective, among those sent from
-   * {@code fromUs} until {@code untilUs}; if {@code newest} is true, only parts of the broker that
-   * joined last count.
+   * Returns the fraction of parts that met the latency objective. Counted are the completed parts
+   * that were sent between {@code fromUs} and {@code untilUs}; if {@code newest} is true, only
+   * those of the broker that joined last.
    */
   public double worth(long fromUs, long untilUs, boolean newest) {
     double[] latencies = latencies(fromUs, untilUs, newest);
@@ -305,7 +310,10 @@
         / (double) Math.max(1, latencies.length);
   }
 
-  /** The 99th percentile of the latency in microseconds, over the same parts as {@link #worth}. */
+  /**
+   * Returns the 99th percentile of the latency in microseconds, over the same parts as {@link
+   * #worth}.
+   */
   public double p99(long fromUs, long untilUs, boolean newest) {
     double[] latencies = latencies(fromUs, untilUs, newest);
     Arrays.sort(latencies);
@@ -321,8 +329,8 @@
   }
 
   /**
-   * The coefficient of variation of the number of parts that a store receives per second, averaged
-   * over all stores.
+   * Returns the coefficient of variation of the number of parts that a store receives per second,
+   * averaged over all stores.
    */
   public double swing(long fromUs, long untilUs) {
     double sum = 0;
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedBroker.java
@@ -9,8 +9,8 @@
 import java.util.function.BiConsumer;
 
 /**
- * Runs the production reducer on virtual time. Events are batched into turns as in the event loop
- * of a serving broker.
+ * Runs the production reducer on virtual time. Events are collected and passed to the reducer in
+ * batches, as by the event loop of a real broker.
  */
 final class SimulatedBroker {
   final int number;
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
@@ -19,7 +19,10 @@
 final class SimulatedClients {
   private static final double MICROS_PER_SECOND = 1e6;
 
-  /** A query of a client; {@code retries} counts the retries that precede it. */
+  /**
+   * A query of a client; {@code retries} is the number of retries before this attempt of the
+   * client.
+   */
   private record ClientQuery(
       QueryRequest request, int retries, long startedUs, boolean honorsRetryAfter) {}
 
@@ -70,7 +73,7 @@
     return query == null ? null : query.request();
   }
 
-  /** Sends a query and schedules the next one, until the end of the load. */
+  /** Sends a query and schedules the next query, until the load ends. */
   void arrive() {
     if (time.now() >= Simulation.START_US + schedule.seconds() * 1_000_000L) {
       return;
@@ -144,7 +147,7 @@
     String id = exchanges.get(broker.number + " " + exchange);
     ClientQuery query = openQueries.get(id);
     if (query == null) {
-      return; // the query is no longer open: its client has disconnected or has an answer
+      return; // the client has disconnected or has already received an answer
     }
     if (simulation.injects(Defect.LOST_ANSWER, 0.01)) {
       return;
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
@@ -45,7 +45,10 @@
   boolean draining;
   boolean collapsed;
 
-  /** Incremented on each start and stop; parts of an earlier incarnation end without a result. */
+  /**
+   * Incremented on each start and stop; parts that were submitted in an earlier incarnation end
+   * without a result.
+   */
   int incarnation;
 
   double slowdown = 1;
@@ -176,7 +179,10 @@
     }
   }
 
-  /** Returns {@code latency_ms} and {@code queue} as of the last refresh of the load report. */
+  /**
+   * Returns the values of {@code latency_ms} and {@code queue} at the last refresh of the load
+   * report.
+   */
   float[] report() {
     if (time.now() >= reportAtUs) {
       reportedMs = (float) (smoothedLatencyMs * RandomStreams.uniform(random, 0.9, 1.1));
--- a/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -36,7 +36,7 @@
   private static final long DRAIN_PERIOD_US = 8_000_000;
   private static final String DNS_SOURCE = "dns_sd day";
 
-  /** A store and the port under which a broker knows it. */
+  /** A store and the port at which a broker reaches the store. */
   private record Route(SimulatedStore store, int port) {}
 
   /** An attempt in flight. */
@@ -115,7 +115,7 @@
       startBroker(slot);
     }
     for (Fault fault : schedule.faults()) {
-      if (fault.fromUs() >= 0) { // faults without a time are applied when their store restarts
+      if (fault.fromUs() >= 0) { // other faults are applied when their store restarts
         time.scheduleAt(START_US + fault.fromUs(), () -> faults.apply(fault));
       }
     }
@@ -165,8 +165,8 @@
   }
 
   /**
-   * Crashes the broker in a slot and drops its outstanding attempts. Returns false if it had
-   * already crashed.
+   * Crashes the broker in a slot and drops its outstanding attempts. Returns false if the broker
+   * has already crashed.
    */
   boolean crashBroker(int slot) {
     SimulatedBroker broker = slots[slot];
@@ -268,8 +268,8 @@
   }
 
   /**
-   * Notifies all brokers of an endpoint's state, each after a random delay: a short one if {@code
-   * quick} is true, as by a push of records.
+   * Notifies all brokers of the state of an endpoint, each after a random delay. If {@code quick}
+   * is true, the delay is short, as with DNS push.
    */
   void notifyBrokers(SimulatedStore store, ServerState state, boolean quick) {
     Endpoint entry = endpoint(store, state);
@@ -403,8 +403,8 @@
   }
 
   /**
-   * Cancels an attempt. The store reads the cancellation after the latency of the route, and its
-   * confirmation takes the latency once more; over a partitioned route neither arrives.
+   * Cancels an attempt. The cancellation and its confirmation each take the latency of the route;
+   * over a partitioned route, neither arrives.
    */
   private void cancel(SimulatedBroker broker, Effect.CancelAttempt cancellation) {
     OutstandingAttempt attempt = outstanding.get(broker.number).remove(cancellation.attempt());
@@ -476,7 +476,7 @@
           });
     }
     if (isPartitioned(broker, store)) {
-      return; // over a partitioned link nothing arrives; the attempt times out at the broker
+      return; // the partitioned link drops the attempt, which times out at the broker
     }
     boolean booking = request != null && request.queryClass().idempotency() == Idempotency.GUARDED;
     long workUs = (long) RandomStreams.logNormal(work, booking ? 67_000 : 84_000, 0.3) + 46_000 / 4;
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationResult.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationResult.java
@@ -6,8 +6,8 @@
  * The result of a simulated run.
  *
  * @param violation the first violated invariant, or null
- * @param servedWeight weight of the answers
- * @param offeredWeight weight of the queries
+ * @param servedWeight total weight of the served answers
+ * @param offeredWeight total weight of the queries, without retries
  * @param steps number of scheduled tasks that ran
  * @param digest SHA-256 of the trace
  * @param trace the trace lines; empty unless requested
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationSettings.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationSettings.java
@@ -11,7 +11,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** The settings of the simulated brokers, as in the deployment for three brokers. */
+/** The settings of the simulated brokers, like those of a deployment with three brokers. */
 final class SimulationSettings {
   /** Number of cells in the shard layout. */
   static final int CELL_COUNT = 6;
