--- a/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
@@ -41,13 +41,18 @@
     private long timerUs = Long.MAX_VALUE;
     private int partition;
 
-    /** Stores that this broker health-checked, in order. */
+    /** Stores to which this broker sent health checks, in order. */
     private final List<String> probed = new ArrayList<>();
 
-    /** Health checks delegated to other brokers that ended with a report. */
+    /**
+     * Number of health checks that other brokers made for this broker and that ended with a report.
+     */
     private int reportedHealthChecks;
 
-    /** Health checks delegated to other brokers that ended without a report. */
+    /**
+     * Number of health checks that other brokers made for this broker and that ended without a
+     * report.
+     */
     private int unreportedHealthChecks;
 
     private Node(int number) {
@@ -56,22 +61,28 @@
       clockOffsetUs = random.nextLong(-MAX_CLOCK_OFFSET_US, MAX_CLOCK_OFFSET_US);
     }
 
-    /** The coordinator of its current process; null before the first start. */
+    /** Returns the coordinator of the broker's current process, or null before the first start. */
     public ClusterCoordinator fleet() {
       return fleet;
     }
 
-    /** True while the broker runs. */
+    /** Returns true while the broker runs. */
     public boolean isUp() {
       return up;
     }
 
-    /** Health checks delegated to other brokers that ended with a report. */
+    /**
+     * Returns the number of health checks that other brokers made for this broker and that ended
+     * with a report.
+     */
     public int reportedHealthChecks() {
       return reportedHealthChecks;
     }
 
-    /** Health checks delegated to other brokers that ended without a report. */
+    /**
+     * Returns the number of health checks that other brokers made for this broker and that ended
+     * without a report.
+     */
     public int unreportedHealthChecks() {
       return unreportedHealthChecks;
     }
@@ -110,7 +121,7 @@
       }
     }
 
-    /** Requests a health check, as the load balancer does. */
+    /** Requests a health check of a store, as the load balancer does. */
     public void requestHealthCheck(String store) {
       if (up) {
         if (fleet.mayHealthCheck(wallClockUs(), store)) {
@@ -145,7 +156,7 @@
 
     @Override
     public void selectEndpoints(Set<String> stores) {
-      // callers read the coordinator's selection instead
+      // not needed: callers read the selection from the coordinator
     }
 
     @Override
@@ -174,7 +185,7 @@
     }
   }
 
-  /** A health check that a broker made. */
+  /** A health check that broker {@code by} sent to a store. */
   public record HealthCheck(long atUs, String store, String by) {}
 
   private final SplittableRandom random;
@@ -197,22 +208,22 @@
     }
   }
 
-  /** All brokers, whether they run or not. */
+  /** Returns all brokers, whether they run or not. */
   public List<Node> nodes() {
     return nodes;
   }
 
-  /** All health checks so far, in order. */
+  /** Returns all health checks so far, in order. */
   public List<HealthCheck> probes() {
     return probes;
   }
 
-  /** Virtual time in microseconds. */
+  /** Returns the virtual time in microseconds. */
   public long nowUs() {
     return time.nowUs();
   }
 
-  /** Messages sent so far, lost ones included. */
+  /** Returns the number of messages sent so far, including lost ones. */
   public long messageCount() {
     return messageCount;
   }
@@ -222,7 +233,10 @@
     healthChecksSucceed = succeed;
   }
 
-  /** Adds cells with {@code each} stores, listed to all brokers that start from now on. */
+  /**
+   * Adds cells with {@code each} stores per cell. Brokers that start from now on have these stores
+   * in their endpoint lists.
+   */
   public void stores(int cells, int each) {
     for (int cell = 0; cell < cells; cell++) {
       for (int i = 0; i < each; i++) {
@@ -232,12 +246,12 @@
     }
   }
 
-  /** The names of all stores. */
+  /** Returns the names of all stores. */
   public Set<String> stores() {
     return stores.keySet();
   }
 
-  /** Starts a broker, or restarts it without its earlier state. */
+  /** Starts a broker, or restarts a broker without its earlier state. */
   public void start(int number) {
     Node node = nodes.get(number);
     node.up = true;
@@ -276,7 +290,7 @@
     nodes.get(number).up = false;
   }
 
-  /** Moves a broker into a partition; messages between partitions are lost. */
+  /** Moves a broker into partition {@code group}; messages between partitions are lost. */
   public void group(int number, int group) {
     nodes.get(number).partition = group;
   }
@@ -286,12 +300,15 @@
     time.at(atUs, task);
   }
 
-  /** Runs all tasks up to that virtual time. */
+  /** Runs all tasks that are scheduled until the virtual time {@code untilUs}. */
   public void playTo(long untilUs) {
     time.playTo(untilUs);
   }
 
-  /** True if all running brokers of a partition see exactly each other as members. */
+  /**
+   * Returns true if the member list of each running broker of a partition consists of exactly the
+   * running brokers of the partition.
+   */
   public boolean agree(int group) {
     Set<String> all = new TreeSet<>();
     nodes.stream()
@@ -302,7 +319,7 @@
         .allMatch(node -> node.fleet.members().equals(all));
   }
 
-  /** For each store, the number of running brokers that have it in their subset. */
+  /** Returns, for each store, the number of running brokers that have the store in their subset. */
   public Map<String, Integer> load() {
     Map<String, Integer> load = new LinkedHashMap<>();
     stores.keySet().forEach(store -> load.put(store, 0));
@@ -316,15 +333,15 @@
     return load;
   }
 
-  /** The ratio of the maximum to the mean load of a store. */
+  /** Returns the ratio of the maximum to the mean load of the stores. */
   public static double unevenness(Map<String, Integer> load) {
     double mean = load.values().stream().mapToInt(i -> i).average().orElse(0);
     return mean == 0 ? 1 : load.values().stream().mapToInt(i -> i).max().orElse(0) / mean;
   }
 
   /**
-   * Connections of the larger cluster that the smaller one lacks, as a multiple of the mean number
-   * of connections of one broker of the larger.
+   * Returns the number of connections that exist in the larger cluster but not in the smaller one,
+   * as a multiple of the mean number of connections per broker in the larger cluster.
    */
   public static double moved(Map<String, Set<String>> larger, Map<String, Set<String>> smaller) {
     long lost = 0;
@@ -337,7 +354,10 @@
     return lost / ((double) all / larger.size());
   }
 
-  /** The maximum number of health checks of one store within any second from that time on. */
+  /**
+   * Returns the maximum number of health checks that one store received within any one second after
+   * {@code fromUs}.
+   */
   public long mostProbesInASecond(long fromUs) {
     long max = 0;
     for (HealthCheck first : probes) {
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
@@ -19,13 +19,15 @@
   private final TestBed testBed;
   private final Consumer<String> log;
 
-  /** Injects into {@code testBed}; {@code log} gets one line for each step as it is taken. */
+  /**
+   * Creates an injector for {@code testBed}; {@code log} receives one line for each step that runs.
+   */
   FaultInjector(TestBed testBed, Consumer<String> log) {
     this.testBed = testBed;
     this.log = log;
   }
 
-  /** Runs all steps at their times from now on; returns after the last one. */
+  /** Runs all steps at their times, measured from now on; returns after the last step. */
   void run(List<ScheduledFault> faults) throws Exception {
     List<Step> steps = new ArrayList<>();
     for (ScheduledFault fault : faults) {
@@ -67,7 +69,9 @@
             }));
   }
 
-  /** Resets the connections that stalled during the fault, as happens when a network recovers. */
+  /**
+   * Resets the connections that stalled during the fault, as they would be when a network recovers.
+   */
   private void resetStalledConnections(ScheduledFault fault) throws Exception {
     for (TestBed.Node node : testBed.nodes()) {
       if (fault.targets().contains(node.name) || fault.kind() == FaultKind.CUT) {
@@ -103,7 +107,8 @@
       }
       default ->
           throw new IllegalArgumentException(
-              "fault has a duration and cannot be applied at once: " + kind);
+              "fault kind requires a start and an end time and cannot be applied as a single step: "
+                  + kind);
     }
   }
 
@@ -115,7 +120,9 @@
     };
   }
 
-  /** Accepts the names of sender and receiver that the fault applies to. */
+  /**
+   * Returns a predicate that accepts the pairs of sender and receiver to which the fault applies.
+   */
   private static BiPredicate<String, String> directionsOf(ScheduledFault fault) {
     List<String> targets = fault.targets();
     return switch (fault.kind()) {
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultKind.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultKind.java
@@ -32,27 +32,27 @@
     this.targetCount = targetCount;
   }
 
-  /** The kind with this keyword in schedules, or empty. */
+  /** Returns the kind with this keyword in schedules, or empty if the keyword is unknown. */
   static Optional<FaultKind> of(String keyword) {
     return Arrays.stream(values()).filter(kind -> kind.keyword.equals(keyword)).findFirst();
   }
 
-  /** The keyword of this kind in schedules. */
+  /** Returns the keyword of this kind in schedules. */
   String keyword() {
     return keyword;
   }
 
-  /** True if the fault has a start and an end time. */
+  /** Returns true if the fault has a start and an end time. */
   boolean isLasting() {
     return lasting;
   }
 
-  /** True if the last argument of the fault is a time. */
+  /** Returns true if the last argument of the fault is a delay. */
   boolean hasDelay() {
     return this == LATE || this == SLOW;
   }
 
-  /** The number of targets, or {@link #ANY_NUMBER}. */
+  /** Returns the number of targets, or {@link #ANY_NUMBER}. */
   int targetCount() {
     return targetCount;
   }
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultLineParser.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultLineParser.java
@@ -9,7 +9,7 @@
 
 /** Parses and checks single lines of a {@link FaultSchedule}. Stateless. */
 final class FaultLineParser {
-  /** Latest start or end of a fault. */
+  /** Latest time at which a fault may start or end. */
   private static final long MAX_TIME_MS = 120_000;
 
   private static final Pattern LINE_PATTERN =
@@ -18,16 +18,16 @@
   private FaultLineParser() {}
 
   /**
-   * Parses one line without comment.
+   * Parses one line, from which comments have been removed.
    *
    * @param names the names of the test bed's brokers, stores and discovery
-   * @throws IllegalArgumentException if the line is invalid; the message says what is expected
+   * @throws IllegalArgumentException if the line is invalid; the message states what is expected
    */
   static ScheduledFault parse(String line, List<String> names) {
     Matcher matcher = LINE_PATTERN.matcher(line);
     if (!matcher.matches()) {
       throw new IllegalArgumentException(
-          "expected: at TIME[..TIME] FAULT TARGET..., with times such as 1500ms or 3s");
+          "expected 'at TIME[..TIME] FAULT TARGET...', with times such as 1500ms or 3s");
     }
     long fromMs = parseMs(matcher.group(1));
     boolean hasEnd = matcher.group(2) != null;
@@ -44,7 +44,13 @@
     checkTargets(kind, targets, names);
     if ((kind.isLasting() && toMs <= fromMs) || Math.max(fromMs, toMs) > MAX_TIME_MS) {
       throw new IllegalArgumentException(
-          "a fault must end after it begins and within " + MAX_TIME_MS / 1000 + " s");
+          "a fault must end after it begins and within "
+              + MAX_TIME_MS / 1000
+              + " s of the start of the schedule; got "
+              + fromMs
+              + " ms to "
+              + toMs
+              + " ms");
     }
     return new ScheduledFault(fromMs, toMs, kind, List.copyOf(targets), delayMs, share, line);
   }
@@ -80,7 +86,8 @@
           kind.keyword()
               + " requires "
               + (anyNumber ? "one or more" : expected + "")
-              + " target(s)");
+              + " target(s), got "
+              + targets.size());
     }
     for (String target : targets) {
       if (!names.contains(target)) {
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultSchedule.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultSchedule.java
@@ -6,20 +6,20 @@
 import java.util.function.Consumer;
 
 /**
- * A schedule of injected faults, one a line, in any order; {@code #} begins a comment. Targets are
- * brokers (n0), stores (s0-1) and discovery (d):
+ * A schedule of injected faults, one per line, in any order; {@code #} begins a comment. Targets
+ * are brokers (n0), stores (s0-1) and discovery (d):
  *
  * <pre>
- * at 2s..7s cut n2 n3            partitions these from all others, in both directions
- * at 2s..7s alone n2             partitions it from the other brokers
+ * at 2s..7s cut n2 n3            partitions the targets from all others, in both directions
+ * at 2s..7s alone n2             partitions the broker from the other brokers
  * at 2s..7s mute n1 s0-0         drops all traffic from the first to the second
- * at 2s..7s lose n1 n2 30%       drops this share of the traffic between the two (datagrams; a stream stalls)
+ * at 2s..7s lose n1 n2 30%       drops this share of the datagrams between the two; a stream stalls
  * at 2s..7s late n1 s0-0 200ms   delays the traffic between the two
- * at 2s..7s slow n1 s0-0 5ms     forwards it in chunks of 7 bytes with this pause between them
- * at 4s reset n1                 resets its connections
+ * at 2s..7s slow n1 s0-0 5ms     forwards the traffic in 7-byte chunks with this pause in between
+ * at 4s reset n1                 resets all connections of the broker
  * at 4s kill n1                  SIGKILL
  * at 4s end n1                   SIGTERM
- * at 9s start n1                 starts it without its earlier state
+ * at 9s start n1                 starts the broker without its earlier state
  * </pre>
  *
  * <p>Immutable.
@@ -38,8 +38,8 @@
    *
    * @param place origin of the lines, for messages
    * @param names the names of the test bed's brokers, stores and discovery
-   * @throws IllegalArgumentException if a line is invalid; the message has the place, the line and
-   *     what is expected
+   * @throws IllegalArgumentException if a line is invalid; the message contains the place, the line
+   *     and what is expected
    */
   public static FaultSchedule parse(String place, List<String> lines, List<String> names) {
     List<ScheduledFault> faults = new ArrayList<>();
@@ -97,12 +97,12 @@
     return parse("seed " + seed, lines, names);
   }
 
-  /** The lines of the schedule as written, without comments. */
+  /** Returns the lines of the schedule as written, without comments. */
   public List<String> lines() {
     return faults.stream().map(ScheduledFault::text).toList();
   }
 
-  /** The last time at which a fault begins or ends, in milliseconds after the start. */
+  /** Returns the last time at which a fault begins or ends, in milliseconds after the start. */
   public long lastMs() {
     return faults.stream()
         .mapToLong(fault -> Math.max(fault.fromMs(), fault.toMs()))
@@ -110,7 +110,7 @@
         .orElse(0);
   }
 
-  /** Injects the faults in real time from now on; {@code log} gets a line for each step taken. */
+  /** Injects the faults in real time, starting now; {@code log} receives a line for each step. */
   public void play(TestBed testBed, Consumer<String> log) throws Exception {
     new FaultInjector(testBed, log).run(faults);
   }
--- a/src/main/java/dunlinhitch/experiments/testbed/FreePorts.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FreePorts.java
@@ -13,8 +13,8 @@
  * ephemeral port range of the system: a free port of that range may be taken by an outgoing
  * connection before the process binds it.
  *
- * <p>Thread-safe. This process allocates each port once before it starts over; other processes
- * start at other ports.
+ * <p>Thread-safe. A process allocates every port of the range once before it repeats a port.
+ * Processes with different ids begin at different ports.
  */
 public final class FreePorts {
   /** The lowest allocated port. */
@@ -65,7 +65,7 @@
         probe.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
         return port;
       } catch (SocketException e) {
-        // in use: tries the next one
+        // the port is in use: tries the next one
       }
     }
     throw new IOException("no free port from " + LOWEST + " to " + HIGHEST);
--- a/src/main/java/dunlinhitch/experiments/testbed/GossipProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/GossipProxy.java
@@ -11,7 +11,7 @@
  * Forwards gossip datagrams to one broker and applies the fault rules of {@link NetworkFaults}. The
  * sender of a datagram is recognised by its UDP source port.
  *
- * <p>The test bed owns it; datagrams are handled on the Vert.x event loop.
+ * <p>The test bed owns the proxy; datagrams are handled on the Vert.x event loop.
  */
 public final class GossipProxy {
   private final Vertx vertx;
@@ -43,22 +43,25 @@
         .get(5, TimeUnit.SECONDS);
   }
 
-  /** The UDP port that peers send to. */
+  /** Returns the UDP port to which the other brokers send. */
   public int port() {
     return socket.localAddress().port();
   }
 
-  /** Registers the source port of a broker, so that rules by name apply to what it sends. */
+  /**
+   * Registers the source port of a broker, so that rules that name the broker apply to its
+   * datagrams.
+   */
   public void registerSender(String name, int senderPort) {
     vertx.runOnContext(v -> sendersByPort.put(senderPort, name));
   }
 
-  /** Datagrams forwarded so far. */
+  /** Returns the number of datagrams forwarded so far. */
   public long forwarded() {
     return forwarded;
   }
 
-  /** Datagrams dropped so far because of a rule. */
+  /** Returns the number of datagrams dropped so far because of a rule. */
   public long dropped() {
     return dropped;
   }
--- a/src/main/java/dunlinhitch/experiments/testbed/HalfClose.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/HalfClose.java
@@ -16,7 +16,7 @@
 final class HalfClose {
   private HalfClose() {}
 
-  /** Keeps the socket open when its peer ends its stream, and runs the task at that time. */
+  /** Keeps the socket open when the peer ends its stream, and runs {@code task} at that time. */
   static void onInputEnd(NetSocket socket, Runnable task) {
     ChannelHandlerContext context = ((NetSocketInternal) socket).channelHandlerContext();
     context.channel().config().setOption(ChannelOption.ALLOW_HALF_CLOSURE, true);
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipBounds.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipBounds.java
@@ -3,11 +3,14 @@
 import dunlinhitch.cluster.MembershipProtocolSettings;
 
 /**
- * The convergence and traffic bounds of docs/view.md, as formulas of only the membership protocol's
- * settings and the cluster size. Times are in microseconds. Stateless.
+ * The convergence and traffic bounds of docs/view.md, computed only from the settings of the
+ * membership protocol and the cluster size. Times are in microseconds. Stateless.
  */
 public final class MembershipBounds {
-  /** Size of one broker in an anti-entropy page, with the names and addresses of the model. */
+  /**
+   * Bytes that one broker occupies in an anti-entropy page, given the names and addresses of the
+   * simulation.
+   */
   private static final int BROKER_BYTES = 48;
 
   /** Maximum number of pings that a broker sends in one protocol period. */
@@ -18,24 +21,33 @@
 
   private MembershipBounds() {}
 
-  /** Time in which an update reaches all: 2 log2 of the cluster size, in protocol periods. */
+  /**
+   * Returns the time in which an update reaches all brokers: 2 log2 of the cluster size, in
+   * protocol periods.
+   */
   private static double disseminationUs(MembershipProtocolSettings settings, int brokers) {
     return 2 * settings.periodUs() * Math.log(brokers + 1) / Math.log(2);
   }
 
-  /** Time in which anti-entropy passes through all pages. */
+  /** Returns the time in which anti-entropy covers all pages. */
   private static double antiEntropyUs(MembershipProtocolSettings settings, int brokers) {
     return 4.0
         * settings.periodUs()
         * Math.ceil((double) brokers * BROKER_BYTES / settings.antiEntropyBytes());
   }
 
-  /** Convergence after graceful leaves that at least one other broker received. */
+  /**
+   * Returns the upper bound of the convergence time after graceful leaves, if at least one other
+   * broker received each announcement.
+   */
   public static long leaveUs(MembershipProtocolSettings settings, int brokers) {
     return (long) (4 * settings.periodUs() + 2 * disseminationUs(settings, brokers));
   }
 
-  /** Convergence after joins, after the end of a partition, or both. */
+  /**
+   * Returns the upper bound of the convergence time after joins or the end of a partition, even if
+   * both coincide.
+   */
   public static long joinUs(MembershipProtocolSettings settings, int brokers) {
     return (long)
         (8 * settings.periodUs()
@@ -43,7 +55,7 @@
             + antiEntropyUs(settings, brokers));
   }
 
-  /** Convergence after crashes or the start of a partition. */
+  /** Returns the upper bound of the convergence time after crashes or the start of a partition. */
   public static long dieUs(MembershipProtocolSettings settings, int brokers) {
     double suspicionUs =
         settings.suspicionMultiplier()
@@ -57,8 +69,8 @@
   }
 
   /**
-   * Upper bound of the bytes that one broker sends per second, averaged over the brokers, under any
-   * faults: it assumes that every message has the maximum size.
+   * Returns the upper bound of the bytes that one broker sends per second, averaged over the
+   * brokers, under any faults. The bound assumes that every message has the maximum size.
    */
   public static double bytesPerS(MembershipProtocolSettings settings) {
     int messages = PINGS_PER_PERIOD * (4 + 4 * settings.indirectProbes()) + 2;
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
@@ -28,10 +28,10 @@
   private static final long MAX_DELAY_US = 2_000;
   private static final int BASE_PORT = 7000;
 
-  /** Distance between the ports of a broker before and after it moved. */
+  /** Difference between the port numbers of a broker before and after a move. */
   private static final int RELOCATION_PORT_OFFSET = 1_000;
 
-  /** Number of seeds of each broker; these are the brokers at the first addresses. */
+  /** Number of seed addresses of each broker; the seeds are the brokers at the first addresses. */
   private static final int SEEDS = 8;
 
   private static final long WALL_CLOCK_START_MS = 1_796_000_000_000L;
@@ -51,7 +51,10 @@
     private Set<String> lastNames = Set.of();
     private ClusterSnapshot lastSnapshot;
 
-    /** Members that it removed although they ran and no fault was injected. */
+    /**
+     * Number of members that this process removed although they were running and no fault was
+     * injected.
+     */
     private long falseDeaths;
 
     private Node(String name, int port) {
@@ -59,12 +62,12 @@
       this.port = port;
     }
 
-    /** Its membership protocol. */
+    /** Returns the membership protocol of this process. */
     public MembershipProtocol view() {
       return view;
     }
 
-    /** True while the process runs, paused or not. */
+    /** Returns true while the process runs, even if it is paused. */
     public boolean isUp() {
       return up;
     }
@@ -81,14 +84,14 @@
         return;
       }
       if (time.nowUs() < pausedUntilUs) {
-        receiveBuffer.add(message); // as in the socket's receive buffer
+        receiveBuffer.add(message); // buffered until the process resumes, as in a receive buffer
       } else {
         view.onMessage(time.nowUs(), message);
         afterEvent();
       }
     }
 
-    @SuppressWarnings("ReferenceEquality") // a snapshot is replaced, never changed
+    @SuppressWarnings("ReferenceEquality") // snapshots are immutable; a change creates a new one
     private void afterEvent() {
       ClusterSnapshot snapshot = view.snapshot();
       if (snapshot != lastSnapshot) {
@@ -125,7 +128,10 @@
   private BiPredicate<Node, Node> cut = (from, to) -> false;
   private ToLongBiFunction<Node, Node> late = (from, to) -> 0;
 
-  /** True while a fault is injected: members removed meanwhile do not count as false positives. */
+  /**
+   * True while a fault is injected. Members that are removed during this time do not count as false
+   * positives.
+   */
   private boolean faultInjected;
 
   private long messageCount;
@@ -139,32 +145,32 @@
     this.settings = settings;
   }
 
-  /** Virtual time in microseconds. */
+  /** Returns the virtual time in microseconds. */
   public long nowUs() {
     return time.nowUs();
   }
 
-  /** All running processes. */
+  /** Returns all running processes. */
   public List<Node> nodes() {
     return nodes;
   }
 
-  /** Messages sent so far, lost ones included. */
+  /** Returns the number of messages sent so far, including lost ones. */
   public long messageCount() {
     return messageCount;
   }
 
-  /** Bytes sent so far, including 28 bytes of headers for each datagram. */
+  /** Returns the number of bytes sent so far, including 28 bytes of headers for each datagram. */
   public long bytes() {
     return bytes;
   }
 
-  /** Size of the largest message so far, in bytes without headers. */
+  /** Returns the size of the largest message so far, in bytes without headers. */
   public int largestMessage() {
     return largestMessage;
   }
 
-  /** False positives of failure detection over all running brokers. */
+  /** Returns the number of false positives of failure detection at all running brokers. */
   public long falsePositives() {
     return nodes.stream().mapToLong(node -> node.falseDeaths).sum();
   }
@@ -183,12 +189,18 @@
     return WALL_CLOCK_START_MS + time.nowUs() / 1000;
   }
 
-  /** The incarnation of a process that starts now with a clock that is {@code aheadMs} fast. */
+  /**
+   * Returns the incarnation of a process that starts now and whose clock is ahead by {@code
+   * aheadMs}.
+   */
   public long incarnation(long aheadMs) {
     return wallClockMs() + aheadMs;
   }
 
-  /** Starts a process without earlier state at an address, and crashes the one that ran there. */
+  /**
+   * Starts a process without earlier state at address {@code place}; crashes the process that runs
+   * there, if any.
+   */
   public Node start(String name, int place, long incarnation) {
     Node node = new Node(name, BASE_PORT + place);
     Node before = byPort.put(node.port, node);
@@ -215,18 +227,18 @@
     return node;
   }
 
-  /** Restarts a broker at the same address, with a clock that is ahead. */
+  /** Restarts a broker at the same address, with a clock that is ahead by {@code aheadMs}. */
   public void restart(int number, long aheadMs) {
     start("n" + number, number, incarnation(aheadMs));
   }
 
-  /** Restarts a broker at another address, with a clock that is ahead. */
+  /** Restarts a broker at another address, with a clock that is ahead by {@code aheadMs}. */
   public void move(int number, long aheadMs) {
     kill(number);
     start("n" + number, number + RELOCATION_PORT_OFFSET, incarnation(aheadMs));
   }
 
-  /** The broker at its first address, or null. */
+  /** Returns the process at the initial address of a broker, or null if none has run there. */
   public Node node(int number) {
     return byPort.get(BASE_PORT + number);
   }
@@ -245,8 +257,8 @@
   }
 
   /**
-   * Pauses a process. On resumption it handles all messages that arrived meanwhile, before its
-   * timers if {@code messagesFirst}, else after them.
+   * Pauses a process. On resumption, the process handles all messages that arrived during the
+   * pause: before its timers if {@code messagesFirst} is true, otherwise after them.
    */
   public void still(int number, long forUs, boolean messagesFirst) {
     Node node = node(number);
@@ -274,12 +286,14 @@
     late = rule;
   }
 
-  /** Sets whether a fault is injected, so that removed members do not count as false positives. */
+  /**
+   * Sets whether a fault is injected; while it is, removed members do not count as false positives.
+   */
   public void harmed(boolean injected) {
     faultInjected = injected;
   }
 
-  /** The number in a broker's name. */
+  /** Returns the number in the name of a broker. */
   public static int number(Node node) {
     return Integer.parseInt(node.name.substring(1));
   }
@@ -307,12 +321,12 @@
     time.at(atUs, task);
   }
 
-  /** Runs all tasks up to that virtual time. */
+  /** Runs all tasks that are scheduled until the virtual time {@code untilUs}. */
   public void playTo(long untilUs) {
     time.playTo(untilUs);
   }
 
-  /** Runs for that many more microseconds. */
+  /** Runs the simulation for another {@code forUs} microseconds. */
   public void play(long forUs) {
     playTo(time.nowUs() + forUs);
   }
@@ -336,7 +350,7 @@
   /**
    * Runs until all running brokers agree and each has detected the convergence.
    *
-   * @return microseconds until then, or -1 if that does not happen within the limit
+   * @return microseconds until then, or -1 if the condition is not met within the limit
    */
   public long untilSettled(long withinUs) {
     long from = time.nowUs();
@@ -349,12 +363,15 @@
     return -1;
   }
 
-  /** True if all running brokers see exactly the running ones as members, with equal digests. */
+  /**
+   * Returns true if the member list of each running broker consists of exactly the running brokers,
+   * and all digests are equal.
+   */
   public boolean agree() {
     return agree(nodes);
   }
 
-  /** True if these brokers see exactly each other as members. */
+  /** Returns true if the member list of each of these brokers consists of exactly these brokers. */
   public static boolean agree(List<Node> among) {
     if (among.isEmpty()) {
       return true;
--- a/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
@@ -14,10 +14,10 @@
  */
 public final class NetworkFaults {
   /**
-   * The effect on traffic from one end to the other. LOST: it is dropped silently. RESET: the
-   * connection is reset. SLOW: it arrives in chunks of a few bytes. LATE: it is delayed. HELD: it
-   * is held at the proxy, with all later bytes of the connection, until {@link
-   * StreamProxy#release}.
+   * The effect on traffic from one end to the other. LOST: the traffic is dropped silently. RESET:
+   * the connection is reset. SLOW: the traffic arrives in chunks of a few bytes. LATE: the traffic
+   * is delayed. HELD: the proxy holds the traffic and all later bytes of the connection back until
+   * {@link StreamProxy#release}.
    */
   public enum Harm {
     LOST,
@@ -55,17 +55,17 @@
     return rule;
   }
 
-  /** Partitions these names from all others, in both directions. */
+  /** Adds a rule that partitions these endpoints from all others, in both directions. */
   public Rule cut(List<String> names) {
     return add((from, to) -> names.contains(from) != names.contains(to), Harm.LOST, 0, 1);
   }
 
-  /** Drops all traffic in one direction. */
+  /** Adds a rule that drops all traffic in one direction. */
   public Rule cutOneWay(String from, String to) {
     return add((sender, receiver) -> sender.equals(from) && receiver.equals(to), Harm.LOST, 0, 1);
   }
 
-  /** Removes a rule; does nothing if it is not there. */
+  /** Removes a rule; does nothing if the rule is not in the set. */
   public synchronized void remove(Rule rule) {
     rules.remove(rule);
   }
@@ -75,7 +75,7 @@
     rules.clear();
   }
 
-  /** The first rule that applies to one chunk or datagram now, or null. */
+  /** Returns the first rule that applies to the current chunk or datagram, or null if none does. */
   synchronized Rule of(String from, String to) {
     for (Rule rule : rules) {
       if (rule.between().test(from, to)
--- a/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
@@ -17,10 +17,10 @@
 /**
  * The clients of a test bed: at a fixed interval they send one query to each running broker, each
  * over its own connection, and count the outcomes. A running broker must answer within {@link
- * #ANSWER_TIMEOUT_MS}; a broker that was killed meanwhile is exempt.
+ * #ANSWER_TIMEOUT_MS}; this does not apply to a broker that was killed before it answered.
  *
- * <p>Its state is confined to the test bed's event loop; the public methods must be called on other
- * threads.
+ * <p>The state of this object is confined to the event loop of the test bed; the public methods
+ * must be called on other threads.
  */
 public final class QueryLoad {
   /** Deadline that each query carries. */
@@ -32,7 +32,7 @@
   private static final int MAX_QUERIES = 20_000;
   private static final int MAX_NOTES = 50;
 
-  /** Characters of an answer that a note quotes. */
+  /** Maximum number of characters of an answer that a note quotes. */
   private static final int NOTE_ANSWER_LENGTH = 60;
 
   private static final String CONTENT_LENGTH = "content-length: ";
@@ -40,7 +40,7 @@
 
   /** The outcome of a query; reports print the names. */
   public enum End {
-    /** Answered with values of the right stores. */
+    /** Answered with values of stores of the expected cells. */
     SERVED,
     /** Rejected with 503. */
     REFUSED,
@@ -54,7 +54,7 @@
     BROKER_KILLED,
     /** The broker did not accept the connection. */
     NOT_LET_IN,
-    /** Answered with a value that no store of the shard's cell made. */
+    /** Answered with a value that does not come from a store of the shard's cell. */
     WRONG
   }
 
@@ -74,7 +74,7 @@
     client = testBed.vertx().createNetClient();
   }
 
-  /** Starts to send queries, {@link #MAX_QUERIES} at most. */
+  /** Starts to send queries, at most {@link #MAX_QUERIES}. */
   public void start() throws Exception {
     testBed.onLoop(() -> timer = testBed.vertx().setPeriodic(intervalMs, id -> sendQueries()));
   }
@@ -90,22 +90,22 @@
         });
   }
 
-  /** The number of completed queries so far. */
+  /** Returns the number of completed queries so far. */
   public int ended() throws Exception {
     return testBed.onLoop(() -> sent - open);
   }
 
-  /** The number of queries with that outcome so far. */
+  /** Returns the number of queries with that outcome so far. */
   public int ended(End end) throws Exception {
     return testBed.onLoop(() -> ends.getOrDefault(end, 0));
   }
 
-  /** One line for each query that was neither served nor rejected; the first 50. */
+  /** Returns one line for each of the first 50 queries that were neither served nor rejected. */
   public List<String> notes() throws Exception {
     return testBed.onLoop(() -> List.copyOf(notes));
   }
 
-  /** True for outcomes that a running broker must never cause. */
+  /** Returns true for outcomes that a running broker must never cause. */
   public static boolean isBreach(End end) {
     return end == End.LOST || end == End.LATE || end == End.WRONG;
   }
@@ -122,7 +122,7 @@
     return node.lines().stream().anyMatch(line -> line.startsWith(node.name + " listens on "));
   }
 
-  /** One query over its own connection. */
+  /** One query, sent over a connection of its own. */
   private final class Query {
     private final TestBed.Node node;
     private final int number;
@@ -153,7 +153,7 @@
     }
 
     private void onConnected(NetSocket socket) {
-      socket.exceptionHandler(e -> {}); // the close handler follows
+      socket.exceptionHandler(e -> {}); // ignored: the close handler runs next and ends the query
       socket.closeHandler(
           v -> endWithoutAnswer(id + " lost its connection before the answer was complete"));
       socket.handler(bytes -> onBytes(socket, bytes));
@@ -248,7 +248,7 @@
     };
   }
 
-  /** True if each value was made by a store of the shard's own cell. */
+  /** Returns true if each value comes from a store of the cell that holds its shard. */
   private static boolean hasExpectedValues(StringBuilder answer) {
     String body = answer.substring(answer.indexOf(END_OF_HEAD) + END_OF_HEAD.length());
     for (JsonValue part : Json.parse(body).asObject().get("answers").asArray()) {
--- a/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -56,7 +56,8 @@
       NetworkFaults.Harm harm = rule == null ? null : rule.harm();
       if (stalled || harm == NetworkFaults.Harm.LOST) {
         stalled = true;
-        stalledConnections.add(brokerSocket); // a stream delivers nothing after lost bytes
+        stalledConnections.add(
+            brokerSocket); // after lost bytes, a stream delivers no further bytes
         return;
       }
       if (harm == NetworkFaults.Harm.RESET) {
@@ -114,7 +115,9 @@
       }
     }
 
-    /** Called when the source has ended its stream or its connection was lost. */
+    /**
+     * Called when the source has ended its stream, or when the connection to the source was lost.
+     */
     void onSourceEnded() {
       sourceEnded = true;
       if (!stalled) {
@@ -145,7 +148,7 @@
   private final NetServer server;
   private final NetClient client;
 
-  /** The broker's ends of connections that lost bytes or were never established. */
+  /** Sockets to the broker of connections that lost bytes or were never established to the peer. */
   private final Set<NetSocket> stalledConnections = new LinkedHashSet<>();
 
   private final Set<NetSocket> open = new LinkedHashSet<>();
@@ -181,17 +184,17 @@
         .get(5, TimeUnit.SECONDS);
   }
 
-  /** The loopback port that the broker connects to. */
+  /** Returns the loopback port to which the broker connects. */
   public int port() {
     return server.actualPort();
   }
 
-  /** Connections accepted from the broker so far. */
+  /** Returns the number of connections accepted from the broker so far. */
   public int acceptedCount() {
     return acceptedCount;
   }
 
-  /** Connections that the broker has open now. */
+  /** Returns the number of connections that the broker has open now. */
   public int open() {
     return open.size();
   }
@@ -201,12 +204,12 @@
     requestObservers = observers;
   }
 
-  /** True while bytes are held by a HELD rule. */
+  /** Returns true while bytes are held by a HELD rule. */
   public boolean holdsBytes() {
     return !heldDirections.isEmpty();
   }
 
-  /** Forwards the held bytes. Must be called after the HELD rule was removed. */
+  /** Forwards the held bytes. Must be called after the HELD rule has been removed. */
   public void release() {
     Set<Direction> released = Set.copyOf(heldDirections);
     heldDirections.clear();
@@ -224,7 +227,7 @@
     socket.exceptionHandler(e -> {});
     NetworkFaults.Rule rule = links.of(broker, peer);
     if (rule != null && rule.harm() == NetworkFaults.Harm.LOST) {
-      stalledConnections.add(socket); // the broker's connection attempt stays unanswered
+      stalledConnections.add(socket); // the connection to the peer is never established
       return;
     }
     socket.pause();
@@ -273,7 +276,7 @@
     reset(open);
   }
 
-  /** Closes with SO_LINGER 0, which sends RST instead of FIN. */
+  /** Closes the sockets with SO_LINGER 0, which sends RST instead of FIN. */
   private static void reset(Set<NetSocket> sockets) {
     for (NetSocket socket : Set.copyOf(sockets)) {
       try {
@@ -283,7 +286,7 @@
             .config()
             .setOption(ChannelOption.SO_LINGER, 0);
       } catch (ChannelException e) {
-        continue; // already closed by the other end
+        continue; // the socket has already been closed by the other end
       }
       socket.close();
     }
--- a/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
@@ -21,21 +21,21 @@
 import java.util.function.Predicate;
 
 /**
- * A multi-process test bed: brokers as processes of the real program on loopback, with fake stores
- * and discovery, and a fault-injecting proxy between broker and store, broker and discovery, and
- * broker and broker. Only processes that it started are ended.
+ * A multi-process test bed on loopback: brokers are processes of the real program, stores and
+ * discovery are fakes. Fault-injecting proxies connect broker and store, broker and discovery, and
+ * broker and broker. The test bed ends only processes that it has started.
  *
- * <p>Its methods are for the thread of the test; proxies and fakes run on the event loop, see
+ * <p>Methods must be called on the thread of the test; proxies and fakes run on the event loop, see
  * {@link #onLoop}.
  */
 public final class TestBed implements AutoCloseable {
-  /** Time in which a broker must listen after its start. */
+  /** Maximum time from the start of a broker process until the broker listens. */
   private static final int READY_TIMEOUT_S = 40;
 
-  /** Brokers that each broker has as seeds. */
+  /** Number of brokers that are configured as seeds of each broker. */
   private static final int SEED_COUNT = 3;
 
-  /** Output lines retained for each broker. */
+  /** Maximum number of output lines that are retained for each broker. */
   private static final int MAX_OUTPUT_LINES = 4_000;
 
   /** Settings with two query classes and short times; arguments: brokers, cells, shards. */
@@ -54,7 +54,7 @@
 
   /** Creates the fake stores of a test bed. */
   public interface StoreFactory {
-    /** Creates a store with that name that already listens. */
+    /** Creates a store with this name that already listens. */
     FrameStore create(Vertx vertx, String name) throws Exception;
   }
 
@@ -120,14 +120,14 @@
           "frames");
     }
 
-    /** Its output so far; at most the last 4000 lines. */
+    /** Returns the output of the broker so far, at most the last 4000 lines. */
     public List<String> lines() {
       synchronized (lines) {
         return List.copyOf(lines);
       }
     }
 
-    /** Its last line about the cluster and its subset of stores, or empty. */
+    /** Returns the latest output line about the cluster and the broker's subset, or empty. */
     public String fleetLine() {
       List<String> all = lines();
       for (int i = all.size() - 1; i >= 0; i--) {
@@ -138,7 +138,7 @@
       return "";
     }
 
-    /** The stores of its subset, by its last cluster line. */
+    /** Returns the stores of the broker's subset, from its latest cluster line. */
     public List<String> kept() {
       String line = fleetLine();
       int at = line.lastIndexOf(" stores: ");
@@ -147,7 +147,7 @@
           : Arrays.asList(line.substring(at + " stores: ".length()).split(" "));
     }
 
-    /** The cluster members, by its last cluster line. */
+    /** Returns the cluster members, from the broker's latest cluster line. */
     public List<String> members() {
       String line = fleetLine();
       int from = line.indexOf(": ");
@@ -157,17 +157,17 @@
           : Arrays.asList(line.substring(from + 2, to).split(" "));
     }
 
-    /** True while the process runs and {@link #kill} was not called. */
+    /** Returns true while the process runs and {@link #kill} has not been called. */
     public boolean isUp() {
       return process != null && process.isAlive() && !killed;
     }
 
-    /** Its open connections to a store. */
+    /** Returns the number of the broker's open connections to a store. */
     public int openConnections(String store) throws Exception {
       return onLoop(() -> storeProxies.get(store).open());
     }
 
-    /** Starts the process; does not wait until it listens. */
+    /** Starts the process; does not wait until the broker listens. */
     public void start() throws IOException {
       lines.clear();
       Path config = workingDirectory.resolve("config.json");
@@ -248,7 +248,7 @@
 
     /** Ends the process with SIGKILL and waits for its end. */
     public void kill() throws InterruptedException {
-      killed = true; // set first: clients call isUp when their connections close
+      killed = true; // set before the process ends: clients call isUp when their connections close
       process.destroyForcibly().waitFor(10, TimeUnit.SECONDS);
     }
 
@@ -257,22 +257,22 @@
       new ProcessBuilder("kill", "-" + signal, Long.toString(process.pid())).start().waitFor();
     }
 
-    /** Rewrites its configuration file with the same content. */
+    /** Rewrites the configuration file of the broker with the same content. */
     public void rewriteConfiguration() throws IOException {
       Files.writeString(workingDirectory.resolve("config.json"), configText());
     }
 
-    /** Forwards what is held between discovery and this broker; call it on the event loop. */
+    /** Forwards the bytes held between discovery and this broker. Event loop only. */
     public void releaseDiscovery() {
       discoveryProxy.release();
     }
 
-    /** Its proxy to that store. Must be used on the event loop. */
+    /** Returns the proxy between this broker and a store, for use on the event loop. */
     public StreamProxy proxyTo(String store) {
       return storeProxies.get(store);
     }
 
-    /** Sends SIGTERM; does not wait. */
+    /** Sends SIGTERM to the process; does not wait for its end. */
     public void terminate() {
       process.destroy();
     }
@@ -287,7 +287,7 @@
   private final List<FrameStore> stores = new ArrayList<>();
   private final Map<String, Integer> cells = new LinkedHashMap<>();
 
-  /** Lifecycle that discovery announces, for stores that are not ready. */
+  /** The announced lifecycle by store; a store without an entry is announced as ready. */
   private final Map<String, String> lifecycles = new LinkedHashMap<>();
 
   private final List<Node> nodes = new ArrayList<>();
@@ -296,7 +296,7 @@
    * Starts the fakes and proxies, but no broker.
    *
    * @param directory parent of the brokers' working directories
-   * @param seed of the brokers and of the injected faults
+   * @param seed random seed of the brokers and of the injected faults
    * @param each number of stores in each cell
    * @param extra further lines of the section {@code [fleet]} of each broker's configuration
    */
@@ -318,7 +318,7 @@
    * Starts the fakes and proxies, but no broker.
    *
    * @param directory parent of the brokers' working directories
-   * @param seed of the brokers and of the injected faults
+   * @param seed random seed of the brokers and of the injected faults
    */
   public TestBed(Path directory, long seed, Plan plan) throws Exception {
     this.directory = directory;
@@ -342,22 +342,22 @@
     }
   }
 
-  /** The Vert.x instance of proxies and fakes; it has one event loop. */
+  /** Returns the Vert.x instance of the proxies and fakes, which has one event loop. */
   public Vertx vertx() {
     return vertx;
   }
 
-  /** All brokers, whether they run or not. */
+  /** Returns all brokers, whether they run or not. */
   public List<Node> nodes() {
     return nodes;
   }
 
-  /** All fake stores. */
+  /** Returns all fake stores. */
   public List<FrameStore> stores() {
     return stores;
   }
 
-  /** The number of cells. */
+  /** Returns the number of cells. */
   public int cells() {
     return cellCount;
   }
@@ -373,7 +373,8 @@
           READY_TIMEOUT_S,
           () -> {
             if (!node.isUp()) {
-              throw new IllegalStateException(node.name + " exited early: " + node.lines());
+              throw new IllegalStateException(
+                  node.name + " exited before it listened; output: " + node.lines());
             }
             return node.lines().stream()
                 .anyMatch(line -> line.startsWith(node.name + " listens on "));
@@ -382,11 +383,11 @@
   }
 
   /**
-   * Polls a condition until it holds.
+   * Polls a condition until the condition holds.
    *
    * @param what description of the condition for the exception
    * @return seconds until the condition held
-   * @throws IllegalStateException if it does not hold within {@code atMostS} seconds
+   * @throws IllegalStateException if the condition does not hold within {@code atMostS} seconds
    */
   public static double await(String what, int atMostS, Callable<Boolean> condition)
       throws Exception {
@@ -400,13 +401,13 @@
     return (System.nanoTime() - from) / 1e9;
   }
 
-  /** True if each of these brokers sees exactly these as cluster members. */
+  /** Returns true if the member list of each broker consists of exactly these brokers. */
   public static boolean agree(List<Node> brokers) {
     List<String> names = brokers.stream().map(node -> node.name).sorted().toList();
     return brokers.stream().allMatch(node -> node.members().equals(names));
   }
 
-  /** For each store, the number of matching brokers that have it in their subset. */
+  /** Returns, by store, the number of matching brokers with the store in their subset. */
   public Map<String, Integer> load(Predicate<Node> who) {
     Map<String, Integer> load = new LinkedHashMap<>();
     stores.forEach(store -> load.put(store.name, 0));
@@ -440,7 +441,7 @@
         });
   }
 
-  /** Resets those of its connections that lost bytes, as after the end of a partition. */
+  /** Resets the broker's connections that lost bytes, as at the end of a partition. */
   public void resetStalled(Node node) throws Exception {
     onLoop(
         () -> {
--- a/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
@@ -15,13 +15,13 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Command that injects the faults of a schedule, from a file or random, into a {@link TestBed}
- * under load.
+ * The command that injects faults into a {@link TestBed} under load. The schedule of the faults is
+ * read from a file or derived from a seed.
  */
 @Command(
     name = "rig",
     description =
-        "Runs brokers as processes on loopback and injects faults, by a schedule or random ones of a seed; exit code 1 if a "
+        "Runs broker processes on loopback and injects faults from a schedule, or random faults derived from a seed; exit code 1 if a "
             + "query is lost or answered with a wrong value, or if the running brokers do not agree on the members at the end.",
     mixinStandardHelpOptions = true)
 public final class TestBedCommand implements Callable<Integer> {
@@ -34,13 +34,14 @@
   /** Time between two queries to one broker. */
   private static final int QUERY_INTERVAL_MS = 100;
 
-  /** Time for which the load continues after the brokers agree again. */
+  /** Time for which the load continues after the brokers agree on the members again. */
   private static final int SETTLE_MS = 1_000;
 
   @Parameters(
       arity = "0..1",
       paramLabel = "FILE",
-      description = "schedule of faults (default: a random one of the seed)")
+      description =
+          "file with a schedule of faults (default: a random schedule derived from the seed)")
   private Path file;
 
   @Option(
@@ -92,7 +93,7 @@
     boolean secondsValid = seconds >= MIN_SECONDS && seconds <= MAX_SECONDS;
     if (!brokersValid || !storesValid || !secondsValid) {
       throw new IllegalArgumentException(
-          "a test bed takes 1 to "
+          "a test bed supports 1 to "
               + MAX_BROKERS
               + " brokers, 1 to "
               + MAX_STORES
@@ -100,6 +101,14 @@
               + MIN_SECONDS
               + " to "
               + MAX_SECONDS
+              + " seconds; got "
+              + brokers
+              + " brokers, "
+              + cells
+              + " cells with "
+              + each
+              + " stores each and "
+              + seconds
               + " seconds");
     }
   }
@@ -128,7 +137,7 @@
   private static int play(TestBed testBed, FaultSchedule schedule) throws Exception {
     testBed.start(testBed.nodes());
     TestBed.await(
-        "the brokers agree at the start",
+        "the brokers agree on the members at the start",
         CONVERGENCE_TIMEOUT_S,
         () -> TestBed.agree(testBed.nodes()));
     QueryLoad clients = new QueryLoad(testBed, QUERY_INTERVAL_MS);
@@ -137,14 +146,14 @@
     List<TestBed.Node> running = testBed.nodes().stream().filter(TestBed.Node::isUp).toList();
     double convergenceS =
         TestBed.await(
-            "the running brokers agree after the last fault",
+            "the running brokers agree on the members after the last fault",
             CONVERGENCE_TIMEOUT_S,
             () -> TestBed.agree(running));
     TimeUnit.MILLISECONDS.sleep(SETTLE_MS);
     Map<QueryLoad.End, Integer> ends = clients.stop();
     clients.notes().forEach(note -> System.out.println("  " + note));
     System.out.printf(
-        "brokers agree %.2f s after the last fault; brokers per store %s%n",
+        "the brokers agreed on the members %.2f s after the last fault; brokers that have each store in their subset: %s%n",
         convergenceS, testBed.load(running::contains));
     System.out.println("queries " + ends);
     return ends.keySet().stream().anyMatch(QueryLoad::isBreach) ? 1 : 0;
--- a/src/main/java/dunlinhitch/experiments/testbed/VirtualTime.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/VirtualTime.java
@@ -5,8 +5,8 @@
 
 /**
  * The clock and the scheduled tasks of a simulated cluster. Tasks run in the order of their times;
- * tasks at the same time run in the order in which they were scheduled. Not thread-safe; the
- * simulation owns it.
+ * tasks with equal times run in the order in which they were scheduled. Not thread-safe; each
+ * simulation owns one instance.
  */
 final class VirtualTime {
   private record Task(long atUs, long sequence, Runnable action) {}
@@ -21,12 +21,12 @@
     return nowUs;
   }
 
-  /** Schedules a task; one whose time has passed runs next, at the current time. */
+  /** Schedules a task. A task whose time has already passed runs at the current time. */
   void at(long atUs, Runnable action) {
     tasks.add(new Task(atUs, ++lastSequence, action));
   }
 
-  /** Runs all tasks that are due by that time, including those that are scheduled meanwhile. */
+  /** Runs all tasks that are due by {@code untilUs}, including those that these tasks schedule. */
   void playTo(long untilUs) {
     while (!tasks.isEmpty() && tasks.peek().atUs() <= untilUs) {
       Task task = tasks.poll();
--- a/src/test/java/dunlinhitch/experiments/testbed/FaultScheduleTest.java
+++ b/src/test/java/dunlinhitch/experiments/testbed/FaultScheduleTest.java
@@ -57,8 +57,8 @@
   }
 
   /**
-   * The same seed gives the same schedule, which ends in time and restarts every broker that it
-   * kills.
+   * The same seed gives the same schedule. A schedule ends within the given time and restarts every
+   * broker that it kills.
    */
   @Test
   void randomScheduleIsReproducibleAndEndsWithAllBrokersRunning() {
--- a/src/test/java/dunlinhitch/experiments/testbed/FreePortsTest.java
+++ b/src/test/java/dunlinhitch/experiments/testbed/FreePortsTest.java
@@ -38,15 +38,15 @@
   }
 
   /**
-   * Returns an unbound socket if another process already listens on the port, which serves the test
-   * equally.
+   * Listens on a port. Returns an unbound socket if another process already listens on the port:
+   * the test only requires that some process does.
    */
   private static ServerSocket listenUnlessInUse(int port) throws IOException {
     ServerSocket listener = new ServerSocket();
     try {
       listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port));
     } catch (BindException e) {
-      // in use already
+      // another process already listens on the port
     }
     return listener;
   }
