--- a/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
@@ -38,7 +38,7 @@
     System.out.println(
         "lab run, search, shrink, show: deterministic simulation of brokers under injected faults");
     System.out.println(
-        "lab rig [FILE] [--seed N] [--brokers N]: broker processes with fault proxies between them");
+        "lab rig [FILE] [--seed N] [--brokers N]: broker processes under load, with faults injected by proxies");
     System.out.println(
         "lab explore MODEL [--depth N] [--states N]: model checking under all orders of messages and faults; MODEL is one of "
             + String.join(", ", Models.names()));
@@ -46,16 +46,16 @@
         "lab measure NAME [--seed N] [--quick]; NAME is one of "
             + String.join(", ", Measures.names()));
     System.out.println(
-        "lab soak [--seeds A-B] [--seconds S]: broker processes under random faults, checked by observations from outside");
+        "lab soak [--seeds A-B] [--seconds S]: runs broker processes under random faults and checks what clients and stores observe");
     System.out.println(
-        "lab floors FILE...: compares served with required weight in reports of the acceptance bench");
+        "lab floors FILE...: compares the served with the required share of the weight in reports of the acceptance test");
     return 0;
   }
 
   @Command(
       name = "measure",
       description =
-          "Prints a table and whether the stated bound holds; exit code 0 only if it does.",
+          "Prints the table of a measurement and whether its figure is within its bound; exit code 0 only if it is.",
       mixinStandardHelpOptions = true)
   static final class Measure implements Callable<Integer> {
     @Parameters(paramLabel = "NAME", description = "name of the measurement")
@@ -67,7 +67,9 @@
         description = "seed of the random generators (default: ${DEFAULT-VALUE})")
     private long seed;
 
-    @Option(names = "--quick", description = "runs a smaller variant that takes at most 50 s")
+    @Option(
+        names = "--quick",
+        description = "runs a smaller variant of the measurement that takes at most 50 s")
     private boolean quick;
 
     @Override
--- a/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
@@ -8,9 +8,10 @@
 import java.util.Locale;
 
 /**
- * Measures, on the answer key module in virtual time, the fetches from stores without answer keys,
- * with keys of equal texts and with keys by rules, and the wrong answers with correct rules and
- * with a rule that becomes incorrect. The verdict is the figure that is closest to its bound.
+ * Measures the answer key module in virtual time. The first table compares the fetches from stores
+ * without answer keys, with exact keys (equal texts) and with keys by rules. The second table shows
+ * the wrong answers under faults, with correct rules and with a rule that becomes incorrect. The
+ * verdict is the largest ratio of a figure to its bound.
  */
 final class AnswerKeysMeasure implements Measures.Measure {
   private static final double MIN_SAVING_FACTOR = 2;
@@ -28,7 +29,10 @@
 
   private void measureSavings(PrintStream out, long seed, int runs, double[] rates) {
     out.printf(
-        "%8s %8s %-6s %5s %8s %8s %9s %8s %6s %5s %8s %9s %9s%n",
+        "asks: queries; of exact: fetches with exact keys divided by the fetches of the row; trials: queries sent "
+            + "to a store to test a rule; again: unnecessary fetches, because the previous answer was still valid; unended: queries without "
+            + "exactly one response by their deadline%n"
+            + "%8s %8s %-6s %5s %8s %8s %9s %8s %6s %5s %8s %9s %9s%n",
         "brokers",
         "asks/s",
         "keys",
@@ -53,14 +57,17 @@
 
   private void measureFaults(PrintStream out, long seed, int runs) {
     out.printf(
-        "%nmessages: 1 %% lost, 1 %% duplicated; fetches: 1 %% fail; cut: partition into two halves for 10 s%n%8s %-22s %5s %9s %8s %10s %6s %5s %8s  %s%n",
+        "%nmessages: 1 %% lost, 1 %% duplicated; fetches: 1 %% fail; cut: partition into two halves for 10 s; wrong: "
+            + "answers for another topic or language; bound: maximum of wrong; stop s: seconds from the change of the data "
+            + "until no broker applies the incorrect rule; old: answers from outdated data; rules at the end: number of "
+            + "brokers by rule and state%n%8s %-26s %5s %9s %8s %10s %6s %5s %8s  %s%n",
         "brokers",
         "",
         "seed",
         "fetches",
         "wrong",
-        "may be",
-        "rest s",
+        "bound",
+        "stop s",
         "old",
         "unended",
         "rules at the end");
@@ -69,19 +76,19 @@
         measureFaultRun(
             out,
             new Setup(seed + i, brokers, Mode.RULES, 1600, 0.01, 0.01, false, false),
-            "true rules");
+            "correct rules");
         measureFaultRun(
             out,
             new Setup(seed + i, brokers, Mode.RULES, 1600, 0.01, 0.01, true, false),
-            "true rules, cut");
+            "correct rules, cut");
         measureFaultRun(
             out,
             new Setup(seed + i, brokers, Mode.RULES, 1600, 0.01, 0.01, false, true),
-            "one turns false");
+            "a rule becomes wrong");
         measureFaultRun(
             out,
             new Setup(seed + i, brokers, Mode.RULES, 1600, 0.01, 0.01, true, true),
-            "one turns false, cut");
+            "a rule becomes wrong, cut");
       }
     }
   }
@@ -91,8 +98,8 @@
   }
 
   /**
-   * Measures the fetches saved without faults. At the higher rate, rules must at least halve the
-   * fetches that keys of equal texts leave.
+   * Measures the fetches saved without faults. At the higher rate, keys by rules must need at most
+   * half as many fetches as exact keys.
    */
   private void measureFetches(PrintStream out, long seed, int brokers, double rate) {
     Result none =
@@ -156,7 +163,7 @@
     recordFigure((double) (result.outdatedAnswers() + result.unended()), 0);
     out.printf(
         Locale.ROOT,
-        "%8d %-22s %5d %9d %8d %10.0f %6s %5d %8d  %s%n",
+        "%8d %-26s %5d %9d %8d %10.0f %6s %5d %8d  %s%n",
         setup.brokers(),
         label,
         setup.seed(),
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
@@ -18,9 +18,10 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Measures the cluster on eight broker processes and a ninth that joins later. After a 5 s
- * partition of one broker, a SIGKILL and a join, it reports the load balance of the stores, the
- * convergence time and the moved connections, and at the end the outcomes of all queries.
+ * Measures a cluster of eight broker processes and a ninth that joins later. One broker is
+ * partitioned for 5 s, another is killed, and then the ninth joins. After each event the
+ * measurement reports the load balance of the stores, the convergence time and the moved
+ * connections; at the end it reports the outcomes of all queries.
  */
 final class FleetRigMeasure implements Measures.Measure {
   private static final int BROKERS = 8;
@@ -37,8 +38,8 @@
   private static final double MAX_MOVED = 1.5;
 
   /**
-   * Bound of the convergence time: two protocol periods, a ping timeout, the suspicion and the
-   * dissemination; see docs/subsets.md.
+   * Bound of the convergence time. It is the sum of two protocol periods, one ping timeout, the
+   * suspicion timeout and the dissemination time; see docs/subsets.md.
    */
   private static final double MAX_CONVERGENCE_S = 6;
 
@@ -52,12 +53,16 @@
     try (TestBed testBed = new TestBed(directory, seed, BROKERS + 1, CELLS, STORES_PER_CELL, "")) {
       List<TestBed.Node> first = testBed.nodes().subList(0, BROKERS);
       out.printf(
-          "%-34s %8s %10s %12s %14s%n",
-          "what happens", "brokers", "agree, s", "max/mean", "moved, ideal 1");
+          "agree: seconds until the listed brokers agree on the members; max/mean: brokers per store, maximum divided by "
+              + "mean; moved: moved connections as a multiple of the connections of one broker%n"
+              + "%-34s %8s %10s %12s %14s%n",
+          "event", "brokers", "agree, s", "max/mean", "moved, ideal 1");
       testBed.start(first);
       TestBed.await(
-          "the first eight brokers agree", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(first));
-      report(out, testBed, "eight started", first, 0, -1);
+          "the first eight brokers agree on the members",
+          CONVERGENCE_TIMEOUT_S,
+          () -> TestBed.agree(first));
+      report(out, testBed, "eight brokers started", first, 0, -1);
       QueryLoad clients = new QueryLoad(testBed, QUERY_INTERVAL_MS);
       clients.start();
       Map<String, Set<String>> before = subsets(first);
@@ -86,14 +91,16 @@
         TestBed.await(
             "the other brokers remove n7", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(others));
     double movedAtRemoval = ClusterSimulation.moved(before, subsets(others));
-    report(out, testBed, "one cut off, the other seven", others, removalS, movedAtRemoval);
+    report(out, testBed, "one partitioned: the other seven", others, removalS, movedAtRemoval);
     TimeUnit.MILLISECONDS.sleep(Math.max(0, PARTITION_MS - (long) (1000 * removalS)));
     testBed.links.remove(partition);
     double healingS =
         TestBed.await(
-            "all brokers see n7 again", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(first));
+            "all brokers list n7 as a member again",
+            CONVERGENCE_TIMEOUT_S,
+            () -> TestBed.agree(first));
     double movedAfter = ClusterSimulation.moved(before, subsets(first));
-    report(out, testBed, "the cut is over", first, healingS, movedAfter);
+    report(out, testBed, "partition healed", first, healingS, movedAfter);
   }
 
   /** Kills one broker; returns the others. */
@@ -120,9 +127,11 @@
     testBed.start(List.of(joining));
     double joinS =
         TestBed.await(
-            "all brokers see the new one", CONVERGENCE_TIMEOUT_S, () -> TestBed.agree(all));
+            "all brokers list the new broker as a member",
+            CONVERGENCE_TIMEOUT_S,
+            () -> TestBed.agree(all));
     double moved = ClusterSimulation.moved(subsets(all), before);
-    report(out, testBed, "a new one (from its readiness on)", all, joinS, moved);
+    report(out, testBed, "one joined (since its readiness)", all, joinS, moved);
   }
 
   private void reportQueries(PrintStream out, QueryLoad clients) throws Exception {
@@ -137,7 +146,7 @@
     worst = Math.max(worst, breaches > 0 ? 1 + breaches : 0);
   }
 
-  /** The stores of each broker's subset, by broker. */
+  /** Returns the stores in the subset of each broker, by broker. */
   private static Map<String, Set<String>> subsets(List<TestBed.Node> nodes) {
     Map<String, Set<String>> subsets = new LinkedHashMap<>();
     nodes.forEach(node -> subsets.put(node.name, new HashSet<>(node.kept())));
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
@@ -14,10 +14,10 @@
 import java.util.Set;
 
 /**
- * Measures, on the cluster module in virtual time, the subsets of many brokers together: the
+ * Measures the subsets that many brokers select, on the cluster module in virtual time: the
  * connections of each store, the connections moved by a broker that joins or leaves, and the health
- * checks of one cold store. It prints the figures of brokers that connect to all stores for
- * comparison. The verdict is the figure that is closest to its bound.
+ * checks of one cold store. For comparison, it prints the figures of brokers that connect to all
+ * stores. The verdict is the largest ratio of a figure to its bound.
  */
 final class FleetSubsetsMeasure implements Measures.Measure {
   private static final double MAX_UNEVENNESS = 1.2;
@@ -30,19 +30,22 @@
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
     worst = 0;
     out.printf(
-        "%8s %7s %6s %18s %18s %10s %10s%n",
+        "each: stores in each cell; of all-to-all: share of the connections of a full mesh; max/mean: connections "
+            + "per store, maximum divided by mean%n%8s %7s %6s %18s %18s %10s %10s%n",
         "brokers", "stores", "each", "connections", "of all-to-all", "max/mean", "bound");
     for (int[] shape :
         new int[][] {{8, 8, 3}, {100, 67, 3}, {100, 50, 4}, {300, 67, 3}, {100, 20, 10}}) {
       measureBalance(out, seed, shape[0], shape[1], shape[2]);
     }
     out.printf(
-        "%n%8s %6s %14s %14s %14s %10s%n",
-        "brokers", "each", "moved, mean", "moved, most", "all-to-all", "bound");
+        "%nbrokers: the cluster shrinks and grows again by one broker at a time; moved: moved connections as a multiple of "
+            + "the connections of one broker%n%8s %6s %14s %14s %14s %10s%n",
+        "brokers", "each", "mean moved", "max moved", "all-to-all", "bound");
     measureMoves(out, seed, 8, 3, 8, 3);
     measureMoves(out, seed, 100, 97, 67, 3);
     out.printf(
-        "%n%8s %24s %18s %18s %10s%n", "brokers", "", "probes/s, most", "each on its own", "bound");
+        "%nhealth checks of one cold store per second%n%8s %24s %18s %18s %10s%n",
+        "brokers", "faults", "max probes/s", "without sharing", "bound");
     int[] sizes = quick ? new int[] {8, 30} : new int[] {8, 30, 100, 300};
     for (int brokers : sizes) {
       measureHealthChecks(out, seed, brokers, false);
@@ -183,7 +186,7 @@
         Locale.ROOT,
         "%8d %24s %18d %18d %10.0f%n",
         brokers,
-        withFaults ? "a third cut, one killed" : "all well",
+        withFaults ? "third isolated, 1 killed" : "none",
         max,
         10L * brokers,
         MAX_HEALTH_CHECKS);
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
@@ -11,14 +11,17 @@
 
 /**
  * Measures the membership protocol in virtual time: the convergence time after each kind of fault,
- * the traffic, and the running brokers that are declared dead by mistake. It prints the same
- * figures of the protocol's baseline settings for comparison. The verdict is the figure of the
- * current settings that is closest to its bound.
+ * the traffic, and the running brokers that are declared dead by mistake. For comparison, it prints
+ * the same figures for the baseline settings of the protocol. The verdict is the largest ratio of a
+ * figure to its bound under the current settings.
  */
 final class FleetViewMeasure implements Measures.Measure {
   private static final long SECOND_US = 1_000_000;
 
-  /** Time limit as a multiple of the bound; the baseline settings may never converge. */
+  /**
+   * Time limit of a run as a multiple of the bound. A limit is needed because brokers with the
+   * baseline settings may never converge.
+   */
   private static final int TIMEOUT_FACTOR = 4;
 
   private static final double MAX_FALSE_DEATHS_PER_1000_HOURS = 1;
@@ -49,9 +52,10 @@
   /**
    * The result of one run.
    *
-   * @param convergenceUs microseconds until all brokers agreed; below 0 if they did not within the
-   *     limit
-   * @param bytesPerS bytes that a broker sent per second meanwhile, averaged over the brokers
+   * @param convergenceUs microseconds until all brokers agreed on the members; negative if they did
+   *     not agree within the time limit
+   * @param bytesPerS bytes that a broker sent per second during this time, averaged over the
+   *     brokers
    */
   private record Convergence(long convergenceUs, double bytesPerS, int largestMessage) {}
 
@@ -69,8 +73,8 @@
     int seeds = quick ? 2 : 5;
     out.printf(
         Locale.ROOT,
-        "time until all brokers agree in seconds, maximum of %d seeds from %d on (-: not all within %d times the bound); bytes per second and broker"
-            + "%n",
+        "seconds until all brokers agree on the members, maximum of %d seeds from %d on ('-': some seeds exceeded %d times "
+            + "the bound); B/s: bytes per second and broker; new: current settings; old: baseline settings%n",
         seeds,
         seed,
         TIMEOUT_FACTOR);
@@ -115,7 +119,7 @@
     recordFigure((double) largestMessage / CURRENT.maxMessageBytes());
     out.printf(
         Locale.ROOT,
-        "largest message %d bytes of %d; bytes per second and broker at most %.0f%n%n",
+        "largest message: %d bytes, limit %d; limit of B/s: %.0f%n%n",
         largestMessage,
         CURRENT.maxMessageBytes(),
         MembershipBounds.bytesPerS(CURRENT));
@@ -138,7 +142,8 @@
   private void measureStableCluster(
       PrintStream out, long seed, boolean quick, int[] sizes, double[] losses) {
     out.printf(
-        "%8s %5s %10s %14s %14s %10s %10s%n",
+        "false deaths: running brokers that were declared dead in the simulated hours; old, in hours: false deaths and "
+            + "hours with the baseline settings%n%8s %5s %10s %14s %14s %10s %10s%n",
         "brokers", "loss", "hours", "false deaths", "old, in hours", "new B/s", "old B/s");
     int runs = 8;
     for (int brokers : sizes) {
@@ -247,7 +252,7 @@
   private static void inject(Fault fault, MembershipSimulation simulation, int brokers) {
     switch (fault) {
       case START -> {
-        // the brokers are already starting
+        // nothing to inject: the simulation begins with the start
       }
       case CRASH -> simulation.kill(brokers - 1);
       case LEAVE -> simulation.leave(brokers - 1);
@@ -265,8 +270,8 @@
   }
 
   /**
-   * Crashes seven in ten brokers, but leaves at least two: a single one would have no other broker
-   * to agree with.
+   * Crashes seven in ten brokers, but leaves at least two running, because a single broker has no
+   * other broker to agree with.
    */
   private static void crash(MembershipSimulation simulation, int brokers, boolean restart) {
     int crashing = Math.min(brokers - 2, (int) Math.ceil(0.7 * brokers));
@@ -282,7 +287,11 @@
     return MembershipSimulation.number(node) < Math.max(2, brokers / 2);
   }
 
-  /** Of three brokers the isolated one retains its members, so only the majority is compared. */
+  /**
+   * Returns the time until the brokers of each half agree on the members, or -1. In a cluster of
+   * three, the isolated broker retains the other two as members, so that only the majority is
+   * compared.
+   */
   private static long untilHalvesAgree(
       MembershipSimulation simulation, int brokers, long timeoutUs) {
     long from = simulation.nowUs();
--- a/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
@@ -17,8 +17,9 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * Command that compares the served share of the days in test reports with the required minimum, by
- * query class, tenant and third of the day.
+ * The command that compares served shares in test reports with the required minimum. A report lists
+ * test runs, called days. The command compares the share of each day, and the shares of each query
+ * class, tenant and third of the day.
  */
 @Command(
     name = "floors",
@@ -27,8 +28,8 @@
     mixinStandardHelpOptions = true)
 public final class FloorsCommand implements Callable<Integer> {
   /**
-   * Required share of each third of a day, as a ratio of the share that the reference policy with a
-   * delayed view of the true state serves.
+   * Minimum ratio of the share served in a third of a day to the share that the reference policy
+   * serves. The reference policy sees the true state of the stores with a delay.
    */
   private static final double MIN_THIRD_RATIO = 0.2;
 
@@ -40,14 +41,14 @@
   @Parameters(
       arity = "1..*",
       paramLabel = "FILE",
-      description = "reports as written by --json, or journal files")
+      description = "report files written by --json, or journal files")
   private List<Path> files;
 
   /**
-   * One served share of a day and its floor.
+   * One served share of a day and the required share.
    *
-   * @param day the day and its report
-   * @param subject all queries, or one class, tenant or third of the day
+   * @param day the names of the day and of the report
+   * @param subject {@code all}, or the class, tenant or third of the day to which the share applies
    */
   record Floor(String day, String subject, double served, double required) {
     double margin() {
@@ -60,7 +61,9 @@
     return print(files, System.out) ? 0 : 1;
   }
 
-  /** Prints all shares, smallest margin first; returns true if none is below its floor. */
+  /**
+   * Prints all shares, smallest margin first; returns true if no share is below the required one.
+   */
   static boolean print(List<Path> files, PrintStream out) throws IOException {
     List<Floor> all = new ArrayList<>();
     for (Path file : files) {
@@ -79,7 +82,7 @@
         floor ->
             out.printf(
                 Locale.ROOT,
-                "%6.3f of %5.3f  room %6.3f  %-24s %s%n",
+                "served %6.3f  required %5.3f  margin %6.3f  %-24s %s%n",
                 floor.served(),
                 floor.required(),
                 floor.margin(),
@@ -93,7 +96,9 @@
     for (JsonValue value : report.get("days").asArray()) {
       JsonObject day = value.asObject();
       JsonObject row =
-          day.get("row") == null ? day : day.get("row").asObject(); // a journal has only the rows
+          day.get("row") == null
+              ? day
+              : day.get("row").asObject(); // in a journal, the day is the row
       String name = row.getString("name", "?") + " of " + file;
       floors.add(
           new Floor(name, "all", row.getDouble("served", 0), row.getDouble("served_least", 0)));
@@ -115,7 +120,9 @@
     }
   }
 
-  /** Adds a floor for each third of the day, from the windows that begin in it. */
+  /**
+   * Adds an entry for each third of the day. A window counts towards the third in which it begins.
+   */
   private static void addThirds(
       JsonArray windows, double servedLate, String day, List<Floor> floors) {
     double[] offered = new double[3];
--- a/src/main/java/dunlinhitch/experiments/measurements/Measures.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/Measures.java
@@ -6,7 +6,7 @@
 import java.util.Locale;
 import java.util.Map;
 
-/** The measurements by name. Each prints a table and ends in a verdict. */
+/** The registry of measurements by name. Each measurement prints a table and returns a verdict. */
 public final class Measures {
   /** A measurement; prints its table and returns a figure with its bound. */
   interface Measure {
@@ -42,7 +42,7 @@
 
   private Measures() {}
 
-  /** The names of all measurements, in the order of the help text. */
+  /** Returns the names of all measurements, in the order of the help text. */
   public static List<String> names() {
     return List.copyOf(ALL.keySet());
   }
@@ -51,7 +51,7 @@
    * Runs a measurement; returns true if the figure is within its bound.
    *
    * @param quick true for a short run with fewer cases
-   * @throws IllegalArgumentException if there is no measurement of that name
+   * @throws IllegalArgumentException if no measurement has the name
    */
   public static boolean run(String name, long seed, boolean quick, PrintStream out)
       throws Exception {
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -20,9 +20,10 @@
 import java.util.SplittableRandom;
 
 /**
- * Measures the cost of one change, from the pushed record to the decisions, with 100, 1,000 and
- * 10,000 instances, and compares it with the cost of replacing the complete list, which is how
- * sources used to report any change. Also measures the cost of refreshing every record.
+ * Measures the cost of one changed endpoint, from the arrival of the pushed record to the decisions
+ * of the broker, with 100, 1,000 and 10,000 instances. For comparison, it measures the cost of
+ * delivering the same change as a complete list, the method of earlier sources. It also measures
+ * the cost of refreshing every record.
  */
 final class MembershipScaleMeasure implements Measures.Measure {
   private static final String SOURCE = "dns_sd scale";
@@ -66,8 +67,8 @@
           wire / 1e3);
     }
     out.println(
-        "change: a store withdrawn or added again, median; swap: the same by a complete list; refresh: every record set "
-            + "of every instance answered again");
+        "change: a store withdrawn or added again (median); swap: the same change delivered as a complete list; refresh: "
+            + "all record sets of all instances re-sent");
     return new Measures.Verdict(
         "change-kb-at-10000-by-100", cost[2].kb() / cost[0].kb(), "times", 1.5, true);
   }
@@ -98,7 +99,7 @@
         "s-" + number, address(number), 7000, 0, number % 2, state, 1, 0, Protocol.FRAMES);
   }
 
-  /** The median cost of a change, in microseconds and kilobytes. */
+  /** Returns the median cost of a change, in microseconds and kilobytes. */
   private static Cost measureChange(int size, int changes, long seed) throws Exception {
     RecordsBenchmark records =
         new RecordsBenchmark(new EndpointListReader(List.of("a"), e -> {}), seed);
@@ -114,7 +115,7 @@
     for (int i = 0; i < changes; i++) {
       nowUs += 100_000;
       int index = random.nextInt(size);
-      // due timers, such as those of the decisions, are not part of the cost of the change
+      // runs the due timers outside of the measured time: they are not part of the change
       reducer.turn(nowUs, List.of());
       long bytes = THREADS.getCurrentThreadAllocatedBytes();
       long startNanos = System.nanoTime();
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -24,8 +24,9 @@
 
 /**
  * Compares the value of the answers with and without a first pass, for the same queries on the same
- * fake stores: by load, by the share of empty blocks and by the cost of a first pass. Open loop:
- * the latency of a query is measured from the time at which it was due.
+ * fake stores. The parameters are the load, the share of empty blocks and the cost of a first pass.
+ * The load is open loop: the latency of a query is measured from the time at which the query was
+ * due to be sent.
  */
 final class PhasesMeasure implements Measures.Measure {
   private static final int STORES = 4;
@@ -75,9 +76,11 @@
     }
     out.printf(
         Locale.ROOT,
-        "worth: mean value of a query, at most 1 (late %.1f, partial %.1f of its share); work: store time of a query; "
-            + "lost: blocks answered as empty that had matches%nwhere a first pass does not pay off (empty <= price), the "
-            + "least ratio is %.3f (required 0.98)%n",
+        "1: one phase, 2: two phases; empty: share of blocks without matches; price: cost of a first pass as a share of "
+            + "a full pass; worth: mean value of a query, at most 1 (late answers count %.1f, partial ones %.1f of the "
+            + "answered share); work: store time per query; in two: share of queries with two phases; ratio: worth 2 / "
+            + "worth 1; lost: blocks with matches that were reported as empty%nwhere a first pass does not pay off "
+            + "(empty <= price), the minimum ratio is %.3f (required 0.98)%n",
         LATE_VALUE,
         PARTIAL_VALUE,
         minRatio);
@@ -107,7 +110,7 @@
         two.lost());
   }
 
-  /** The two-phase settings of the queries' class; empty if {@code twoPhases} is false. */
+  /** Returns the two-phase settings of the query class; empty if {@code twoPhases} is false. */
   private static List<Product.TwoPhaseClass> twoPhaseClasses(boolean twoPhases) {
     if (!twoPhases) {
       return List.of();
@@ -216,7 +219,7 @@
     private final double empty;
     private final DoubleAdder worth = new DoubleAdder();
 
-    /** Blocks with matches that were answered as empty, or the reverse. */
+    /** Number of blocks with matches that were reported as empty, or the reverse. */
     private final AtomicLong lost = new AtomicLong();
 
     private final AtomicLong open = new AtomicLong();
@@ -226,7 +229,10 @@
       this.empty = empty;
     }
 
-    /** Sends a query; {@code counts} is false during warm-up. */
+    /**
+     * Sends a query. The response is counted if {@code counts} is true; it is false during the
+     * warm-up.
+     */
     void send(
         Client client, int number, String body, String predicate, long dueNanos, boolean counts) {
       open.incrementAndGet();
@@ -265,7 +271,7 @@
               });
     }
 
-    /** Waits until no query is open, 3 s at most. */
+    /** Waits until no query is open, but at most 3 s. */
     void await() throws InterruptedException {
       long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(3);
       while (open.get() > 0 && System.nanoTime() < untilNanos) {
--- a/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
@@ -24,10 +24,11 @@
 import java.util.function.Supplier;
 
 /**
- * Measures scorers on a simulation. It compares Graham's rule alone, a scorer at each broker, and a
- * scorer with weights that the brokers share, on stores that are slower than they report and after
- * a broker joins; it then measures whether the load oscillates between stores, and the cost of a
- * decision. The verdict is the figure that is closest to its bound.
+ * Measures scorers on a simulation. The first table compares Graham's rule without a scorer, a
+ * scorer at each broker, and a scorer whose weights the brokers share. Some stores are slower than
+ * their load reports state, and a broker joins during the run. The second table shows whether the
+ * load oscillates between stores. At the end, the cost of a decision is measured. The verdict is
+ * the largest ratio of a figure to its bound.
  */
 final class ScorersMeasure implements Measures.Measure {
   private static final long SECOND_US = 1_000_000;
@@ -42,8 +43,8 @@
   private double worst;
 
   /**
-   * A naive scorer: it shares the newest mean ratio of actual to predicted latency and applies
-   * shared weights unchanged.
+   * A naive scorer. Its weight for a store is the newest mean ratio of actual to predicted latency;
+   * shared weights are applied unchanged.
    */
   private static final class Newest implements Scorer {
     @Override
@@ -100,12 +101,14 @@
     long joinUs = (quick ? 30 : 60) * SECOND_US;
     long endUs = joinUs + 15 * SECOND_US;
     out.printf(
-        "%n10 brokers, 60 stores in cells of six, a sixth 4 to 8 times slower than they report, load 0.7, seed %d%n",
+        "%n10 brokers, 60 stores in cells of six, one sixth of the stores is 4 to 8 times slower than its load reports state, "
+            + "load 0.7, seed %d%nworth: share of the parts that met the latency objective; newcomer: a broker that has just "
+            + "joined%n",
         seed);
     out.printf(
         "%-26s %10s %10s %14s %14s%n", "", "worth", "p99 ms", "newcomer worth", "newcomer p99");
     double[][] figures = new double[3][];
-    String[] names = {"Graham alone", "store-pace, each for itself", "store-pace, shared"};
+    String[] names = {"no scorer", "store-pace, not shared", "store-pace, shared"};
     for (int i = 0; i < names.length; i++) {
       Supplier<Scorer> scorer = i == 0 ? null : StorePace::new;
       ScorerSimulation simulation =
@@ -148,16 +151,12 @@
         Math.expm1(DampingSettings.STANDARD.maxChangeWithin(2 * SECOND_US, RULE.roundUs()));
     out.printf(
         Locale.ROOT,
-        "%nchange of a store's load from second to second, RMS by its mean; damped: at most %.2f above Graham alone%n",
+        "%nvariation of a store's load per second (standard deviation divided by mean); newest, pace: scorer; naive, damped: "
+            + "without and with damping; bound: damped exceeds no scorer by at most %.2f%n",
         maxIncrease);
     out.printf(
         "%8s %14s %16s %16s %16s %16s%n",
-        "brokers",
-        "Graham alone",
-        "newest, naive",
-        "newest, damped",
-        "pace, naive",
-        "pace, damped");
+        "brokers", "no scorer", "newest, naive", "newest, damped", "pace, naive", "pace, damped");
     for (int brokers : new int[] {3, 30, 100}) {
       double[] swings = new double[5];
       for (int i = 0; i < swings.length; i++) {
@@ -195,8 +194,9 @@
   }
 
   /**
-   * Measures the choice of the lowest of ten predicted loads without the factor table, with it, and
-   * with a call of the scorer on the event loop instead; also measures a round of 200 stores.
+   * Measures the time to choose the lowest of ten predicted loads in three variants: without the
+   * factor table, with the factor table, and with a call of the scorer on the event loop. Also
+   * measures the duration of a scoring round of 200 stores.
    */
   private void measureDecisionCost(PrintStream out, long seed, boolean quick) {
     SplittableRandom random = new SplittableRandom(seed);
@@ -239,8 +239,8 @@
     double onLoopNs = choose(loads, FactorTable.NONE, scorer, tenCandidates, quick);
     out.printf(
         Locale.ROOT,
-        "%na decision among 10: %.0f ns without a scorer, %.0f ns more with the factor table, %.0f ns more with a call of the"
-            + " scorer on the event loop; a round of 200 stores off the loop: %.0f µs%n",
+        "%na decision among 10 stores: %.0f ns without a scorer, %.0f ns more with the factor table, %.0f ns more with a call "
+            + "of the scorer on the event loop; a scoring round of 200 stores on another thread: %.0f µs%n",
         withoutTableNs,
         withTableNs - withoutTableNs,
         onLoopNs - withoutTableNs,
--- a/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * Measures how many random simulated days of 60 s, with three brokers and 18 stores, run per
- * minute, and within how many seeds each deliberate defect is found.
+ * Measures how many random schedules of 60 s, with three brokers and 18 stores, are simulated per
+ * minute, and how many seeds are needed to detect each injected defect.
  */
 final class SeedsMeasure implements Measures.Measure {
   private static final int MAX_SEEDS = 200;
@@ -25,7 +25,8 @@
     double elapsedS = (System.nanoTime() - startNanos) / 1e9;
     out.printf(
         Locale.ROOT,
-        "%d seeds in %.1f s: %.0f seeds a minute, %.0f simulated seconds a second, %d steps, worth %.3f, %d breaches%n",
+        "%d seeds in %.1f s: %.0f seeds per minute, %.0f simulated seconds per second, %d steps, mean served share of the "
+            + "offered weight %.3f, %d violations%n",
         result.played(),
         elapsedS,
         result.played() / elapsedS * 60,
@@ -40,7 +41,7 @@
                 out.printf(
                     "seed %d: %s (%s)%n",
                     run.day().seed(), run.violation().rule(), run.violation().subject()));
-    out.printf("%-20s %6s  %s%n", "defect put in", "seeds", "found as");
+    out.printf("%-20s %6s  %s%n", "injected defect", "seeds", "reported violation");
     int missed = 0;
     for (Defect defect : Defect.values()) {
       if (defect != Defect.NONE) {
--- a/src/main/java/dunlinhitch/experiments/measurements/SummariesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/SummariesMeasure.java
@@ -8,14 +8,15 @@
 import java.util.SplittableRandom;
 
 /**
- * Compares the block summaries, bitmaps of blocks without matches by predicate, with a plain map
- * for each block: memory, and time to record and to look up. Single-threaded.
+ * Compares two structures that record which blocks have no matches for a predicate: the block
+ * summaries, which are bitmaps of blocks by predicate, and a plain map for each block. The figures
+ * are memory, and the time to record and to look up one entry. Single-threaded.
  */
 final class SummariesMeasure implements Measures.Measure {
   private static final int PREDICATES = 16;
   private static final int[] BLOCK_COUNTS = {100, 10_000, 1_000_000};
 
-  /** Percentage of the recorded pairs of block and predicate without matches. */
+  /** Percentage of the recorded (block, predicate) pairs that have no matches. */
   private static final int EMPTY_PERCENT = 60;
 
   private static final String[] TEXTS = new String[PREDICATES];
@@ -28,7 +29,9 @@
     }
   }
 
-  /** Cost of one structure: heap bytes in total, nanoseconds of one recording and one look-up. */
+  /**
+   * Cost of one structure: total heap bytes, and nanoseconds to record and to look up one entry.
+   */
   private record Cost(long bytes, double recordNs, double lookUpNs) {}
 
   private record Costs(Cost bitmaps, Cost maps) {}
@@ -40,10 +43,10 @@
         "blocks",
         "bitmaps B/block",
         "map B/block",
-        "tell ns",
-        "map tell ns",
-        "ask ns",
-        "map ask ns");
+        "bitmaps rec ns",
+        "map rec ns",
+        "bitmaps get ns",
+        "map get ns");
     double ratio = 0;
     for (int blocks : BLOCK_COUNTS) {
       Costs costs = measure(blocks, seed, quick);
@@ -61,7 +64,8 @@
     }
     out.println(
         PREDICATES
-            + " predicates recorded for each block; bytes of heap after a garbage collection");
+            + " predicates recorded for each block; bitmaps: the block summaries; map: a plain map for each block; "
+            + "B/block: bytes of heap after a garbage collection; rec, get: time to record and to look up one entry");
     return new Measures.Verdict("map-by-bitmaps-at-1000000", ratio, "times the memory", 10, false);
   }
 
@@ -124,7 +128,7 @@
     }
   }
 
-  /** The number of look-ups that found a block without matches. */
+  /** Returns the number of look-ups that found a block without matches. */
   private static int lookUpInBitmaps(
       BlockSummaries bitmaps, int lookUps, int blocks, SplittableRandom random) {
     int found = 0;
@@ -135,7 +139,7 @@
     return found;
   }
 
-  /** The number of look-ups that found a block without matches. */
+  /** Returns the number of look-ups that found a block without matches. */
   private static int lookUpInMaps(
       Map<Integer, Map<String, Boolean>> maps, int lookUps, int blocks, SplittableRandom random) {
     int found = 0;
--- a/src/main/java/dunlinhitch/experiments/measurements/WheelMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WheelMeasure.java
@@ -7,7 +7,7 @@
 import java.util.SplittableRandom;
 
 /**
- * Compares the timing wheel with a binary heap for deadlines that are postponed, as at every
+ * Compares the timing wheel with a binary heap for deadlines that are often postponed, as at every
  * refresh of a record.
  */
 final class WheelMeasure implements Measures.Measure {
@@ -43,8 +43,8 @@
   }
 
   /**
-   * Postpones the deadlines of random records while the clock advances; returns the nanoseconds per
-   * move.
+   * Postpones the deadlines of random records while the clock advances; returns the nanoseconds for
+   * each postponement.
    */
   private static double wheel(int size, int moves, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
--- a/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
@@ -36,8 +36,8 @@
 
 /**
  * Withdraws stores under load and lists them again. It measures the time until a broker detects a
- * withdrawal and the time from then until the last part that the store received, with DNS push,
- * with polling of the zone's serial, and with the baseline resolver.
+ * withdrawal, and the time from the detection until the last part that the store received. It
+ * compares DNS push, polling of the zone's serial, and the baseline resolver.
  */
 final class WithdrawalMeasure implements Measures.Measure {
   private static final String SERVICE = "_calendar._tcp.rooms.example.org.";
@@ -48,7 +48,7 @@
   private static final long SOA_US = 100_000;
   private static final int BASELINE_TTL_S = 2;
 
-  /** Time after a withdrawal during which parts at the store are observed. */
+  /** Time after a withdrawal during which parts that still arrive at the store are recorded. */
   private static final long OBSERVATION_NANOS = 300_000_000;
 
   private static final long BOUND_US = 250_000;
@@ -70,8 +70,8 @@
     }
     measureBaseline(quick ? 5 : 60, seed, out);
     out.println(
-        "ms; seen: from the change of the zone to the broker's endpoint list; last: from then to the last part that "
-            + "the store received, 0 if there was none; "
+        "times in ms; way: method of discovery; seen: from the change of the zone to the broker's endpoint list; last: from "
+            + "that list to the last part that the store received (0 if none); most: maximum; "
             + STORES
             + " stores, "
             + QUERIES_PER_SECOND
@@ -118,7 +118,9 @@
         "protocol=" + store.protocol());
   }
 
-  /** The maximum time from the detection of a withdrawal to the last part, in microseconds. */
+  /**
+   * Returns the maximum time from the detection of a withdrawal to the last part, in microseconds.
+   */
   private double measureBroker(
       String label, boolean push, boolean flight, int count, long seed, PrintStream out)
       throws Exception {
@@ -161,7 +163,10 @@
     storeVertx.close();
     if (answered.get() == 0 || minParts == 0) {
       throw new IllegalStateException(
-          "no query was answered completely, or a store received no part");
+          "expected complete answers and parts at every store, but "
+              + answered.get()
+              + " queries were answered completely and the minimum number of parts at a store was "
+              + minParts);
     }
     return withdrawals.lastSend.getMaxValue();
   }
@@ -177,7 +182,10 @@
     return stores;
   }
 
-  /** Discovery by push, or by polling the serial if {@code pushAddress} is null. */
+  /**
+   * Returns the settings of discovery by push, or by polling the serial if {@code pushAddress} is
+   * null.
+   */
   private static Product.DnsService dnsService(FakeNameServer nameServer, Address pushAddress) {
     boolean push = pushAddress != null;
     return new Product.DnsService(
@@ -216,7 +224,7 @@
       SplittableRandom random = new SplittableRandom(seed);
       Thread.sleep(300);
       for (int done = 0; done < count; done += 2) {
-        // withdraws two stores at a time, one of each cell, so that each shard has stores left
+        // withdraws two stores at a time, one of each cell, so that every shard still has stores
         List<Store> withdrawn =
             List.of(
                 stores.get(2 * random.nextInt(STORES / 2)),
@@ -236,7 +244,12 @@
         Thread.sleep(1);
       }
       if (detectionNanos.size() < withdrawn.size()) {
-        throw new IllegalStateException("broker did not detect a withdrawal within 10 s");
+        throw new IllegalStateException(
+            "the broker detected only "
+                + detectionNanos.size()
+                + " of "
+                + withdrawn.size()
+                + " withdrawals within 10 s");
       }
       Thread.sleep(OBSERVATION_NANOS / 1_000_000);
       for (Store store : withdrawn) {
@@ -288,7 +301,7 @@
     return thread;
   }
 
-  /** Measures the time until the baseline resolver detects a change, with a short TTL. */
+  /** Measures the time until the baseline resolver detects a change of records with a short TTL. */
   private static void measureBaseline(int count, long seed, PrintStream out) throws Exception {
     Vertx dnsVertx = Vertx.vertx();
     Vertx vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
@@ -328,13 +341,16 @@
       detection.recordValue((updateNanos.get() - startNanos) / 1000);
       zone.add(pointers.get(name));
     }
-    printRow(out, "before: TTL " + BASELINE_TTL_S + " s", detection, null);
+    printRow(out, "baseline: TTL " + BASELINE_TTL_S + " s", detection, null);
     vertx.close();
     dnsVertx.close();
     nameServer.close();
   }
 
-  /** Starts the baseline resolver; it maintains the listed instances and the time of the update. */
+  /**
+   * Starts the baseline resolver. Each endpoint list replaces the content of {@code listed} and
+   * sets {@code updateNanos}.
+   */
   private static void startBaseline(
       Vertx vertx, int port, Set<String> listed, AtomicLong updateNanos) {
     Context context = vertx.getOrCreateContext();
--- a/src/test/java/dunlinhitch/experiments/measurements/FloorsCommandTest.java
+++ b/src/test/java/dunlinhitch/experiments/measurements/FloorsCommandTest.java
@@ -56,8 +56,8 @@
   }
 
   /**
-   * A figure below its floor is printed first and makes the command fail; a file that is not a
-   * report is rejected with a message.
+   * A share below the required one is printed first and makes the command fail; a file that is not
+   * a report is rejected with a message.
    */
   @Test
   void printsSmallestMarginFirst(@TempDir Path dir) throws Exception {
