--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -20,8 +20,8 @@
  * @param maxMessageBytes the maximum size of one message
  * @param antiEntropyBytes the maximum total size of the member pages that a broker sends per period
  *     to members whose digests differ; 0 disables anti-entropy
- * @param digestCoversAddresses whether digests cover addresses; must be false if brokers may have different
- *     addresses for the same member
+ * @param digestCoversAddresses whether digests cover addresses; must be false if brokers may have
+ *     different addresses for the same member
  */
 public record MembershipProtocolSettings(
     long periodUs,
--- a/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewDetector.java
@@ -13,12 +13,12 @@
  * refreshed and fenced. The input is the versions that the brokers announce, the output is
  * verdicts.
  *
- * <p>Bounds: a broker is reported as outdated {@code reportAfterUs} after this broker has received both
- * the newer version and the version of the outdated broker. It is fenced {@code fenceAfterUs} after more
- * than half of the brokers have announced the newer version. Therefore no broker is fenced before
- * most brokers have received a change, and a single faulty broker cannot cause others to be fenced.
- * An outdated broker detects that it is outdated when another broker announces the newer version,
- * and applies the same times to itself.
+ * <p>Bounds: a broker is reported as outdated {@code reportAfterUs} after this broker has received
+ * both the newer version and the version of the outdated broker. It is fenced {@code fenceAfterUs}
+ * after more than half of the brokers have announced the newer version. Therefore no broker is
+ * fenced before most brokers have received a change, and a single faulty broker cannot cause others
+ * to be fenced. An outdated broker detects that it is outdated when another broker announces the
+ * newer version, and applies the same times to itself.
  *
  * <p>Pure: no clock, I/O or threads. Not thread-safe; owned by the reducer. Times are microseconds
  * of a monotonic clock.
--- a/src/main/java/dunlinhitch/cluster/versions/VersionSkewSettings.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionSkewSettings.java
@@ -4,7 +4,8 @@
  * The times after which an outdated broker is reported, refreshed and fenced, in microseconds.
  *
  * @param reportAfterUs the time from detecting that a broker is outdated to reporting it
- * @param refreshIntervalUs the interval at which an outdated broker reloads the outdated data from its source
+ * @param refreshIntervalUs the interval at which an outdated broker reloads the outdated data from
+ *     its source
  * @param fenceAfterUs how long most brokers must have run with the newer version before an outdated
  *     broker is fenced
  */
--- a/src/main/java/dunlinhitch/core/BalancerGateway.java
+++ b/src/main/java/dunlinhitch/core/BalancerGateway.java
@@ -50,9 +50,7 @@
     counters.add(Counter.FAULTS);
     StackTraceElement[] trace = fault.getStackTrace();
     context.log(
-        "fault in the load balancer: "
-            + fault
-            + (trace.length > 0 ? " at " + trace[0] : ""));
+        "fault in the load balancer: " + fault + (trace.length > 0 ? " at " + trace[0] : ""));
   }
 
   /** Delivers an event now, or after the current delivery if one is in progress. */
