--- a/src/main/java/dunlinhitch/discovery/Backoff.java
+++ b/src/main/java/dunlinhitch/discovery/Backoff.java
@@ -6,8 +6,8 @@
  * Exponential backoff with jitter. The jitter keeps brokers that lost discovery at the same time
  * from reconnecting at the same time.
  *
- * <p>The delays depend only on the seed and on the calls. Not thread-safe; owned by its watch
- * session.
+ * <p>The delays depend only on the seed and on the sequence of calls. Not thread-safe; owned by its
+ * watch session.
  */
 final class Backoff {
   /** Smallest delay, as a share of its upper bound. */
@@ -15,7 +15,7 @@
 
   private final SplittableRandom random;
 
-  /** Upper bound of the next delay if it exceeds the initial bound; 0 after a reset. */
+  /** Upper bound of the next delay before {@link Bounds} are applied; 0 after a reset. */
   private long nextBoundUs;
 
   /**
--- a/src/main/java/dunlinhitch/discovery/DiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoverySource.java
@@ -10,15 +10,15 @@
   void start();
 
   /**
-   * Switches to a new address of the discovery service. The last list remains in use until the new
-   * address has sent one.
+   * Switches to a new address of the discovery service. The last list remains in use until a list
+   * is received from the new address.
    */
   void follow(String host, int port);
 
   /** Stops permanently and closes all connections. */
   void stop();
 
-  /** Polls again immediately. */
+  /** Requests the endpoint list again immediately. */
   void resync();
 
   /** Returns true if the source has answered since the start. */
--- a/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
@@ -25,8 +25,8 @@
 
 /**
  * Watches the endpoint list of the discovery service over HTTP. While the service is unavailable,
- * the last list remains in use. The watch is reopened from the known generation, so that missed
- * changes are received first. If discovery moves, the old address is read until the new one has
+ * the last list remains in use. A reopened watch first requests all changes since the generation of
+ * that list. If discovery moves to another address, the old address is read until the new one has
  * sent a list. {@link WatchStateMachine} makes the decisions; this class performs the I/O.
  *
  * <p>Confined to the event loop on which it was created.
@@ -100,7 +100,7 @@
     perform(stateMachine.stop());
   }
 
-  /** Polls again from the known generation; ends an open watch. */
+  /** Requests the changes since the last list; the new request replaces an open watch. */
   @Override
   public void resync() {
     perform(stateMachine.resync(clock.getAsLong()));
@@ -152,7 +152,7 @@
     private final WatchAction.OpenRequest parameters;
     private final EndpointListParser parser = new EndpointListParser(MAX_LIST_BYTES);
 
-    /** Null until it is connected. */
+    /** The connection, or null until it is established. */
     private HttpClientConnection connection;
 
     private long generation;
@@ -175,7 +175,8 @@
     }
 
     void close() {
-      if (connection != null) { // otherwise it is closed as soon as it is connected
+      // onConnected closes a connection that is still being established
+      if (connection != null) {
         connection.close();
       }
     }
--- a/src/main/java/dunlinhitch/discovery/EndpointListFormat.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListFormat.java
@@ -22,8 +22,9 @@
 import java.util.Map;
 
 /**
- * Codec for the content of {@link EndpointListFile}: a header line {@code dunlinhitch-roster 1
- * SHA-256} and a JSON object, whose checksum the header contains. Times are in Unix microseconds.
+ * Codec for the content of {@link EndpointListFile}: a header line and a JSON object. The header is
+ * {@code dunlinhitch-roster 1 CHECKSUM}, where CHECKSUM is the SHA-256 of the JSON text in
+ * hexadecimal digits. Times are in Unix microseconds.
  */
 final class EndpointListFormat {
   /** Start of the header line: name and version of the format. */
@@ -85,12 +86,12 @@
     }
     String header = new String(content, 0, headerEnd, StandardCharsets.US_ASCII);
     if (!header.startsWith(MAGIC)) {
-      throw new IllegalArgumentException("missing header or unsupported format version");
+      throw new IllegalArgumentException("expected a header that begins with '" + MAGIC + "'");
     }
     int bodyStart = Math.min(headerEnd + 1, content.length);
     byte[] body = Arrays.copyOfRange(content, bodyStart, content.length);
     if (!header.substring(MAGIC.length()).equals(checksum(body))) {
-      throw new IllegalArgumentException("checksum mismatch");
+      throw new IllegalArgumentException("the content does not match the checksum in the header");
     }
     JsonObject root = Json.parse(new String(body, StandardCharsets.UTF_8)).asObject();
     Map<String, List<EndpointClaim>> bySource = new LinkedHashMap<>();
--- a/src/main/java/dunlinhitch/discovery/EndpointListParser.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListParser.java
@@ -13,7 +13,7 @@
  * <p>Not thread-safe; each response has its own parser.
  */
 final class EndpointListParser {
-  /** More consecutive stray lines indicate that the server is not a discovery service. */
+  /** Limit on consecutive stray lines; a server that exceeds it is not a discovery service. */
   private static final int MAX_STRAY_LINES = 32;
 
   private final int maxObjectBytes;
@@ -137,7 +137,7 @@
     consecutiveStrayLines++;
     if (consecutiveStrayLines > MAX_STRAY_LINES) {
       throw new MalformedListException(
-          "more than " + MAX_STRAY_LINES + " consecutive lines outside of a list");
+          "more than " + MAX_STRAY_LINES + " consecutive lines outside of any JSON object");
     }
   }
 }
--- a/src/main/java/dunlinhitch/discovery/EndpointListReader.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListReader.java
@@ -15,7 +15,7 @@
 
 /**
  * Reads endpoint lists in the JSON format of discovery. Invalid entries are skipped and counted.
- * Immutable, and as thread-safe as the event consumer.
+ * Immutable; thread-safe if the event consumer is thread-safe.
  */
 public final class EndpointListReader {
   private static final int MAX_PORT = 65_535;
@@ -39,8 +39,10 @@
   }
 
   /**
-   * Reads a complete list ({@code reset} is true in the JSON) or a change. {@code cached} means
-   * that the list comes from a cache instead of discovery.
+   * Reads a complete list, if {@code reset} is true in the JSON, or else a list of changes.
+   *
+   * @param list the list as received or stored
+   * @param cached whether the list comes from a cache instead of the discovery service
    */
   public Event.EndpointsUpdated read(JsonObject list, boolean cached) {
     List<Endpoint> endpoints = new ArrayList<>();
--- a/src/main/java/dunlinhitch/discovery/JsonObjectScanner.java
+++ b/src/main/java/dunlinhitch/discovery/JsonObjectScanner.java
@@ -5,7 +5,10 @@
  * thread-safe.
  */
 final class JsonObjectScanner {
-  /** Lists have three levels; the limit also bounds the recursion of the JSON parser used next. */
+  /**
+   * Maximum nesting depth; endpoint lists have three levels. The limit also bounds the recursion of
+   * the JSON parser that reads the object afterwards.
+   */
   private static final int MAX_DEPTH = 32;
 
   private int depth;
@@ -40,15 +43,17 @@
       case '}' -> close(1);
       case ']' -> close(0);
       default -> {
-        // every other byte leaves the structure as it is
+        // other bytes do not affect the nesting
       }
     }
     return depth == 0;
   }
 
   private void acceptInString(byte next) throws MalformedListException {
-    if (next >= 0 && next < ' ') { // not allowed in strings: part of the object was lost
-      throw new MalformedListException("unterminated string");
+    // JSON strings contain no control characters: if one is found, part of the object was lost
+    if (next >= 0 && next < ' ') {
+      throw new MalformedListException(
+          "unterminated string: it contains the control character " + next);
     }
     inString = escaped || next != '"';
     escaped = !escaped && next == '\\';
@@ -63,8 +68,9 @@
   }
 
   private void close(int brace) throws MalformedListException {
-    if ((braces & 1) != brace) { // otherwise later text would be read as part of the object
-      throw new MalformedListException("mismatched brackets");
+    // without this check, text after a damaged object would be read as part of the object
+    if ((braces & 1) != brace) {
+      throw new MalformedListException("a closing bracket does not match the opening bracket");
     }
     braces >>= 1;
     depth--;
--- a/src/main/java/dunlinhitch/discovery/WatchSession.java
+++ b/src/main/java/dunlinhitch/discovery/WatchSession.java
@@ -17,7 +17,7 @@
    */
   private static final int FIRST_RETRY_FACTOR = 8;
 
-  /** Upper bound of the delay after a request that took longer than its backoff. */
+  /** If a failed request took longer than its backoff, it is retried within this time. */
   private static final long PROMPT_RETRY_US = 100_000;
 
   /** The jitter of the idle timeout is below 1/8 of the timeout. */
@@ -39,7 +39,7 @@
    * A request in flight.
    *
    * @param startedUs when it was sent, in microseconds
-   * @param complete whether it requests a complete list, after which its connection is closed
+   * @param complete whether it requests a complete list; its connection is closed after that list
    */
   record Request(long id, long startedUs, boolean complete) {}
 
@@ -50,7 +50,7 @@
   private final WatchOutput output;
   private final Backoff backoff;
 
-  /** Requests in flight, oldest first; once one is answered it is the only one. */
+  /** Requests in flight, oldest first. Once one is answered, the others are closed. */
   private final List<Request> requests = new ArrayList<>();
 
   private long generation;
@@ -58,8 +58,8 @@
   private boolean firstRequestMade;
 
   /**
-   * True once a list was read, or data was received when a request was older than the idle timeout.
-   * The backoff was reset at that time.
+   * True once the latest request has delivered a list, or data later than the idle timeout after it
+   * was sent. This resets the backoff.
    */
   private boolean proven;
 
@@ -89,7 +89,7 @@
     return phase;
   }
 
-  /** Returns when the session needs its timer, or {@link WatchStateMachine#NEVER}. */
+  /** Returns when the session's timer must fire, or {@link WatchStateMachine#NEVER}. */
   long dueUs() {
     return dueUs;
   }
@@ -176,7 +176,8 @@
       dueUs = nowUs + delayUs;
       return;
     }
-    // the backoff runs from the start of the failed request: one that timed out has used it up
+    // The backoff starts when the failed request is sent. If the request timed out, the backoff has
+    // usually elapsed already.
     long promptUs = nowUs + Math.min(delayUs, backoff.jitteredUs(PROMPT_RETRY_US));
     dueUs = Math.max(promptUs, failed.startedUs() + delayUs);
   }
@@ -209,7 +210,8 @@
   void onList(long nowUs, long listGeneration) {
     generation = listGeneration;
     markProven();
-    if (partialSinceUs != WatchStateMachine.NEVER) { // the incomplete object began after this list
+    // an object that is incomplete now began after this list: restart its stall timeout
+    if (partialSinceUs != WatchStateMachine.NEVER) {
       partialSinceUs = nowUs;
       renewIdleTimeout(nowUs);
     }
--- a/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
@@ -50,10 +50,10 @@
     return sessionOf(requestId) != null;
   }
 
-  /** Switches to a new address; a streaming watch is read until the new one has sent a list. */
+  /** Switches to a new address; an open watch is read until the new address has sent a list. */
   List<WatchAction> follow(long nowUs, String host, int port) {
     boolean first = current == null;
-    if (previous != null) { // the latest address has not sent a list yet
+    if (previous != null) { // the current address has not sent a list yet
       current.end();
     } else {
       previous = current;
@@ -119,11 +119,13 @@
     WatchSession session = sessionOf(requestId);
     if (session != null) {
       session.onList(nowUs, generation);
-      if (session == current && previous != null) { // the new address has taken over
+      // the new address has delivered its first list: the previous session is no longer needed
+      if (session == current && previous != null) {
         previous.end();
         previous = null;
       }
-      if (session.find(requestId).complete()) { // now request the changes that follow it
+      // after a complete list, a new request is needed to receive the changes since that list
+      if (session.find(requestId).complete()) {
         session.reopen(nowUs);
       }
     }
@@ -132,8 +134,7 @@
 
   /**
    * Returns true if a list of this generation can be applied. A change older than the known
-   * generation belongs to another numbering or is outdated, so the list that it applies to is
-   * unknown.
+   * generation cannot be applied: it is outdated, or the server has restarted its numbering.
    */
   boolean accepts(long requestId, long generation, boolean completeList) {
     WatchSession session = sessionOf(requestId);
@@ -143,7 +144,7 @@
     return completeList || session.find(requestId).complete() || session.isNotOlder(generation);
   }
 
-  /** Handles a list that cannot be applied, which makes a complete list necessary. */
+  /** Requests a complete list, because the received list cannot be applied. */
   List<WatchAction> onUnusableList(long nowUs, long requestId) {
     WatchSession session = sessionOf(requestId);
     if (session != null) {
@@ -189,7 +190,7 @@
     }
     List<WatchSession.Request> requests = session.requests();
     if (session.phase() == WatchSession.Phase.STREAMING || now.maxRequests() == 1) {
-      for (WatchSession.Request request : requests) { // several after a settings change
+      for (WatchSession.Request request : requests) { // more than one after a change of settings
         fail(session, nowUs, request);
       }
       return;
--- a/src/main/java/dunlinhitch/discovery/WatchTimings.java
+++ b/src/main/java/dunlinhitch/discovery/WatchTimings.java
@@ -46,14 +46,14 @@
   private static final int AGENT_MAX_REQUESTS = 8;
   private static final Backoff.Bounds AGENT_BACKOFF = new Backoff.Bounds(60_000, 120_000);
 
-  /** A shared discovery gets one request at a time, which is not repeated before it has failed. */
+  /** Each broker has at most one request in flight to a shared discovery service. */
   private static final int SHARED_MAX_REQUESTS = 1;
 
   private static final long SHARED_RETRY_US = 0;
 
   /**
-   * A shared discovery serves at least 1.4 requests per second: the maximum delay grows by this
-   * amount for each broker.
+   * The maximum delay is this value times the number of brokers, up to {@link #LONGEST_DELAY_US},
+   * because a shared discovery service serves at least 1.4 requests per second in total.
    */
   private static final long DELAY_PER_BROKER_US = 1_250_000;
 
@@ -68,7 +68,7 @@
   /** The initial delay is this fraction of the delay between requests of one broker. */
   private static final int INITIAL_DELAY_FRACTION = 4;
 
-  /** Returns the timings for the settings; the delays satisfy the poll interval of the rules. */
+  /** Returns the timings; if discovery is polled, the settings limit the delay between polls. */
   static WatchTimings of(Settings settings) {
     if (!settings.mustPollServerList()) {
       return new WatchTimings(
--- a/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
@@ -260,7 +260,7 @@
   private void onSerialResult(AsyncResult<Message> result) {
     switch (serialPoller.onResponse(result.succeeded() ? result.result() : null)) {
       case CHANGED -> records.refreshAll(context.nowUs());
-      // A change between the first answers and the first serial would otherwise go unnoticed.
+      // The list of instances may have changed between its first answer and this serial.
       case FIRST -> records.refreshInstanceList(context.nowUs());
       case UNCHANGED -> {}
     }
--- a/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
@@ -116,7 +116,8 @@
         || bytes.length < HEADER_BYTES
         || in.readU32() != 0
         || in.readU32() != 0) {
-      throw new WireParseException("not a DSO message");
+      throw new WireParseException(
+          "not a DSO message: expected opcode 6 and a header of 12 bytes with all counts 0");
     }
     List<Tlv> tlvs = new ArrayList<>();
     while (in.remaining() > 0) {
@@ -201,7 +202,8 @@
     while (in.remaining() > 0) {
       Name name = new Name(in);
       if (in.remaining() < FIXED_RECORD_BYTES) {
-        throw new WireParseException("truncated record");
+        throw new WireParseException(
+            "record header truncated: " + in.remaining() + " of " + FIXED_RECORD_BYTES + " bytes");
       }
       Question key = new Question(name, in.readU16());
       int dnsClass = in.readU16();
@@ -225,7 +227,8 @@
     Record record =
         Record.newRecord(key.name(), key.type(), DClass.IN, removed ? 0 : ttl, data.length, data);
     if (record == null) {
-      throw new WireParseException("cannot decode the data of the record");
+      throw new WireParseException(
+          "cannot decode a record of type " + key.type() + " for " + key.name());
     }
     return new PushChange(removed, key, record);
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushClient.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushClient.java
@@ -13,7 +13,7 @@
  * ServiceRecords}. Confined to the event loop.
  */
 final class PushClient implements PushConnection.Listener {
-  /** Differs from every version of the records. */
+  /** Initial version, which differs from every version of the records. */
   private static final long NO_VERSION = -1;
 
   private final DiscoveryContext context;
@@ -48,7 +48,7 @@
     return session.isUp();
   }
 
-  /** Returns when to call {@link #advance}. */
+  /** Returns the latest time at which {@link #advance} must be called. */
   long nextUs() {
     return session.nextUs();
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
@@ -17,10 +17,10 @@
 import java.util.random.RandomGenerator;
 
 /**
- * State machine of a client of DNS Push Notifications (RFC 8765) on a DSO session (RFC 8490): when
- * to connect, what to subscribe to, when to send keepalives and how long to stay disconnected. Its
- * inputs are events, its outputs are {@link Action}s; it performs no I/O and reads no clock. Not
- * thread-safe. Times are in microseconds.
+ * State machine of a client of DNS Push Notifications (RFC 8765) on a DSO session (RFC 8490). It
+ * decides when to connect, what to subscribe to, when to send keep-alives and how long to stay
+ * disconnected. Its inputs are events, its outputs are {@link Action}s; it performs no I/O and
+ * reads no clock. Not thread-safe. Times are in microseconds.
  */
 final class PushSession {
   /** Limit on unanswered subscriptions, so that a new session does not send a burst. */
@@ -107,7 +107,7 @@
     reconnectUs = nowUs;
   }
 
-  /** Returns when to call {@link #onTimer}. */
+  /** Returns the latest time at which {@link #onTimer} must be called. */
   long nextUs() {
     return switch (phase) {
       case DISCONNECTED -> reconnectUs;
@@ -211,7 +211,7 @@
       }
     } catch (IOException | RuntimeException exception) {
       // dnsjava also throws unchecked exceptions if the data of a record is malformed.
-      actions.add(new Close("malformed message from the server: " + exception.getMessage()));
+      actions.add(new Close("invalid message from the server: " + exception.getMessage()));
       disconnect(nowUs, actions, nextBackoffUs());
     }
     return actions;
@@ -226,7 +226,7 @@
     }
     if (rcode != NOERROR) {
       throw new IOException(
-          "the server does not support DNS Stateful Operations: response code " + rcode);
+          "the server rejected the DNS Stateful Operations session with response code " + rcode);
     }
     onKeepaliveResponse(message);
   }
@@ -253,14 +253,17 @@
   private void applyKeepalive(Tlv tlv) throws IOException {
     long intervalUs = Dso.readKeepaliveIntervalMs(tlv) * US_PER_MS;
     if (intervalUs < MIN_KEEPALIVE_US) {
-      throw new IOException("the keep-alive interval is below 10 s");
+      throw new IOException(
+          "the keep-alive interval is "
+              + intervalUs / US_PER_MS
+              + " ms, expected at least 10000 ms");
     }
     keepaliveIntervalUs = Math.min(intervalUs, MAX_KEEPALIVE_US);
   }
 
   private void onRequest(long nowUs, DsoMessage message, List<Action> actions) throws IOException {
     if (message.tlvs().isEmpty()) {
-      throw new IOException("the request has no TLV");
+      throw new IOException("the request contains no TLV, expected at least one");
     }
     Tlv primary = message.tlvs().get(0);
     switch (primary.type()) {
@@ -273,7 +276,7 @@
 
   private void onRetryDelay(long nowUs, Tlv tlv, List<Action> actions) throws IOException {
     long delayUs = Math.min(MAX_RETRY_DELAY_US, Dso.readRetryDelayMs(tlv) * US_PER_MS);
-    actions.add(new Close("the server requested a retry delay"));
+    actions.add(new Close("the server requested a retry delay of " + delayUs / US_PER_MS + " ms"));
     long jitterUs = (long) (delayUs * random.nextDouble() / RETRY_DELAY_JITTER_DIVISOR);
     disconnect(nowUs, actions, delayUs + jitterUs);
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordCache.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordCache.java
@@ -91,7 +91,7 @@
     return set;
   }
 
-  /** Ends the dependency and evicts the set if it has no other. A null set is ignored. */
+  /** Ends the dependency; evicts the set if nothing else depends on it. Ignores a null set. */
   void release(ServiceInstance instance, RecordSet set) {
     if (set == null) {
       return;
@@ -123,7 +123,7 @@
     }
   }
 
-  /** Dequeues and returns as many queries as may be in flight. */
+  /** Dequeues and returns queries, up to the limit on queries in flight. */
   List<Question> startQueries() {
     List<Question> started = new ArrayList<>();
     for (RecordSet set : List.copyOf(pendingQueries)) {
@@ -140,7 +140,7 @@
     return started;
   }
 
-  /** Returns when {@link #startQueries} can next return a query, unless a response comes first. */
+  /** Returns when the next query is due; a response can make queries due earlier. */
   long nextUs() {
     return pendingQueries.isEmpty() || inFlight >= maxInFlight ? wheel.nextUs() : nowUs;
   }
@@ -193,7 +193,7 @@
       set.expiresUs = TimingWheel.NEVER;
     } else {
       set.expiresUs = nowUs + set.ttlUs;
-      // The refreshes are spread from now on, because all subscriptions of a session end at once.
+      // All subscriptions of a session end at the same time: spread the refreshes over the TTL.
       queryAt(set, nowUs + (long) (set.ttlUs * REFRESH_FRACTION * random.nextDouble()));
     }
     return true;
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordSet.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordSet.java
@@ -29,11 +29,12 @@
   /** True while a push session is subscribed to the set: it then neither expires nor refreshes. */
   boolean subscribed;
 
-  /** Next refresh or retry. */
+  /** Timer of the next refresh or retry. */
   TimingWheel.Handle<RecordSet> timer;
 
   /**
-   * Instances whose claims depend on this set. Except for PTR sets, a set without any is evicted.
+   * Instances whose claims depend on this set. A set without dependents is evicted, unless it is a
+   * PTR set.
    */
   final Set<ServiceInstance> dependents = new LinkedHashSet<>();
 
--- a/src/main/java/dunlinhitch/discovery/dnssd/RegistrationStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RegistrationStateMachine.java
@@ -66,7 +66,7 @@
     dueUs = mayBeRegistered ? nowUs : TimingWheel.NEVER;
   }
 
-  /** Returns when to call {@link #startUpdate}. */
+  /** Returns the latest time at which {@link #startUpdate} must be called. */
   long nextUs() {
     return dueUs;
   }
@@ -82,8 +82,8 @@
   }
 
   /**
-   * Returns the update to send now, or null. It ends with one call of {@link #onAccepted} or {@link
-   * #onFailed}.
+   * Returns the update to send now, or null. The caller reports the result of the update by calling
+   * {@link #onAccepted} or {@link #onFailed}.
    */
   PendingUpdate startUpdate(long nowUs) {
     if (nowUs < dueUs) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/RegistrationUpdates.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RegistrationUpdates.java
@@ -95,7 +95,7 @@
     return update;
   }
 
-  /** Returns the lease granted by a response, or the requested one if it has no readable option. */
+  /** Returns the granted lease, or the requested one if the response has no valid lease option. */
   long grantedLeaseS(Message response) {
     OPTRecord opt = response.getOPT();
     if (opt == null || opt.getOptions(LEASE_OPTION).isEmpty()) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
@@ -32,7 +32,7 @@
  * ignored. Confined to the event loop.
  */
 final class Resolver {
-  /** Fits into an unfragmented packet on common network paths (DNS flag day 2020). */
+  /** Offered UDP payload size, which avoids fragmentation on common paths (DNS flag day 2020). */
   static final int UDP_PAYLOAD_BYTES = 1232;
 
   private static final int HEADER_BYTES = 12;
@@ -173,7 +173,7 @@
 
   // ---- TCP
 
-  /** Key and TSIG record of a signed request; the signature of the response covers that record. */
+  /** Key and TSIG record of a signed request; both are needed to verify the response. */
   private record Signature(TSIG key, TSIGRecord request) {}
 
   /** Sends a request over TCP; {@code signature} is null if the request is not signed. */
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceInstance.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceInstance.java
@@ -17,7 +17,7 @@
   /** The browsed names whose PTR sets list the instance. */
   final Set<Name> browsedNames = new HashSet<>();
 
-  /** Null once the instance is no longer listed. */
+  /** The SRV record set; null once the instance is no longer listed. */
   RecordSet srv;
 
   RecordSet txt;
@@ -46,7 +46,8 @@
   }
 
   /**
-   * Returns the IPv4 address set of a host, or the IPv6 one if it is known to have no IPv4 address.
+   * Returns the IPv4 address set of a host, or its IPv6 address set if the server has answered that
+   * the host has no IPv4 address.
    */
   RecordSet addressesOf(Name host) {
     RecordSet ipv4 = ipv4Addresses.get(host);
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
@@ -96,13 +96,13 @@
 
   // ---- queries
 
-  /** Returns the queries to send; each ends with one {@link #onResponse} or {@link #onFailure}. */
+  /** Returns the queries to send; {@link #onResponse} or {@link #onFailure} ends each of them. */
   List<Question> startQueries(long nowUs) {
     cache.advance(nowUs);
     return cache.startQueries();
   }
 
-  /** Returns when to call {@link #startQueries} next, apart from the call after each response. */
+  /** Returns when queries are next due. Each response can make further queries due at once. */
   long nextUs() {
     return cache.nextUs();
   }
@@ -128,7 +128,7 @@
     }
   }
 
-  /** Handles a complete response that matches the query's server, id, name and type. */
+  /** Handles a complete response whose server, id, name and type match those of the query. */
   void onResponse(long nowUs, Question question, Message response) {
     cache.advance(nowUs);
     RecordSet set = cache.completeQuery(question);
@@ -154,7 +154,7 @@
   }
 
   /**
-   * Returns true if the answer may replace the cached records, and counts the fault if it has one.
+   * Returns true if the answer may replace the cached records, and counts a fault of the answer.
    */
   private boolean isAcceptable(Message response, List<Record> answer) {
     if (answer == null) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/ZoneSerialPoller.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ZoneSerialPoller.java
@@ -35,13 +35,13 @@
     dueUs = intervalUs <= 0 ? TimingWheel.NEVER : nowUs;
   }
 
-  /** Returns when to call {@link #startPoll}. */
+  /** Returns the latest time at which {@link #startPoll} must be called. */
   long nextUs() {
     return polling ? TimingWheel.NEVER : dueUs;
   }
 
   /**
-   * Returns true if the serial must be polled now; each poll ends with one call of {@link
+   * Returns true if the serial must be polled now. The caller ends each poll by calling {@link
    * #onResponse}. A poll that becomes due during a push session is skipped.
    */
   boolean startPoll(long nowUs, boolean pushSessionUp) {
--- a/src/test/java/dunlinhitch/discovery/BackoffTest.java
+++ b/src/test/java/dunlinhitch/discovery/BackoffTest.java
@@ -10,7 +10,7 @@
 class BackoffTest {
   private static final Backoff.Bounds BOUNDS = new Backoff.Bounds(100_000, 1_000_000);
 
-  /** With equal delays, fourteen brokers that lost discovery together would reconnect together. */
+  /** Jitter gives brokers that lose discovery at the same time different reconnect delays. */
   @Test
   void brokersDoNotReconnectAtTheSameTime() {
     long different =
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -110,8 +110,8 @@
 
   /**
    * The agent is unreachable for 9 s without a reset, and requests sent in that time may never be
-   * answered. Since the broker must act on the agent's list as soon as it returns, a new request is
-   * sent at least every 130 ms, with at most eight in flight.
+   * answered. The broker must request the list soon after the agent is reachable again, so it sends
+   * a new request at least every 130 ms, with at most eight in flight.
    */
   @Test
   void anUnreachableAgentIsRequestedContinuously() {
@@ -385,8 +385,8 @@
   }
 
   /**
-   * The broker must act on the agent's list as soon as it returns: a request is sent within 130 ms.
-   * Only a watch that fell silent takes longer; it is detected within 3.2 s.
+   * After the agent becomes reachable again, the broker sends a request within 130 ms, or within
+   * 3.2 s if the watch stopped receiving without an error.
    */
   @Test
   void afterAnyFaultsAnAgentIsRequestedPromptly() {
--- a/src/test/java/dunlinhitch/discovery/dnssd/AbstractServiceRecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/AbstractServiceRecordsTest.java
@@ -16,7 +16,10 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Section;
 
-/** Service records that a test zone answers without sockets, and the resulting claims. */
+/**
+ * Base of tests that answer the queries of {@link ServiceRecords} from a test zone, without
+ * sockets, and check the resulting claims.
+ */
 abstract class AbstractServiceRecordsTest {
   static final String SERVICE = "_calendar._tcp.example.org.";
   static final long US_PER_SECOND = 1_000_000;
--- a/src/test/java/dunlinhitch/discovery/dnssd/MalformedMessagesTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/MalformedMessagesTest.java
@@ -14,7 +14,7 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Type;
 
-/** Messages with random bytes changed, truncated or appended are read or rejected, never fatal. */
+/** Messages with random bytes changed, truncated or appended are either read or rejected. */
 class MalformedMessagesTest extends AbstractServiceRecordsTest {
   private static final int ROUNDS = 20_000;
   private final SplittableRandom random = new SplittableRandom(9);
@@ -48,7 +48,7 @@
     for (Question question : records.startQueries(nowUs)) {
       Message query = Message.newQuery(question.record());
       byte[] bytes = zone.answer(query).toWire(65_535);
-      changeBytes(bytes, 2); // Keeps the id, because another one is ignored.
+      changeBytes(bytes, 2); // keeps the id, because a response with another id is ignored
       if (random.nextInt(4) == 0) {
         bytes = Arrays.copyOf(bytes, random.nextInt(bytes.length + 20));
       }
--- a/src/test/java/dunlinhitch/discovery/dnssd/PushSessionTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/PushSessionTest.java
@@ -19,7 +19,7 @@
 import org.xbill.DNS.Record;
 import org.xbill.DNS.Type;
 
-/** What a push session sends and when, without sockets. */
+/** The messages that a push session sends, and their times, without sockets. */
 class PushSessionTest {
   private static final String SERVICE = "_calendar._tcp.example.org.";
   private static final Question POINTERS = new Question(Names.parse(SERVICE), Type.PTR);
--- a/src/test/java/dunlinhitch/discovery/dnssd/RegistrationStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/RegistrationStateMachineTest.java
@@ -12,7 +12,7 @@
 import org.xbill.DNS.OPTRecord;
 import org.xbill.DNS.Section;
 
-/** When the broker's records are registered, refreshed and withdrawn. */
+/** Times at which the broker's records are registered, refreshed and withdrawn. */
 class RegistrationStateMachineTest {
   private static final long US_PER_SECOND = 1_000_000;
 
--- a/src/test/java/dunlinhitch/discovery/dnssd/ServiceRecordsTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/ServiceRecordsTest.java
@@ -21,7 +21,7 @@
 import org.xbill.DNS.TXTRecord;
 import org.xbill.DNS.Type;
 
-/** Which claims are derived from records, and which queries are sent when. */
+/** Claims that are derived from records, and the times of the queries for those records. */
 class ServiceRecordsTest extends AbstractServiceRecordsTest {
   private static final Name HOST = Names.parse("host-127-0-0-1.example.org.");
   private static final Name ALIAS = Names.parse("alias.example.org.");
--- a/src/test/java/dunlinhitch/discovery/dnssd/ZoneSerialPollerTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/ZoneSerialPollerTest.java
@@ -12,7 +12,7 @@
 import org.xbill.DNS.SOARecord;
 import org.xbill.DNS.Section;
 
-/** When the SOA serial of a zone is polled, and how responses are interpreted. */
+/** Times of the polls of a zone's SOA serial, and the interpretation of the responses. */
 class ZoneSerialPollerTest {
   private static final long INTERVAL_US = 1_000;
   private final ZoneSerialPoller poller = new ZoneSerialPoller(INTERVAL_US, 0);
