--- a/src/main/java/dunlinhitch/config/Config.java
+++ b/src/main/java/dunlinhitch/config/Config.java
@@ -100,7 +100,10 @@
           || host.matches("\\[?[0-9a-fA-F:.]*:[0-9a-fA-F:.]*\\]?");
     }
 
-    /** Returns whether other processes can send to this address: an IP address with a port. */
+    /**
+     * Returns whether other processes can send to this address: the host is an IP address and the
+     * port is not 0.
+     */
     boolean isReachable() {
       return hasIpAddress() && port != 0;
     }
--- a/src/main/java/dunlinhitch/config/ConfigReader.java
+++ b/src/main/java/dunlinhitch/config/ConfigReader.java
@@ -65,7 +65,7 @@
       JsonObject root, Product product, Map<String, String> environment, long writtenMs) {
     JsonValue settings = root.get("settings");
     if (settings == null) {
-      throw new ConfigException("settings is missing");
+      throw new ConfigException("the key 'settings' is missing");
     }
     JsonValue endpointList = root.get("known");
     String name = environment.getOrDefault(NAME_VARIABLE, root.getString("name", "broker"));
--- a/src/main/java/dunlinhitch/config/GossipAddressesReader.java
+++ b/src/main/java/dunlinhitch/config/GossipAddressesReader.java
@@ -41,7 +41,7 @@
 
   private static GossipAddresses readAddresses(JsonObject root) {
     if (!isAllowed(root)) {
-      throw new ConfigException("the setting Limits.PeerMessages does not allow gossip");
+      throw new ConfigException("gossip is disabled: Limits.PeerMessages is false");
     }
     JsonValue listen = root.get(LISTEN);
     if (isEmpty(listen)) {
@@ -63,7 +63,7 @@
         || (value.isObject() && value.asObject().isEmpty());
   }
 
-  /** Settings without the limit allow gossip, since the platform provides addresses for it. */
+  /** Returns whether gossip is allowed, which is the default if the platform gives addresses. */
   private static boolean isAllowed(JsonObject root) {
     JsonValue limits = root.get("settings").asObject().get("Limits");
     return limits == null || limits.isNull() || limits.asObject().getBoolean("PeerMessages", true);
--- a/src/main/java/dunlinhitch/config/Product.java
+++ b/src/main/java/dunlinhitch/config/Product.java
@@ -125,13 +125,14 @@
    * @param service the service type with its domain
    * @param subtypes subtypes whose instances are used; all instances if empty
    * @param rank precedence among sources that disagree; the lowest wins, and the platform's
-   *     discovery has 0
+   *     discovery service has rank 0
    * @param zone the zone whose SOA serial is polled, or null for the service's domain
    * @param soaEveryUs interval of these polls in microseconds; 0 disables them
    * @param push server of DNS Push Notifications, or null
-   * @param pushTrust PEM file of the certificate authorities trusted for it, or null for the
-   *     system's trust store
-   * @param pushName name expected in its certificate, or null for the host of {@code push}
+   * @param pushTrust PEM file of the CAs trusted for the push server, or null for the system's
+   *     trust store
+   * @param pushName name expected in the push server's certificate, or null for the host of {@code
+   *     push}
    * @param instances maximum number of instances that are used
    */
   public record DnsService(
@@ -187,12 +188,12 @@
   /**
    * Times of the endpoint registry, in microseconds.
    *
-   * @param lingerUs how long after its withdrawal an endpoint may return as the same endpoint
+   * @param lingerUs time after a withdrawal within which a returning endpoint keeps its state
    * @param staleForUs how long records are used after their expiry
-   * @param returnDelayUs delay of the second return within {@code calmUs}; each further return
-   *     doubles it
-   * @param maxReturnDelayUs maximum delay of a return
-   * @param calmUs time without a withdrawal after which returns are no longer delayed
+   * @param returnDelayUs delay before an endpoint is used again at its second return within {@code
+   *     calmUs}; each further return doubles the delay
+   * @param maxReturnDelayUs maximum delay before a returning endpoint is used
+   * @param calmUs time without a withdrawal after which a return is no longer delayed
    */
   public record MembershipTimes(
       long lingerUs, long staleForUs, long returnDelayUs, long maxReturnDelayUs, long calmUs) {}
--- a/src/main/java/dunlinhitch/config/ProductDescription.java
+++ b/src/main/java/dunlinhitch/config/ProductDescription.java
@@ -54,8 +54,8 @@
 
   private void appendPhase(Product.TwoPhaseClass phase) {
     out.append("phases ").append(phase.queryClass());
-    out.append(": first pass within ").append(Math.round(PERCENT * phase.share()));
-    out.append(" % of the time to the latency objective, for ").append(phase.least());
+    out.append(": first pass takes at most ").append(Math.round(PERCENT * phase.share()));
+    out.append(" % of the latency objective; used for queries with ").append(phase.least());
     out.append(" or more blocks, audit ").append(PERCENT * phase.audit());
     out.append(" %, trial ").append(PERCENT * phase.trial()).append(" %\n");
   }
--- a/src/main/java/dunlinhitch/config/ProductSchema.java
+++ b/src/main/java/dunlinhitch/config/ProductSchema.java
@@ -56,9 +56,12 @@
             "rank",
             ValueKind.COUNT,
             "1",
-            "precedence among sources that disagree; the lowest wins, discovery has 0")
+            "precedence among sources that disagree; the lowest wins, the discovery service has 0")
         .optional(
-            "zone", ValueKind.TEXT, null, "zone whose SOA serial is polled (the service's domain)")
+            "zone",
+            ValueKind.TEXT,
+            null,
+            "zone whose SOA serial is polled (default: the domain of the service)")
         .optional(
             "soa_every",
             ValueKind.DURATION,
@@ -69,12 +72,12 @@
             "push_trust",
             ValueKind.PATH,
             null,
-            "PEM file of the certificate authorities trusted for it (the system's)")
+            "PEM file with the CAs trusted for the push server (default: the system's)")
         .optional(
             "push_name",
             ValueKind.TEXT,
             null,
-            "name expected in its certificate (the host of push)")
+            "name expected in the push server's certificate (default: the host of push)")
         .optional("instances", ValueKind.COUNT, "4096", "maximum number of instances");
   }
 
@@ -86,20 +89,25 @@
             "linger",
             ValueKind.DURATION,
             "10s",
-            "how long after its withdrawal a store may return as the same store")
+            "time after a withdrawal within which a returning store keeps its state")
         .optional(
             "stale_for", ValueKind.DURATION, "1h", "how long records are used after their expiry")
         .optional(
             "hold",
             ValueKind.DURATION,
             "500ms",
-            "delay of the second return within calm; each further return doubles it")
-        .optional("hold_most", ValueKind.DURATION, "30s", "maximum delay of a return")
+            "delay before a store is used again at its second return within calm; "
+                + "each further return doubles the delay")
+        .optional(
+            "hold_most",
+            ValueKind.DURATION,
+            "30s",
+            "maximum delay before a returning store is used")
         .optional(
             "calm",
             ValueKind.DURATION,
             "1m",
-            "time without a withdrawal after which returns are no longer delayed");
+            "time without a withdrawal after which a returning store is used without delay");
   }
 
   /** A query class that may run in two phases. */
@@ -110,7 +118,7 @@
             "share",
             ValueKind.PERCENT,
             "30%",
-            "maximum duration of the first pass, of the time to the latency objective")
+            "maximum duration of the first pass, as a share of the latency objective")
         .optional(
             "least",
             ValueKind.COUNT,
@@ -120,7 +128,7 @@
             "trial",
             ValueKind.PERCENT,
             "2%",
-            "share of queries that run in two phases although it is not expected to save work")
+            "share of queries that run in two phases although no saving of work is expected")
         .optional(
             "audit",
             ValueKind.PERCENT,
@@ -146,17 +154,18 @@
             "listen",
             ValueKind.ADDRESS,
             null,
-            "UDP listen address for gossip (the platform's peer_listen)")
+            "UDP listen address for gossip (default: peer_listen of the platform's file)")
         .optional(
             "advertise",
             ValueKind.ADDRESS,
             null,
-            "address at which other brokers reach it (that of listen)")
+            "gossip address at which other brokers reach this broker (default: listen)")
         .repeatable(
             "peer",
             ValueKind.ADDRESS,
             false,
-            "gossip address of a broker, possibly its own (the platform's peers)")
+            "gossip address of a broker, possibly of this one "
+                + "(default: peers of the platform's file)")
         .optional(
             "least",
             ValueKind.COUNT,
@@ -166,7 +175,7 @@
             "slack",
             ValueKind.PERCENT,
             "20%",
-            "how far the number of brokers per store may exceed the mean");
+            "share by which the number of brokers per store may exceed the mean");
     declareClusterTimes(cluster);
   }
 
@@ -190,7 +199,7 @@
             "shut_out",
             ValueKind.DURATION,
             "10s",
-            "how long most brokers must have the newer versions before a straggler is fenced");
+            "how long most brokers must have used the newer versions before a straggler is fenced");
   }
 
   /** The broker's own DNS-SD records. */
@@ -204,7 +213,10 @@
         .required(
             "address", ValueKind.ADDRESS, "IP address and port at which clients reach the broker")
         .optional(
-            "target", ValueKind.TEXT, null, "host name within the zone (derived from instance)")
+            "target",
+            ValueKind.TEXT,
+            null,
+            "host name within the zone (default: derived from instance)")
         .repeatable("txt", ValueKind.TEXT, false, "string of the TXT record")
         .optional("ttl", ValueKind.DURATION, "120s", "TTL of the records")
         .optional(
--- a/src/main/java/dunlinhitch/config/RequiredKeys.java
+++ b/src/main/java/dunlinhitch/config/RequiredKeys.java
@@ -53,7 +53,8 @@
   }
 
   /**
-   * Elements may be added and removed, but each must have the keys that all elements had before.
+   * Elements may be added and removed, but each element of the reloaded array must have every key
+   * that all elements of the current array have.
    */
   private void checkElements(JsonArray current, JsonArray reloaded, String path) {
     Set<String> commonKeys = commonKeys(current);
--- a/src/main/java/dunlinhitch/config/syntax/SectionSchema.java
+++ b/src/main/java/dunlinhitch/config/syntax/SectionSchema.java
@@ -121,7 +121,7 @@
 
   private static String presence(DirectiveSchema directive) {
     if (directive.defaultValue() != null) {
-      return " (" + directive.defaultValue() + ")";
+      return " (default: " + directive.defaultValue() + ")";
     }
     return directive.required() ? " (required)" : "";
   }
--- a/src/test/java/dunlinhitch/config/ConfigFileTest.java
+++ b/src/test/java/dunlinhitch/config/ConfigFileTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Which changes of the configuration file a reload accepts. */
+/** A reload accepts valid changes of the configuration file and rejects all others. */
 class ConfigFileTest {
   private static final String CLASS_A =
       "{\"Name\":\"a\",\"DeadlineUs\":1000000,\"OnTimeUs\":500000,\"Idempotency\":\"free\"}";
--- a/src/test/java/dunlinhitch/config/ProductDescriptionTest.java
+++ b/src/test/java/dunlinhitch/config/ProductDescriptionTest.java
@@ -68,8 +68,8 @@
         flight: listens on 127.0.0.1:8815
         dns_sd rooms: _c._tcp.example.org, subtype west, at 127.0.0.1:8815, at [::1]:53, rank 2, \
         push from ns.example.org:853, serial polled every 250 ms
-        phases free-search: first pass within 30 % of the time to the latency objective, for 4 or \
-        more blocks, audit 1.0 %, \
+        phases free-search: first pass takes at most 30 % of the latency objective; used for \
+        queries with 4 or more blocks, audit 1.0 %, \
         trial 2.5 %
         fleet: listens for gossip on 127.0.0.1:8815, joins through 1 peers, uses at least 3 stores \
         of each cell, health check interval 1000 ms
