--- a/src/main/java/dunlinhitch/cli/BrokerProcess.java
+++ b/src/main/java/dunlinhitch/cli/BrokerProcess.java
@@ -77,7 +77,7 @@
         .onComplete(this::onStarted);
   }
 
-  /** Creates the broker; any failure must end the process with a message. */
+  /** Returns false if the broker cannot be created; {@link #start} then reports the failure. */
   private boolean createBroker() {
     try {
       broker = new Broker(vertx, context, config, System.out::println, listener);
--- a/src/main/java/dunlinhitch/cli/FailureHandlers.java
+++ b/src/main/java/dunlinhitch/cli/FailureHandlers.java
@@ -10,7 +10,7 @@
 final class FailureHandlers {
   private FailureHandlers() {}
 
-  /** Makes the command line report all failures through {@link Main#report}; returns it. */
+  /** Makes {@code line} report all failures through {@link Main#report}, and returns it. */
   static CommandLine install(CommandLine line) {
     return line.setParameterExceptionHandler((failure, arguments) -> Main.report(failure))
         .setExecutionExceptionHandler((failure, command, parsed) -> Main.report(failure));
--- a/src/main/java/dunlinhitch/cli/Main.java
+++ b/src/main/java/dunlinhitch/cli/Main.java
@@ -55,7 +55,7 @@
     try {
       return ServeCommand.withDefaults().call();
     } catch (InterruptedException | RuntimeException failure) {
-      return report(failure); // as commandLine() does for every other command
+      return report(failure); // commandLine() reports failures of the other commands
     }
   }
 
@@ -72,7 +72,9 @@
     return FailureHandlers.install(line);
   }
 
-  /** Adds the experiments command only if it is selected, because no other may load its classes. */
+  /**
+   * Adds the experiments command only if it is selected, as no other command may load its classes.
+   */
   private static CommandLine commandLine(String[] arguments) {
     CommandLine line = commandLine();
     if (arguments.length > 0 && namesExperiments(arguments[0])) {
--- a/src/main/java/dunlinhitch/cli/RecordsCommand.java
+++ b/src/main/java/dunlinhitch/cli/RecordsCommand.java
@@ -109,7 +109,8 @@
   public Integer call() throws InterruptedException {
     Product.DnsService requested = requestedService();
     if (cells < 1 || timeoutS < 1) {
-      throw new Config.ConfigException("--cells and --within must be 1 or more");
+      throw new Config.ConfigException(
+          "--cells and --within must be 1 or more, found " + cells + " and " + timeoutS);
     }
     registry = new EndpointRegistry(EndpointRegistrySettings.of(cells, 1), clock.getAsLong());
     vertx = Vertx.vertx(new VertxOptions().setEventLoopPoolSize(1));
--- a/src/main/java/dunlinhitch/cli/ServeCommand.java
+++ b/src/main/java/dunlinhitch/cli/ServeCommand.java
@@ -21,7 +21,7 @@
 final class ServeCommand implements Callable<Integer> {
   static final String NAME = "serve";
 
-  /** Contains the file descriptor on which the platform passes the listening socket for clients. */
+  /** Environment variable with the file descriptor of the platform's listening socket. */
   private static final String LISTENER_VARIABLE = "ROUTER_ACCEPT_FD";
 
   /** Installed by {@link #installHangupHandler} before any other work. */
@@ -50,7 +50,7 @@
     return 0;
   }
 
-  /** Loads the time zone rules for the log now, since this fails without a free file descriptor. */
+  /** Preloads the time zone rules of the log; later, reading them could lack a file descriptor. */
   @SuppressWarnings("ReturnValueIgnored") // called for its side effect
   private static void loadTimeZoneRules() {
     ZoneId.systemDefault().getRules();
--- a/src/main/java/dunlinhitch/cli/SimulateCommand.java
+++ b/src/main/java/dunlinhitch/cli/SimulateCommand.java
@@ -9,7 +9,8 @@
     name = "drill",
     aliases = "simulate",
     description =
-        "Runs the load balancer for the simulator, with its protocol on standard input and output.",
+        "Runs the load balancer for the simulator: reads the simulator's messages from standard input"
+            + " and writes the decisions to standard output.",
     mixinStandardHelpOptions = true)
 final class SimulateCommand implements Callable<Integer> {
   @Override
--- a/src/main/java/dunlinhitch/cli/WarmUpCommand.java
+++ b/src/main/java/dunlinhitch/cli/WarmUpCommand.java
@@ -15,7 +15,7 @@
 @Command(
     name = WarmUpCommand.NAME,
     description =
-        "Serves queries to itself on loopback and exits; the build archives the loaded classes.",
+        "Runs test queries over loopback and exits; the build archives the classes that it loads.",
     mixinStandardHelpOptions = true)
 final class WarmUpCommand implements Callable<Integer> {
   static final String NAME = "warm-up";
@@ -39,7 +39,7 @@
 
   private final CountDownLatch ended = new CountDownLatch(1);
 
-  /** Written before {@link #ended} is counted down, and read after it. */
+  /** Not volatile: written before {@link #ended} is counted down, read after the wait for it. */
   private boolean served;
 
   @Override
@@ -58,7 +58,10 @@
                 .run()
                 .onComplete(this::onEnded));
     boolean succeeded = ended.await(TIMEOUT_S, TimeUnit.SECONDS) && served;
-    System.out.println(succeeded ? "served" : "not served");
+    System.out.println(
+        succeeded
+            ? "served"
+            : "warm-up failed: expected " + QUERIES + " responses within " + TIMEOUT_S + " s");
     return succeeded ? 0 : 1;
   }
 
--- a/src/test/java/dunlinhitch/cli/ServeCommandTest.java
+++ b/src/test/java/dunlinhitch/cli/ServeCommandTest.java
@@ -210,7 +210,7 @@
       long inUse = 1 + open.filter(fd -> !linkTarget(fd).endsWith(".jar")).count();
       assertTrue(
           inUse >= 24 && inUse + 64 / 4 + 8 <= 64,
-          "descriptors in use, without the stores' share and calls of discovery and operators: "
+          "descriptors in use, not counting those reserved for stores, discovery and operators: "
               + inUse);
     }
   }
