--- a/src/main/java/dunlinhitch/config/ProductDescription.java
+++ b/src/main/java/dunlinhitch/config/ProductDescription.java
@@ -54,8 +54,8 @@
 
   private void appendPhase(Product.TwoPhaseClass phase) {
     out.append("phases ").append(phase.queryClass());
-    out.append(": first pass within ").append(Math.round(PERCENT * phase.firstPassShare()));
-    out.append(" % of the time to the latency objective, for ").append(phase.minBlocks());
+    out.append(": first pass takes at most ").append(Math.round(PERCENT * phase.firstPassShare()));
+    out.append(" % of the latency objective; used for queries with ").append(phase.minBlocks());
     out.append(" or more blocks, audit ").append(PERCENT * phase.auditShare());
     out.append(" %, trial ").append(PERCENT * phase.trialShare()).append(" %\n");
   }
