--- a/src/main/java/dunlinhitch/answerkeys/Action.java
+++ b/src/main/java/dunlinhitch/answerkeys/Action.java
@@ -10,8 +10,8 @@
     /** The deadline of the query has passed. */
     DEADLINE_EXCEEDED,
     /**
-     * The failed attempts of the requests that the query waited for have reached its maximum number
-     * of attempts.
+     * The query has reached the maximum number of attempts. The failed attempts of the leaders that
+     * it waited for are included.
      */
     ATTEMPTS_EXHAUSTED
   }
@@ -62,8 +62,8 @@
       implements Action {}
 
   /**
-   * Reports the result of a fetch to the owner of the key, which either granted the lease or did
-   * not reply in time.
+   * Reports the result of a fetch to the owner of the key, after the owner has granted the lease or
+   * has not replied in time.
    *
    * @param cached the answer, or null if the fetch had no result
    */
--- a/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
@@ -30,8 +30,8 @@
   private final Cache<AnswerKey, CachedAnswer> answers;
 
   /**
-   * The keys whose last answer was not shareable, each with the time until which its requests
-   * bypass coalescing.
+   * The keys whose last answer was not shareable. The value is the time until which requests for
+   * the key bypass coalescing.
    */
   private final Cache<AnswerKey, Long> uncacheableUntilUs;
 
@@ -152,8 +152,9 @@
   }
 
   /**
-   * Whether the part is selected as a trial: the two parts share a key only because of rules, and
-   * the random selection chose this part.
+   * Whether the part is selected as a trial, that is, sent to a store although the answer to the
+   * other part could be reused. Only a part that shares its key with the other part because of
+   * rules can be selected, and the selection is random.
    */
   boolean selectsTrial(PartQuery part, PartQuery other) {
     return !part.sameAs(other) && random.nextDouble() < settings.trialShare();
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
@@ -8,7 +8,7 @@
 
 /**
  * Decides which parts of queries share an answer. Each key has at most one fetch at a time in this
- * broker, and one owner in the cluster. Its answer is reused for a short time. The rules and the
+ * broker, and one owner in the cluster. The answer is reused for a short time. The rules and the
  * bounds are documented in docs/answer-keys.md.
  *
  * <p>Pure: the input is events, the output is actions, and there is no I/O, clock or thread. Not
@@ -31,8 +31,8 @@
    * Creates a module without stores and members.
    *
    * @param self the name of this broker in the cluster
-   * @param random the random number generator that selects the requests that are trials of trusted
-   *     rules
+   * @param random the random number generator that selects requests as trials; a trial is sent to a
+   *     store to test the trusted rules
    * @param cache the cache of the answers
    */
   public AnswerKeyModule(
@@ -174,7 +174,7 @@
     return output.counters();
   }
 
-  /** The number of compared pairs of answers, and the number of unequal ones among them. */
+  /** Two numbers: the compared pairs of answers, and the unequal pairs among them. */
   public List<Long> comparisons() {
     return List.of(comparison.compared(), comparison.unequal());
   }
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
@@ -4,11 +4,12 @@
  * The settings of the {@link AnswerKeyModule}.
  *
  * @param trust the evidence that a rule needs before it is trusted
- * @param trialShare the fraction of the requests that are sent to a store although a trusted rule
- *     would allow an answer to be reused; these trials detect rules that have become false
- * @param changeWindowUs the maximum time between the requests for two unequal answers at which the
- *     difference makes a rule suspect, if the store reports no generation; after a longer time the
- *     data has probably changed
+ * @param trialShare how often a request is sent to a store although trusted rules allow an answer
+ *     to be reused, as a fraction of such requests; these trials detect rules that have become
+ *     false
+ * @param changeWindowUs the maximum time between the requests for two unequal answers that make a
+ *     rule suspect; after a longer time the data has probably changed. Applies only to stores that
+ *     report no generation
  * @param suspicionTimeoutUs the time after which a rule is withdrawn if its suspicion has not been
  *     cleared
  * @param evidenceLifetimeUs the lifetime of a broker's evidence
@@ -24,8 +25,8 @@
   /**
    * The evidence that a rule needs before it is trusted.
    *
-   * @param proposals the number of requests in the cluster whose key the rule would have changed,
-   *     after which answers are compared to test the rule
+   * @param proposals the number of requests in the cluster whose key the rule would have changed;
+   *     once it is reached, answers are compared to test the rule
    * @param pairs the number of pairs of equal answers in the cluster that are required to trust the
    *     rule
    * @param shards the number of shards that these pairs have to come from
@@ -101,9 +102,9 @@
               + evidenceLifetimeUs
               + " us, "
               + limits,
-          "set thresholds and limits to at least 1 (proposals to at least 0), times to valid "
-              + "durations and the trial share above 0 and at most 1, because without trials a false "
-              + "rule could cause wrong answers indefinitely");
+          "set proposals and the change window to at least 0, other thresholds and limits to at "
+              + "least 1, other times above 0, and the trial share above 0 and at most 1; without "
+              + "trials, a false rule could cause wrong answers indefinitely");
     }
   }
 }
--- a/src/main/java/dunlinhitch/answerkeys/ClassCachePolicy.java
+++ b/src/main/java/dunlinhitch/answerkeys/ClassCachePolicy.java
@@ -43,7 +43,7 @@
               + " us for another broker, with a latency objective of "
               + latencyObjectiveUs
               + " us",
-          "set an age above 0 and a wait below the latency objective");
+          "set the age above 0, and the wait to at least 0 and below the latency objective");
     }
   }
 }
--- a/src/main/java/dunlinhitch/answerkeys/ClassRules.java
+++ b/src/main/java/dunlinhitch/answerkeys/ClassRules.java
@@ -84,7 +84,7 @@
       throw new KeysException(
           Code.ATTRIBUTE_TWICE,
           rule.location(),
-          "another rewrite of " + policy.name() + " already applies to attribute " + attribute,
+          "query class " + policy.name() + " already has a rewrite of attribute " + attribute,
           "remove one of the two rewrites");
     }
   }
@@ -111,7 +111,7 @@
               + separator
               + "' in another rewrite and by '"
               + candidate
-              + "' in this one, so they could undo each other",
+              + "' in this one, so the two rewrites could undo each other",
           "use the same separator in all rewrites of the class");
     }
     separator = candidate;
@@ -131,8 +131,8 @@
   }
 
   /**
-   * Returns the reason why no text contains the term at this rewrite, or null if a text may contain
-   * it.
+   * Returns the reason why no text can contain the term when this rewrite is applied, or null if a
+   * text may contain it.
    */
   private static String reasonNeverDropped(String term, char separator, boolean caseFolded) {
     if (term.isEmpty() || term.indexOf(separator) >= 0) {
--- a/src/main/java/dunlinhitch/answerkeys/Evidence.java
+++ b/src/main/java/dunlinhitch/answerkeys/Evidence.java
@@ -26,7 +26,7 @@
 
   /**
    * The maximum number of shards and of client kinds that a gossip message carries. Trust
-   * thresholds cannot exceed it.
+   * thresholds must not exceed this number.
    */
   static final int MAX_SPREAD = 16;
 
--- a/src/main/java/dunlinhitch/answerkeys/FetchTable.java
+++ b/src/main/java/dunlinhitch/answerkeys/FetchTable.java
@@ -66,7 +66,8 @@
   }
 
   /**
-   * Removes a waiter. If it was the leader, the fetch has no leader until another one is elected.
+   * Removes a waiter. If the waiter was the leader, the fetch has no leader until another waiter is
+   * elected.
    */
   void remove(InFlightFetch fetch, Waiter waiter) {
     fetch.waiters.remove(waiter);
--- a/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
+++ b/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Replaces a request time in the future, from a peer whose clock is ahead, by the current time.
-   * Otherwise the answer could be reused beyond its maximum age.
+   * Replaces a request time that is in the future, because the clock of the peer is ahead, by the
+   * current time. Otherwise the answer could be reused beyond its maximum age.
    */
   private static CachedAnswer notAhead(long nowUs, CachedAnswer cached) {
     return cached.requestedUs() <= nowUs
--- a/src/main/java/dunlinhitch/answerkeys/RuleSet.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleSet.java
@@ -60,7 +60,7 @@
           rule.location(),
           "answers of "
               + policy.name()
-              + " may not be reused: parts may not run twice or carry an idempotency key",
+              + " may not be reused: its parts carry an idempotency key or must not run twice",
           "remove the rule, because answers of this class are never shared");
     }
   }
--- a/src/main/java/dunlinhitch/answerkeys/StoreAnswer.java
+++ b/src/main/java/dunlinhitch/answerkeys/StoreAnswer.java
@@ -24,9 +24,7 @@
     Set<String> varies,
     boolean cacheable,
     boolean complete) {
-  /**
-   * A value in {@code varies} that means that the answer varies by more than the named attributes.
-   */
+  /** If {@code varies} contains this value, the answer varies by more than the named attributes. */
   public static final String VARIES_BY_ANY = "*";
 
   /** The estimated size of an answer without its value, in bytes. */
--- a/src/main/java/dunlinhitch/answerkeys/Waiter.java
+++ b/src/main/java/dunlinhitch/answerkeys/Waiter.java
@@ -20,7 +20,10 @@
   /** The number of failed attempts by earlier leaders during the wait. */
   int attemptsUsed;
 
-  /** Whether it has already been decided that this waiter is not a trial. */
+  /**
+   * Whether this waiter was already considered for selection as a trial; see {@link
+   * AnswerCache#selectsTrial}.
+   */
   boolean trialDecided;
 
   Waiter(String peer, long id, PartQuery part, long deadlineUs) {
--- a/src/main/java/dunlinhitch/cluster/ActiveMembers.java
+++ b/src/main/java/dunlinhitch/cluster/ActiveMembers.java
@@ -10,8 +10,8 @@
 /**
  * The members from which subsets and duties are computed: the members of the latest snapshot,
  * except the fenced ones. An isolated broker keeps using the members of its last snapshot before
- * the isolation. Otherwise, if many brokers were isolated from each other, each would consider
- * itself the only member, use every endpoint and carry out every duty.
+ * the isolation. Without this rule, brokers that are isolated from each other would each consider
+ * themselves the only member, use every endpoint and carry out every duty.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}.
  */
--- a/src/main/java/dunlinhitch/cluster/AntiEntropy.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropy.java
@@ -57,10 +57,7 @@
         .ifPresent(peer -> sender.sendBuckets(peer, GossipMessage.COMPARE));
   }
 
-  /**
-   * Sends all members to a joining broker, unless that broker announced the same digest as this
-   * one.
-   */
+  /** Sends all members to a joining broker, unless both brokers have the same digest. */
   void onJoin(GossipMessage message) {
     if (settings.isAntiEntropyEnabled() && message.digest() != members.digest()) {
       sendPages(message.from(), members.digestTable().differing(List.of()));
--- a/src/main/java/dunlinhitch/cluster/AntiEntropyDigest.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropyDigest.java
@@ -73,8 +73,8 @@
   }
 
   /**
-   * Compares the sums with those of another broker and returns for each bucket whether they differ.
-   * If the numbers of buckets differ, all buckets count as different.
+   * Compares the sums with those of another broker and returns, for each bucket, whether its sums
+   * differ. If the numbers of buckets differ, all buckets count as different.
    */
   boolean[] differing(List<Long> others) {
     boolean[] differing = new boolean[BUCKETS];
--- a/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -137,7 +137,8 @@
   }
 
   /**
-   * The number of health checks that this broker performed because the responsible broker had not.
+   * The number of health checks that this broker performed because the responsible broker had not
+   * performed them in time.
    */
   public long takenOver() {
     return healthChecks.takenOver();
--- a/src/main/java/dunlinhitch/cluster/ClusterSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSettings.java
@@ -7,8 +7,8 @@
  * @param membership the times and bounds of the membership protocol
  * @param epochUs the length of an epoch; in each epoch, one broker performs the health check of an
  *     endpoint
- * @param takeoverDelayUs how long a broker waits for the preceding broker in the order before it
- *     performs the health check itself
+ * @param takeoverDelayUs how long a broker waits for its predecessor in the order of the {@link
+ *     DutyRotation} before it performs the health check itself
  * @param maxAgeUs the age at which an observation expires
  * @param maxEndpoints the maximum number of endpoints with stored observations
  */
--- a/src/main/java/dunlinhitch/cluster/Convergence.java
+++ b/src/main/java/dunlinhitch/cluster/Convergence.java
@@ -22,8 +22,8 @@
   private final Set<String> matching = new HashSet<>();
 
   /**
-   * The members with a different digest, each with the time at which the difference was detected or
-   * the digests were last compared by bucket.
+   * The members with a different digest. The value is the time of the last comparison by bucket or,
+   * before the first comparison, the time at which the difference was detected.
    */
   private final Map<String, Long> diverged = new LinkedHashMap<>();
 
--- a/src/main/java/dunlinhitch/cluster/DutyRotation.java
+++ b/src/main/java/dunlinhitch/cluster/DutyRotation.java
@@ -12,9 +12,9 @@
  * epoch. While all brokers are connected, the duty is done once per epoch.
  *
  * <p>Bounds: an isolated broker keeps its last known members and never takes over a duty. If all
- * brokers are isolated from each other, the duty is therefore carried out once per epoch in total.
- * In a partitioned cluster, each side carries out the duty once per epoch, so the number of
- * executions is at most the number of sides.
+ * brokers are isolated from each other, the duty is therefore carried out only by the leader, once
+ * per epoch. In a partitioned cluster, each side carries out the duty once per epoch, so the number
+ * of executions is at most the number of sides.
  *
  * <p>Epochs are counted on the wall clock. If the clock of a broker is wrong, only the times at
  * which this broker carries out the duty are shifted, by the clock's error. Immutable.
--- a/src/main/java/dunlinhitch/cluster/FailureDetector.java
+++ b/src/main/java/dunlinhitch/cluster/FailureDetector.java
@@ -23,7 +23,8 @@
   private static final int ISOLATION_THRESHOLD = 8;
 
   /**
-   * The isolation threshold if Lifeguard is disabled; any received message then counts as an ack.
+   * The isolation threshold if Lifeguard is disabled. In that case any received message counts as
+   * an ack.
    */
   private static final int ISOLATION_THRESHOLD_WITHOUT_LIFEGUARD = 3;
 
@@ -216,7 +217,7 @@
     if (target == null || isIsolated()) {
       joinAddresses.sendJoins(antiEntropy ? JOINS_WHEN_ISOLATED : Integer.MAX_VALUE);
     } else if (antiEntropy && roundBegins) {
-      // Discovers brokers that are in no known member's list.
+      // A join may reach brokers that are not on the list of any known member.
       joinAddresses.sendJoins(1);
     }
   }
--- a/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
+++ b/src/main/java/dunlinhitch/cluster/HealthCheckDuty.java
@@ -11,7 +11,7 @@
  * in the order if the leader has not announced the check in time.
  *
  * <p>Not thread-safe; owned by {@link ClusterCoordinator}. Times are microseconds of the wall
- * clock, because the brokers have it in common.
+ * clock, which all brokers share.
  */
 final class HealthCheckDuty {
   /**
@@ -60,7 +60,8 @@
   }
 
   /**
-   * The number of health checks that this broker performed because the responsible broker had not.
+   * The number of health checks that this broker performed because the responsible broker had not
+   * performed them in time.
    */
   long takenOver() {
     return takenOver;
@@ -84,7 +85,7 @@
     }
     long endUs = epochStartUs + epochUs;
     if (dueUs >= endUs) {
-      // Not due at this broker in this epoch, but possibly in the next one.
+      // The check is not due at this broker in this epoch, but may be due in the next one.
       dueUs = dueUs(endpoint, epoch + 1);
       endUs += epochUs;
     }
--- a/src/main/java/dunlinhitch/cluster/Member.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -89,7 +89,8 @@
   }
 
   /**
-   * Whether the broker can still refute this state with a higher incarnation, or does not need to.
+   * Whether this state may be accepted from other brokers: either the broker can still refute it
+   * with a higher incarnation, or the state is alive and needs no refutation.
    */
   boolean isAcceptable() {
     return incarnation < MAX_ACCEPTED_INCARNATION
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -202,7 +202,7 @@
   public void onMessage(long nowUs, GossipMessage message) {
     Member from = message.from();
     if (from.name().equals(self().name()) && self().isAt(from.host(), from.port())) {
-      // Sent by this broker itself, or by an earlier process at the same address.
+      // The message was sent by this broker itself, or by an earlier process at the same address.
       return;
     }
     failureDetector.resetAfterStall(nowUs);
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -77,11 +77,11 @@
               + "least 0 and members at least 1: "
               + "period "
               + periodUs
-              + ", ping timeout "
+              + " us, ping timeout "
               + pingTimeoutUs
-              + ", suspicion timeout "
+              + " us, suspicion timeout "
               + suspicionTimeoutUs
-              + ", dead retention "
+              + " us, dead retention "
               + deadRetentionUs
               + " us, indirect probes "
               + indirectProbes
@@ -103,9 +103,9 @@
         || (antiEntropyBytes != 0 && antiEntropyBytes < maxMessageBytes)) {
       throw new IllegalArgumentException(
           "ping attempts and suspicion multiplier must be at least 1, local health at least 0, "
-              + "messages at least "
+              + "message size at least "
               + MIN_MESSAGE_BYTES
-              + " bytes, and anti-entropy 0 or at least one message: "
+              + " bytes, and anti-entropy bytes either 0 or at least the message size: "
               + "ping attempts "
               + pingAttempts
               + ", local health "
--- a/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
@@ -98,7 +98,7 @@
 
   private void refute(Member update) {
     if (members.displacedBy() != null) {
-      // The update concerns the broker that displaced this one, which refutes it.
+      // The update concerns the broker that displaced this one. That broker refutes it itself.
       return;
     }
     localHealth.degrade(update.status() == Member.Status.SUSPECT ? 1 : 0);
--- a/src/main/java/dunlinhitch/cluster/ObservationTable.java
+++ b/src/main/java/dunlinhitch/cluster/ObservationTable.java
@@ -9,18 +9,17 @@
 
 /**
  * The current observations of endpoints, merged from all brokers: for each endpoint, the latest
- * observations by the brokers that observed it most recently, one per broker and at most {@link
- * #MAX_OBSERVERS}. Merging is commutative, associative and idempotent. Brokers that have received
- * the same observations therefore have equal tables, even if some were duplicated or arrived in
- * another order.
+ * observation of each of the {@link #MAX_OBSERVERS} brokers that observed it most recently. Merging
+ * is commutative, associative and idempotent. Brokers that have received the same observations
+ * therefore have equal tables, even if some were duplicated or arrived in another order.
  *
  * <p>Not thread-safe. Times are microseconds of the wall clock.
  */
 public final class ObservationTable {
   /**
-   * The maximum number of stored observations of one endpoint. The load of the endpoint requires
-   * only one, but several observers are needed to distinguish a failing endpoint from a failing
-   * network path.
+   * The maximum number of stored observations of one endpoint. One observation suffices to
+   * determine the load of the endpoint, but several observers are needed to distinguish a failing
+   * endpoint from a failing network path.
    */
   static final int MAX_OBSERVERS = 3;
 
--- a/src/main/java/dunlinhitch/cluster/RelayedPings.java
+++ b/src/main/java/dunlinhitch/cluster/RelayedPings.java
@@ -29,8 +29,8 @@
     if (target == null || pending.size() >= settings.maxMembers()) {
       return;
     }
-    // Shorter than the requester's timeout: if the target does not respond, expire sends a message
-    // to the requester, which arrives in time and shows that this helper is alive.
+    // This timeout is shorter than the requester's. If the target does not respond, expire can
+    // therefore send the requester a message in time, which shows that this helper is alive.
     long deadlineUs = nowUs + settings.pingTimeoutUs() * 3 / 4;
     long sequenceNumber = sender.nextSequenceNumber();
     pending.put(
@@ -51,7 +51,7 @@
         message.from().name());
   }
 
-  /** Drops the pings that timed out. */
+  /** Drops the pings that timed out. If Lifeguard is enabled, sends gossip to their requesters. */
   void expire(long nowUs) {
     pending.values().removeIf(ping -> isExpired(ping, nowUs));
   }
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
@@ -13,7 +13,7 @@
  * and origin. Merging, including the enforcement of the bounds, is commutative, associative and
  * idempotent, so entries may arrive late, duplicated or in any order. An entry is retained if it is
  * the latest of its key and origin, and if it is among the latest entries that fit within the
- * bounds. This does not depend on the entries that arrived before it.
+ * bounds. Whether an entry is retained does not depend on the order in which the entries arrived.
  *
  * <p>Pure: no clock, randomness or threads; callers pass the wall-clock time in microseconds. Not
  * thread-safe.
--- a/src/main/java/dunlinhitch/cluster/SubsetSettings.java
+++ b/src/main/java/dunlinhitch/cluster/SubsetSettings.java
@@ -4,17 +4,17 @@
  * The number of a cell's endpoints that each broker sends work to, and how unevenly the brokers may
  * be spread over the endpoints.
  *
- * @param minSize the minimum number of endpoints per broker and cell, as far as the cell has that
- *     many; more than one allows failover
- * @param spread the minimum average number of brokers per endpoint; with only one broker, the
- *     endpoint would be unused after a failure of that broker
+ * @param minSize the minimum number of endpoints per broker and cell; if the cell has fewer, a
+ *     broker uses all of them. A value above 1 allows failover
+ * @param spread the minimum average number of brokers per endpoint; an endpoint with a single
+ *     broker would be unused after a failure of that broker
  * @param slack the maximum by which the number of brokers of one endpoint may exceed the average,
  *     as a fraction of the average
  */
 public record SubsetSettings(int minSize, double spread, double slack) {
   /**
    * The defaults: at least two endpoints per broker and cell, at least 1.5 brokers per endpoint on
-   * average, and at most 20 % more than the average.
+   * average, and for each endpoint at most 20 % more brokers than the average.
    */
   public static final SubsetSettings STANDARD = new SubsetSettings(2, 1.5, 0.2);
 
--- a/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/AddressBook.java
@@ -59,7 +59,7 @@
   }
 
   private static BrokerAddress addressOnly(String host, int port) {
-    // Returns null for a host name, without a DNS lookup.
+    // The result is null for a host name, because no DNS lookup is made.
     InetAddress address = NetUtil.createInetAddressFromIpAddressString(host);
     return new BrokerAddress("", address == null ? host : address.getHostAddress(), port);
   }
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
@@ -12,9 +12,9 @@
 import java.util.List;
 
 /**
- * Decodes one datagram of the {@link WireFormat}. The cost of decoding is proportional to the
- * length of the datagram at most, even if the content is malicious. Each instance decodes one
- * datagram. Pure.
+ * Decodes one datagram of the {@link WireFormat}. The cost of decoding is at most proportional to
+ * the length of the datagram, even if the content is malicious. Each instance decodes one datagram.
+ * Pure.
  */
 final class GossipDecoder {
   /** The size of the version, the kind and the checksum. */
--- a/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
@@ -71,8 +71,8 @@
   }
 
   /**
-   * Whether the text is an IPv4 address in canonical form, which is decoded to the same text. This
-   * excludes 127.1 and 010.0.0.1.
+   * Whether the text is an IPv4 address in the canonical form that decoding produces. Other forms,
+   * such as 127.1 and 010.0.0.1, are excluded.
    */
   private static boolean isIpv4(String text) {
     return NetUtil.isValidIpV4Address(text)
--- a/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
+++ b/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
@@ -51,7 +51,7 @@
     if (endpoint.coveredPositions > 0) {
       endpoint.status = EndpointStatus.STANDING_IN;
     } else if (endpoint.status == EndpointStatus.STANDING_IN) {
-      // No longer needed as a substitute.
+      // The endpoint is no longer needed as a substitute.
       endpoint.status =
           evaluation.status() == EndpointStatus.DISPUTED
               ? EndpointStatus.DISPUTED
--- a/src/main/java/dunlinhitch/endpoints/ClaimEvaluator.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimEvaluator.java
@@ -66,10 +66,10 @@
   }
 
   /**
-   * Whether a claim counts. A claim does not count if another source withdrew the endpoint after
-   * the claim was made, and if that source either has higher precedence, or has equal precedence
-   * and had made an equal claim. If two sources of equal precedence were in conflict, the
-   * withdrawal by one source resolves the conflict, and the claim of the other source counts.
+   * Whether a claim counts. A later withdrawal of the endpoint by another source overrules the
+   * claim in two cases: if that source has higher precedence, or if it has equal precedence and had
+   * made an equal claim. If two sources of equal precedence made different claims and one of them
+   * withdraws the endpoint, the conflict is resolved and the claim of the other source counts.
    */
   private static boolean counts(Withdrawal withdrawal, ActiveClaim claim) {
     if (withdrawal == null
--- a/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
@@ -49,8 +49,8 @@
   Endpoint published;
 
   /**
-   * The endpoint as it last served. Retained as long as a new claim may refer to the same process.
-   * Written by {@link ChangePublisher}, cleared by {@link StatusUpdater}.
+   * The endpoint as last published while it served. Retained as long as a new claim may refer to
+   * the same process. Written by {@link ChangePublisher}, cleared by {@link StatusUpdater}.
    */
   Endpoint lastServing;
 
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistrySettings.java
@@ -40,8 +40,8 @@
     if (!layoutInRange || !suppressionInRange || !timesInRange) {
       throw new IllegalArgumentException(
           "endpoint registry settings out of range: cells, cells per shard and endpoints must be "
-              + "at least 1, times at least 0 and the maximum suppression at least the first one: "
-              + "got cells "
+              + "at least 1; times must not be negative; the maximum suppression must not be shorter "
+              + "than the first suppression; got cells "
               + cells
               + ", cells per shard "
               + cellsPerShard
--- a/src/main/java/dunlinhitch/endpoints/FlapDamping.java
+++ b/src/main/java/dunlinhitch/endpoints/FlapDamping.java
@@ -7,7 +7,7 @@
  * <p>Instances contain only settings. The state is in the {@link FlapHistory} of each endpoint.
  */
 final class FlapDamping {
-  /** The maximum number of recent withdrawals with which a return is not suppressed. */
+  /** A return is not suppressed if the endpoint has at most this number of recent withdrawals. */
   private static final int UNDAMPED_WITHDRAWALS = 1;
 
   /** The maximum number of doublings, so that the shift cannot overflow. */
--- a/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
+++ b/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
@@ -8,8 +8,9 @@
 import java.util.TreeSet;
 
 /**
- * Ensures that each shard is served if possible: if no endpoint serves in any of a shard's cells,
- * the standby with the oldest claim becomes the substitute.
+ * Ensures that each shard is served if possible. A standby is an endpoint that is disputed or
+ * suppressed by flap damping, and that may serve only as a substitute. If no endpoint serves in any
+ * of a shard's cells, the standby with the oldest claim becomes the substitute.
  *
  * <p>A position is the index of the first of the consecutive cells in which a shard is stored. Not
  * thread-safe; owned by the registry.
--- a/src/main/java/dunlinhitch/endpoints/TimingWheel.java
+++ b/src/main/java/dunlinhitch/endpoints/TimingWheel.java
@@ -203,7 +203,8 @@
         continue;
       }
       long nextSlot = (tick >> (SLOT_BITS * wheel)) + 1;
-      // Rotated so that bit 0 is the slot after the current one, and the last bit the current slot.
+      // After the rotation, bit 0 represents the slot after the current one, and the last bit
+      // represents the current slot.
       long rotated = Long.rotateRight(occupied[wheel], (int) (nextSlot & (SLOTS - 1)));
       int slotsAhead = Long.numberOfTrailingZeros(rotated);
       nextTick = Math.min(nextTick, (nextSlot + slotsAhead) << (SLOT_BITS * wheel));
--- a/src/main/java/dunlinhitch/endpoints/Withdrawal.java
+++ b/src/main/java/dunlinhitch/endpoints/Withdrawal.java
@@ -9,7 +9,7 @@
  * @param endpoint the endpoint of that claim
  */
 record Withdrawal(long atUs, ClaimSource source, StatusReason reason, Endpoint endpoint) {
-  /** Returns a copy for the time after the removal of the source from the registry. */
+  /** Returns a copy whose reason is that the source was removed from the registry. */
   Withdrawal withSourceRemoved() {
     return new Withdrawal(atUs, source, StatusReason.SOURCE_REMOVED, endpoint);
   }
--- a/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
@@ -39,9 +39,8 @@
         module.onTimer(NOW + 10));
     assertResponds("v", module.onFetchSucceeded(NOW + 50, fetchId, answer("v")));
     assertResponds("v", module.onQuery(NOW + 999_999, 4, part("a"), DEADLINE + 999_999));
-    assertLeads(
-        module.onQuery(NOW + 1_000_000, 5, part("a"), DEADLINE + 999_999),
-        5); // the age of the answer is counted from the request
+    // The age of the answer is counted from its request at NOW, so the answer has expired.
+    assertLeads(module.onQuery(NOW + 1_000_000, 5, part("a"), DEADLINE + 999_999), 5);
   }
 
   @Test
@@ -52,9 +51,9 @@
     module.onQuery(NOW, 3, part("a"), NOW + 100);
     assertEquals(
         List.of(new Action.Fetch(fetchId, 2, 3, false)), module.onFetchFailed(NOW + 1, fetchId, 3));
+    // The request of query 2 is still in flight, so query 3 adopts it.
     assertEquals(
-        List.of(new Action.Fetch(fetchId, 3, 3, true)),
-        module.onQueryCancelled(NOW + 2, 2)); // the request is still in flight
+        List.of(new Action.Fetch(fetchId, 3, 3, true)), module.onQueryCancelled(NOW + 2, 2));
     module.onQuery(NOW + 3, 4, part("a"), DEADLINE);
     assertEquals(
         List.of(
@@ -98,10 +97,11 @@
         module.onQuery(
             NOW, 1, new PartQuery("search", "t1", 3, "a", Map.of(), "phone", false), DEADLINE),
         1);
+    // Different tenants do not share answers.
     assertLeads(
         module.onQuery(
             NOW, 2, new PartQuery("search", "t2", 3, "a", Map.of(), "phone", false), DEADLINE),
-        2); // tenants do not share answers
+        2);
     for (StoreAnswer unshareable :
         List.of(
             new StoreAnswer("v", "s", 0, 0, Set.of(), true, false),
@@ -177,16 +177,15 @@
     module.onQuery(NOW, 2, part("A"), DEADLINE);
     module.onBypassAnswered(NOW, part("b"), answer("v", 3), NOW);
     assertResponds("v", module.onQuery(NOW, 3, part("B"), DEADLINE));
-    module.onBypassAnswered(
-        NOW, part("B"), answer("w", 4), NOW); // a later generation, so the data may have changed
+    // The answer has a later generation, so the difference may be due to a change of the data.
+    module.onBypassAnswered(NOW, part("B"), answer("w", 4), NOW);
     assertEquals(RuleState.TRUSTED, module.lifecycle().state(CASE));
     List<Action> actions = module.onBypassAnswered(NOW, part("b"), answer("v", 4), NOW);
     assertEquals(RuleState.WITHDRAWN, module.lifecycle().state(CASE));
     assertEquals(List.of(new Action.GossipNow(), new Action.Bypass(2)), actions);
     assertResponds("v", module.onQuery(NOW, 4, part("b"), DEADLINE));
-    assertLeads(
-        module.onQuery(NOW, 5, part("B"), DEADLINE),
-        5); // the withdrawn rule, which made both texts equal, is no longer applied
+    // The texts "b" and "B" had equal keys only because of the rule, which is now withdrawn.
+    assertLeads(module.onQuery(NOW, 5, part("B"), DEADLINE), 5);
     module.onFetchSucceeded(NOW, fetchId, answer("z", 4));
     assertLeads(module.onQuery(NOW, 6, part("A"), DEADLINE), 6);
   }
@@ -212,8 +211,9 @@
   void trustedRuleIsStillSampledByTrials() {
     AnswerKeyModule module = moduleTrustingCase("n0", settings(1));
     module.onBypassAnswered(NOW, part("a"), answer("v"), NOW);
-    assertResponds(
-        "v", module.onQuery(NOW, 1, part("a"), DEADLINE)); // an identical text is not a trial
+    // The answer was recorded for this very text, so no rule is applied and there is nothing to
+    // try.
+    assertResponds("v", module.onQuery(NOW, 1, part("a"), DEADLINE));
     assertEquals(List.of(new Action.Bypass(2)), module.onQuery(NOW, 2, part("A"), DEADLINE));
   }
 
--- a/src/test/java/dunlinhitch/answerkeys/RuleLifecycleTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/RuleLifecycleTest.java
@@ -71,9 +71,8 @@
             SETTINGS,
             "n0");
     lifecycle.evidence().all().forEach(entry -> nextEpoch.merge(NOW + 1_000_005, entry));
-    assertEquals(
-        RuleState.PROPOSED,
-        nextEpoch.statuses().get(0).state()); // the evidence is of the previous epoch
+    // The merged evidence is from the previous epoch and does not count.
+    assertEquals(RuleState.PROPOSED, nextEpoch.statuses().get(0).state());
   }
 
   @Test
@@ -94,8 +93,8 @@
     lifecycle.advance(NOW + 1);
     compare(lifecycle, NOW + 2, 1);
     assertEquals(6, lifecycle.evidence().of(RULE.ruleEpoch(), "n1").value().equalPairs());
-    assertEquals(
-        RuleState.TRIED, lifecycle.state(RULE)); // its suspicion before the restart does not count
+    // A suspicion from before the restart of the broker does not count.
+    assertEquals(RuleState.TRIED, lifecycle.state(RULE));
   }
 
   @Property(tries = 200)
--- a/src/test/java/dunlinhitch/answerkeys/RuleSetTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/RuleSetTest.java
@@ -118,10 +118,8 @@
             ruleSet(
                 rule("a", new FoldVariant("client", Map.of("x", "y", "y", "z", "z", "x"), ""))));
     assertRejected(Code.SEPARATOR, () -> ruleSet(rule("a", new SortTerms('x'))));
-    assertRejected(
-        Code.SEPARATOR,
-        () ->
-            ruleSet(rule("a", new SortTerms('\u24b6')))); // not a letter, but has a lower-case form
+    // U+24B6 is not a letter, but has a lower-case form.
+    assertRejected(Code.SEPARATOR, () -> ruleSet(rule("a", new SortTerms('\u24b6'))));
     assertRejected(
         Code.SEPARATOR,
         () -> ruleSet(rule("a", new SortTerms(',')), rule("b", new SortTerms(';'))));
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -77,9 +77,12 @@
       assertTrue(
           MembershipSimulation.agree(others),
           "the other brokers must remove the isolated one, mute " + mute + memberLists(simulation));
-      assertTrue(broker.protocol().snapshot().isolated(), "must detect that it is isolated");
+      assertTrue(
+          broker.protocol().snapshot().isolated(), "the isolated broker must detect the isolation");
       assertEquals(
-          8, broker.protocol().snapshot().members().size(), "must keep its last known members");
+          8,
+          broker.protocol().snapshot().members().size(),
+          "the isolated broker must keep its last known members");
       assertFalse(broker.protocol().snapshot().isConverged());
       simulation.cut((from, to) -> false);
       assertConverges(simulation, joinBoundUs(8));
@@ -200,7 +203,7 @@
     assertTrue(
         simulation.node(3).protocol().self().incarnation()
             > simulation.incarnation(-86_400_000 / 2),
-        "must exceed its incarnation before the restart");
+        "the incarnation must be higher after the restart than before");
     simulation.move(4, -86_400_000);
     simulation.play(deathBoundUs(8));
     assertConverges(simulation, joinBoundUs(8));
@@ -307,7 +310,7 @@
                         && message.buckets().size() == AntiEntropyDigest.BUCKETS));
     assertTrue(
         sent.stream().anyMatch(message -> message.memberUpdates().contains(peer("b", 2))),
-        "must send the members of all buckets");
+        "the broker must send the members of all buckets");
   }
 
   private static Member peer(String name, int port) {
--- a/src/test/java/dunlinhitch/cluster/SubsettingTest.java
+++ b/src/test/java/dunlinhitch/cluster/SubsettingTest.java
@@ -105,8 +105,10 @@
     assertEquals(2, settings.size(100, 10));
     assertEquals(1, settings.size(100, 1));
     assertEquals(0, settings.size(100, 0));
-    assertEquals(6, settings.maxLoad(8, 3)); // 16 assignments to 3 endpoints
-    assertEquals(80, settings.maxLoad(100, 3)); // 200 assignments to 3 endpoints
+    // 16 assignments to 3 endpoints.
+    assertEquals(6, settings.maxLoad(8, 3));
+    // 200 assignments to 3 endpoints.
+    assertEquals(80, settings.maxLoad(100, 3));
     // 12 assignments to 3 endpoints: a maximum of 4 would leave no spare capacity.
     assertEquals(5, settings.maxLoad(6, 3));
     assertThrows(IllegalArgumentException.class, () -> new SubsetSettings(0, 1.5, 0.2));
--- a/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
+++ b/src/test/java/dunlinhitch/endpoints/EndpointRegistryTest.java
@@ -102,7 +102,10 @@
         20 * SECOND_US + SECOND_US / 2,
         claim(endpoint("s", 1, 0, 0), 20 * SECOND_US + SECOND_US / 2));
     assertEquals(ServerState.READY, state("s"));
-    assertEquals(0, published.get("s").startedUs(), "must not cause a slow start");
+    assertEquals(
+        0,
+        published.get("s").startedUs(),
+        "the return of the endpoint must not cause a slow start");
   }
 
   @Test
@@ -128,7 +131,7 @@
     assertEquals(
         21 * SECOND_US,
         published.get("u").startedUs(),
-        "the endpoint appeared after the complete list");
+        "an endpoint that appeared after the first complete list must count as just started");
   }
 
   @Test
@@ -156,14 +159,15 @@
         2 * SECOND_US,
         claim(endpoint("s", 9, 0, 0), 2 * SECOND_US),
         claim(endpoint("u", 8, 1, 0), 2 * SECOND_US));
-    assertEquals(ServerState.WITHDRAWN, state("s"), "t serves the shard");
-    assertEquals(ServerState.READY, state("u"), "no other endpoint serves it");
-    assertEquals(3, published.get("u").port(), "the older claim has precedence");
+    assertEquals(ServerState.WITHDRAWN, state("s"), "s must not serve, because t serves its shard");
+    assertEquals(
+        ServerState.READY, state("u"), "u must serve, because no other endpoint serves its shard");
+    assertEquals(3, published.get("u").port(), "the older claim must have precedence");
     assertEquals(EndpointStatus.STANDING_IN, status("u"));
     report("a", 3 * SECOND_US, claim(endpoint("v", 4, 1, 0), 3 * SECOND_US));
-    assertEquals(ServerState.WITHDRAWN, state("u"), "another endpoint serves its shard");
+    assertEquals(ServerState.WITHDRAWN, state("u"), "u must not serve, because v serves its shard");
     report("b", 4 * SECOND_US, EndpointClaim.withdrawal("s/9/0", 4 * SECOND_US));
-    assertEquals(ServerState.READY, state("s"), "the conflict has ended");
+    assertEquals(ServerState.READY, state("s"), "s must serve, because the conflict has ended");
   }
 
   @Test
@@ -197,9 +201,9 @@
     assertEquals(
         ServerState.WITHDRAWN,
         state("s"),
-        "earlier claims of a source with lower precedence are overruled");
+        "the withdrawal must overrule earlier claims of a source with lower precedence");
     report("c", 4 * SECOND_US, claim(endpoint("s", 9, 0, 7), 4 * SECOND_US));
-    assertEquals(ServerState.READY, state("s"), "later claims count");
+    assertEquals(ServerState.READY, state("s"), "claims after the withdrawal must count");
     report(
         "c",
         5 * SECOND_US,
@@ -219,7 +223,7 @@
     long now = 2 * SECOND_US;
     for (int i = 0; i < suppressionsUs.length; i++) {
       report("a", now, EndpointClaim.withdrawal("s/1/0", now));
-      assertEquals(ServerState.WITHDRAWN, state("s"), "withdrawn at once");
+      assertEquals(ServerState.WITHDRAWN, state("s"), "the endpoint must be withdrawn immediately");
       now += SECOND_US / 10;
       report("a", now, claim(endpoint("s", 1, 0, 0), now));
       long returnedUs = now;
@@ -380,7 +384,7 @@
                             && active.endpoint().cell() == change.endpoint().cell());
         assertTrue(
             !change.endpointChanged() || change.endpoint().state() != ServerState.READY || claimed,
-            "published in a cell that no source claims");
+            "the endpoint is published in a cell that no source claims for it");
       }
     }
   }
