--- a/src/main/java/dunlinhitch/answerkeys/CanonicalText.java
+++ b/src/main/java/dunlinhitch/answerkeys/CanonicalText.java
@@ -12,8 +12,8 @@
 /**
  * Computes the canonical form of a text, which is the fixed point of the rewrites. Any sequence of
  * rewrites reaches the fixed point within {@link #MAX_PASSES} passes: the first pass folds case and
- * white space, which then stay folded; the second pass drops and sorts terms, and the result of
- * this does not change in later passes.
+ * white space, which then stay folded; the second pass drops and sorts terms, and later passes do
+ * not change its result.
  */
 final class CanonicalText {
   /**
@@ -70,7 +70,7 @@
 
   /**
    * Converts each code point to lower case separately. The result for a code point must not depend
-   * on the neighbouring ones, because terms are reordered.
+   * on neighbouring code points, because terms are reordered.
    */
   static String lowerCase(String text) {
     StringBuilder result = new StringBuilder(text.length());
--- a/src/main/java/dunlinhitch/answerkeys/ShadowComparison.java
+++ b/src/main/java/dunlinhitch/answerkeys/ShadowComparison.java
@@ -11,8 +11,8 @@
  * Compares answers to test the rules, without sending additional requests to stores. A rule in the
  * state {@link RuleState#TRIED} is tested individually, together with the trusted rules, so that a
  * pair of unequal answers can be attributed to it. The trusted rules are tested together, and a
- * pair of unequal answers is attributed to the rules without which the keys of the two parts would
- * differ.
+ * pair of unequal answers is attributed to the rules that are necessary for the two parts to share
+ * a key.
  */
 final class ShadowComparison {
   /**
--- a/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterSnapshot.java
@@ -21,8 +21,8 @@
  * @param divergedMembers the members that announced a digest different from this broker's
  * @param isolated whether this broker is isolated; if so, {@code members} are those from before the
  *     isolation
- * @param displacedBy the broker at another address that took precedence for this broker's name, or
- *     null
+ * @param displacedBy the broker that uses this broker's name at another address and has precedence,
+ *     or null
  */
 public record ClusterSnapshot(
     long number,
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -59,7 +59,7 @@
     return self;
   }
 
-  /** The broker at another address that took precedence for this broker's name, or null. */
+  /** The broker that uses this broker's name at another address and has precedence, or null. */
   Member displacedBy() {
     return displacedBy;
   }
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -14,9 +14,9 @@
  * @param pingAttempts the number of consecutive failed pings after which a member is suspected
  * @param maxLocalHealth the maximum local health score, according to which a slow broker lengthens
  *     its own timeouts; 0 disables Lifeguard's extensions
- * @param suspicionMultiplier the ratio of the timeout of an unconfirmed suspicion to that of a
- *     fully confirmed one; with 1, all suspicions have the same timeout, regardless of the cluster
- *     size
+ * @param suspicionMultiplier the timeout of an unconfirmed suspicion divided by the timeout of a
+ *     fully confirmed suspicion; with 1, all suspicions have the same timeout, regardless of the
+ *     cluster size
  * @param maxMessageBytes the maximum size of one message
  * @param antiEntropyBytes the maximum total size of the member pages that a broker sends per period
  *     to members whose digests differ; 0 disables anti-entropy
