--- a/src/main/java/dunlinhitch/backend/Backends.java
+++ b/src/main/java/dunlinhitch/backend/Backends.java
@@ -22,7 +22,7 @@
 
   private final Map<Integer, Backend> backends = new HashMap<>();
 
-  /** Transports to former addresses, whose attempts in flight may still complete. */
+  /** Transports to former addresses of stores. Their attempts in flight may still complete. */
   private final List<BackendTransport> draining = new ArrayList<>();
 
   private final Function<Endpoint, BackendTransport> opener;
@@ -32,8 +32,7 @@
    * Creates a table without stores.
    *
    * @param opener makes the transport for an endpoint
-   * @param events receives the failures of attempts and health checks for which there is no
-   *     transport
+   * @param events receives a failure for each attempt or health check whose store has no transport
    */
   public Backends(Function<Endpoint, BackendTransport> opener, Consumer<Event> events) {
     this.opener = opener;
--- a/src/main/java/dunlinhitch/backend/RequestText.java
+++ b/src/main/java/dunlinhitch/backend/RequestText.java
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Parses the score that ranks a part's result; NaN, which ranks last, if the field is not a
-   * finite number.
+   * Parses the score by which a part's result is ranked. Returns NaN, which ranks last, if the
+   * field is not a finite number.
    */
   public static double parseScore(String field) {
     try {
@@ -58,7 +58,9 @@
     }
   }
 
-  /** Parses the outcome of a part; null if the protocol does not define the field's value. */
+  /**
+   * Parses the outcome of a part; returns null if the protocol does not define the field's value.
+   */
   public static AttemptOutcome parseOutcome(String field) {
     return switch (field) {
       case "good" -> AttemptOutcome.OK;
--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -223,7 +223,7 @@
       opened.close();
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
-    } catch (Exception e) { // declared by AutoCloseable
+    } catch (Exception e) { // AutoCloseable.close declares Exception
       throw new IllegalStateException("could not close a Flight stream", e);
     }
   }
@@ -297,8 +297,8 @@
   }
 
   /**
-   * Completes the attempts in flight as reset, and releases the unconfirmed ones, after the store
-   * has ended the stream.
+   * Handles the end of the stream by the store: completes the attempts in flight as reset and
+   * releases the unconfirmed attempts.
    */
   private void reset() {
     takeInFlight()
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -39,7 +39,7 @@
   /** Maximum number of attempts in flight to one store. */
   private static final int MAX_IN_FLIGHT = 256;
 
-  /** Fraction of the store's idle timeout after which this side closes an idle connection. */
+  /** This side closes an idle connection after this fraction of the store's idle timeout. */
   private static final double IDLE_SHARE = 0.8;
 
   /**
--- a/src/main/java/dunlinhitch/backend/flight/SendHook.java
+++ b/src/main/java/dunlinhitch/backend/flight/SendHook.java
@@ -9,9 +9,9 @@
 import java.util.function.Supplier;
 
 /**
- * Reports when a blocking call has passed its request to the connection; the call itself returns
- * only with its reply. A call that is made on the same connection after the hook has run is sent
- * after that request.
+ * Runs a hook as soon as a blocking call has passed its request to the connection, which is before
+ * the call returns. If another call is made on the same connection after the hook has run, its
+ * request is sent after the first one.
  *
  * <p>Thread-safe: the hook is stored per calling thread.
  */
--- a/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
+++ b/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
@@ -46,8 +46,8 @@
   }
 
   /**
-   * Records a failed write. A failure other than a network error means that the connection was
-   * already closed or its output shut down, and is ignored.
+   * Records a failed write. Any failure other than a network error is ignored: it means that the
+   * connection was already closed or its output shut down.
    */
   void onWriteFailure(Throwable failure) {
     boolean closedBefore =
@@ -58,7 +58,10 @@
     }
   }
 
-  /** Returns, after the connection has closed, whether the store is known to have ended it. */
+  /**
+   * Returns whether the store is known to have ended the connection. To be called after the
+   * connection has closed.
+   */
   boolean isKnownToStore() {
     return !closedLocally && !failedWithoutProof;
   }
--- a/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -66,8 +66,8 @@
   private boolean draining;
 
   /**
-   * True after a cancelled attempt had no reply for {@link #UNRESPONSIVE_US}, until something is
-   * received.
+   * True if a cancelled attempt had no reply for {@link #UNRESPONSIVE_US} and nothing has been
+   * received since.
    */
   private boolean unresponsive;
 
@@ -183,8 +183,8 @@
 
   /**
    * Sends a call as soon as the connection is established and the calls ahead are written. The call
-   * fails at once if the connection is already closed, which can happen before its first call if no
-   * file descriptor was available.
+   * fails at once if the connection is already closed. A connection can be closed before its first
+   * call if no file descriptor was available.
    */
   void send(List<AttemptRequest> parts) {
     lastUsedUs = nowUs();
@@ -287,7 +287,8 @@
     }
     inFlight.remove(cancelled);
     if (cancelled.isIncomplete()) {
-      close(); // a cancel frame would be written after the rest of the call, which must not run
+      // The call must not run, but a cancel frame would be written only after the rest of the call.
+      close();
       if (confirm) {
         release(attempt);
       }
@@ -299,8 +300,8 @@
       unconfirmed.add(cancelled.partId(), attempt);
       requestConfirmation();
     }
-    // connections to a dead host stay open, so new calls use a fresh connection: it is either
-    // established, or it fails soon, which proves that the calls did not run
+    // Connections to a dead host stay open, so new calls use a fresh connection. If it cannot be
+    // established, it fails soon, and the calls have provably not run.
     unresponsive |=
         lastReceivedUs <= cancelled.sentUs() && nowUs() - cancelled.sentUs() > UNRESPONSIVE_US;
     if (unresponsive || draining) {
--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -31,12 +31,15 @@
  */
 public final class FrameTransport implements BackendTransport {
   /**
-   * Fraction of the store's idle timeout after which this side closes an idle connection, so that
-   * no call is sent while the store closes the connection.
+   * This side closes an idle connection after this fraction of the store's idle timeout, so that no
+   * call is sent while the store closes the connection.
    */
   private static final double IDLE_SHARE = 0.8;
 
-  /** Idle timeout if none is set; small enough that adding it to a time cannot overflow. */
+  /**
+   * The idle timeout that applies if none is set. It is small enough that adding it to a time
+   * cannot overflow.
+   */
   private static final long NO_IDLE_TIMEOUT_US = Long.MAX_VALUE / 4;
 
   /** Maximum number of connections to one store. */
--- a/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
@@ -19,14 +19,15 @@
   private static final double MARGIN = 1.5;
 
   /**
-   * The step by which one reply moves the estimate, as a fraction of the larger of the estimate and
-   * {@link #LATENCY_SHARE} of the reply's latency.
+   * One reply moves the estimate by less than this fraction of the estimate. If {@link
+   * #LATENCY_SHARE} of the reply's latency is larger than the estimate, the fraction applies to
+   * that value instead.
    */
   private static final double STEP = 0.05;
 
   /**
-   * The step is based on at least this fraction of the reply's latency, so that a small estimate
-   * grows.
+   * The step is computed from at least this fraction of the reply's latency. Without this minimum,
+   * an estimate of zero would never grow.
    */
   private static final double LATENCY_SHARE = 0.25;
 
@@ -39,8 +40,8 @@
   }
 
   /**
-   * Returns the delay. It is at most the connect timeout, after which a new connection to a dead
-   * host would fail as well.
+   * Returns the delay. It is at most the connect timeout, because an attempt to open a new
+   * connection to a dead host fails after that time, too.
    */
   long delayUs(long connectTimeoutUs) {
     return Math.min(
--- a/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
+++ b/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
@@ -87,12 +87,12 @@
   private final long requestTransitUs;
   private Stage stage = Stage.SERVING;
 
-  /** When an idle connection was last closed. */
+  /** The time at which an idle connection was last closed. */
   private long idleClosedUs = Long.MIN_VALUE / 2;
 
   private long deadlineUs = Long.MAX_VALUE;
 
-  /** When the listener must be closed. */
+  /** The time by which the listener must be closed. */
   private long closeListenerUs = Long.MAX_VALUE;
 
   /** The time from which incomplete requests are refused. */
@@ -211,8 +211,8 @@
   }
 
   /**
-   * Returns true if the connection is in the expected state before and after arrived bytes are
-   * read.
+   * Reads the bytes that have arrived. Returns true if the connection was in the expected state
+   * before the read and is in it after the read.
    */
   private boolean isStillAfterRead(C connection, Entry entry, State expected) {
     if (entry == null || entry.state != expected) {
--- a/src/main/java/dunlinhitch/frontend/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -46,16 +46,14 @@
   public static final String IDEMPOTENCY_KEY = "Idempotency-Key";
 
   /**
-   * Ids and keys. They are fields of the stores' protocol and therefore contain no spaces, commas,
-   * equals signs or line feeds.
+   * Pattern of ids and keys. They are fields of the stores' protocol and therefore contain no
+   * spaces, commas, equals signs or line feeds.
    */
   private static final Pattern TOKEN = Pattern.compile("[A-Za-z0-9._:-]{1,128}");
 
   private static final Pattern DECIMAL_SECONDS = Pattern.compile("-?[0-9]{1,9}(\\.[0-9]{1,9})?");
 
-  /**
-   * Tolerated difference between the sum of the portions and 1, because each portion is rounded.
-   */
+  /** The sum of the portions may differ from 1 by this much, because each portion is rounded. */
   private static final double PORTION_SUM_TOLERANCE = 0.005;
 
   /** The largest valid portion: above 1 because portions are rounded. */
--- a/src/main/java/dunlinhitch/frontend/http/BodyReader.java
+++ b/src/main/java/dunlinhitch/frontend/http/BodyReader.java
@@ -18,7 +18,10 @@
   private final Runnable onTooLarge;
   private final Buffer body = Buffer.buffer();
 
-  /** True once the body is too large or the client has disconnected before its end. */
+  /**
+   * True once the body is too large, or once the client has disconnected before the end of the
+   * body.
+   */
   private boolean aborted;
 
   private BodyReader(int maxBytes, Consumer<Buffer> onBody, Runnable onTooLarge) {
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -28,8 +28,9 @@
  */
 final class ClientConnections {
   /**
-   * Timeout from the accept to the end of the first request, or from the first to the last byte of
-   * a later one.
+   * Maximum time in which a request must be received completely. For the first request of a
+   * connection, the time starts when the connection is accepted; for later requests, with their
+   * first byte.
    */
   private static final long REQUEST_TIMEOUT_US = 2_500_000;
 
@@ -87,20 +88,24 @@
     private HttpServerRequest request;
 
     /**
-     * Called when the client disconnects, for its last query; has no effect once that query is
+     * Reports a disconnect of the client to its last query; has no effect once that query is
      * completed.
      */
     private Runnable onDisconnect = () -> {};
 
     /**
-     * The next response is the last, because the client exceeded the bound of {@link ReadAhead}.
+     * True if the next response is the last one because the client exceeded the bound of {@link
+     * ReadAhead}.
      */
     private boolean flooded;
 
-    /** The next response is the last, because no other connection could be evicted for this one. */
+    /**
+     * True if the next response is the last one because no other connection could be evicted when
+     * this one was accepted.
+     */
     private boolean excess;
 
-    /** The last response is being written. */
+    /** True while the last response is being written. */
     private boolean closing;
 
     ClientConnection(HttpConnection connection, long acceptedUs, BooleanSupplier hasUnparsedBytes) {
@@ -160,8 +165,9 @@
   }
 
   /**
-   * Evicts the connection whose loss costs least: one that never sent anything, else the one that
-   * has been idle for longest, else one with an incomplete request.
+   * Evicts the connection whose loss is least harmful: a connection that never sent anything if
+   * there is one, else the connection that has been idle for longest, else a connection with an
+   * incomplete request.
    */
   private boolean evictOne() {
     List<ClientConnection> candidates = new ArrayList<>(connections.values());
--- a/src/main/java/dunlinhitch/frontend/http/ClientListener.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientListener.java
@@ -36,7 +36,8 @@
   private static final long RETRY_ACCEPT_MS = 5;
 
   /**
-   * Maximum number of accept failures that are ignored while the queue is emptied before the close.
+   * Before the listener closes, it accepts all queued connections. At most this many accept
+   * failures are ignored during that time.
    */
   private static final int MAX_FAILURES_AT_CLOSE = 64;
 
--- a/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
+++ b/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
@@ -85,7 +85,7 @@
     context = ctx;
     ctx.channel()
         .closeFuture()
-        .addListener(closed -> listener.closed()); // runs before the channelInactive task
+        .addListener(closed -> listener.closed()); // this listener runs before channelInactive
   }
 
   /**
@@ -109,7 +109,8 @@
    * encoder, which is safe because no response is in progress in this state.
    */
   @SuppressWarnings(
-      "FutureReturnValueIgnored") // a failed write is covered by the close that follows
+      "FutureReturnValueIgnored") // a failed write needs no handling, because the channel is closed
+  // next
   void refuse() {
     context.write(Unpooled.wrappedBuffer(REFUSAL), context.newPromise());
     close(context, context.newPromise());
--- a/src/main/java/dunlinhitch/frontend/http/ParkingSelectStrategy.java
+++ b/src/main/java/dunlinhitch/frontend/http/ParkingSelectStrategy.java
@@ -16,14 +16,14 @@
  */
 final class ParkingSelectStrategy implements SelectStrategy {
   /**
-   * The pause, and the duration below which a round of the loop counts as not having waited. Five
-   * pauses cover the longest time for which Netty would poll.
+   * Duration of a pause. A round of the loop that is shorter than a pause is counted as a round
+   * that did not wait. Five pauses cover the longest time for which Netty would poll.
    */
   private static final long PAUSE_NS = 100_000;
 
   /**
-   * A round that did I/O can be as short as one that polled, so the loop parks only from the second
-   * consecutive short round on.
+   * The loop parks once it has had this many consecutive short rounds. One short round does not
+   * show that the loop polls, because a round that did I/O can be as short.
    */
   private static final int MIN_QUICK_ROUNDS = 2;
 
--- a/src/main/java/dunlinhitch/server/AdminInterface.java
+++ b/src/main/java/dunlinhitch/server/AdminInterface.java
@@ -60,8 +60,8 @@
   }
 
   /**
-   * Reads the disabled endpoints, and follows changes by other processes if {@code shared} is set;
-   * the result is whether another process of this broker has used the folder before. An unusable
+   * Reads the disabled endpoints, and follows changes by other processes if {@code shared} is set.
+   * The result is true if another process of this broker has used the folder before. An unusable
    * folder does not fail the start, but operators' calls then fail because their change cannot be
    * persisted.
    */
--- a/src/main/java/dunlinhitch/server/Broker.java
+++ b/src/main/java/dunlinhitch/server/Broker.java
@@ -21,8 +21,8 @@
  */
 public final class Broker {
   /**
-   * How long a new process assumes that its predecessor is still running if the end of the
-   * predecessor cannot be detected, because its release has no process locks.
+   * If the release of the predecessor has no process locks, the end of the predecessor cannot be
+   * detected. A new process then assumes for this time that the predecessor is still running.
    */
   private static final long UNDETECTED_OVERLAP_US = 6_000_000;
 
--- a/src/main/java/dunlinhitch/server/ClusterGossip.java
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -36,16 +36,15 @@
    */
   private static final int ACK_TIMEOUT_DIVISOR = 3;
 
-  /** Minimum time for which a failed member is remembered. */
+  /** A failed member is remembered for at least this time. */
   private static final long MINIMUM_RETENTION_US = 30_000_000;
 
-  /**
-   * Minimum time for which a failed member is remembered, as a multiple of the suspicion timeout.
-   */
+  /** A failed member is remembered for at least this many suspicion timeouts. */
   private static final int RETENTION_SUSPICION_TIMEOUTS = 10;
 
   /**
-   * Fraction of a duty rotation period that each broker waits for its predecessor in the rotation.
+   * Each broker waits for its predecessor in the duty rotation for this fraction of a rotation
+   * period.
    */
   private static final double DUTY_TIMEOUT_PART = 0.4;
 
--- a/src/main/java/dunlinhitch/server/ConfigurationReloader.java
+++ b/src/main/java/dunlinhitch/server/ConfigurationReloader.java
@@ -69,8 +69,9 @@
   }
 
   /**
-   * Starts a read after the previous one was applied: a read that completes at once could otherwise
-   * be applied before an earlier one whose completion the event loop has not processed yet.
+   * Starts a read after the previous one was applied. Otherwise a read that completes at once could
+   * be applied too early: the event loop may not have processed the completion of the previous read
+   * yet.
    */
   private Future<Config> read(Supplier<Config> configurationReader) {
     lastReading =
--- a/src/main/java/dunlinhitch/server/DescriptorBudget.java
+++ b/src/main/java/dunlinhitch/server/DescriptorBudget.java
@@ -14,25 +14,31 @@
 record DescriptorBudget(int descriptors, boolean shared) {
   private static final int TWELFTHS = 12;
 
-  /** Share of clients in twelfths, including connections that the event loop has yet to close. */
+  /**
+   * Clients get this many twelfths of the descriptors. Connections that the event loop has yet to
+   * close are included.
+   */
   private static final int CLIENT_TWELFTHS = 7;
 
   private static final int SHARED_CLIENT_TWELFTHS = 4;
 
-  /** The share of backends is the number of descriptors divided by this. */
+  /** Backends get the number of descriptors divided by this. */
   private static final int BACKEND_DIVISOR = 4;
 
   private static final int SHARED_BACKEND_DIVISOR = 8;
 
-  /** Descriptors reserved for the process itself and its discovery requests, whatever the total. */
+  /**
+   * Number of descriptors reserved for the process itself and its discovery requests. It does not
+   * depend on the total.
+   */
   private static final int RESERVED_DESCRIPTORS = 24;
 
   /** Clients get at least the process's own descriptors divided by this. */
   private static final int MINIMUM_CLIENT_DIVISOR = 4;
 
   /**
-   * One in this many client connections is reserved for connections that linger or that the event
-   * loop has yet to close.
+   * Of the client connections, one in this many is reserved for connections that linger and for
+   * those that the event loop has yet to close.
    */
   private static final int CLOSING_DIVISOR = 7;
 
--- a/src/main/java/dunlinhitch/server/HangupSignals.java
+++ b/src/main/java/dunlinhitch/server/HangupSignals.java
@@ -2,8 +2,8 @@
 
 /**
  * Handler of SIGHUP. It must be installed as the first step of a process, because by default the
- * signal ends the JVM. Signals that arrive before the task is set run it once when it is set,
- * because the configuration file may have been replaced after it was read at the start.
+ * signal ends the JVM. If signals arrive before the task is set, the task runs once when it is set,
+ * because the configuration file may have been replaced after the process read it at the start.
  *
  * <p>Thread-safe; the task runs on the thread of the signal or of {@link #setTask}.
  */
--- a/src/main/java/dunlinhitch/server/ReducerLoop.java
+++ b/src/main/java/dunlinhitch/server/ReducerLoop.java
@@ -33,9 +33,9 @@
   private long nextTurnUs = Long.MAX_VALUE;
 
   /**
-   * The time at which the next turn was requested or is due, whichever is later. If the turn begins
-   * after this time, the event loop was busy or had no processor time, and events may have been
-   * waiting since this time.
+   * The earliest time at which the next turn can begin: its due time, or the time of the request if
+   * it was already due then. If the turn begins later, the event loop was busy or had no processor
+   * time, and events may have waited since then.
    */
   private long turnRequestedUs;
 
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Runs a turn. A fault in one turn must not end the loop: later turns time out the queries that
-   * it left open.
+   * Runs a turn. A fault in one turn must not end the loop. Later turns time out the queries that
+   * the faulty turn left open.
    */
   private List<Effect> reduce(List<Event> events) {
     try {
--- a/src/main/java/dunlinhitch/server/ShutdownDeadlines.java
+++ b/src/main/java/dunlinhitch/server/ShutdownDeadlines.java
@@ -14,12 +14,15 @@
  */
 record ShutdownDeadlines(long drainUs, long shutdownUs, long lastResponseUs, long closedUs) {
   /**
-   * Defined by the platform's protocol: after the stop request, the process may run for this time
-   * plus the longest query deadline, and clients continue to use connections that stay open.
+   * After the stop request, the process may run for this time plus the longest query deadline, as
+   * the platform's protocol defines. Clients continue to use connections that stay open.
    */
   private static final long GRACE_PERIOD_US = 700_000;
 
-  /** Upper limit of the longest query deadline in that sum, also defined by the platform. */
+  /**
+   * If the longest query deadline exceeds this value, this value is used in its place to compute
+   * how long the process may run. The platform's protocol defines it.
+   */
   private static final long MAXIMUM_DEADLINE_US = 3_000_000;
 
   /** Margin between the last response and the end of the process. */
@@ -28,7 +31,7 @@
   /** Margin between the closing of the frontends and the end of the process. */
   private static final long CLOSE_MARGIN_US = 100_000;
 
-  /** How long after the close of its connection a request may still arrive. */
+  /** A request may still arrive this long after its connection was closed. */
   private static final long LATE_REQUEST_US = 150_000;
 
   /** Maximum time for closing the frontends in a graceful shutdown. */
--- a/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
@@ -182,7 +182,7 @@
     assertThrows(
         IOException.class,
         () -> {
-          while (true) { // fails once the broker has closed its descriptor
+          while (true) { // the write fails once the broker has closed its descriptor
             peer.getOutputStream().write(0);
             Thread.yield();
           }
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
@@ -150,8 +150,8 @@
   }
 
   /**
-   * The store closes idle connections, and a call that is sent meanwhile is lost, so this side must
-   * close them first.
+   * The store closes idle connections, and a call that is sent during such a close is lost.
+   * Therefore this side must close idle connections before the store does.
    */
   @Test
   void connectionPastIdleTimeoutIsNotReused() throws Exception {
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -181,7 +181,7 @@
       assertEquals(
           -1,
           resting.getInputStream().read(),
-          "a connection that was idle for as long, without a request, is closed");
+          "a connection without a request must be closed after the same idle time");
       for (int i = 1; i <= 2; i++) {
         long exchange = i;
         vertx.runOnContext(v -> exchanges.complete(exchange, new QueryResponse.Rejected(0)));
@@ -325,7 +325,7 @@
         });
     blocked.await();
     List<Socket> queue = new ArrayList<>();
-    for (int i = 0; i < 18; i++) { // more than Netty accepts in one read loop
+    for (int i = 0; i < 18; i++) { // 18 are more than Netty accepts in one read loop
       queue.add(connect());
       write(queue.get(i), post("q" + i));
     }
--- a/src/test/java/dunlinhitch/server/BrokerStartTest.java
+++ b/src/test/java/dunlinhitch/server/BrokerStartTest.java
@@ -24,7 +24,10 @@
  * Conditions for the start of a broker, and stop requests that arrive before or during the start.
  */
 class BrokerStartTest {
-  /** Shorter than the grace period plus half of the longest query deadline, which is 1.25 s. */
+  /**
+   * Must be shorter than 1.25 s, the sum of the grace period and half of the longest query
+   * deadline.
+   */
   private static final long GRACE_MS = 1_200;
 
   private static final int INITIAL_LIST_ACCEPTED_MS = 1_100;
