--- a/src/main/java/dunlinhitch/backend/RequestText.java
+++ b/src/main/java/dunlinhitch/backend/RequestText.java
@@ -37,7 +37,9 @@
     return out.toByteArray();
   }
 
-  /** Encodes the result of the query's first step, which a part of the second step refers to. */
+  /**
+   * Encodes the result of the query's first step. A part of the second step refers to this result.
+   */
   private static String encode(FirstStep firstStep) {
     return ",from="
         + String.join("+", firstStep.shards().stream().map(String::valueOf).toList())
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -267,7 +267,8 @@
     String partId = call.cancel(attempt, confirm);
     call.afterSending(() -> notifyCancelled(partId, attempt, sent.connection(), confirm));
     if (lastReplyUs <= call.sentUs() && shared.nowUs() - call.sentUs() > UNRESPONSIVE_US) {
-      leaveConnection(); // new calls get a fresh connection, which is established or fails soon
+      // New calls use a fresh connection. It is either established or fails soon.
+      leaveConnection();
     }
     closeIfDrained();
     return true;
@@ -381,7 +382,8 @@
     if (!closed) {
       closed = true;
       failPending();
-      channel.shutdownNow(); // attempts in flight complete as reset
+      // The shutdown completes the attempts in flight as reset.
+      channel.shutdownNow();
       shared.closeAsync(client);
     }
   }
--- a/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameDecoder.java
@@ -40,7 +40,7 @@
   }
 
   /** Keeps the incomplete frame without copying it again for each chunk that is appended to it. */
-  @SuppressWarnings("ReferenceEquality") // identity is intended: same buffer object
+  @SuppressWarnings("ReferenceEquality") // compares whether it is the same buffer object
   private void retainIncomplete(Buffer all, int consumed) {
     if (consumed > 0) {
       incomplete = all.getBuffer(consumed, all.length());
--- a/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
@@ -40,8 +40,8 @@
   }
 
   /**
-   * Returns the delay. It is at most the connect timeout, because an attempt to open a new
-   * connection to a dead host fails after that time, too.
+   * Returns the delay. It is at most the connect timeout, because a new connection to a dead host
+   * fails after that time, too.
    */
   long delayUs(long connectTimeoutUs) {
     return Math.min(
--- a/src/main/java/dunlinhitch/backend/frames/ReplyParser.java
+++ b/src/main/java/dunlinhitch/backend/frames/ReplyParser.java
@@ -38,7 +38,7 @@
     String[] fields = payload.getString(0, lineEnd, HEADER_CHARSET).split(" ", PART_FIELDS);
     if (lineEnd == payload.length() || fields.length != PART_FIELDS) {
       throw new MalformedFrameException(
-          "malformed part reply: expected 4 header fields and a line feed, got  "
+          "malformed part reply: expected 4 header fields and a line feed, got "
               + fields.length
               + " fields");
     }
--- a/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
+++ b/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
@@ -8,12 +8,12 @@
  * The graceful shutdown of a frontend as a state machine over its connections. The frontend reports
  * events to it and executes its actions; it has no clock, threads or I/O of its own.
  *
- * <p>It guarantees this order: a connection is half-closed only after a response that announced the
- * close, or after a final read found that no request had started; bytes that are read later are
- * discarded. Idle connections are closed while the listener is still open, so that a client that
- * sends a request during the close can connect again. Then the listener accepts the connections in
- * its queue and closes. The requests on them are still read, and their queries are refused rather
- * than dropped. The shutdown is complete by an absolute deadline.
+ * <p>The steps have a guaranteed order. A connection is half-closed only after a response that
+ * announced the close, or after a final read found that no request had started. Bytes that are read
+ * after the half-close are discarded. Idle connections are closed while the listener is still open,
+ * so that a client that sends a request during the close can connect again. Then the listener
+ * accepts the connections in its queue and closes. The requests on them are still read, and their
+ * queries are refused rather than dropped. The shutdown is complete by an absolute deadline.
  *
  * <p>Not thread-safe. All times are in microseconds on one clock.
  *
--- a/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
+++ b/src/main/java/dunlinhitch/frontend/flight/FlightFrontend.java
@@ -167,7 +167,8 @@
       CallHeaders headers = call.getMiddleware(HEADERS).headers();
       try {
         QueryRequest query = read(headers, ticket, receivedUs);
-        if (deadline != null) { // the earlier of both deadlines applies
+        // The deadline of the gRPC call limits the deadline of the query.
+        if (deadline != null) {
           query =
               query.withDeadlineAtMost(
                   receivedUs + Math.max(0, deadline.timeRemaining(TimeUnit.MICROSECONDS)));
@@ -252,7 +253,7 @@
       listener.start(root);
       listener.putNext();
       listener.completed();
-    } catch (RuntimeException e) { // whatever Arrow throws, the call must be completed
+    } catch (RuntimeException e) { // the call must be completed after any exception
       listener.error(
           CallStatus.INTERNAL
               .withDescription("the answer could not be written")
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -244,7 +244,7 @@
   }
 
   /** Records that a request was received completely; returns how to handle it. */
-  @SuppressWarnings("ReferenceEquality") // identity is intended: the same request
+  @SuppressWarnings("ReferenceEquality") // compares whether it is the same request object
   Disposition requestReceived(HttpServerRequest request) {
     ClientConnection client = connections.get(request.connection());
     if (client == null || client.closing || client.request != request) {
@@ -278,7 +278,7 @@
   }
 
   /** Records that the response to a request was written. */
-  @SuppressWarnings("ReferenceEquality") // identity is intended: the same request
+  @SuppressWarnings("ReferenceEquality") // compares whether it is the same request object
   void responseWritten(HttpServerRequest request) {
     ClientConnection client = connections.get(request.connection());
     if (client == null || client.request != request) { // the next request is already being read
--- a/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
+++ b/src/main/java/dunlinhitch/frontend/http/LingeringClose.java
@@ -85,7 +85,8 @@
     context = ctx;
     ctx.channel()
         .closeFuture()
-        .addListener(closed -> listener.closed()); // this listener runs before channelInactive
+        // Netty notifies this listener before the channelInactive task runs.
+        .addListener(closed -> listener.closed());
   }
 
   /**
@@ -108,9 +109,7 @@
    * Refuses a request whose head is incomplete and closes the connection. The refusal bypasses the
    * encoder, which is safe because no response is in progress in this state.
    */
-  @SuppressWarnings(
-      "FutureReturnValueIgnored") // a failed write needs no handling, because the channel is closed
-  // next
+  @SuppressWarnings("FutureReturnValueIgnored") // no handling needed: the channel is closed next
   void refuse() {
     context.write(Unpooled.wrappedBuffer(REFUSAL), context.newPromise());
     close(context, context.newPromise());
@@ -189,7 +188,8 @@
     if (!closing) {
       ctx.fireChannelReadComplete();
     } else if (ctx.channel().isActive()) {
-      ctx.read(); // discards input even if Vert.x has paused reading
+      // Input is read and discarded even if Vert.x has paused reading.
+      ctx.read();
     }
   }
 
@@ -203,7 +203,8 @@
   @Override
   public void exceptionCaught(ChannelHandlerContext ctx, Throwable error) {
     if (closing) {
-      abort(); // the client has reset a connection that was already closing
+      // The client has reset the connection while the broker was closing it.
+      abort();
     } else {
       ctx.fireExceptionCaught(error);
     }
--- a/src/main/java/dunlinhitch/server/AdminInterface.java
+++ b/src/main/java/dunlinhitch/server/AdminInterface.java
@@ -27,8 +27,8 @@
   private final Consumer<String> log;
 
   /**
-   * Null if the configuration has no admin address; effects that reply to operators occur only
-   * after calls to this server.
+   * Null if the configuration has no admin address. Effects that reply to operators do not occur in
+   * that case, because only calls to this server cause them.
    */
   private final AdminServer server;
 
--- a/src/main/java/dunlinhitch/server/ConfigurationReloader.java
+++ b/src/main/java/dunlinhitch/server/ConfigurationReloader.java
@@ -70,8 +70,8 @@
 
   /**
    * Starts a read after the previous one was applied. Otherwise a read that completes at once could
-   * be applied too early: the event loop may not have processed the completion of the previous read
-   * yet.
+   * be applied before the previous one, if the event loop has not processed the completion of the
+   * previous read yet.
    */
   private Future<Config> read(Supplier<Config> configurationReader) {
     lastReading =
--- a/src/main/java/dunlinhitch/server/DescriptorBudget.java
+++ b/src/main/java/dunlinhitch/server/DescriptorBudget.java
@@ -33,7 +33,10 @@
    */
   private static final int RESERVED_DESCRIPTORS = 24;
 
-  /** Clients get at least the process's own descriptors divided by this. */
+  /**
+   * Clients get at least the process's own descriptors divided by this. If two processes may
+   * overlap, half of the descriptors are a process's own.
+   */
   private static final int MINIMUM_CLIENT_DIVISOR = 4;
 
   /**
--- a/src/main/java/dunlinhitch/server/EndpointListSaver.java
+++ b/src/main/java/dunlinhitch/server/EndpointListSaver.java
@@ -96,7 +96,7 @@
       log.accept(
           failing
               ? "cannot save the last known state, will retry: " + failure
-              : "the last known state is saved again");
+              : "saved the last known state after failed attempts");
     }
   }
 }
--- a/src/main/java/dunlinhitch/server/EndpointSources.java
+++ b/src/main/java/dunlinhitch/server/EndpointSources.java
@@ -23,7 +23,10 @@
   /** Null if the product's settings file is absent, so that the DNS classes are not loaded. */
   private final DnsSources dnsSources;
 
-  /** False also for an empty list: a broker that became ready with it would reject every query. */
+  /**
+   * True if the initial endpoint list contains endpoints. A broker that became ready with an empty
+   * list would reject every query.
+   */
   private final boolean hasInitialList;
 
   /** Creates the sources and passes on the initial endpoint list, if there is one. */
--- a/src/main/java/dunlinhitch/server/ProcessLocks.java
+++ b/src/main/java/dunlinhitch/server/ProcessLocks.java
@@ -69,9 +69,9 @@
         FileLock lock = channel.tryLock()) {
       return lock == null;
     } catch (OverlappingFileLockException e) {
-      return true; // locked within this virtual machine
+      return true; // the file is locked by this virtual machine
     } catch (NoSuchFileException e) {
-      return false; // removed by another process in the meantime
+      return false; // another process has removed the file in the meantime
     }
   }
 
--- a/src/main/java/dunlinhitch/server/ReducerFactory.java
+++ b/src/main/java/dunlinhitch/server/ReducerFactory.java
@@ -29,7 +29,10 @@
         startUs);
   }
 
-  /** Returns null if the product's settings file does not set the times; defaults apply then. */
+  /**
+   * Returns the settings of the endpoint registry. If the product's settings file contains no times
+   * for them, returns null, and the defaults apply.
+   */
   private static EndpointRegistrySettings registrySettings(Config config) {
     Product.MembershipTimes times = config.product().membership();
     if (times == null) {
--- a/src/main/java/dunlinhitch/server/TwoPhaseSettingsFactory.java
+++ b/src/main/java/dunlinhitch/server/TwoPhaseSettingsFactory.java
@@ -59,7 +59,7 @@
     if (queryClass.followUp() > 0) {
       throw failure(
           queryClass.name(),
-          "the class has a second step, which ranks full answers and cannot be combined with two phases");
+          "the class has a second step; it ranks full answers and cannot be combined with two phases");
     }
   }
 
--- a/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
@@ -38,7 +38,7 @@
     end.onFailure(new SocketException("Connection reset"));
     end.onWriteFailure(new IOException("Broken pipe"));
     end.onWriteFailure(new IOException("Connection reset by peer"));
-    end.onWriteFailure(new ClosedChannelException()); // written after the reset was read
+    end.onWriteFailure(new ClosedChannelException()); // the write follows the read of the reset
     assertEquals(true, end.isKnownToStore());
   }
 }
--- a/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
@@ -137,9 +137,9 @@
   }
 
   /**
-   * The store closes an idle connection, and a call is written before the close is read: the call
-   * may have run. If the store resets the connection, nothing can be written and the call has not
-   * run.
+   * The store ends an idle connection before a call is written to it. If the store closes the
+   * connection and the broker writes the call before it reads the close, the call may have run. If
+   * the store resets the connection, nothing can be written and the call has not run.
    */
   @ParameterizedTest
   @EnumSource(
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -80,10 +80,8 @@
         });
     blocked.await();
     List<Socket> connections = new ArrayList<>();
-    int maxOpen =
-        fixture.maxSockets
-            - fixture.maxSockets / 4
-            - 24; // the remainder after the shares of the stores and of the process itself
+    // Clients get what the shares of the stores and of the process itself leave.
+    int maxOpen = fixture.maxSockets - fixture.maxSockets / 4 - 24;
     for (int i = 0; i < 2 * fixture.maxSockets; i++) {
       connections.add(new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort));
     }
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -465,12 +465,12 @@
         try (Socket next =
             new Socket(
                 InetAddress.getLoopbackAddress(),
-                port)) { // accepted or refused until the listener is closed
+                port)) { // may connect or be refused until the listener is closed
           assertTrue(next.isConnected());
         } catch (java.net.ConnectException closed) {
           break;
         } catch (java.net.SocketException reset) {
-          // connected just before the close; only a refused connection proves the close
+          // This client connected just before the close, which only a refusal proves.
         }
       }
       assertEquals(1, complete.getCount(), "shutdown completed before its deadline");
--- a/src/test/java/dunlinhitch/server/ClientDisconnectTest.java
+++ b/src/test/java/dunlinhitch/server/ClientDisconnectTest.java
@@ -33,8 +33,8 @@
  */
 class ClientDisconnectTest {
   /**
-   * A backend that accepts a connection only at a call of the test. Until then its backlog is full,
-   * so a new connection stays pending.
+   * A backend that accepts a connection only when the test calls for it. Until then its backlog is
+   * full, so a new connection stays pending.
    */
   private static final class LateStore extends Store implements AutoCloseable {
     private final ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
--- a/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
+++ b/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
@@ -277,7 +277,8 @@
     for (int i = 0; i < 2_000; i++) {
       byte[] noise = new byte[random.nextInt(60)];
       random.nextBytes(noise);
-      if (noise.length > 3 && i % 2 == 0) { // passes the first checks of the message header
+      // The header of every second message passes the first checks.
+      if (noise.length > 3 && i % 2 == 0) {
         noise[2] = (byte) 0x30;
         noise[3] = 0;
         java.util.Arrays.fill(noise, 4, Math.min(12, noise.length), (byte) 0);
@@ -404,7 +405,7 @@
         1,
         zone.get(new Question(instance, Type.SRV)).size(),
         "an instance name may contain spaces and dots");
-    var unused = fixture.stop(); // waits only for the deregistration, which is the first step
+    var unused = fixture.stop(); // the test waits only for the deregistration, the first step
     await(
         () ->
             zone.get(new Question(service, Type.PTR)).isEmpty()
--- a/src/test/java/dunlinhitch/server/EndpointListSaverTest.java
+++ b/src/test/java/dunlinhitch/server/EndpointListSaverTest.java
@@ -89,7 +89,8 @@
             .startsWith("cannot save the last known state, will retry: "));
     Files.delete(folder);
     onLoop(() -> saver.saveIfChanged(registry));
-    assertEquals("the last known state is saved again", lines.poll(5, TimeUnit.SECONDS));
+    assertEquals(
+        "saved the last known state after failed attempts", lines.poll(5, TimeUnit.SECONDS));
     assertEquals(1, savedClaims(folder));
   }
 
--- a/src/test/java/dunlinhitch/server/ServingRulesTest.java
+++ b/src/test/java/dunlinhitch/server/ServingRulesTest.java
@@ -217,7 +217,7 @@
   void repeatedIdempotencyKeyInFlightIsASeparateQuery(Path path) throws Exception {
     begin(path, 300);
     script(part -> part.id().startsWith("q1.") ? Behavior.NOTHING : Behavior.GOOD);
-    var unused = askWithKey("same", "q1"); // never answered
+    var unused = askWithKey("same", "q1"); // this query is never answered
     while (firstStore.receivedParts.isEmpty() && secondStore.receivedParts.isEmpty()) {
       Thread.onSpinWait();
     }
