--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -470,7 +470,7 @@
         } catch (java.net.ConnectException closed) {
           break;
         } catch (java.net.SocketException reset) {
-          // This client connected just before the close, which only a refusal proves.
+          // A client may connect just before the close; only a refusal proves the close.
         }
       }
       assertEquals(1, complete.getCount(), "shutdown completed before its deadline");
