--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -39,7 +39,7 @@
   /** Maximum number of attempts in flight to one store. */
   private static final int MAX_IN_FLIGHT = 256;
 
-  /** Fraction of the store's idle timeout after which this side closes an idle connection. */
+  /** This side closes an idle connection after this fraction of the store's idle timeout. */
   private static final double IDLE_SHARE = 0.8;
 
   /**
@@ -267,7 +267,8 @@
     String partId = call.cancel(attempt, confirm);
     call.afterSending(() -> notifyCancelled(partId, attempt, sent.connection(), confirm));
     if (lastReplyUs <= call.sentUs() && shared.nowUs() - call.sentUs() > UNRESPONSIVE_US) {
-      leaveConnection(); // new calls get a fresh connection, which is established or fails soon
+      // New calls use a fresh connection. It is either established or fails soon.
+      leaveConnection();
     }
     closeIfDrained();
     return true;
@@ -381,7 +382,8 @@
     if (!closed) {
       closed = true;
       failPending();
-      channel.shutdownNow(); // attempts in flight complete as reset
+      // The shutdown completes the attempts in flight as reset.
+      channel.shutdownNow();
       shared.closeAsync(client);
     }
   }
--- a/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
+++ b/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
@@ -8,12 +8,12 @@
  * The graceful shutdown of a frontend as a state machine over its connections. The frontend reports
  * events to it and executes its actions; it has no clock, threads or I/O of its own.
  *
- * <p>It guarantees this order: a connection is half-closed only after a response that announced the
- * close, or after a final read found that no request had started; bytes that are read later are
- * discarded. Idle connections are closed while the listener is still open, so that a client that
- * sends a request during the close can connect again. Then the listener accepts the connections in
- * its queue and closes. The requests on them are still read, and their queries are refused rather
- * than dropped. The shutdown is complete by an absolute deadline.
+ * <p>The steps have a guaranteed order. A connection is half-closed only after a response that
+ * announced the close, or after a final read found that no request had started. Bytes that are read
+ * after the half-close are discarded. Idle connections are closed while the listener is still open,
+ * so that a client that sends a request during the close can connect again. Then the listener
+ * accepts the connections in its queue and closes. The requests on them are still read, and their
+ * queries are refused rather than dropped. The shutdown is complete by an absolute deadline.
  *
  * <p>Not thread-safe. All times are in microseconds on one clock.
  *
@@ -87,12 +87,12 @@
   private final long requestTransitUs;
   private Stage stage = Stage.SERVING;
 
-  /** When an idle connection was last closed. */
+  /** The time at which an idle connection was last closed. */
   private long idleClosedUs = Long.MIN_VALUE / 2;
 
   private long deadlineUs = Long.MAX_VALUE;
 
-  /** When the listener must be closed. */
+  /** The time by which the listener must be closed. */
   private long closeListenerUs = Long.MAX_VALUE;
 
   /** The time from which incomplete requests are refused. */
@@ -211,8 +211,8 @@
   }
 
   /**
-   * Returns true if the connection is in the expected state before and after arrived bytes are
-   * read.
+   * Reads the bytes that have arrived. Returns true if the connection was in the expected state
+   * before the read and is in it after the read.
    */
   private boolean isStillAfterRead(C connection, Entry entry, State expected) {
     if (entry == null || entry.state != expected) {
