--- a/src/main/java/dunlinhitch/balancer/Admission.java
+++ b/src/main/java/dunlinhitch/balancer/Admission.java
@@ -120,9 +120,8 @@
     for (Part part : query.parts) {
       Server server = part.attemptCount > 0 ? null : selection.select(part);
       if (server == null) {
-        plan.add(
-            new PlannedPart(
-                part, 0.0)); // no server is eligible yet, or the part has already been sent
+        // No server is eligible yet, or the part has already been sent.
+        plan.add(new PlannedPart(part, 0.0));
         continue;
       }
       LatencyEstimates latencies = estimators.latencies;
--- a/src/main/java/dunlinhitch/balancer/BalancerEvent.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerEvent.java
@@ -56,11 +56,11 @@
    * An attempt ended.
    *
    * @param attempt number of the attempt among those of its part, from 0
-   * @param settled the part needs no further attempt
+   * @param settled whether the part needs no further attempt
    * @param report the server's load report, empty for none
-   * @param unconfirmed the broker no longer waits for the attempt, but the server may still be
-   *     executing it; if a part may have only one attempt at a time, its next attempt is not sent
-   *     before {@link AttemptReleased}
+   * @param unconfirmed whether the server may still be executing the attempt although the broker no
+   *     longer waits for it; if a part may have only one attempt at a time, its next attempt is not
+   *     sent before {@link AttemptReleased}
    */
   // The record is never compared or hashed, so an array component is safe. It avoids boxing the
   // values of each report.
--- a/src/main/java/dunlinhitch/balancer/CanaryPart.java
+++ b/src/main/java/dunlinhitch/balancer/CanaryPart.java
@@ -18,8 +18,8 @@
   private static final double MAX_DELAY_SHARE = 0.1;
 
   /**
-   * Largest overhead of a call, as a fraction of the part's service time, for which a canary part
-   * is sent.
+   * A canary part needs a call of its own. It is sent only if the overhead of a call is at most
+   * this fraction of the part's service time.
    */
   private static final double MAX_CALL_SHARE = 0.1;
 
@@ -30,18 +30,18 @@
   private static final int MIN_PARTS = 8;
 
   /**
-   * Minimum number of parts for which a canary part is sent shortly after a reset, or if the client
-   * retries the query.
+   * Minimum number of parts of a query that gets a canary part although it is not wide. Applies
+   * shortly after a reset of any attempt, and to queries that the client retries.
    */
   private static final int MIN_PARTS_WHEN_ALERT = 2;
 
   /** Time for which a reset counts as recent, as a multiple of the shortest latency objective. */
   private static final double RESET_OBJECTIVES = 10;
 
-  /** Number of servers that must have reset the connection for a query to be suspect. */
+  /** A query is suspect only if at least this number of servers have reset an attempt of it. */
   private static final int SUSPECT_RESETS = 2;
 
-  /** Like {@link #SUSPECT_RESETS}, for a query that its client retries. */
+  /** Replaces {@link #SUSPECT_RESETS} for a query that its client retries. */
   private static final int SUSPECT_RESETS_WHEN_RETRIED = 1;
 
   private final BalancerContext context;
--- a/src/main/java/dunlinhitch/balancer/FailurePenalties.java
+++ b/src/main/java/dunlinhitch/balancer/FailurePenalties.java
@@ -5,8 +5,9 @@
  * fast, hang, are dead or are full do not attract parts.
  *
  * <p>A penalty grows with each consecutive failure. It decays with time and with answers, so that
- * the server occasionally gets a part, by which its recovery is detected. If the query causes the
- * failures, all replicas are penalized equally and their order does not change.
+ * the server occasionally gets a part. An answer to that part shows that the server has recovered.
+ * If the query causes the failures, all replicas are penalized equally and their order does not
+ * change.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
@@ -33,8 +34,8 @@
   private static final double MIN_DECAY_OBJECTIVES = 2;
 
   /**
-   * An answer is late if it took more than this multiple of the prediction; the excess becomes a
-   * penalty.
+   * An answer is late if its latency exceeds this multiple of the predicted latency. The excess is
+   * the minimum penalty of the server after the answer.
    */
   private static final double LATE_FACTOR = 2;
 
@@ -87,9 +88,10 @@
   void onAnswer(Attempt attempt) {
     Server server = attempt.server;
     server.consecutiveFailures /= 2;
+    // Health checks, if allowed, detect slow servers, so late answers need no penalty.
     double latenessUs =
         context.settings().limits().mayHealthCheck()
-            ? 0 // slow servers are detected by health checks
+            ? 0
             : context.nowUs() - attempt.sentUs - LATE_FACTOR * attempt.prediction.latencyUs();
     double limitUs = MAX_PENALTY * serviceTimes.meanUs();
     set(
--- a/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
+++ b/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
@@ -14,10 +14,13 @@
    */
   private static final double CHECKS_PER_PART = 0.2;
 
-  /** Price of a health check above which proportionally fewer are sent. */
+  /** If a health check costs more than this price, proportionally fewer health checks are sent. */
   private static final double REFERENCE_PRICE = 0.012;
 
-  /** Weight of the newest query in the rate of queries without a complete answer. */
+  /**
+   * Weight of the newest query in the moving average of the share of queries without a complete
+   * answer.
+   */
   private static final double INCOMPLETE_WEIGHT = 0.02;
 
   private final BalancerContext context;
--- a/src/main/java/dunlinhitch/balancer/HealthChecks.java
+++ b/src/main/java/dunlinhitch/balancer/HealthChecks.java
@@ -23,8 +23,8 @@
   private static final long DELAYS_PER_OBJECTIVE = 32;
 
   /**
-   * Health checks are sent if no report arrived within the shortest latency objective divided by
-   * this number.
+   * Health checks are sent if no server has reported within the shortest latency objective divided
+   * by this number.
    */
   private static final long STALE_FRACTION = 2;
 
--- a/src/main/java/dunlinhitch/balancer/Hedging.java
+++ b/src/main/java/dunlinhitch/balancer/Hedging.java
@@ -76,7 +76,8 @@
     if (attempts.mayHedge(part)) {
       attempts.send(part);
     } else if (shouldMove(attempt, leftUs)) {
-      attempts.cancel(attempt); // the retry is sent when the cancelled attempt has ended
+      // The retry is sent when the cancelled attempt has ended.
+      attempts.cancel(attempt);
     }
   }
 
@@ -113,8 +114,8 @@
   }
 
   /**
-   * Requests a part of the current step that was left out, if any; this does not use the retry
-   * budget.
+   * Requests a spare part, which is a part of the current step that was left out, if there is one.
+   * This does not use the retry budget.
    */
   private boolean sendSpare(Query query) {
     if (query.deferredUntilUs > 0) {
--- a/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
+++ b/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
@@ -40,7 +40,10 @@
    */
   private static final double UNRESPONSIVE_FACTOR = 5;
 
-  /** Excess latencies of one zone, and the time at which the newest was added. */
+  /**
+   * Excess latencies of one zone, and the time at which the newest was added. An excess latency is
+   * the latency of an attempt minus its work and its predicted wait.
+   */
   private static final class ZoneLatency {
     final SampleWindow excessUs = new SampleWindow(NETWORK_WINDOW_SIZE, 0);
     long updatedUs;
@@ -74,10 +77,11 @@
 
   /**
    * Returns the network latency to the server's zone: the amount by which a low quantile of that
-   * zone's excess latencies exceeds that of the local zone. Its causes are packet loss, a slow
-   * network or a fault that the zone's servers share. Samples are pooled by zone because each
-   * server gets few parts. The estimate decays, so that the zone occasionally gets a part, by which
-   * its recovery is detected. The estimate is too high if only the remote zone is overloaded.
+   * zone's excess latencies exceeds the same quantile of the local zone. Possible causes are packet
+   * loss, a slow network or a fault that the zone's servers share. Samples are pooled by zone
+   * because each server gets few parts. The estimate decays, so that the zone occasionally gets a
+   * part; the latency of that part shows whether the zone has recovered. The estimate is too high
+   * if only the remote zone is overloaded.
    */
   double networkLatencyUs(Server server) {
     int ownZone = context.settings().zone();
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -110,10 +110,10 @@
   /**
    * Returns the time at which an attempt sent now times out. If attempts can be cancelled,
    * maintenance ends late attempts; otherwise only the timeout does. The timeout also stops servers
-   * from doing work that is no longer needed, which a cancellation may fail to do. If the class
-   * allows partial answers, an attempt therefore times out at the time from which its query may be
-   * answered without it. The drawback is that the attempt is lost if the answered parts do not
-   * reach the floor at that time.
+   * from doing work that is no longer needed, even if a cancellation fails to do so. If the class
+   * allows partial answers, an attempt therefore times out as soon as its query may be answered
+   * without it. The drawback is that the attempt is lost if the answered parts do not reach the
+   * floor at that time.
    */
   long attemptTimeoutUs(Query query) {
     long nowUs = context.nowUs();
--- a/src/main/java/dunlinhitch/balancer/SchedulingLag.java
+++ b/src/main/java/dunlinhitch/balancer/SchedulingLag.java
@@ -1,8 +1,8 @@
 package dunlinhitch.balancer;
 
 /**
- * Measures the recent lag of this broker's event loop. A query has waited for about that time
- * before it was read, and the answers to its parts will wait as long. Queries that would be late
+ * Measures the recent lag of this broker's event loop. A query waits for about the duration of this
+ * lag before it is read, and the answers to its parts wait as long. Queries that would be late
  * because of the lag are rejected immediately; otherwise the queries after them would be late too.
  *
  * <p>Not thread-safe; the load balancer owns it.
--- a/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
+++ b/src/main/java/dunlinhitch/balancer/ServerListUpdates.java
@@ -103,8 +103,8 @@
   }
 
   /**
-   * Returns the mean work of the servers that share shards with the cell, which is used as the
-   * initial penalty of a new server.
+   * Returns the initial penalty of a new server in the cell: the mean of penalty plus outstanding
+   * work over all ready servers that share shards with the cell.
    */
   private double meanWorkOfServersSharingShards(int cell) {
     return context.servers().sharingShards(cell, context.settings().layout()).stream()
@@ -118,8 +118,8 @@
   private void setState(Server server, ServerState state) {
     boolean readinessChanges =
         server.state != state && (server.state == ServerState.READY || state == ServerState.READY);
-    if (readinessChanges) { // otherwise a server that was never ready would get a grace period for
-      // draining
+    // Without this condition, a server that was never ready would get a grace period for draining.
+    if (readinessChanges) {
       server.stateChangedUs = context.nowUs();
     }
     server.state = state;
--- a/src/main/java/dunlinhitch/balancer/SlowStart.java
+++ b/src/main/java/dunlinhitch/balancer/SlowStart.java
@@ -29,8 +29,8 @@
   private static final double MIN_WEIGHT = 0.01;
 
   /**
-   * For a class without a measured service time: ratio of a part's cost to the smallest latency of
-   * the class.
+   * Minimum cost of a part whose class has no measured service time yet, as a multiple of the
+   * smallest latency of the class.
    */
   private static final double UNMEASURED_COST_FACTOR = 1.5;
 
@@ -83,14 +83,12 @@
       return true;
     }
     double rate = rate(server);
-    double burst =
-        rate
-            * rules.overloadToleranceUs()
-            / 2; // in half the tolerated time, the bucket refills by this amount
+    // The amount by which the bucket refills in half the tolerated time.
+    double burst = rate * rules.overloadToleranceUs() / 2;
     return server.slowStartBucket.canAfford(cost(part), rate, burst, context.nowUs());
   }
 
-  /** Charges a part that is sent to the budget of its server if the server is warming up. */
+  /** Deducts the cost of a sent part from its server's budget; has no effect for a warm server. */
   void onSend(Server server, Part part) {
     if (!isWarm(server)) {
       server.slowStartBucket.spend(cost(part));
--- a/src/main/java/dunlinhitch/balancer/settings/Rules.java
+++ b/src/main/java/dunlinhitch/balancer/settings/Rules.java
@@ -8,7 +8,7 @@
  *
  * @param answerSlackUs time by which an answer may exceed its deadline
  * @param pollWithinUs time within which a changed server list must be read
- * @param retryRatio retries for each request received; negative if there is no retry budget
+ * @param retryRatio retries allowed for each request received; negative if there is no retry budget
  * @param retryBudgetFloor retries that are allowed regardless of the ratio
  * @param retryRatioWindowUs length of the sliding window of the retry budget
  * @param initialCapacityShare fraction of its capacity that a server has when it starts
--- a/src/main/java/dunlinhitch/concurrent/PendingResult.java
+++ b/src/main/java/dunlinhitch/concurrent/PendingResult.java
@@ -6,8 +6,7 @@
 /**
  * The result of work on another thread, which may never arrive. The requester consumes the result,
  * or cancels the work after a timeout; the worker can check for cancellation. For every
- * interleaving of the two threads, either one consumption succeeds, or one cancellation, or
- * neither.
+ * interleaving of the two threads, at most one call succeeds in consuming or cancelling the result.
  *
  * <p>Thread-safe and lock-free.
  */
--- a/src/main/java/dunlinhitch/core/AttemptStage.java
+++ b/src/main/java/dunlinhitch/core/AttemptStage.java
@@ -182,9 +182,9 @@
   }
 
   /**
-   * Updates the time of a part's earliest attempt that may have been executed, after one of its
-   * attempts has ended. If the earliest attempt was certainly not executed, the time of the next
-   * attempt that may have been executed is used, whether that attempt is in flight or has ended.
+   * Updates the earliest execution time of a part after one of its attempts has ended. An attempt
+   * that was certainly not executed no longer determines that time. It is replaced by the time of
+   * the earliest other attempt that may have been executed, in flight or ended.
    */
   private void updateEarliestExecution(InFlightAttempt attempt, AttemptOutcome outcome) {
     InFlightPart part = attempt.part();
--- a/src/main/java/dunlinhitch/core/ClusterStage.java
+++ b/src/main/java/dunlinhitch/core/ClusterStage.java
@@ -120,8 +120,9 @@
   }
 
   /**
-   * Creates the cluster coordinator's entry for an endpoint. Its start time is the one that
-   * discovery reported, because all members must identify a process by the same value.
+   * Creates the cluster coordinator's entry for an endpoint. The members identify an endpoint's
+   * process by its start time, so the entry contains the start time reported by discovery, which is
+   * the same for all members.
    */
   private ClusterCoordinator.ListedEndpoint listedEndpoint(
       TrackedEndpoint endpoint, ServerEntry entry) {
--- a/src/main/java/dunlinhitch/core/Effect.java
+++ b/src/main/java/dunlinhitch/core/Effect.java
@@ -30,8 +30,9 @@
    * @param shard the shard
    * @param key the idempotency key; empty if there is none
    * @param dueUs the time at which the broker stops waiting for the attempt
-   * @param repeatUntilUs the latest time at which the attempt may be written if an earlier attempt
-   *     may have been executed
+   * @param repeatUntilUs the latest time at which the attempt may be written; {@link
+   *     Long#MAX_VALUE} unless the class has a deduplication window and an earlier attempt of the
+   *     part may have been executed
    * @param text the text of the query
    * @param firstPass whether the attempt is for a first pass
    * @param firstStep the result of the first step for a part of the second step; null for a part of
@@ -83,7 +84,7 @@
 
   /**
    * Withdraw an attempt whose query has ended. An attempt that has not been written yet is
-   * discarded; one that has been written continues.
+   * discarded. An attempt that has been written continues at the endpoint.
    */
   record WithdrawAttempt(int endpoint, long attempt) implements Effect {}
 
--- a/src/main/java/dunlinhitch/core/Event.java
+++ b/src/main/java/dunlinhitch/core/Event.java
@@ -53,7 +53,7 @@
    * @param attempt the number given with {@link Effect.AttemptRequest}
    * @param outcome how it ended
    * @param report the load report received with it; empty if there is none
-   * @param value the value, if the attempt was served
+   * @param value the value, if the endpoint returned one; otherwise null
    * @param score the score by which the parts of a query are ranked for its second step; NaN if the
    *     endpoint returned no numeric score
    * @param unconfirmed whether the transport abandoned the attempt although the endpoint may still
--- a/src/main/java/dunlinhitch/core/InFlightQuery.java
+++ b/src/main/java/dunlinhitch/core/InFlightQuery.java
@@ -70,8 +70,8 @@
 
   /**
    * Whether the received values may be sent as a response, which requires their weight to reach the
-   * class's floor. In the second step, a value for every part is required if the class's floor is
-   * not below its need, because such a class does not allow partial answers.
+   * class's floor. A class whose floor is not below its need does not allow partial answers; the
+   * second step of its queries requires a value for every part.
    */
   boolean isAnswerable() {
     double minimumWeight =
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -295,7 +295,8 @@
     InFlightAttempt attempt = state.registry().attempts.get(event.attempt());
     if (attempt == null) {
       if (!event.unconfirmed()) {
-        release(event.attempt()); // the attempt was cancelled while its result was in transit
+        // The attempt was cancelled while its result was in transit.
+        release(event.attempt());
       }
     } else if (event.unconfirmed()) {
       balancer.deliver(attempts.endUnconfirmed(attempt, event.outcome()));
--- a/src/main/java/dunlinhitch/core/SendGuard.java
+++ b/src/main/java/dunlinhitch/core/SendGuard.java
@@ -40,7 +40,8 @@
     Settings settings = context.settings();
     int limit = Math.min(settings.limits().maxAttempts(), part.query.attemptLimit);
     if (part.inFirstPass) {
-      limit--; // one attempt is reserved for the full pass
+      // One attempt is reserved for the full pass.
+      limit--;
     }
     if (part.firstPassAttempts + part.attemptsStarted >= limit) {
       return "the limit of " + limit + " attempts for the part is reached";
@@ -79,7 +80,7 @@
         queryClass.idempotency() == Idempotency.GUARDED
             && context.nowUs() > part.earliestExecutionUs + queryClass.dedupWindowUs();
     return windowExpired || queryClass.idempotency() == Idempotency.SINGLE_SHOT
-        ? "an earlier attempt of the part may have been executed and its class does not allow a retry now"
+        ? "an earlier attempt may have been executed, and the query class does not allow a retry now"
         : null;
   }
 
--- a/src/main/java/dunlinhitch/core/StartTimes.java
+++ b/src/main/java/dunlinhitch/core/StartTimes.java
@@ -7,11 +7,12 @@
  * the current time, an endpoint that has just started could appear to be warmed up, or a warm
  * endpoint could appear cold for an hour.
  *
- * <p>Independently of any wall clock, a start precedes the time at which it is first seen. The
- * smallest difference between the two over all starts seen so far is an upper bound for the offset
- * between the clocks, and every start is shifted by that bound. This is not done for the first list
- * that discovery sends: all starts in it may be long ago, so the bound would make warm endpoints
- * appear cold. Starts in that list are taken as reported, limited to the current time.
+ * <p>Independently of any wall clock, an endpoint starts before this broker first sees its start
+ * time. The difference between the time of first sight and the reported start is therefore an upper
+ * bound for the offset between the clocks. The smallest such difference so far is added to every
+ * reported start. Starts in the first list that discovery sends are not shifted, because all of
+ * them may be long ago, and a bound derived from them would make warm endpoints appear cold. These
+ * starts are used as reported, limited to the current time.
  *
  * <p>Owned by the reducer; not thread-safe.
  */
--- a/src/main/java/dunlinhitch/simulator/BatchDecoder.java
+++ b/src/main/java/dunlinhitch/simulator/BatchDecoder.java
@@ -157,7 +157,8 @@
   private static ServerEntry decodeServerEntry(ByteBuffer fields) {
     int id = fields.getInt();
     int zone = unsignedShort(fields);
-    fields.get(); // unused by the balancer
+    // Skips a field that the balancer does not use.
+    fields.get();
     int cell = unsignedShort(fields);
     int state = fields.get();
     return new ServerEntry(id, zone, cell, stateOf(state), fields.getFloat(), fields.getLong());
@@ -172,7 +173,8 @@
   }
 
   private BalancerEvent decodeServerListUpdated(ByteBuffer fields) throws MalformedFrameException {
-    fields.getLong(); // unused by the balancer
+    // Skips a field that the balancer does not use.
+    fields.getLong();
     int page = unsignedShort(fields);
     int kind = fields.get();
     if (kind == LIST_FAILED) {
@@ -198,7 +200,8 @@
   private BalancerEvent decodeWorkArrived(ByteBuffer fields) {
     int id = fields.getInt();
     int tenant = fields.getInt();
-    fields.getLong(); // unused by the balancer
+    // Skips a field that the balancer does not use.
+    fields.getLong();
     float size = fields.getFloat();
     long number = (long) fields.getFloat();
     long expiresInUs = unsignedInt(fields);
--- a/src/main/java/dunlinhitch/twophase/BlockSummaries.java
+++ b/src/main/java/dunlinhitch/twophase/BlockSummaries.java
@@ -97,7 +97,8 @@
       return;
     }
     ensureCapacity(block);
-    int versionHash = hash(version) | 1; // the lowest bit distinguishes the hash from NO_VERSION
+    // The lowest bit distinguishes the hash from NO_VERSION.
+    int versionHash = hash(version) | 1;
     if (versionHashes[block] != versionHash) {
       forget(block);
       versionHashes[block] = versionHash;
--- a/src/main/java/dunlinhitch/twophase/ClassEstimates.java
+++ b/src/main/java/dunlinhitch/twophase/ClassEstimates.java
@@ -11,10 +11,16 @@
  * <p>Not thread-safe; owned by the {@link TwoPhasePlanner}.
  */
 final class ClassEstimates {
-  /** Minimum number of samples of each pass. With fewer, two phases are used for trials only. */
+  /**
+   * Minimum number of samples of each pass for a decision. With fewer samples, only a share of the
+   * queries runs in two phases, as trials that provide samples.
+   */
   private static final int MIN_SAMPLES = 20;
 
-  /** Cost of a first pass relative to a full pass, until it has been measured without queueing. */
+  /**
+   * Assumed cost of a first pass relative to a full pass, used until the cost has been measured at
+   * replicas without a queue.
+   */
   private static final double INITIAL_COST_RATIO = 0.1;
 
   private static final double MAX_COST_RATIO = 2;
@@ -25,8 +31,8 @@
   private static final double EMPTY_SHARE_WEIGHT = 0.02;
 
   /**
-   * Full passes count as queued if their low percentile exceeds the recorded lowest latency by this
-   * factor.
+   * Full passes count as queued if the low percentile of their latencies exceeds the recorded
+   * lowest latency by this factor.
    */
   private static final double QUEUEING_FACTOR = 1.5;
 
@@ -36,10 +42,12 @@
    */
   private static final double QUICKEST_DRIFT = 1.0005;
 
-  /** The low percentile of a pass, which contains the least queueing delay. */
+  /** The low latency percentile of a pass. Low percentiles contain the least queueing delay. */
   private static final double QUICK_PERCENTILE = 5;
 
-  /** The percentile of the full pass for which time must remain after the first pass. */
+  /**
+   * The percentile of full-pass latencies that must fit into the time left after the first pass.
+   */
   private static final double SLOW_PERCENTILE = 90;
 
   /**
--- a/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
+++ b/src/main/java/dunlinhitch/twophase/TwoPhasePlanner.java
@@ -25,7 +25,10 @@
   /** Maximum age at which a summary still gives a hint, in microseconds. */
   private static final long MAX_SUMMARY_AGE_US = 30_000_000;
 
-  /** Minimum share of trials while a class has too few samples for a decision. */
+  /**
+   * Minimum share of a class's queries that run in two phases as trials while the class has too few
+   * samples for a decision.
+   */
   private static final double MIN_INITIAL_TRIAL_SHARE = 0.25;
 
   /**
--- a/src/test/java/dunlinhitch/balancer/AdmissionTest.java
+++ b/src/test/java/dunlinhitch/balancer/AdmissionTest.java
@@ -112,8 +112,8 @@
   @Test
   void aLaggingBrokerRejectsQueriesThatWouldBeLate() {
     BalancerHarness balancer = BalancerHarness.withTwoServers(new SettingsBuilder());
-    balancer.nowUs +=
-        700_000; // advances only the clock, so that the timers due in between fire late
+    // Advances only the clock, so that the timers due in between fire late.
+    balancer.nowUs += 700_000;
     balancer.advance(0);
     balancer.query(0, CLIENT_TIMEOUT_US, 0);
     assertTrue(
--- a/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
+++ b/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
@@ -14,7 +14,8 @@
     settings.healthChecks = true;
     settings.healthCheckPrice = price;
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
-    for (int i = 0; i < 50; i++) { // one query every 2 s, so that the reports are stale each time
+    // Sends one query every 2 s, so that the reports are stale each time.
+    for (int i = 0; i < 50; i++) {
       balancer.query(0, CLIENT_TIMEOUT_US, 0, 1);
       balancer.advance(100_000);
       for (BalancerHarness.SentAttempt sent : List.copyOf(balancer.sends)) {
--- a/src/test/java/dunlinhitch/balancer/QueryCompletionTest.java
+++ b/src/test/java/dunlinhitch/balancer/QueryCompletionTest.java
@@ -122,7 +122,8 @@
     BalancerHarness balancer = BalancerHarness.withTwoServers(settings);
     balancer.query(0, CLIENT_TIMEOUT_US, 0, 1);
     balancer.complete(balancer.sends.get(0), AttemptOutcome.OK);
-    balancer.advance(990_000); // the objective is at 1 s
+    // The objective is at 1 s.
+    balancer.advance(990_000);
     assertTrue(
         balancer.actions.contains("answer 1 partial"),
         "answered 10 ms before the objective: " + balancer.actions);
--- a/src/test/java/dunlinhitch/balancer/ServerListUpdatesTest.java
+++ b/src/test/java/dunlinhitch/balancer/ServerListUpdatesTest.java
@@ -26,7 +26,8 @@
     balancer.sends.clear();
     balancer.handle(new BalancerEvent.ServerDisabled(1, false));
     int useCount = 0;
-    for (int i = 0; i < 50; i++) { // 50 queries within 5 s
+    // Sends 50 queries within 5 s.
+    for (int i = 0; i < 50; i++) {
       int from = balancer.sends.size();
       balancer.query(0, CLIENT_TIMEOUT_US, 0);
       balancer.advance(100_000);
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulation.java
@@ -378,7 +378,8 @@
       return queryClass;
     }
 
-    @SuppressWarnings("ReferenceEquality") // this very call must be in flight, not an equal one
+    // The check is for this call itself; an equal call in flight must not match.
+    @SuppressWarnings("ReferenceEquality")
     boolean hasAbandoned(Call call) {
       return call.incarnation != incarnation || !call.equals(inFlight.get(call.part));
     }
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
@@ -114,7 +114,7 @@
   @Test
   void aHundredBrokersDoNotAllSendCheapPartsSimultaneously() {
     double sent = sendsOfAHundredBrokers(0, 10_000, 1);
-    // Overload factor times the capacity at the end of that second, in calls.
+    // The limit is the overload factor times the capacity at the end of that second, in calls.
     double allowed = 2 * 0.28 / 0.01;
     assertTrue(sent > 5 && sent <= allowed + 2 * Math.sqrt(allowed) + 2, "sent: " + sent);
   }
@@ -171,7 +171,8 @@
         all.forEach(harness -> harness.advance(10_000));
         balancer.query(0, 3_000_000, 0);
         for (BalancerHarness harness : all) {
-          while (!harness.sends.isEmpty()) { // an immediate retry gets the same outcome
+          // An immediate retry gets the same outcome.
+          while (!harness.sends.isEmpty()) {
             BalancerHarness.SentAttempt sent = harness.sends.remove(0);
             sentAt.add(sent.atUs());
             harness.complete(sent, outcome);
@@ -186,7 +187,7 @@
                     maxPerSecond,
                     sentAt.stream().filter(at -> at >= from && at < from + 1_000_000).count());
       }
-      // The budget per second at the end of the four seconds, in parts of 0.1 s of work.
+      // The limit is the budget per second at the end of the four seconds, in parts of 0.1 s.
       double allowed = 2 * (0.2 + 0.8 * 0.35) / 0.1;
       assertTrue(
           maxPerSecond >= 3 && maxPerSecond <= allowed + 2,
--- a/src/test/java/dunlinhitch/balancer/SlowStartTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartTest.java
@@ -18,8 +18,8 @@
       balancer.query(0, CLIENT_TIMEOUT_US, 0);
       balancer.advance(25_000);
     }
-    // The overload factor 2 times 0.2 to 0.28 of one core during 1 s is shared by two brokers, so
-    // each may send at most three parts of 100 ms.
+    // The server may get 2 (the overload factor) times 0.2 to 0.28 of one core for 1 s. Two brokers
+    // share that budget, so each may send at most three parts of 100 ms.
     assertTrue(
         balancer.sends.size() >= 1 && balancer.sends.size() <= 3, "sent: " + balancer.sends.size());
   }
@@ -49,7 +49,8 @@
     balancer.updateServers(ServerEntries.started(3, 0, balancer.nowUs));
     balancer.advance(3_000_000);
     balancer.sends.clear();
-    for (int i = 0; i < 10; i++) { // the warm servers keep reporting a load of 8
+    // The warm servers keep reporting a load of 8.
+    for (int i = 0; i < 10; i++) {
       balancer.query(0, CLIENT_TIMEOUT_US, 0);
       balancer.advance(20_000);
       balancer.complete(
--- a/src/test/java/dunlinhitch/balancer/TokenBucketTest.java
+++ b/src/test/java/dunlinhitch/balancer/TokenBucketTest.java
@@ -17,7 +17,8 @@
       buckets[i] = new TokenBucket();
       buckets[i].reset((i + 1) / 100.0, 0);
     }
-    for (int window = 0; window < 40; window++) { // each bucket gains 0.05 of a call per window
+    // Each bucket gains 0.05 of a call per window.
+    for (int window = 0; window < 40; window++) {
       int admitted = 0;
       for (long at = 1; at <= 50; at++) {
         for (TokenBucket bucket : buckets) {
--- a/src/test/java/dunlinhitch/concurrent/HandOffTest.java
+++ b/src/test/java/dunlinhitch/concurrent/HandOffTest.java
@@ -65,7 +65,8 @@
    * Incorrect variant (lost update): two threads can read the same version and both write the next
    * one.
    */
-  @SuppressWarnings("NonAtomicVolatileUpdate") // the mistake that the model checker must find
+  // The suppressed warning is the mistake that the model checker must find.
+  @SuppressWarnings("NonAtomicVolatileUpdate")
   public static class PublishWithLostUpdate {
     private volatile long version;
 
--- a/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
@@ -86,9 +86,9 @@
     runFor(200_000);
     assertEquals(List.of(), attemptsIn(effects));
     turn(
+        // With OK, an answer still arrives after the connection was lost.
         lateReply == AttemptOutcome.OK
-            ? Event.AttemptCompleted.of(
-                lost, AttemptOutcome.OK) // an answer still arrives after the loss
+            ? Event.AttemptCompleted.of(lost, AttemptOutcome.OK)
             : new Event.AttemptReleased(lost));
     assertEquals(1, attemptsIn(effects).size());
     turn(new Event.AttemptReleased(lost), new Event.AttemptReleased(lost));
@@ -162,8 +162,8 @@
       effects.addAll(turn);
     }
     assertTrue(responseTo(3) instanceof QueryResponse.Served, "response: " + responseTo(3));
-    List<Effect.AttemptRequest> again =
-        attemptsIn(effects); // the sixth part was retried after its time limit
+    // The sixth part was retried after its time limit.
+    List<Effect.AttemptRequest> again = attemptsIn(effects);
     assertEquals(
         List.of(again.get(again.size() - 1).attempt()),
         effectsOf(Effect.WithdrawAttempt.class).stream()
--- a/src/test/java/dunlinhitch/core/ReducerTest.java
+++ b/src/test/java/dunlinhitch/core/ReducerTest.java
@@ -80,7 +80,8 @@
       reducer.turn(now, List.of(bothEndpointsListed()));
       long attempt =
           attemptsIn(reducer.turn(now, List.of(queryReceived(1, 1, 1)))).get(0).attempt();
-      now += 2 * SECOND; // past the time limit of the attempt and the deadline of the query
+      // Advances past the time limit of the attempt and the deadline of the query.
+      now += 2 * SECOND;
       Event answered = new Event.AttemptCompleted(attempt, AttemptOutcome.OK, new float[0], "v");
       Event left = new Event.ClientDisconnected(1);
       List<Effect> out =
--- a/src/test/java/dunlinhitch/core/StartTimesTest.java
+++ b/src/test/java/dunlinhitch/core/StartTimesTest.java
@@ -71,7 +71,8 @@
   private int partsSent() {
     effects.clear();
     turn(queryReceived(1, 0, PARTS));
-    runFor(100_000); // long enough for the health checks that precede the parts
+    // Allows time for the health checks that precede the parts.
+    runFor(100_000);
     return attemptsIn(effects).size();
   }
 
--- a/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
+++ b/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
@@ -52,8 +52,9 @@
         }
       }
     }
-    // The overload factor 3 times 15 % of a core for 1.5 s, divided by at least 46 ms per request,
-    // plus one part.
+    // The limit is 3 (the overload factor) times 15 % of a core for 1.5 s, divided by at least 46
+    // ms
+    // of work per request, plus one part.
     int limit = (int) (3 * 0.15 * 1_500_000 / 46_000) + 1;
     assertTrue(
         attemptsByPhase[0] > 0 && attemptsByPhase[1] > 0,
@@ -78,7 +79,8 @@
                 now, List.of(new Event.QueryReceived(1, queryOfTwoParts("q", queryClass)))));
     assertEquals(2, firstPasses.size());
     List<Effect> cancelled = new ArrayList<>();
-    for (int i = 0; i < 80; i++) { // 400 ms, in which the first pass times out
+    // Runs for 400 ms, in which the first pass times out.
+    for (int i = 0; i < 80; i++) {
       now += 5_000;
       List<Effect> turn = twoPhaseReducer.turn(now, List.of());
       assertEquals(List.of(), attemptsIn(turn));
