--- a/src/main/java/dunlinhitch/cli/Main.java
+++ b/src/main/java/dunlinhitch/cli/Main.java
@@ -48,14 +48,15 @@
 
   /**
    * Serves with the default options, as the platform starts a broker, without loading any class of
-   * picocli: loading them took a fifth of the CPU time of a start, during which clients have no
-   * broker.
+   * picocli: loading them took a fifth of the CPU time of a start, and clients have no broker until
+   * the start has completed.
    */
   private static int serve() {
     try {
       return ServeCommand.withDefaults().call();
     } catch (InterruptedException | RuntimeException failure) {
-      return report(failure); // commandLine() reports failures of the other commands
+      // The failures of all other commands are reported by the handlers that commandLine() sets.
+      return report(failure);
     }
   }
 
--- a/src/main/java/dunlinhitch/cli/RecordsCommand.java
+++ b/src/main/java/dunlinhitch/cli/RecordsCommand.java
@@ -36,7 +36,7 @@
             + "and why records are not used.",
     mixinStandardHelpOptions = true)
 final class RecordsCommand implements Callable<Integer> {
-  /** Time after the last answer in which the registry resolves contradictory claims. */
+  /** Time for which the registry may still resolve contradictory claims after the last answer. */
   private static final long SETTLE_MS = 50;
 
   private static final long MICROS_PER_MILLI = 1000;
--- a/src/main/java/dunlinhitch/cli/ServeCommand.java
+++ b/src/main/java/dunlinhitch/cli/ServeCommand.java
@@ -50,13 +50,19 @@
     return 0;
   }
 
-  /** Preloads the time zone rules of the log; later, reading them could lack a file descriptor. */
+  /**
+   * Preloads the time zone rules that the log uses, because the process may have no free file
+   * descriptor to read them later.
+   */
   @SuppressWarnings("ReturnValueIgnored") // called for its side effect
   private static void loadTimeZoneRules() {
     ZoneId.systemDefault().getRules();
   }
 
-  /** Returns the listener for clients, with the platform's socket if it passes one. */
+  /**
+   * Returns the listener for clients. It uses the platform's listening socket if the platform
+   * passes one.
+   */
   private static ClientListener listener() {
     String descriptor = System.getenv(LISTENER_VARIABLE);
     if (descriptor == null || descriptor.isEmpty()) {
--- a/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
+++ b/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
@@ -10,10 +10,10 @@
   private ClusterAddressResolver() {}
 
   /**
-   * Returns the product's settings, with the platform's addresses if its own section has none. If
-   * the platform's addresses are invalid, the result has no cluster settings, and the broker runs
-   * without a cluster. The platform's entry with the broker's own name is the address that is
-   * advertised to other brokers.
+   * Returns the product's settings. If their section {@code [fleet]} has no listen address, the
+   * platform's addresses are added. If the platform's addresses are invalid, the result has no
+   * cluster settings, and the broker runs without a cluster. The address advertised to other
+   * brokers is the platform's entry with the name of this broker, or else the listen address.
    *
    * @param product the product's own settings
    * @param platform the platform's addresses, or null
--- a/src/main/java/dunlinhitch/config/Config.java
+++ b/src/main/java/dunlinhitch/config/Config.java
@@ -34,7 +34,7 @@
     Path sharedFolder,
     long writtenMs,
     GossipAddresses gossipAddresses) {
-  /** Number of file descriptors if the file has no {@code limits.sockets}. */
+  /** Maximum number of open file descriptors if the file has no {@code limits.sockets}. */
   public static final int DEFAULT_SOCKETS = 1024;
 
   /** Creates a configuration without addresses for gossip. */
--- a/src/main/java/dunlinhitch/config/ConfigFile.java
+++ b/src/main/java/dunlinhitch/config/ConfigFile.java
@@ -44,12 +44,12 @@
   }
 
   /**
-   * Reads the platform's file again. Its address of the discovery service takes precedence over the
-   * environment, which still contains the address from the start. The product's settings are not
-   * reloaded.
+   * Reads the platform's file again. The discovery address in the file takes precedence over the
+   * environment variable, which still contains the address from process startup. The product's
+   * settings are not reloaded.
    *
-   * @throws Config.ConfigException if the file is invalid, lacks a key of the current one, or
-   *     changes a setting that requires a restart
+   * @throws Config.ConfigException if the file is invalid, lacks a key that the current
+   *     configuration has, or changes a setting that requires a restart
    */
   public Config reload() {
     JsonObject root = ConfigReader.parse(file);
--- a/src/main/java/dunlinhitch/config/ConfigReader.java
+++ b/src/main/java/dunlinhitch/config/ConfigReader.java
@@ -37,7 +37,7 @@
     } catch (NoSuchFileException e) {
       throw new ConfigException("file not found: " + file);
     } catch (IOException | RuntimeException e) {
-      // the JSON library reports content other than an object by several unchecked exceptions
+      // The JSON library throws various unchecked exceptions if the content is not an object.
       throw new ConfigException("cannot read " + file + ": " + e.getMessage());
     }
   }
@@ -56,7 +56,7 @@
     } catch (ConfigException e) {
       throw new ConfigException(file + ": " + e.getMessage());
     } catch (RuntimeException e) {
-      // the JSON library reports values of unexpected types by several unchecked exceptions
+      // The JSON library throws various unchecked exceptions if a value has an unexpected type.
       throw new ConfigException(file + ": invalid value: " + e.getMessage());
     }
   }
@@ -116,7 +116,8 @@
     try {
       return Math.max(0, Files.getLastModifiedTime(file).toMillis());
     } catch (IOException e) {
-      return 0; // the file was removed after it was read: treated as oldest
+      // The file was removed after it was read. 0 marks the modification time as unknown.
+      return 0;
     }
   }
 }
--- a/src/main/java/dunlinhitch/config/DnsSectionReader.java
+++ b/src/main/java/dunlinhitch/config/DnsSectionReader.java
@@ -50,7 +50,8 @@
       if (!server.hasIpAddress()) {
         throw section.error(
             "server",
-            "must be an IP address, because it is needed to resolve names; found " + server.host());
+            "must be an IP address, because resolving a host name requires a DNS server; found "
+                + server.host());
       }
     }
     return servers;
@@ -84,7 +85,10 @@
         section.path("key"));
   }
 
-  /** Returns the host name; by default the instance name with invalid characters as hyphens. */
+  /**
+   * Returns the host name. The default is the instance name, in which each sequence of characters
+   * that are invalid in a host name is replaced with a hyphen.
+   */
   private static String target(SectionValues section) {
     String target = section.text("target");
     return target == null ? section.text("instance").replaceAll("[^A-Za-z0-9-]+", "-") : target;
--- a/src/main/java/dunlinhitch/config/GossipAddresses.java
+++ b/src/main/java/dunlinhitch/config/GossipAddresses.java
@@ -5,14 +5,15 @@
 
 /**
  * The platform's addresses for gossip between brokers, from the keys {@code peer_listen}, {@code
- * peers} and {@code peers_all}. They enable nothing by themselves. Invalid keys do not prevent a
- * broker from starting: the addresses are absent then, and {@code unusableReason} describes the
- * problem.
+ * peers} and {@code peers_all}. Gossip is enabled only by the section {@code [fleet]} of the
+ * product's settings. If a key is invalid, the broker still starts: all addresses are absent, and
+ * {@code unusableReason} describes the problem.
  *
  * @param listen address at which gossip messages to this broker are delivered, or null
  * @param peers the other brokers, and possibly this one
- * @param sharedAddress one address that reaches all of them, or null
- * @param unusableReason why the addresses cannot be used, as one line, or null
+ * @param sharedAddress one address that reaches all brokers, or null
+ * @param unusableReason one line that describes why the addresses cannot be used, or null if they
+ *     can
  */
 public record GossipAddresses(
     Address listen, List<Peer> peers, Address sharedAddress, String unusableReason) {
--- a/src/main/java/dunlinhitch/config/GossipAddressesReader.java
+++ b/src/main/java/dunlinhitch/config/GossipAddressesReader.java
@@ -31,8 +31,8 @@
     try {
       return readAddresses(root);
     } catch (RuntimeException e) {
-      // no error in these keys may prevent the broker from starting, including the unchecked
-      // exceptions of the JSON library
+      // An error in these keys must not prevent the broker from starting. The JSON library also
+      // throws unchecked exceptions for values of an unexpected type.
       return GossipAddresses.unusable(
           "gossip disabled, the platform's addresses cannot be used: "
               + String.valueOf(e.getMessage()).replaceAll("\\s+", " "));
@@ -63,7 +63,7 @@
         || (value.isObject() && value.asObject().isEmpty());
   }
 
-  /** Returns whether gossip is allowed, which is the default if the platform gives addresses. */
+  /** Returns false only if {@code Limits.PeerMessages} is false; it is true by default. */
   private static boolean isAllowed(JsonObject root) {
     JsonValue limits = root.get("settings").asObject().get("Limits");
     return limits == null || limits.isNull() || limits.asObject().getBoolean("PeerMessages", true);
--- a/src/main/java/dunlinhitch/config/JsonFields.java
+++ b/src/main/java/dunlinhitch/config/JsonFields.java
@@ -56,7 +56,7 @@
     return value == null ? defaultValue : (long) bounded(key, value);
   }
 
-  /** Returns a 32-bit integer; a fraction is truncated, and the range is clamped. */
+  /** Returns a 32-bit integer; a fraction is truncated, and the value is clamped to the range. */
   static int integer(JsonObject parent, String key, int defaultValue) {
     JsonValue value = presentValue(parent, key);
     return value == null ? defaultValue : (int) bounded(key, value);
--- a/src/main/java/dunlinhitch/config/LegacyProductFile.java
+++ b/src/main/java/dunlinhitch/config/LegacyProductFile.java
@@ -4,7 +4,10 @@
 import com.eclipsesource.json.JsonValue;
 import java.nio.file.Path;
 
-/** Translates the former JSON format of the product's settings file, for the error message. */
+/**
+ * Translates a product settings file in the former JSON format into directives of the current
+ * format, which are shown in an error message.
+ */
 final class LegacyProductFile {
   private LegacyProductFile() {}
 
--- a/src/main/java/dunlinhitch/config/Product.java
+++ b/src/main/java/dunlinhitch/config/Product.java
@@ -47,15 +47,15 @@
    * @param advertise address at which other brokers reach this broker
    * @param peers addresses of brokers through which this broker joins the cluster
    * @param minSubset smallest subset of a cell's endpoints that each broker uses
-   * @param slack how far the number of brokers per endpoint may exceed the mean, as a share of it
+   * @param slack fraction by which the number of brokers per endpoint may exceed its mean
    * @param protocolPeriodUs protocol period of failure detection, in microseconds
    * @param suspicionUs how long a suspected broker is treated as alive, in microseconds
    * @param healthCheckIntervalUs interval at which one broker of the cluster checks the health of
    *     an endpoint, in microseconds
-   * @param stragglerAfterUs how long a broker may use older versions before it is treated as a
-   *     straggler, in microseconds
-   * @param fenceAfterUs how long a broker may use older versions than most others before it is
-   *     fenced, in microseconds
+   * @param stragglerAfterUs how long a broker may use older settings or an older endpoint list than
+   *     other brokers before it is treated as a straggler, in microseconds
+   * @param fenceAfterUs how long most brokers must have used the newer versions before a straggler
+   *     is fenced, in microseconds
    */
   public record Cluster(
       Address listen,
@@ -99,14 +99,15 @@
    * A query class that may run in two phases. All shares are from 0 to 1.
    *
    * @param queryClass name of the class
-   * @param firstPassShare maximum duration of the first pass, as a share of the time to the latency
-   *     objective
+   * @param firstPassShare maximum duration of the first pass, as a share of the time that remains
+   *     until the latency objective
    * @param minBlocks minimum number of blocks; a query over fewer blocks runs in a single phase
-   * @param trialShare share of queries that run in two phases although this is not expected to save
-   *     work
+   * @param trialShare share of queries that run in two phases although no saving of work is
+   *     expected
    * @param auditShare share of prunable blocks that are still queried in full, to verify the
    *     pruning
-   * @param minSavings minimum share of the work that two phases must save to be used
+   * @param minSavings minimum share of the work that two phases must be expected to save; otherwise
+   *     a query runs in a single phase
    * @param closeDurationUs how long pruning is disabled after a failed audit, in microseconds
    */
   public record TwoPhaseClass(
@@ -126,10 +127,10 @@
    * @param servers DNS servers, by IP address
    * @param service the service type with its domain
    * @param subtypes subtypes whose instances are used; all instances if empty
-   * @param rank precedence among sources that disagree; the lowest wins, and the platform's
+   * @param rank precedence among sources that disagree: the lowest rank wins, and the platform's
    *     discovery service has rank 0
    * @param zone the zone whose SOA serial is polled, or null for the service's domain
-   * @param soaEveryUs interval of these polls in microseconds; 0 disables them
+   * @param soaEveryUs interval of the SOA serial polls in microseconds; 0 disables them
    * @param push server of DNS Push Notifications, or null
    * @param pushTrust PEM file of the CAs trusted for the push server, or null for the system's
    *     trust store
--- a/src/main/java/dunlinhitch/config/ProductSchema.java
+++ b/src/main/java/dunlinhitch/config/ProductSchema.java
@@ -56,7 +56,8 @@
             "rank",
             ValueKind.COUNT,
             "1",
-            "precedence among sources that disagree; the lowest wins, the discovery service has 0")
+            "precedence among sources that disagree: the lowest rank wins; "
+                + "the discovery service has rank 0")
         .optional(
             "zone",
             ValueKind.TEXT,
@@ -96,7 +97,7 @@
             "hold",
             ValueKind.DURATION,
             "500ms",
-            "delay before a store is used again at its second return within calm; "
+            "delay before a store that returns a second time within calm is used again; "
                 + "each further return doubles the delay")
         .optional(
             "hold_most",
@@ -118,7 +119,7 @@
             "share",
             ValueKind.PERCENT,
             "30%",
-            "maximum duration of the first pass, as a share of the latency objective")
+            "maximum duration of the first pass, as a share of the time to the latency objective")
         .optional(
             "least",
             ValueKind.COUNT,
@@ -175,7 +176,7 @@
             "slack",
             ValueKind.PERCENT,
             "20%",
-            "share by which the number of brokers per store may exceed the mean");
+            "share by which the number of brokers per store may exceed its mean");
     declareClusterTimes(cluster);
   }
 
@@ -194,7 +195,8 @@
             "behind",
             ValueKind.DURATION,
             "1500ms",
-            "how long a broker may use older settings or an older list before it is a straggler")
+            "how long a broker may use older settings or an older endpoint list "
+                + "before it is treated as a straggler")
         .optional(
             "shut_out",
             ValueKind.DURATION,
--- a/src/main/java/dunlinhitch/discovery/EndpointListFile.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListFile.java
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Reads the file, or returns null if it does not exist. A claim reported after {@code nowUs},
-   * because the clock was set back, is treated as reported now.
+   * Reads the file, or returns null if it does not exist. If the clock was set back, a claim may
+   * have a report time after {@code nowUs}; such a claim is treated as reported at {@code nowUs}.
    *
    * @throws IOException if the file cannot be read; a damaged file is renamed, and the message is
    *     suitable for the log
@@ -96,7 +96,8 @@
         throw new IllegalArgumentException("the file is larger than " + MAX_BYTES + " bytes");
       }
       return EndpointListFormat.decode(nowUs, Files.readAllBytes(path()));
-    } catch (RuntimeException e) { // the JSON library throws several exception types
+    } catch (RuntimeException e) {
+      // The JSON library throws various unchecked exceptions for malformed content.
       Path damaged = folder.resolve(DAMAGED_NAME);
       Files.move(path(), damaged, StandardCopyOption.REPLACE_EXISTING);
       throw new IOException(
--- a/src/main/java/dunlinhitch/discovery/EndpointListFormat.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListFormat.java
@@ -32,7 +32,7 @@
 
   /**
    * A claim that never expires, for example because a push session maintains it, is stored with an
-   * expiry this long after the write.
+   * expiry 60 s after the write.
    */
   private static final long UNBOUNDED_CLAIM_US = 60_000_000;
 
@@ -74,8 +74,8 @@
   }
 
   /**
-   * Decodes the content of a file. A claim reported after {@code nowUs}, because the clock was set
-   * back, is treated as reported now.
+   * Decodes the content of a file. If the clock was set back, a claim may have a report time after
+   * {@code nowUs}; such a claim is treated as reported at {@code nowUs}.
    *
    * @throws RuntimeException if the content has another version or is damaged
    */
--- a/src/main/java/dunlinhitch/discovery/EndpointListReader.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListReader.java
@@ -39,7 +39,7 @@
   }
 
   /**
-   * Reads a complete list, if {@code reset} is true in the JSON, or else a list of changes.
+   * Reads a complete list if {@code reset} is true in the JSON, and a list of changes otherwise.
    *
    * @param list the list as received or stored
    * @param cached whether the list comes from a cache instead of the discovery service
--- a/src/main/java/dunlinhitch/discovery/WatchSession.java
+++ b/src/main/java/dunlinhitch/discovery/WatchSession.java
@@ -58,8 +58,8 @@
   private boolean firstRequestMade;
 
   /**
-   * True once the latest request has delivered a list, or data later than the idle timeout after it
-   * was sent. This resets the backoff.
+   * True once the latest request has delivered a list, or has delivered data when it was older than
+   * the idle timeout. In both cases the backoff is reset.
    */
   private boolean proven;
 
@@ -210,7 +210,7 @@
   void onList(long nowUs, long listGeneration) {
     generation = listGeneration;
     markProven();
-    // an object that is incomplete now began after this list: restart its stall timeout
+    // An object that is still incomplete began after this list, so its stall timeout restarts.
     if (partialSinceUs != WatchStateMachine.NEVER) {
       partialSinceUs = nowUs;
       renewIdleTimeout(nowUs);
--- a/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
@@ -190,7 +190,8 @@
     }
     List<WatchSession.Request> requests = session.requests();
     if (session.phase() == WatchSession.Phase.STREAMING || now.maxRequests() == 1) {
-      for (WatchSession.Request request : requests) { // more than one after a change of settings
+      // More than one request is in flight here only if new settings have lowered the limit to 1.
+      for (WatchSession.Request request : requests) {
         fail(session, nowUs, request);
       }
       return;
@@ -207,7 +208,8 @@
   private void fail(WatchSession session, long nowUs, WatchSession.Request request) {
     output.add(new WatchAction.CountFailure());
     session.close(request);
-    if (session != current) { // discovery has moved to another address
+    if (session != current) {
+      // Discovery has moved to another address, so the request to the old address is not repeated.
       previous = null;
       session.end();
       return;
--- a/src/main/java/dunlinhitch/discovery/WatchTimings.java
+++ b/src/main/java/dunlinhitch/discovery/WatchTimings.java
@@ -10,12 +10,13 @@
  * @param idleTimeoutUs a watch fails if nothing is received for this time, not even the empty line
  *     that discovery sends every 2 s
  * @param stallTimeoutUs a watch fails if an object stays incomplete for this time
- * @param responseTimeoutUs a request fails if it has no response after this time; earlier if the
- *     limit of concurrent requests is reached
+ * @param responseTimeoutUs time after which an unanswered request fails if only one may be in
+ *     flight. If several may be in flight, one unanswered request is closed at the limit {@code
+ *     maxRequests}: the oldest one if it is older than this time, otherwise the second oldest
  * @param retryUs delay before another request is sent while one is unanswered, if more than one may
  *     be in flight
- * @param maxRequests maximum number of requests in flight; at the limit an old one is abandoned for
- *     a new one
+ * @param maxRequests maximum number of requests in flight; at this limit an older request is closed
+ *     before a new one is sent
  * @param backoff bounds of the delay between a failed watch and the next request
  */
 record WatchTimings(
@@ -29,7 +30,7 @@
 
   /**
    * Discovery sends an empty line every 2 s, and the broker must act on changes within 6 s after a
-   * watch fell silent.
+   * watch has stopped receiving data.
    */
   private static final long IDLE_TIMEOUT_US = 2_600_000;
 
@@ -38,8 +39,8 @@
 
   /**
    * After an outage the broker must act on the agent's list immediately, but a request sent during
-   * the outage may never be answered. The grace period of a drain can be 250 ms, and its update
-   * must be read within half of that.
+   * the outage may never be answered. The grace period of a drain can be as short as 250 ms, and
+   * the endpoint list that announces the drain must be read within half of that time.
    */
   private static final long AGENT_RETRY_US = 120_000;
 
@@ -65,7 +66,7 @@
 
   private static final long SHORTEST_INITIAL_DELAY_US = SECOND_US / 10;
 
-  /** The initial delay is this fraction of the delay between requests of one broker. */
+  /** The initial delay is the maximum delay of the broker divided by this value. */
   private static final int INITIAL_DELAY_FRACTION = 4;
 
   /** Returns the timings; if discovery is polled, the settings limit the delay between polls. */
--- a/src/main/java/dunlinhitch/discovery/dnssd/BrowsedInstances.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/BrowsedInstances.java
@@ -14,8 +14,8 @@
 import org.xbill.DNS.Type;
 
 /**
- * Tracks the instances that the PTR records of the browsed names list, and which of them need their
- * claims recomputed. Owned by {@link ServiceRecords}.
+ * Tracks the instances listed by the PTR records of the browsed names, and marks the instances
+ * whose claims must be recomputed. Owned by {@link ServiceRecords}.
  */
 final class BrowsedInstances {
   private final RecordCache cache;
--- a/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
@@ -78,7 +78,7 @@
   private final Resolver resolver;
   private final ZoneSerialPoller serialPoller;
 
-  /** Null without a push server. */
+  /** The client of the push server, or null if none is configured. */
   private final PushClient pushClient;
 
   private int consecutiveFailures;
@@ -136,7 +136,7 @@
 
   @Override
   public void follow(String host, int port) {
-    // Has no effect: the address is that of the discovery service, not of the DNS server.
+    // Has no effect, because this source queries a DNS server and not the discovery service.
   }
 
   @Override
@@ -260,7 +260,7 @@
   private void onSerialResult(AsyncResult<Message> result) {
     switch (serialPoller.onResponse(result.succeeded() ? result.result() : null)) {
       case CHANGED -> records.refreshAll(context.nowUs());
-      // The list of instances may have changed between its first answer and this serial.
+      // The list of instances may have changed between its first answer and this first poll.
       case FIRST -> records.refreshInstanceList(context.nowUs());
       case UNCHANGED -> {}
     }
--- a/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
@@ -12,8 +12,8 @@
 
 /**
  * Codec for DNS Stateful Operations (DSO, RFC 8490) and DNS Push Notifications (RFC 8765), which
- * dnsjava does not support. A message is a header of 12 bytes with opcode 6 and all counts 0,
- * followed by type-length-value (TLV) fields; domain names are not compressed.
+ * dnsjava does not support. A message is a header of 12 bytes with opcode 6 and four record counts
+ * of 0, followed by type-length-value (TLV) fields; domain names are not compressed.
  */
 public final class Dso {
   /** Opcode of every DSO message. */
@@ -98,7 +98,7 @@
         Buffer.buffer()
             .appendUnsignedShort(head.id())
             .appendUnsignedShort(flags)
-            .appendLong(0); // the four counts
+            .appendLong(0); // four record counts of two bytes each
     for (Tlv tlv : tlvs) {
       body.appendUnsignedShort(tlv.type())
           .appendUnsignedShort(tlv.data().length)
@@ -117,7 +117,7 @@
         || in.readU32() != 0
         || in.readU32() != 0) {
       throw new WireParseException(
-          "not a DSO message: expected opcode 6 and a header of 12 bytes with all counts 0");
+          "not a DSO message: expected a 12-byte header with opcode 6 and four record counts of 0");
     }
     List<Tlv> tlvs = new ArrayList<>();
     while (in.remaining() > 0) {
@@ -138,7 +138,7 @@
   /** Decodes the interval of a {@link #KEEPALIVE}, in milliseconds. */
   static long readKeepaliveIntervalMs(Tlv tlv) throws IOException {
     DNSInput in = new DNSInput(tlv.data());
-    in.readU32(); // the inactivity timeout
+    in.readU32(); // skips the inactivity timeout
     return in.readU32();
   }
 
--- a/src/main/java/dunlinhitch/discovery/dnssd/JitteredBackoff.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/JitteredBackoff.java
@@ -11,7 +11,7 @@
  * @param factorRange width of the range from which the factor is drawn
  */
 record JitteredBackoff(long initialUs, long maximumUs, double lowestFactor, double factorRange) {
-  /** Bounds the shift, so that a long series of failures does not overflow. */
+  /** Maximum number of doublings, so that the delay does not overflow after many failures. */
   private static final int MAX_DOUBLINGS = 16;
 
   /**
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushConnection.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushConnection.java
@@ -17,7 +17,10 @@
  * Confined to the event loop.
  */
 final class PushConnection {
-  /** Receives the events of the current connection; one that was closed locally reports none. */
+  /**
+   * Receives the events of the current connection. A connection that was closed locally reports no
+   * further events.
+   */
   interface Listener {
     /** The connection is established. */
     void onConnected();
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
@@ -120,7 +120,10 @@
     return lastSentUs + keepaliveIntervalUs;
   }
 
-  /** Returns when the session times out: after two intervals without a message from the server. */
+  /**
+   * Returns when the session times out, which is two keep-alive intervals after the last message
+   * from the server.
+   */
   private long inactivityTimeoutUs() {
     return lastReceivedUs + 2 * keepaliveIntervalUs;
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordSet.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordSet.java
@@ -26,7 +26,10 @@
   long ttlUs;
   long expiresUs;
 
-  /** True while a push session is subscribed to the set: it then neither expires nor refreshes. */
+  /**
+   * True while a push session is subscribed to the set. A subscribed set does not expire and is not
+   * refreshed.
+   */
   boolean subscribed;
 
   /** Timer of the next refresh or retry. */
--- a/src/main/java/dunlinhitch/discovery/dnssd/RegistrationUpdates.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RegistrationUpdates.java
@@ -104,8 +104,8 @@
     EDNSOption option = opt.getOptions(LEASE_OPTION).get(0);
     try {
       DNSInput in = new DNSInput(option.toWire());
-      in.readU16(); // option code
-      in.readU16(); // option length
+      in.readU16(); // skips the option code
+      in.readU16(); // skips the option length
       return Math.max(MIN_LEASE_S, in.readU32());
     } catch (WireParseException exception) {
       return registration.leaseS();
--- a/src/main/java/dunlinhitch/discovery/dnssd/ResponseRecords.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ResponseRecords.java
@@ -15,9 +15,10 @@
 
 /** Groups the records of one response by name and type, and computes their lifetimes. */
 final class ResponseRecords {
-  /** Bounds that are applied to the TTLs received from a server. */
+  /** Lower bound applied to the TTLs received from a server. */
   static final long MIN_TTL_US = 1_000_000;
 
+  /** Upper bound applied to the TTLs received from a server: one day. */
   static final long MAX_TTL_US = 86_400_000_000L;
 
   /** Lifetime of a negative answer without an SOA record. */
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
@@ -24,8 +24,8 @@
  * and pushed changes; its outputs are queries and endpoint claims. It performs no I/O and reads no
  * clock. Not thread-safe; its owner calls it on the event loop. Times are in microseconds.
  *
- * <p>Only a negative answer with the AA bit empties a record set. After any other failure the
- * record set is unchanged and its query is retried with backoff.
+ * <p>Only a negative answer with the AA bit empties a record set. If a query fails or its answer
+ * cannot be used, the record set is unchanged and the query is retried with backoff.
  */
 public final class ServiceRecords {
   /**
--- a/src/main/java/dunlinhitch/scoring/CircuitBreaker.java
+++ b/src/main/java/dunlinhitch/scoring/CircuitBreaker.java
@@ -6,17 +6,18 @@
 
 /**
  * Circuit breaker of one scorer. A failure opens it for a backoff that doubles with each failure,
- * with jitter; a number of consecutive valid rounds reverts one failure. Ejections by other brokers
- * never open it; they only double the backoff after a failure at this broker.
+ * with jitter. After a configured number of consecutive valid rounds the count of failures is
+ * decremented. Ejections by other brokers never open it; if at least two other brokers have ejected
+ * the scorer, the backoff after a failure at this broker is doubled once more.
  *
  * <p>Uses no clock, I/O or threads. Not thread-safe; the thread that runs the rounds owns it. Times
  * are in microseconds of a monotonic clock.
  */
 public final class CircuitBreaker {
-  /** The shortest backoff as a fraction of the longest one. */
+  /** The smallest factor by which the jitter multiplies a backoff. */
   private static final double MIN_BACKOFF_SHARE = 0.8;
 
-  /** The random part of the backoff as a fraction of the longest one. */
+  /** Width of the range from which the factor of the jitter is drawn. */
   private static final double JITTER = 0.2;
 
   private final CircuitBreakerSettings settings;
--- a/src/main/java/dunlinhitch/scoring/CircuitBreakerSettings.java
+++ b/src/main/java/dunlinhitch/scoring/CircuitBreakerSettings.java
@@ -5,15 +5,16 @@
  *
  * @param baseBackoffUs backoff after the first failure; doubled after each further failure
  * @param maxBackoffUs upper bound of the backoff
- * @param successesPerRecovery number of consecutive valid rounds that revert one failure
+ * @param successesPerRecovery number of consecutive valid rounds after which the count of failures
+ *     is decremented
  * @param slowRoundsPerFailure number of consecutive slow rounds that count as a failure; a single
  *     slow round may be caused by the machine
  */
 public record CircuitBreakerSettings(
     long baseBackoffUs, long maxBackoffUs, int successesPerRecovery, int slowRoundsPerFailure) {
   /**
-   * The settings of a broker: backoffs from 2 s to 10 min, and about one minute of valid rounds to
-   * revert a failure.
+   * The settings of a broker: backoffs from 2 s to 10 min, and about one minute of valid rounds
+   * before the count of failures is decremented.
    */
   public static final CircuitBreakerSettings STANDARD =
       new CircuitBreakerSettings(2_000_000, 600_000_000, 240, 3);
--- a/src/main/java/dunlinhitch/scoring/EndpointSnapshot.java
+++ b/src/main/java/dunlinhitch/scoring/EndpointSnapshot.java
@@ -10,7 +10,7 @@
  * @param cell the cell whose blocks it holds
  * @param near true if it is in the zone of this broker
  * @param slowStartWeight slow-start weight, from 0 to 1
- * @param startedMs start of its current incarnation in Unix milliseconds; 0 if long ago
+ * @param startedMs start of its current incarnation in Unix milliseconds; 0 if it started long ago
  * @param outstandingWorkUs predicted outstanding work in microseconds, of this broker and,
  *     according to the load report, of other brokers
  * @param loadReport the last load report; empty if there is none
--- a/src/main/java/dunlinhitch/scoring/FactorDamping.java
+++ b/src/main/java/dunlinhitch/scoring/FactorDamping.java
@@ -8,8 +8,8 @@
  */
 final class FactorDamping {
   /**
-   * The smallest gain of a broker as a fraction of the mean gain; the largest is that fraction plus
-   * 1.
+   * The gain of a broker is the mean gain multiplied by a random number. This is the lower bound of
+   * that number, and the upper bound is greater by 1.
    */
   private static final double MIN_GAIN_SHARE = 0.5;
 
--- a/src/main/java/dunlinhitch/scoring/SharedWeights.java
+++ b/src/main/java/dunlinhitch/scoring/SharedWeights.java
@@ -47,8 +47,7 @@
   }
 
   /**
-   * Number of times per half-life that an entry of this broker is refreshed, even if it has not
-   * changed.
+   * An entry of this broker is refreshed this many times per half-life, even if it has not changed.
    */
   private static final int REFRESHES_PER_HALF_LIFE = 4;
 
@@ -96,7 +95,10 @@
     return MergeResult.valueOf(entries.merge(wallClockUs, entry).name());
   }
 
-  /** Records this broker's own weight; has no effect if it is close enough to the previous one. */
+  /**
+   * Records this broker's own weight. Has no effect while the previous entry is still accurate and
+   * is not due for a refresh.
+   */
   void recordOwn(long wallClockUs, WeightTarget target, Weight weight) {
     if (!weight.isValid(settings)) {
       return;
--- a/src/main/java/dunlinhitch/scoring/TrimmedMean.java
+++ b/src/main/java/dunlinhitch/scoring/TrimmedMean.java
@@ -22,8 +22,8 @@
   private TrimmedMean() {}
 
   /**
-   * Merges the reports. If their total evidence is less than that of the minimum number of origins
-   * with full evidence, the missing evidence counts as evidence for a weight of 1.
+   * Merges the reports. If they have less evidence in total than the minimum number of origins
+   * would have with full evidence, the missing evidence counts as evidence for a weight of 1.
    */
   static FleetWeight of(List<WeightReport> reports, WeightMergeSettings settings) {
     double reported = reports.stream().mapToDouble(WeightReport::evidence).sum();
--- a/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
+++ b/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
@@ -11,8 +11,8 @@
  * @param minOrigins minimum number of origins with full evidence; missing evidence counts as
  *     evidence for a weight of 1
  * @param trim fraction of the evidence that is trimmed at each end
- * @param updateThreshold change of the logarithm of an own weight that causes it to be replicated
- *     again
+ * @param updateThreshold minimum change of the logarithm of this broker's own weight that causes
+ *     the weight to be replicated again
  */
 public record WeightMergeSettings(
     long halfLifeUs, double maxEvidence, int minOrigins, double trim, double updateThreshold) {
--- a/src/main/java/dunlinhitch/scoring/api/Candidate.java
+++ b/src/main/java/dunlinhitch/scoring/api/Candidate.java
@@ -12,7 +12,7 @@
  * @param near true if this broker is in the same zone
  * @param warmth slow-start weight: the fraction of its capacity that it has reached since its
  *     start, from 0 to 1
- * @param startedMs start of its current incarnation in Unix milliseconds, 0 if long ago;
+ * @param startedMs start of its current incarnation in Unix milliseconds, 0 if it started long ago;
  *     observations of other incarnations do not apply
  * @param workUs predicted outstanding work in microseconds, of this broker and, according to the
  *     load report, of other brokers
@@ -20,7 +20,7 @@
  *     none
  * @param reportAgeUs age of the load report in microseconds
  * @param endings attempts of this query class that completed since the last round, the earliest
- *     first; if there are very many, only the latest
+ *     first; if there are too many to retain, only the latest
  * @param fleet merged weight of the other brokers' scorers of the same name, version and parameters
  */
 public record Candidate(
--- a/src/main/java/dunlinhitch/scoring/host/HostLimits.java
+++ b/src/main/java/dunlinhitch/scoring/host/HostLimits.java
@@ -7,8 +7,8 @@
  *
  * @param round limits of one round
  * @param loadTimeoutUs time limit for locating, loading and initializing a scorer
- * @param maxAbandonedThreads number of abandoned threads that are still running from which on no
- *     further scorer is loaded
+ * @param maxAbandonedThreads maximum number of abandoned threads that are still running; once it is
+ *     reached, no further scorer is loaded
  * @param mailboxCapacity capacity of the queue of messages; further messages are dropped and
  *     counted
  * @param circuitBreaker backoff after failures
--- a/src/main/java/dunlinhitch/scoring/host/ResourceUsage.java
+++ b/src/main/java/dunlinhitch/scoring/host/ResourceUsage.java
@@ -6,7 +6,7 @@
 
 /** Resources that the calling thread has used so far, as counted by the JVM. */
 final class ResourceUsage {
-  /** Fraction of the heap in use after a collection above which it counts as nearly full. */
+  /** The heap is nearly full if a collection leaves more than this fraction of it in use. */
   private static final double NEARLY_FULL_SHARE = 0.9;
 
   private ResourceUsage() {}
--- a/src/main/java/dunlinhitch/scoring/host/ScorerLocator.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerLocator.java
@@ -31,8 +31,8 @@
    * Locates the scorer of the configured name. Runs code of the plug-in, so it must be called on
    * the scorer's thread.
    *
-   * @throws LoadException if there is no such scorer; if jars were unreadable, the message
-   *     describes the problem of the first of them
+   * @throws LoadException if there is no such scorer; if a jar could not be read, the message
+   *     describes the first such problem
    */
   static LoadedScorer locate(ScorerSettings settings) throws LoadException {
     return new ScorerLocator(settings).locate();
--- a/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerSupervisor.java
@@ -80,7 +80,10 @@
     publisher = new StatePublisher(sharedState, mailbox, ejectionNotices, circuitBreaker);
   }
 
-  /** The loop of the supervisor thread; returns after {@link #close} and an interrupt. */
+  /**
+   * Runs the loop of the supervisor thread. It returns once {@link #close} has been called and the
+   * thread has been interrupted.
+   */
   void run() {
     try {
       while (!closed) {
--- a/src/main/java/dunlinhitch/scoring/host/ScorerThread.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerThread.java
@@ -38,8 +38,8 @@
         }
       }
     } catch (InterruptedException e) {
-      // Abandoned, or interrupted by the scorer's own code. In both cases the thread ends and a
-      // pending call times out.
+      // The thread was abandoned, or the scorer's own code interrupted it. In both cases the thread
+      // ends, and a pending call times out.
     }
   }
 
--- a/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
@@ -16,9 +16,9 @@
 /**
  * Peak EWMA: the latency estimate of an endpoint rises immediately with a slow response and decays
  * exponentially with fast ones. The factor is the square root of the ratio of the estimate to the
- * geometric mean of its cell; the root limits the effect because the wait behind outstanding work
- * is predicted separately. The scorer shares no weights, because a latency depends on the network
- * path as much as on the endpoint.
+ * geometric mean of the estimates in its cell; the root limits the effect because the wait behind
+ * outstanding work is predicted separately. The scorer shares no weights, because a latency depends
+ * on the network path as much as on the endpoint.
  *
  * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
--- a/src/test/java/dunlinhitch/cli/SighupTest.java
+++ b/src/test/java/dunlinhitch/cli/SighupTest.java
@@ -53,9 +53,9 @@
 
   /**
    * A JVM that is started with SIGHUP ignored, for example by nohup, keeps ignoring it. The command
-   * in the deploy file resets the signal. Without that the broker must report that reload is
-   * disabled: it would otherwise silently keep using a discovery service that has moved, and
-   * withdrawn endpoints.
+   * in the deploy file resets the signal. If the signal is not reset, the broker must report that
+   * reload is disabled. Without this report it would silently continue to use the old address of a
+   * discovery service that has moved, and endpoints that were withdrawn.
    */
   @Test
   void reloadsOnSighupWhenStartedByNohup() throws Exception {
