--- a/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/ExperimentsCommand.java
@@ -13,8 +13,8 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * The command that groups simulations, the model checker, the test bed, soak runs and measurements.
- * {@code serve} never loads this class.
+ * The command {@code experiments}. Its subcommands run simulations, the model checker, the test
+ * bed, soak runs and measurements. The command {@code serve} never loads this class.
  */
 @Command(
     name = "lab",
@@ -48,14 +48,14 @@
     System.out.println(
         "lab soak [--seeds A-B] [--seconds S]: runs broker processes under random faults and checks what clients and stores observe");
     System.out.println(
-        "lab floors FILE...: compares the served with the required share of the weight in reports of the acceptance test");
+        "lab floors FILE...: compares the served share of the weight in acceptance test reports with the required share");
     return 0;
   }
 
   @Command(
       name = "measure",
       description =
-          "Prints the table of a measurement and whether its figure is within its bound; exit code 0 only if it is.",
+          "Prints the table of a measurement and whether its figure is within its bound; exit code 0 only if it is within its bound.",
       mixinStandardHelpOptions = true)
   static final class Measure implements Callable<Integer> {
     @Parameters(paramLabel = "NAME", description = "name of the measurement")
--- a/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
@@ -15,9 +15,9 @@
 
 /**
  * Simulates brokers with answer keys in front of stores, in virtual time, and compares each answer
- * with the expected one. Rule {@code forms} is always correct. Rule {@code language} becomes
- * incorrect when the answers start to depend on the language, see {@link Setup#ruleBecomesFalse}.
- * Not thread-safe.
+ * with the expected one. The rule {@code forms} is always correct. The rule {@code language}
+ * becomes incorrect when the answers start to depend on the language, see {@link
+ * Setup#ruleBecomesFalse}. Not thread-safe.
  */
 public final class AnswerKeySimulation {
   /** How queries share answers. */
@@ -37,8 +37,8 @@
    * @param loss the probability that a message between brokers is lost
    * @param failureProbability the probability that a fetch fails
    * @param partitioned whether the network is partitioned into two halves for 10 s
-   * @param ruleBecomesFalse whether answers depend on the language from second 24 on; if {@code
-   *     partitioned} is true, the partition is in effect at that time
+   * @param ruleBecomesFalse whether answers depend on the language after the first 24 s. If {@code
+   *     partitioned} is also true, the network is partitioned when this change happens
    */
   public record Setup(
       long seed,
@@ -55,9 +55,9 @@
    *
    * @param repeatedFetches unnecessary fetches: the previous answer had not reached its maximum age
    *     and the data had not changed
-   * @param wrongAnswers answers for another topic or language than the query's
-   * @param outdatedAnswers answers from data that had been replaced for longer than the maximum age
-   *     of an answer
+   * @param wrongAnswers answers that were computed for another topic or language
+   * @param outdatedAnswers answers whose data the stores had replaced longer ago than the maximum
+   *     age of an answer
    * @param unended queries without exactly one response by their deadline
    * @param wrongAnswersBound upper bound of {@code wrongAnswers}
    * @param demotedAfterUs time from the change of the data until all brokers had stopped applying
@@ -104,7 +104,7 @@
   /** Mean seconds between changes of a shard's data if its stores do not report the generation. */
   private static final double UNSTATED_CHANGE_S = 60;
 
-  /** On average, one run in this number of runs exceeds the bound of wrong answers. */
+  /** On average, one of this many runs exceeds the bound of wrong answers. */
   private static final double BOUND_ODDS = 1000;
 
   private final Setup setup;
@@ -146,7 +146,10 @@
     return brokers.get(random.nextInt(brokers.size()));
   }
 
-  /** Returns true with {@code factor} times the probability of message loss. */
+  /**
+   * Returns true at random; the probability is {@code factor} times the probability of message
+   * loss.
+   */
   boolean drawsLoss(int factor) {
     return random.nextDouble() < setup.loss() * factor;
   }
@@ -214,9 +217,11 @@
   }
 
   /**
-   * Returns the bound that docs/answer-keys.md derives. It is the sum of two terms: for each side
-   * of a partition, the wrong answers until a trial detects the incorrect rule; and the answers
-   * across languages until all brokers have received the result of the trial.
+   * Returns the upper bound of wrong answers, which docs/answer-keys.md derives. A trial is a query
+   * that is sent to a store to test a rule. The bound is the sum of two terms. The first is the
+   * number of wrong answers until a trial detects the incorrect rule, for each side of a partition.
+   * The second is the number of answers shared between languages until all brokers have received
+   * the result of that trial.
    */
   private double wrongAnswersBound(double acrossLanguagesPerSecond) {
     int sides = setup.partitioned() ? 2 : 1;
--- a/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The last fetch of each topic and shard, to count the fetches that a cached answer would have
- * saved.
+ * Records the last fetch of each topic and shard, and detects fetches that were unnecessary because
+ * a cached answer was still valid.
  */
 final class FetchHistory {
   /**
--- a/src/main/java/dunlinhitch/experiments/answerkeys/ShardData.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/ShardData.java
@@ -57,7 +57,9 @@
         true);
   }
 
-  /** True if the answer is for another topic or language than the request's. */
+  /**
+   * Returns true if the answer was computed for another topic or language than that of the request.
+   */
   static boolean isWrong(CachedAnswer cached, Workload.Request request) {
     String[] components = components(cached);
     String language = request.part().variants().get("language");
--- a/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
@@ -81,7 +81,7 @@
   private final AnswerKeySimulation world;
   private final Map<Long, SimulatedQuery> queries = new HashMap<>();
 
-  /** For each other broker, the version of the evidence that was last sent to the broker. */
+  /** Version of the evidence that was last sent to each of the other brokers. */
   private final Map<String, Long> gossipedVersions = new HashMap<>();
 
   private long wakeUpUs = Long.MAX_VALUE;
@@ -120,8 +120,8 @@
   }
 
   /**
-   * Runs the timers of the module. Does nothing if an earlier wake-up has been scheduled in place
-   * of the one at {@code scheduledUs}.
+   * Runs the timers of the module. Does nothing if the wake-up at {@code scheduledUs} has been
+   * replaced by an earlier one.
    */
   private void wakeUp(long scheduledUs) {
     if (wakeUpUs == scheduledUs) {
--- a/src/main/java/dunlinhitch/experiments/answerkeys/Workload.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/Workload.java
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The queries of the simulation: topics follow Zipf's law, and four kinds of clients write the same
- * topic differently.
+ * Generates the queries of the simulation. The popularity of topics follows Zipf's law. Four kinds
+ * of clients write the same topic differently.
  */
 final class Workload {
   static final String QUERY_CLASS = "free-search";
--- a/src/main/java/dunlinhitch/experiments/dns/BaselineResolver.java
+++ b/src/main/java/dunlinhitch/experiments/dns/BaselineResolver.java
@@ -39,10 +39,10 @@
 
 /**
  * The DNS-SD resolver that preceded {@code DnsSource}, as a baseline for measurements: it resolves
- * the complete service again whenever the shortest TTL has expired. Instances are found by DNS-SD
- * (RFC 6763): PTR records contain their names, SRV records their addresses and TXT records their
- * attributes ({@code id, cell, zone, state, protocol, start}). An instance that is absent from a
- * resolution is removed; if the server does not answer, the endpoints are retained.
+ * the complete service again whenever the record with the shortest TTL has expired. Instances are
+ * found by DNS-SD (RFC 6763): PTR records contain their names, SRV records their addresses and TXT
+ * records their attributes ({@code id, cell, zone, state, protocol, start}). An instance that is
+ * absent from a resolution is removed; if the server does not answer, the endpoints are retained.
  *
  * <p>Vert.x's DnsClient returns only one PTR record of an answer and provides the TTL of SRV
  * records only. PTR records are therefore resolved by Netty's resolver, on the same event loop.
@@ -118,7 +118,7 @@
 
   @Override
   public void follow(String host, int port) {
-    // ignored: the address of the name server is fixed by the constructor
+    // This resolver always uses the name server that was passed to the constructor.
   }
 
   @Override
@@ -266,7 +266,8 @@
     Map<String, String> attributes = new HashMap<>();
     for (String text : texts) {
       int equals = text.indexOf('=');
-      if (equals > 0) { // RFC 6763: the first value of a key applies; keys are case-insensitive
+      // RFC 6763: keys are case-insensitive, and the first value of a key applies.
+      if (equals > 0) {
         attributes.putIfAbsent(
             text.substring(0, equals).toLowerCase(Locale.ROOT), text.substring(equals + 1));
       }
@@ -288,7 +289,8 @@
     }
   }
 
-  @SuppressWarnings("ReferenceEquality") // Netty has one instance of each code
+  // Netty has one instance of each response code, so references can be compared.
+  @SuppressWarnings("ReferenceEquality")
   private static boolean isNonexistentDomain(Throwable failure) {
     if (failure instanceof DnsException dns) {
       return dns.code() == io.vertx.core.dns.DnsResponseCode.NXDOMAIN;
--- a/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
+++ b/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
@@ -40,8 +40,8 @@
 
 /**
  * A fake name server on loopback that is authoritative for one {@link Zone}. It serves UDP and TCP
- * on one port and, after {@link #startPush}, DNS push notifications over TLS. A script selects the
- * fault of each answer by its question.
+ * on one port and, after {@link #startPush}, DNS push notifications over TLS. A script selects, by
+ * the question, the fault that is applied to the answer.
  *
  * <p>The server runs on the Vert.x event loop; tests read its counters and set its script from
  * other threads.
@@ -344,8 +344,8 @@
   }
 
   /**
-   * Sends an answer. If the answer is too long, the additional records are removed; if it is still
-   * too long, it is truncated (TC).
+   * Sends an answer. If the message is too long, the additional records are removed. If this does
+   * not suffice, the message is truncated and has the TC flag.
    */
   private void send(Message answer, Exchange exchange) {
     byte[] wire = exchange.encode(answer);
--- a/src/main/java/dunlinhitch/experiments/dns/Zone.java
+++ b/src/main/java/dunlinhitch/experiments/dns/Zone.java
@@ -195,7 +195,9 @@
       answer.getHeader().setRcode(exists(question.getName()) ? Rcode.NOERROR : Rcode.NXDOMAIN);
       answer.addRecord(soa(), Section.AUTHORITY);
     }
-    if (question.getType() == Type.PTR) { // RFC 6763 section 12.1
+    // RFC 6763, section 12.1: an answer with PTR records also contains the SRV, TXT and address
+    // records of the instances.
+    if (question.getType() == Type.PTR) {
       Set<Record> additional = new LinkedHashSet<>();
       for (Record pointer : found) {
         Name instance = ((PTRRecord) pointer).getTarget();
--- a/src/main/java/dunlinhitch/experiments/fakes/BrokerFixture.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/BrokerFixture.java
@@ -26,8 +26,8 @@
 /**
  * A broker with fakes on loopback. The stores form two cells that both hold every shard, and both
  * frontends are enabled. The broker and the fakes share one event loop: if the broker blocked the
- * event loop, the fakes could not answer. {@link #start} reads the fields that configure the
- * broker.
+ * event loop, the fakes could not answer. The fields that configure the broker must be set before
+ * {@link #start}.
  */
 public final class BrokerFixture {
   public final Vertx vertx;
--- a/src/main/java/dunlinhitch/experiments/fakes/Discovery.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Discovery.java
@@ -90,7 +90,9 @@
     watches.forEach(watch -> watch.write(line + "\n"));
   }
 
-  /** Sends a change to all watches and sets the full list with the same generation. */
+  /**
+   * Sends a change to all watches. Also sets the full list, with the same generation as the change.
+   */
   public void pushChange(List<String> allEntries, String... entries) {
     pushChange(entries);
     generation--;
--- a/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
@@ -132,27 +132,27 @@
 
   /** Called when a connection has been accepted. */
   protected void onConnected(NetSocket socket) {
-    // for subclasses
+    // does nothing unless a subclass overrides it
   }
 
   /** Called when a part has been read from a connection. */
   protected void onReceived(NetSocket socket, ReceivedPart part) {
-    // overridden by subclasses that record the connection of a part
+    // does nothing unless a subclass overrides this to record the connection of a part
   }
 
   /** Handles the cancellation of a part. */
   protected void onCancelled(NetSocket socket, String partId) {
-    // this store also answers cancelled parts
+    // does nothing: this store answers a part even if the part was cancelled
   }
 
   /** Called before the answer to a part is written to the connection. */
   protected void onAnswered(NetSocket socket, String partId) {
-    // for subclasses
+    // does nothing unless a subclass overrides it
   }
 
   /** Called when a connection has ended. */
   protected void onDisconnected(NetSocket socket) {
-    // for subclasses
+    // does nothing unless a subclass overrides it
   }
 
   /** Returns the current load report. */
--- a/src/main/java/dunlinhitch/experiments/fakes/QueueingStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/QueueingStore.java
@@ -63,8 +63,8 @@
     return "latency_ms=" + workUs / 1000 + ",queue=" + queue.size();
   }
 
-  @SuppressWarnings(
-      "NonAtomicVolatileUpdate") // written only by the event loop, read by other threads
+  // Only the event loop writes the volatile field; other threads read it.
+  @SuppressWarnings("NonAtomicVolatileUpdate")
   private void startJobs() {
     while (busyCores < cores && !queue.isEmpty()) {
       Job job = queue.poll();
--- a/src/main/java/dunlinhitch/experiments/fakes/Store.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Store.java
@@ -37,7 +37,8 @@
   }
 
   /** The fields of an answer, as written to the wire. */
-  @SuppressWarnings("ArrayRecordComponent") // written once and never compared
+  // The array is never modified, and rows are never compared.
+  @SuppressWarnings("ArrayRecordComponent")
   protected record Row(String id, String end, String score, String report, byte[] value) {}
 
   /** Returns the answer to a part that a behavior prescribes. */
@@ -61,8 +62,8 @@
   public record FirstAnswer(long records, String version, String emptyValue) {}
 
   /**
-   * Returns the first-pass answer to a part, or null to send no answer. The field itself is null if
-   * the store supports only single-pass queries.
+   * Function that returns the first-pass answer to a part, or null to send no answer. This field is
+   * null if the store supports only single-pass queries.
    */
   public volatile Function<ReceivedPart, FirstAnswer> firstAnswer;
 
--- a/src/main/java/dunlinhitch/experiments/fakes/package-info.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Fakes of the systems that a broker communicates with: stores with the frame protocol and Arrow
- * Flight, discovery, and clients of both frontends.
+ * Fakes of the systems that a broker communicates with: stores (frame protocol and Arrow Flight),
+ * the discovery service, and clients of both frontends.
  */
 package dunlinhitch.experiments.fakes;
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetRigMeasure.java
@@ -53,7 +53,7 @@
     try (TestBed testBed = new TestBed(directory, seed, BROKERS + 1, CELLS, STORES_PER_CELL, "")) {
       List<TestBed.Node> first = testBed.nodes().subList(0, BROKERS);
       out.printf(
-          "agree: seconds until the listed brokers agree on the members; max/mean: brokers per store, maximum divided by "
+          "agree: seconds until the brokers of the row agree on the members; max/mean: brokers per store, maximum divided by "
               + "mean; moved: moved connections as a multiple of the connections of one broker%n"
               + "%-34s %8s %10s %12s %14s%n",
           "event", "brokers", "agree, s", "max/mean", "moved, ideal 1");
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
@@ -30,7 +30,7 @@
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
     worst = 0;
     out.printf(
-        "each: stores in each cell; of all-to-all: share of the connections of a full mesh; max/mean: connections "
+        "each: stores in each cell; of all-to-all: connections as a share of those of a full mesh; max/mean: connections "
             + "per store, maximum divided by mean%n%8s %7s %6s %18s %18s %10s %10s%n",
         "brokers", "stores", "each", "connections", "of all-to-all", "max/mean", "bound");
     for (int[] shape :
@@ -38,7 +38,7 @@
       measureBalance(out, seed, shape[0], shape[1], shape[2]);
     }
     out.printf(
-        "%nbrokers: the cluster shrinks and grows again by one broker at a time; moved: moved connections as a multiple of "
+        "%nbrokers: initial and minimum cluster size; brokers leave and join one at a time; moved: moved connections as a multiple of "
             + "the connections of one broker%n%8s %6s %14s %14s %14s %10s%n",
         "brokers", "each", "mean moved", "max moved", "all-to-all", "bound");
     measureMoves(out, seed, 8, 3, 8, 3);
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
@@ -28,7 +28,7 @@
   private static final MembershipProtocolSettings CURRENT = MembershipProtocolSettings.STANDARD;
   private static final MembershipProtocolSettings BASELINE = CURRENT.baseline();
 
-  /** A fault or change in a converged cluster; the table prints the names. */
+  /** A fault or change in a converged cluster; the table prints the names of the constants. */
   private enum Fault {
     START,
     CRASH,
@@ -73,8 +73,9 @@
     int seeds = quick ? 2 : 5;
     out.printf(
         Locale.ROOT,
-        "seconds until all brokers agree on the members, maximum of %d seeds from %d on ('-': some seeds exceeded %d times "
-            + "the bound); B/s: bytes per second and broker; new: current settings; old: baseline settings%n",
+        "new, old: seconds until all brokers agree on the members, with the current and the baseline settings%n"
+            + "the figures are the maximum over %d seeds, the first of which is %d%n"
+            + "'-': some run took longer than %d times the bound; B/s: bytes that a broker sends per second%n",
         seeds,
         seed,
         TIMEOUT_FACTOR);
@@ -142,8 +143,8 @@
   private void measureStableCluster(
       PrintStream out, long seed, boolean quick, int[] sizes, double[] losses) {
     out.printf(
-        "false deaths: running brokers that were declared dead in the simulated hours; old, in hours: false deaths and "
-            + "hours with the baseline settings%n%8s %5s %10s %14s %14s %10s %10s%n",
+        "false deaths: running brokers that were declared dead with the current settings; hours: simulated time%n"
+            + "old, in hours: false deaths and simulated hours with the baseline settings%n%8s %5s %10s %14s %14s %10s %10s%n",
         "brokers", "loss", "hours", "false deaths", "old, in hours", "new B/s", "old B/s");
     int runs = 8;
     for (int brokers : sizes) {
@@ -289,8 +290,8 @@
 
   /**
    * Returns the time until the brokers of each half agree on the members, or -1. In a cluster of
-   * three, the isolated broker retains the other two as members, so that only the majority is
-   * compared.
+   * three, one broker is isolated and retains the other two as members. In this case, only the
+   * member lists of those two are compared.
    */
   private static long untilHalvesAgree(
       MembershipSimulation simulation, int brokers, long timeoutUs) {
--- a/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
@@ -17,23 +17,24 @@
 import picocli.CommandLine.Parameters;
 
 /**
- * The command that compares served shares in test reports with the required minimum. A report lists
- * test runs, called days. The command compares the share of each day, and the shares of each query
- * class, tenant and third of the day.
+ * The command that compares the served shares of the offered weight in test reports with the
+ * required minimums. A report lists test runs, which are called days. Each day has a share for the
+ * whole run and shares for each query class, tenant and third of the run.
  */
 @Command(
     name = "floors",
     description =
-        "Prints the served and the required share of each day, smallest margin first; exit code 1 if a share is below its minimum.",
+        "Prints the served and the required shares of each test run, smallest margin first; exit code 1 if a share is below its minimum.",
     mixinStandardHelpOptions = true)
 public final class FloorsCommand implements Callable<Integer> {
   /**
-   * Minimum ratio of the share served in a third of a day to the share that the reference policy
-   * serves. The reference policy sees the true state of the stores with a delay.
+   * Minimum ratio of two shares in a third of a day: the share that the broker serves, and the
+   * share that the reference policy serves. The reference policy knows the true state of the stores
+   * with a delay.
    */
   private static final double MIN_THIRD_RATIO = 0.2;
 
-  /** The same ratio for days of at least {@link #LONG_DAY_S}. */
+  /** The minimum of the same ratio for days of at least {@link #LONG_DAY_S} seconds. */
   private static final double LONG_DAY_MIN_THIRD_RATIO = 0.5;
 
   private static final double LONG_DAY_S = 600;
@@ -95,10 +96,8 @@
     List<Floor> floors = new ArrayList<>();
     for (JsonValue value : report.get("days").asArray()) {
       JsonObject day = value.asObject();
-      JsonObject row =
-          day.get("row") == null
-              ? day
-              : day.get("row").asObject(); // in a journal, the day is the row
+      // In a journal, the object of the day is the value of the field "row".
+      JsonObject row = day.get("row") == null ? day : day.get("row").asObject();
       String name = row.getString("name", "?") + " of " + file;
       floors.add(
           new Floor(name, "all", row.getDouble("served", 0), row.getDouble("served_least", 0)));
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -46,7 +46,8 @@
         "refresh MB",
         "KB on wire");
     Cost[] cost = new Cost[sizes.length];
-    measureChange(sizes[1], changes, seed); // warm-up, so that the timed run uses compiled code
+    // Warm-up runs, so that the timed runs use compiled code.
+    measureChange(sizes[1], changes, seed);
     measureReplacement(sizes[1], changes / 8, seed);
     for (int i = 0; i < sizes.length; i++) {
       cost[i] = measureChange(sizes[i], changes, seed);
@@ -67,8 +68,8 @@
           wire / 1e3);
     }
     out.println(
-        "change: a store withdrawn or added again (median); swap: the same change delivered as a complete list; refresh: "
-            + "all record sets of all instances re-sent");
+        "change: cost of withdrawing a store or adding it again (median); swap: cost of the same change "
+            + "delivered as a complete list; refresh: cost of re-sending all record sets of all instances");
     return new Measures.Verdict(
         "change-kb-at-10000-by-100", cost[2].kb() / cost[0].kb(), "times", 1.5, true);
   }
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -76,11 +76,14 @@
     }
     out.printf(
         Locale.ROOT,
-        "1: one phase, 2: two phases; empty: share of blocks without matches; price: cost of a first pass as a share of "
-            + "a full pass; worth: mean value of a query, at most 1 (late answers count %.1f, partial ones %.1f of the "
-            + "answered share); work: store time per query; in two: share of queries with two phases; ratio: worth 2 / "
-            + "worth 1; lost: blocks with matches that were reported as empty%nwhere a first pass does not pay off "
-            + "(empty <= price), the minimum ratio is %.3f (required 0.98)%n",
+        "1: one phase; 2: two phases%n"
+            + "empty: share of blocks without matches; price: cost of a first pass as a share of a full pass%n"
+            + "worth: mean value of a query: 1 for a complete answer in time, %.1f for a late one, %.1f times "
+            + "the answered share for a partial one%n"
+            + "work: store time per query; in two: share of queries with two phases; ratio: worth 2 / worth 1%n"
+            + "lost: blocks with matches that were reported as empty%n"
+            + "in rows with empty <= price, a first pass costs at least as much as it saves; "
+            + "their minimum ratio is %.3f (required 0.98)%n",
         LATE_VALUE,
         PARTIAL_VALUE,
         minRatio);
@@ -219,7 +222,7 @@
     private final double empty;
     private final DoubleAdder worth = new DoubleAdder();
 
-    /** Number of blocks with matches that were reported as empty, or the reverse. */
+    /** Number of blocks that were reported as empty although they have matches, or the reverse. */
     private final AtomicLong lost = new AtomicLong();
 
     private final AtomicLong open = new AtomicLong();
@@ -230,8 +233,8 @@
     }
 
     /**
-     * Sends a query. The response is counted if {@code counts} is true; it is false during the
-     * warm-up.
+     * Sends a query. The response is counted only if {@code counts} is true; this flag is false
+     * during the warm-up.
      */
     void send(
         Client client, int number, String body, String predicate, long dueNanos, boolean counts) {
--- a/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
@@ -102,8 +102,8 @@
     long endUs = joinUs + 15 * SECOND_US;
     out.printf(
         "%n10 brokers, 60 stores in cells of six, one sixth of the stores is 4 to 8 times slower than its load reports state, "
-            + "load 0.7, seed %d%nworth: share of the parts that met the latency objective; newcomer: a broker that has just "
-            + "joined%n",
+            + "load 0.7, seed %d%nworth: share of the parts that met the latency objective; newcomer: figures of "
+            + "a broker that has just joined%n",
         seed);
     out.printf(
         "%-26s %10s %10s %14s %14s%n", "", "worth", "p99 ms", "newcomer worth", "newcomer p99");
@@ -151,8 +151,8 @@
         Math.expm1(DampingSettings.STANDARD.maxChangeWithin(2 * SECOND_US, RULE.roundUs()));
     out.printf(
         Locale.ROOT,
-        "%nvariation of a store's load per second (standard deviation divided by mean); newest, pace: scorer; naive, damped: "
-            + "without and with damping; bound: damped exceeds no scorer by at most %.2f%n",
+        "%nvariation of a store's load per second (standard deviation divided by mean)%nnewest, pace: name of the scorer; "
+            + "naive, damped: without and with damping; bound: damped is at most %.2f above the figure without a scorer%n",
         maxIncrease);
     out.printf(
         "%8s %14s %16s %16s %16s %16s%n",
@@ -239,7 +239,7 @@
     double onLoopNs = choose(loads, FactorTable.NONE, scorer, tenCandidates, quick);
     out.printf(
         Locale.ROOT,
-        "%na decision among 10 stores: %.0f ns without a scorer, %.0f ns more with the factor table, %.0f ns more with a call "
+        "%na decision among 10 stores: %.0f ns without a scorer; additionally %.0f ns with the factor table, or %.0f ns with a call "
             + "of the scorer on the event loop; a scoring round of 200 stores on another thread: %.0f µs%n",
         withoutTableNs,
         withTableNs - withoutTableNs,
--- a/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/SeedsMeasure.java
@@ -15,7 +15,7 @@
   @Override
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
     int seeds = quick ? 100 : 1_000;
-    // warm-up, so that the timed run uses compiled code
+    // Warm-up run, so that the timed run uses compiled code.
     SimulationSchedules.search(seed + 100_000, 16, Defect.NONE, false);
     long startNanos = System.nanoTime();
     SimulationSchedules.SearchResult result =
@@ -23,8 +23,8 @@
     double elapsedS = (System.nanoTime() - startNanos) / 1e9;
     out.printf(
         Locale.ROOT,
-        "%d seeds in %.1f s: %.0f seeds per minute, %.0f simulated seconds per second, %d steps, mean served share of the "
-            + "offered weight %.3f, %d violations%n",
+        "%d seeds in %.1f s: %.0f seeds per minute, %.0f simulated seconds per second, %d steps, served on average %.3f of the "
+            + "offered weight, %d violations%n",
         result.played(),
         elapsedS,
         result.played() / elapsedS * 60,
--- a/src/main/java/dunlinhitch/experiments/measurements/WheelMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WheelMeasure.java
@@ -30,7 +30,8 @@
     double ratio = 0;
     for (int i = 0; i < sizes.length; i++) {
       int moves = quick ? 200_000 : 2_000_000;
-      wheel(sizes[i], moves / 4, seed); // warm-up, so that the timed run uses compiled code
+      // Warm-up run, so that the timed run uses compiled code.
+      wheel(sizes[i], moves / 4, seed);
       wheel[i] = wheel(sizes[i], moves, seed);
       int heapMoves =
           Math.max(200, Math.min(moves, (quick ? 200_000_000 : 1_000_000_000) / sizes[i] / 10));
--- a/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/WithdrawalMeasure.java
@@ -35,9 +35,9 @@
 import org.xbill.DNS.Record;
 
 /**
- * Withdraws stores under load and lists them again. It measures the time until a broker detects a
- * withdrawal, and the time from the detection until the last part that the store received. It
- * compares DNS push, polling of the zone's serial, and the baseline resolver.
+ * Withdraws stores under load and lists them again. Measures the time until a broker detects a
+ * withdrawal, and the time from the detection until the store receives its last part. Compares DNS
+ * push, polling of the zone's serial, and the baseline resolver.
  */
 final class WithdrawalMeasure implements Measures.Measure {
   private static final String SERVICE = "_calendar._tcp.rooms.example.org.";
@@ -70,8 +70,8 @@
     }
     measureBaseline(quick ? 5 : 60, seed, out);
     out.println(
-        "times in ms; way: method of discovery; seen: from the change of the zone to the broker's endpoint list; last: from "
-            + "that list to the last part that the store received (0 if none); most: maximum; "
+        "times in ms; way: method of discovery; seen: from the change of the zone to the broker's new endpoint list; "
+            + "last: from the new list to the last part that the store received (0 if none); most: maximum; "
             + STORES
             + " stores, "
             + QUERIES_PER_SECOND
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
@@ -30,8 +30,8 @@
   public static final int BROKER_COUNT = 3;
 
   /**
-   * Maximum number of deliveries in one step of the convergence phase; a step that exceeds it is
-   * reported as an endless exchange of messages.
+   * Maximum number of deliveries in one step of the convergence phase. A step with more deliveries
+   * is reported as an endless exchange of messages.
    */
   private static final int MAX_DELIVERIES_PER_STEP = 2_000;
 
@@ -41,8 +41,8 @@
    * @param warmUpSteps number of steps that run without faults before the exploration begins
    * @param maxDelaySteps maximum number of steps for which a message stays in flight; a message
    *     that has not been delivered by then is lost
-   * @param maxInFlight number of messages in flight at which all actions are disabled, except those
-   *     that publish an update
+   * @param maxInFlight number of messages in flight from which brokers perform no actions, except
+   *     those that publish an update
    */
   public record Budget(
       int warmUpSteps,
@@ -81,7 +81,8 @@
   }
 
   /** A message in flight and its digests, one for each symmetry. */
-  @SuppressWarnings("ArrayRecordComponent") // never modified, and compared by identity
+  // The arrays are never modified, and messages are compared by identity.
+  @SuppressWarnings("ArrayRecordComponent")
   private record InFlightMessage<W>(
       int from, int to, W message, int sentAt, boolean duplicated, Digest[] digests) {}
 
@@ -89,7 +90,8 @@
    * A global state.
    *
    * @param now logical time in steps
-   * @param downSince for each broker, the step in which it crashed, or -1 if the broker is up
+   * @param downSince for each broker, the step in which the broker crashed, or -1 if the broker is
+   *     up
    */
   public record State<W, V>(
       int now,
@@ -227,12 +229,9 @@
     UsedBudget used = state.used();
     Set<List<Object>> distinctMessages = new HashSet<>();
     for (InFlightMessage<W> flight : state.inFlight()) {
+      // If several equal messages are in flight, only the first is delivered.
       if (distinctMessages.add(
-          List.of(
-              flight.from(),
-              flight.to(),
-              flight.duplicated(),
-              flight.digests()[0]))) { // of equal messages, only the first is delivered
+          List.of(flight.from(), flight.to(), flight.duplicated(), flight.digests()[0]))) {
         if (state.isUp(flight.to())) {
           transitions.add(
               new Transition<>(TransitionKind.DELIVER, flight.from(), flight.to(), flight, null));
@@ -462,7 +461,8 @@
         state.now(), histories, state.downSince(), state.partitionedLinks(), flights, used);
   }
 
-  @SuppressWarnings("ReferenceEquality") // removes this message, not another equal one
+  // Compares references, because another message in flight may be equal to this one.
+  @SuppressWarnings("ReferenceEquality")
   private static <W, V> List<InFlightMessage<W>> replaceMessage(
       State<W, V> state, InFlightMessage<W> removed, InFlightMessage<W> replacement) {
     List<InFlightMessage<W>> flights = new ArrayList<>();
--- a/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/MembershipSubject.java
@@ -19,15 +19,15 @@
   /**
    * Settings with a ping every second step, a ping timeout of one step and a suspicion timeout of
    * two to four steps. A single failed ping raises a suspicion and changes the local health
-   * multiplier, so that a few transitions suffice to reach both.
+   * multiplier, so that a few transitions suffice to reach both effects.
    */
   private static final MembershipProtocolSettings SETTINGS =
       new MembershipProtocolSettings(2, 1, 1, 2, 1_000, 16, 1, 1, 2, 1_200, 4_800, true);
 
   /**
    * Difference between the initial incarnations of two starts that are one step apart. Each
-   * refutation increments the incarnation by one; the difference exceeds the number of refutations
-   * between two starts, so that a restarted broker has a higher incarnation than before.
+   * refutation increments the incarnation by one. The number of refutations between two starts is
+   * smaller than this difference, so that a restarted broker has a higher incarnation than before.
    */
   private static final long INCARNATION_STRIDE = 1_000;
 
@@ -136,9 +136,7 @@
       int number, int now, Node.MessageSender<GossipMessage> sender) {
     String name = ClusterModel.name(number);
     List<MembershipProtocol.Seed> seeds = new ArrayList<>();
-    for (int hop = 1;
-        hop < ClusterModel.BROKER_COUNT;
-        hop++) { // the seeds begin with the next broker
+    for (int hop = 1; hop < ClusterModel.BROKER_COUNT; hop++) { // the first seed is the next broker
       seeds.add(
           new MembershipProtocol.Seed(
               ClusterModel.name((number + hop) % ClusterModel.BROKER_COUNT), 1));
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Node.java
@@ -22,7 +22,7 @@
 
   /**
    * Performs one of the {@link Subject#actions actions} of the node; {@code order} is the number of
-   * updates that all brokers together have published before.
+   * updates that all brokers together published before this action.
    */
   void perform(int now, int order, String action);
 
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -70,7 +70,7 @@
   /**
    * Creates a subject on the production module.
    *
-   * @param clockOffsetUs offset by which the clock of n0 is ahead, in microseconds
+   * @param clockOffsetUs microseconds by which the clock of n0 is ahead of the other clocks
    * @param simultaneousUpdates whether brokers may publish at the same instant
    */
   public ReplicatedMapSubject(long clockOffsetUs, boolean simultaneousUpdates) {
@@ -133,7 +133,8 @@
         String key = action.substring(PUBLISH_PREFIX.length());
         long timestampUs = simultaneousUpdates ? clockUs : clockUs + order;
         Long last = lastPublishedUs.put(key, timestampUs);
-        if (last == null || last < timestampUs) { // at most one entry per key and timestamp
+        // A broker publishes at most one entry for each key and timestamp.
+        if (last == null || last < timestampUs) {
           replica.merge(clockUs, new ReplicatedEntry<>(key, name, timestampUs, order));
         }
       } else {
--- a/src/main/java/dunlinhitch/experiments/simulation/Fault.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Fault.java
@@ -27,8 +27,8 @@
  * when s3 cold jump x2               the fault starts when s3 restarts and lasts 3 s
  * </pre>
  *
- * @param fromUs start of the fault in microseconds since the start of the run; if negative, the
- *     fault starts when the store {@code coldStartOf} restarts
+ * @param fromUs start of the fault in microseconds since the start of the run; if this is negative,
+ *     the fault starts when the store {@code coldStartOf} restarts
  * @param toUs end in microseconds, or negative for the default duration of the kind
  * @param coldStartOf name of the store, or empty if {@code fromUs} is set
  * @param targets names of stores, brokers or zones
--- a/src/main/java/dunlinhitch/experiments/simulation/FaultInjector.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/FaultInjector.java
@@ -39,8 +39,8 @@
   }
 
   /**
-   * Returns the delay of a {@code late} fault in microseconds; while it is above 0, answers contain
-   * no load report.
+   * Returns the delay of an active {@code late} fault in microseconds, or 0. While the delay is
+   * above 0, answers contain no load report.
    */
   long reportDelayUs() {
     return reportDelayUs;
@@ -99,7 +99,8 @@
   }
 
   /**
-   * Returns the end of a fault, or the current time plus {@code defaultUs} if the fault has no end.
+   * Returns the end time of a fault. If the fault has none, returns the current time plus {@code
+   * defaultUs}.
    */
   private long endUs(Fault fault, long defaultUs) {
     return fault.toUs() >= 0 ? startUs + fault.toUs() : time.now() + defaultUs;
--- a/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
@@ -15,7 +15,7 @@
  * broker. Keeps the first violation with the recent trace lines that mention its query or endpoint.
  */
 public final class InvariantChecker {
-  /** Added to every time limit to allow for network latency, in microseconds. */
+  /** Microseconds that are added to every time limit to allow for network latency. */
   private static final long TIME_TOLERANCE_US = 50_000;
 
   private static final double WEIGHT_TOLERANCE = 0.001;
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Called when discovery notifies a broker of an endpoint; an unavailable endpoint may receive no
-   * attempts after the drain grace period.
+   * Called when discovery notifies a broker of the state of an endpoint. After the drain grace
+   * period, an unavailable endpoint must not receive attempts.
    */
   void endpointNotified(int broker, String store, boolean available) {
     String key = broker + " " + store;
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
@@ -31,8 +31,9 @@
    *
    * @param replicas stores in each cell
    * @param workUs mean service time of a part at a store that is not slow
-   * @param slowShare share of the stores that are slow: they take 4 to 8 times as long, and the
-   *     queue length in their load reports is divided by the same factor
+   * @param slowShare share of the stores that are slow. The service time of a slow store is
+   *     multiplied by a factor of 4 to 8, and the queue length in its load reports is divided by
+   *     the same factor
    * @param load offered load as a share of the capacity of all stores
    * @param scorer creates the scorer of each broker, or null for Graham's rule without factors
    * @param shared whether brokers send their weights to each other
@@ -235,10 +236,8 @@
       stores.add(new Store("s" + i, slowdown));
       capacity += 1 / slowdown;
     }
-    meanGapUs =
-        plan.workUs()
-            / (capacity * plan.load())
-            * plan.brokers(); // mean time between two queries of a broker
+    // The mean time between two queries of one broker.
+    meanGapUs = plan.workUs() / (capacity * plan.load()) * plan.brokers();
     for (int i = 0; i < plan.brokers(); i++) {
       addBroker();
     }
@@ -249,8 +248,8 @@
   }
 
   /**
-   * Adds a broker that has no weights of its own. If weights are shared, the new broker receives
-   * those of the first broker immediately, as a broker does when it joins the cluster.
+   * Adds a broker that has no weights of its own. If weights are shared, the new broker immediately
+   * receives the weights of the first broker, as it would when joining a cluster.
    */
   public void addBroker() {
     Broker joined = new Broker(brokers.size());
@@ -302,9 +301,9 @@
   }
 
   /**
-   * Returns the fraction of parts that met the latency objective. Counted are the completed parts
-   * that were sent between {@code fromUs} and {@code untilUs}; if {@code newest} is true, only
-   * those of the broker that joined last.
+   * Returns the fraction of parts that met the latency objective, among the completed parts that
+   * were sent between {@code fromUs} and {@code untilUs}. If {@code newest} is true, only parts of
+   * the broker that joined last are considered.
    */
   public double shareWithinObjective(long fromUs, long untilUs, boolean newest) {
     double[] latencies = latencies(fromUs, untilUs, newest);
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
@@ -20,8 +20,8 @@
   private static final double MICROS_PER_SECOND = 1e6;
 
   /**
-   * A query of a client; {@code retries} is the number of retries before this attempt of the
-   * client.
+   * A query of a client; {@code retries} is the number of times that the client has already retried
+   * the query.
    */
   private record ClientQuery(
       QueryRequest request, int retries, long startedUs, boolean honorsRetryAfter) {}
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
@@ -9,11 +9,12 @@
 
 /**
  * A model of a store with {@code CORES} cores and one queue of at most {@code QUEUE_LIMIT} parts.
- * The service time of a part is its work x slowdown / slow-start weight; the weight rises linearly
- * from {@code COLD_WEIGHT} to 1 within {@code SLOW_START_US} after a start. A warming store that
- * receives more than {@code OVERLOAD_FACTOR} times its capacity within {@code OVERLOAD_WINDOW_US}
- * collapses and stays down. Load reports are refreshed every 140 to 740 ms. A part whose
- * idempotency key was executed within the last 4 s is answered without being executed again.
+ * The service time of a part is its work, times the slowdown factor of the store, divided by the
+ * slow-start weight. After a start, this weight rises linearly from {@code COLD_WEIGHT} to 1 within
+ * {@code SLOW_START_US}. A store in slow start that receives more than {@code OVERLOAD_FACTOR}
+ * times its capacity within {@code OVERLOAD_WINDOW_US} collapses and stays down. Load reports are
+ * refreshed every 140 to 740 ms. A part whose idempotency key was executed within the last 4 s is
+ * answered without being executed again.
  */
 final class SimulatedStore {
   static final int CORES = 2;
@@ -131,7 +132,10 @@
     return Admission.ACCEPTED;
   }
 
-  /** Collapses a warming store that received more work than its capacity allows in the window. */
+  /**
+   * Collapses a store in slow start if it received more work within the window than the overload
+   * limit allows.
+   */
   private void trackWarmUpLoad(long workUs) {
     if (!isWarmingUp()) {
       return;
@@ -156,7 +160,8 @@
       if (!job.key().isEmpty()
           && completedAtUs.getOrDefault(job.key(), Long.MIN_VALUE / 2)
               > time.now() - DEDUPLICATION_WINDOW_US) {
-        job.done().run(); // duplicate of an executed part: answered without executing it again
+        // The part was executed before; the duplicate is answered without another execution.
+        job.done().run();
         continue;
       }
       busy++;
--- a/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -115,7 +115,8 @@
       startBroker(slot);
     }
     for (Fault fault : schedule.faults()) {
-      if (fault.fromUs() >= 0) { // other faults are applied when their store restarts
+      // A fault with a negative start time is applied when its store restarts.
+      if (fault.fromUs() >= 0) {
         time.scheduleAt(START_US + fault.fromUs(), () -> faults.apply(fault));
       }
     }
@@ -403,8 +404,8 @@
   }
 
   /**
-   * Cancels an attempt. The cancellation and its confirmation each take the latency of the route;
-   * over a partitioned route, neither arrives.
+   * Cancels an attempt. The cancellation and its confirmation are each delayed by the latency of
+   * the route. Neither arrives if the route is partitioned.
    */
   private void cancel(SimulatedBroker broker, Effect.CancelAttempt cancellation) {
     OutstandingAttempt attempt = outstanding.get(broker.number).remove(cancellation.attempt());
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationCommands.java
@@ -129,7 +129,8 @@
 
   @Command(
       name = "shrink",
-      description = "Prints the smallest schedule found that violates the same invariant.",
+      description =
+          "Shrinks a schedule that violates an invariant and prints the smallest schedule found that still violates it.",
       mixinStandardHelpOptions = true)
   public static final class Shrink implements Callable<Integer> {
     @Mixin private ScheduleSelection selection;
--- a/src/main/java/dunlinhitch/experiments/soak/Observation.java
+++ b/src/main/java/dunlinhitch/experiments/soak/Observation.java
@@ -6,13 +6,14 @@
   long atUs();
 
   /**
-   * Returns the query that the event concerns, or the endpoint or broker if it concerns no query.
+   * Returns the query that the event concerns. For an event without a query, returns the endpoint
+   * or the broker.
    */
   String subject();
 
   /**
    * The outcome of a request for its client; {@code LEFT} means that the client closed its
-   * connection.
+   * connection before the answer.
    */
   enum RequestEnd {
     SERVED,
--- a/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
@@ -25,20 +25,20 @@
   static final long STALL_US = 150_000;
 
   /**
-   * Time after a client has closed its connection within which attempts of its request may still
-   * start.
+   * Grace period after a client has closed its connection. Attempts of its request may still start
+   * within this time.
    */
   static final long DEPARTURE_GRACE_US = 100_000;
 
   /**
-   * Time after the deadline of a request within which an answer still counts as received. A later
-   * answer violates {@link SoakRule#ONE_ANSWER}.
+   * Grace period after the deadline of a request. An answer that arrives after this period violates
+   * {@link SoakRule#ONE_ANSWER}.
    */
   static final long ANSWER_GRACE_US = 500_000;
 
   /**
-   * Minimum share of served requests. Not counted are requests whose client left, and those whose
-   * broker was asked to terminate before the answer was due.
+   * Minimum share of served requests. The share excludes requests whose client closed its
+   * connection, and requests whose broker was asked to terminate before the answer was due.
    */
   static final double MIN_SERVED_SHARE = 0.3;
 
@@ -193,8 +193,8 @@
   }
 
   /**
-   * Returns true if the client left, or if the broker was asked to terminate before the answer was
-   * due.
+   * Returns true if the client closed its connection, or if the broker was asked to terminate
+   * before the answer was due.
    */
   private boolean isExcused(RequestSent request, RequestEnded end) {
     Long stopped = stoppedUs.get(request.broker());
--- a/src/main/java/dunlinhitch/experiments/soak/SoakPlan.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakPlan.java
@@ -48,8 +48,8 @@
   private static final int MAX_FAULT_MS = 1_500;
 
   /**
-   * Maximum duration of a process pause. It is below {@link SoakChecker#STALL_US}: a longer pause
-   * could violate the timed rules although the broker is correct.
+   * Maximum duration of a process pause. It is below {@link SoakChecker#STALL_US}, because a longer
+   * pause could violate the timed rules although the broker is correct.
    */
   private static final int MAX_PAUSE_MS = 120;
 
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRule.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRule.java
@@ -8,13 +8,16 @@
   ONE_ATTEMPT_AT_A_TIME(false),
   /** No part has more attempts than the settings allow. */
   ATTEMPT_LIMIT(false),
-  /** No attempt starts more than 0.1 s after its client has closed the connection. */
+  /** No attempt of a request starts more than 0.1 s after the client has closed its connection. */
   DEPARTED_CLIENT(true),
   /** No attempt is sent to a draining endpoint after the drain grace period. */
   DRAIN(true),
   /** The timeout of an attempt does not exceed the remaining time of its request. */
   DEADLINE(true),
-  /** An attempt that may repeat an executed attempt starts within the deduplication window. */
+  /**
+   * In the query class with idempotency keys, further attempts of a part start within the
+   * deduplication window, which begins with the first attempt.
+   */
   WINDOW(true),
   /**
    * A minimum share of the requests is served; otherwise a broker could satisfy the other rules by
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
@@ -94,7 +94,8 @@
       schedule(() -> begin(fault), fault.atMs());
     }
     TimeUnit.SECONDS.sleep(plan.seconds());
-    executor.shutdown(); // stops new requests and faults; faults in progress are still ended
+    // The executor starts no new requests or faults. Tasks that end faults in progress still run.
+    executor.shutdown();
     executor.awaitTermination(2L * plan.deadlineMs(), TimeUnit.MILLISECONDS);
     for (SoakClients brokerClients : clients) {
       brokerClients
@@ -257,8 +258,8 @@
   }
 
   /**
-   * Schedules a step of a fault. An exception in the step makes the run fail, because the fault
-   * would be missing or would never end.
+   * Schedules a step of a fault. An exception in the step makes the run fail, because the fault did
+   * not start or did not end as planned.
    */
   private void schedule(Step step, int delayMs) {
     var unused =
--- a/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
@@ -45,13 +45,14 @@
     private final List<String> probed = new ArrayList<>();
 
     /**
-     * Number of health checks that other brokers made for this broker and that ended with a report.
+     * Number of health checks by other brokers on behalf of this broker that ended with an
+     * observation of the store.
      */
     private int reportedHealthChecks;
 
     /**
-     * Number of health checks that other brokers made for this broker and that ended without a
-     * report.
+     * Number of health checks by other brokers on behalf of this broker that ended without an
+     * observation.
      */
     private int unreportedHealthChecks;
 
@@ -72,16 +73,16 @@
     }
 
     /**
-     * Returns the number of health checks that other brokers made for this broker and that ended
-     * with a report.
+     * Returns the number of health checks by other brokers on behalf of this broker that ended with
+     * an observation of the store.
      */
     public int reportedHealthChecks() {
       return reportedHealthChecks;
     }
 
     /**
-     * Returns the number of health checks that other brokers made for this broker and that ended
-     * without a report.
+     * Returns the number of health checks by other brokers on behalf of this broker that ended
+     * without an observation.
      */
     public int unreportedHealthChecks() {
       return unreportedHealthChecks;
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
@@ -69,9 +69,7 @@
             }));
   }
 
-  /**
-   * Resets the connections that stalled during the fault, as they would be when a network recovers.
-   */
+  /** Resets the connections that stalled during the fault, as a recovering network would. */
   private void resetStalledConnections(ScheduledFault fault) throws Exception {
     for (TestBed.Node node : testBed.nodes()) {
       if (fault.targets().contains(node.name) || fault.kind() == FaultKind.CUT) {
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultSchedule.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultSchedule.java
@@ -62,8 +62,8 @@
   }
 
   /**
-   * Draws two to five faults within {@code seconds} seconds. All faults end before that time, and
-   * every killed broker is started again; the same seed gives the same schedule.
+   * Draws two to five faults. All faults end within {@code seconds} seconds, and every killed
+   * broker is started again. The same seed gives the same schedule.
    */
   public static FaultSchedule random(
       long seed, int seconds, List<String> brokers, List<String> stores) {
--- a/src/main/java/dunlinhitch/experiments/testbed/FreePorts.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FreePorts.java
@@ -10,8 +10,8 @@
 
 /**
  * Allocates ports for processes that are started shortly afterwards. The ports lie below the
- * ephemeral port range of the system: a free port of that range may be taken by an outgoing
- * connection before the process binds it.
+ * ephemeral port range of the system: an outgoing connection may occupy a free port of that range
+ * before the process binds the port.
  *
  * <p>Thread-safe. A process allocates every port of the range once before it repeats a port.
  * Processes with different ids begin at different ports.
@@ -37,7 +37,8 @@
   private FreePorts() {}
 
   /**
-   * Binds an address to test whether its port is free; throws a SocketException if it is in use.
+   * Binds an address to test whether its port is free; throws a SocketException if the port is in
+   * use.
    */
   private interface Probe {
     void bind(InetSocketAddress address) throws IOException;
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipBounds.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipBounds.java
@@ -22,14 +22,14 @@
   private MembershipBounds() {}
 
   /**
-   * Returns the time in which an update reaches all brokers: 2 log2 of the cluster size, in
-   * protocol periods.
+   * Returns the time in microseconds in which an update reaches all brokers. It is 2 * log2(cluster
+   * size) protocol periods.
    */
   private static double disseminationUs(MembershipProtocolSettings settings, int brokers) {
     return 2 * settings.periodUs() * Math.log(brokers + 1) / Math.log(2);
   }
 
-  /** Returns the time in which anti-entropy covers all pages. */
+  /** Returns the time in microseconds in which anti-entropy covers all pages. */
   private static double antiEntropyUs(MembershipProtocolSettings settings, int brokers) {
     return 4.0
         * settings.periodUs()
@@ -37,8 +37,8 @@
   }
 
   /**
-   * Returns the upper bound of the convergence time after graceful leaves, if at least one other
-   * broker received each announcement.
+   * Returns the upper bound of the convergence time after graceful leaves, provided that at least
+   * one other broker received the announcement of each leave.
    */
   public static long leaveUs(MembershipProtocolSettings settings, int brokers) {
     return (long) (4 * settings.periodUs() + 2 * disseminationUs(settings, brokers));
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
@@ -84,14 +84,16 @@
         return;
       }
       if (time.nowUs() < pausedUntilUs) {
-        receiveBuffer.add(message); // buffered until the process resumes, as in a receive buffer
+        // The message is buffered until the process resumes, as in a socket receive buffer.
+        receiveBuffer.add(message);
       } else {
         protocol.onMessage(time.nowUs(), message);
         afterEvent();
       }
     }
 
-    @SuppressWarnings("ReferenceEquality") // snapshots are immutable; a change creates a new one
+    // Snapshots are immutable, and each change creates a new one, so references can be compared.
+    @SuppressWarnings("ReferenceEquality")
     private void afterEvent() {
       ClusterSnapshot snapshot = protocol.snapshot();
       if (snapshot != lastSnapshot) {
@@ -287,7 +289,8 @@
   }
 
   /**
-   * Sets whether a fault is injected; while it is, removed members do not count as false positives.
+   * Sets whether a fault is being injected. During a fault, removed members do not count as false
+   * positives.
    */
   public void harmed(boolean injected) {
     faultInjected = injected;
--- a/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
@@ -6,9 +6,9 @@
 import java.util.function.BiPredicate;
 
 /**
- * The fault rules of the simulated network, by the names of both ends. The proxies look up the rule
- * for each chunk or datagram that they forward. Names are those of brokers (n0), stores (s0-1) and
- * discovery (d).
+ * The fault rules of the simulated network. A rule applies to traffic between two named ends.
+ * Before the proxies forward a chunk or a datagram, they look up the rule for it. Names are those
+ * of brokers (n0), stores (s0-1) and discovery (d).
  *
  * <p>Thread-safe: the proxies' event loop reads the rules, any thread may modify them.
  */
--- a/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
@@ -17,7 +17,7 @@
 /**
  * The clients of a test bed: at a fixed interval they send one query to each running broker, each
  * over its own connection, and count the outcomes. A running broker must answer within {@link
- * #ANSWER_TIMEOUT_MS}; this does not apply to a broker that was killed before it answered.
+ * #ANSWER_TIMEOUT_MS}. A broker that is killed before this time need not answer.
  *
  * <p>The state of this object is confined to the event loop of the test bed; the public methods
  * must be called on other threads.
@@ -26,7 +26,7 @@
   /** Deadline that each query carries. */
   private static final int QUERY_DEADLINE_MS = 1_000;
 
-  /** Time in which a running broker must answer: the deadline and half a second. */
+  /** Time within which a running broker must answer: the deadline of the query plus 500 ms. */
   private static final int ANSWER_TIMEOUT_MS = 1_500;
 
   private static final int MAX_QUERIES = 20_000;
@@ -38,7 +38,7 @@
   private static final String CONTENT_LENGTH = "content-length: ";
   private static final String END_OF_HEAD = "\r\n\r\n";
 
-  /** The outcome of a query; reports print the names. */
+  /** The outcome of a query; reports print the names of the constants. */
   public enum End {
     /** Answered with values of stores of the expected cells. */
     SERVED,
@@ -153,7 +153,8 @@
     }
 
     private void onConnected(NetSocket socket) {
-      socket.exceptionHandler(e -> {}); // ignored: the close handler runs next and ends the query
+      // The exception is ignored, because the close handler runs next and ends the query.
+      socket.exceptionHandler(e -> {});
       socket.closeHandler(
           v -> endWithoutAnswer(id + " lost its connection before the answer was complete"));
       socket.handler(bytes -> onBytes(socket, bytes));
--- a/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -55,9 +55,9 @@
       NetworkFaults.Rule rule = links.of(from, to);
       NetworkFaults.Harm harm = rule == null ? null : rule.harm();
       if (stalled || harm == NetworkFaults.Harm.LOST) {
+        // After a loss, the stream delivers no further bytes until the connection is reset.
         stalled = true;
-        stalledConnections.add(
-            brokerSocket); // after lost bytes, a stream delivers no further bytes
+        stalledConnections.add(brokerSocket);
         return;
       }
       if (harm == NetworkFaults.Harm.RESET) {
@@ -227,7 +227,8 @@
     socket.exceptionHandler(e -> {});
     NetworkFaults.Rule rule = links.of(broker, peer);
     if (rule != null && rule.harm() == NetworkFaults.Harm.LOST) {
-      stalledConnections.add(socket); // the connection to the peer is never established
+      // The proxy never connects to the peer, and the socket of the broker stays open.
+      stalledConnections.add(socket);
       return;
     }
     socket.pause();
--- a/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
@@ -39,7 +39,7 @@
   private static final int MAX_OUTPUT_LINES = 4_000;
 
   /** Settings with two query classes and short times; arguments: brokers, cells, shards. */
-  @SuppressWarnings("InlineFormatString") // the text block reads better outside the call
+  @SuppressWarnings("InlineFormatString") // a text block is easier to read as a constant
   private static final String SETTINGS =
       """
             {"ReplicasOfMe":%d,"FailureDomains":["here"],"MyZone":0,"TickUs":5000,
@@ -407,7 +407,7 @@
     return brokers.stream().allMatch(node -> node.members().equals(names));
   }
 
-  /** Returns, by store, the number of matching brokers with the store in their subset. */
+  /** Returns, for each store, the number of brokers matching {@code who} that selected it. */
   public Map<String, Integer> load(Predicate<Node> who) {
     Map<String, Integer> load = new LinkedHashMap<>();
     stores.forEach(store -> load.put(store.name, 0));
--- a/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
@@ -41,7 +41,7 @@
       arity = "0..1",
       paramLabel = "FILE",
       description =
-          "file with a schedule of faults (default: a random schedule derived from the seed)")
+          "file with a schedule of faults; without it, a random schedule is derived from the seed")
   private Path file;
 
   @Option(
--- a/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
+++ b/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
@@ -254,8 +254,8 @@
   }
 
   /**
-   * The hash of an unordered set or map does not depend on the order of its elements; that of a
-   * list or linked set does. Names are mapped before they are hashed.
+   * The hash of an unordered set or map does not depend on the order of its elements. The hash of a
+   * list or linked set depends on the order. Names are mapped before they are hashed.
    */
   @Test
   void hashesDifferWhereStatesDiffer() {
--- a/src/test/java/dunlinhitch/experiments/soak/SoakCheckerTest.java
+++ b/src/test/java/dunlinhitch/experiments/soak/SoakCheckerTest.java
@@ -70,7 +70,7 @@
     assertViolations(SoakRule.ONE_ANSWER);
   }
 
-  /** Requests that are due after their broker was asked to terminate need no answer. */
+  /** A request needs no answer if it is due after its broker was asked to terminate. */
   @Test
   void stoppedBrokerNeedNotAnswer() {
     request(0, null, 0);
