--- a/src/main/java/dunlinhitch/backend/flight/FlightActions.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightActions.java
@@ -43,8 +43,7 @@
   /**
    * Notifies the store that the result of a part is no longer needed.
    *
-   * @param onConfirmed called once the store has confirmed the notification; never called without
-   *     its confirmation
+   * @param onConfirmed called only after the store has confirmed the notification
    */
   void cancelPart(String partId, long dueUs, Runnable onConfirmed) {
     submit(CANCEL, partId, dueUs, result -> result.ifPresent(ignored -> onConfirmed.run()));
--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -285,7 +285,7 @@
   }
 
   /**
-   * Returns false if the failure is a status that the store has sent. Timeouts and cancellations
+   * Returns true unless the failure is a status that the store has sent. Timeouts and cancellations
    * are statuses that this side creates itself.
    */
   private static boolean endedByThisSide(RuntimeException failure) {
--- a/src/main/java/dunlinhitch/backend/flight/FlightFirstPasses.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPasses.java
@@ -26,7 +26,8 @@
     void onReply(Event.FirstPassCompleted reply);
 
     /**
-     * Called when the store must be notified of a cancellation, but not before the call was sent.
+     * Called when the store must be notified that a first pass was cancelled; the call of that
+     * first pass has been sent by then.
      */
     void onCancelled(String partId, long attempt, long connection);
 
@@ -90,8 +91,8 @@
   }
 
   /**
-   * Cancels a first pass. A call that was already sent is not aborted, because it costs the store
-   * little and ends by its deadline.
+   * Cancels a first pass. A call that was already sent continues: it costs the store little and
+   * ends by its deadline.
    *
    * @param confirm whether the release of the first pass is to be reported
    * @return false if the first pass is not in flight
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -81,7 +81,8 @@
   private volatile boolean disabled;
 
   /**
-   * Counts attempts to connect, so that a late timer or callback of an earlier attempt is ignored.
+   * Number of the latest connect operation; late timers and callbacks of earlier connect operations
+   * are ignored.
    */
   private long connectRound;
 
--- a/src/main/java/dunlinhitch/backend/flight/SendHook.java
+++ b/src/main/java/dunlinhitch/backend/flight/SendHook.java
@@ -10,8 +10,8 @@
 
 /**
  * Runs a hook as soon as a blocking call has passed its request to the connection, which is before
- * the call returns. If another call is made on the same connection after the hook has run, its
- * request is sent after the first one.
+ * the call returns. A call that starts on the same connection after the hook has run cannot
+ * overtake this request.
  *
  * <p>Thread-safe: the hook is stored per calling thread.
  */
--- a/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -368,11 +368,11 @@
   }
 
   /**
-   * Closes the connection and drops pending writes. A call that was not completely written is
-   * reported as never run, so the rest of the call must not be written; an orderly close would
-   * write it. Dropped cancellations are not needed, because the store cancels all attempts of a
-   * closed connection. If the store may still have attempts, the connection waits for the store's
-   * end of stream, which releases them.
+   * Closes the connection and drops pending writes. A partly written call is reported as never run,
+   * so the rest of it must not be written; an orderly close would write it. Pending cancellations
+   * can be dropped, because the store cancels all attempts of a closed connection. If the store may
+   * still have attempts, only the output is closed at first; the store's end of stream then proves
+   * that it has released them.
    */
   void close() {
     if (closed) {
--- a/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
@@ -19,9 +19,8 @@
   private static final double MARGIN = 1.5;
 
   /**
-   * One reply moves the estimate by less than this fraction of the estimate. If {@link
-   * #LATENCY_SHARE} of the reply's latency is larger than the estimate, the fraction applies to
-   * that value instead.
+   * One reply moves the estimate by less than this fraction of the estimate, or of {@link
+   * #LATENCY_SHARE} times the reply's latency if that is larger.
    */
   private static final double STEP = 0.05;
 
--- a/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
+++ b/src/main/java/dunlinhitch/frontend/GracefulShutdown.java
@@ -212,7 +212,7 @@
 
   /**
    * Reads the bytes that have arrived. Returns true if the connection was in the expected state
-   * before the read and is in it after the read.
+   * before the read and is still in that state after it.
    */
   private boolean isStillAfterRead(C connection, Entry entry, State expected) {
     if (entry == null || entry.state != expected) {
--- a/src/main/java/dunlinhitch/frontend/QueryReader.java
+++ b/src/main/java/dunlinhitch/frontend/QueryReader.java
@@ -134,8 +134,8 @@
 
   /**
    * Returns the tenant's name if it is configured, else an empty name. A query that names no
-   * configured tenant, or several, is served under the quota of unnamed queries. It is not
-   * rejected, because the platform's rules guarantee service to every client.
+   * configured tenant, or several, is served under the quota of unnamed queries. Rejecting it would
+   * violate the platform's rules, which guarantee service to every client.
    */
   private String tenant(Iterable<String> customers) {
     String result = "";
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -21,8 +21,8 @@
 /**
  * The connections of clients and their timeouts. Closes connections that send nothing or never
  * complete a request, because they occupy file descriptors and memory that clients with a query
- * need. {@link GracefulShutdown} controls the shutdown and guarantees that no connection is closed
- * on which an unread request has arrived.
+ * need. {@link GracefulShutdown} controls the shutdown and guarantees that a connection with an
+ * unread request is not closed.
  *
  * <p>Used on the event loop only.
  */
@@ -269,7 +269,10 @@
     return shutdown.isDraining() || client == null || client.flooded || client.excess;
   }
 
-  /** Records that the last response is being written; later requests are ignored. */
+  /**
+   * Records that the last response of a connection is being written; later requests on it are
+   * ignored.
+   */
   void closing(HttpConnection connection) {
     ClientConnection client = connections.get(connection);
     if (client != null) {
--- a/src/main/java/dunlinhitch/server/Broker.java
+++ b/src/main/java/dunlinhitch/server/Broker.java
@@ -21,7 +21,7 @@
  */
 public final class Broker {
   /**
-   * If the release of the predecessor has no process locks, the end of the predecessor cannot be
+   * If the predecessor runs a release that does not support process locks, its end cannot be
    * detected. A new process then assumes for this time that the predecessor is still running.
    */
   private static final long UNDETECTED_OVERLAP_US = 6_000_000;
@@ -175,8 +175,8 @@
   }
 
   /**
-   * Watches for other processes if they may accept from the same socket; each then uses half of the
-   * shared budgets.
+   * If other processes may accept from the same socket, watches for them. While another one is
+   * running, each process uses half of the shared budgets.
    */
   private Future<Void> watchForOverlap(boolean hasPredecessor) {
     if (!shared) {
--- a/src/main/java/dunlinhitch/server/DescriptorBudget.java
+++ b/src/main/java/dunlinhitch/server/DescriptorBudget.java
@@ -34,8 +34,8 @@
   private static final int RESERVED_DESCRIPTORS = 24;
 
   /**
-   * Clients get at least the process's own descriptors divided by this. If two processes may
-   * overlap, half of the descriptors are a process's own.
+   * Clients get at least the descriptors of this process divided by this. If two processes may
+   * overlap, each of them owns half of all descriptors.
    */
   private static final int MINIMUM_CLIENT_DIVISOR = 4;
 
@@ -54,8 +54,8 @@
   }
 
   /**
-   * Returns the maximum number of client connections that are served; further connections are
-   * closed as soon as they are accepted.
+   * Returns the number of open client connections above which connections without an open query are
+   * evicted.
    */
   int servedConnections() {
     int accepted = clientConnections();
--- a/src/main/java/dunlinhitch/server/ReducerLoop.java
+++ b/src/main/java/dunlinhitch/server/ReducerLoop.java
@@ -33,9 +33,9 @@
   private long nextTurnUs = Long.MAX_VALUE;
 
   /**
-   * The earliest time at which the next turn can begin: its due time, or the time of the request if
-   * it was already due then. If the turn begins later, the event loop was busy or had no processor
-   * time, and events may have waited since then.
+   * The earliest time at which the next turn can begin: its due time, or the time at which the turn
+   * was requested if that is later. If the turn begins later, the event loop was busy or had no
+   * processor time, and events may have waited since then.
    */
   private long turnRequestedUs;
 
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
@@ -63,8 +63,8 @@
 
   /**
    * A call is stopped while it is partly written because the store does not read. Guards against an
-   * orderly close that writes the rest of the call, which was reported as never run, as soon as the
-   * store reads again.
+   * orderly close: it writes the rest of the call once the store reads again, although the call was
+   * reported as never run.
    */
   @ParameterizedTest
   @EnumSource(Stop.class)
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -80,7 +80,7 @@
         });
     blocked.await();
     List<Socket> connections = new ArrayList<>();
-    // Clients get what the shares of the stores and of the process itself leave.
+    // Clients get the descriptors that remain after the shares of backends and of the process.
     int maxOpen = fixture.maxSockets - fixture.maxSockets / 4 - 24;
     for (int i = 0; i < 2 * fixture.maxSockets; i++) {
       connections.add(new Socket(InetAddress.getLoopbackAddress(), fixture.httpPort));
--- a/src/test/java/dunlinhitch/server/AdminTest.java
+++ b/src/test/java/dunlinhitch/server/AdminTest.java
@@ -241,7 +241,8 @@
   }
 
   /**
-   * Connections above the bound send nothing or half a request; the next request is still answered.
+   * More connections than allowed are opened and send nothing or half a request; the next complete
+   * request is still answered.
    */
   @Test
   void idleAndIncompleteCallersDoNotBlockOthers() throws Exception {
--- a/src/test/java/dunlinhitch/server/ServingRulesTest.java
+++ b/src/test/java/dunlinhitch/server/ServingRulesTest.java
@@ -378,7 +378,7 @@
 
   /**
    * In a class that requires all parts, an incomplete second step is not an answer. The limit on
-   * attempts applies to its parts too.
+   * attempts applies to the parts of the second step too.
    */
   @ParameterizedTest
   @EnumSource(Path.class)
--- a/src/test/java/dunlinhitch/server/TwoPhasesTest.java
+++ b/src/test/java/dunlinhitch/server/TwoPhasesTest.java
@@ -206,7 +206,7 @@
     assertEquals(0, fixture.counter("faults"));
   }
 
-  /** Attempts of both phases count towards one limit, and a part never has two at once. */
+  /** Attempts of both phases count towards one limit, and a part never has two attempts at once. */
   @ParameterizedTest
   @EnumSource(Wire.class)
   void attemptsOfBothPhasesStayWithinTheLimit(Wire wire) throws Exception {
