--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -172,7 +172,7 @@
       pendingCalls.drain().forEach(this::start);
       return;
     }
-    // an initial failure state belongs to an earlier attempt to connect
+    // an initial failure state belongs to an earlier connect operation
     if (current == ConnectivityState.SHUTDOWN
         || (current == ConnectivityState.TRANSIENT_FAILURE && !initial)) {
       failPending();
--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -158,8 +158,9 @@
   }
 
   /**
-   * Returns false if the store is draining and a call would have to wait on the connection: a call
-   * may be written to a draining store immediately, but not later.
+   * Returns false if the store is not ready and a call would have to wait on the connection. Once
+   * the store has left the ready state, only calls that can be written immediately may be sent to
+   * it.
    */
   private boolean writesBeforeStateChange(FrameConnection connection) {
     return state == ServerState.READY || (connection.isOpen() && !connection.isWriting());
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -219,7 +219,7 @@
       assertEquals(256, clusterGossip.identity().settings().membership().maxMessageBytes());
       assertFalse(
           clusterGossip.identity().settings().membership().digestCoversAddresses(),
-          "messages must not contain addresses, because each broker may use others");
+          "the digest must not cover addresses: brokers may know a peer by different addresses");
       List<Member> peers = membersWithLongNames(12);
       await(clusterGossip.listen(event -> {}));
       clusterGossip.send(
