--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -81,7 +81,8 @@
   private volatile boolean disabled;
 
   /**
-   * Counts attempts to connect, so that a late timer or callback of an earlier attempt is ignored.
+   * Number of the latest connect operation; late timers and callbacks of earlier connect operations
+   * are ignored.
    */
   private long connectRound;
 
@@ -171,7 +172,7 @@
       pendingCalls.drain().forEach(this::start);
       return;
     }
-    // an initial failure state belongs to an earlier attempt to connect
+    // an initial failure state belongs to an earlier connect operation
     if (current == ConnectivityState.SHUTDOWN
         || (current == ConnectivityState.TRANSIENT_FAILURE && !initial)) {
       failPending();
