--- a/src/main/java/dunlinhitch/answerkeys/Action.java
+++ b/src/main/java/dunlinhitch/answerkeys/Action.java
@@ -10,8 +10,8 @@
     /** The deadline of the query has passed. */
     DEADLINE_EXCEEDED,
     /**
-     * The query has reached the maximum number of attempts. The failed attempts of the leaders that
-     * it waited for are included.
+     * The query has reached the maximum number of attempts. The count includes the failed attempts
+     * of the leaders for which the query waited.
      */
     ATTEMPTS_EXHAUSTED
   }
--- a/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
@@ -153,8 +153,8 @@
 
   /**
    * Whether the part is selected as a trial, that is, sent to a store although the answer to the
-   * other part could be reused. Only a part that shares its key with the other part because of
-   * rules can be selected, and the selection is random.
+   * other part could be reused. The selection is random, among the parts that share their key with
+   * the other part only because of rules.
    */
   boolean selectsTrial(PartQuery part, PartQuery other) {
     return !part.sameAs(other) && random.nextDouble() < settings.trialShare();
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyCounter.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyCounter.java
@@ -13,11 +13,11 @@
   LED,
   /** Requests answered from the cache. */
   REUSED,
-  /** Requests answered by a fetch of this broker for which they waited. */
+  /** Requests that waited for a fetch of this broker and were answered with its result. */
   JOINED,
   /** Requests answered with an answer that another broker fetched. */
   FROM_HOME,
-  /** Requests to owners of keys that were not answered in time. */
+  /** Requests to which the owner of the key did not reply in time. */
   HOME_LATE,
   /** Answers of stores that were not shareable. */
   NOT_SHAREABLE,
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
@@ -7,9 +7,9 @@
  * @param trialShare how often a request is sent to a store although trusted rules allow an answer
  *     to be reused, as a fraction of such requests; these trials detect rules that have become
  *     false
- * @param changeWindowUs the maximum time between the requests for two unequal answers that make a
- *     rule suspect; after a longer time the data has probably changed. Applies only to stores that
- *     report no generation
+ * @param changeWindowUs for stores that report no generation: two unequal answers make a rule
+ *     suspect if the time between their requests is at most this long; after a longer time the data
+ *     has probably changed
  * @param suspicionTimeoutUs the time after which a rule is withdrawn if its suspicion has not been
  *     cleared
  * @param evidenceLifetimeUs the lifetime of a broker's evidence
--- a/src/main/java/dunlinhitch/answerkeys/ClassRules.java
+++ b/src/main/java/dunlinhitch/answerkeys/ClassRules.java
@@ -70,7 +70,7 @@
 
   /**
    * Checks that each attribute has at most one rewrite. Two rewrites could undo each other, and a
-   * pair of unequal answers would not show which of them is false.
+   * pair of unequal answers would not show which rewrite is false.
    */
   private void checkAttribute(Rule rule, String attribute, Set<String> rewrittenAttributes) {
     if (!policy.attributes().contains(attribute)) {
--- a/src/main/java/dunlinhitch/answerkeys/RequestCoalescer.java
+++ b/src/main/java/dunlinhitch/answerkeys/RequestCoalescer.java
@@ -225,8 +225,8 @@
   /**
    * Replaces a leader that was cancelled while its request is in flight. The first waiter with an
    * identical part becomes the leader and adopts the request. If there is no such waiter, the
-   * request is cancelled, because its answer would be valid for the other waiters only because of
-   * rules, which may be withdrawn before the answer arrives.
+   * request is cancelled: its answer would be valid for the other waiters only under rules that may
+   * be withdrawn before the answer arrives.
    */
   private void replaceCancelledLeader(long nowUs, InFlightFetch fetch) {
     Waiter successor =
@@ -298,7 +298,7 @@
   }
 
   /**
-   * Removes the waiters whose keys are based on rules that no longer apply, except for leaders. A
+   * Removes each waiter, other than a leader, whose key is based on rules that no longer apply. A
    * removed query bypasses coalescing, and a removed peer gets the reply {@link
    * Action.OwnerReply#NONE}.
    */
--- a/src/main/java/dunlinhitch/answerkeys/RuleState.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleState.java
@@ -4,7 +4,7 @@
 public enum RuleState {
   /** The requests whose key the rule would change are counted. */
   PROPOSED,
-  /** Answers for which the rule would build equal keys are compared. */
+  /** Answers that would share a key under the rule are compared. */
   TRIED,
   /** Enough compared answers were equal, so the rule is applied. */
   TRUSTED,
--- a/src/main/java/dunlinhitch/answerkeys/ShadowComparison.java
+++ b/src/main/java/dunlinhitch/answerkeys/ShadowComparison.java
@@ -123,7 +123,7 @@
       long nowUs, AnswerSample other, AnswerSample current, List<Rule> tested) {
     List<Rule> responsible = attribution.responsible(current.part(), other.part(), tested);
     if (responsible.isEmpty()) {
-      // The two parts do not share a key because of a tested rule.
+      // No tested rule is responsible for the shared key.
       return;
     }
     if (current.digest() == other.digest()) {
--- a/src/main/java/dunlinhitch/cluster/Convergence.java
+++ b/src/main/java/dunlinhitch/cluster/Convergence.java
@@ -7,8 +7,9 @@
 import java.util.Set;
 
 /**
- * Tracks whether the cluster has converged. Records which members have announced the same digest as
- * this broker, and which a different one, since this broker's digest last changed.
+ * Tracks whether the cluster has converged. Since the last change of this broker's digest, records
+ * which members have announced the same digest as this broker and which have announced a different
+ * digest.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}. Times are in microseconds.
  */
--- a/src/main/java/dunlinhitch/cluster/LocalHealth.java
+++ b/src/main/java/dunlinhitch/cluster/LocalHealth.java
@@ -2,9 +2,9 @@
 
 /**
  * The local health multiplier of Lifeguard (Dadgar, Phillips and Currey, 2017): a broker that
- * processes messages late would declare healthy members dead, so it lengthens its timeouts. Unlike
- * in the paper, a helper that does not answer a ping-req does not raise the score, because after
- * the failure of most of a cluster the helpers have failed too.
+ * processes messages late would declare healthy members dead, so it lengthens its timeouts. In the
+ * paper, a helper that leaves a ping-req unanswered also raises the score. This class ignores
+ * unanswered ping-reqs, because the helpers have failed too if most of a cluster has failed.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
--- a/src/main/java/dunlinhitch/cluster/Member.java
+++ b/src/main/java/dunlinhitch/cluster/Member.java
@@ -31,8 +31,8 @@
   private static final int FIXED_BYTES = 6;
 
   /**
-   * The statuses of a member. Of two statuses with the same incarnation, the one that is declared
-   * later wins. The order of the constants is part of the wire format.
+   * The statuses of a member. Of two statuses with the same incarnation, the one whose constant
+   * comes later in this enum wins. The order of the constants is part of the wire format.
    */
   public enum Status {
     /** The broker answers pings. */
@@ -105,8 +105,9 @@
   /**
    * Whether this state replaces another state of the same name. The higher incarnation wins. If the
    * incarnations are equal, the higher address wins, which decides between two brokers that started
-   * with the same name at the same time. If the addresses are equal too, the later {@link Status}
-   * wins. The order is total, so brokers agree after merging the same updates in any order.
+   * with the same name at the same time. If the addresses are equal too, the {@link Status} whose
+   * constant comes later in the enum wins. The order is total, so brokers agree after merging the
+   * same updates in any order.
    */
   boolean replaces(Member other) {
     if (incarnation != other.incarnation) {
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -236,7 +236,7 @@
 
   /**
    * The name of the peer at the given address if its status is suspected, dead or left; otherwise
-   * null. Such a peer has to be notified of its status, so that it can refute it.
+   * null. Such a peer has to be notified of its status, so that it can refute the status.
    */
   String notAlivePeerAt(String host, int port) {
     String suspect = firstAt(suspicions.names(), host, port);
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -44,8 +44,8 @@
       new MembershipProtocolSettings(200_000, 80_000, 3, 1_000_000, 30_000_000, 1024);
 
   /**
-   * The minimum of the maximum message size: the header, one member and the sums of all buckets
-   * have to fit.
+   * The smallest permitted {@code maxMessageBytes}: the header, one member and the sums of all
+   * buckets have to fit.
    */
   private static final int MIN_MESSAGE_BYTES = 256;
 
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
@@ -32,7 +32,7 @@
     OLD,
     /** The timestamp is further in the future than the tolerated clock skew. */
     FROM_THE_FUTURE,
-    /** The entry was dropped because the map has reached a bound with later entries. */
+    /** The entry was dropped, because later entries already fill the map up to a bound. */
     CROWDED_OUT
   }
 
--- a/src/main/java/dunlinhitch/cluster/Subsetting.java
+++ b/src/main/java/dunlinhitch/cluster/Subsetting.java
@@ -12,8 +12,8 @@
  * Mirrokni, Thorup and Zadimoghaddam, 2018). Endpoints are assigned to one broker after the other,
  * in a hash order that differs between cells. Each broker gets its highest-ranked endpoints that
  * have capacity. Brokers with the same lists of brokers and endpoints compute the same subsets
- * without communication. When a broker joins or leaves, only its own assignments change, and the
- * few assignments that they displace.
+ * without communication. When a broker joins or leaves, the only assignments that change are its
+ * own and the few that they displace.
  *
  * <p>The cost for B brokers and S endpoints of a cell is B * S hashes and O(B * S * log S) steps.
  * Immutable.
@@ -119,10 +119,10 @@
 
     /**
      * Frees capacity for the current broker, whose endpoints so far are {@code chosen}, and returns
-     * the endpoint with the freed capacity. To do so, moves an earlier broker from an endpoint that
-     * is not in {@code chosen} to one in {@code chosen} that has capacity and that the earlier
-     * broker does not use. The earlier brokers are tried in reverse order of processing. If the
-     * load bound permits no such move, returns the endpoint with the least load.
+     * the endpoint with the freed capacity. To do so, moves an earlier broker from an endpoint
+     * outside {@code chosen} to an endpoint in {@code chosen}. The target must have capacity, and
+     * the earlier broker must not use it yet. The earlier brokers are tried in reverse order of
+     * processing. If the load bound permits no such move, returns the endpoint with the least load.
      */
     private String freeCapacity(List<String> preferences, List<String> chosen) {
       List<String> earlier = new ArrayList<>(orders.keySet());
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
@@ -131,8 +131,9 @@
   }
 
   /**
-   * Sends one datagram. Drops it if the address is not permitted or the datagram exceeds the
-   * maximum size, because some platforms treat an oversized datagram as a fatal violation.
+   * Sends one datagram. Drops it if the address is not permitted. Also drops a datagram that
+   * exceeds the maximum size, because some platforms treat an oversized datagram as a fatal
+   * violation.
    */
   void send(byte[] bytes, String host, int port) {
     if (bytes.length > addresses.maxDatagramBytes() || !addresses.permits(host, port)) {
--- a/src/main/java/dunlinhitch/cluster/gossip/WireFormat.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/WireFormat.java
@@ -43,8 +43,8 @@
   static final int HAS_BUCKETS = 0x80;
 
   /**
-   * The maximum number of buckets in a message. It leaves room for versions with more buckets, and
-   * the count fits in one byte.
+   * The maximum number of buckets in a message. It leaves room for future versions with more
+   * buckets, and the count fits in one byte.
    */
   static final int MAX_BUCKETS = 64;
 
--- a/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
@@ -5,8 +5,8 @@
  *
  * @param build the version of the program
  * @param settings the digest of the parsed settings, see {@link SettingsDigest}
- * @param settingsMs when the settings file was written, Unix time in milliseconds; of two digests,
- *     the one with the later time is the newer
+ * @param settingsMs when the settings file was written, Unix time in milliseconds; of two versions
+ *     of the settings, the one written later is newer
  * @param endpointListGeneration the generation of the endpoint list, 0 before the first list;
  *     comparable only among brokers with the same settings, because each discovery service has its
  *     own generations
--- a/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
+++ b/src/main/java/dunlinhitch/endpoints/ChangePublisher.java
@@ -73,10 +73,11 @@
   }
 
   /**
-   * Infers the start time of the endpoint's process. This is the claimed start time, with two
-   * exceptions in which the time of the claim is used instead: if the endpoint has moved to another
-   * address without claiming a later start time, because it must be a new process; and if it claims
-   * no start time and appeared after the source's first complete list.
+   * Infers the start time of the endpoint's process. This is the claimed start time, except in two
+   * cases, in which the time of the claim is used. In the first case, the endpoint has moved to
+   * another address without claiming a later start time, so it must be a new process. In the second
+   * case, it claims no start time and appeared after the source's first complete list, so it has
+   * just been started.
    */
   private static long processStartUs(EndpointRecord endpoint, Evaluation evaluation) {
     long claimedUs = evaluation.endpoint().startedUs();
--- a/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
+++ b/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
@@ -95,8 +95,8 @@
   }
 
   /**
-   * Selects the substitutes of the changed positions again, and adds the affected endpoints to
-   * {@code changed}.
+   * Reselects the substitutes of the dirty positions. Adds to {@code changed} each endpoint that
+   * became or ceased to be the substitute of a position.
    */
   void update(Set<EndpointRecord> changed) {
     for (int position : dirtyPositions) {
--- a/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
@@ -69,7 +69,7 @@
   }
 
   /**
-   * A waiter does not adopt a request for another text that is equal to its own only because of a
+   * A waiter does not adopt a request whose text differs from its own and matches only under a
    * rule.
    */
   @Test
@@ -211,8 +211,8 @@
   void trustedRuleIsStillSampledByTrials() {
     AnswerKeyModule module = moduleTrustingCase("n0", settings(1));
     module.onBypassAnswered(NOW, part("a"), answer("v"), NOW);
-    // The answer was recorded for this very text, so no rule is applied and there is nothing to
-    // try.
+    // The answer was fetched for exactly this text. The reuse depends on no rule, so the request is
+    // not selected as a trial.
     assertResponds("v", module.onQuery(NOW, 1, part("a"), DEADLINE));
     assertEquals(List.of(new Action.Bypass(2)), module.onQuery(NOW, 2, part("A"), DEADLINE));
   }
