--- a/src/main/java/dunlinhitch/answerkeys/ClassCachePolicy.java
+++ b/src/main/java/dunlinhitch/answerkeys/ClassCachePolicy.java
@@ -34,7 +34,7 @@
       throw new KeysException(
           KeysException.Code.SETTING,
           location,
-          "class "
+          "query class "
               + name
               + " has a maximum answer age of "
               + maxAgeUs
--- a/src/main/java/dunlinhitch/answerkeys/ClassRules.java
+++ b/src/main/java/dunlinhitch/answerkeys/ClassRules.java
@@ -99,13 +99,13 @@
           Code.SEPARATOR,
           rule.location(),
           "terms cannot be separated by '" + candidate + "'",
-          "use a space, or a character that is not a letter, digit or other white space");
+          "use a space, or a character other than a letter, a digit or white space");
     }
     if (separator != null && separator != candidate) {
       throw new KeysException(
           Code.SEPARATOR,
           rule.location(),
-          "terms of "
+          "terms of query class "
               + policy.name()
               + " are separated by '"
               + separator
@@ -168,7 +168,7 @@
         throw new KeysException(
             Code.CYCLE,
             rule.location(),
-            "values of "
+            "values of attribute "
                 + fold.attribute()
                 + " are grouped in a cycle: "
                 + String.join(", ", visited),
--- a/src/main/java/dunlinhitch/answerkeys/RuleSet.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleSet.java
@@ -58,7 +58,7 @@
       throw new KeysException(
           Code.MAY_NOT_REUSE,
           rule.location(),
-          "answers of "
+          "answers of query class "
               + policy.name()
               + " may not be reused: its parts carry an idempotency key or must not run twice",
           "remove the rule, because answers of this class are never shared");
--- a/src/main/java/dunlinhitch/cluster/EndpointObservation.java
+++ b/src/main/java/dunlinhitch/cluster/EndpointObservation.java
@@ -36,7 +36,7 @@
         || observedUs < 0
         || startedMs < 0) {
       throw new IllegalArgumentException(
-          "names must not be empty and numbers not negative: endpoint "
+          "names must not be empty and numbers not negative: got endpoint "
               + endpoint
               + ", observer "
               + observer
--- a/src/main/java/dunlinhitch/cluster/LocalHealth.java
+++ b/src/main/java/dunlinhitch/cluster/LocalHealth.java
@@ -3,8 +3,9 @@
 /**
  * The local health multiplier of Lifeguard (Dadgar, Phillips and Currey, 2017): a broker that
  * processes messages late would declare healthy members dead, so it lengthens its timeouts. In the
- * paper, a helper that leaves a ping-req unanswered also raises the score. This class ignores
- * unanswered ping-reqs, because the helpers have failed too if most of a cluster has failed.
+ * paper, a helper that leaves a ping-req unanswered also raises the score. Here an unanswered
+ * ping-req by itself does not affect the score: if most of a cluster has failed, the helpers have
+ * failed too.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -74,7 +74,7 @@
       throw new IllegalArgumentException(
           "ping timeout must be positive and at most half the period, suspicion timeout at least "
               + "one period, dead retention at least the suspicion timeout, indirect probes at "
-              + "least 0 and members at least 1: "
+              + "least 0 and members at least 1: got "
               + "period "
               + periodUs
               + " us, ping timeout "
@@ -105,7 +105,7 @@
           "ping attempts and suspicion multiplier must be at least 1, local health at least 0, "
               + "message size at least "
               + MIN_MESSAGE_BYTES
-              + " bytes, and anti-entropy bytes either 0 or at least the message size: "
+              + " bytes, and anti-entropy bytes either 0 or at least the message size: got "
               + "ping attempts "
               + pingAttempts
               + ", local health "
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMapSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMapSettings.java
@@ -21,7 +21,7 @@
         || maxEntriesPerOrigin > maxEntries) {
       throw new IllegalArgumentException(
           "time to live must be positive, skew at least 0, entries per origin at least 1 and at "
-              + "most the total number of entries: time to live "
+              + "most the total number of entries: got time to live "
               + timeToLiveUs
               + ", skew "
               + skewUs
--- a/src/main/java/dunlinhitch/cluster/SubsetSettings.java
+++ b/src/main/java/dunlinhitch/cluster/SubsetSettings.java
@@ -41,7 +41,7 @@
         || spread > MAX_FACTOR
         || slack > MAX_FACTOR) {
       throw new IllegalArgumentException(
-          "subset size must be at least 1, spread from 1 to 1e6 and slack from 0 to 1e6: "
+          "subset size must be at least 1, spread from 1 to 1e6 and slack from 0 to 1e6: got "
               + "size "
               + minSize
               + ", spread "
--- a/src/main/java/dunlinhitch/cluster/SuspicionReport.java
+++ b/src/main/java/dunlinhitch/cluster/SuspicionReport.java
@@ -19,7 +19,7 @@
         || incarnation < 0
         || incarnation > Member.MAX_INCARNATION) {
       throw new IllegalArgumentException(
-          "a suspicion report needs a member, an incarnation from 0 to 1e15 and a reporter: "
+          "a suspicion report needs a member, an incarnation from 0 to 1e15 and a reporter: got "
               + "member "
               + name
               + ", incarnation "
--- a/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
+++ b/src/main/java/dunlinhitch/cluster/versions/VersionVector.java
@@ -17,7 +17,7 @@
   public VersionVector {
     if (build.isEmpty() || settings.isEmpty() || settingsMs < 0 || endpointListGeneration < 0) {
       throw new IllegalArgumentException(
-          "build and settings must not be empty and numbers not negative: build "
+          "build and settings must not be empty and numbers not negative: got build "
               + build
               + ", settings "
               + settings
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -76,7 +76,9 @@
       simulation.play(deathBoundUs(8));
       assertTrue(
           MembershipSimulation.agree(others),
-          "the other brokers must remove the isolated one, mute " + mute + memberLists(simulation));
+          "the other brokers must remove the isolated broker; mute: "
+              + mute
+              + memberLists(simulation));
       assertTrue(
           broker.protocol().snapshot().isolated(), "the isolated broker must detect the isolation");
       assertEquals(
