--- a/src/main/java/dunlinhitch/balancer/AttemptSender.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptSender.java
@@ -57,8 +57,9 @@
   }
 
   /**
-   * Whether a server may still be executing an earlier attempt while only one attempt at a time is
-   * allowed. Sending a cancellation does not prove that the server has read it.
+   * True if the part must wait, because only one attempt at a time is allowed and a server may
+   * still be executing an earlier one. A cancellation that was sent is no proof that the server has
+   * read it.
    */
   private boolean mayBeExecuting(Part part) {
     return part.unconfirmedAttempts > 0 && !context.settings().limits().parallelAttempts();
--- a/src/main/java/dunlinhitch/balancer/BalancerActions.java
+++ b/src/main/java/dunlinhitch/balancer/BalancerActions.java
@@ -15,8 +15,8 @@
   void send(int part, int server, long dueUs);
 
   /**
-   * Answers the query from the parts that have arrived. If a second step follows, this is the first
-   * of two answers.
+   * Answers the query with the values of its answered parts. If a second step follows, this ends
+   * only the first step, and the query's final outcome comes later.
    */
   void answer(int query, boolean complete);
 
--- a/src/main/java/dunlinhitch/balancer/GiveUpReason.java
+++ b/src/main/java/dunlinhitch/balancer/GiveUpReason.java
@@ -3,8 +3,8 @@
 /** Why the load balancer ended a query before it was complete. */
 public enum GiveUpReason {
   /**
-   * The query's time has passed. It is answered with the parts that have arrived, or rejected, or
-   * failed.
+   * The query's time has passed. The answered parts are sent if they suffice; otherwise the query
+   * is rejected or failed.
    */
   TIME_OVER,
   /** Too few of the query's parts are predicted to be answered in time. */
--- a/src/main/java/dunlinhitch/balancer/LoadBalancer.java
+++ b/src/main/java/dunlinhitch/balancer/LoadBalancer.java
@@ -69,8 +69,8 @@
    * Handles one event; all resulting actions are called before this returns. Events without an
    * effect on decisions are ignored.
    *
-   * @param nowUs time of the event in microseconds; if it is before that of an earlier event, the
-   *     earlier event's time is used
+   * @param nowUs time of the event in microseconds; if an earlier event had a later time, that
+   *     later time is used
    */
   public void on(long nowUs, BalancerEvent event) {
     context.advanceTo(nowUs);
--- a/src/main/java/dunlinhitch/balancer/LoadReports.java
+++ b/src/main/java/dunlinhitch/balancer/LoadReports.java
@@ -27,7 +27,10 @@
    */
   private static final double MEAN_OBJECTIVES = 4.0;
 
-  /** Assumed fraction of this broker's parts in flight that are in a server's backlog. */
+  /**
+   * Assumed fraction of this broker's parts in flight at a server that are still in the server's
+   * backlog.
+   */
   private static final double OWN_BACKLOG_SHARE = 0.5;
 
   private final BalancerContext context;
--- a/src/main/java/dunlinhitch/balancer/Part.java
+++ b/src/main/java/dunlinhitch/balancer/Part.java
@@ -30,7 +30,7 @@
 
   /**
    * Number of attempts that have ended at the broker but that servers may still be executing.
-   * Negative while the release of an attempt has arrived but the end of the attempt has not.
+   * Temporarily negative if the release of an attempt arrives before the event that ends it.
    */
   int unconfirmedAttempts;
 
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -112,8 +112,8 @@
    * maintenance ends late attempts; otherwise only the timeout does. The timeout also stops servers
    * from doing work that is no longer needed, even if a cancellation fails to do so. If the class
    * allows partial answers, an attempt therefore times out as soon as its query may be answered
-   * without it. The drawback is that the attempt is lost if the answered parts do not reach the
-   * floor at that time.
+   * without it. The drawback is that the attempt is lost even if the weight of the answered parts
+   * is still below the class's {@code floor} at that time.
    */
   long attemptTimeoutUs(Query query) {
     long nowUs = context.nowUs();
--- a/src/main/java/dunlinhitch/balancer/SlowStart.java
+++ b/src/main/java/dunlinhitch/balancer/SlowStart.java
@@ -83,7 +83,7 @@
       return true;
     }
     double rate = rate(server);
-    // The amount by which the bucket refills in half the tolerated time.
+    // The amount by which the bucket refills in half of the overload tolerance.
     double burst = rate * rules.overloadToleranceUs() / 2;
     return server.slowStartBucket.canAfford(cost(part), rate, burst, context.nowUs());
   }
@@ -106,10 +106,11 @@
   }
 
   /**
-   * Rate of work that this broker may send to a warming server: a multiple of the server's weight
-   * and of the rate of a warm server. The rate of a warm server is the rate at which warm servers
-   * answer work of this broker, so that the sum over all brokers cannot exceed the capacity of the
-   * servers. It is at least one core divided by the number of brokers.
+   * Rate of work that this broker may send to a warming server: the product of {@link
+   * #BUDGET_SHARE}, the overload factor, the server's weight and the rate of a warm server. The
+   * rate of a warm server is the mean rate at which a warm server answers work of this broker; the
+   * sum of these mean rates over all brokers cannot exceed the capacity of a warm server. One core
+   * divided by the number of brokers is the minimum.
    */
   private double rate(Server server) {
     double spanUs = MEASUREMENT_OBJECTIVES * context.shortestObjectiveUs();
--- a/src/main/java/dunlinhitch/core/AttemptLog.java
+++ b/src/main/java/dunlinhitch/core/AttemptLog.java
@@ -3,10 +3,10 @@
 import dunlinhitch.balancer.AttemptOutcome;
 
 /**
- * Logs attempts that ended without an answer and the retries that follow. A log line identifies an
- * attempt by the id of its part and the name of its endpoint, which clients and endpoints also use.
- * Writes at most {@value #LINES_PER_SECOND} lines per second, because an outage affects many
- * attempts at once; suppressed lines are counted. Owned by the reducer; not thread-safe.
+ * Logs attempts that ended without an answer and the retries that follow. A log line contains the
+ * part's id and the endpoint's name; clients and endpoints use the same id and name. Writes at most
+ * {@value #LINES_PER_SECOND} lines per second, because an outage affects many attempts at once;
+ * suppressed lines are counted. Owned by the reducer; not thread-safe.
  */
 final class AttemptLog {
   private static final int LINES_PER_SECOND = 10;
--- a/src/main/java/dunlinhitch/core/InFlightQuery.java
+++ b/src/main/java/dunlinhitch/core/InFlightQuery.java
@@ -70,8 +70,8 @@
 
   /**
    * Whether the received values may be sent as a response, which requires their weight to reach the
-   * class's floor. A class whose floor is not below its need does not allow partial answers; the
-   * second step of its queries requires a value for every part.
+   * class's {@code floor}. A class allows partial answers only if its {@code floor} is below its
+   * {@code need}; otherwise the second step of its queries requires a value for every part.
    */
   boolean isAnswerable() {
     double minimumWeight =
--- a/src/main/java/dunlinhitch/core/QueryStage.java
+++ b/src/main/java/dunlinhitch/core/QueryStage.java
@@ -80,8 +80,8 @@
    * @param request the same request with the current definition of the class
    */
   private boolean isAdmissible(QueryRequest asRead, QueryRequest request) {
-    // The request was read without an idempotency key, which endpoints now need to recognize a
-    // repeated part.
+    // When the request was read, its class required no idempotency key. A reload has changed that:
+    // endpoints now need the key to recognize a repeated part.
     boolean keyMissing =
         request.queryClass().idempotency() == Idempotency.GUARDED
             && asRead.queryClass().idempotency() != Idempotency.GUARDED;
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -186,8 +186,8 @@
   /**
    * Runs one turn: handles all events read since the last turn, at a single point in time.
    *
-   * @param nowUs the time of the turn, in microseconds; if it is before the previous turn, the time
-   *     of that turn is used
+   * @param nowUs the time of the turn, in microseconds; if it is before the time of the previous
+   *     turn, the previous turn's time is used
    * @param events the events to handle, in order
    * @return the effects to carry out, in order
    */
@@ -197,12 +197,12 @@
 
   /**
    * Runs one turn that may be late. The grace period of a draining endpoint starts when discovery
-   * writes the notification, so the notifications of this turn are treated as written at {@code
+   * writes the notification. This turn's notifications are therefore treated as written at {@code
    * unreadSinceUs}. Endpoint events are handled first, so that no attempt is sent on the basis of
    * an endpoint state that an event of the same turn supersedes.
    *
-   * @param nowUs the time of the turn, in microseconds; if it is before the previous turn, the time
-   *     of that turn is used
+   * @param nowUs the time of the turn, in microseconds; if it is before the time of the previous
+   *     turn, the previous turn's time is used
    * @param unreadSinceUs the earliest time since which the events may have been waiting unread; at
    *     most {@code nowUs}
    * @param events the events to handle, in order
--- a/src/main/java/dunlinhitch/twophase/ClassEstimates.java
+++ b/src/main/java/dunlinhitch/twophase/ClassEstimates.java
@@ -172,8 +172,8 @@
 
   /**
    * Computes the cost ratio from the low latency percentiles of both passes, which reflect replicas
-   * without a queue. If even the fastest full answers were queued, the ratio reflects the queue
-   * more than the cost, so it may only decrease.
+   * without a queue. If even the fastest full answers include queueing time, the new ratio reflects
+   * that time more than the cost, so it replaces the current ratio only if it is lower.
    */
   private void updateCostRatio() {
     double quickFullUs = fullPass.percentileUs(QUICK_PERCENTILE);
--- a/src/test/java/dunlinhitch/balancer/ServerListUpdatesTest.java
+++ b/src/test/java/dunlinhitch/balancer/ServerListUpdatesTest.java
@@ -11,8 +11,8 @@
 /** The server list: draining, removal, polls, and servers disabled by an operator. */
 class ServerListUpdatesTest {
   /**
-   * A server that is enabled again is in slow start and has no load report, so its score would lose
-   * to an idle server for a long time. It must still get a trial part.
+   * A server that is enabled again is in slow start and has no load report, so idle servers have
+   * better scores for a long time. The enabled server must still get a trial part.
    */
   @Test
   void aReenabledServerIsUsedSoonAndInSlowStart() {
--- a/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
+++ b/src/test/java/dunlinhitch/core/ConfigurationStageTest.java
@@ -160,7 +160,10 @@
         0, reducer.counters().get(Counter.SENDS_BLOCKED) + reducer.counters().get(Counter.FAULTS));
   }
 
-  /** The address is set at the start; a reload changes it only if it contains a different one. */
+  /**
+   * The first configuration sets the discovery address; a later one changes it only if it contains
+   * a different address.
+   */
   @Test
   void discoveryMovesOnlyToANewAddress() {
     turn(
--- a/src/test/java/dunlinhitch/core/EndpointStageTest.java
+++ b/src/test/java/dunlinhitch/core/EndpointStageTest.java
@@ -267,9 +267,8 @@
     for (int i = 100; i < 160; i++, now += 5_000) {
       turn(queryReceived(i, 0, 1));
     }
-    // The limit is 3 (the overload factor) times 15 % of a core for 0.3 s, divided by at least 46
-    // ms
-    // of work per request, plus one part.
+    // The limit is 3 (the overload factor) times 15 % of a core for 0.3 s, divided by the minimum
+    // work of a request (46 ms), plus one part.
     int sent = attemptsIn(effects).size();
     assertTrue(
         sent > 0 && sent <= (int) (3 * 0.15 * 300_000 / 46_000) + 1,
--- a/src/test/java/dunlinhitch/core/ReducerTestSupport.java
+++ b/src/test/java/dunlinhitch/core/ReducerTestSupport.java
@@ -45,7 +45,8 @@
   }
 
   /**
-   * The events that edges report once endpoints have read the cancellations among these effects.
+   * Returns an {@link Event.AttemptReleased} for each cancellation in {@code effects} that the edge
+   * must confirm, as if the endpoint had read it.
    */
   static List<Event> releasesOf(List<Effect> effects) {
     return effects.stream()
--- a/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
+++ b/src/test/java/dunlinhitch/core/TwoPhaseStageTest.java
@@ -52,9 +52,8 @@
         }
       }
     }
-    // The limit is 3 (the overload factor) times 15 % of a core for 1.5 s, divided by at least 46
-    // ms
-    // of work per request, plus one part.
+    // The limit is 3 (the overload factor) times 15 % of a core for 1.5 s, divided by the minimum
+    // work of a request (46 ms), plus one part.
     int limit = (int) (3 * 0.15 * 1_500_000 / 46_000) + 1;
     assertTrue(
         attemptsByPhase[0] > 0 && attemptsByPhase[1] > 0,
