--- a/src/main/java/dunlinhitch/balancer/OutstandingWork.java
+++ b/src/main/java/dunlinhitch/balancer/OutstandingWork.java
@@ -27,10 +27,10 @@
 
   /**
    * Returns the work outstanding at a server: the work sent by this broker and the reported load of
-   * other brokers. As the report of a warm server ages, its load from other brokers converges to
-   * the mean of all reports. For a warming server, that load converges to 0, because the server
-   * started idle and gets little work from each broker. The value for a warming server is too low
-   * if other brokers do not apply slow start.
+   * other brokers. As a server's report ages, the reported load converges to a default: the mean of
+   * all reports for a warm server, and 0 for a warming server, because a warming server started
+   * idle and gets little work from each broker. The value for a warming server is too low if other
+   * brokers do not apply slow start.
    */
   double atUs(Server server) {
     double fallback = slowStart.isWarm(server) ? loadReports.meanLoad() : 0;
--- a/src/main/java/dunlinhitch/core/AttemptStage.java
+++ b/src/main/java/dunlinhitch/core/AttemptStage.java
@@ -182,9 +182,9 @@
   }
 
   /**
-   * Updates the earliest execution time of a part after one of its attempts has ended. An attempt
-   * that was certainly not executed no longer determines that time. It is replaced by the time of
-   * the earliest other attempt that may have been executed, in flight or ended.
+   * Updates the earliest execution time of a part after one of its attempts has ended. If that
+   * attempt was certainly not executed, the part's earliest execution time becomes the time of the
+   * earliest other attempt that may have been executed, in flight or ended.
    */
   private void updateEarliestExecution(InFlightAttempt attempt, AttemptOutcome outcome) {
     InFlightPart part = attempt.part();
