--- a/src/main/java/dunlinhitch/cli/Main.java
+++ b/src/main/java/dunlinhitch/cli/Main.java
@@ -34,7 +34,7 @@
     boolean serves = arguments.length > 0 && arguments[0].equals(ServeCommand.NAME);
     if (serves && !ServeCommand.installHangupHandler()) {
       System.out.println(
-          "SIGHUP is ignored because the process was started with it ignored, as nohup does; "
+          "SIGHUP is ignored because it was already ignored at process start, as under nohup; "
               + "configuration reload is disabled. Start the process with "
               + "'env --default-signal=HUP' to enable it.");
     }
--- a/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
+++ b/src/main/java/dunlinhitch/config/ClusterAddressResolver.java
@@ -27,7 +27,7 @@
     }
     if (platform == null) {
       throw new ConfigException(
-          "[fleet] has no listen directive, and the configuration file has no "
+          "[fleet] has no 'listen' directive, and the configuration file has no "
               + GossipAddressesReader.LISTEN
               + " to use instead");
     }
--- a/src/main/java/dunlinhitch/config/ClusterSectionReader.java
+++ b/src/main/java/dunlinhitch/config/ClusterSectionReader.java
@@ -52,14 +52,14 @@
     } else if (peers.isEmpty()) {
       throw section.error(
           "listen",
-          "requires at least one peer directive, through which this broker joins the cluster");
+          "requires at least one 'peer' directive, through which this broker joins the cluster");
     }
   }
 
   private void requireAbsentWithoutListen(String name) {
     if (section.has(name)) {
       throw section.error(
-          name, "requires a listen directive; without one all addresses come from the platform");
+          name, "requires a 'listen' directive; without one all addresses come from the platform");
     }
   }
 
@@ -80,7 +80,7 @@
     if (section.durationUs("suspect") < section.durationUs("look")) {
       throw section.error(
           section.has("suspect") ? "suspect" : "look",
-          "is invalid: suspect must not be shorter than look");
+          "is invalid: 'suspect' must not be shorter than 'look'");
     }
   }
 
@@ -99,7 +99,7 @@
     if (behindUs < MIN_INTERVAL_US || section.durationUs("shut_out") <= behindUs) {
       throw section.error(
           section.has("shut_out") ? "shut_out" : "behind",
-          "is invalid: behind must be 20ms or more, and shut_out must be longer than behind");
+          "is invalid: 'behind' must be 20ms or more, and 'shut_out' must be longer than 'behind'");
     }
   }
 }
--- a/src/main/java/dunlinhitch/config/ProductReader.java
+++ b/src/main/java/dunlinhitch/config/ProductReader.java
@@ -75,7 +75,7 @@
     if (section.durationUs("hold_most") < section.durationUs("hold")) {
       throw section.error(
           section.has("hold_most") ? "hold_most" : "hold",
-          "is invalid: hold_most must not be shorter than hold");
+          "is invalid: 'hold_most' must not be shorter than 'hold'");
     }
     return new Product.MembershipTimes(
         section.durationUs("linger"),
--- a/src/main/java/dunlinhitch/config/ProductSchema.java
+++ b/src/main/java/dunlinhitch/config/ProductSchema.java
@@ -78,7 +78,7 @@
             "push_name",
             ValueKind.TEXT,
             null,
-            "name expected in the push server's certificate (default: the host of push)")
+            "name expected in the push server's certificate (default: the host in 'push')")
         .optional("instances", ValueKind.COUNT, "4096", "maximum number of instances");
   }
 
@@ -97,8 +97,8 @@
             "hold",
             ValueKind.DURATION,
             "500ms",
-            "delay before a store that returns a second time within calm is used again; "
-                + "each further return doubles the delay")
+            "delay before a store is used again when it returns for the second time within "
+                + "the period 'calm'; doubled by each further return")
         .optional(
             "hold_most",
             ValueKind.DURATION,
@@ -155,18 +155,19 @@
             "listen",
             ValueKind.ADDRESS,
             null,
-            "UDP listen address for gossip (default: peer_listen of the platform's file)")
+            "UDP listen address for gossip (default: 'peer_listen' in the platform's file)")
         .optional(
             "advertise",
             ValueKind.ADDRESS,
             null,
-            "gossip address at which other brokers reach this broker (default: listen)")
+            "gossip address at which other brokers reach this broker "
+                + "(default: the address in 'listen')")
         .repeatable(
             "peer",
             ValueKind.ADDRESS,
             false,
             "gossip address of a broker, possibly of this one "
-                + "(default: peers of the platform's file)")
+                + "(default: 'peers' in the platform's file)")
         .optional(
             "least",
             ValueKind.COUNT,
@@ -218,7 +219,7 @@
             "target",
             ValueKind.TEXT,
             null,
-            "host name within the zone (default: derived from instance)")
+            "host name within the zone (default: derived from 'instance')")
         .repeatable("txt", ValueKind.TEXT, false, "string of the TXT record")
         .optional("ttl", ValueKind.DURATION, "120s", "TTL of the records")
         .optional(
--- a/src/main/java/dunlinhitch/config/RequiredKeys.java
+++ b/src/main/java/dunlinhitch/config/RequiredKeys.java
@@ -53,8 +53,8 @@
   }
 
   /**
-   * Elements may be added and removed, but each element of the reloaded array must have every key
-   * that all elements of the current array have.
+   * Elements may be added and removed, but each element of the reloaded array must have the keys
+   * that are present in all elements of the current array.
    */
   private void checkElements(JsonArray current, JsonArray reloaded, String path) {
     Set<String> commonKeys = commonKeys(current);
--- a/src/main/java/dunlinhitch/discovery/WatchSession.java
+++ b/src/main/java/dunlinhitch/discovery/WatchSession.java
@@ -58,8 +58,8 @@
   private boolean firstRequestMade;
 
   /**
-   * True once the latest request has delivered a list, or has delivered data when it was older than
-   * the idle timeout. In both cases the backoff is reset.
+   * True once the latest request has delivered a list, or has delivered data after being in flight
+   * for longer than the idle timeout. In both cases the backoff is reset.
    */
   private boolean proven;
 
--- a/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
@@ -6,9 +6,9 @@
 
 /**
  * State machine of the watch on discovery. It decides when the list is requested, when a request is
- * abandoned and repeated, and which of two addresses is read while discovery moves. Its inputs are
- * events, its outputs are {@link WatchAction}s. Each request has a unique id; events of closed
- * requests are ignored.
+ * abandoned and repeated, and whether the old or the new address is read while discovery moves. Its
+ * inputs are events, its outputs are {@link WatchAction}s. Each request has a unique id; events of
+ * closed requests are ignored.
  *
  * <p>Uses no I/O, clock or threads. Times are in microseconds of the broker's clock. Not
  * thread-safe.
--- a/src/main/java/dunlinhitch/discovery/WatchTimings.java
+++ b/src/main/java/dunlinhitch/discovery/WatchTimings.java
@@ -11,8 +11,8 @@
  *     that discovery sends every 2 s
  * @param stallTimeoutUs a watch fails if an object stays incomplete for this time
  * @param responseTimeoutUs time after which an unanswered request fails if only one may be in
- *     flight. If several may be in flight, one unanswered request is closed at the limit {@code
- *     maxRequests}: the oldest one if it is older than this time, otherwise the second oldest
+ *     flight. If several may be in flight and {@code maxRequests} is reached, the next request
+ *     replaces the oldest one if that is older than this time, otherwise the second oldest
  * @param retryUs delay before another request is sent while one is unanswered, if more than one may
  *     be in flight
  * @param maxRequests maximum number of requests in flight; at this limit an older request is closed
--- a/src/main/java/dunlinhitch/discovery/dnssd/ZoneSerialPoller.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ZoneSerialPoller.java
@@ -15,7 +15,7 @@
   enum Result {
     /** The serial is unchanged, or no serial was received. */
     UNCHANGED,
-    /** This is the first serial; whether the zone changed before is unknown. */
+    /** The first serial was received, so it is unknown whether the zone has changed. */
     FIRST,
     /** The serial differs from that of the last response. */
     CHANGED
--- a/src/main/java/dunlinhitch/scoring/DampingSettings.java
+++ b/src/main/java/dunlinhitch/scoring/DampingSettings.java
@@ -4,9 +4,9 @@
  * Damping of the factors, which prevents brokers with the same weights from all moving their load
  * to one endpoint (a herd effect).
  *
- * @param gain fraction of its distance to the target by which the logarithm of a factor moves in a
- *     round. The setting is the mean over all brokers; each broker draws its own gain from 0.5 to
- *     1.5 times this value
+ * @param gain fraction of the distance to its target that the logarithm of a factor moves in a
+ *     round. This is the mean over all brokers; each broker draws its own gain from 0.5 to 1.5
+ *     times this value
  * @param step maximum change of the logarithm in a round
  * @param maxOffset maximum of the constant random offset of the logarithm that a broker draws for
  *     each target
--- a/src/main/java/dunlinhitch/scoring/FactorDamping.java
+++ b/src/main/java/dunlinhitch/scoring/FactorDamping.java
@@ -8,8 +8,8 @@
  */
 final class FactorDamping {
   /**
-   * The gain of a broker is the mean gain multiplied by a random number. This is the lower bound of
-   * that number, and the upper bound is greater by 1.
+   * Each broker's gain is the mean gain multiplied by a random number. The random number is drawn
+   * from the range that begins at this value and has width 1.
    */
   private static final double MIN_GAIN_SHARE = 0.5;
 
--- a/src/main/java/dunlinhitch/scoring/SharedWeights.java
+++ b/src/main/java/dunlinhitch/scoring/SharedWeights.java
@@ -15,8 +15,8 @@
  * endpoints.
  *
  * <p>The merged weight of a target is the trimmed mean of the other brokers' weights; it is
- * independent of the order of entries, of delays and of duplicates. A broker's own entries are
- * excluded from the merge that it reads, so that evidence is counted once.
+ * independent of the order of entries, of delays and of duplicates. The merged weights at a broker
+ * exclude its own entries, so that its evidence is counted once.
  *
  * <p>Uses no clock, I/O or threads. Not thread-safe. Times are in microseconds of the wall clock.
  */
--- a/src/main/java/dunlinhitch/scoring/TrimmedMean.java
+++ b/src/main/java/dunlinhitch/scoring/TrimmedMean.java
@@ -22,8 +22,9 @@
   private TrimmedMean() {}
 
   /**
-   * Merges the reports. If they have less evidence in total than the minimum number of origins
-   * would have with full evidence, the missing evidence counts as evidence for a weight of 1.
+   * Merges the reports. The minimum total evidence is the full evidence of the minimum number of
+   * origins. If the reports have less in total, the difference counts as evidence for a weight of
+   * 1.
    */
   static FleetWeight of(List<WeightReport> reports, WeightMergeSettings settings) {
     double reported = reports.stream().mapToDouble(WeightReport::evidence).sum();
--- a/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
+++ b/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
@@ -8,8 +8,8 @@
  *
  * @param halfLifeUs half-life of evidence in microseconds
  * @param maxEvidence maximum evidence of one broker's weight, in attempts
- * @param minOrigins minimum number of origins with full evidence; missing evidence counts as
- *     evidence for a weight of 1
+ * @param minOrigins number of origins whose full evidence is the minimum total evidence of a merge;
+ *     missing evidence counts as evidence for a weight of 1
  * @param trim fraction of the evidence that is trimmed at each end
  * @param updateThreshold minimum change of the logarithm of this broker's own weight that causes
  *     the weight to be replicated again
--- a/src/main/java/dunlinhitch/scoring/host/HostStatistics.java
+++ b/src/main/java/dunlinhitch/scoring/host/HostStatistics.java
@@ -11,7 +11,7 @@
  * @param scorer the active scorer, or null
  * @param counters counts of events
  * @param lastRoundCpuUs processor time of the last round in microseconds
- * @param abandonedThreads number of threads of released scorers that have not ended
+ * @param abandonedThreads number of threads that have not ended although their scorer was released
  * @param problem the last failure of the scorer with its remedy, or empty
  */
 public record HostStatistics(
@@ -24,8 +24,9 @@
    * Counts of events since the host was created.
    *
    * @param validRounds rounds whose output was applied
-   * @param failures failures of the scorer by kind
-   * @param mergeResults received weights by merge result; reset when the scorer's identity changes
+   * @param failures number of failures of the scorer by kind
+   * @param mergeResults number of received weights by merge result; reset when the scorer's
+   *     identity changes
    * @param droppedMessages messages dropped because the mailbox was full
    */
   public record Counters(
--- a/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
+++ b/src/main/java/dunlinhitch/scoring/host/StatePublisher.java
@@ -67,7 +67,8 @@
    * @param scorerName name in the settings, used to describe a problem
    * @param active identity of the active scorer, or null
    * @param scoring state of the rounds, or null before the first load
-   * @param abandonedThreads number of threads of released scorers that have not ended
+   * @param abandonedThreads number of threads that have not ended although their scorer was
+   *     released
    */
   void publish(String scorerName, ScorerIdentity active, Scoring scoring, int abandonedThreads) {
     SharedWeights weights = scoring == null ? null : scoring.weights();
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -51,7 +51,7 @@
     actions.addAll(more);
   }
 
-  /** Advances the clock, and performs due timers, without received data. */
+  /** Advances the clock and runs due timers while no data arrives. */
   private void passWithoutData(WatchStateMachine stateMachine, long delayUs) {
     long endUs = now + delayUs;
     while (stateMachine.nextUs() <= endUs) {
