--- a/src/main/java/dunlinhitch/cli/RecordsTable.java
+++ b/src/main/java/dunlinhitch/cli/RecordsTable.java
@@ -19,7 +19,12 @@
 
   private RecordsTable() {}
 
-  /** Returns one line per endpoint, per unusable instance and per source. */
+  /**
+   * Returns a header and one line per endpoint, per unusable instance and per source. Column {@code
+   * says} is the lifecycle state in the endpoint's records. Column {@code left} is the time until
+   * they expire: {@code followed} if they do not expire, {@code over} if they have expired. Column
+   * {@code why} is the reason for the status.
+   */
   static String format(
       EndpointRegistry registry, List<DnsDiscoverySource> sources, boolean showSource, long nowUs) {
     StringBuilder out =
