--- a/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
@@ -56,8 +56,8 @@
    * @param repeatedFetches unnecessary fetches: the previous answer had not reached its maximum age
    *     and the data had not changed
    * @param wrongAnswers answers that were computed for another topic or language
-   * @param outdatedAnswers answers whose data the stores had replaced longer ago than the maximum
-   *     age of an answer
+   * @param outdatedAnswers answers computed from data that had been out of date for longer than the
+   *     maximum age of an answer
    * @param unended queries without exactly one response by their deadline
    * @param wrongAnswersBound upper bound of {@code wrongAnswers}
    * @param demotedAfterUs time from the change of the data until all brokers had stopped applying
@@ -104,7 +104,7 @@
   /** Mean seconds between changes of a shard's data if its stores do not report the generation. */
   private static final double UNSTATED_CHANGE_S = 60;
 
-  /** On average, one of this many runs exceeds the bound of wrong answers. */
+  /** On average, one in {@code BOUND_ODDS} runs exceeds the bound of wrong answers. */
   private static final double BOUND_ODDS = 1000;
 
   private final Setup setup;
@@ -330,7 +330,7 @@
     }
   }
 
-  /** Records that a query becomes the leader of a fetch. */
+  /** Records that a query becomes the leader of a fetch, whose answer other queries may share. */
   void recordLeader(SimulatedQuery query) {
     long generation = data.generation(query.part().shard());
     boolean repeated = fetchHistory.recordLeader(nowUs(), query.identity(), generation);
--- a/src/main/java/dunlinhitch/experiments/answerkeys/EventQueue.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/EventQueue.java
@@ -27,7 +27,7 @@
     events.add(new Event(atUs, ++lastNumber, task));
   }
 
-  /** Runs all events up to that time, including those that are scheduled meanwhile. */
+  /** Runs all events up to {@code endUs}, including events that other events schedule meanwhile. */
   void runUntil(long endUs) {
     while (!events.isEmpty()) {
       Event next = events.poll();
--- a/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
@@ -9,8 +9,8 @@
  */
 final class FetchHistory {
   /**
-   * The time at which a query last became the leader of a fetch, and the generation of the last
-   * answer.
+   * The time at which the leader of the last fetch was recorded, and the generation of the data of
+   * the last answer.
    */
   private static final class LastFetch {
     private long leaderSinceUs = Long.MIN_VALUE / 2;
--- a/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
@@ -182,7 +182,10 @@
     }
   }
 
-  /** Selects {@code fanout} random brokers and sends each the evidence that it may lack. */
+  /**
+   * Selects {@code fanout} random brokers and sends each of them the evidence that the receiver may
+   * lack.
+   */
   void gossip(int fanout) {
     for (int i = 0; i < fanout; i++) {
       SimulatedBroker other = world.randomBroker();
--- a/src/main/java/dunlinhitch/experiments/answerkeys/Workload.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/Workload.java
@@ -7,7 +7,7 @@
 
 /**
  * Generates the queries of the simulation. The popularity of topics follows Zipf's law. Four kinds
- * of clients write the same topic differently.
+ * of clients format the same topic differently in the text of a query.
  */
 final class Workload {
   static final String QUERY_CLASS = "free-search";
--- a/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
+++ b/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
@@ -40,8 +40,8 @@
 
 /**
  * A fake name server on loopback that is authoritative for one {@link Zone}. It serves UDP and TCP
- * on one port and, after {@link #startPush}, DNS push notifications over TLS. A script selects, by
- * the question, the fault that is applied to the answer.
+ * on one port and, after {@link #startPush}, DNS push notifications over TLS. For each question, a
+ * script selects the fault that is applied to the answer.
  *
  * <p>The server runs on the Vert.x event loop; tests read its counters and set its script from
  * other threads.
--- a/src/main/java/dunlinhitch/experiments/fakes/Client.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Client.java
@@ -30,7 +30,8 @@
   /**
    * A response.
    *
-   * @param outcome whole, partial, refused, failed, late or bad
+   * @param outcome {@code whole}, {@code partial}, {@code refused}, {@code failed}, {@code late} or
+   *     {@code bad}
    * @param parts the values by shard
    * @param retryAfter the value of the broker's Retry-After advice, or empty
    */
--- a/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/AnswerKeysMeasure.java
@@ -58,8 +58,8 @@
   private void measureFaults(PrintStream out, long seed, int runs) {
     out.printf(
         "%nmessages: 1 %% lost, 1 %% duplicated; fetches: 1 %% fail; cut: partition into two halves for 10 s; wrong: "
-            + "answers that were computed for another topic or language; bound: maximum of wrong; stop s: seconds from the change of the data "
-            + "until no broker applies the incorrect rule; old: answers from outdated data; rules at the end: number of "
+            + "answers that were computed for another topic or language; bound: largest permitted number of wrong answers; stop s: seconds from the change of the data "
+            + "until no broker applies the incorrect rule; old: answers from outdated data; unended: queries without exactly one response by their deadline; rules at the end: number of "
             + "brokers by rule and state%n%8s %-26s %5s %9s %8s %10s %6s %5s %8s  %s%n",
         "brokers",
         "",
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetSubsetsMeasure.java
@@ -30,7 +30,7 @@
   public Measures.Verdict run(long seed, boolean quick, PrintStream out) {
     worst = 0;
     out.printf(
-        "each: stores in each cell; of all-to-all: connections as a share of those of a full mesh; max/mean: connections "
+        "each: stores in each cell; of all-to-all: connections as a share of the connections of a full mesh; max/mean: connections "
             + "per store, maximum divided by mean%n%8s %7s %6s %18s %18s %10s %10s%n",
         "brokers", "stores", "each", "connections", "of all-to-all", "max/mean", "bound");
     for (int[] shape :
@@ -44,7 +44,7 @@
     measureMoves(out, seed, 8, 3, 8, 3);
     measureMoves(out, seed, 100, 97, 67, 3);
     out.printf(
-        "%nhealth checks of one cold store per second%n%8s %24s %18s %18s %10s%n",
+        "%nhealth checks of one cold store per second; without sharing: rate if each request caused a health check%n%8s %24s %18s %18s %10s%n",
         "brokers", "faults", "max probes/s", "without sharing", "bound");
     int[] sizes = quick ? new int[] {8, 30} : new int[] {8, 30, 100, 300};
     for (int brokers : sizes) {
@@ -145,7 +145,7 @@
   }
 
   /**
-   * All brokers request a health check of the same cold store ten times a second. With faults, a
+   * Each broker requests a health check of the same cold store ten times a second. With faults, a
    * third of the brokers is partitioned from the others for 5 s, and one broker is killed.
    */
   private void measureHealthChecks(PrintStream out, long seed, int brokers, boolean withFaults) {
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
@@ -73,9 +73,9 @@
     int seeds = quick ? 2 : 5;
     out.printf(
         Locale.ROOT,
-        "new, old: seconds until all brokers agree on the members, with the current and the baseline settings%n"
+        "trouble: the injected fault; new, old: seconds until all brokers agree on the members, with the current and the baseline settings%n"
             + "the figures are the maximum over %d seeds, the first of which is %d%n"
-            + "'-': some run took longer than %d times the bound; B/s: bytes that a broker sends per second%n",
+            + "'-': at least one run took longer than %d times the bound; B/s: bytes that a broker sends per second%n",
         seeds,
         seed,
         TIMEOUT_FACTOR);
@@ -290,8 +290,8 @@
 
   /**
    * Returns the time until the brokers of each half agree on the members, or -1. In a cluster of
-   * three, one broker is isolated and retains the other two as members. In this case, only the
-   * member lists of those two are compared.
+   * three, the isolated broker retains the other two as members. In this case, only the member
+   * lists of the other two are compared.
    */
   private static long untilHalvesAgree(
       MembershipSimulation simulation, int brokers, long timeoutUs) {
--- a/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
@@ -28,9 +28,9 @@
     mixinStandardHelpOptions = true)
 public final class FloorsCommand implements Callable<Integer> {
   /**
-   * Minimum ratio of two shares in a third of a day: the share that the broker serves, and the
-   * share that the reference policy serves. The reference policy knows the true state of the stores
-   * with a delay.
+   * Minimum, in each third of a day, of the share that the broker serves divided by the share that
+   * the reference policy serves. The reference policy knows the true state of the stores with a
+   * delay.
    */
   private static final double MIN_THIRD_RATIO = 0.2;
 
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -116,7 +116,8 @@
     for (int i = 0; i < changes; i++) {
       nowUs += 100_000;
       int index = random.nextInt(size);
-      // runs the due timers outside of the measured time: they are not part of the change
+      // runs the due timers outside of the measured time: their cost is not part of the cost of the
+      // change
       reducer.turn(nowUs, List.of());
       long bytes = THREADS.getCurrentThreadAllocatedBytes();
       long startNanos = System.nanoTime();
--- a/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/PhasesMeasure.java
@@ -76,14 +76,14 @@
     }
     out.printf(
         Locale.ROOT,
-        "1: one phase; 2: two phases%n"
+        "columns from 'worth 1': one phase; columns from 'worth 2': two phases%n"
             + "empty: share of blocks without matches; price: cost of a first pass as a share of a full pass%n"
             + "worth: mean value of a query: 1 for a complete answer in time, %.1f for a late one, %.1f times "
             + "the answered share for a partial one%n"
-            + "work: store time per query; in two: share of queries with two phases; ratio: worth 2 / worth 1%n"
-            + "lost: blocks with matches that were reported as empty%n"
-            + "in rows with empty <= price, a first pass costs at least as much as it saves; "
-            + "their minimum ratio is %.3f (required 0.98)%n",
+            + "work: store time per query; in two: share of queries with two phases; ratio: 'worth 2' divided by 'worth 1'%n"
+            + "lost: blocks wrongly reported as empty or as not empty%n"
+            + "in rows with 'empty' <= 'price', a first pass costs at least as much as it saves; "
+            + "the minimum of 'ratio' in these rows is %.3f (required 0.98)%n",
         LATE_VALUE,
         PARTIAL_VALUE,
         minRatio);
@@ -222,7 +222,10 @@
     private final double empty;
     private final DoubleAdder worth = new DoubleAdder();
 
-    /** Number of blocks that were reported as empty although they have matches, or the reverse. */
+    /**
+     * Number of blocks that were reported as empty although they have matches, or as not empty
+     * although they have none.
+     */
     private final AtomicLong lost = new AtomicLong();
 
     private final AtomicLong open = new AtomicLong();
--- a/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/ScorersMeasure.java
@@ -152,7 +152,7 @@
     out.printf(
         Locale.ROOT,
         "%nvariation of a store's load per second (standard deviation divided by mean)%nnewest, pace: name of the scorer; "
-            + "naive, damped: without and with damping; bound: damped is at most %.2f above the figure without a scorer%n",
+            + "naive, damped: without and with damping; bound: each figure with damping is at most %.2f above the figure without a scorer%n",
         maxIncrease);
     out.printf(
         "%8s %14s %16s %16s %16s %16s%n",
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
@@ -41,8 +41,8 @@
    * @param warmUpSteps number of steps that run without faults before the exploration begins
    * @param maxDelaySteps maximum number of steps for which a message stays in flight; a message
    *     that has not been delivered by then is lost
-   * @param maxInFlight number of messages in flight from which brokers perform no actions, except
-   *     those that publish an update
+   * @param maxInFlight when at least this many messages are in flight, brokers perform only actions
+   *     that publish an update
    */
   public record Budget(
       int warmUpSteps,
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
@@ -152,9 +152,9 @@
   }
 
   /**
-   * Records the first violation among these states. It replaces a violation that is already
-   * recorded, which can only be an exception in a transition that was taken after these states were
-   * reached.
+   * Records the first violation among these states. A violation that is already recorded is an
+   * exception in a transition that was taken after these states were reached; the violation found
+   * here replaces it.
    */
   private void checkStates(List<Unexplored<S>> newStates) {
     List<Optional<String>> violations =
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ReplicatedMapSubject.java
@@ -193,8 +193,8 @@
   }
 
   /**
-   * With simultaneous updates, ties are broken by broker name; then no two brokers are symmetric
-   * and only the identity is returned.
+   * With simultaneous updates, ties are broken by broker name. Therefore no two brokers are
+   * symmetric, and only the identity is returned.
    */
   @Override
   public List<int[]> symmetries() {
--- a/src/main/java/dunlinhitch/experiments/simulation/Defect.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Defect.java
@@ -16,7 +16,9 @@
   FALSE_WHOLE,
   /** Some answers contain the value of another part. */
   OTHER_VALUE,
-  /** Some answers are reduced to their first value, below the minimum share of the class. */
+  /**
+   * Some answers are reduced to their first value and miss the minimum share of the query class.
+   */
   UNDER_THE_FLOOR,
   /** Some parts are sent a second time while the first attempt is in flight. */
   TWO_OUT,
--- a/src/main/java/dunlinhitch/experiments/simulation/Fault.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Fault.java
@@ -29,8 +29,10 @@
  *
  * @param fromUs start of the fault in microseconds since the start of the run; if this is negative,
  *     the fault starts when the store {@code coldStartOf} restarts
- * @param toUs end in microseconds, or negative for the default duration of the kind
- * @param coldStartOf name of the store, or empty if {@code fromUs} is set
+ * @param toUs end in microseconds since the start of the run, or negative for the default duration
+ *     of the kind
+ * @param coldStartOf name of the store whose restart starts the fault, or empty if {@code fromUs}
+ *     is not negative
  * @param targets names of stores, brokers or zones
  * @param factor the number after {@code x}, or the delay of {@code late} in microseconds
  */
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
@@ -19,11 +19,11 @@
 import java.util.function.Supplier;
 
 /**
- * Simulates several brokers, each with its own scorer, and stores of which some are slower than
- * they report. A broker sends a part to the store with the least estimated work (Graham's rule).
- * The estimate is multiplied by the factor that the broker's scorer assigns to the store. Stores
- * serve parts in the order of arrival, and a query has one part. Hedging, rejection and health
- * checks are not modelled. Runs on one thread in virtual time.
+ * Simulates several brokers, each with its own scorer, and stores. Some stores are slower than
+ * their load reports state. A broker sends a part to the store with the least estimated work
+ * (Graham's rule). The estimate is multiplied by the factor that the broker's scorer assigns to the
+ * store. Stores serve parts in the order of arrival, and a query has one part. Hedging, rejection
+ * and health checks are not modelled. Runs on one thread in virtual time.
  */
 public final class ScorerSimulation {
   /**
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulationSchedules.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulationSchedules.java
@@ -16,7 +16,7 @@
 
 /**
  * Generates schedules from seeds, parses and formats schedule files ({@code *.day}), searches many
- * seeds for a violation and shrinks a schedule that has one. Stateless; thread-safe.
+ * seeds for a violation and shrinks a schedule that violates an invariant. Stateless; thread-safe.
  */
 public final class SimulationSchedules {
   private static final int DEFAULT_SECONDS = 60;
--- a/src/main/java/dunlinhitch/experiments/soak/Observation.java
+++ b/src/main/java/dunlinhitch/experiments/soak/Observation.java
@@ -61,7 +61,10 @@
     }
   }
 
-  /** A store answered an attempt, read its cancellation, or detected that its connection ended. */
+  /**
+   * A store answered an attempt, read the cancellation of the attempt, or detected the end of the
+   * connection of the attempt.
+   */
   record AttemptOver(long atUs, String part, String store, int connection) implements Observation {
     @Override
     public String subject() {
--- a/src/main/java/dunlinhitch/experiments/testbed/FreePorts.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FreePorts.java
@@ -26,8 +26,8 @@
   private static final int COUNT = HIGHEST - LOWEST + 1;
 
   /**
-   * Distance between the first ports of processes with consecutive ids, which spreads them over the
-   * range.
+   * Distance between the first ports of processes with consecutive ids; this distance spreads the
+   * processes over the range.
    */
   private static final int PORTS_BETWEEN_PROCESSES = 97;
 
--- a/src/main/java/dunlinhitch/experiments/testbed/HalfClose.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/HalfClose.java
@@ -9,9 +9,9 @@
 import io.vertx.core.net.NetSocket;
 
 /**
- * Half-closed connections, which Vert.x does not support: the end of stream in one direction leaves
- * the other direction open, so that a proxy can forward each direction independently. Must be used
- * on the event loop.
+ * Support for half-closed connections, which Vert.x lacks: the end of stream in one direction
+ * leaves the other direction open, so that a proxy can forward each direction independently. Must
+ * be used on the event loop.
  */
 final class HalfClose {
   private HalfClose() {}
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
@@ -17,9 +17,9 @@
 
 /**
  * A discrete-event model of only the membership protocol: it runs the real {@link
- * MembershipProtocol} of each broker, in virtual time, on a network that loses, delays and drops
- * messages by direction. A message takes 0.2 to 2 ms plus the added delay. A seed determines the
- * whole run.
+ * MembershipProtocol} of each broker, in virtual time, on a network that loses messages at random
+ * and can delay or drop messages by sender and receiver. A message takes 0.2 to 2 ms plus the added
+ * delay. A seed determines the whole run.
  *
  * <p>Not thread-safe.
  */
@@ -192,8 +192,8 @@
   }
 
   /**
-   * Returns the incarnation of a process that starts now and whose clock is ahead by {@code
-   * aheadMs}.
+   * Returns the incarnation of a process that starts now and whose clock is {@code aheadMs} ahead
+   * of the simulated wall clock.
    */
   public long incarnation(long aheadMs) {
     return wallClockMs() + aheadMs;
@@ -229,12 +229,18 @@
     return node;
   }
 
-  /** Restarts a broker at the same address, with a clock that is ahead by {@code aheadMs}. */
+  /**
+   * Restarts a broker at the same address, with a clock that is {@code aheadMs} ahead of the
+   * simulated wall clock.
+   */
   public void restart(int number, long aheadMs) {
     start("n" + number, number, incarnation(aheadMs));
   }
 
-  /** Restarts a broker at another address, with a clock that is ahead by {@code aheadMs}. */
+  /**
+   * Restarts a broker at another address, with a clock that is {@code aheadMs} ahead of the
+   * simulated wall clock.
+   */
   public void move(int number, long aheadMs) {
     kill(number);
     start("n" + number, number + RELOCATION_PORT_OFFSET, incarnation(aheadMs));
--- a/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
@@ -16,7 +16,7 @@
   /**
    * The effect on traffic from one end to the other. LOST: the traffic is dropped silently. RESET:
    * the connection is reset. SLOW: the traffic arrives in chunks of a few bytes. LATE: the traffic
-   * is delayed. HELD: the proxy holds the traffic and all later bytes of the connection back until
+   * is delayed. HELD: the proxy holds back the traffic and all later bytes of the connection until
    * {@link StreamProxy#release}.
    */
   public enum Harm {
--- a/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
@@ -16,7 +16,7 @@
 
 /**
  * The clients of a test bed: at a fixed interval they send one query to each running broker, each
- * over its own connection, and count the outcomes. A running broker must answer within {@link
+ * query over its own connection, and count the outcomes. A running broker must answer within {@link
  * #ANSWER_TIMEOUT_MS}. A broker that is killed before this time need not answer.
  *
  * <p>The state of this object is confined to the event loop of the test bed; the public methods
--- a/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -20,7 +20,7 @@
 /**
  * A TCP proxy between one broker and one peer (a store or discovery) that injects the faults of
  * {@link NetworkFaults}. Bytes keep their order in each direction. A connection that lost bytes
- * stays open and stalled in that direction until {@link #resetStalled}, as in a partitioned
+ * stays open and stalled in the affected direction until {@link #resetStalled}, as in a partitioned
  * network.
  *
  * <p>Not thread-safe: all methods except the constructor must be called on the Vert.x event loop of
@@ -148,7 +148,10 @@
   private final NetServer server;
   private final NetClient client;
 
-  /** Sockets to the broker of connections that lost bytes or were never established to the peer. */
+  /**
+   * Broker-side sockets of the connections that lost bytes or that were never connected to the
+   * peer.
+   */
   private final Set<NetSocket> stalledConnections = new LinkedHashSet<>();
 
   private final Set<NetSocket> open = new LinkedHashSet<>();
@@ -266,7 +269,7 @@
             });
   }
 
-  /** Resets the connections that lost bytes or were never established. */
+  /** Resets the connections that lost bytes or that were never connected to the peer. */
   public void resetStalled() {
     reset(stalledConnections);
     stalledConnections.clear();
--- a/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
@@ -407,7 +407,7 @@
     return brokers.stream().allMatch(node -> node.members().equals(names));
   }
 
-  /** Returns, for each store, the number of brokers matching {@code who} that selected it. */
+  /** Returns, for each store, how many of the brokers in {@code who} have it in their subset. */
   public Map<String, Integer> load(Predicate<Node> who) {
     Map<String, Integer> load = new LinkedHashMap<>();
     stores.forEach(store -> load.put(store.name, 0));
--- a/src/test/java/dunlinhitch/experiments/soak/SoakCheckerTest.java
+++ b/src/test/java/dunlinhitch/experiments/soak/SoakCheckerTest.java
@@ -14,7 +14,10 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Verifies that each rule detects its violation and that no other rule reports one. */
+/**
+ * Verifies that each rule detects its violation and that no other rule reports a violation of the
+ * same run.
+ */
 class SoakCheckerTest {
   private static final long MS = 1_000;
   private static final SoakChecker.Limits LIMITS =
@@ -70,7 +73,7 @@
     assertViolations(SoakRule.ONE_ANSWER);
   }
 
-  /** A request needs no answer if it is due after its broker was asked to terminate. */
+  /** A request needs no answer if the answer is due after the broker was asked to terminate. */
   @Test
   void stoppedBrokerNeedNotAnswer() {
     request(0, null, 0);
--- a/src/test/java/dunlinhitch/experiments/soak/SoakTest.java
+++ b/src/test/java/dunlinhitch/experiments/soak/SoakTest.java
@@ -13,7 +13,7 @@
 
 /**
  * Short soak runs of two seeds on broker processes. Timed rules are checked only by the command
- * {@code soak}, because a slow machine may cause violations of them.
+ * {@code soak}, because a slow machine may cause violations although the program is correct.
  */
 class SoakTest {
   private static final int SECONDS = 8;
--- a/src/test/java/dunlinhitch/experiments/testbed/FreePortsTest.java
+++ b/src/test/java/dunlinhitch/experiments/testbed/FreePortsTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against ports of the ephemeral range, which an outgoing connection may take before the
- * process of the test bed binds them.
+ * Verifies that no port lies in the ephemeral range, because an outgoing connection may take such a
+ * port before the process of the test bed binds it.
  */
 class FreePortsTest {
   /** The lowest port of the default ephemeral range of Linux. */
