--- a/src/main/java/dunlinhitch/balancer/Admission.java
+++ b/src/main/java/dunlinhitch/balancer/Admission.java
@@ -120,7 +120,7 @@
     for (Part part : query.parts) {
       Server server = part.attemptCount > 0 ? null : selection.select(part);
       if (server == null) {
-        // No server is eligible yet, or the part has already been sent.
+        // No wait is predicted for a part that has already been sent or has no eligible server yet.
         plan.add(new PlannedPart(part, 0.0));
         continue;
       }
--- a/src/main/java/dunlinhitch/balancer/AttemptFeedback.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptFeedback.java
@@ -47,7 +47,8 @@
 
   private void onCancelled(Attempt attempt) {
     if (context.nowUs() - attempt.sentUs > attempt.prediction.latencyUs()) {
-      // The elapsed time is a lower bound of the latency that the answer would have had.
+      // The attempt is late. The time since its send is a lower bound of the latency that its
+      // answer would have had.
       estimators.latencies.onLatency(attempt);
     }
     if (estimators.latencies.isUnresponsive(attempt)) {
--- a/src/main/java/dunlinhitch/balancer/AttemptSender.java
+++ b/src/main/java/dunlinhitch/balancer/AttemptSender.java
@@ -58,8 +58,8 @@
 
   /**
    * True if the part must wait, because only one attempt at a time is allowed and a server may
-   * still be executing an earlier one. A cancellation that was sent is no proof that the server has
-   * read it.
+   * still be executing an earlier attempt of the part. This includes a cancelled attempt until its
+   * server is known to have ended it, because the server may not have read the cancellation yet.
    */
   private boolean mayBeExecuting(Part part) {
     return part.unconfirmedAttempts > 0 && !context.settings().limits().parallelAttempts();
--- a/src/main/java/dunlinhitch/balancer/DecayingValue.java
+++ b/src/main/java/dunlinhitch/balancer/DecayingValue.java
@@ -19,7 +19,10 @@
     updatedUs = nowUs;
   }
 
-  /** Moves the decayed value a fraction {@code weight} of the distance to a new sample. */
+  /**
+   * Decays the value, then moves it towards a new sample by the fraction {@code weight} of the
+   * distance between them.
+   */
   void blend(double sample, double weight, long nowUs, double timeConstantUs) {
     value = at(nowUs, timeConstantUs);
     value += weight * (sample - value);
--- a/src/main/java/dunlinhitch/balancer/FailurePenalties.java
+++ b/src/main/java/dunlinhitch/balancer/FailurePenalties.java
@@ -1,8 +1,9 @@
 package dunlinhitch.balancer;
 
 /**
- * Failure penalties: virtual outstanding work of a server after failures, so that servers that fail
- * fast, hang, are dead or are full do not attract parts.
+ * Failure penalties: work that a server is assumed to have outstanding after failures, in addition
+ * to its actual outstanding work. With a penalty, servers that fail fast, hang, are dead or are
+ * full attract fewer parts.
  *
  * <p>A penalty grows with each consecutive failure. It decays with time and with answers, so that
  * the server occasionally gets a part. An answer to that part shows that the server has recovered.
--- a/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
+++ b/src/main/java/dunlinhitch/balancer/HealthCheckBudget.java
@@ -1,9 +1,11 @@
 package dunlinhitch.balancer;
 
 /**
- * Limits the number of health checks that are sent before queries are admitted. Few are allowed
- * while queries are answered completely. The limit rises to one health check for each replica of
- * each part if no query is answered completely, and is lower if a health check is expensive.
+ * Limits the number of health checks that are sent before queries are admitted. Each part that is
+ * sent adds to the budget. It adds {@link #CHECKS_PER_PART} health checks while all queries are
+ * answered completely. As the share of queries without a complete answer rises from 0 to 1, it adds
+ * up to one more health check for each replica of the part. It adds less if a health check is
+ * expensive.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
--- a/src/main/java/dunlinhitch/balancer/Hedging.java
+++ b/src/main/java/dunlinhitch/balancer/Hedging.java
@@ -16,7 +16,8 @@
   private static final long RECHECK_SWEEPS = 4;
 
   /**
-   * A hedged attempt is sent only to a server with at most this many mean service times of work.
+   * A hedged attempt is sent only to a server whose outstanding work is at most this multiple of
+   * the mean service time.
    */
   private static final double MAX_WORK_AT_TARGET = 2;
 
@@ -26,7 +27,7 @@
   /** Like {@link #LATE_QUANTILE}, for a part with little time left. */
   private static final double URGENT_LATE_QUANTILE = 0.5;
 
-  /** The time left is short if it is less than this many median latencies. */
+  /** A part has little time left if that time is less than this multiple of the median latency. */
   private static final double URGENT_MEDIANS = 1.5;
 
   private final BalancerContext context;
@@ -46,8 +47,8 @@
   }
 
   /**
-   * Sends a part whose request is pending, if this is possible now. Hedges the part's only attempt
-   * if that attempt is late.
+   * Sends a part whose request is pending, if this is possible now. If the part's only attempt in
+   * flight is late, requests a spare part or, if there is none, hedges or moves the late attempt.
    */
   void examine(Part part) {
     if (part.requested) {
@@ -82,8 +83,9 @@
   }
 
   /**
-   * Whether a hedged attempt is predicted to finish in time and would not delay other parts queued
-   * at its server.
+   * Whether a hedged attempt is predicted to finish in time at a server that has no worse score
+   * than the server of the late attempt. The server must have little outstanding work, so that the
+   * hedged attempt does not delay other parts queued there.
    */
   private boolean isWorthwhile(Attempt attempt, Server target, double leftUs) {
     Part part = attempt.part;
--- a/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
+++ b/src/main/java/dunlinhitch/balancer/LatencyEstimates.java
@@ -35,8 +35,8 @@
   private static final double NETWORK_DECAY_OBJECTIVES = 4.0;
 
   /**
-   * If an attempt is unanswered for this multiple of its predicted latency, its server counts as
-   * unresponsive rather than busy.
+   * A server counts as unresponsive rather than busy if it answers nothing for this multiple of the
+   * predicted latency of an attempt.
    */
   private static final double UNRESPONSIVE_FACTOR = 5;
 
@@ -55,7 +55,9 @@
   private final OutstandingWork outstandingWork;
   private final Map<Integer, ZoneLatency> zoneLatencies = new HashMap<>();
 
-  /** Slope of wait over work ahead: how fast servers process their queues. */
+  /**
+   * Slope of the wait over the work queued ahead; it is low if servers process their queues fast.
+   */
   private final SlopeEstimate waitSlope = new SlopeEstimate();
 
   LatencyEstimates(
@@ -133,10 +135,11 @@
   }
 
   /**
-   * True if an attempt is long overdue and its server has answered nothing since the attempt was
-   * sent: the server is hung, dead or far too slow. False for a server that is only busy, because
-   * moving late parts away from it would waste the work already done and increase the load of all
-   * servers.
+   * True if the attempt's server has answered nothing for {@link #UNRESPONSIVE_FACTOR} times the
+   * predicted latency of the attempt. The time starts when the attempt is sent, or at the server's
+   * last answer if that is later. Such a server is hung, dead or far too slow. A server that still
+   * answers is only busy: moving late parts away from it would waste the work already done and
+   * increase the load of all servers.
    */
   boolean isUnresponsive(Attempt attempt) {
     long lastSignUs = Math.max(attempt.sentUs, attempt.server.lastAnswerUs);
--- a/src/main/java/dunlinhitch/balancer/LoadReports.java
+++ b/src/main/java/dunlinhitch/balancer/LoadReports.java
@@ -10,8 +10,8 @@
  */
 final class LoadReports {
   /**
-   * Weight of the newest report in the moving average of a server, in which sustained load counts
-   * more than a spike.
+   * Weight of the newest report in the moving average of a server. Sustained load counts more than
+   * a spike in that average.
    */
   private static final double REPORT_WEIGHT = 0.4;
 
@@ -28,8 +28,8 @@
   private static final double MEAN_OBJECTIVES = 4.0;
 
   /**
-   * Assumed fraction of this broker's parts in flight at a server that are still in the server's
-   * backlog.
+   * Fraction of this broker's parts in flight at a server that are assumed to be in the server's
+   * backlog still.
    */
   private static final double OWN_BACKLOG_SHARE = 0.5;
 
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -32,7 +32,10 @@
   /** Number of service times that must remain for a retry of a rejected query to be in time. */
   private static final double RETRY_SERVICE_TIMES = 2;
 
-  /** The Retry-After delay is the slack of a retry divided by this number. */
+  /**
+   * The Retry-After delay is the slack of a retry divided by this number. The slack is the time
+   * until the objective minus the time reserved for the retry by {@link #RETRY_SERVICE_TIMES}.
+   */
   private static final long RETRY_AFTER_FRACTION = 4;
 
   private final BalancerContext context;
@@ -56,11 +59,11 @@
 
   /**
    * Returns the time that a client has already waited for earlier requests of the same query; 0 if
-   * the request is not marked as a retry. The time is derived from the client timeout: a timeout
-   * shorter than others of the class is assumed to be limited by the client's own deadline. Without
-   * this correction, retries of queries that have already missed their objective would displace
-   * queries that can still meet it. Clients that use short timeouts for other reasons are at a
-   * disadvantage.
+   * the request is not marked as a retry. A retry whose client timeout is shorter than others of
+   * the class is assumed to have been shortened by the time already waited; that time is the
+   * deadline of the class minus the client timeout. Without this correction, retries of queries
+   * that have already missed their objective would displace queries that can still meet it. Clients
+   * that use short timeouts for other reasons are at a disadvantage.
    */
   private long spentUs(QueryArrived event, ClassStatistics statistics) {
     long timeoutUs = event.deadlineUs() - context.nowUs();
--- a/src/main/java/dunlinhitch/balancer/SlowStart.java
+++ b/src/main/java/dunlinhitch/balancer/SlowStart.java
@@ -109,8 +109,8 @@
    * Rate of work that this broker may send to a warming server: the product of {@link
    * #BUDGET_SHARE}, the overload factor, the server's weight and the rate of a warm server. The
    * rate of a warm server is the mean rate at which a warm server answers work of this broker; the
-   * sum of these mean rates over all brokers cannot exceed the capacity of a warm server. One core
-   * divided by the number of brokers is the minimum.
+   * sum of these mean rates over all brokers cannot exceed the capacity of a warm server. The rate
+   * of a warm server is taken to be at least one core divided by the number of brokers.
    */
   private double rate(Server server) {
     double spanUs = MEASUREMENT_OBJECTIVES * context.shortestObjectiveUs();
--- a/src/main/java/dunlinhitch/balancer/TokenBucket.java
+++ b/src/main/java/dunlinhitch/balancer/TokenBucket.java
@@ -5,8 +5,9 @@
  *
  * <p>The bucket starts empty. A request is admitted once the level reaches the request's cost
  * multiplied by the phase, which is from 0 to 1. If the phases of many buckets are uniformly
- * distributed, the buckets together admit at the sum of their rates from the start, whatever the
- * costs; afterwards each admits one request per period.
+ * distributed, the buckets together admit requests at the sum of their rates from the start,
+ * whatever the costs of the requests. After its first request, each bucket admits one request in
+ * the time in which it gains the cost of a request.
  *
  * <p>Not thread-safe; the load balancer owns it.
  */
--- a/src/main/java/dunlinhitch/balancer/WaitTolerance.java
+++ b/src/main/java/dunlinhitch/balancer/WaitTolerance.java
@@ -11,8 +11,9 @@
  */
 final class WaitTolerance {
   /**
-   * Fraction of its time that an average query may wait. It is scaled by 1 + 1 / brokers: the
-   * larger this broker's own fraction of the load, the longer a query may wait.
+   * Fraction of its time that an average query may wait, before scaling by 1 + 1 / brokers. The
+   * fewer brokers there are, the larger is this broker's own fraction of the load and the longer a
+   * query may wait.
    */
   private static final double BASE_SHARE = 0.5;
 
@@ -20,8 +21,8 @@
   private static final double MAX_FACTOR = 1.4;
 
   /**
-   * Priority factor of a query that its client retries, because part of the query's time has
-   * already passed.
+   * Factor by which the priority weight per work is multiplied for a query that its client retries.
+   * It is below 1 because part of the query's time has already passed.
    */
   private static final double RETRIED_FACTOR = 0.6;
 
--- a/src/main/java/dunlinhitch/core/AttemptStage.java
+++ b/src/main/java/dunlinhitch/core/AttemptStage.java
@@ -108,7 +108,7 @@
   }
 
   /**
-   * Ends an attempt and returns the event by which the load balancer is notified.
+   * Ends an attempt and returns the event that notifies the load balancer.
    *
    * @param value the value received; null if there is none
    * @param score the score received with the value; NaN if there is none
@@ -145,9 +145,10 @@
   }
 
   /**
-   * Ends an attempt that this broker abandons although its endpoint may still execute it, because
-   * the endpoint may not have read the cancellation yet, or may not have detected that the
-   * connection was closed. No further attempt of the part is sent until {@link #release} is called.
+   * Ends an attempt that this broker abandons although its endpoint may still execute it. The
+   * endpoint may not have read the cancellation yet, or may not have detected yet that the
+   * connection was closed. If a part may have only one attempt at a time, the part's next attempt
+   * is not sent until {@link #release} is called for the abandoned attempt.
    */
   BalancerEvent.AttemptCompleted endUnconfirmed(InFlightAttempt attempt, AttemptOutcome outcome) {
     if (!attempt.part().closed) {
@@ -182,9 +183,9 @@
   }
 
   /**
-   * Updates the earliest execution time of a part after one of its attempts has ended. If that
-   * attempt was certainly not executed, the part's earliest execution time becomes the time of the
-   * earliest other attempt that may have been executed, in flight or ended.
+   * Updates {@link InFlightPart#earliestExecutionUs} after an attempt of the part has ended. If
+   * that attempt was certainly not executed, the field becomes the send time of the earliest
+   * remaining attempt (in flight or ended) that may have been executed.
    */
   private void updateEarliestExecution(InFlightAttempt attempt, AttemptOutcome outcome) {
     InFlightPart part = attempt.part();
--- a/src/main/java/dunlinhitch/core/BalancerActionHandler.java
+++ b/src/main/java/dunlinhitch/core/BalancerActionHandler.java
@@ -71,7 +71,8 @@
     boolean mayHaveExecuted =
         query.allParts().stream().anyMatch(part -> part.earliestExecutionUs >= 0);
     if (mayHaveExecuted && query.request.queryClass().idempotency() == Idempotency.SINGLE_SHOT) {
-      // fail instead of reject, because a rejection tells the client that a retry is safe
+      // the query fails instead of being rejected: a rejection tells the client that a retry is
+      // safe
       state.counters().add(Counter.RESPONSES_BLOCKED);
       completion.fail(query);
       return;
--- a/src/main/java/dunlinhitch/core/ConfigurationStage.java
+++ b/src/main/java/dunlinhitch/core/ConfigurationStage.java
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Switches to a new discovery address. The current endpoint list stays in use until the new
-   * address has sent one.
+   * Switches to a new discovery address. The current endpoint list stays in use until a list has
+   * been received from the new address.
    */
   private void onDiscoveryConfigured(Event.DiscoveryConfigured event) {
     if (!event.equals(discovery)) {
--- a/src/main/java/dunlinhitch/core/DeferredEvents.java
+++ b/src/main/java/dunlinhitch/core/DeferredEvents.java
@@ -18,7 +18,7 @@
     this.context = context;
   }
 
-  /** Defers an event by one tick. */
+  /** Defers an event; it is due one tick after the time of the current turn. */
   void defer(BalancerEvent event) {
     deferred.add(new Deferred(context.nowUs() + context.settings().tickUs(), event));
   }
--- a/src/main/java/dunlinhitch/core/DiscoveryFreshness.java
+++ b/src/main/java/dunlinhitch/core/DiscoveryFreshness.java
@@ -11,8 +11,8 @@
  */
 final class DiscoveryFreshness {
   /**
-   * Time after which the protocol treats a notification of discovery as received, whether or not it
-   * has arrived. Measured from the time at which the notification was sent.
+   * Time, in microseconds, after which a notification of discovery counts as received by protocol,
+   * whether or not it has arrived. The time starts when discovery sends the notification.
    */
   private static final long NOTIFICATION_LIMIT_US = 6_000_000;
 
@@ -76,9 +76,10 @@
   }
 
   /**
-   * Reports the list as possibly out of date when the limit is reached. Operators are notified, and
-   * the broker continues to use the list: it cannot determine which endpoints have changed, and
-   * rejecting all of them would do more harm than using an outdated one.
+   * Reports the list to operators as possibly out of date once {@link #NOTIFICATION_LIMIT_US} has
+   * passed without contact. The broker continues to use the list: it cannot determine which
+   * endpoints have changed, and rejecting all of them would do more harm than using an outdated
+   * list.
    */
   void advance() {
     if (context.nowUs() < staleAtUs) {
--- a/src/main/java/dunlinhitch/core/EndpointStage.java
+++ b/src/main/java/dunlinhitch/core/EndpointStage.java
@@ -20,9 +20,10 @@
 import java.util.function.Consumer;
 
 /**
- * Connects the sources of endpoint lists to the load balancer: turns the changes that {@link
- * EndpointRegistry} derives from the sources' claims into entries of the in-flight registry,
- * effects for the edges and one event for the load balancer. Owned by the reducer; not thread-safe.
+ * Connects the sources of endpoint lists to the load balancer. The {@link EndpointRegistry} derives
+ * changes from the claims of the sources. This stage applies these changes to the endpoints in
+ * {@link InFlightRegistry}, emits effects for the edges, and delivers one event to the load
+ * balancer. Owned by the reducer; not thread-safe.
  */
 final class EndpointStage {
   /** The name of the platform's own source, whose list is accepted without conflict checks. */
--- a/src/main/java/dunlinhitch/core/Event.java
+++ b/src/main/java/dunlinhitch/core/Event.java
@@ -198,8 +198,8 @@
       implements OperatorEvent {}
 
   /**
-   * Endpoints were disabled or enabled through another process of this broker, or through an
-   * earlier one.
+   * Endpoints were disabled or enabled through another process of this broker, which runs at the
+   * same time or ran earlier.
    *
    * @param disabled names of the endpoints that are now disabled
    * @param enabled names of the endpoints that are enabled again
@@ -243,6 +243,6 @@
    */
   record ConfigurationFileChanged(long writtenMs) implements ClusterEvent {}
 
-  /** A condition at an edge that requires no action other than counting it. */
+  /** A condition at an edge that is counted and requires no other action. */
   record ConditionCounted(Counter counter) implements Event {}
 }
--- a/src/main/java/dunlinhitch/core/FirstPassClasses.java
+++ b/src/main/java/dunlinhitch/core/FirstPassClasses.java
@@ -15,7 +15,8 @@
  *
  * <p>The priority weight of the additional class is that of the query class times the relative cost
  * of a first pass. Under overload, the load balancer sheds work with a low ratio of weight to cost.
- * If first passes had the full weight at almost no cost, it would shed full passes instead.
+ * A first pass costs little; with the full weight of its query class, its ratio would be so high
+ * that the load balancer would shed full passes in its place.
  */
 final class FirstPassClasses {
   private static final String NAME_SUFFIX = "#first";
--- a/src/main/java/dunlinhitch/core/InFlightPart.java
+++ b/src/main/java/dunlinhitch/core/InFlightPart.java
@@ -3,8 +3,8 @@
 /** One part (shard) of an in-flight query. Owned by the reducer; not thread-safe. */
 final class InFlightPart {
   /**
-   * Value of {@link #earliestExecutionUs} and {@link #earliestEndedExecutionUs} if there is no such
-   * attempt.
+   * Value of {@link #earliestExecutionUs} and {@link #earliestEndedExecutionUs} if the part has no
+   * attempt to which the field refers.
    */
   static final long NEVER = -1;
 
@@ -43,7 +43,7 @@
   /** Like {@link #earliestExecutionUs}, restricted to attempts that have ended. */
   long earliestEndedExecutionUs = NEVER;
 
-  /** The value received; null until then. */
+  /** The value of the part; null until it is received. */
   String value;
 
   /** The score received with the value; NaN if the endpoint returned no number. */
--- a/src/main/java/dunlinhitch/core/InFlightQuery.java
+++ b/src/main/java/dunlinhitch/core/InFlightQuery.java
@@ -69,9 +69,10 @@
   }
 
   /**
-   * Whether the received values may be sent as a response, which requires their weight to reach the
-   * class's {@code floor}. A class allows partial answers only if its {@code floor} is below its
-   * {@code need}; otherwise the second step of its queries requires a value for every part.
+   * Whether the received values may be sent as a response. Their total weight must reach the {@code
+   * floor} of the query's class. The second step has a stricter condition if the class allows no
+   * partial answers, that is, if its {@code floor} is not below its {@code need}: every part of the
+   * second step must then have a value.
    */
   boolean isAnswerable() {
     double minimumWeight =
--- a/src/main/java/dunlinhitch/core/InFlightRegistry.java
+++ b/src/main/java/dunlinhitch/core/InFlightRegistry.java
@@ -40,8 +40,8 @@
   long endpointsVersion;
 
   /**
-   * Names of the endpoints that an operator has disabled, with the number reserved for each while
-   * it is disabled, whether or not it is in the endpoint list.
+   * The endpoints that an operator has disabled, by name, whether or not they are in the endpoint
+   * list. The value is the number reserved for the endpoint while it is disabled.
    */
   final Map<String, Integer> disabledEndpoints = new HashMap<>();
 
--- a/src/main/java/dunlinhitch/core/QueryCompletion.java
+++ b/src/main/java/dunlinhitch/core/QueryCompletion.java
@@ -49,8 +49,8 @@
   }
 
   /**
-   * Fails a query. Within two ticks of its deadline, the failure is reported as an exceeded
-   * deadline.
+   * Fails a query. If at most two ticks remain until its deadline, the failure is reported as an
+   * exceeded deadline.
    */
   void fail(InFlightQuery query) {
     if (context.nowUs() >= query.request.deadlineUs() - 2 * context.settings().tickUs()) {
--- a/src/main/java/dunlinhitch/core/QueryStage.java
+++ b/src/main/java/dunlinhitch/core/QueryStage.java
@@ -80,8 +80,8 @@
    * @param request the same request with the current definition of the class
    */
   private boolean isAdmissible(QueryRequest asRead, QueryRequest request) {
-    // When the request was read, its class required no idempotency key. A reload has changed that:
-    // endpoints now need the key to recognize a repeated part.
+    // True if a reload has made idempotency keys mandatory for the class since the request was
+    // read. Endpoints now need the key to recognize a repeated part.
     boolean keyMissing =
         request.queryClass().idempotency() == Idempotency.GUARDED
             && asRead.queryClass().idempotency() != Idempotency.GUARDED;
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -198,8 +198,8 @@
   /**
    * Runs one turn that may be late. The grace period of a draining endpoint starts when discovery
    * writes the notification. This turn's notifications are therefore treated as written at {@code
-   * unreadSinceUs}. Endpoint events are handled first, so that no attempt is sent on the basis of
-   * an endpoint state that an event of the same turn supersedes.
+   * unreadSinceUs}. Endpoint events are handled first, so that the attempts of this turn are sent
+   * according to the newest endpoint states.
    *
    * @param nowUs the time of the turn, in microseconds; if it is before the time of the previous
    *     turn, the previous turn's time is used
@@ -295,7 +295,8 @@
     InFlightAttempt attempt = state.registry().attempts.get(event.attempt());
     if (attempt == null) {
       if (!event.unconfirmed()) {
-        // The attempt was cancelled while its result was in transit.
+        // The attempt ended at this broker before its result arrived. The result shows that the
+        // endpoint will no longer execute the attempt.
         release(event.attempt());
       }
     } else if (event.unconfirmed()) {
--- a/src/main/java/dunlinhitch/core/StartTimes.java
+++ b/src/main/java/dunlinhitch/core/StartTimes.java
@@ -8,11 +8,11 @@
  * endpoint could appear cold for an hour.
  *
  * <p>Independently of any wall clock, an endpoint starts before this broker first sees its start
- * time. The difference between the time of first sight and the reported start is therefore an upper
- * bound for the offset between the clocks. The smallest such difference so far is added to every
- * reported start. Starts in the first list that discovery sends are not shifted, because all of
- * them may be long ago, and a bound derived from them would make warm endpoints appear cold. These
- * starts are used as reported, limited to the current time.
+ * time. The difference between the time at which a start is first seen and the reported start is
+ * therefore an upper bound for the offset between the clocks. The smallest difference so far is
+ * added to each reported start. The first list that discovery sends is an exception: its starts
+ * count towards the smallest difference, but are used as reported, limited to the current time. All
+ * of them may be long ago; if the difference were added to them, warm endpoints would appear cold.
  *
  * <p>Owned by the reducer; not thread-safe.
  */
@@ -28,8 +28,8 @@
   private long smallestDifferenceUs = UNKNOWN;
 
   /**
-   * Handles the receipt of a list, or of changes, from discovery. A start that first appears in a
-   * later list or change is recent.
+   * Records that discovery has sent a list or changes. A start that is first reported in a later
+   * list or change is recent.
    */
   void onListReceived() {
     firstListReceived = true;
--- a/src/main/java/dunlinhitch/core/SubsetPublisher.java
+++ b/src/main/java/dunlinhitch/core/SubsetPublisher.java
@@ -87,8 +87,8 @@
   }
 
   /**
-   * Publishes pending changes of the subset that do not coincide with an update of the endpoint
-   * list.
+   * Publishes the pending changes of the subset, if there are any, without waiting for an update of
+   * the endpoint list.
    */
   void publishChanges() {
     if (changedEndpoints.isEmpty()) {
--- a/src/main/java/dunlinhitch/simulator/RecordCode.java
+++ b/src/main/java/dunlinhitch/simulator/RecordCode.java
@@ -2,7 +2,7 @@
 
 /** Record codes of the simulator's protocol. */
 final class RecordCode {
-  // Records in batches, sent by the simulator.
+  // Codes of the records in batches, which the simulator sends.
   static final int ATTEMPT_STARTED = 16;
   static final int SERVER_LIST_PAGE = 17;
   static final int CLIENT_DISCONNECTED = 18;
@@ -15,7 +15,7 @@
   static final int WORK_ARRIVED = 25;
   static final int INSTANCE_STOPPED = 26;
 
-  // Records in replies, sent to the simulator.
+  // Codes of the records in replies, which the simulator receives.
   static final int SEND = 80;
   static final int REJECT = 81;
   static final int FAIL = 82;
--- a/src/main/java/dunlinhitch/twophase/ClassEstimates.java
+++ b/src/main/java/dunlinhitch/twophase/ClassEstimates.java
@@ -56,8 +56,9 @@
   private static final double FIRST_PASS_PERCENTILE = 99;
 
   /**
-   * Minimum time limit of a first pass, in microseconds. Effects are carried out once per tick, and
-   * a connection may have to be established first.
+   * Minimum time limit of a first pass, in microseconds. A shorter limit could expire before an
+   * answer is possible: effects are carried out only once per turn, and a connection may have to be
+   * established first.
    */
   private static final long MIN_FIRST_PASS_US = 25_000;
 
@@ -71,9 +72,9 @@
   private final LatencyWindow firstPass = new LatencyWindow();
 
   /**
-   * Latencies of first passes, including answers that did not arrive before the end of their pass.
-   * The time limit of first passes is derived from this window; without the missed answers, the
-   * limit would shrink with each adjustment.
+   * Latencies of first passes, including estimated latencies of the answers that missed the time
+   * limit of their pass. The time limit of later first passes is derived from this window. If it
+   * contained only the answers that arrived in time, the limit would shrink with each adjustment.
    */
   private final LatencyWindow firstPassWithTimeouts = new LatencyWindow();
 
@@ -155,8 +156,9 @@
   }
 
   /**
-   * Handles a first answer that did not arrive before the end of its pass. Its latency is only
-   * known to exceed {@code waitedUs}.
+   * Handles a first answer that did not arrive before the end of its pass. Its latency is unknown
+   * but exceeds {@code waitedUs}, so it is recorded as {@link #LATENCY_HEADROOM} times {@code
+   * waitedUs}.
    */
   void onFirstAnswerTimeout(long nowUs, long waitedUs) {
     firstPassWithTimeouts.record(nowUs, LATENCY_HEADROOM * waitedUs);
--- a/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
+++ b/src/test/java/dunlinhitch/balancer/HealthChecksTest.java
@@ -77,8 +77,8 @@
   }
 
   /**
-   * Each broker with few queries sends its own health checks, so that their total number can be
-   * large. The number must be lower if a health check is expensive.
+   * Brokers with few queries each send their own health checks, and the total over all brokers can
+   * be large. A broker must send fewer health checks if a health check is expensive.
    */
   @Test
   void expensiveHealthChecksAreSentLessOften() {
--- a/src/test/java/dunlinhitch/core/ClusterStageTest.java
+++ b/src/test/java/dunlinhitch/core/ClusterStageTest.java
@@ -234,9 +234,10 @@
   }
 
   /**
-   * In a cluster of twelve brokers whose other members send no health checks, most health checks of
-   * this broker are delegated and end with another broker's observation. No endpoint is checked
-   * twice within a period of 2 s.
+   * In a cluster of twelve brokers, this broker delegates some health checks to other members.
+   * Within 6 s, it sends at most three health checks for each endpoint on average, which is one in
+   * each period of 2 s. The other members send gossip, and their only observations concern the
+   * endpoint s0.
    */
   @Test
   void healthChecksAreSharedAmongBrokers() {
--- a/src/test/java/dunlinhitch/core/OperatorStageTest.java
+++ b/src/test/java/dunlinhitch/core/OperatorStageTest.java
@@ -53,9 +53,9 @@
   }
 
   /**
-   * An operator disables an endpoint in the turn in which a part is queued for it; the part is sent
-   * to the other endpoint instead. (An endpoint disabled through another process is handled before
-   * the queries of the same turn.)
+   * An operator disables an endpoint in the turn in which parts are queued for it; these parts are
+   * sent to the other endpoint. The request of the operator is handled after the queries of the
+   * turn. A request that comes from another process of this broker is handled before them.
    */
   @Test
   void unsentAttemptsForADisabledEndpointAreWithdrawn() {
--- a/src/test/java/dunlinhitch/core/ReducerTest.java
+++ b/src/test/java/dunlinhitch/core/ReducerTest.java
@@ -35,9 +35,9 @@
   }
 
   /**
-   * Regression: a part deferred from the previous turn was sent to an endpoint whose drain was read
-   * in this turn. A part that waited for an endpoint was sent to the first endpoint of the list,
-   * although a later event of the same turn drained that endpoint.
+   * Regression in two cases. A part deferred from the previous turn was sent to an endpoint whose
+   * drain was read in this turn. A part that waited for an endpoint was sent to the first endpoint
+   * of the list, although a later event of the same turn drained that endpoint.
    */
   @Test
   void attemptsOfATurnRespectTheLastEndpointStateOfThatTurn() {
