--- a/src/main/java/dunlinhitch/balancer/Admission.java
+++ b/src/main/java/dunlinhitch/balancer/Admission.java
@@ -18,7 +18,9 @@
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class Admission {
-  /** Minimum divisor of a part's wait; avoids a division by zero. */
+  /**
+   * Lower limit of the weight by which the wait of a part is divided; avoids a division by zero.
+   */
   private static final double MIN_WEIGHT = 1e-9;
 
   /**
--- a/src/main/java/dunlinhitch/balancer/CanaryPart.java
+++ b/src/main/java/dunlinhitch/balancer/CanaryPart.java
@@ -100,10 +100,10 @@
   }
 
   /**
-   * True if the query probably crashes servers: enough servers have reset attempts of the query,
-   * the number of these servers is at least half the number of the query's attempts, and no part
-   * was answered. Servers that have answered any attempt since the reset are not counted, because
-   * they have lost only a connection.
+   * True if the query probably crashes servers. Three conditions must hold: no part was answered,
+   * enough servers have reset attempts of the query, and the number of these servers is at least
+   * half the number of the query's attempts. A server that has answered any attempt since the reset
+   * is not counted, because it has lost only a connection.
    */
   boolean isSuspect(Query query) {
     long serversDown =
--- a/src/main/java/dunlinhitch/balancer/IdleConnections.java
+++ b/src/main/java/dunlinhitch/balancer/IdleConnections.java
@@ -32,8 +32,9 @@
   }
 
   /**
-   * Marks an attempt that would use an idle connection. If idle connections lose too many attempts,
-   * closes the idle connections of the attempt's server instead, so that a new one is opened.
+   * Marks an attempt that will be sent on an idle connection. If idle connections lose too many
+   * attempts, the attempt is not marked: the idle connections of its server are closed, so that a
+   * new connection is opened for it.
    */
   void beforeSend(Attempt attempt) {
     Server server = attempt.server;
--- a/src/main/java/dunlinhitch/balancer/LoadReports.java
+++ b/src/main/java/dunlinhitch/balancer/LoadReports.java
@@ -28,8 +28,8 @@
   private static final double MEAN_OBJECTIVES = 4.0;
 
   /**
-   * Fraction of this broker's parts in flight at a server that are assumed to be in the server's
-   * backlog still.
+   * Fraction of this broker's parts in flight at a server that are assumed to be still in the
+   * server's backlog.
    */
   private static final double OWN_BACKLOG_SHARE = 0.5;
 
@@ -61,8 +61,8 @@
   }
 
   /**
-   * Processes a load report, from which this broker's own parts in flight are subtracted. An empty
-   * report is ignored.
+   * Processes a load report. This broker's own parts in flight are subtracted from the reported
+   * load. An empty report is ignored.
    */
   void onReport(Server server, float[] report) {
     List<LoadReportField> fields = context.settings().reportFields();
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -29,7 +29,10 @@
   /** Ratio of the timeout to the latency at {@link #TIMEOUT_QUANTILE}. */
   private static final double TIMEOUT_FACTOR = 2;
 
-  /** Number of service times that must remain for a retry of a rejected query to be in time. */
+  /**
+   * Time that must remain for a retry of a rejected query to be in time, as a multiple of the
+   * service time of a typical part.
+   */
   private static final double RETRY_SERVICE_TIMES = 2;
 
   /**
@@ -112,11 +115,11 @@
 
   /**
    * Returns the time at which an attempt sent now times out. If attempts can be cancelled,
-   * maintenance ends late attempts; otherwise only the timeout does. The timeout also stops servers
-   * from doing work that is no longer needed, even if a cancellation fails to do so. If the class
-   * allows partial answers, an attempt therefore times out as soon as its query may be answered
-   * without it. The drawback is that the attempt is lost even if the weight of the answered parts
-   * is still below the class's {@code floor} at that time.
+   * maintenance ends late attempts; otherwise only the timeout ends them. The timeout also stops
+   * servers from doing work that is no longer needed if a cancellation fails to stop them. For that
+   * reason, an attempt of a class that allows partial answers times out as soon as its query may be
+   * answered without it. The drawback is that the attempt is lost even if the weight of the
+   * answered parts is still below the class's {@code floor} at that time.
    */
   long attemptTimeoutUs(Query query) {
     long nowUs = context.nowUs();
--- a/src/main/java/dunlinhitch/balancer/ReplicaSelection.java
+++ b/src/main/java/dunlinhitch/balancer/ReplicaSelection.java
@@ -13,7 +13,10 @@
   /** Random fraction that is added to a score, so that brokers break ties differently. */
   private static final double TIE_BREAK_SHARE = 0.001;
 
-  /** Passes of a selection; each one admits more servers than the one before. */
+  /**
+   * Passes of a selection, run in this order until a server is selected. Each pass admits more
+   * servers than the previous one.
+   */
   private enum Pass {
     NOT_YET_ATTEMPTED,
     ANY_READY,
--- a/src/main/java/dunlinhitch/core/InFlightPart.java
+++ b/src/main/java/dunlinhitch/core/InFlightPart.java
@@ -4,7 +4,7 @@
 final class InFlightPart {
   /**
    * Value of {@link #earliestExecutionUs} and {@link #earliestEndedExecutionUs} if the part has no
-   * attempt to which the field refers.
+   * attempt of the kind that the field describes.
    */
   static final long NEVER = -1;
 
--- a/src/main/java/dunlinhitch/core/InFlightRegistry.java
+++ b/src/main/java/dunlinhitch/core/InFlightRegistry.java
@@ -21,8 +21,8 @@
   final Map<Long, InFlightAttempt> attempts = new HashMap<>();
 
   /**
-   * The attempts in flight by key. This index is needed because a part may be closed before its
-   * attempts end.
+   * The attempts in flight by key. An attempt is looked up here rather than through its part,
+   * because the part may be closed and removed before its attempts end.
    */
   private final Map<InFlightAttempt.Key, InFlightAttempt> attemptsByKey = new HashMap<>();
 
--- a/src/main/java/dunlinhitch/core/Reducer.java
+++ b/src/main/java/dunlinhitch/core/Reducer.java
@@ -203,8 +203,8 @@
    *
    * @param nowUs the time of the turn, in microseconds; if it is before the time of the previous
    *     turn, the previous turn's time is used
-   * @param unreadSinceUs the earliest time since which the events may have been waiting unread; at
-   *     most {@code nowUs}
+   * @param unreadSinceUs the earliest time, in microseconds, at which one of the events may have
+   *     arrived at an edge; at most {@code nowUs}
    * @param events the events to handle, in order
    * @return the effects to carry out, in order
    */
--- a/src/main/java/dunlinhitch/core/TrackedEndpoint.java
+++ b/src/main/java/dunlinhitch/core/TrackedEndpoint.java
@@ -23,8 +23,8 @@
   long reportedStartUs;
 
   /**
-   * The earliest time at which the notification of the last change from or to {@code READY} may
-   * have been sent, in microseconds. The grace period for draining starts at this time.
+   * Start of the grace period for draining, in microseconds: the earliest time at which discovery
+   * may have sent the notification of the last change from or to {@code READY}.
    */
   long stateNotifiedUs;
 
--- a/src/main/java/dunlinhitch/core/TurnContext.java
+++ b/src/main/java/dunlinhitch/core/TurnContext.java
@@ -26,8 +26,8 @@
    *
    * @param turnUs the time of the turn, in microseconds; the reducer ensures that it never
    *     decreases
-   * @param eventsUnreadSinceUs the earliest time since which its events may have been waiting
-   *     unread; at most {@code turnUs}
+   * @param eventsUnreadSinceUs the earliest time, in microseconds, at which one of the turn's
+   *     events may have arrived at an edge; at most {@code turnUs}
    */
   void begin(long turnUs, long eventsUnreadSinceUs) {
     nowUs = turnUs;
@@ -40,7 +40,7 @@
   }
 
   /**
-   * The earliest time since which the events of this turn may have been waiting unread, in
+   * The earliest time at which one of this turn's events may have arrived at an edge, in
    * microseconds.
    */
   long unreadSinceUs() {
--- a/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
+++ b/src/test/java/dunlinhitch/balancer/SlowStartSimulationTest.java
@@ -114,7 +114,8 @@
   @Test
   void aHundredBrokersDoNotAllSendCheapPartsSimultaneously() {
     double sent = sendsOfAHundredBrokers(0, 10_000, 1);
-    // The limit is the overload factor times the capacity at the end of that second, in calls.
+    // The limit is 2 (the overload factor) times 0.28 of a core for 1 s, in calls of 10 ms. 0.28 of
+    // a core is the capacity at the end of the second.
     double allowed = 2 * 0.28 / 0.01;
     assertTrue(sent > 5 && sent <= allowed + 2 * Math.sqrt(allowed) + 2, "sent: " + sent);
   }
--- a/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
+++ b/src/test/java/dunlinhitch/core/AttemptLifecycleTest.java
@@ -86,7 +86,8 @@
     runFor(200_000);
     assertEquals(List.of(), attemptsIn(effects));
     turn(
-        // With OK, an answer still arrives after the connection was lost.
+        // OK: the endpoint's answer still arrives after the connection was lost. MOOT: no answer
+        // arrives.
         lateReply == AttemptOutcome.OK
             ? Event.AttemptCompleted.of(lost, AttemptOutcome.OK)
             : new Event.AttemptReleased(lost));
--- a/src/test/java/dunlinhitch/core/EndpointStageTest.java
+++ b/src/test/java/dunlinhitch/core/EndpointStageTest.java
@@ -77,8 +77,8 @@
   }
 
   /**
-   * An endpoint withdrawn through DNS receives no new attempts from the same turn on. If it returns
-   * within the linger time, it keeps its number.
+   * An endpoint withdrawn through DNS receives no new attempts, beginning with the turn that reads
+   * the withdrawal. If it returns within the linger time, it keeps its number.
    */
   @Test
   void aWithdrawnEndpointReceivesNothingNewAndKeepsItsNumberOnReturn() {
--- a/src/test/java/dunlinhitch/core/OperatorStageTest.java
+++ b/src/test/java/dunlinhitch/core/OperatorStageTest.java
@@ -54,8 +54,9 @@
 
   /**
    * An operator disables an endpoint in the turn in which parts are queued for it; these parts are
-   * sent to the other endpoint. The request of the operator is handled after the queries of the
-   * turn. A request that comes from another process of this broker is handled before them.
+   * sent to the other endpoint. The operator's request follows the query in the turn and is handled
+   * after it. An endpoint disabled through another process would be handled before the queries of
+   * the same turn.
    */
   @Test
   void unsentAttemptsForADisabledEndpointAreWithdrawn() {
