--- a/src/main/java/dunlinhitch/backend/BackendTransport.java
+++ b/src/main/java/dunlinhitch/backend/BackendTransport.java
@@ -50,8 +50,8 @@
   void updateState(ServerState state);
 
   /**
-   * Sets whether the store is administratively disabled. While it is, no new request is sent,
-   * including those that wait for a connection.
+   * Sets whether the store is administratively disabled. A disabled store is sent no new requests;
+   * this includes requests that already wait for a connection.
    */
   void setDisabled(boolean disabled);
 
--- a/src/main/java/dunlinhitch/backend/LoadReportParser.java
+++ b/src/main/java/dunlinhitch/backend/LoadReportParser.java
@@ -26,7 +26,7 @@
   /**
    * Returns the values, or an empty array if there is no report or a value is missing or malformed.
    */
-  @SuppressWarnings("StringSplitter") // the parser ignores empty pairs at the end
+  @SuppressWarnings("StringSplitter") // split() drops empty pairs at the end, as intended
   public float[] parse(String text) {
     List<LoadReportField> wanted = order.get();
     if (wanted.isEmpty() || text.isEmpty() || text.equals("-")) {
--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -285,8 +285,8 @@
   }
 
   /**
-   * Returns true unless the failure is a status that the store has sent. Timeouts and cancellations
-   * are statuses that this side creates itself.
+   * Returns false if the failure is a status that the store has sent, else true. The statuses of
+   * timeouts and cancellations are created by this side.
    */
   private static boolean endedByThisSide(RuntimeException failure) {
     if (!(failure instanceof FlightRuntimeException flightFailure)) {
--- a/src/main/java/dunlinhitch/backend/flight/FlightFirstPasses.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightFirstPasses.java
@@ -26,8 +26,8 @@
     void onReply(Event.FirstPassCompleted reply);
 
     /**
-     * Called when the store must be notified that a first pass was cancelled; the call of that
-     * first pass has been sent by then.
+     * Called once a cancelled first pass is known to have been sent; the store must then be
+     * notified of the cancellation.
      */
     void onCancelled(String partId, long attempt, long connection);
 
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransport.java
@@ -172,7 +172,8 @@
       pendingCalls.drain().forEach(this::start);
       return;
     }
-    // an initial failure state belongs to an earlier connect operation
+    // a failure that the channel reports as its initial state belongs to an earlier connect
+    // operation
     if (current == ConnectivityState.SHUTDOWN
         || (current == ConnectivityState.TRANSIENT_FAILURE && !initial)) {
       failPending();
--- a/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
+++ b/src/main/java/dunlinhitch/backend/frames/ConnectionEnd.java
@@ -9,10 +9,11 @@
 import java.util.Locale;
 
 /**
- * Tracks how a connection to a store ends, and whether the store has provably seen the end. This
- * side closes in two steps: it sends its end of stream, then waits for the store's end of stream,
- * which the store sends only after it has read everything that was sent to it. A timeout, an
- * unreachable host or a close by this side alone proves nothing.
+ * Closes a connection to a store and determines whether the store has provably ended the connection
+ * too. An orderly close by this side has two steps: this side sends its end of stream, then waits
+ * for the store's end of stream, which the store sends only after it has read everything that was
+ * sent to it. A timeout, an unreachable host or a close by this side alone does not prove that the
+ * store has ended the connection.
  *
  * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
@@ -59,7 +60,7 @@
   }
 
   /**
-   * Returns whether the store is known to have ended the connection. To be called after the
+   * Returns whether the store is known to have ended the connection. Must be called only after the
    * connection has closed.
    */
   boolean isKnownToStore() {
--- a/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -287,7 +287,8 @@
     }
     inFlight.remove(cancelled);
     if (cancelled.isIncomplete()) {
-      // The call must not run, but a cancel frame would be written only after the rest of the call.
+      // Closing the connection prevents the call from running. A cancel frame would be written only
+      // after the rest of the call.
       close();
       if (confirm) {
         release(attempt);
@@ -300,8 +301,8 @@
       unconfirmed.add(cancelled.partId(), attempt);
       requestConfirmation();
     }
-    // Connections to a dead host stay open, so new calls use a fresh connection. If it cannot be
-    // established, it fails soon, and the calls have provably not run.
+    // A connection to a dead host stays open, so new calls use a new connection. If the host is
+    // dead, connecting soon fails, and the calls have provably not run.
     unresponsive |=
         lastReceivedUs <= cancelled.sentUs() && nowUs() - cancelled.sentUs() > UNRESPONSIVE_US;
     if (unresponsive || draining) {
@@ -311,10 +312,10 @@
   }
 
   /**
-   * Requests proof that the store has read the cancellations. One liveness check is sent after all
-   * cancellations of this iteration of the event loop, and the reply to it is the proof. If
-   * liveness checks are not allowed, the connection is drained instead, and the store's end of the
-   * connection is the proof.
+   * Makes the store confirm that it has read the cancellations. One liveness check is sent after
+   * all cancellations of this iteration of the event loop, and the store confirms them by its reply
+   * to the check. If liveness checks are not allowed, the connection is drained instead; the store
+   * then confirms the cancellations by closing the connection.
    */
   private void requestConfirmation() {
     if (!confirmationScheduled) {
@@ -368,11 +369,11 @@
   }
 
   /**
-   * Closes the connection and drops pending writes. A partly written call is reported as never run,
-   * so the rest of it must not be written; an orderly close would write it. Pending cancellations
-   * can be dropped, because the store cancels all attempts of a closed connection. If the store may
-   * still have attempts, only the output is closed at first; the store's end of stream then proves
-   * that it has released them.
+   * Closes the connection and drops pending writes. The rest of a partly written call must not be
+   * written, because the call is reported as never run; an orderly close would write the rest.
+   * Pending cancellations can be dropped, because the store cancels all attempts of a closed
+   * connection. If the store may still have attempts, only the output is closed at first; the
+   * store's end of stream then proves that the store has released these attempts.
    */
   void close() {
     if (closed) {
--- a/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameTransport.java
@@ -158,9 +158,8 @@
   }
 
   /**
-   * Returns false if the store is not ready and a call would have to wait on the connection. Once
-   * the store has left the ready state, only calls that can be written immediately may be sent to
-   * it.
+   * Returns true if the store is ready or a call can be written to the connection immediately. Once
+   * the store has left the ready state, calls that would have to wait may not be sent to the store.
    */
   private boolean writesBeforeStateChange(FrameConnection connection) {
     return state == ServerState.READY || (connection.isOpen() && !connection.isWriting());
--- a/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
+++ b/src/main/java/dunlinhitch/backend/frames/LivenessCheckDelay.java
@@ -19,14 +19,15 @@
   private static final double MARGIN = 1.5;
 
   /**
-   * One reply moves the estimate by less than this fraction of the estimate, or of {@link
-   * #LATENCY_SHARE} times the reply's latency if that is larger.
+   * Factor for the step by which the estimate changes. The step is this factor times the estimate,
+   * or times {@link #LATENCY_SHARE} of the reply's latency if that is larger. One reply changes the
+   * estimate by less than one step.
    */
   private static final double STEP = 0.05;
 
   /**
-   * The step is computed from at least this fraction of the reply's latency. Without this minimum,
-   * an estimate of zero would never grow.
+   * The step is computed from this fraction of the reply's latency if the estimate is smaller.
+   * Without this minimum, an estimate of zero would never grow.
    */
   private static final double LATENCY_SHARE = 0.25;
 
--- a/src/main/java/dunlinhitch/backend/frames/UnconfirmedAttempts.java
+++ b/src/main/java/dunlinhitch/backend/frames/UnconfirmedAttempts.java
@@ -10,13 +10,13 @@
  * The attempts of one connection that this side has cancelled or lost and that the store may still
  * have. The store reads the bytes of a connection in order: its reply to a liveness check that was
  * sent after a cancellation proves that the store has read the cancellation and released the
- * attempt. The store's reply to the attempt and its close of the connection prove the release too.
- * A timeout does not.
+ * attempt. The release is also proven if the store replies to the attempt or closes the connection.
+ * A timeout does not prove it.
  *
  * <p>Not thread-safe; owned by its connection and used on the event loop only.
  */
 final class UnconfirmedAttempts {
-  /** No liveness check was sent after the cancellation yet. */
+  /** Value of {@code check} until a liveness check is sent after the cancellation. */
   private static final long NO_CHECK = Long.MAX_VALUE;
 
   private static final class Unconfirmed {
--- a/src/main/java/dunlinhitch/frontend/http/BodyReader.java
+++ b/src/main/java/dunlinhitch/frontend/http/BodyReader.java
@@ -10,7 +10,7 @@
  * bytes. Used on the event loop only.
  */
 final class BodyReader {
-  /** A Content-Length with more digits exceeds every bound. */
+  /** Matches a Content-Length of at most six digits; a longer one exceeds every bound. */
   private static final String PLAUSIBLE_LENGTH = "[0-9]{1,6}";
 
   private final int maxBytes;
@@ -19,8 +19,8 @@
   private final Buffer body = Buffer.buffer();
 
   /**
-   * True once the body is too large, or once the client has disconnected before the end of the
-   * body.
+   * True once the body is ignored: it was too large, or the client disconnected before the body was
+   * complete.
    */
   private boolean aborted;
 
--- a/src/main/java/dunlinhitch/frontend/http/ParkingSelectStrategy.java
+++ b/src/main/java/dunlinhitch/frontend/http/ParkingSelectStrategy.java
@@ -16,8 +16,8 @@
  */
 final class ParkingSelectStrategy implements SelectStrategy {
   /**
-   * Duration of a pause. A round of the loop that is shorter than a pause is counted as a round
-   * that did not wait. Five pauses cover the longest time for which Netty would poll.
+   * Duration of a pause, in nanoseconds. A round of the loop is short if it takes less time than a
+   * pause; the loop is then assumed not to have waited. Netty would poll for at most five pauses.
    */
   private static final long PAUSE_NS = 100_000;
 
--- a/src/main/java/dunlinhitch/server/AdminInterface.java
+++ b/src/main/java/dunlinhitch/server/AdminInterface.java
@@ -61,9 +61,9 @@
 
   /**
    * Reads the disabled endpoints, and follows changes by other processes if {@code shared} is set.
-   * The result is true if another process of this broker has used the folder before. An unusable
-   * folder does not fail the start, but operators' calls then fail because their change cannot be
-   * persisted.
+   * The result is true if another process of this broker has used the folder before. The broker
+   * also starts if the folder is unusable. Operators' calls then fail, because their changes cannot
+   * be persisted.
    */
   Future<Boolean> restoreDisabledEndpoints(boolean shared) {
     return disabledEndpoints
--- a/src/main/java/dunlinhitch/server/ClusterGossip.java
+++ b/src/main/java/dunlinhitch/server/ClusterGossip.java
@@ -97,9 +97,9 @@
 
   /**
    * Returns the addresses of the members. If the platform's configuration lists peers, only these
-   * and this broker are members. This broker is added under the address that it advertises. Under
-   * an address from the list of peers, it would treat itself as a different member with the same
-   * name.
+   * and this broker are members. This broker is added under the address that it advertises. If it
+   * were added under an address from the list of peers, it would treat itself as a different member
+   * with the same name.
    */
   static AddressBook addressBook(Product.Cluster cluster, GossipAddresses platform, String self) {
     boolean platformListens = platform != null && platform.listen() != null;
--- a/src/main/java/dunlinhitch/server/DescriptorBudget.java
+++ b/src/main/java/dunlinhitch/server/DescriptorBudget.java
@@ -15,8 +15,8 @@
   private static final int TWELFTHS = 12;
 
   /**
-   * Clients get this many twelfths of the descriptors. Connections that the event loop has yet to
-   * close are included.
+   * Clients get this many twelfths of the descriptors. This share includes connections that the
+   * event loop has yet to close.
    */
   private static final int CLIENT_TWELFTHS = 7;
 
@@ -34,14 +34,14 @@
   private static final int RESERVED_DESCRIPTORS = 24;
 
   /**
-   * Clients get at least the descriptors of this process divided by this. If two processes may
-   * overlap, each of them owns half of all descriptors.
+   * Clients get at least the number of this process's own descriptors divided by this. A process
+   * owns half of the descriptors if another process may overlap with it, else all of them.
    */
   private static final int MINIMUM_CLIENT_DIVISOR = 4;
 
   /**
-   * Of the client connections, one in this many is reserved for connections that linger and for
-   * those that the event loop has yet to close.
+   * The number of client connections divided by this is reserved for connections that linger and
+   * for those that the event loop has yet to close.
    */
   private static final int CLOSING_DIVISOR = 7;
 
--- a/src/main/java/dunlinhitch/server/OverlapMonitor.java
+++ b/src/main/java/dunlinhitch/server/OverlapMonitor.java
@@ -10,8 +10,8 @@
 /**
  * Watches whether another process of this broker is running, as in a hot restart, and reports the
  * start and the end of such an overlap. Each process uses half of the shared budgets until the
- * other has provably ended. A passed shutdown deadline is not proof, because a process may still be
- * running after its deadline.
+ * other has provably ended. A passed shutdown deadline does not prove this, because a process may
+ * still be running after its deadline.
  *
  * <p>Not thread-safe; used on the event loop.
  */
--- a/src/main/java/dunlinhitch/server/ReducerLoop.java
+++ b/src/main/java/dunlinhitch/server/ReducerLoop.java
@@ -127,7 +127,8 @@
       return;
     }
     if (effect instanceof Effect.ShutdownCompleted) {
-      // Turns still run for events, because a frontend may read requests until it is closed.
+      // Events still start turns after the shutdown, because a frontend may read requests until it
+      // is closed.
       shutdownCompleted = true;
     }
     try {
--- a/src/main/java/dunlinhitch/server/ShutdownDeadlines.java
+++ b/src/main/java/dunlinhitch/server/ShutdownDeadlines.java
@@ -15,13 +15,14 @@
 record ShutdownDeadlines(long drainUs, long shutdownUs, long lastResponseUs, long closedUs) {
   /**
    * After the stop request, the process may run for this time plus the longest query deadline, as
-   * the platform's protocol defines. Clients continue to use connections that stay open.
+   * the platform's protocol defines. During this time, clients continue to send queries on open
+   * connections.
    */
   private static final long GRACE_PERIOD_US = 700_000;
 
   /**
-   * If the longest query deadline exceeds this value, this value is used in its place to compute
-   * how long the process may run. The platform's protocol defines it.
+   * Upper limit for the longest query deadline when the time for which the process may run is
+   * computed. The platform's protocol defines this limit.
    */
   private static final long MAXIMUM_DEADLINE_US = 3_000_000;
 
@@ -31,7 +32,10 @@
   /** Margin between the closing of the frontends and the end of the process. */
   private static final long CLOSE_MARGIN_US = 100_000;
 
-  /** A request may still arrive this long after its connection was closed. */
+  /**
+   * Maximum time after the close of a connection in which a request that is already in transit may
+   * arrive.
+   */
   private static final long LATE_REQUEST_US = 150_000;
 
   /** Maximum time for closing the frontends in a graceful shutdown. */
--- a/src/main/java/dunlinhitch/server/WarmUp.java
+++ b/src/main/java/dunlinhitch/server/WarmUp.java
@@ -40,8 +40,8 @@
   private static final long RESPONSE_TIMEOUT_US = 1_000_000;
 
   /**
-   * Text of each part. It is a line feed, so that a call consists of a line for each part followed
-   * by an empty line, which {@link WarmUpBackend} skips.
+   * Text of each part: a line feed. A call then consists of a line for each part and of empty
+   * lines, which {@link WarmUpBackend} skips.
    */
   private static final String PREDICATE = "\n";
 
@@ -90,9 +90,9 @@
 
   /**
    * Runs the warm-up; the result is the number of completely answered queries, available once the
-   * temporary broker has ended. It never fails, and its duration is bounded: without a free file
-   * descriptor the broker cannot accept the connections of its own clients, which then get no
-   * response.
+   * temporary broker has ended. The result never fails. The duration is bounded, because a broker
+   * without a free file descriptor cannot accept the connections of its own clients, and these
+   * clients then get no response.
    */
   public Future<Integer> run() {
     WarmUpBackend backend = new WarmUpBackend(vertx, settings, host);
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -39,7 +39,10 @@
   private volatile long advancedUs;
   private final BlockingQueue<Event> events = new LinkedBlockingQueue<>();
 
-  /** Threads with this name block when they read the clock, which they do just before a call. */
+  /**
+   * Name of the thread that blocks when it reads the clock; a thread reads the clock just before it
+   * sends a call.
+   */
   private volatile String blockedThread = "none";
 
   private volatile CountDownLatch released = new CountDownLatch(0);
@@ -261,8 +264,8 @@
   }
 
   /**
-   * A gRPC timeout occurs on this side only. The store is then notified of the cancellation, and
-   * its confirmation releases the attempt.
+   * If a call times out in gRPC, the store may still have the attempt. The store is notified of the
+   * cancellation, and its confirmation releases the attempt.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -299,7 +302,10 @@
     expectRelease(2);
   }
 
-  /** A confirmation that is sent over a later connection may overtake the call itself. */
+  /**
+   * A cancellation over a later connection may overtake the call itself, so the store's
+   * confirmation must not release the attempt.
+   */
   @Test
   void confirmationOverLaterConnectionDoesNotReleaseAttempt() throws Exception {
     BackendTransport transport = open(store.port());
--- a/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
@@ -23,9 +23,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * The broker cancels or loses an attempt while the store still has it: the attempt must not be
- * released before the store has proved that it no longer has it. The store is a socket that reads
- * and writes only when the test does.
+ * An attempt that the broker has cancelled or lost must not be released until the store has proved
+ * that it no longer has the attempt. The store is a socket that reads and writes only when the test
+ * does.
  */
 class AttemptReleaseTest extends FrameTransportFixture {
   private static final byte[] MALFORMED = {-1, -1, -1, 127, 'q'};
@@ -80,7 +80,10 @@
     peer.getOutputStream().write(bytes.getBytes());
   }
 
-  /** Posts a marker event, which must be the next one: nothing was released before it. */
+  /**
+   * Checks that no attempt was completed or released: the next completion is the marker posted
+   * here.
+   */
   private void assertNothingReleased() throws InterruptedException {
     onLoop(() -> completions.add(Event.AttemptCompleted.of(-1, AttemptOutcome.MOOT)));
     assertEquals(-1, nextCompletion().attempt());
@@ -108,7 +111,7 @@
     assertEquals(FrameType.CANCEL, readFrameSkippingChecks());
     assertEquals(FrameType.LIVENESS_CHECK, readFrame());
     assertNothingReleased();
-    // at most two more checks may have been sent ahead of the cancellation while the test ran
+    // replies to the check after the cancellation and to at most two checks sent before it
     for (int i = 0; i < 3; i++) {
       write(FrameStore.frame(FrameType.LIVENESS_CHECK, "good"));
     }
@@ -129,8 +132,8 @@
   }
 
   /**
-   * If liveness checks are not allowed, the store's close of the connection proves that the store
-   * has read this side's end of stream.
+   * If liveness checks are not allowed, the store confirms the cancellation by closing the
+   * connection, which it does only after it has read this side's end of stream.
    */
   @Test
   void storeClosingConnectionReleasesAttemptsWithoutLivenessChecks() throws Exception {
--- a/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/ConnectionEndTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The kinds of connection end that prove that the store has seen the end. */
+/** Which failures of a connection prove that the store has ended the connection too. */
 class ConnectionEndTest {
   private final ConnectionEnd end = new ConnectionEnd();
 
@@ -38,7 +38,7 @@
     end.onFailure(new SocketException("Connection reset"));
     end.onWriteFailure(new IOException("Broken pipe"));
     end.onWriteFailure(new IOException("Connection reset by peer"));
-    end.onWriteFailure(new ClosedChannelException()); // the write follows the read of the reset
+    end.onWriteFailure(new ClosedChannelException()); // a write after the reset was read
     assertEquals(true, end.isKnownToStore());
   }
 }
--- a/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameConnectionFailureTest.java
@@ -25,8 +25,8 @@
 /** Connections that break, are unresponsive or deliver malformed frames. */
 class FrameConnectionFailureTest extends FrameTransportFixture {
   /**
-   * A busy store replies to a liveness check without queueing it, so its attempts stay in flight; a
-   * connection without any reply is closed, and new calls use another one.
+   * A busy store replies to a liveness check without queueing the check, so its attempts stay in
+   * flight. A connection without any reply is closed, and new calls use another connection.
    */
   @Test
   void closesConnectionOnlyIfLivenessCheckIsUnanswered() throws Exception {
@@ -93,9 +93,9 @@
   }
 
   /**
-   * An incomplete frame blocks all frames behind it, so its timeout is far shorter than that of the
-   * parts. With liveness checks enabled, the replies to them are read as the rest of the incomplete
-   * frame.
+   * An incomplete frame blocks all frames behind it, so its timeout is far shorter than the timeout
+   * of a part. If liveness checks are enabled, the bytes of their replies are read as the rest of
+   * the incomplete frame.
    */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
@@ -137,9 +137,9 @@
   }
 
   /**
-   * The store ends an idle connection before a call is written to it. If the store closes the
-   * connection and the broker writes the call before it reads the close, the call may have run. If
-   * the store resets the connection, nothing can be written and the call has not run.
+   * The store closes or resets an idle connection, and the broker sends a call before it reads the
+   * close or the reset. After a close the call can still be written, so it may have run. After a
+   * reset nothing can be written, so the call has not run.
    */
   @ParameterizedTest
   @EnumSource(
--- a/src/test/java/dunlinhitch/backend/frames/FrameDecoderTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameDecoderTest.java
@@ -16,7 +16,8 @@
 /** Decoding of received bytes into frames and replies. */
 class FrameDecoderTest {
   /**
-   * Guards against copying the complete frame for each byte of a frame that arrives byte by byte.
+   * A frame arrives byte by byte. Guards against copying all earlier bytes of the frame for each
+   * byte.
    */
   @Test
   void frameInSmallPiecesIsNotCopiedForEach() throws Exception {
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportFixture.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportFixture.java
@@ -57,8 +57,8 @@
   }
 
   /**
-   * Creates a transport without liveness checks, whose number would depend on the duration of the
-   * test.
+   * Creates a transport without liveness checks. The number of checks would depend on the duration
+   * of the test.
    */
   final FrameTransport withoutLivenessChecks(int port, int maxConnections) {
     Limits limits = BrokerFixture.settings(100).limits();
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportWithdrawalTest.java
@@ -62,9 +62,9 @@
   }
 
   /**
-   * A call is stopped while it is partly written because the store does not read. Guards against an
-   * orderly close: it writes the rest of the call once the store reads again, although the call was
-   * reported as never run.
+   * A call is partly written, because the store does not read, and is then stopped. The rest of the
+   * call must never be written, because the call is reported as never run. Guards against an
+   * orderly close, which would write the rest once the store reads again.
    */
   @ParameterizedTest
   @EnumSource(Stop.class)
@@ -103,7 +103,10 @@
     }
   }
 
-  /** A call that is queued behind an unread call can still be withdrawn and is then never sent. */
+  /**
+   * A call can be withdrawn while it is queued behind a call that the store has not read; it is
+   * then never sent.
+   */
   @Test
   void pendingCallCanBeWithdrawn() throws Exception {
     try (ServerSocket peer = slowPeer()) {
@@ -135,8 +138,8 @@
   }
 
   /**
-   * The connection is established after the deadline of the parts, or after the time until which an
-   * attempt may be repeated: the parts must not be sent.
+   * A part must not be sent if its connection is established only after the deadline of the part,
+   * or after the time until which its attempt may be repeated.
    */
   @ParameterizedTest
   @ValueSource(longs = {60_000_000, 30_000_000})
--- a/src/test/java/dunlinhitch/backend/frames/LivenessCheckDelayTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/LivenessCheckDelayTest.java
@@ -19,8 +19,8 @@
   }
 
   /**
-   * Guards against a fixed delay: with 83 ms, fourteen brokers together sent one liveness check for
-   * every three parts.
+   * Guards against a fixed delay. With a fixed delay of 83 ms, fourteen brokers together sent one
+   * liveness check for every three parts.
    */
   @Test
   void storeAsSlowAsAllOthersIsNotChecked() {
--- a/src/test/java/dunlinhitch/backend/frames/UnconfirmedAttemptsTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/UnconfirmedAttemptsTest.java
@@ -14,8 +14,8 @@
   private final UnconfirmedAttempts unconfirmed = new UnconfirmedAttempts(released::add);
 
   /**
-   * Of two checks only the second was sent after the cancellation, so only the second reply is
-   * proof.
+   * The first check is sent before the cancellation and the second one after it. Only the second
+   * reply proves that the store has read the cancellation.
    */
   @Test
   void replyToCheckSentBeforeCancellationReleasesNothing() {
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -280,7 +280,7 @@
                     + Client.body(1).getBytes(StandardCharsets.UTF_8).length
                     + "\r\n",
                 Client.body(1))));
-    // the reducer counts a request in a turn after its response
+    // the reducer counts a request in a turn that follows the response to the request
     while (fixture.counter("bad_requests") < 8) {
       Thread.onSpinWait();
     }
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -353,8 +353,9 @@
   }
 
   /**
-   * The end of the stream or a reset before the end of a body yields no query; a half-close after a
-   * complete request is a disconnect.
+   * If the client closes or resets the connection before the body is complete, no query is
+   * reported. If the client half-closes the connection after a complete request, a disconnect is
+   * reported.
    */
   @Test
   void disconnectWithinRequestIsNoQueryAndHalfCloseIsDisconnect() throws Exception {
@@ -470,7 +471,8 @@
         } catch (java.net.ConnectException closed) {
           break;
         } catch (java.net.SocketException reset) {
-          // A client may connect just before the close; only a refusal proves the close.
+          // A connection made just before the listener closes may be reset; only a refused
+          // connection shows that the listener is closed.
         }
       }
       assertEquals(1, complete.getCount(), "shutdown completed before its deadline");
--- a/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
@@ -56,7 +56,8 @@
           i % 2 == 0 ? SelectStrategy.SELECT : 3, i % 2 == 0 ? round(0, false) : round(3, true));
     }
     assertEquals(
-        SelectStrategy.SELECT, round(0, false)); // the second short round is the first that polls
+        SelectStrategy.SELECT,
+        round(0, false)); // the loop may park from its second consecutive short round on
     assertEquals(7, round(7, false));
     assertEquals(List.of(), parked);
   }
--- a/src/test/java/dunlinhitch/server/BrokerStartTest.java
+++ b/src/test/java/dunlinhitch/server/BrokerStartTest.java
@@ -25,7 +25,8 @@
  */
 class BrokerStartTest {
   /**
-   * Must be shorter than 1.25 s, the sum of the grace period and half of the longest query
+   * A broker that has not ended after this time is assumed to wait for the grace period. The value
+   * must be shorter than 1.25 s, the sum of the grace period and half of the longest query
    * deadline.
    */
   private static final long GRACE_MS = 1_200;
--- a/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterTestBedTest.java
@@ -15,8 +15,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Several broker processes with injected faults; every wait is for a condition rather than for a
- * time.
+ * Several broker processes with injected faults. The tests wait for conditions, not for fixed
+ * times.
  */
 class ClusterTestBedTest {
   private static final int WAIT_S = 40;
--- a/src/test/java/dunlinhitch/server/NoDelayTest.java
+++ b/src/test/java/dunlinhitch/server/NoDelayTest.java
@@ -22,8 +22,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against lost responses: without TCP_NODELAY the system delays small writes, and they are
- * lost if the socket is closed with unread bytes.
+ * Guards against lost responses: without TCP_NODELAY the system delays small writes. If the socket
+ * is then closed while it has unread received bytes, the connection is reset and the delayed writes
+ * are lost.
  */
 class NoDelayTest {
   /** Returns TCP_NODELAY of each socket of the event loop, by its local and its remote port. */
--- a/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
+++ b/src/test/java/dunlinhitch/server/OverlapMonitorTest.java
@@ -16,9 +16,9 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Guards against overlapping processes that both use the full budgets: the old process of a hot
- * restart may run longer than any fixed time, but the new process halved its slow-start budgets for
- * six seconds only.
+ * Guards against two overlapping processes that both use the full budgets. This happened because
+ * the new process of a hot restart halved its slow-start budgets for six seconds only, whereas the
+ * old process may run longer than any fixed time.
  */
 class OverlapMonitorTest {
   private static final Event.OverlapStarted BEGUN = new Event.OverlapStarted(Long.MAX_VALUE);
--- a/src/test/java/dunlinhitch/server/ReducerLoopTest.java
+++ b/src/test/java/dunlinhitch/server/ReducerLoopTest.java
@@ -63,8 +63,8 @@
   }
 
   /**
-   * Guards against a request without a response because it was read after the reducer had shut
-   * down.
+   * Guards against requests that never get a response because they are read after the reducer has
+   * shut down.
    */
   @Test
   void queriesAfterShutdownCompletedAreRejected() throws Exception {
--- a/src/test/java/dunlinhitch/server/ServingRulesTest.java
+++ b/src/test/java/dunlinhitch/server/ServingRulesTest.java
@@ -157,7 +157,7 @@
     assertEquals(3, fixture.counter("bad_frames"));
   }
 
-  /** A duplicate or a bad load report affects neither the valid answer nor later ones. */
+  /** A duplicate answer or a bad load report affects neither the valid answer nor later answers. */
   @ParameterizedTest
   @EnumSource(Path.class)
   void duplicateOrBadLoadReportDoesNotFailTheAnswer(Path path) throws Exception {
