--- a/src/main/java/dunlinhitch/backend/flight/FlightCall.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightCall.java
@@ -147,8 +147,8 @@
   }
 
   /**
-   * Cancels the stream and completes the attempts without a row as an unconfirmed reset: they may
-   * have run, and the store may still be working on them.
+   * Cancels the stream and completes the attempts without a row as reset and unconfirmed: these
+   * attempts may have run, and the store may still be working on them.
    */
   void abandon() {
     cancelStream();
--- a/src/main/java/dunlinhitch/backend/flight/FlightTransports.java
+++ b/src/main/java/dunlinhitch/backend/flight/FlightTransports.java
@@ -111,7 +111,7 @@
           try {
             allocator.close();
           } catch (IllegalStateException e) {
-            // a client that is still closing holds buffers; the end of the process frees them
+            // a client that is still closing holds buffers; they are freed when the process ends
           }
         });
     readers.shutdown();
--- a/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
+++ b/src/main/java/dunlinhitch/backend/frames/FrameConnection.java
@@ -79,8 +79,8 @@
    *
    * @param mayCheck returns false if nothing new may be sent to the store, not even a liveness
    *     check
-   * @param onClosed called once, when the connection stops accepting calls and before it reports
-   *     the end of its attempts
+   * @param onClosed called once, when the connection stops accepting calls and before it completes
+   *     its pending calls and attempts in flight
    * @param onDescriptorReleased called once, when the file descriptor is released
    */
   FrameConnection(
--- a/src/main/java/dunlinhitch/backend/frames/ReplyReader.java
+++ b/src/main/java/dunlinhitch/backend/frames/ReplyReader.java
@@ -81,8 +81,8 @@
   }
 
   /**
-   * Starts a timeout for an incomplete frame, which would otherwise block all attempts in flight on
-   * this connection if its end never arrives.
+   * Starts a timeout for an incomplete frame. Without the timeout, a frame whose rest never arrives
+   * would block all attempts in flight on this connection.
    */
   private void awaitFrameEnd() {
     if (!decoder.hasIncompleteFrame()) {
--- a/src/main/java/dunlinhitch/frontend/Exchanges.java
+++ b/src/main/java/dunlinhitch/frontend/Exchanges.java
@@ -8,8 +8,8 @@
 import java.util.function.Consumer;
 
 /**
- * Queries of all frontends that wait for their response. Each is an exchange with a number, which
- * also identifies its response. Used on the event loop only.
+ * Queries of all frontends that wait for their response. Each query is an exchange with a number,
+ * which also identifies the response. Used on the event loop only.
  */
 public final class Exchanges {
   private final Map<Long, Consumer<QueryResponse>> openExchanges = new HashMap<>();
--- a/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
+++ b/src/main/java/dunlinhitch/frontend/http/ClientConnections.java
@@ -28,9 +28,9 @@
  */
 final class ClientConnections {
   /**
-   * Maximum time in which a request must be received completely. For the first request of a
-   * connection, the time starts when the connection is accepted; for later requests, with their
-   * first byte.
+   * Maximum time in which a request must be received completely. The time of the first request
+   * starts when the connection is accepted; the time of each later request starts with its first
+   * byte.
    */
   private static final long REQUEST_TIMEOUT_US = 2_500_000;
 
--- a/src/main/java/dunlinhitch/server/Broker.java
+++ b/src/main/java/dunlinhitch/server/Broker.java
@@ -21,8 +21,9 @@
  */
 public final class Broker {
   /**
-   * If the predecessor runs a release that does not support process locks, its end cannot be
-   * detected. A new process then assumes for this time that the predecessor is still running.
+   * If the predecessor runs a release that does not support process locks, this process cannot
+   * detect when the predecessor ends. It then assumes for this time that the predecessor is still
+   * running.
    */
   private static final long UNDETECTED_OVERLAP_US = 6_000_000;
 
--- a/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/flight/FlightTransportTest.java
@@ -127,7 +127,10 @@
     assertEquals(outcome, ((Event.AttemptCompleted) event).outcome());
   }
 
-  /** No call is sent before the channel is connected, so calls that waited for it have not run. */
+  /**
+   * No call is sent before the channel is connected, so calls that waited for the connection have
+   * not run.
+   */
   @ParameterizedTest
   @EnumSource(
       value = ServerState.class,
@@ -149,7 +152,10 @@
     expectCompletion(3, AttemptOutcome.CONNECT_FAILED);
   }
 
-  /** Events that make a call obsolete when its thread is just about to send it. */
+  /**
+   * Events after which a call must not be sent; they occur just before the reader thread sends the
+   * call.
+   */
   enum Stop {
     CANCELLED,
     GONE,
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Runs {@code client} while the event loop is blocked, then {@code loop} before the event loop
-   * reads.
+   * Runs {@code client} while the event loop is blocked, then {@code loop} on the event loop before
+   * it reads the bytes that have arrived.
    */
   private void whileLoopIsBlocked(Action client, long advanceUs, Action loop) throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
--- a/src/test/java/dunlinhitch/server/ClientDisconnectTest.java
+++ b/src/test/java/dunlinhitch/server/ClientDisconnectTest.java
@@ -33,7 +33,7 @@
  */
 class ClientDisconnectTest {
   /**
-   * A backend that accepts a connection only when the test calls for it. Until then its backlog is
+   * A backend that accepts a connection only when the test requests it. Until then its backlog is
    * full, so a new connection stays pending.
    */
   private static final class LateStore extends Store implements AutoCloseable {
--- a/src/test/java/dunlinhitch/server/ClusterGossipTest.java
+++ b/src/test/java/dunlinhitch/server/ClusterGossipTest.java
@@ -129,8 +129,8 @@
   }
 
   /**
-   * Peers may use another address for this broker: it must not treat itself as a different member
-   * with the same name.
+   * Peers may use another address for this broker. The broker must not treat this address as a
+   * different member with the same name.
    */
   @Test
   void advertisesItsOwnAddressRegardlessOfPeerConfiguration() throws Exception {
