--- a/src/main/java/dunlinhitch/server/ConfigurationReloader.java
+++ b/src/main/java/dunlinhitch/server/ConfigurationReloader.java
@@ -69,9 +69,9 @@
   }
 
   /**
-   * Starts a read after the previous one was applied. Without this order, a read that completes at
-   * once could be applied before the previous read, whose completion the event loop may not have
-   * processed yet.
+   * Starts a read once the previous read is complete and its result was applied. Without this
+   * order, a read that completes at once could be applied before the previous read, whose
+   * completion the event loop may not have processed yet.
    */
   private Future<Config> read(Supplier<Config> configurationReader) {
     lastReading =
--- a/src/main/java/dunlinhitch/server/WarmUp.java
+++ b/src/main/java/dunlinhitch/server/WarmUp.java
@@ -19,7 +19,7 @@
 
 /**
  * Warm-up of the hot paths: a temporary broker serves synthetic queries, over real client and
- * backend connections, before the real one accepts clients, so that the code of the hot paths is
+ * backend connections, before the real broker accepts clients, so that the code of the hot paths is
  * loaded and compiled. Without a warm-up, a broker with a fraction of a core rejected a fifth of
  * the queries in its first seconds. The build also uses a warm-up to record the classes for the
  * class data sharing (CDS) archive.
--- a/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/AttemptReleaseTest.java
@@ -150,7 +150,10 @@
     assertEquals(1, nextRelease());
   }
 
-  /** If the broker closes the connection, the attempts in flight are lost but not released. */
+  /**
+   * If the broker closes the connection, the attempts in flight are lost. They are released only
+   * once the store closes the connection too.
+   */
   @ParameterizedTest
   @ValueSource(booleans = {true, false})
   void locallyClosedConnectionReleasesAttemptsOnceStoreClosesIt(boolean cancelledBefore)
@@ -172,8 +175,8 @@
   }
 
   /**
-   * If the store does not close the connection, the attempt stays unconfirmed, even after the
-   * timeout.
+   * If the store does not close the connection, the attempt is not released, even after this side
+   * has stopped waiting and has closed its file descriptor.
    */
   @Test
   @SuppressWarnings("ThreadPriorityCheck") // Thread.yield keeps the busy wait for the close cheap
@@ -205,8 +208,8 @@
   }
 
   /**
-   * A partly written call is never completed: its connection is closed, and the call ahead of it is
-   * lost.
+   * If a partly written call is cancelled, the connection is closed, so that the rest of the call
+   * is never written. The earlier call on the connection is lost.
    */
   @Test
   void cancellingPartlyWrittenCallClosesItsConnection() throws Exception {
--- a/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
+++ b/src/test/java/dunlinhitch/backend/frames/FrameTransportTest.java
@@ -163,7 +163,7 @@
     assertEquals(2, store.sockets.size());
   }
 
-  /** A call beyond the capacity of the connection goes over a second one. */
+  /** A call that would exceed the capacity of the connection is sent over a second connection. */
   @Test
   void callBeyondConnectionCapacityUsesSecondConnection() throws Exception {
     store.script = part -> Behavior.NOTHING;
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -131,8 +131,8 @@
   }
 
   /**
-   * A repeated tenant header is valid only with equal values; a header of 60,000 characters is
-   * rejected.
+   * A repeated tenant header is valid only if all its values are equal. A header of 60,000
+   * characters is rejected.
    */
   @Test
   void repeatedTenantHeaderIsUnknownUnlessEqual() throws Exception {
--- a/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/ParkingSelectStrategyTest.java
@@ -21,8 +21,8 @@
   private static final int TIMERS = 50;
 
   /**
-   * A timer takes five pauses with a few short rounds before each; a polling loop takes hundreds of
-   * rounds.
+   * The wait for a timer takes five pauses, with a few short rounds before each pause. A loop that
+   * polls takes hundreds of rounds.
    */
   private static final int MAX_ROUNDS_PER_TIMER = 16;
 
--- a/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
+++ b/src/test/java/dunlinhitch/server/DnsDiscoveryTest.java
@@ -207,7 +207,7 @@
     start(false, 100_000);
     assertEquals("whole", ask(0, 1, 2, 3).outcome());
     await(() -> responder.queries.stream().anyMatch(q -> q.type() == Type.SOA));
-    zone.remove(pointer(firstStore)); // its TTL is 120 s, but the zone serial changes
+    zone.remove(pointer(firstStore)); // the record's TTL is 120 s, but the zone serial changes
     await(() -> fixture.counter("members_withdrawn") == 1);
   }
 
@@ -292,8 +292,8 @@
   }
 
   /**
-   * Two records contradict each other for one id: nothing is sent to the endpoint until one is
-   * withdrawn.
+   * Two records for one id contradict each other: nothing is sent to the endpoint until one of the
+   * records is withdrawn.
    */
   @Test
   void disputedEndpointReceivesNothingUntilSettled() throws Exception {
--- a/src/test/java/dunlinhitch/server/ServingRulesTest.java
+++ b/src/test/java/dunlinhitch/server/ServingRulesTest.java
@@ -377,8 +377,8 @@
   }
 
   /**
-   * In a class that requires all parts, an incomplete second step is not an answer. The limit on
-   * attempts applies to the parts of the second step too.
+   * In a class that requires all parts, a query whose second step is incomplete gets no answer. The
+   * limit on attempts applies to the parts of the second step too.
    */
   @ParameterizedTest
   @EnumSource(Path.class)
