--- a/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerCache.java
@@ -67,8 +67,8 @@
   }
 
   /**
-   * Returns true once after a store has declared a further varying attribute, which changes the
-   * keys.
+   * Returns whether a store has declared a further varying attribute since the last call. Such a
+   * declaration changes the keys.
    */
   boolean takeKeysChanged() {
     boolean changed = keysChanged;
@@ -152,9 +152,9 @@
   }
 
   /**
-   * Whether the part is selected as a trial, that is, sent to a store although the answer to the
-   * other part could be reused. The selection is random, among the parts that share their key with
-   * the other part only because of rules.
+   * Randomly decides whether the part is a trial. A trial is sent to a store although the answer to
+   * the other part could be reused. A part that has the same key as the other part even without
+   * rules is never a trial.
    */
   boolean selectsTrial(PartQuery part, PartQuery other) {
     return !part.sameAs(other) && random.nextDouble() < settings.trialShare();
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKey.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKey.java
@@ -11,8 +11,8 @@
  *
  * @param text the text as rewritten by the trusted rules
  * @param variants the attributes that remain after the trusted rules were applied
- * @param rules the fingerprint of the applied rules; without it, a text sent by a client could
- *     match an equal text that a rule produced before the rule was withdrawn
+ * @param rules the fingerprint of the applied rules; it prevents a text sent by a client from
+ *     matching an equal text that a withdrawn rule had produced
  * @param generation the latest data generation that a store of the shard reported, 0 if none was
  *     reported
  */
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyCounter.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyCounter.java
@@ -17,7 +17,7 @@
   JOINED,
   /** Requests answered with an answer that another broker fetched. */
   FROM_HOME,
-  /** Requests to which the owner of the key did not reply in time. */
+  /** Requests to the owner of a key to which the owner did not reply in time. */
   HOME_LATE,
   /** Answers of stores that were not shareable. */
   NOT_SHAREABLE,
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeyModule.java
@@ -92,8 +92,8 @@
   }
 
   /**
-   * Handles the success of the request of {@link Action.Fetch}. The caller answers the leader; the
-   * returned actions answer the waiters.
+   * Handles the answer to the request of an {@link Action.Fetch}. The caller answers the leader;
+   * the returned actions answer the waiters.
    */
   public List<Action> onFetchSucceeded(long nowUs, long fetchId, StoreAnswer answer) {
     coalescer.succeed(nowUs, fetchId, answer);
@@ -101,8 +101,8 @@
   }
 
   /**
-   * Handles the failure of the request of {@link Action.Fetch} after the given number of attempts;
-   * another query becomes the leader.
+   * Called when the request of an {@link Action.Fetch} has failed after the given number of
+   * attempts. Makes another waiter the leader, if there is one.
    */
   public List<Action> onFetchFailed(long nowUs, long fetchId, int attempts) {
     coalescer.fail(nowUs, fetchId, attempts);
--- a/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
+++ b/src/main/java/dunlinhitch/answerkeys/AnswerKeySettings.java
@@ -4,8 +4,8 @@
  * The settings of the {@link AnswerKeyModule}.
  *
  * @param trust the evidence that a rule needs before it is trusted
- * @param trialShare how often a request is sent to a store although trusted rules allow an answer
- *     to be reused, as a fraction of such requests; these trials detect rules that have become
+ * @param trialShare of the requests for which trusted rules allow an answer to be reused, the
+ *     fraction that is sent to a store nevertheless; these trials detect rules that have become
  *     false
  * @param changeWindowUs for stores that report no generation: two unequal answers make a rule
  *     suspect if the time between their requests is at most this long; after a longer time the data
--- a/src/main/java/dunlinhitch/answerkeys/CanonicalText.java
+++ b/src/main/java/dunlinhitch/answerkeys/CanonicalText.java
@@ -10,8 +10,8 @@
 import java.util.stream.Collectors;
 
 /**
- * Computes the canonical form of a text, which is the fixed point of the rewrites. Any sequence of
- * rewrites reaches the fixed point within {@link #MAX_PASSES} passes: the first pass folds case and
+ * Computes the canonical form of a text, which is the fixed point of the rewrites. Rewrites in any
+ * order reach the fixed point within {@link #MAX_PASSES} passes: the first pass folds case and
  * white space, which then stay folded; the second pass drops and sorts terms, and later passes do
  * not change its result.
  */
@@ -100,7 +100,10 @@
     return result.toString();
   }
 
-  /** Whether the end of the result or the next character is a separator other than a space. */
+  /**
+   * Whether the last character of the result or the next character is a separator other than a
+   * space.
+   */
   private static boolean besideSeparator(StringBuilder result, char next, Character separator) {
     return separator != null
         && separator != ' '
--- a/src/main/java/dunlinhitch/answerkeys/Evidence.java
+++ b/src/main/java/dunlinhitch/answerkeys/Evidence.java
@@ -5,8 +5,8 @@
 import java.util.TreeSet;
 
 /**
- * The cumulative evidence of one broker about a rule in one epoch: a later value from a broker
- * includes all of its earlier values.
+ * The cumulative evidence of one broker about a rule in one epoch: each value that a broker
+ * publishes includes the broker's earlier values.
  *
  * @param proposals the number of requests whose key the rule would have changed
  * @param equalPairs the number of pairs of equal answers
--- a/src/main/java/dunlinhitch/answerkeys/InFlightFetch.java
+++ b/src/main/java/dunlinhitch/answerkeys/InFlightFetch.java
@@ -13,8 +13,8 @@
   final AnswerKey key;
 
   /**
-   * The waiters in the order of arrival. The first waiter becomes the leader when a new one is
-   * needed.
+   * The waiters in the order of arrival. If the fetch needs a new leader, the first waiter becomes
+   * the leader.
    */
   final List<Waiter> waiters = new ArrayList<>();
 
--- a/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
+++ b/src/main/java/dunlinhitch/answerkeys/PeerProtocol.java
@@ -46,8 +46,8 @@
       return;
     }
     InFlightFetch current = table.byKey(key);
-    // A fetch without a leader waits for a reply from another owner. In that case this broker and
-    // the peer have different member lists.
+    // A fetch without a leader waits for a reply from a broker that this broker considers the
+    // owner. The peer considers this broker the owner, because the two have different member lists.
     if (coalescer.isFull(current) || (current != null && current.leader == null)) {
       output.add(new Action.ReplyToPeer(peer, fetchId, key, Action.OwnerReply.NONE, null));
       return;
--- a/src/main/java/dunlinhitch/answerkeys/RuleLifecycle.java
+++ b/src/main/java/dunlinhitch/answerkeys/RuleLifecycle.java
@@ -15,9 +15,9 @@
 /**
  * Determines the state of each rule from the evidence of all brokers. The evidence is a {@link
  * ReplicatedMap}, so that the result does not depend on the order in which messages arrive. A
- * received withdrawal is retained beyond the lifetime and the bounds of that map, and is published
- * again under the name of this broker. Therefore the rule does not become trusted again in that
- * epoch, even if the broker that found the unequal answers has left the cluster.
+ * received withdrawal is retained even if the map drops the entry because of its age or the bounds,
+ * and is published again under the name of this broker. Therefore the rule does not become trusted
+ * again in that epoch, even if the broker that found the unequal answers has left the cluster.
  *
  * <p>Pure: the caller passes the time. Not thread-safe; owned by {@link AnswerKeyModule}.
  */
@@ -121,8 +121,8 @@
   }
 
   /**
-   * Returns true once after a rule has become suspect or withdrawn, because of evidence from this
-   * or another broker.
+   * Returns whether a rule has become suspect or withdrawn since the last call, because of evidence
+   * from this or another broker.
    */
   boolean takeDemoted() {
     boolean wasDemoted = demoted;
--- a/src/main/java/dunlinhitch/cluster/AntiEntropyDigest.java
+++ b/src/main/java/dunlinhitch/cluster/AntiEntropyDigest.java
@@ -5,8 +5,8 @@
 
 /**
  * The digest of a set of members, maintained incrementally as one sum of member hashes per bucket.
- * The sums do not depend on the order in which members are added and removed. Comparing the sums of
- * two brokers limits a difference to the few members of the buckets that differ.
+ * The sums do not depend on the order in which members are added and removed. If two brokers
+ * compare their sums, they have to exchange only the few members of the buckets that differ.
  *
  * <p>Not thread-safe; owned by {@link MemberList}.
  */
--- a/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
+++ b/src/main/java/dunlinhitch/cluster/ClusterCoordinator.java
@@ -211,9 +211,9 @@
    * Requests a health check of an endpoint on behalf of the load balancer.
    *
    * @return true if this broker has to perform the health check now; false if the check is
-   *     delegated to another broker. In the latter case either {@link Listener#healthCheckEnded}
-   *     reports the result later, or {@link Listener#startHealthCheck} requests that this broker
-   *     performs the check after all
+   *     delegated to another broker. If it is delegated, {@link Listener#healthCheckEnded} reports
+   *     the result later, or {@link Listener#startHealthCheck} asks this broker to perform the
+   *     check itself
    */
   public boolean mayHealthCheck(long wallUs, String store) {
     return healthChecks.request(store, wallUs);
--- a/src/main/java/dunlinhitch/cluster/DutyRotation.java
+++ b/src/main/java/dunlinhitch/cluster/DutyRotation.java
@@ -16,8 +16,8 @@
  * per epoch. In a partitioned cluster, each side carries out the duty once per epoch, so the number
  * of executions is at most the number of sides.
  *
- * <p>Epochs are counted on the wall clock. If the clock of a broker is wrong, only the times at
- * which this broker carries out the duty are shifted, by the clock's error. Immutable.
+ * <p>Epochs are counted on the wall clock. A broker whose clock is wrong carries out the duty
+ * earlier or later by the error of its clock; this is the only effect. Immutable.
  */
 public final class DutyRotation {
   private final long epochUs;
--- a/src/main/java/dunlinhitch/cluster/FailureDetector.java
+++ b/src/main/java/dunlinhitch/cluster/FailureDetector.java
@@ -23,8 +23,8 @@
   private static final int ISOLATION_THRESHOLD = 8;
 
   /**
-   * The isolation threshold if Lifeguard is disabled. In that case any received message counts as
-   * an ack.
+   * The isolation threshold if Lifeguard is disabled. Without Lifeguard, any received message
+   * resets the count of unanswered pings.
    */
   private static final int ISOLATION_THRESHOLD_WITHOUT_LIFEGUARD = 3;
 
@@ -34,10 +34,16 @@
   /** The maximum number of retries in one protocol period. */
   private static final int RETRIES_PER_PERIOD = 2;
 
-  /** The number of join addresses contacted per period while this broker is isolated or alone. */
+  /**
+   * The number of addresses to which joins are sent per protocol period, while this broker is
+   * isolated or knows no other member.
+   */
   private static final int JOINS_WHEN_ISOLATED = 2;
 
-  /** A ping that waits for an ack: first a direct ping, then an indirect probe. */
+  /**
+   * A ping that waits for an ack. If the direct ping times out, an indirect probe is sent and the
+   * wait continues.
+   */
   private static final class PendingPing {
     private final String target;
 
@@ -105,8 +111,8 @@
   }
 
   /**
-   * Whether all recent pings were unanswered, which means that this broker is disconnected or the
-   * only live member.
+   * Whether this broker considers itself isolated, because too many consecutive pings were
+   * unanswered. The broker is then either disconnected or the only live member.
    */
   boolean isIsolated() {
     int threshold =
@@ -178,7 +184,11 @@
     }
   }
 
-  /** An isolated broker cannot tell which members are dead, so its suspicions do not time out. */
+  /**
+   * The time at which the suspicion of a member times out. If Lifeguard is enabled, no suspicion
+   * times out while this broker is isolated, because an isolated broker cannot tell which members
+   * are dead.
+   */
   private long suspicionDeadlineUs(String name) {
     if (settings.isLifeguardEnabled() && isIsolated()) {
       return Long.MAX_VALUE;
@@ -217,7 +227,7 @@
     if (target == null || isIsolated()) {
       joinAddresses.sendJoins(antiEntropy ? JOINS_WHEN_ISOLATED : Integer.MAX_VALUE);
     } else if (antiEntropy && roundBegins) {
-      // A join may reach brokers that are not on the list of any known member.
+      // A join can find a broker that no known member has on its member list.
       joinAddresses.sendJoins(1);
     }
   }
@@ -236,9 +246,9 @@
   }
 
   /**
-   * Sends the ping-reqs of an indirect probe to other members, the helpers. Because any message may
-   * be lost, the target is pinged directly once more, and if there are too few helpers, some
-   * receive more than one ping-req.
+   * Starts an indirect probe by sending ping-reqs to other members, the helpers. If Lifeguard is
+   * enabled, additional messages compensate for lost ones: the target is pinged directly once more,
+   * and if there are fewer helpers than ping-reqs, some helpers receive several ping-reqs.
    */
   private void pingIndirectly(long sequenceNumber, PendingPing ping) {
     List<Member> helpers = new ArrayList<>();
--- a/src/main/java/dunlinhitch/cluster/GossipMessage.java
+++ b/src/main/java/dunlinhitch/cluster/GossipMessage.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * One message between brokers, sent as one datagram.
+ * One message between brokers, sent as one or more datagrams.
  *
  * @param kind the kind of message
  * @param from the sender as it announces itself
@@ -31,11 +31,15 @@
     List<Long> buckets,
     List<SuspicionReport> suspicionReports) {
   /**
-   * The sequence number of a message with buckets that requests the differing members and buckets.
+   * As the sequence number of a message with buckets, asks the recipient to reply with its own
+   * buckets, and with its members from the buckets that differ.
    */
   static final long COMPARE = 1;
 
-  /** The sequence number of a message with buckets that requests only the differing members. */
+  /**
+   * As the sequence number of a message with buckets, asks the recipient to reply only with its
+   * members from the buckets that differ.
+   */
   static final long COMPARED = 2;
 
   /** The size of the kind, the flags and the counts in bytes. */
--- a/src/main/java/dunlinhitch/cluster/JoinAddresses.java
+++ b/src/main/java/dunlinhitch/cluster/JoinAddresses.java
@@ -8,8 +8,8 @@
 
 /**
  * The addresses to which this broker sends joins: the configured seeds and the addresses of members
- * that were removed as dead. The latter let the two sides of a long partition find each other after
- * it has healed.
+ * that were removed as dead. The addresses of dead members let the two sides of a long partition
+ * find each other after the partition has healed.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
@@ -38,8 +38,8 @@
   }
 
   /**
-   * Remembers the address of a member that was removed from the list, if the member died rather
-   * than left.
+   * Remembers the address of a member that was removed from the list as dead, if anti-entropy is
+   * enabled. The address of a member that left is not remembered.
    */
   void onMemberExpired(Member member) {
     if (member.status() != Member.Status.DEAD || !settings.isAntiEntropyEnabled()) {
--- a/src/main/java/dunlinhitch/cluster/LocalHealth.java
+++ b/src/main/java/dunlinhitch/cluster/LocalHealth.java
@@ -3,9 +3,9 @@
 /**
  * The local health multiplier of Lifeguard (Dadgar, Phillips and Currey, 2017): a broker that
  * processes messages late would declare healthy members dead, so it lengthens its timeouts. In the
- * paper, a helper that leaves a ping-req unanswered also raises the score. Here an unanswered
- * ping-req by itself does not affect the score: if most of a cluster has failed, the helpers have
- * failed too.
+ * paper, an unanswered ping-req also raises the score of the broker that sent it. In this
+ * implementation, an unanswered ping-req by itself does not affect the score: if most of a cluster
+ * has failed, the helpers have failed too.
  *
  * <p>Not thread-safe; owned by {@link MembershipProtocol}.
  */
--- a/src/main/java/dunlinhitch/cluster/MemberList.java
+++ b/src/main/java/dunlinhitch/cluster/MemberList.java
@@ -92,9 +92,7 @@
     return largestSize;
   }
 
-  /**
-   * Incremented whenever a member is added to or removed from those that are alive or suspected.
-   */
+  /** Incremented whenever the set of members that are alive or suspected changes. */
   long version() {
     return version;
   }
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocol.java
@@ -131,9 +131,7 @@
     return List.copyOf(members.peers());
   }
 
-  /**
-   * Incremented whenever a member is added to or removed from those that are alive or suspected.
-   */
+  /** Incremented whenever the set of members that are alive or suspected changes. */
   public long version() {
     return members.version();
   }
@@ -144,8 +142,8 @@
   }
 
   /**
-   * Whether all recent pings were unanswered, which means that this broker is disconnected or the
-   * only live member.
+   * Whether this broker considers itself isolated, because too many consecutive pings were
+   * unanswered. The broker is then either disconnected or the only live member.
    */
   public boolean isIsolated() {
     return failureDetector.isIsolated();
--- a/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipProtocolSettings.java
@@ -12,8 +12,8 @@
  *     it again
  * @param maxMembers the maximum size of the member list
  * @param pingAttempts the number of consecutive failed pings after which a member is suspected
- * @param maxLocalHealth the maximum local health score, according to which a slow broker lengthens
- *     its own timeouts; 0 disables Lifeguard's extensions
+ * @param maxLocalHealth the maximum local health score; a slow broker multiplies its own timeouts
+ *     by its score plus one; 0 disables Lifeguard's extensions
  * @param suspicionMultiplier the timeout of an unconfirmed suspicion divided by the timeout of a
  *     fully confirmed suspicion; with 1, all suspicions have the same timeout, regardless of the
  *     cluster size
--- a/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
+++ b/src/main/java/dunlinhitch/cluster/MembershipUpdates.java
@@ -42,9 +42,9 @@
     }
     Member current = members.peer(update.name());
     if (current == null && !update.takesPart() && settings.isAntiEntropyEnabled()) {
-      // The member has been removed from this list. If such updates were accepted, brokers that
-      // still list the member as dead or left would cause all others to add it again, and it would
-      // never expire.
+      // This list does not contain the member, and the update states that the member is dead or
+      // left. If brokers accepted such updates, those that still list the member would cause all
+      // others to add it again, and its entry would never expire.
       return;
     }
     if (current == null && members.peers().size() >= settings.maxMembers()) {
--- a/src/main/java/dunlinhitch/cluster/ObservationTable.java
+++ b/src/main/java/dunlinhitch/cluster/ObservationTable.java
@@ -8,10 +8,11 @@
 import java.util.Optional;
 
 /**
- * The current observations of endpoints, merged from all brokers: for each endpoint, the latest
- * observation of each of the {@link #MAX_OBSERVERS} brokers that observed it most recently. Merging
- * is commutative, associative and idempotent. Brokers that have received the same observations
- * therefore have equal tables, even if some were duplicated or arrived in another order.
+ * The current observations of endpoints, merged from all brokers. For each endpoint, the table
+ * stores the latest observation of each of at most {@link #MAX_OBSERVERS} brokers: those that
+ * observed the endpoint most recently. Merging is commutative, associative and idempotent. Brokers
+ * that have received the same observations therefore have equal tables, even if some were
+ * duplicated or arrived in another order.
  *
  * <p>Not thread-safe. Times are microseconds of the wall clock.
  */
@@ -117,8 +118,8 @@
   }
 
   /**
-   * The latest observation of an endpoint with a load report, made after {@code sinceUs} by a
-   * broker other than {@code except}.
+   * The latest observation of an endpoint that contains a load report and was made after {@code
+   * sinceUs} by a broker other than {@code except}; empty if there is none.
    */
   public Optional<EndpointObservation> latestReport(String endpoint, long sinceUs, String except) {
     for (EndpointObservation observation : of(endpoint)) {
--- a/src/main/java/dunlinhitch/cluster/RelayedPings.java
+++ b/src/main/java/dunlinhitch/cluster/RelayedPings.java
@@ -29,8 +29,9 @@
     if (target == null || pending.size() >= settings.maxMembers()) {
       return;
     }
-    // This timeout is shorter than the requester's. If the target does not respond, expire can
-    // therefore send the requester a message in time, which shows that this helper is alive.
+    // This timeout is shorter than the timeout of the requester. If the target does not respond and
+    // Lifeguard is enabled, expire sends gossip to the requester before the requester's timeout.
+    // The gossip shows that this helper is alive.
     long deadlineUs = nowUs + settings.pingTimeoutUs() * 3 / 4;
     long sequenceNumber = sender.nextSequenceNumber();
     pending.put(
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMap.java
@@ -44,7 +44,7 @@
   private final ReplicatedMapSettings settings;
   private final Map<EntryId<K>, StoredEntry<K, V>> entries = new HashMap<>();
 
-  /** All entries, in the order in which they would be evicted. */
+  /** All entries, the oldest first. The oldest entry is evicted first. */
   private final TreeSet<ReplicatedEntry<K, V>> byAge;
 
   private final Map<String, TreeSet<ReplicatedEntry<K, V>>> byOrigin = new HashMap<>();
@@ -64,8 +64,8 @@
   }
 
   /**
-   * Merges an entry that this or another broker created, after removing the expired entries. Apart
-   * from this removal, the map changes only if the result is {@link MergeResult#NEWS} or {@link
+   * Removes the expired entries, then merges an entry that this or another broker created. The
+   * merge changes the map only if its result is {@link MergeResult#NEWS} or {@link
    * MergeResult#CROWDED_OUT}.
    */
   public MergeResult merge(long nowUs, ReplicatedEntry<K, V> received) {
--- a/src/main/java/dunlinhitch/cluster/ReplicatedMapSettings.java
+++ b/src/main/java/dunlinhitch/cluster/ReplicatedMapSettings.java
@@ -12,7 +12,10 @@
  */
 public record ReplicatedMapSettings(
     long timeToLiveUs, long skewUs, int maxEntries, int maxEntriesPerOrigin) {
-  /** Checks that the times and bounds allow entries to be stored. */
+  /**
+   * Checks that the time to live and the bounds are positive, that the skew is not negative, and
+   * that the bound per origin does not exceed the total.
+   */
   public ReplicatedMapSettings {
     if (timeToLiveUs <= 0
         || skewUs < 0
--- a/src/main/java/dunlinhitch/cluster/SharedObservations.java
+++ b/src/main/java/dunlinhitch/cluster/SharedObservations.java
@@ -22,9 +22,9 @@
   static final int FAILURE_THRESHOLD = 3;
 
   /**
-   * The number of brokers whose observations are required for an endpoint to count as failing at
-   * all brokers. A failure that a single broker observes may be a failure of that broker's network
-   * connection.
+   * The number of brokers that must observe failures of an endpoint before the endpoint counts as
+   * failing at all brokers. A failure that a single broker observes may be a failure of that
+   * broker's network connection.
    */
   private static final int FAILURE_QUORUM = 2;
 
--- a/src/main/java/dunlinhitch/cluster/SubsetSettings.java
+++ b/src/main/java/dunlinhitch/cluster/SubsetSettings.java
@@ -19,8 +19,8 @@
   public static final SubsetSettings STANDARD = new SubsetSettings(2, 1.5, 0.2);
 
   /**
-   * The minimum difference, per cell, between the total capacity of the endpoints and the number of
-   * assignments. Without this spare capacity, one broker that joins or leaves would change the
+   * The minimum spare capacity of a cell: the total capacity of its endpoints minus the number of
+   * assignments. Without spare capacity, one broker that joins or leaves would change the
    * assignments of many others.
    */
   private static final int MIN_SPARE_ASSIGNMENTS = 2;
--- a/src/main/java/dunlinhitch/cluster/Subsetting.java
+++ b/src/main/java/dunlinhitch/cluster/Subsetting.java
@@ -12,8 +12,8 @@
  * Mirrokni, Thorup and Zadimoghaddam, 2018). Endpoints are assigned to one broker after the other,
  * in a hash order that differs between cells. Each broker gets its highest-ranked endpoints that
  * have capacity. Brokers with the same lists of brokers and endpoints compute the same subsets
- * without communication. When a broker joins or leaves, the only assignments that change are its
- * own and the few that they displace.
+ * without communication. When a broker joins or leaves, only its own assignments and the few
+ * assignments displaced by them change.
  *
  * <p>The cost for B brokers and S endpoints of a cell is B * S hashes and O(B * S * log S) steps.
  * Immutable.
@@ -34,8 +34,8 @@
 
   /**
    * Returns for each broker all endpoints of the cell in order of preference. The first {@link
-   * #size} endpoints are the broker's subset, the others are its substitutes. If an endpoint in the
-   * broker's zone has capacity, it comes first, because traffic across zones is expensive.
+   * #size} endpoints are the broker's subset, the others are its substitutes. An endpoint in the
+   * broker's own zone comes first, if one has capacity, because traffic across zones is expensive.
    */
   public Map<String, List<String>> of(
       String cell, Collection<MemberView> members, Collection<Endpoint> stores) {
@@ -100,8 +100,8 @@
         }
       }
       while (order.size() < subsetSize) {
-        // This broker has all endpoints with capacity already. Moving an earlier broker frees
-        // capacity at another endpoint.
+        // The current broker already has every endpoint with free capacity. Moving an earlier
+        // broker frees capacity at another endpoint.
         order.add(freeCapacity(preferences, order));
       }
       order.forEach(endpoint -> loads.merge(endpoint, 1, Integer::sum));
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipDecoder.java
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Reads a member. For the sender, which is read first, {@link #baseMs} is still 0, so that its
-   * incarnation is an absolute value.
+   * Reads a member. The sender is read first, while {@link #baseMs} is still 0, so that the
+   * sender's incarnation is decoded as an absolute value.
    */
   private Member readMember(int status) throws IOException {
     String name = strings.read(in);
--- a/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/GossipSocket.java
@@ -40,7 +40,7 @@
 
   /**
    * The number of remembered checksums, enough for about 10 s of messages in a cluster of 100
-   * brokers. A datagram that the network duplicates arrives again much sooner.
+   * brokers. A duplicate created by the network arrives within a much shorter time.
    */
   private static final int REMEMBERED_CHECKSUMS = 128;
 
--- a/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
+++ b/src/main/java/dunlinhitch/cluster/gossip/StringTable.java
@@ -16,20 +16,18 @@
  * own table, because it must be possible to decode each datagram independently. Not thread-safe.
  */
 final class StringTable {
-  /** The form of a string in UTF-8, preceded by the length. */
+  /** Marks a string that is encoded in UTF-8, preceded by the length. */
   private static final int PLAIN = 0;
 
   private static final int IPV4 = 1;
 
   /**
-   * The form of a string of lower-case hexadecimal digits: the bytes that they encode, preceded by
-   * the length.
+   * Marks a string of lower-case hexadecimal digits. It is encoded as the bytes that the digits
+   * represent, preceded by the length.
    */
   private static final int HEX = 2;
 
-  /**
-   * The form of a reference to the first string of the table. Larger values refer to later strings.
-   */
+  /** Marks a reference to the first string of the table. Larger values refer to later strings. */
   private static final int FIRST_REFERENCE = 3;
 
   private static final int MAX_BYTES = 200;
--- a/src/main/java/dunlinhitch/endpoints/ClaimConflicts.java
+++ b/src/main/java/dunlinhitch/endpoints/ClaimConflicts.java
@@ -27,7 +27,7 @@
     if (one == null) {
       return other;
     }
-    // The conflicts among the constants are declared in order of decreasing severity.
+    // StatusReason declares the constants for conflicts in order of decreasing severity.
     return other != null && other.compareTo(one) < 0 ? other : one;
   }
 }
--- a/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRecord.java
@@ -34,8 +34,8 @@
   final FlapHistory flaps = new FlapHistory();
 
   /**
-   * The timer for the end of the suppression, of the linger time or of the retention of the flap
-   * history, or null; written by {@link StatusUpdater}.
+   * The pending timer, or null. It fires when the suppression, the linger time or the retention of
+   * the flap history ends. Written by {@link StatusUpdater}.
    */
   TimingWheel.Handle<Runnable> timer;
 
@@ -69,7 +69,10 @@
   /** The cell in which the endpoint is a standby, or {@link #NO_CELL}. */
   int standbyCell = NO_CELL;
 
-  /** The time since which the standby endpoint's claim has had its current content. */
+  /**
+   * When the claim of this standby last changed, in microseconds. Standbys are ordered by this
+   * time.
+   */
   long standbySinceUs;
 
   /** The number of shard positions for which the endpoint is the substitute. */
--- a/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
+++ b/src/main/java/dunlinhitch/endpoints/EndpointRegistry.java
@@ -145,8 +145,8 @@
   }
 
   /**
-   * Advances the time: handles the expiries of claims and the ends of suppressions and linger times
-   * that are due by {@code nowUs}.
+   * Advances the time to {@code nowUs}. Handles the claims that have expired by then, and the
+   * suppressions and linger times that have ended.
    */
   public List<EndpointChange> advanceTo(long nowUs) {
     timers.advance(nowUs);
--- a/src/main/java/dunlinhitch/endpoints/RegistryTimers.java
+++ b/src/main/java/dunlinhitch/endpoints/RegistryTimers.java
@@ -33,7 +33,7 @@
     return wheel.schedule(dueUs, action);
   }
 
-  /** Cancels a timer; null and a timer that has run are ignored. */
+  /** Cancels a timer. Has no effect if {@code timer} is null or has run. */
   void cancel(TimingWheel.Handle<Runnable> timer) {
     wheel.cancel(timer);
   }
--- a/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
+++ b/src/main/java/dunlinhitch/endpoints/ShardCoverage.java
@@ -68,8 +68,8 @@
   }
 
   /**
-   * Makes an endpoint a standby of a cell; {@code sinceUs} is the time since which its claim has
-   * had its current content.
+   * Makes an endpoint a standby of a cell; {@code sinceUs} is the time in microseconds at which the
+   * endpoint's claim last changed.
    */
   void setStandby(EndpointRecord endpoint, int cell, long sinceUs) {
     if (endpoint.standbyCell == cell && endpoint.standbySinceUs == sinceUs) {
--- a/src/main/java/dunlinhitch/endpoints/TimingWheel.java
+++ b/src/main/java/dunlinhitch/endpoints/TimingWheel.java
@@ -113,7 +113,7 @@
     return handle;
   }
 
-  /** Cancels a timer. Null, and a timer that has fired, are ignored. */
+  /** Cancels a timer. Has no effect if {@code handle} is null or its timer has fired. */
   public void cancel(Handle<T> handle) {
     if (handle == null) {
       return;
@@ -122,8 +122,8 @@
       remove(handle);
       size--;
     } else {
-      // The timer may be due and waiting to fire, if it is cancelled by a timer that fired before
-      // it in the same call of advance.
+      // The timer has fired, or it is due and would fire later in the running call of advance. In
+      // the latter case, the callback of an earlier timer has cancelled it.
       handle.slot = UNSCHEDULED;
     }
   }
--- a/src/main/java/dunlinhitch/endpoints/Withdrawal.java
+++ b/src/main/java/dunlinhitch/endpoints/Withdrawal.java
@@ -1,7 +1,8 @@
 package dunlinhitch.endpoints;
 
 /**
- * The last withdrawal of an endpoint: the end of the last claim that a source had on it.
+ * The last withdrawal of an endpoint. A source withdraws an endpoint when the last claim of that
+ * source on the endpoint ends.
  *
  * @param atUs the time of the withdrawal, in microseconds
  * @param source the source whose last claim ended
--- a/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
+++ b/src/test/java/dunlinhitch/answerkeys/AnswerKeyModuleTest.java
@@ -69,8 +69,8 @@
   }
 
   /**
-   * A waiter does not adopt a request whose text differs from its own and matches only under a
-   * rule.
+   * A waiter does not adopt a request for another text, even if a rule gives both texts the same
+   * key.
    */
   @Test
   void requestForAnotherTextIsCancelledNotAdopted() {
--- a/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
+++ b/src/test/java/dunlinhitch/cluster/ClusterCoordinatorTest.java
@@ -55,7 +55,10 @@
     assertEquals(7, simulation.nodes().get(0).coordinator().members().size());
   }
 
-  /** Suspected members are notified and refute the suspicion. */
+  /**
+   * With 10 % message loss no member is declared dead, because each suspected member is notified
+   * and refutes the suspicion.
+   */
   @Test
   void tenPercentMessageLossDeclaresNoMemberDead() {
     ClusterSimulation simulation = simulation(8, 0.1);
@@ -69,7 +72,10 @@
         simulation.nodes().stream().mapToLong(n -> n.coordinator().membership().version()).sum());
   }
 
-  /** After a partition has healed, the brokers of both sides have the same members again. */
+  /**
+   * An isolated broker keeps its subset. After the partition has healed, all brokers have the same
+   * members again.
+   */
   @Test
   void isolatedBrokerRetainsItsSubsetAndRejoins() {
     ClusterSimulation simulation = simulation(8, 0);
@@ -91,8 +97,8 @@
   }
 
   /**
-   * All brokers are isolated from each other. In total they perform no more health checks than
-   * before.
+   * If all brokers are isolated from each other, they perform no more health checks in total than
+   * the connected cluster.
    */
   @Test
   void isolatedBrokersTogetherMakeNoMoreHealthChecks() {
@@ -114,8 +120,8 @@
   }
 
   /**
-   * The leader of the epoch has died, but this has not been detected yet. The next broker in the
-   * order takes over.
+   * The leader of the epoch has died, and no broker has detected its death yet. The next broker in
+   * the order performs the health check.
    */
   @Test
   void unresponsiveLeaderIsReplacedAndTheReportReachesAll() {
--- a/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
+++ b/src/test/java/dunlinhitch/cluster/MembershipProtocolTest.java
@@ -163,8 +163,8 @@
   }
 
   /**
-   * A second process with the same name displaces the first. The first process detects this, and
-   * regains the name when the second one ends.
+   * A second process with the same name displaces the first process. The first process detects that
+   * it was displaced, and regains the name after the second process has ended.
    */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3})
@@ -181,7 +181,7 @@
             .filter(member -> member.peer().port() == 7020)
             .count());
     simulation.kill(20);
-    // Until the second process is declared dead, all brokers have its address.
+    // All brokers have the address of the second process until they declare that process dead.
     simulation.play(deathBoundUs(7));
     assertConverges(simulation, joinBoundUs(7));
     assertNull(first.protocol().snapshot().displacedBy());
@@ -372,7 +372,8 @@
         simulation.nodes().stream().allMatch(node -> node.protocol().peers().size() == 5),
         "both sides must have removed each other:" + memberLists(simulation));
     simulation.cut((from, to) -> false);
-    // One address is contacted per round of 5 pings, and some remembered addresses are unused.
+    // Each broker sends one join per round of 5 pings. Some joins go to addresses that no broker
+    // uses any more.
     assertConverges(simulation, joinBoundUs(20) + 8 * 14 * SETTINGS.periodUs());
   }
 
--- a/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
+++ b/src/test/java/dunlinhitch/cluster/gossip/GossipCodecTest.java
@@ -185,8 +185,8 @@
   }
 
   /**
-   * The expected first datagram, given its items. It contains no versions if the buckets leave no
-   * space for them.
+   * The message that the first datagram is expected to decode to, given the decoded items. It
+   * contains no versions if the buckets leave no space for them.
    */
   private static GossipMessage expectedFirst(GossipMessage message, GossipMessage decoded) {
     return new GossipMessage(
@@ -202,7 +202,10 @@
         decoded.suspicionReports());
   }
 
-  /** The expected form of each datagram except the first, given its items. */
+  /**
+   * The message that each datagram except the first is expected to decode to, given the decoded
+   * items.
+   */
   private static GossipMessage expectedContinuation(GossipMessage message, GossipMessage decoded) {
     return new GossipMessage(
         GossipMessage.Kind.GOSSIP,
--- a/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
+++ b/src/test/java/dunlinhitch/cluster/versions/VersionSkewDetectorTest.java
@@ -102,8 +102,8 @@
   }
 
   /**
-   * Each discovery service numbers its lists independently, so generations are not compared between
-   * different settings.
+   * Generations are not compared between brokers with different settings, because each discovery
+   * service numbers its lists independently.
    */
   @Test
   void endpointListsAreComparedWithinTheSameSettingsOnly() {
