--- a/src/main/java/dunlinhitch/cli/Main.java
+++ b/src/main/java/dunlinhitch/cli/Main.java
@@ -47,9 +47,9 @@
   }
 
   /**
-   * Serves with the default options, as the platform starts a broker, without loading any class of
-   * picocli: loading them took a fifth of the CPU time of a start, and clients have no broker until
-   * the start has completed.
+   * Runs {@code serve} with the default options, without loading any class of picocli. The platform
+   * starts brokers in this way. Loading the classes of picocli takes a fifth of the CPU time of a
+   * start, and clients have no broker until the start has completed.
    */
   private static int serve() {
     try {
--- a/src/main/java/dunlinhitch/cli/RecordsCommand.java
+++ b/src/main/java/dunlinhitch/cli/RecordsCommand.java
@@ -36,7 +36,10 @@
             + "and why records are not used.",
     mixinStandardHelpOptions = true)
 final class RecordsCommand implements Callable<Integer> {
-  /** Time for which the registry may still resolve contradictory claims after the last answer. */
+  /**
+   * Delay in milliseconds after every server has answered or failed, before the table is printed.
+   * In this time the registry can still resolve contradictory claims.
+   */
   private static final long SETTLE_MS = 50;
 
   private static final long MICROS_PER_MILLI = 1000;
--- a/src/main/java/dunlinhitch/cli/WarmUpCommand.java
+++ b/src/main/java/dunlinhitch/cli/WarmUpCommand.java
@@ -39,7 +39,10 @@
 
   private final CountDownLatch ended = new CountDownLatch(1);
 
-  /** Not volatile: written before {@link #ended} is counted down, read after the wait for it. */
+  /**
+   * True if enough queries were answered. The field need not be volatile: it is written before
+   * {@link #ended} is counted down and read after the wait for {@link #ended}.
+   */
   private boolean served;
 
   @Override
--- a/src/main/java/dunlinhitch/config/JsonFields.java
+++ b/src/main/java/dunlinhitch/config/JsonFields.java
@@ -9,7 +9,7 @@
  * an unexpected type raise an unchecked exception of the JSON library.
  */
 final class JsonFields {
-  /** Exclusive bound of the absolute value of an integer; larger values are rejected as errors. */
+  /** An integer is rejected if its absolute value is equal to or greater than this bound. */
   private static final double INTEGER_BOUND = 1e15;
 
   private JsonFields() {}
--- a/src/main/java/dunlinhitch/config/Product.java
+++ b/src/main/java/dunlinhitch/config/Product.java
@@ -193,8 +193,8 @@
    *
    * @param lingerUs time after a withdrawal within which a returning endpoint keeps its state
    * @param staleForUs how long records are used after their expiry
-   * @param returnDelayUs delay before an endpoint is used again when it returns for the second time
-   *     within {@code calmUs}; doubled by each further return
+   * @param returnDelayUs delay before an endpoint that returns for the second time within {@code
+   *     calmUs} is used again; each further return doubles the delay
    * @param maxReturnDelayUs maximum delay before a returning endpoint is used
    * @param calmUs time without a withdrawal after which a return is no longer delayed
    */
--- a/src/main/java/dunlinhitch/config/syntax/NameSuggestion.java
+++ b/src/main/java/dunlinhitch/config/syntax/NameSuggestion.java
@@ -14,8 +14,8 @@
   private NameSuggestion() {}
 
   /**
-   * Returns the end of an error message: the closest declared name, all declared names if none is
-   * close, or an empty string if there are none.
+   * Returns text to append to an error message: the closest declared name, or all declared names if
+   * none is close. Returns an empty string if no name is declared.
    */
   static String forUnknown(String unknown, Collection<String> declared) {
     LevenshteinDistance distance = LevenshteinDistance.getDefaultInstance();
--- a/src/main/java/dunlinhitch/config/syntax/SectionSchema.java
+++ b/src/main/java/dunlinhitch/config/syntax/SectionSchema.java
@@ -48,7 +48,7 @@
     return directives.get(name).defaultValue();
   }
 
-  /** Validates all directives of a section; {@code file} is named in errors without a line. */
+  /** Validates all directives of a section. An error that refers to no line names {@code file}. */
   SectionValues check(Path file, Section section) {
     Map<String, List<Directive>> directivesByName = new LinkedHashMap<>();
     for (Directive directive : section.directives()) {
--- a/src/main/java/dunlinhitch/config/syntax/SectionValues.java
+++ b/src/main/java/dunlinhitch/config/syntax/SectionValues.java
@@ -39,7 +39,10 @@
     return directivesByName.containsKey(name);
   }
 
-  /** Returns the value as text: the default if the directive is absent, null if it has none. */
+  /**
+   * Returns the value as text. If the directive is absent, returns the default, or null if no
+   * default is declared.
+   */
   public String text(String name) {
     List<Directive> directives = directivesByName.get(name);
     return directives == null ? schema.defaultOf(name) : valueOf(directives.get(0));
--- a/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
+++ b/src/main/java/dunlinhitch/discovery/DiscoveryWatch.java
@@ -175,15 +175,15 @@
     }
 
     void close() {
-      // onConnected closes a connection that is still being established
+      // If the connection is still being established, onConnected closes it later.
       if (connection != null) {
         connection.close();
       }
     }
 
     /**
-     * Opens a connection without a pool: a pool allows five connections per address, so five
-     * hanging requests would block every further one.
+     * Opens a connection without a pool. A pool allows five connections per address, so five
+     * hanging requests would block all further requests.
      */
     void open() {
       HttpConnectOptions options =
@@ -248,7 +248,8 @@
         }
         parser.check();
       } catch (MalformedListException | RuntimeException e) {
-        // the JSON library throws several exception types; the lost content must be requested again
+        // The JSON library throws several unchecked exceptions for malformed content. The request
+        // counts as failed, because the lost content must be requested again.
         countMalformed();
         onFailure();
       }
--- a/src/main/java/dunlinhitch/discovery/EndpointListParser.java
+++ b/src/main/java/dunlinhitch/discovery/EndpointListParser.java
@@ -62,8 +62,9 @@
   }
 
   /**
-   * Reads the next bytes and returns the objects that they complete. If the text after an object is
-   * malformed, the objects before it are returned, and {@link #check} and the next call throw.
+   * Reads the next bytes and returns the objects that they complete. If the bytes contain malformed
+   * text, this call returns the objects that precede the malformed text; {@link #check} and the
+   * next call throw.
    */
   List<String> read(byte[] bytes) throws MalformedListException {
     check();
--- a/src/main/java/dunlinhitch/discovery/WatchSession.java
+++ b/src/main/java/dunlinhitch/discovery/WatchSession.java
@@ -12,8 +12,8 @@
  */
 final class WatchSession {
   /**
-   * Factor applied to the retry delay after the first request to an address: in a process that has
-   * just started, the first request takes longer.
+   * The retry delay after the first request to an address is multiplied by this factor, because the
+   * first request of a process that has just started takes longer than later ones.
    */
   private static final int FIRST_RETRY_FACTOR = 8;
 
@@ -58,8 +58,9 @@
   private boolean firstRequestMade;
 
   /**
-   * True once the latest request has delivered a list, or has delivered data after being in flight
-   * for longer than the idle timeout. In both cases the backoff is reset.
+   * True once the latest request has reset the backoff. A request resets the backoff when it
+   * delivers a list, or when it delivers data after being in flight for longer than the idle
+   * timeout.
    */
   private boolean proven;
 
--- a/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/WatchStateMachine.java
@@ -14,7 +14,10 @@
  * thread-safe.
  */
 final class WatchStateMachine {
-  /** No list of the address is known; generations are numbered separately at each address. */
+  /**
+   * Value of a generation while no list of the address is known. Each address numbers its
+   * generations separately.
+   */
   static final long NO_GENERATION = -1;
 
   /** Due time of a timer that is not needed. */
@@ -50,7 +53,10 @@
     return sessionOf(requestId) != null;
   }
 
-  /** Switches to a new address; an open watch is read until the new address has sent a list. */
+  /**
+   * Switches to a new address. An open watch on the old address is read until the new address has
+   * sent a list.
+   */
   List<WatchAction> follow(long nowUs, String host, int port) {
     boolean first = current == null;
     if (previous != null) { // the current address has not sent a list yet
@@ -114,7 +120,7 @@
     return output.drain();
   }
 
-  /** Handles a complete list, or a change, of this generation. */
+  /** Handles a complete list, or a list of changes, that has this generation. */
   List<WatchAction> onList(long nowUs, long requestId, long generation) {
     WatchSession session = sessionOf(requestId);
     if (session != null) {
@@ -190,7 +196,8 @@
     }
     List<WatchSession.Request> requests = session.requests();
     if (session.phase() == WatchSession.Phase.STREAMING || now.maxRequests() == 1) {
-      // More than one request is in flight here only if new settings have lowered the limit to 1.
+      // Usually one request is in flight here. There are several only if new settings have lowered
+      // the limit to 1.
       for (WatchSession.Request request : requests) {
         fail(session, nowUs, request);
       }
@@ -204,7 +211,10 @@
     session.open(nowUs);
   }
 
-  /** Handles a request that ended or is abandoned, while others may be in flight. */
+  /**
+   * Closes a failed or abandoned request and counts the failure. A session on the old address ends.
+   * A session on the current address starts its backoff if it has no other request in flight.
+   */
   private void fail(WatchSession session, long nowUs, WatchSession.Request request) {
     output.add(new WatchAction.CountFailure());
     session.close(request);
--- a/src/main/java/dunlinhitch/discovery/WatchTimings.java
+++ b/src/main/java/dunlinhitch/discovery/WatchTimings.java
@@ -10,9 +10,10 @@
  * @param idleTimeoutUs a watch fails if nothing is received for this time, not even the empty line
  *     that discovery sends every 2 s
  * @param stallTimeoutUs a watch fails if an object stays incomplete for this time
- * @param responseTimeoutUs time after which an unanswered request fails if only one may be in
- *     flight. If several may be in flight and {@code maxRequests} is reached, the next request
- *     replaces the oldest one if that is older than this time, otherwise the second oldest
+ * @param responseTimeoutUs time after which an unanswered request fails if only one request may be
+ *     in flight. If several may be in flight, this time selects the request that is closed at the
+ *     limit {@code maxRequests}: the oldest request if it has waited at least this time, otherwise
+ *     the second oldest
  * @param retryUs delay before another request is sent while one is unanswered, if more than one may
  *     be in flight
  * @param maxRequests maximum number of requests in flight; at this limit an older request is closed
@@ -29,8 +30,8 @@
   private static final long SECOND_US = 1_000_000;
 
   /**
-   * Discovery sends an empty line every 2 s, and the broker must act on changes within 6 s after a
-   * watch has stopped receiving data.
+   * Must exceed 2 s, because discovery sends an empty line every 2 s. Must be well below 6 s,
+   * because the broker must act on changes within 6 s after a watch has stopped receiving data.
    */
   private static final long IDLE_TIMEOUT_US = 2_600_000;
 
@@ -38,9 +39,10 @@
   private static final long RESPONSE_TIMEOUT_US = 3_000_000;
 
   /**
-   * After an outage the broker must act on the agent's list immediately, but a request sent during
-   * the outage may never be answered. The grace period of a drain can be as short as 250 ms, and
-   * the endpoint list that announces the drain must be read within half of that time.
+   * Upper bound of the delay before another request is sent to the agent. A request sent during an
+   * outage may never be answered, so the broker keeps sending new ones. After the outage the broker
+   * must read the list within 125 ms: the list may announce a drain, the grace period of a drain
+   * can be as short as 250 ms, and the list must be read within half of the grace period.
    */
   private static final long AGENT_RETRY_US = 120_000;
 
@@ -53,8 +55,9 @@
   private static final long SHARED_RETRY_US = 0;
 
   /**
-   * The maximum delay is this value times the number of brokers, up to {@link #LONGEST_DELAY_US},
-   * because a shared discovery service serves at least 1.4 requests per second in total.
+   * The maximum delay is this value times the number of brokers, up to {@link #LONGEST_DELAY_US}.
+   * It grows with the number of brokers because all brokers share the capacity of the discovery
+   * service, which is at least 1.4 requests per second in total.
    */
   private static final long DELAY_PER_BROKER_US = 1_250_000;
 
--- a/src/main/java/dunlinhitch/discovery/dnssd/ClaimBuilder.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ClaimBuilder.java
@@ -20,8 +20,8 @@
 
 /**
  * Builds endpoint claims from the records of an instance and requests the address records that are
- * still missing. Multiple SRV or TXT records contradict each other, so each combination becomes a
- * claim of its own.
+ * still missing. Multiple SRV records, or multiple TXT records, of one instance contradict each
+ * other. Each combination of an SRV and a TXT record therefore becomes a separate claim.
  */
 final class ClaimBuilder {
   /** Maximum number of records used from one record set. */
@@ -37,7 +37,7 @@
     this.faults = faults;
   }
 
-  /** Returns the claims by key, or null while a required record set is unanswered. */
+  /** Returns the claims by key, or null until all required record sets have been answered. */
   Map<String, EndpointClaim> build(ServiceInstance instance) {
     instance.fault = "";
     if (!instance.isDescribed()) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/DnsDiscoverySource.java
@@ -260,7 +260,7 @@
   private void onSerialResult(AsyncResult<Message> result) {
     switch (serialPoller.onResponse(result.succeeded() ? result.result() : null)) {
       case CHANGED -> records.refreshAll(context.nowUs());
-      // The list of instances may have changed between its first answer and this first poll.
+      // The list of instances may have changed after it was received and before this first poll.
       case FIRST -> records.refreshInstanceList(context.nowUs());
       case UNCHANGED -> {}
     }
--- a/src/main/java/dunlinhitch/discovery/dnssd/DnsTcpFraming.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/DnsTcpFraming.java
@@ -18,7 +18,7 @@
     return available >= PREFIX_BYTES && available >= PREFIX_BYTES + buffer.getUnsignedShort(offset);
   }
 
-  /** Returns the end of the message whose prefix begins at {@code offset}. */
+  /** Returns the offset that follows the message whose prefix begins at {@code offset}. */
   static int endOfMessage(Buffer buffer, int offset) {
     return offset + PREFIX_BYTES + buffer.getUnsignedShort(offset);
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Dso.java
@@ -168,7 +168,7 @@
     return new Question(new Name(in), in.readU16());
   }
 
-  /** Encodes the end of the subscription that the message with this id requested. */
+  /** Encodes a request to end the subscription that was requested by the message with this id. */
   public static Tlv unsubscribe(int id) {
     return new Tlv(UNSUBSCRIBE, Buffer.buffer().appendUnsignedShort(id).getBytes());
   }
--- a/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/PushSession.java
@@ -159,7 +159,7 @@
     return actions;
   }
 
-  /** Handles a failed connection attempt or the end of the connection. */
+  /** Handles a connection attempt that has failed, or a connection that has been closed. */
   List<Action> onConnectionLost(long nowUs) {
     List<Action> actions = new ArrayList<>();
     if (phase != Phase.DISCONNECTED) {
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordCache.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordCache.java
@@ -91,7 +91,10 @@
     return set;
   }
 
-  /** Ends the dependency; evicts the set if nothing else depends on it. Ignores a null set. */
+  /**
+   * Ends the dependency of the instance on the set. A set without dependents is evicted. A null set
+   * is ignored.
+   */
   void release(ServiceInstance instance, RecordSet set) {
     if (set == null) {
       return;
@@ -145,7 +148,10 @@
     return pendingQueries.isEmpty() || inFlight >= maxInFlight ? wheel.nextUs() : nowUs;
   }
 
-  /** Ends the query in flight; returns null if there is none, for example after an eviction. */
+  /**
+   * Marks the query as completed and returns its record set. Returns null if no such query is in
+   * flight, for example because the set was evicted.
+   */
   RecordSet completeQuery(Question question) {
     RecordSet set = sets.get(question);
     if (set == null || !set.querying) {
@@ -175,8 +181,8 @@
   }
 
   /**
-   * Records the start or end of a push subscription to the set. An unanswered set is queried even
-   * while it is subscribed, since a server pushes nothing for a set without records.
+   * Handles the start or the end of a push subscription to the set. An unanswered set is queried
+   * even while it is subscribed, since a server pushes nothing for a set without records.
    *
    * @return true if the lifetime of the records has changed
    */
--- a/src/main/java/dunlinhitch/discovery/dnssd/RecordsBenchmark.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RecordsBenchmark.java
@@ -24,7 +24,7 @@
   private static final Question POINTERS = new Question(SERVICE, Type.PTR);
   private static final ServiceRecords.Limits LIMITS = new ServiceRecords.Limits(50_000, 1_000);
 
-  /** Arbitrary current time for the measurement of a refresh. */
+  /** The current time that {@link #refresh} assumes, in microseconds. The value is arbitrary. */
   private static final long REFRESH_US = 1_000_000;
 
   private final ServiceRecords records;
@@ -46,8 +46,8 @@
   public List<EndpointClaim> fill(long nowUs, List<List<Record>> endpointRecords) throws Exception {
     endpointRecords.forEach(described -> described.forEach(this::addToZone));
     List<EndpointClaim> claims = new ArrayList<>();
-    // A TCP response holds only about two thousand PTR records: the first one is sent in a
-    // response, the others are pushed.
+    // A TCP response holds only about two thousand PTR records. Therefore only the first PTR record
+    // is sent in a response, and the others are pushed.
     respondToAll(nowUs, claims);
     pointers.forEach(pointer -> records.onRecordAdded(nowUs, pointer));
     int claimsBefore;
--- a/src/main/java/dunlinhitch/discovery/dnssd/RegistrationStateMachine.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/RegistrationStateMachine.java
@@ -7,9 +7,9 @@
 
 /**
  * State machine that decides when the broker's records are registered, refreshed and withdrawn. A
- * registration or refresh is sent only if no update is in flight; the first withdrawal is sent
- * immediately in any case. Performs no I/O and reads no clock. Not thread-safe. Times are in
- * microseconds.
+ * registration or refresh is sent only if no update is in flight. The first withdrawal is sent
+ * immediately, even if an update is in flight. Performs no I/O and reads no clock. Not thread-safe.
+ * Times are in microseconds.
  */
 final class RegistrationStateMachine {
   /** Share of the lease after which the registration is refreshed. */
--- a/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/Resolver.java
@@ -109,7 +109,8 @@
       byte[] wire = update.toWire(DnsTcpFraming.MAX_MESSAGE_BYTES);
       return exchangeTcp(update, wire, deadlineUs, null);
     }
-    // dnsjava signs during encoding: the TSIG record must be the last one, after the OPT record.
+    // The TSIG record must be the last record, after the OPT record. dnsjava appends the TSIG
+    // record when it encodes the message.
     update.setTSIG(key);
     byte[] wire = update.toWire(DnsTcpFraming.MAX_MESSAGE_BYTES);
     try {
--- a/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
+++ b/src/main/java/dunlinhitch/discovery/dnssd/ServiceRecords.java
@@ -154,7 +154,8 @@
   }
 
   /**
-   * Returns true if the answer may replace the cached records, and counts a fault of the answer.
+   * Returns true if the answer may replace the cached records. Counts an unresolved alias and a
+   * non-authoritative negative answer as faults.
    */
   private boolean isAcceptable(Message response, List<Record> answer) {
     if (answer == null) {
--- a/src/main/java/dunlinhitch/scoring/DampingSettings.java
+++ b/src/main/java/dunlinhitch/scoring/DampingSettings.java
@@ -4,12 +4,12 @@
  * Damping of the factors, which prevents brokers with the same weights from all moving their load
  * to one endpoint (a herd effect).
  *
- * @param gain fraction of the distance to its target that the logarithm of a factor moves in a
- *     round. This is the mean over all brokers; each broker draws its own gain from 0.5 to 1.5
- *     times this value
+ * @param gain mean gain of the brokers; each broker draws its own gain at random from 0.5 to 1.5
+ *     times this value, except that a value of 1 is used as it is. In each round the logarithm of a
+ *     factor moves towards its target by the distance to the target times the gain
  * @param step maximum change of the logarithm in a round
- * @param maxOffset maximum of the constant random offset of the logarithm that a broker draws for
- *     each target
+ * @param maxOffset maximum absolute value of a random offset that is added to the logarithm of a
+ *     factor; each broker has a constant offset for each target
  */
 public record DampingSettings(double gain, double step, double maxOffset) {
   /** The default settings of a broker. */
--- a/src/main/java/dunlinhitch/scoring/FactorDamping.java
+++ b/src/main/java/dunlinhitch/scoring/FactorDamping.java
@@ -30,7 +30,10 @@
     return currentLog + Math.max(-settings.step(), Math.min(settings.step(), distance * gain));
   }
 
-  /** The factor of a target with this broker's offset, which is constant for its lifetime. */
+  /**
+   * The factor of a target, with this broker's offset for the target. The offset stays constant for
+   * the lifetime of this object.
+   */
   double factor(WeightTarget target, double currentLog) {
     double offset = new SplittableRandom(offsetSeed ^ target.hashCode()).nextDouble() * 2 - 1;
     return Math.exp(currentLog + settings.maxOffset() * offset);
--- a/src/main/java/dunlinhitch/scoring/Scoring.java
+++ b/src/main/java/dunlinhitch/scoring/Scoring.java
@@ -29,10 +29,10 @@
    */
   public record QueryClass(String name, long latencyObjectiveUs) {}
 
-  /** The shortest interval between rounds as a fraction of the mean. */
+  /** The shortest interval between rounds as a fraction of the mean interval. */
   private static final double MIN_ROUND_SHARE = 0.8;
 
-  /** The random part of the interval between rounds as a fraction of the mean. */
+  /** The maximum random part of an interval between rounds as a fraction of the mean interval. */
   private static final double ROUND_JITTER = 0.4;
 
   private final ScorerIdentity scorer;
--- a/src/main/java/dunlinhitch/scoring/TrimmedMean.java
+++ b/src/main/java/dunlinhitch/scoring/TrimmedMean.java
@@ -22,9 +22,9 @@
   private TrimmedMean() {}
 
   /**
-   * Merges the reports. The minimum total evidence is the full evidence of the minimum number of
-   * origins. If the reports have less in total, the difference counts as evidence for a weight of
-   * 1.
+   * Merges the reports. The total evidence of a merge is at least {@code minOrigins} times {@code
+   * maxEvidence}. If the reports have less in total, the difference counts as evidence for a weight
+   * of 1.
    */
   static FleetWeight of(List<WeightReport> reports, WeightMergeSettings settings) {
     double reported = reports.stream().mapToDouble(WeightReport::evidence).sum();
--- a/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
+++ b/src/main/java/dunlinhitch/scoring/WeightMergeSettings.java
@@ -8,11 +8,13 @@
  *
  * @param halfLifeUs half-life of evidence in microseconds
  * @param maxEvidence maximum evidence of one broker's weight, in attempts
- * @param minOrigins number of origins whose full evidence is the minimum total evidence of a merge;
- *     missing evidence counts as evidence for a weight of 1
- * @param trim fraction of the evidence that is trimmed at each end
- * @param updateThreshold minimum change of the logarithm of this broker's own weight that causes
- *     the weight to be replicated again
+ * @param minOrigins the total evidence of a merge is at least this number times {@code
+ *     maxEvidence}; if the reports of the origins have less in total, the difference counts as
+ *     evidence for a weight of 1
+ * @param trim fraction of the total evidence that is trimmed from the lowest weights, and also from
+ *     the highest weights
+ * @param updateThreshold this broker's own weight is replicated again if its logarithm has changed
+ *     by at least this value
  */
 public record WeightMergeSettings(
     long halfLifeUs, double maxEvidence, int minOrigins, double trim, double updateThreshold) {
--- a/src/main/java/dunlinhitch/scoring/host/JarClassLoader.java
+++ b/src/main/java/dunlinhitch/scoring/host/JarClassLoader.java
@@ -21,8 +21,8 @@
 
 /**
  * Loads the classes of one plug-in's jar from memory. The file may be overwritten or removed while
- * its classes are in use, no file descriptor remains open, and all classes are garbage collected
- * with the last reference to the loader.
+ * its classes are in use, and no file descriptor remains open. The classes can be garbage collected
+ * once the loader is no longer referenced.
  */
 final class JarClassLoader extends ClassLoader {
   /** Size limit of a jar file. */
--- a/src/main/java/dunlinhitch/scoring/host/RoundTask.java
+++ b/src/main/java/dunlinhitch/scoring/host/RoundTask.java
@@ -26,8 +26,8 @@
   }
 
   /**
-   * Copies at most {@code limit} elements. The class of the list may belong to the plug-in, so the
-   * list must be read on the scorer's thread and may be unbounded.
+   * Copies at most {@code limit} elements. The class of the list may belong to the plug-in. The
+   * list must therefore be read on the scorer's thread, and it may return elements without end.
    */
   private static List<Judgement> copy(List<Judgement> judgements, int limit) {
     if (judgements == null) {
--- a/src/main/java/dunlinhitch/scoring/host/ScorerThread.java
+++ b/src/main/java/dunlinhitch/scoring/host/ScorerThread.java
@@ -10,7 +10,7 @@
  * interrupted, and later results are dropped.
  */
 final class ScorerThread {
-  /** Marks the end of the queue. */
+  /** Queue entry at which the thread ends. */
   private static final ScorerCall<Void> END = new ScorerCall<>(0, null, () -> null);
 
   private final BlockingQueue<ScorerCall<?>> calls = new LinkedBlockingQueue<>();
--- a/src/main/java/dunlinhitch/scoring/shipped/LatencyRatio.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/LatencyRatio.java
@@ -17,8 +17,8 @@
 /**
  * Estimates the ratio of actual to predicted latency of an endpoint. The ratio exceeds 1 if the
  * load report is wrong or the machine is slower than others. The ratio observed by this broker is
- * shared as a weight; the factor combines this ratio with the weight of the other brokers, and is
- * relative to the mean of the cell.
+ * shared as a weight. This ratio and the weight of the other brokers are combined into one
+ * estimate. The factor is this estimate divided by the geometric mean of the estimates in the cell.
  *
  * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
--- a/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
+++ b/src/main/java/dunlinhitch/scoring/shipped/PeakLatency.java
@@ -14,11 +14,12 @@
 import java.util.Set;
 
 /**
- * Peak EWMA: the latency estimate of an endpoint rises immediately with a slow response and decays
- * exponentially with fast ones. The factor is the square root of the ratio of the estimate to the
- * geometric mean of the estimates in its cell; the root limits the effect because the wait behind
- * outstanding work is predicted separately. The scorer shares no weights, because a latency depends
- * on the network path as much as on the endpoint.
+ * Computes factors from a peak EWMA of latencies: a slow response raises the estimate of an
+ * endpoint immediately, and faster responses let the estimate decay exponentially. The factor is
+ * the square root of the ratio of the estimate to the geometric mean of the estimates in its cell.
+ * The square root limits the effect of latency, because the wait behind outstanding work is
+ * predicted separately. The scorer shares no weights, because a latency depends on the network path
+ * as much as on the endpoint.
  *
  * <p>Not thread-safe; all calls are made on the scorer's thread.
  */
--- a/src/test/java/dunlinhitch/cli/RecordsCommandTest.java
+++ b/src/test/java/dunlinhitch/cli/RecordsCommandTest.java
@@ -26,7 +26,10 @@
     };
   }
 
-  /** Usable, contradictory and incomplete records, and a server that does not answer. */
+  /**
+   * The command lists the endpoints of usable records. For contradictory records, for incomplete
+   * records and for a server that does not answer, it prints the reason.
+   */
   @Test
   void showsEndpointsAndWhyRecordsAreUnusable() throws Exception {
     Vertx vertx = Vertx.vertx();
--- a/src/test/java/dunlinhitch/cli/ServeCommandTest.java
+++ b/src/test/java/dunlinhitch/cli/ServeCommandTest.java
@@ -54,7 +54,10 @@
 
   @TempDir private Path dir;
 
-  /** Disabled features must not use memory; SIGTERM ends the process with exit code 0. */
+  /**
+   * No class of a disabled feature is loaded, because a disabled feature must not use memory.
+   * SIGTERM ends the process with exit code 0.
+   */
   @Test
   void loadsNoClassOfUnusedFeaturesAndEndsOnSigterm() throws Exception {
     Vertx vertx = Vertx.vertx();
@@ -218,7 +221,8 @@
   /**
    * While discovery is down, idle clients occupy every file descriptor available to them and
    * reconnect whenever one is closed. The reserved descriptors must suffice to get an endpoint
-   * list, to connect to a backend and to serve a query. The process uses no more than configured.
+   * list, to connect to a backend and to serve a query. The process uses no more descriptors than
+   * configured.
    */
   @Test
   void idleClientsLeaveDescriptorsForDiscoveryAndBackends() throws Exception {
--- a/src/test/java/dunlinhitch/cli/SighupTest.java
+++ b/src/test/java/dunlinhitch/cli/SighupTest.java
@@ -19,9 +19,10 @@
   @TempDir private Path dir;
 
   /**
-   * Starts a process with SIGHUP ignored. The command line begins with {@code before}. Returns its
-   * output up to the line with its listen address or, if the signal is sent, up to a line that
-   * begins with {@code until}.
+   * Starts a broker process that inherits SIGHUP as ignored; its command line begins with {@code
+   * before}. Returns the output of the process up to the line with its listen address. If {@code
+   * sendsSignal} is true, SIGHUP is then sent, and the output is returned up to a line that begins
+   * with {@code until}.
    */
   private static List<String> startIgnoringSighup(
       Path file, String before, String until, boolean sendsSignal) throws Exception {
--- a/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
+++ b/src/test/java/dunlinhitch/discovery/DiscoveryWatchTest.java
@@ -280,8 +280,9 @@
   }
 
   /**
-   * Responses that end early: a list in single bytes, then a complete list followed by part of
-   * another one and a reset or the end of the response. Only complete lists are used.
+   * Complete lists are used even if the response then breaks off in the middle of another list, by
+   * a reset or because the response ends. The partial list is ignored. The first list arrives byte
+   * by byte.
    */
   @Test
   void completeListsOfTruncatedResponsesAreUsed() throws Exception {
@@ -410,8 +411,8 @@
   }
 
   /**
-   * Lists in all HTTP/1.1 response forms, sent in single bytes: Content-Length, chunks with
-   * extensions and trailers, and interim responses.
+   * Lists are read from every form of HTTP/1.1 response that arrives byte by byte: with
+   * Content-Length, with chunks that have extensions and trailers, and after interim responses.
    */
   @Test
   void listsAreReadInAllResponseForms() throws Exception {
--- a/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
+++ b/src/test/java/dunlinhitch/discovery/EndpointListParserTest.java
@@ -54,7 +54,10 @@
                 .read(("{" + " ".repeat(100)).getBytes(StandardCharsets.UTF_8)));
   }
 
-  /** Objects before malformed text are returned even from the same chunk, and none after it. */
+  /**
+   * Objects that precede malformed text in the same chunk are returned. Objects that follow the
+   * malformed text are not returned.
+   */
   @Test
   void objectsBeforeMalformedTextAreReturned() throws MalformedListException {
     for (String malformed :
--- a/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
+++ b/src/test/java/dunlinhitch/discovery/WatchStateMachineTest.java
@@ -245,7 +245,10 @@
     assertEquals(WatchStateMachine.NEVER, stateMachine.nextUs());
   }
 
-  /** Fault of a request while discovery is down; such a request is never answered later. */
+  /**
+   * Fault of a request sent while discovery is down. Such a request delivers no data after
+   * discovery has become available again.
+   */
   private enum Fault {
     REFUSED,
     RESPONDS_503,
@@ -260,8 +263,8 @@
   }
 
   /**
-   * Returns the time of the first request at or after {@code backUs}, when discovery is available
-   * again. Each earlier request gets a random fault.
+   * Returns the time of the first request at or after {@code backUs}, the time at which discovery
+   * becomes available again. Each earlier request gets a random fault.
    */
   private long firstRequestAfter(
       WatchStateMachine stateMachine, long backUs, SplittableRandom random, Fault[] faults) {
@@ -350,7 +353,10 @@
     };
   }
 
-  /** Returns the longest time to a request over 400 seeds, each with its own faults and outage. */
+  /**
+   * Returns the longest delay, over 400 seeds, between the end of an outage and the next request.
+   * Each seed determines the faults and the length of its outage.
+   */
   private long longestDelayUs(Settings settings, Fault... faults) {
     long longestUs = 0;
     for (int seed = 0; seed < 400; seed++) {
@@ -369,8 +375,8 @@
 
   /**
    * The broker must use the current list within 6 s after discovery becomes reachable. With a
-   * polled discovery, a request is sent early enough for a response that takes 1.8 s, regardless of
-   * the kind and order of earlier faults.
+   * polled discovery, a request is sent within 4.2 s, which leaves 1.8 s for the response. This
+   * applies regardless of the kind and order of earlier faults.
    */
   @Test
   void afterAnyFaultsASharedDiscoveryIsReadWithinSixSeconds() {
@@ -402,7 +408,10 @@
     assertTrue(delayUs <= 3_200_000, "delay of the request in us: " + delayUs);
   }
 
-  /** An agent that takes 2 s per response is still read, because one request waits for it. */
+  /**
+   * An agent that takes 2 s to respond can still be read: the oldest request stays in flight while
+   * more than ten newer requests are sent.
+   */
   @Test
   void aSlowAgentIsRead() {
     WatchStateMachine stateMachine = stateMachine(PUSHED_SETTINGS);
--- a/src/test/java/dunlinhitch/discovery/dnssd/MalformedMessagesTest.java
+++ b/src/test/java/dunlinhitch/discovery/dnssd/MalformedMessagesTest.java
@@ -78,7 +78,10 @@
     return DnsTcpFraming.message(framed, 0);
   }
 
-  /** Feeds the message to a session and applies its changes; returns the number of closes. */
+  /**
+   * Passes the message to a session and applies the pushed changes. Returns how many times the
+   * session requested to close the connection.
+   */
   private int receivePush(byte[] bytes) {
     int closed = 0;
     PushSession session = new PushSession(random, nowUs);
--- a/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
+++ b/src/test/java/dunlinhitch/scoring/SharedWeightsTest.java
@@ -43,7 +43,8 @@
     List<ReplicatedEntry<WeightKey, Weight>> entries = new ArrayList<>();
     for (int i = 0; i < 60; i++) {
       long atUs = NOW - random.nextInt(40) * 1_000_000L;
-      // The value depends on atUs, because entries of one origin with the same timestamp are equal.
+      // The value is derived from atUs, because a broker never sends two entries with the same
+      // timestamp and different values.
       double value = 0.25 + 3.75 * new Random(seed + atUs).nextDouble();
       entries.add(
           entry("n" + random.nextInt(9), "s" + random.nextInt(3), atUs, value, 1 + value, 0));
--- a/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
+++ b/src/test/java/dunlinhitch/scoring/host/ScorerHostTest.java
@@ -230,8 +230,8 @@
   }
 
   /**
-   * Each timeout abandons a thread. At the limit no further scorer is loaded, and calls by the
-   * event loop do not block.
+   * Each timeout abandons a thread. At the limit on abandoned threads no further scorer is loaded.
+   * Calls by the event loop do not block.
    */
   @Test
   void scorerThatNeverReturnsBlocksOnlyItsOwnThreads() throws Exception {
