--- a/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/AnswerKeySimulation.java
@@ -60,8 +60,9 @@
    *     maximum age of an answer
    * @param unended queries without exactly one response by their deadline
    * @param wrongAnswersBound upper bound of {@code wrongAnswers}
-   * @param demotedAfterUs time from the change of the data until all brokers had stopped applying
-   *     the incorrect rule; -1 if some broker never stopped
+   * @param demotedAfterUs time in microseconds from the moment at which answers start to depend on
+   *     the language until all brokers have stopped applying the rule {@code language}; -1 if some
+   *     broker never stops
    */
   public record Result(
       long queries,
@@ -146,10 +147,7 @@
     return brokers.get(random.nextInt(brokers.size()));
   }
 
-  /**
-   * Returns true at random; the probability is {@code factor} times the probability of message
-   * loss.
-   */
+  /** Returns true with a probability of {@code factor} times the probability of message loss. */
   boolean drawsLoss(int factor) {
     return random.nextDouble() < setup.loss() * factor;
   }
@@ -219,9 +217,10 @@
   /**
    * Returns the upper bound of wrong answers, which docs/answer-keys.md derives. A trial is a query
    * that is sent to a store to test a rule. The bound is the sum of two terms. The first is the
-   * number of wrong answers until a trial detects the incorrect rule, for each side of a partition.
-   * The second is the number of answers shared between languages until all brokers have received
-   * the result of that trial.
+   * number of wrong answers until a trial detects the incorrect rule. During a partition, this term
+   * is doubled, because each side must detect the incorrect rule itself. The second is the number
+   * of queries that receive an answer in another language while the result of that trial spreads to
+   * all brokers.
    */
   private double wrongAnswersBound(double acrossLanguagesPerSecond) {
     int sides = setup.partitioned() ? 2 : 1;
@@ -330,7 +329,9 @@
     }
   }
 
-  /** Records that a query becomes the leader of a fetch, whose answer other queries may share. */
+  /**
+   * Records that a query starts a fetch as its leader. Other queries may share the fetched answer.
+   */
   void recordLeader(SimulatedQuery query) {
     long generation = data.generation(query.part().shard());
     boolean repeated = fetchHistory.recordLeader(nowUs(), query.identity(), generation);
@@ -371,7 +372,10 @@
         });
   }
 
-  /** Passes the answer of a random replica to the consumer, or null if the request fails. */
+  /**
+   * Sends a query to a random replica. Passes the replica's answer to the consumer after a random
+   * delay, or null if the request fails.
+   */
   private void requestFromStore(SimulatedQuery query, Consumer<StoreAnswer> consumer) {
     fetches += isCounted(nowUs()) && nowUs() < END_US ? 1 : 0;
     String store = storeName(query.part().shard(), random.nextInt(REPLICAS));
--- a/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/FetchHistory.java
@@ -22,8 +22,8 @@
   /**
    * Records that a query became the leader of a fetch.
    *
-   * @return true if the fetch is unnecessary: the previous fetch is not older than the maximum age
-   *     of an answer and returned the same data
+   * @return true if the fetch is unnecessary: the previous fetch is younger than the maximum age of
+   *     an answer, and the data has not changed since then
    */
   boolean recordLeader(long nowUs, String identity, long generation) {
     LastFetch last = lastFetches.computeIfAbsent(identity, absent -> new LastFetch());
--- a/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
+++ b/src/main/java/dunlinhitch/experiments/answerkeys/SimulatedBroker.java
@@ -38,8 +38,8 @@
   private static final int URGENT_GOSSIP_FANOUT = 3;
 
   /**
-   * Probability that all entries are sent to a peer again, as a multiple of the probability of
-   * message loss; see {@link #gossip}.
+   * Factor that is multiplied by the probability of message loss. The product is the probability
+   * that a broker sends all entries to a peer again, see {@link #gossip}.
    */
   private static final int GOSSIP_LOSS_FACTOR = 2;
 
@@ -183,8 +183,8 @@
   }
 
   /**
-   * Selects {@code fanout} random brokers and sends each of them the evidence that the receiver may
-   * lack.
+   * Selects {@code fanout} random brokers and sends each of them the evidence that has changed
+   * since this broker last sent evidence to it.
    */
   void gossip(int fanout) {
     for (int i = 0; i < fanout; i++) {
@@ -197,7 +197,8 @@
               .since(gossipedVersions.getOrDefault(other.name, 0L), MAX_GOSSIPED_ENTRIES)) {
         world.send(this, other.name, peer -> peer.module.mergeEvidence(world.nowUs(), entry));
       }
-      // Version 0 sends all entries again. This models anti-entropy, which detects lost entries.
+      // If a loss is drawn, the next gossip to this peer sends all entries again, because it starts
+      // at version 0. This models anti-entropy, which detects lost entries and sends them again.
       boolean lost = world.drawsLoss(GOSSIP_LOSS_FACTOR);
       gossipedVersions.put(other.name, lost ? 0L : version);
     }
--- a/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
+++ b/src/main/java/dunlinhitch/experiments/dns/FakeNameServer.java
@@ -47,23 +47,26 @@
  * other threads.
  */
 public final class FakeNameServer implements AutoCloseable {
-  /** A fault of an answer. */
+  /** The fault that is applied to an answer. */
   public enum Fault {
-    /** No fault. */
+    /** The answer is sent unaltered and at once. */
     NONE,
-    /** Sent 1.5 s after the query, after the resolver has timed out. */
+    /** The answer is sent 1.5 s after the query. By then the resolver has timed out. */
     LATE,
     LOST,
     DOUBLED,
-    /** Truncated (TC) over UDP; complete over TCP. */
+    /** Over UDP, the answer has the TC flag and no records. Over TCP, the answer is complete. */
     TRUNCATED,
-    /** Sent only with a wrong message id. */
+    /** The answer has a wrong message id and an empty answer section. No other answer is sent. */
     FORGED_ID,
-    /** Only an empty answer is sent, from another port. */
+    /**
+     * An empty answer is sent over UDP from a port that the query was not sent to. No other answer
+     * is sent.
+     */
     FORGED_PORT,
-    /** The second half of the message is missing. */
+    /** Only the first half of the message is sent. */
     HALF,
-    /** Sent without the AA flag and without records. */
+    /** The answer has neither the AA flag nor any records. */
     NO_AUTHORITY,
     SERVFAIL,
     REFUSED,
@@ -207,7 +210,10 @@
     return sessions.stream().mapToInt(s -> s.subscriptionsById.size()).sum();
   }
 
-  /** Closes all push sessions; if {@code half} is true, in the middle of a message. */
+  /**
+   * Closes all push sessions. If {@code half} is true, the server first sends the beginning of a
+   * message to each session.
+   */
   public void cutSessions(boolean half) {
     sessions.forEach(
         s ->
@@ -344,8 +350,8 @@
   }
 
   /**
-   * Sends an answer. If the message is too long, the additional records are removed. If this does
-   * not suffice, the message is truncated and has the TC flag.
+   * Sends an answer. If the message is too long, the additional records are removed. If the message
+   * is still too long, it is truncated and has the TC flag.
    */
   private void send(Message answer, Exchange exchange) {
     byte[] wire = exchange.encode(answer);
--- a/src/main/java/dunlinhitch/experiments/dns/Zone.java
+++ b/src/main/java/dunlinhitch/experiments/dns/Zone.java
@@ -85,7 +85,7 @@
         .anyMatch(key -> key.name().equals(name) || key.name().subdomain(name));
   }
 
-  /** Removes and adds records atomically, with one serial. */
+  /** Removes and adds records atomically, as one change of the zone with one new serial. */
   public synchronized void change(List<Record> removed, List<Record> added) {
     List<PushChange> changes = new ArrayList<>();
     for (Record record : removed) {
--- a/src/main/java/dunlinhitch/experiments/fakes/BrokerFixture.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/BrokerFixture.java
@@ -46,10 +46,10 @@
   /** What the broker registers in DNS, or null to register nothing. */
   public Product.Announcement announcement;
 
-  /** Times of endpoint handling, or null for the defaults. */
+  /** Times of the endpoint registry, or null for the defaults. */
   public Product.MembershipTimes membershipTimes;
 
-  /** Classes that are queried in two passes. */
+  /** Query classes that the broker executes in two passes. */
   public List<Product.TwoPhaseClass> twoPhaseClasses = List.of();
 
   /** Lines that the broker logged. */
--- a/src/main/java/dunlinhitch/experiments/fakes/FlightStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/FlightStore.java
@@ -33,8 +33,8 @@
               .toList());
 
   /**
-   * Shared by all fakes. A pool that is shut down together with its server would reject the calls
-   * that are still in flight.
+   * The executor of all fakes. It is never shut down: a pool that is shut down together with one
+   * server would reject the calls of this server that are still in flight.
    */
   private static final ExecutorService POOL =
       Executors.newCachedThreadPool(
--- a/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/FrameStore.java
@@ -190,8 +190,8 @@
 
   @Override
   public void close() throws Exception {
-    // waits until the server is closed: a connection accepted after the end of the event loop would
-    // be lost
+    // Waits until the server is closed. A connection that is accepted after the event loop has
+    // ended would never be handled.
     server.close().toCompletionStage().toCompletableFuture().get(5, TimeUnit.SECONDS);
     sockets.forEach(NetSocket::close);
   }
--- a/src/main/java/dunlinhitch/experiments/fakes/QueueingStore.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/QueueingStore.java
@@ -22,8 +22,8 @@
   private volatile long workedUs;
 
   /**
-   * Accumulated delay of the timers. It is subtracted from the next service time, so that the mean
-   * service rate is exact.
+   * Total time by which the timers have fired late so far, in microseconds. It is subtracted from
+   * the next service time, so that the mean service rate is exact.
    */
   private double timerLagUs;
 
@@ -63,7 +63,8 @@
     return "latency_ms=" + workUs / 1000 + ",queue=" + queue.size();
   }
 
-  // Only the event loop writes the volatile field; other threads read it.
+  // Non-atomic updates of the volatile field workedUs are safe, because only the event loop writes
+  // it. Other threads only read it.
   @SuppressWarnings("NonAtomicVolatileUpdate")
   private void startJobs() {
     while (busyCores < cores && !queue.isEmpty()) {
--- a/src/main/java/dunlinhitch/experiments/fakes/Store.java
+++ b/src/main/java/dunlinhitch/experiments/fakes/Store.java
@@ -37,11 +37,12 @@
   }
 
   /** The fields of an answer, as written to the wire. */
-  // The array is never modified, and rows are never compared.
+  // A component that is an array is safe here: the array is never modified, and rows are never
+  // compared.
   @SuppressWarnings("ArrayRecordComponent")
   protected record Row(String id, String end, String score, String report, byte[] value) {}
 
-  /** Returns the answer to a part that a behavior prescribes. */
+  /** Returns the answer that {@code behavior} prescribes for a part. */
   protected Row answerRow(ReceivedPart part, Behavior behavior) {
     boolean fails = behavior == Behavior.BAD || behavior == Behavior.LATER;
     byte[] value = (fails ? "" : value(part)).getBytes(StandardCharsets.UTF_8);
--- a/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FleetViewMeasure.java
@@ -253,7 +253,8 @@
   private static void inject(Fault fault, MembershipSimulation simulation, int brokers) {
     switch (fault) {
       case START -> {
-        // nothing to inject: the simulation begins with the start
+        // Injects nothing: the measured event is the start of all brokers, with which the
+        // simulation begins.
       }
       case CRASH -> simulation.kill(brokers - 1);
       case LEAVE -> simulation.leave(brokers - 1);
@@ -289,9 +290,10 @@
   }
 
   /**
-   * Returns the time until the brokers of each half agree on the members, or -1. In a cluster of
-   * three, the isolated broker retains the other two as members. In this case, only the member
-   * lists of the other two are compared.
+   * Returns the microseconds until the brokers of each half agree on the members, or -1 if they do
+   * not agree within {@code timeoutUs}. In a cluster of three, the isolated broker retains the
+   * other two brokers as members. In such a cluster, only the member lists of the other two brokers
+   * are compared.
    */
   private static long untilHalvesAgree(
       MembershipSimulation simulation, int brokers, long timeoutUs) {
--- a/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/FloorsCommand.java
@@ -28,13 +28,13 @@
     mixinStandardHelpOptions = true)
 public final class FloorsCommand implements Callable<Integer> {
   /**
-   * Minimum, in each third of a day, of the share that the broker serves divided by the share that
-   * the reference policy serves. The reference policy knows the true state of the stores with a
-   * delay.
+   * Required ratio of two served shares: the share that the broker serves in one third of a day,
+   * divided by the share that the reference policy serves in the whole day. The reference policy
+   * knows the true state of the stores with a delay.
    */
   private static final double MIN_THIRD_RATIO = 0.2;
 
-  /** The minimum of the same ratio for days of at least {@link #LONG_DAY_S} seconds. */
+  /** Like {@link #MIN_THIRD_RATIO}, for days of at least {@link #LONG_DAY_S} seconds. */
   private static final double LONG_DAY_MIN_THIRD_RATIO = 0.5;
 
   private static final double LONG_DAY_S = 600;
@@ -96,7 +96,8 @@
     List<Floor> floors = new ArrayList<>();
     for (JsonValue value : report.get("days").asArray()) {
       JsonObject day = value.asObject();
-      // In a journal, the object of the day is the value of the field "row".
+      // In a journal, each entry contains the object of its day in the field "row". In a report,
+      // the entry is itself this object.
       JsonObject row = day.get("row") == null ? day : day.get("row").asObject();
       String name = row.getString("name", "?") + " of " + file;
       floors.add(
--- a/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
+++ b/src/main/java/dunlinhitch/experiments/measurements/MembershipScaleMeasure.java
@@ -22,8 +22,8 @@
 /**
  * Measures the cost of one changed endpoint, from the arrival of the pushed record to the decisions
  * of the broker, with 100, 1,000 and 10,000 instances. For comparison, it measures the cost of
- * delivering the same change as a complete list, the method of earlier sources. It also measures
- * the cost of refreshing every record.
+ * delivering the same change as a complete endpoint list, as discovery sources did before. It also
+ * measures the cost of refreshing every record.
  */
 final class MembershipScaleMeasure implements Measures.Measure {
   private static final String SOURCE = "dns_sd scale";
@@ -116,8 +116,8 @@
     for (int i = 0; i < changes; i++) {
       nowUs += 100_000;
       int index = random.nextInt(size);
-      // runs the due timers outside of the measured time: their cost is not part of the cost of the
-      // change
+      // Runs the due timers before the measured time begins, because the cost of the timers is not
+      // part of the cost of the change.
       reducer.turn(nowUs, List.of());
       long bytes = THREADS.getCurrentThreadAllocatedBytes();
       long startNanos = System.nanoTime();
--- a/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/ClusterModel.java
@@ -81,7 +81,8 @@
   }
 
   /** A message in flight and its digests, one for each symmetry. */
-  // The arrays are never modified, and messages are compared by identity.
+  // A component that is an array is safe here: the array is never modified, and messages are
+  // compared by identity.
   @SuppressWarnings("ArrayRecordComponent")
   private record InFlightMessage<W>(
       int from, int to, W message, int sentAt, boolean duplicated, Digest[] digests) {}
@@ -168,7 +169,8 @@
 
   /**
    * Delivers all messages in flight. Afterwards only the messages that the brokers sent in response
-   * are in flight. The order of delivery is symmetric in the broker numbers.
+   * are in flight. The order in which a broker receives messages depends only on the difference
+   * between the sender's number and its own, modulo the number of brokers.
    */
   private State<W, V> deliverRound(State<W, V> state) {
     List<InFlightMessage<W>> flights = state.inFlight();
@@ -432,8 +434,8 @@
   }
 
   /**
-   * Adds the messages that a broker sent on its last input to those in flight, except messages to
-   * unreachable brokers.
+   * Adds the messages that a broker sent in response to its last input to the messages in flight.
+   * Messages to unreachable brokers are dropped.
    */
   private State<W, V> enqueueOutgoing(State<W, V> state, int from) {
     List<InFlightMessage<W>> flights = new ArrayList<>(state.inFlight());
@@ -461,7 +463,7 @@
         state.now(), histories, state.downSince(), state.partitionedLinks(), flights, used);
   }
 
-  // Compares references, because another message in flight may be equal to this one.
+  // Compares references, because an equal message may also be in flight and must not be replaced.
   @SuppressWarnings("ReferenceEquality")
   private static <W, V> List<InFlightMessage<W>> replaceMessage(
       State<W, V> state, InFlightMessage<W> removed, InFlightMessage<W> replacement) {
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Explorer.java
@@ -62,7 +62,7 @@
   /** A state whose transitions have not been taken yet. */
   private record Unexplored<S>(int number, S state) {}
 
-  /** A successor state, or the failure to compute it. */
+  /** A successor state, or the description of the exception that its computation threw. */
   private record Successor<S, M>(
       int predecessor, M transition, S state, Digest digest, String failure) {}
 
@@ -152,9 +152,9 @@
   }
 
   /**
-   * Records the first violation among these states. A violation that is already recorded is an
-   * exception in a transition that was taken after these states were reached; the violation found
-   * here replaces it.
+   * Checks the states in order and records the first violation. {@link #expand} may already have
+   * recorded an exception in a transition. That transition was taken after these states were
+   * reached, so that a violation found here replaces the recorded one.
    */
   private void checkStates(List<Unexplored<S>> newStates) {
     List<Optional<String>> violations =
--- a/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
+++ b/src/main/java/dunlinhitch/experiments/modelchecker/Models.java
@@ -35,8 +35,8 @@
   private Models() {}
 
   /**
-   * The fault budget of membership models. With 0 warm-up steps the exploration begins at the start
-   * of all brokers.
+   * The fault budget of membership models. With 0 warm-up steps, the exploration begins in the
+   * state in which all brokers have just started.
    */
   static ClusterModel.Budget membershipBudget(int warmUpSteps) {
     return new ClusterModel.Budget(warmUpSteps, 3, 0, 1, 2, 1, 1, 0);
--- a/src/main/java/dunlinhitch/experiments/simulation/Defect.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Defect.java
@@ -17,7 +17,8 @@
   /** Some answers contain the value of another part. */
   OTHER_VALUE,
   /**
-   * Some answers are reduced to their first value and miss the minimum share of the query class.
+   * Some answers contain only their first value, so that they have less than the minimum share of
+   * the query class.
    */
   UNDER_THE_FLOOR,
   /** Some parts are sent a second time while the first attempt is in flight. */
--- a/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/InvariantChecker.java
@@ -128,8 +128,8 @@
   }
 
   /**
-   * Called when discovery notifies a broker of the state of an endpoint. After the drain grace
-   * period, an unavailable endpoint must not receive attempts.
+   * Called when discovery notifies a broker that an endpoint is available or unavailable. Once the
+   * drain grace period has elapsed, the broker must not send attempts to an unavailable endpoint.
    */
   void endpointNotified(int broker, String store, boolean available) {
     String key = broker + " " + store;
--- a/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/ScorerSimulation.java
@@ -236,7 +236,7 @@
       stores.add(new Store("s" + i, slowdown));
       capacity += 1 / slowdown;
     }
-    // The mean time between two queries of one broker.
+    // The mean time between two queries of one broker, in microseconds.
     meanGapUs = plan.workUs() / (capacity * plan.load()) * plan.brokers();
     for (int i = 0; i < plan.brokers(); i++) {
       addBroker();
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedClients.java
@@ -14,7 +14,7 @@
 
 /**
  * The clients of a simulated run. They send queries at random times, sometimes disconnect before
- * the answer, retry failed queries and account for the served weight. Not thread-safe.
+ * the answer, retry failed queries and add up the weight of the served answers. Not thread-safe.
  */
 final class SimulatedClients {
   private static final double MICROS_PER_SECOND = 1e6;
@@ -67,13 +67,13 @@
     return offeredWeight;
   }
 
-  /** Returns the request of an open query, or null. */
+  /** Returns the request of a query, or null if no query with this id is open. */
   QueryRequest openRequest(String id) {
     ClientQuery query = openQueries.get(id);
     return query == null ? null : query.request();
   }
 
-  /** Sends a query and schedules the next query, until the load ends. */
+  /** Sends a query and schedules the next query. Does nothing once the load has ended. */
   void arrive() {
     if (time.now() >= Simulation.START_US + schedule.seconds() * 1_000_000L) {
       return;
--- a/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/SimulatedStore.java
@@ -185,8 +185,8 @@
   }
 
   /**
-   * Returns the values of {@code latency_ms} and {@code queue} at the last refresh of the load
-   * report.
+   * Returns the values of {@code latency_ms} and {@code queue} in the current load report. A report
+   * that is due for a refresh is refreshed first.
    */
   float[] report() {
     if (time.now() >= reportAtUs) {
--- a/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
+++ b/src/main/java/dunlinhitch/experiments/simulation/Simulation.java
@@ -141,7 +141,7 @@
         trace);
   }
 
-  /** Returns the broker in a slot, which may have crashed. */
+  /** Returns the broker in a slot. The broker may have crashed. */
   SimulatedBroker broker(int slot) {
     return slots[slot];
   }
--- a/src/main/java/dunlinhitch/experiments/soak/Observation.java
+++ b/src/main/java/dunlinhitch/experiments/soak/Observation.java
@@ -12,7 +12,7 @@
   String subject();
 
   /**
-   * The outcome of a request for its client; {@code LEFT} means that the client closed its
+   * How a request ended, as observed by its client. {@code LEFT} means that the client closed its
    * connection before the answer.
    */
   enum RequestEnd {
@@ -62,8 +62,8 @@
   }
 
   /**
-   * A store answered an attempt, read the cancellation of the attempt, or detected the end of the
-   * connection of the attempt.
+   * An attempt is over at a store: the store has answered the attempt, has read its cancellation or
+   * has detected that its connection is closed.
    */
   record AttemptOver(long atUs, String part, String store, int connection) implements Observation {
     @Override
--- a/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakChecker.java
@@ -21,7 +21,10 @@
  * the observations. An instance checks one run and is not thread-safe.
  */
 public final class SoakChecker {
-  /** Tolerance for the delay of a broker between reading its clock and writing to a connection. */
+  /**
+   * Microseconds that the timed rules tolerate between the times at which a broker reads its clock
+   * and writes to a connection.
+   */
   static final long STALL_US = 150_000;
 
   /**
--- a/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakClients.java
@@ -45,7 +45,7 @@
     random = new SplittableRandom(plan.seed() * 31 + number);
   }
 
-  /** Starts sending requests, which continues until the executor is shut down. */
+  /** Starts the clients. They send requests until the executor is shut down. */
   void start() {
     var unused = executor.scheduleAtFixedRate(this::send, 0, INTERVAL_MS, TimeUnit.MILLISECONDS);
   }
--- a/src/main/java/dunlinhitch/experiments/soak/SoakPlan.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakPlan.java
@@ -36,7 +36,7 @@
   static final int MAX_ATTEMPTS = 4;
   static final int DRAIN_GRACE_MS = 250;
 
-  /** The query class without idempotency keys, which permits partial answers. */
+  /** The query class without idempotency keys. This class permits partial answers. */
   static final String SEARCH = "search";
 
   /** The query class with idempotency keys. */
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRule.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRule.java
@@ -15,8 +15,8 @@
   /** The timeout of an attempt does not exceed the remaining time of its request. */
   DEADLINE(true),
   /**
-   * In the query class with idempotency keys, further attempts of a part start within the
-   * deduplication window, which begins with the first attempt.
+   * In the query class with idempotency keys, all attempts of a part start within the deduplication
+   * window. This window begins when the first attempt is sent.
    */
   WINDOW(true),
   /**
--- a/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
+++ b/src/main/java/dunlinhitch/experiments/soak/SoakRun.java
@@ -94,7 +94,8 @@
       schedule(() -> begin(fault), fault.atMs());
     }
     TimeUnit.SECONDS.sleep(plan.seconds());
-    // The executor starts no new requests or faults. Tasks that end faults in progress still run.
+    // After the shutdown, the executor starts no requests or faults, but still runs the tasks that
+    // end faults in progress.
     executor.shutdown();
     executor.awaitTermination(2L * plan.deadlineMs(), TimeUnit.MILLISECONDS);
     for (SoakClients brokerClients : clients) {
--- a/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/ClusterSimulation.java
@@ -45,14 +45,14 @@
     private final List<String> probed = new ArrayList<>();
 
     /**
-     * Number of health checks by other brokers on behalf of this broker that ended with an
+     * Number of health checks that other brokers performed for this broker and that ended with an
      * observation of the store.
      */
     private int reportedHealthChecks;
 
     /**
-     * Number of health checks by other brokers on behalf of this broker that ended without an
-     * observation.
+     * Number of health checks that other brokers were to perform for this broker and that ended
+     * without an observation of the store.
      */
     private int unreportedHealthChecks;
 
@@ -73,16 +73,16 @@
     }
 
     /**
-     * Returns the number of health checks by other brokers on behalf of this broker that ended with
-     * an observation of the store.
+     * Returns the number of health checks that other brokers performed for this broker and that
+     * ended with an observation of the store.
      */
     public int reportedHealthChecks() {
       return reportedHealthChecks;
     }
 
     /**
-     * Returns the number of health checks by other brokers on behalf of this broker that ended
-     * without an observation.
+     * Returns the number of health checks that other brokers were to perform for this broker and
+     * that ended without an observation of the store.
      */
     public int unreportedHealthChecks() {
       return unreportedHealthChecks;
@@ -342,8 +342,9 @@
   }
 
   /**
-   * Returns the number of connections that exist in the larger cluster but not in the smaller one,
-   * as a multiple of the mean number of connections per broker in the larger cluster.
+   * Counts the connections that exist in the larger cluster but not in the smaller one. Returns
+   * this count divided by the mean number of connections of a broker in the larger cluster. Both
+   * maps contain the stores that each broker is connected to, by broker.
    */
   public static double moved(Map<String, Set<String>> larger, Map<String, Set<String>> smaller) {
     long lost = 0;
--- a/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/FaultInjector.java
@@ -27,7 +27,9 @@
     this.log = log;
   }
 
-  /** Runs all steps at their times, measured from now on; returns after the last step. */
+  /**
+   * Runs each step at its time, measured from the call of this method. Returns after the last step.
+   */
   void run(List<ScheduledFault> faults) throws Exception {
     List<Step> steps = new ArrayList<>();
     for (ScheduledFault fault : faults) {
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipBounds.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipBounds.java
@@ -22,8 +22,8 @@
   private MembershipBounds() {}
 
   /**
-   * Returns the time in microseconds in which an update reaches all brokers. It is 2 * log2(cluster
-   * size) protocol periods.
+   * Returns the time in microseconds in which an update reaches all brokers. This time is 2 *
+   * log2(brokers + 1) protocol periods.
    */
   private static double disseminationUs(MembershipProtocolSettings settings, int brokers) {
     return 2 * settings.periodUs() * Math.log(brokers + 1) / Math.log(2);
@@ -37,16 +37,16 @@
   }
 
   /**
-   * Returns the upper bound of the convergence time after graceful leaves, provided that at least
-   * one other broker received the announcement of each leave.
+   * Returns the upper bound of the convergence time after brokers leave gracefully. The bound holds
+   * if at least one other broker receives the announcement of each leaving broker.
    */
   public static long leaveUs(MembershipProtocolSettings settings, int brokers) {
     return (long) (4 * settings.periodUs() + 2 * disseminationUs(settings, brokers));
   }
 
   /**
-   * Returns the upper bound of the convergence time after joins or the end of a partition, even if
-   * both coincide.
+   * Returns the upper bound of the convergence time after brokers join or a partition heals, even
+   * if both happen at the same time.
    */
   public static long joinUs(MembershipProtocolSettings settings, int brokers) {
     return (long)
@@ -55,7 +55,7 @@
             + antiEntropyUs(settings, brokers));
   }
 
-  /** Returns the upper bound of the convergence time after crashes or the start of a partition. */
+  /** Returns the upper bound of the convergence time after brokers crash or a partition begins. */
   public static long dieUs(MembershipProtocolSettings settings, int brokers) {
     double suspicionUs =
         settings.suspicionMultiplier()
--- a/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/MembershipSimulation.java
@@ -92,7 +92,7 @@
       }
     }
 
-    // Snapshots are immutable, and each change creates a new one, so references can be compared.
+    // Compares references, because snapshots are immutable and each change creates a new snapshot.
     @SuppressWarnings("ReferenceEquality")
     private void afterEvent() {
       ClusterSnapshot snapshot = protocol.snapshot();
@@ -265,8 +265,9 @@
   }
 
   /**
-   * Pauses a process. On resumption, the process handles all messages that arrived during the
-   * pause: before its timers if {@code messagesFirst} is true, otherwise after them.
+   * Pauses a process. When the process resumes, it handles all messages that arrived during the
+   * pause and runs its due timers. The messages come first if {@code messagesFirst} is true;
+   * otherwise the timers come first.
    */
   public void still(int number, long forUs, boolean messagesFirst) {
     Node node = node(number);
@@ -343,7 +344,7 @@
   /**
    * Runs until all running brokers agree on the members.
    *
-   * @return microseconds until then, or -1 if they do not agree within the limit
+   * @return microseconds until the brokers agree, or -1 if they do not agree within the limit
    */
   public long untilAgree(long withinUs) {
     long from = time.nowUs();
@@ -359,7 +360,8 @@
   /**
    * Runs until all running brokers agree and each has detected the convergence.
    *
-   * @return microseconds until then, or -1 if the condition is not met within the limit
+   * @return microseconds until this condition is met, or -1 if the condition is not met within the
+   *     limit
    */
   public long untilSettled(long withinUs) {
     long from = time.nowUs();
--- a/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/NetworkFaults.java
@@ -40,8 +40,8 @@
   private final SplittableRandom random;
 
   /**
-   * Creates an empty set of rules; {@code seed} determines which traffic a rule with a share
-   * applies to.
+   * Creates an empty set of rules; {@code seed} determines to which chunks and datagrams a rule
+   * applies whose share is below 1.
    */
   public NetworkFaults(long seed) {
     random = new SplittableRandom(seed);
--- a/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/QueryLoad.java
@@ -23,10 +23,12 @@
  * must be called on other threads.
  */
 public final class QueryLoad {
-  /** Deadline that each query carries. */
+  /** Deadline that each query states, in milliseconds after the query is sent. */
   private static final int QUERY_DEADLINE_MS = 1_000;
 
-  /** Time within which a running broker must answer: the deadline of the query plus 500 ms. */
+  /**
+   * Milliseconds within which a running broker must answer: the deadline of the query plus 500 ms.
+   */
   private static final int ANSWER_TIMEOUT_MS = 1_500;
 
   private static final int MAX_QUERIES = 20_000;
--- a/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/StreamProxy.java
@@ -230,7 +230,8 @@
     socket.exceptionHandler(e -> {});
     NetworkFaults.Rule rule = links.of(broker, peer);
     if (rule != null && rule.harm() == NetworkFaults.Harm.LOST) {
-      // The proxy never connects to the peer, and the socket of the broker stays open.
+      // All traffic to the peer is lost, so the proxy does not connect to the peer. The broker's
+      // connection stays open without an answer until it is reset.
       stalledConnections.add(socket);
       return;
     }
--- a/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBed.java
@@ -38,7 +38,7 @@
   /** Maximum number of output lines that are retained for each broker. */
   private static final int MAX_OUTPUT_LINES = 4_000;
 
-  /** Settings with two query classes and short times; arguments: brokers, cells, shards. */
+  /** Settings with two query classes and short times for %d brokers, %d cells and %d shards. */
   @SuppressWarnings("InlineFormatString") // a text block is easier to read as a constant
   private static final String SETTINGS =
       """
@@ -262,7 +262,7 @@
       Files.writeString(workingDirectory.resolve("config.json"), configText());
     }
 
-    /** Forwards the bytes held between discovery and this broker. Event loop only. */
+    /** Forwards the bytes held between discovery and this broker; for use on the event loop. */
     public void releaseDiscovery() {
       discoveryProxy.release();
     }
@@ -407,7 +407,7 @@
     return brokers.stream().allMatch(node -> node.members().equals(names));
   }
 
-  /** Returns, for each store, how many of the brokers in {@code who} have it in their subset. */
+  /** Returns, by store, how many brokers accepted by {@code who} have the store in their subset. */
   public Map<String, Integer> load(Predicate<Node> who) {
     Map<String, Integer> load = new LinkedHashMap<>();
     stores.forEach(store -> load.put(store.name, 0));
@@ -441,7 +441,7 @@
         });
   }
 
-  /** Resets the broker's connections that lost bytes, as at the end of a partition. */
+  /** Resets the broker's connections that lost bytes, as a network does after a partition heals. */
   public void resetStalled(Node node) throws Exception {
     onLoop(
         () -> {
--- a/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
+++ b/src/main/java/dunlinhitch/experiments/testbed/TestBedCommand.java
@@ -31,10 +31,10 @@
   private static final int MIN_SECONDS = 4;
   private static final int MAX_SECONDS = 60;
 
-  /** Time between two queries to one broker. */
+  /** Milliseconds between two queries to one broker. */
   private static final int QUERY_INTERVAL_MS = 100;
 
-  /** Time for which the load continues after the brokers agree on the members again. */
+  /** Milliseconds for which the load continues after the brokers agree on the members again. */
   private static final int SETTLE_MS = 1_000;
 
   @Parameters(
--- a/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
+++ b/src/test/java/dunlinhitch/experiments/modelchecker/ExplorerTest.java
@@ -49,7 +49,10 @@
         .orElseThrow();
   }
 
-  /** Incarnations above the initial one are ignored, so that no suspicion can be refuted. */
+  /**
+   * The defective protocol ignores incarnations above the initial one, so that no suspicion can be
+   * refuted.
+   */
   @Test
   void ignoredRefutationIsFound() {
     UnaryOperator<GossipMessage> ignoresRefutations =
