--- a/src/main/java/dunlinhitch/balancer/Admission.java
+++ b/src/main/java/dunlinhitch/balancer/Admission.java
@@ -18,7 +18,9 @@
  * <p>Not thread-safe; the load balancer owns it.
  */
 final class Admission {
-  /** Minimum divisor of a part's wait; avoids a division by zero. */
+  /**
+   * Lower limit of the weight by which the wait of a part is divided; avoids a division by zero.
+   */
   private static final double MIN_WEIGHT = 1e-9;
 
   /**
@@ -120,7 +122,7 @@
     for (Part part : query.parts) {
       Server server = part.attemptCount > 0 ? null : selection.select(part);
       if (server == null) {
-        // No server is eligible yet, or the part has already been sent.
+        // No wait is predicted for a part that has already been sent or has no eligible server yet.
         plan.add(new PlannedPart(part, 0.0));
         continue;
       }
--- a/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
+++ b/src/main/java/dunlinhitch/balancer/QueryDeadlines.java
@@ -29,10 +29,16 @@
   /** Ratio of the timeout to the latency at {@link #TIMEOUT_QUANTILE}. */
   private static final double TIMEOUT_FACTOR = 2;
 
-  /** Number of service times that must remain for a retry of a rejected query to be in time. */
+  /**
+   * Time that must remain for a retry of a rejected query to be in time, as a multiple of the
+   * service time of a typical part.
+   */
   private static final double RETRY_SERVICE_TIMES = 2;
 
-  /** The Retry-After delay is the slack of a retry divided by this number. */
+  /**
+   * The Retry-After delay is the slack of a retry divided by this number. The slack is the time
+   * until the objective minus the time reserved for the retry by {@link #RETRY_SERVICE_TIMES}.
+   */
   private static final long RETRY_AFTER_FRACTION = 4;
 
   private final BalancerContext context;
@@ -56,11 +62,11 @@
 
   /**
    * Returns the time that a client has already waited for earlier requests of the same query; 0 if
-   * the request is not marked as a retry. The time is derived from the client timeout: a timeout
-   * shorter than others of the class is assumed to be limited by the client's own deadline. Without
-   * this correction, retries of queries that have already missed their objective would displace
-   * queries that can still meet it. Clients that use short timeouts for other reasons are at a
-   * disadvantage.
+   * the request is not marked as a retry. A retry whose client timeout is shorter than others of
+   * the class is assumed to have been shortened by the time already waited; that time is the
+   * deadline of the class minus the client timeout. Without this correction, retries of queries
+   * that have already missed their objective would displace queries that can still meet it. Clients
+   * that use short timeouts for other reasons are at a disadvantage.
    */
   private long spentUs(QueryArrived event, ClassStatistics statistics) {
     long timeoutUs = event.deadlineUs() - context.nowUs();
@@ -109,11 +115,11 @@
 
   /**
    * Returns the time at which an attempt sent now times out. If attempts can be cancelled,
-   * maintenance ends late attempts; otherwise only the timeout does. The timeout also stops servers
-   * from doing work that is no longer needed, even if a cancellation fails to do so. If the class
-   * allows partial answers, an attempt therefore times out as soon as its query may be answered
-   * without it. The drawback is that the attempt is lost even if the weight of the answered parts
-   * is still below the class's {@code floor} at that time.
+   * maintenance ends late attempts; otherwise only the timeout ends them. The timeout also stops
+   * servers from doing work that is no longer needed if a cancellation fails to stop them. For that
+   * reason, an attempt of a class that allows partial answers times out as soon as its query may be
+   * answered without it. The drawback is that the attempt is lost even if the weight of the
+   * answered parts is still below the class's {@code floor} at that time.
    */
   long attemptTimeoutUs(Query query) {
     long nowUs = context.nowUs();
--- a/src/main/java/dunlinhitch/core/InFlightRegistry.java
+++ b/src/main/java/dunlinhitch/core/InFlightRegistry.java
@@ -21,8 +21,8 @@
   final Map<Long, InFlightAttempt> attempts = new HashMap<>();
 
   /**
-   * The attempts in flight by key. This index is needed because a part may be closed before its
-   * attempts end.
+   * The attempts in flight by key. An attempt is looked up here rather than through its part,
+   * because the part may be closed and removed before its attempts end.
    */
   private final Map<InFlightAttempt.Key, InFlightAttempt> attemptsByKey = new HashMap<>();
 
@@ -40,8 +40,8 @@
   long endpointsVersion;
 
   /**
-   * Names of the endpoints that an operator has disabled, with the number reserved for each while
-   * it is disabled, whether or not it is in the endpoint list.
+   * The endpoints that an operator has disabled, by name, whether or not they are in the endpoint
+   * list. The value is the number reserved for the endpoint while it is disabled.
    */
   final Map<String, Integer> disabledEndpoints = new HashMap<>();
 
--- a/src/test/java/dunlinhitch/core/OperatorStageTest.java
+++ b/src/test/java/dunlinhitch/core/OperatorStageTest.java
@@ -53,9 +53,10 @@
   }
 
   /**
-   * An operator disables an endpoint in the turn in which a part is queued for it; the part is sent
-   * to the other endpoint instead. (An endpoint disabled through another process is handled before
-   * the queries of the same turn.)
+   * An operator disables an endpoint in the turn in which parts are queued for it; these parts are
+   * sent to the other endpoint. The operator's request follows the query in the turn and is handled
+   * after it. An endpoint disabled through another process would be handled before the queries of
+   * the same turn.
    */
   @Test
   void unsentAttemptsForADisabledEndpointAreWithdrawn() {
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTest.java
@@ -131,8 +131,8 @@
   }
 
   /**
-   * A repeated tenant header is valid only with equal values; a header of 60,000 characters is
-   * rejected.
+   * A repeated tenant header is valid only if all its values are equal. A header of 60,000
+   * characters is rejected.
    */
   @Test
   void repeatedTenantHeaderIsUnknownUnlessEqual() throws Exception {
@@ -280,7 +280,7 @@
                     + Client.body(1).getBytes(StandardCharsets.UTF_8).length
                     + "\r\n",
                 Client.body(1))));
-    // the reducer counts a request in a turn after its response
+    // the reducer counts a request in a turn that follows the response to the request
     while (fixture.counter("bad_requests") < 8) {
       Thread.onSpinWait();
     }
--- a/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
+++ b/src/test/java/dunlinhitch/frontend/http/HttpFrontendTimingTest.java
@@ -130,8 +130,8 @@
   }
 
   /**
-   * Runs {@code client} while the event loop is blocked, then {@code loop} before the event loop
-   * reads.
+   * Runs {@code client} while the event loop is blocked, then {@code loop} on the event loop before
+   * it reads the bytes that have arrived.
    */
   private void whileLoopIsBlocked(Action client, long advanceUs, Action loop) throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
@@ -353,8 +353,9 @@
   }
 
   /**
-   * The end of the stream or a reset before the end of a body yields no query; a half-close after a
-   * complete request is a disconnect.
+   * If the client closes or resets the connection before the body is complete, no query is
+   * reported. If the client half-closes the connection after a complete request, a disconnect is
+   * reported.
    */
   @Test
   void disconnectWithinRequestIsNoQueryAndHalfCloseIsDisconnect() throws Exception {
@@ -470,7 +471,8 @@
         } catch (java.net.ConnectException closed) {
           break;
         } catch (java.net.SocketException reset) {
-          // A client may connect just before the close; only a refusal proves the close.
+          // A connection made just before the listener closes may be reset; only a refused
+          // connection shows that the listener is closed.
         }
       }
       assertEquals(1, complete.getCount(), "shutdown completed before its deadline");
